--- a/internal/loop/conn.go
+++ b/internal/loop/conn.go
@@ -236,18 +236,34 @@
 		}
 		return
 	}
-	n, err := unix.Read(c.fd, l.buf)
+	if events&unix.EPOLLRDHUP == 0 {
+		c.read()
+		return
+	}
+	for n := 0; n < readsToEnd && c.fd >= 0 && c.reads && !c.paused; n++ {
+		if !c.read() {
+			return
+		}
+	}
+}
+
+// read hands over what has come, a bounded part of it; false: there is no more.
+func (c *Conn) read() bool {
+	n, err := unix.Read(c.fd, c.l.buf)
 	switch {
 	case err == unix.EAGAIN || err == unix.EINTR:
+		return false
 	case err != nil:
 		c.die(os.NewSyscallError("read", err))
+		return false
 	case n == 0:
 		c.reads = false
 		c.setInterest()
-		c.handler.PeerDone(l.now)
-	default:
-		c.handler.Data(l.now, l.buf[:n])
+		c.handler.PeerDone(c.l.now)
+		return false
 	}
+	c.handler.Data(c.l.now, c.l.buf[:n])
+	return true
 }
 
 func (c *Conn) flush() {
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -20,6 +20,7 @@
 
 const (
 	readSize   = 64 << 10              // most bytes taken from one connection in a turn: no peer holds up another
+	readsToEnd = 16                    // reads in a turn from a peer that has ended its half: its end is told in the turn of its last bytes
 	eventsTurn = 512                   // events taken in a turn
 	acceptTurn = 64                    // connections accepted in a turn
 	backlog    = 4096                  // connections that may wait to be accepted
@@ -49,7 +50,8 @@
 	start    time.Time
 	now      Nanos
 	timers   timers
-	byFD     map[int32]source
+	byFD     map[int32]registration
+	watched  int32 // registrations so far
 	dirty    []*Conn
 	dead     []*Conn
 	buf      []byte
@@ -77,9 +79,16 @@
 
 type source interface{ ready(l *Loop, events uint32) }
 
+// registration is a source under its descriptor. Its number travels with the events that epoll reports: one that was
+// reported for a descriptor closed in the same turn must not reach the connection that was given the descriptor next.
+type registration struct {
+	source source
+	number int32
+}
+
 // New makes a loop; it holds four descriptors until Close.
 func New() (*Loop, error) {
-	l := &Loop{start: time.Now(), timers: newTimers(), byFD: make(map[int32]source), buf: make([]byte, readSize),
+	l := &Loop{start: time.Now(), timers: newTimers(), byFD: make(map[int32]registration), buf: make([]byte, readSize),
 		posts: xsync.NewMPMCQueue[func()](postRoom)}
 	var err error
 	if l.ep, err = unix.EpollCreate1(unix.EPOLL_CLOEXEC); err != nil {
@@ -195,8 +204,9 @@
 }
 
 func (l *Loop) watch(fd int, events uint32, s source) error {
-	l.byFD[int32(fd)] = s
-	ev := unix.EpollEvent{Events: events, Fd: int32(fd)}
+	l.watched++
+	l.byFD[int32(fd)] = registration{s, l.watched}
+	ev := unix.EpollEvent{Events: events, Fd: int32(fd), Pad: l.watched}
 	if err := unix.EpollCtl(l.ep, unix.EPOLL_CTL_ADD, fd, &ev); err != nil {
 		delete(l.byFD, int32(fd))
 		return os.NewSyscallError("epoll_ctl", err)
@@ -205,7 +215,7 @@
 }
 
 func (l *Loop) rewatch(fd int, events uint32) {
-	ev := unix.EpollEvent{Events: events, Fd: int32(fd)}
+	ev := unix.EpollEvent{Events: events, Fd: int32(fd), Pad: l.byFD[int32(fd)].number}
 	unix.EpollCtl(l.ep, unix.EPOLL_CTL_MOD, fd, &ev)
 }
 
@@ -226,8 +236,8 @@
 		}
 		l.now = l.Clock()
 		for _, ev := range events[:max(n, 0)] {
-			if s, ok := l.byFD[ev.Fd]; ok {
-				s.ready(l, ev.Events)
+			if r, ok := l.byFD[ev.Fd]; ok && r.number == ev.Pad {
+				r.source.ready(l, ev.Events)
 			}
 		}
 		l.timers.fire(l.now)
--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -445,3 +445,141 @@
 		t.Errorf("%d taken and %d dropped of 40000", taken.Load(), dropped)
 	}
 }
+
+// accepted gives a loop that has accepted one connection for each handler, in order, and the peers' ends; it has not
+// turned since.
+func accepted(t *testing.T, handlers ...*peer) (*Loop, []*net.TCPConn) {
+	t.Helper()
+	l, err := New()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(l.Close)
+	n := 0
+	ln, err := l.Listen(any4, false, func(c *Conn, _ netip.AddrPort) Handler {
+		p := handlers[n]
+		p.c = c
+		n++
+		return p
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	var ends []*net.TCPConn
+	for range handlers {
+		c, err := net.Dial("tcp", ln.Addr().String())
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(func() { c.Close() })
+		ends = append(ends, c.(*net.TCPConn))
+		turn(t, l, func() bool { return n == len(ends) })
+	}
+	return l, ends
+}
+
+// turn turns the loop until something holds.
+func turn(t *testing.T, l *Loop, until func() bool) {
+	t.Helper()
+	var end Timer
+	late := false
+	l.At(&end, l.Clock()+int64(10*time.Second), func(Nanos) { late = true; l.Stop() })
+	if err := l.Run(func(Nanos) {
+		if l.Again(); until() {
+			l.Stop()
+		}
+	}); err != nil {
+		t.Fatal(err)
+	}
+	l.Cancel(&end)
+	l.stop.Store(false)
+	if late {
+		t.Fatal("not within 10 s")
+	}
+}
+
+// A peer's end that has come with its last bytes is told in the same turn, before the round decides on them.
+func TestEndWithLastBytes(t *testing.T) {
+	p := &peer{}
+	l, ends := accepted(t, p)
+	ends[0].Write(make([]byte, 1000))
+	ends[0].CloseWrite()
+	// Both are in the socket by now: loopback delivers within the call.
+	turn(t, l, func() bool {
+		if len(p.got) > 0 && !p.done {
+			t.Errorf("the round came after %d bytes, before the end", len(p.got))
+		}
+		return len(p.got) > 0
+	})
+	if len(p.got) != 1000 {
+		t.Errorf("%d bytes, want all 1000", len(p.got))
+	}
+}
+
+// An event that epoll reported for a descriptor closed earlier in the turn does not reach the connection that got the
+// descriptor next: it would be taken for connected.
+func TestDescriptorUsedAgainInTurn(t *testing.T) {
+	full, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0) // its queue is filled: connections to it stay under way
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer unix.Close(full)
+	if err := unix.Bind(full, sockaddr(any4)); err != nil {
+		t.Fatal(err)
+	}
+	if err := unix.Listen(full, 0); err != nil {
+		t.Fatal(err)
+	}
+	bound, _ := unix.Getsockname(full)
+	filler, err := net.Dial("tcp", addrPort(bound).String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer filler.Close()
+
+	first, second, dialed := &peer{}, &peer{}, &peer{}
+	l, ends := accepted(t, first, second)
+	swap := func(own, other *peer) func([]byte) {
+		return func([]byte) {
+			if dialed.c != nil {
+				return
+			}
+			fd := other.c.fd
+			other.c.Close()
+			if dialed.c, err = l.Dial(addrPort(bound), int64(time.Second), dialed); err != nil {
+				t.Fatal(err)
+			}
+			if dialed.c.fd != fd {
+				t.Fatalf("descriptor %d, want %d again", dialed.c.fd, fd)
+			}
+		}
+	}
+	first.onData, second.onData = swap(first, second), swap(second, first) // whichever event comes first
+	for _, p := range []*peer{first, second} {                             // they wait for room, so that room is reported
+		p.c.Write(make([]byte, 16<<20))
+	}
+	turn(t, l, func() bool { return first.c.Blocked() && second.c.Blocked() })
+	for _, c := range ends {
+		c.Write([]byte("x"))
+		go func() {
+			var b [64 << 10]byte
+			for {
+				if _, err := c.Read(b[:]); err != nil {
+					return
+				}
+			}
+		}()
+	}
+	for _, p := range []*peer{first, second} { // both events of both are there when the loop turns
+		const both = unix.POLLIN | unix.POLLOUT
+		for fds := []unix.PollFd{{Fd: int32(p.c.fd), Events: both}}; fds[0].Revents&both != both; {
+			unix.Poll(fds, 1000)
+		}
+	}
+	turn(t, l, func() bool { return dialed.c != nil })
+	turns := 0
+	turn(t, l, func() bool { turns++; return turns > 3 })
+	if dialed.opened > 0 {
+		t.Error("a connection under way was taken for made")
+	}
+}
