--- a/internal/exit/platform/exit.go
+++ b/internal/exit/platform/exit.go
@@ -109,6 +109,7 @@
 	x       *Exit
 	id      policy.HostID
 	name    string
+	listed  Server // its entry of the list in force
 	addr    netip.AddrPort
 	role    policy.Role
 	health  policy.Health
@@ -206,10 +207,11 @@
 	return nil
 }
 
-// send has a connection to the job's host carry its launch.
+// send has a connection to the job's host carry its launch; nil if the host takes none, as it may have begun to drain
+// while the launch waited behind a release.
 func (x *Exit) send(now loop.Nanos, j *dispatch.Job) *conn {
 	h := x.byID[j.Host]
-	if h == nil {
+	if h == nil || h.health != policy.Serving {
 		return nil
 	}
 	c := x.connTo(now, h)
@@ -281,8 +283,15 @@
 	}
 }
 
-// unlaunch ends launches to the host whose connections are not up yet: it drains, and by then it may be too late.
+// unlaunch ends launches to the host whose connections are not up yet, or that wait behind a release: it drains, and by
+// then it may be too late.
 func (h *host) unlaunch(now loop.Nanos) {
+	for _, r := range h.x.releases {
+		if j := r.next; j != nil && j.Host == h.id {
+			r.next = nil
+			h.x.d.Moved(now, j, nil)
+		}
+	}
 	for _, c := range slices.Clone(h.conns) {
 		if j := c.j; j != nil && !c.ready {
 			c.j = nil
--- /dev/null
+++ b/internal/node/crossing_test.go
@@ -0,0 +1,152 @@
+package node
+
+import (
+	"strings"
+	"testing"
+	"time"
+
+	exit "docksail/internal/exit/platform"
+)
+
+// Tests of events that cross: each forces the order in which one spoils the other.
+
+const noContent = "HTTP/1.1 204 No Content\r\n\r\n"
+
+// A read that waits behind a release is not sent to a host that has begun to drain meanwhile.
+func TestDrainWhileReadWaitsForRelease(t *testing.T) {
+	s := newStage(t)
+	reader := s.scriptedHost("r1", "prefill")
+	s.start(1024)
+	client := s.client()
+	client.send(request(jobName(1)))
+	first := reader.accept()
+	first.request()
+	first.Close() // it may have ended well: what it left is to be released
+	release := reader.accept()
+	if line := release.request(); !strings.HasPrefix(line, "DELETE ") {
+		t.Fatalf("%q, want a release", line)
+	}
+	until(t, "the second read waits", func() bool { v, _ := s.node.View(); return v.Beliefs[0].Out == 1 })
+	drains := s.hosts[0]
+	drains.State = "Terminating"
+	s.news(exit.List{Version: 42, Servers: []exit.Server{drains}})
+	release.send(noContent)
+	if status := client.expect("\r\n"); !strings.Contains(status, " 503 ") {
+		t.Errorf("the client got %q, want 503", status)
+	}
+	if !reader.idle() {
+		t.Errorf("a host that drains got %q", reader.accept().request())
+	}
+}
+
+// discoveryAt puts a scripted discovery in the place of the stage's own, by a new configuration.
+func (s *stage) discoveryAt(p *peer) {
+	changed := *s.told
+	changed.Discovery = addrOf(p)
+	s.node.Reload(&changed)
+}
+
+// A discovery at a new address may count its versions otherwise: it is asked for the whole list, and its changes are
+// taken however low their versions are.
+func TestReloadToLowerVersions(t *testing.T) {
+	s := newStage(t)
+	s.host("r1", "prefill", read)
+	s.host("w1", "decode", write)
+	s.start(1024)
+	fresh := newPeer(t)
+	s.discoveryAt(fresh)
+	watch := fresh.accept()
+	if line := watch.request(); strings.Contains(line, "from=") {
+		t.Errorf("%q, want a whole list asked for", line)
+	}
+	drains := s.hosts[1]
+	drains.State = "Terminating"
+	watch.send(watchHead + chunk(listText(exit.List{Version: 3, Full: true, Servers: s.hosts})) + chunk(listText(exit.List{Version: 4, Servers: []exit.Server{drains}})))
+	until(t, "the host drains", func() bool {
+		status, _, _, _ := ask(s.dial(), request(jobName(1)))
+		return status == 503
+	})
+}
+
+// The old watch stays until the new one has told something: what the old one tells meanwhile is taken.
+func TestReloadKeepsOldWatchUntilNews(t *testing.T) {
+	s := newStage(t)
+	s.host("r1", "prefill", read)
+	s.start(1024)
+	s.news(exit.List{Version: 42, Servers: s.hosts})
+	fresh := newPeer(t)
+	s.discoveryAt(fresh)
+	watch := fresh.accept()
+	watch.request()
+	watch.send(watchHead)
+	s.news(exit.List{Version: 43, Servers: s.hosts})
+	v, _ := s.node.View()
+	watch.send(chunk(listText(exit.List{Version: 3, Full: true, Servers: s.hosts})))
+	until(t, "news of the new one", func() bool { now, _ := s.node.View(); return now.Exit.News == v.Exit.News+1 })
+}
+
+// A watch whose news stops half way, or trickles without ever being whole, is silent: another is begun in time.
+func TestWatchThatTrickles(t *testing.T) {
+	s := newStage(t)
+	s.start(1024)
+	fresh := newPeer(t)
+	s.discoveryAt(fresh)
+	watch := fresh.accept()
+	watch.request()
+	watch.send(watchHead + chunk(listText(exit.List{Version: 3, Full: true})))
+	begun := time.Now()
+	stop := make(chan bool)
+	defer close(stop)
+	go func() {
+		for _, c := range `{"version":4,"full":false,"servers":[                                                            ` {
+			select {
+			case <-stop:
+				return
+			case <-time.After(100 * time.Millisecond):
+				watch.Write([]byte(chunk(string(c))))
+			}
+		}
+	}()
+	if line := fresh.accept().request(); !strings.Contains(line, "from=3") {
+		t.Errorf("%q, want what came after version 3", line)
+	}
+	if took := time.Since(begun); took > 4500*time.Millisecond { // of the six seconds in which one more may fail
+		t.Errorf("after %v", took)
+	}
+}
+
+// A watch that begins its answer and tells nothing is given up as soon as one without an answer.
+func TestWatchWithoutNews(t *testing.T) {
+	s := newStage(t)
+	s.start(1024)
+	fresh := newPeer(t)
+	s.discoveryAt(fresh)
+	watch := fresh.accept()
+	watch.request()
+	watch.send(watchHead)
+	begun := time.Now()
+	fresh.accept().request()
+	if took := time.Since(begun); took > 1500*time.Millisecond {
+		t.Errorf("after %v", took)
+	}
+}
+
+// An entry that cannot be read does not cost the others, and its host stays as it was.
+func TestUnreadableEntry(t *testing.T) {
+	s := newStage(t)
+	s.host("r1", "prefill", read)
+	s.host("w1", "decode", write)
+	s.host("w2", "decode", write)
+	s.start(1024)
+	list := listText(exit.List{Version: 42, Full: true, Servers: s.hosts[:2]})
+	list = strings.Replace(list, `"cell":0`, `"cell":"x"`, 1) // of r1
+	had, _ := s.node.View()
+	s.raw <- list
+	until(t, "the news", func() bool { v, _ := s.node.View(); return v.Exit.News > had.Exit.News })
+	for n := range 4 {
+		s.served(s.dial(), n)
+	}
+	if s.jobsAt("w2") > 0 {
+		t.Error("a host that the list leaves out got a job")
+	}
+}
