--- a/internal/exit/platform/discovery.go
+++ b/internal/exit/platform/discovery.go
@@ -16,12 +16,13 @@
 
 // List is the platform's list of hosts, or changes of it.
 type List struct {
-	Version int64    `json:"version"`
-	Full    bool     `json:"full"`
-	Servers []Server `json:"servers"`
+	Version    int64    `json:"version"`
+	Full       bool     `json:"full"`
+	Servers    []Server `json:"servers"`
+	Unreadable []error  `json:"-"` // entries that are no Server; the others are taken without them
 }
 
-// Server is one line of it.
+// Server is one entry of it.
 type Server struct {
 	ID      string  `json:"id"`
 	Addr    string  `json:"addr"`
@@ -32,16 +33,41 @@
 	Started float64 `json:"started_ms"`
 }
 
+// UnmarshalJSON reads a list entry by entry, so that one that cannot be read does not cost the others.
+func (l *List) UnmarshalJSON(text []byte) error {
+	var raw struct {
+		Version int64             `json:"version"`
+		Full    bool              `json:"full"`
+		Servers []json.RawMessage `json:"servers"`
+	}
+	if err := json.Unmarshal(text, &raw); err != nil {
+		return err
+	}
+	*l = List{Version: raw.Version, Full: raw.Full, Servers: make([]Server, 0, len(raw.Servers))}
+	for _, entry := range raw.Servers {
+		var server Server
+		if err := json.Unmarshal(entry, &server); err != nil {
+			l.Unreadable = append(l.Unreadable, fmt.Errorf("entry %.80q: %w", entry, err))
+			if server.ID == "" {
+				continue
+			}
+			server.State = "" // no state: a server that is known stays as it was
+		}
+		l.Servers = append(l.Servers, server)
+	}
+	return nil
+}
+
 var states = map[string]policy.Health{"Ready": policy.Serving, "Terminating": policy.Draining, "Gone": policy.Gone}
 
 // discovery follows the list.
 type discovery struct {
 	x        *Exit
-	addr     netip.AddrPort
-	at       *watch // the one whose news counts
-	next     *watch // one that has not answered yet
-	failures int    // watches in a row that were not to be had
-	version  int64  // of the last news; -1 = a whole list is to be asked for
+	addr     netip.AddrPort // where the configuration says that it is
+	current  *watch         // the one whose news counts
+	next     *watch         // one that has told nothing yet
+	failures int            // watches in a row that were not to be had
+	version  int64          // of the last news from addr; -1 = none came from there: a whole list is asked for
 	timer    loop.Timer
 	onTimer  func(loop.Nanos)
 	onNews   func() // the first news of this process, once
@@ -53,7 +79,7 @@
 
 // watch begins a watch, if none at the address is under way or at work.
 func (s *discovery) watch(now loop.Nanos) {
-	if s.next != nil || s.at != nil && s.at.addr == s.addr {
+	if s.next != nil || s.current != nil && s.current.addr == s.addr {
 		return
 	}
 	w := &watch{s: s, addr: s.addr, dec: h1.NewClient(h1.Limits{Head: headMost})}
@@ -73,13 +99,14 @@
 	s.x.l.At(&s.timer, now+max(decide.Retry(s.failures, s.x.rng.Float64()), 1), s.onTimer)
 }
 
-// Discovery has the list watched at another address; the old watch goes when the new one speaks.
+// Discovery has the list watched at another address; the old watch goes when the new one has told something. Versions
+// are a discovery's own: one at another address may count otherwise, so it is asked for the whole list.
 func (x *Exit) Discovery(now loop.Nanos, addr netip.AddrPort) {
 	s := &x.list
 	if addr == s.addr {
 		return
 	}
-	s.addr, s.failures = addr, 0
+	s.addr, s.failures, s.version = addr, 0, -1
 	if s.next != nil {
 		s.next.end()
 		s.next = nil
@@ -116,7 +143,8 @@
 	w.within(now, decide.Answer)
 }
 
-// within sets the time in which the next sign of life must come.
+// within sets the time in which the next sign of life must come: the head of the answer, then whole news or the blank
+// line between them. Bytes of what never becomes whole are none.
 func (w *watch) within(now loop.Nanos, span int64) {
 	w.s.x.l.At(&w.timer, now+span, func(loop.Nanos) {
 		w.quiet = true
@@ -125,7 +153,6 @@
 }
 
 func (w *watch) Data(now loop.Nanos, p []byte) {
-	w.within(now, decide.Quiet)
 	w.feed.Feed(p, func(p []byte) (n int) {
 		for !w.over {
 			piece, data, k, err := w.dec.Next(p[n:])
@@ -134,9 +161,13 @@
 			case err == nil && piece == h1.None:
 				return n
 			case err == nil && piece == h1.Start && w.dec.Head.Status == 200:
-				w.speaks()
+				w.within(now, decide.Answer)
 			case err == nil && piece == h1.Data:
 				err = w.list.feed(data, func(text []byte) error { return w.news(now, text) })
+				if err == nil && !w.over && w.list.between() {
+					w.counts()
+					w.within(now, decide.Quiet)
+				}
 			default:
 				if err == nil {
 					err = fmt.Errorf("answer with status %d, or its end", w.dec.Head.Status)
@@ -152,29 +183,38 @@
 	})
 }
 
-// speaks makes this watch the one that counts.
-func (w *watch) speaks() {
+// counts makes this watch the one that counts, with the first that it tells.
+func (w *watch) counts() {
 	s := w.s
 	if s.next != w {
 		return
 	}
-	old := s.at
-	s.at, s.next, s.failures = w, nil, 0
+	old := s.current
+	s.current, s.next, s.failures = w, nil, 0
 	if old != nil {
 		old.end()
 	}
 	s.x.log.Info("discovery", "at", w.addr)
 }
 
-// news takes one object of the watch.
+// news takes one object of the watch. What an old address tells while the new one has told nothing is taken, whatever
+// its version.
 func (w *watch) news(now loop.Nanos, text []byte) error {
 	var list List
 	if err := json.Unmarshal(text, &list); err != nil {
 		return fmt.Errorf("news %.60q: %w", text, err)
 	}
-	w.s.x.Take(now, list)
-	if f := w.s.onNews; f != nil {
-		w.s.onNews = nil
+	w.counts()
+	s := w.s
+	if w.addr == s.addr {
+		if !list.Full && list.Version < s.version {
+			return nil // it crossed with newer news
+		}
+		s.version = list.Version
+	}
+	s.x.Take(now, list)
+	if f := s.onNews; f != nil {
+		s.onNews = nil
 		f()
 	}
 	return nil
@@ -190,10 +230,10 @@
 		return
 	}
 	w.over = true
-	s.x.log.Warn("discovery lost", "at", w.addr, "quiet", w.quiet, "spoke", s.at == w, "err", err)
+	s.x.log.Warn("discovery lost", "at", w.addr, "quiet", w.quiet, "spoke", s.current == w, "err", err)
 	switch w {
-	case s.at:
-		s.at = nil
+	case s.current:
+		s.current = nil
 		if w.quiet { // it has been out of reach for long enough
 			s.watch(now)
 			return
@@ -205,13 +245,18 @@
 	s.later(now)
 }
 
+// Known takes the list that the process was started with.
+func (x *Exit) Known(now loop.Nanos, list List) {
+	x.list.version = list.Version
+	x.Take(now, list)
+}
+
 // Take hands news of the list on.
 func (x *Exit) Take(now loop.Nanos, list List) {
-	if !list.Full && list.Version < x.list.version {
-		return // it crossed with newer news
-	}
-	x.list.version = list.Version
 	x.Counts.News++
+	for _, err := range list.Unreadable {
+		x.log.Warn("line of the list not taken", "err", err)
+	}
 	if len(list.Servers) == 0 && !list.Full {
 		return
 	}
@@ -221,6 +266,9 @@
 			named[e.ID] = true
 			if err := x.entry(now, mod, e); err != nil {
 				x.log.Warn("line of the list not taken", "err", err)
+				if h := x.byName[e.ID]; list.Full && h != nil && h.health != policy.Gone {
+					x.entry(now, mod, h.listed) // it stays as it was
+				}
 			}
 		}
 	})
@@ -268,6 +316,7 @@
 	if h.addr != addr || h.started < started { // another process: nothing unused to the old one is of use
 		h.distrust()
 	}
+	h.listed = e
 	h.addr, h.started, h.role, h.health = addr, max(started, h.started), x.roles[kind], health
 	mod.HostListed(h.id, policy.ZoneID(zone), policy.KindID(kind), policy.CellID(e.Cell), health,
 		min(policy.Nanos(started), x.d.Time(now)))
--- a/internal/exit/platform/values.go
+++ b/internal/exit/platform/values.go
@@ -16,6 +16,9 @@
 	escape bool
 }
 
+// between tells that nothing of an object is open.
+func (v *values) between() bool { return v.depth == 0 }
+
 // feed hands over each object that has come whole.
 func (v *values) feed(p []byte, take func(text []byte) error) error {
 	begun := 0 // where in p the text under way goes on
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -67,7 +67,7 @@
 	n.in = front.New(l, n.d, log, clients, peers.Bodies(memory), n.d.Known)
 	n.out = exit.New(l, n.d, log, m, hosts, t.Discovery)
 	n.d.Ends(n.in, n.out)
-	n.out.Take(l.Now(), t.Known)
+	n.out.Known(l.Now(), t.Known)
 	if n.addr, err = n.d.Start(t.Listen, false); err != nil {
 		return nil, fmt.Errorf("node %s: %w", t.Name, err)
 	}
