--- a/internal/decide/peers/peers.go
+++ b/internal/decide/peers/peers.go
@@ -26,6 +26,8 @@
 	restWithin = 30 * second
 	// A connection between requests may be closed after this; before, its client may be about to ask.
 	restLeast = 2 * second
+	// A client may be slow to take its last answer; one that takes nothing of it for so long is gone.
+	takeWithin = 15 * second
 	// In a crowd a client that has said nothing for so long is taken for one that never will.
 	silentLeast = second / 4
 )
@@ -48,6 +50,10 @@
 	return 0
 }
 
+// Lingers tells that a connection that is over stays beyond its time: so many bytes of its last answer still wait for the
+// client, which last took some at that time.
+func Lingers(now, taken int64, waiting int) bool { return waiting > 0 && now-taken < takeWithin }
+
 // Choice is what makes room for a new connection.
 type Choice uint8
 
@@ -58,7 +64,7 @@
 )
 
 // Crowded decides who goes when there may be no more connections: silent and resting are since when the first of each
-// kind has stood so; 0 = there is none. A client whose resting connection goes makes another for its next request; one
+// kind has stood so, of those that have neither unread bytes nor an answer that still waits; 0 = there is none. A client whose resting connection goes makes another for its next request; one
 // whose first request has not been read yet fails. It guards against crowds that would have usual clients shut out.
 func Crowded(now, silent, resting int64) Choice {
 	switch {
--- a/internal/decide/peers/peers_test.go
+++ b/internal/decide/peers/peers_test.go
@@ -54,3 +54,17 @@
 		t.Error("a connection with a job in hand has an end")
 	}
 }
+
+// A connection stays beyond its time only for an answer that its client still takes.
+func TestLingers(t *testing.T) {
+	const now = int64(100e9)
+	for _, c := range []struct {
+		taken   int64
+		waiting int
+		want    bool
+	}{{now - second, 1, true}, {now - second, 0, false}, {now - takeWithin, 1, false}} {
+		if got := Lingers(now, c.taken, c.waiting); got != c.want {
+			t.Errorf("taken %d s ago, %d waiting: %v", (now-c.taken)/second, c.waiting, got)
+		}
+	}
+}
--- a/internal/front/platform/request.go
+++ b/internal/front/platform/request.go
@@ -207,7 +207,8 @@
 	return nil
 }
 
-// request makes the job of a request that has all come; age is how long ago it began to.
+// request makes the job of a request that has all come; age is how long ago its first byte came, be it while another was
+// in hand: the client's time has run since.
 func (a *ask) request(r *front.Request, raw []byte, age int64) error {
 	var b body
 	if err := json.Unmarshal(raw, &b); err != nil {
--- a/internal/front/platform/server.go
+++ b/internal/front/platform/server.go
@@ -141,34 +141,53 @@
 	return c
 }
 
+// crowdTries is how many connections of a kind are looked at to find one that may end.
+const crowdTries = 4
+
 // makeRoom ends a connection for a new one, if there is one to end.
 func (s *Server) makeRoom() bool {
-	since := func(h *order.Heap[*conn]) int64 {
-		if h.Len() == 0 {
-			return 0
-		}
-		return max(h.Min().since, 1)
-	}
 	s.Counts.Crowded++
-	switch peers.Crowded(s.l.Now(), since(&s.stages[0]), since(&s.stages[1])) {
+	silent, resting := s.firstQuiet(&s.stages[0]), s.firstQuiet(&s.stages[1])
+	var c *conn
+	switch peers.Crowded(s.l.Now(), silent.stands(), resting.stands()) {
 	case peers.FirstSilent:
-		if !s.stages[0].Min().lc.Quiet() { // it has spoken by now: in a moment it is busy
-			return false
-		}
-		s.end(&s.stages[0])
+		c = silent
 	case peers.FirstResting:
-		s.end(&s.stages[1])
+		c = resting
 	default:
 		return false
 	}
+	s.heap(c.stage).Take(c)
+	c.lc.Close()
 	return true
 }
 
-// end closes the connection that has stood longest.
-func (s *Server) end(stage *order.Heap[*conn]) {
-	c := stage.Min()
-	stage.Take(c)
-	c.lc.Close()
+// firstQuiet gives the connection of a kind that has stood longest, passing over those with bytes that are not read or an
+// answer that is not taken yet: to close one would reset it. nil if there is none among the first few.
+func (s *Server) firstQuiet(stage *order.Heap[*conn]) (found *conn) {
+	var passed [crowdTries]*conn
+	n := 0
+	for ; n < crowdTries && stage.Len() > 0 && found == nil; n++ {
+		c := stage.Min()
+		if c.lc.Quiet() && c.lc.Queued() == 0 {
+			found = c
+			break
+		}
+		stage.Take(c)
+		passed[n] = c
+	}
+	for _, c := range passed[:n] {
+		stage.Put(c)
+	}
+	return found
+}
+
+// stands tells since when the connection has stood as it is; 0 = there is none.
+func (c *conn) stands() loop.Nanos {
+	if c == nil {
+		return 0
+	}
+	return max(c.since, 1)
 }
 
 // conn is one client's connection, and the client's end of the job that is in hand on it.
@@ -180,6 +199,9 @@
 	number  uint64
 	stage   peers.Stage
 	since   loop.Nanos // it has stood so
+	came    loop.Nanos // the first byte of the request under way, or of what waits behind the one in hand
+	unsent  int        // bytes of the last answer that waited when it was looked at last ...
+	taken   loop.Nanos // ... and when the client was last seen to have taken some
 	place   int
 	timer   loop.Timer
 	onTimer func(loop.Nanos)
@@ -219,6 +241,7 @@
 		c.since = c.now
 	}
 	c.stage = stage
+	c.unsent, c.taken = c.lc.Queued(), c.now
 	if h := c.s.heap(stage); h != nil {
 		h.Put(c)
 	}
@@ -229,19 +252,34 @@
 	}
 }
 
+// unreadAgain is when a connection whose time is up as something came on it is looked at again: by then that is read.
+const unreadAgain = loop.Nanos(10e6)
+
 // due ends a connection that has stood as it is for too long.
 func (c *conn) due(now loop.Nanos) {
 	c.now = now
-	if c.stage == peers.Part {
+	switch {
+	case c.stage == peers.Part:
 		c.refuse(408, "the request did not come in time")
-		return
-	}
-	if c.stage == peers.Resting {
+	case c.stage == peers.Resting:
 		c.last = true
 		c.next()
-		return
+	case c.stage == peers.Silent && !c.lc.Quiet():
+		c.s.l.At(&c.timer, now+unreadAgain, c.onTimer)
+	case c.stage == peers.Over && c.lingers():
+		c.s.l.At(&c.timer, peers.Until(peers.Over, now), c.onTimer)
+	default:
+		c.lc.Close()
 	}
-	c.lc.Close()
+}
+
+// lingers tells that the client still takes its last answer.
+func (c *conn) lingers() bool {
+	waiting := c.lc.Queued()
+	if waiting < c.unsent {
+		c.unsent, c.taken = waiting, c.now
+	}
+	return peers.Lingers(c.now, c.taken, waiting)
 }
 
 func (c *conn) Opened(now loop.Nanos) {
@@ -257,6 +295,9 @@
 		}
 		return
 	}
+	if c.stage != peers.Part && c.feed.Waiting() == 0 {
+		c.came = now
+	}
 	if c.stage == peers.Busy && c.feed.Waiting()+len(p) > pipelined {
 		c.lc.Pause(true)
 	}
@@ -369,7 +410,7 @@
 		return
 	}
 	r := &c.s.req
-	if err := c.ask.request(r, c.body, c.now-c.since); err != nil {
+	if err := c.ask.request(r, c.body, c.now-c.came); err != nil {
 		c.refuse(400, err.Error())
 		return
 	}
