--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -103,6 +103,7 @@
 	Tokens                                           uint64 // messages relayed
 	LateReports, Reports                             uint64
 	Guarded                                          uint64 // decisions that the account of a job refused: faults of the program
+	Overdue                                          uint64 // jobs that had to be answered by the dispatcher's own deadline: faults of the program
 	Pings, DeadLinks                                 uint64
 }
 
@@ -128,18 +129,24 @@
 	tokens  int64 // messages relayed
 	ran     bool  // a launch was sent to a host that answers
 
-	sent    Sent          // the launch that is out; nil = it is none of the exit's
-	Host    policy.HostID // where it goes
-	Reads   bool          // it is a read
-	Sent    loop.Nanos
-	Within  int64      // its time
-	ReadAt  loop.Nanos // its last read ended
-	Kept    int64      // prompt tokens that the module expects to be kept where it is read
-	rpc     sending    // how the gRPC exit holds it
-	timer   loop.Timer
-	onTimer func(loop.Nanos)
-	d       *Dispatcher
-}
+	sent      Sent          // the launch that is out; nil = it is none of the exit's
+	Host      policy.HostID // where it goes
+	Reads     bool          // it is a read
+	Sent      loop.Nanos
+	Within    int64      // its time
+	ReadAt    loop.Nanos // its last read ended
+	Kept      int64      // prompt tokens that the module expects to be kept where it is read
+	rpc       sending    // how the gRPC exit holds it
+	timer     loop.Timer
+	onTimer   func(loop.Nanos)
+	overdue   loop.Timer // set while the job is owed its first answer
+	onOverdue func(loop.Nanos)
+	d         *Dispatcher
+}
+
+// overdueAfter is how long after a client's deadline a job without an answer is taken for forgotten: later than any answer
+// that was decided, and well within the half second in which an answer still counts as given.
+const overdueAfter = 100e6 // nanoseconds
 
 // New makes a dispatcher on a loop, whose clients and engines speak gRPC; Start sets it going. life must differ from
 // one start to the next; secrets is where it draws keys from that nobody may guess, crypto/rand's Reader but for
@@ -362,17 +369,22 @@
 			if j.Answered() {
 				return
 			}
-			if gate.AtEnd(d.times[j.track].redoable && j.begun == 0, j.ran) == gate.Nacked {
-				d.answer(j, func() { j.call.Nack(j.ID, front.Refusal{Why: "dispatcher leaves"}) }, &d.Counts.Nacked)
-			} else {
-				d.answer(j, func() { j.call.Abandon(j.ID, "dispatcher leaves") }, &d.Counts.Abandoned)
-			}
-			d.left(now, j)
+			d.cutShort(now, j, "dispatcher leaves")
 		})
 		d.l.At(&d.leaveAt, now+int64(d.ahead), func(loop.Nanos) { d.leaveEnd() })
 	})
 }
 
+// cutShort gives a job its final answer whatever the module holds of it, and tells the module that nothing more is owed.
+func (d *Dispatcher) cutShort(now loop.Nanos, j *Job, why string) {
+	if gate.AtEnd(d.times[j.track].redoable && j.begun == 0, j.ran) == gate.Nacked {
+		d.answer(j, func() { j.call.Nack(j.ID, front.Refusal{Why: why}) }, &d.Counts.Nacked)
+	} else {
+		d.answer(j, func() { j.call.Abandon(j.ID, why) }, &d.Counts.Abandoned)
+	}
+	d.left(now, j)
+}
+
 // LeaveIdle has the entry leave and takes jobs as before; done is called, once, when none is in hand and the entry idle.
 func (d *Dispatcher) LeaveIdle(done func()) {
 	if d.leaving {
@@ -467,11 +479,13 @@
 	d.Counts.Jobs++
 	*j = Job{Account: jobs.Account{ID: id}, call: call, Raw: append(j.Raw[:0], r.Raw...), Named: append(j.Named[:0], r.Named...),
 		Target: append(j.Target[:0], r.Target...), track: track,
-		Repeat: uint32(r.Repeat), Trace: r.Trace, arrived: now, timer: j.timer, onTimer: j.onTimer, d: d, ask: ask, atDoor: !d.direct}
+		Repeat: uint32(r.Repeat), Trace: r.Trace, arrived: now, timer: j.timer, onTimer: j.onTimer,
+		overdue: j.overdue, onOverdue: j.onOverdue, d: d, ask: ask, atDoor: !d.direct}
 	j.rpc.j = j
 	if j.onTimer == nil {
-		j.onTimer = j.due
+		j.onTimer, j.onOverdue = j.due, j.forgotten
 	}
+	d.l.At(&j.overdue, now+left+overdueAfter, j.onOverdue)
 	if r.Timeout > 0 {
 		j.ends = now + r.Timeout
 	}
@@ -528,6 +542,7 @@
 		d.log.Error("decision refused", "job", j.ID, "err", err)
 		return
 	}
+	d.l.Cancel(&j.overdue)
 	give()
 	j.call = nil
 	*count++
@@ -549,6 +564,7 @@
 func (d *Dispatcher) settle(j *Job) {
 	if j.Done() {
 		d.l.Cancel(&j.timer)
+		d.l.Cancel(&j.overdue)
 		d.jobs.Drop(j.ID)
 	}
 }
@@ -651,6 +667,21 @@
 	d.watchStream(now, j)
 }
 
+// forgotten is the dispatcher's own deadline of a job that has no answer yet and no stream. The module answers every job
+// before; this guards against a fault by which it does not.
+func (j *Job) forgotten(now loop.Nanos) {
+	d := j.d
+	_, out := j.Out()
+	d.Counts.Overdue++
+	d.log.Error("job without an answer at its deadline", "job", j.ID, "name", string(j.Named), "launches", j.Launches(), "out", out, "host", j.Host)
+	id := j.ID
+	d.cutShort(now, j, "its time is up")
+	if j = d.jobs.Find(id); j != nil && out {
+		d.ended(now, j, policy.Recalled, true, policy.NoLoad)
+		d.settle(j)
+	}
+}
+
 // watchStream has the pace of a running answer judged.
 func (d *Dispatcher) watchStream(now loop.Nanos, j *Job) {
 	t := &d.times[j.track]
@@ -677,6 +708,7 @@
 func (d *Dispatcher) began(now loop.Nanos, j *Job) {
 	shot, _ := j.Out()
 	j.begun, j.last = now, now
+	d.l.Cancel(&j.overdue)
 	if j.let {
 		d.queue.First(now, j.ask, now-j.arrived)
 	}
@@ -746,7 +778,7 @@
 	}{{&c.Jobs, o.Jobs}, {&c.Honoured, o.Honoured}, {&c.Nacked, o.Nacked}, {&c.Abandoned, o.Abandoned}, {&c.Left, o.Left},
 		{&c.Refused, o.Refused}, {&c.Launches, o.Launches}, {&c.Recalls, o.Recalls}, {&c.Late, o.Late}, {&c.Broken, o.Broken},
 		{&c.Releases, o.Releases}, {&c.ReleasesLost, o.ReleasesLost}, {&c.Tokens, o.Tokens}, {&c.LateReports, o.LateReports}, {&c.Reports, o.Reports},
-		{&c.Guarded, o.Guarded}, {&c.Pings, o.Pings}, {&c.DeadLinks, o.DeadLinks}} {
+		{&c.Guarded, o.Guarded}, {&c.Overdue, o.Overdue}, {&c.Pings, o.Pings}, {&c.DeadLinks, o.DeadLinks}} {
 		*f.to += f.from
 	}
 }
--- /dev/null
+++ b/internal/dispatch/overdue_test.go
@@ -0,0 +1,129 @@
+package dispatch
+
+import (
+	"log/slog"
+	"net/netip"
+	"testing"
+
+	"docksail/internal/front"
+	"docksail/internal/loop"
+	"docksail/policy"
+)
+
+// deafModule decides what it is given to decide and nothing else: it forgets every job.
+type deafModule struct {
+	Module
+	decisions []policy.Decision
+	left      int
+	ended     []policy.Outcome
+}
+
+func (m *deafModule) JobArrived(policy.Nanos, policy.Job) {}
+func (m *deafModule) Woken(policy.Nanos)                  {}
+func (m *deafModule) LaunchEnded(_ policy.Nanos, _ policy.JobID, _ policy.Shot, how policy.Outcome, _ policy.Nanos, _ bool, _ policy.Load) {
+	m.ended = append(m.ended, how)
+}
+func (m *deafModule) ClientLeft(policy.Nanos, policy.JobID) { m.left++ }
+func (m *deafModule) HeldSince(policy.Nanos, policy.JobID, policy.Nanos) {
+}
+func (m *deafModule) Next(policy.Nanos) (policy.Decision, bool) {
+	if len(m.decisions) == 0 {
+		return policy.Decision{}, false
+	}
+	next := m.decisions[0]
+	m.decisions = m.decisions[1:]
+	return next, true
+}
+
+// noEntry and silentExit are ways in and out on which nothing happens.
+type noEntry struct{}
+
+func (noEntry) Listen(at netip.AddrPort, _ bool) (netip.AddrPort, error) { return at, nil }
+func (noEntry) Flush()                                                   {}
+func (noEntry) Conns() int                                               { return 0 }
+func (noEntry) Idle() bool                                               { return true }
+func (noEntry) Leave()                                                   {}
+
+type silentExit struct{ closed int }
+
+func (*silentExit) Start(loop.Nanos)                                   {}
+func (*silentExit) Watch(loop.Nanos)                                   {}
+func (*silentExit) Reads(policy.HostID) (reads, known bool)            { return false, true }
+func (x *silentExit) Launch(loop.Nanos, *Job, policy.Shot) Sent        { return x }
+func (*silentExit) LetGo(loop.Nanos, *Job, policy.HostID, policy.Shot) {}
+func (*silentExit) Flush()                                             {}
+func (*silentExit) Idle() bool                                         { return true }
+func (*silentExit) Close()                                             {}
+func (x *silentExit) End(loop.Nanos) bool                              { x.closed++; return true }
+func (*silentExit) Over(loop.Nanos)                                    {}
+func (*silentExit) Credit(int)                                         {}
+func (*silentExit) Stage() Stage                                       { return Wired }
+func (*silentExit) Reached() bool                                      { return true }
+
+// answers counts what a client was told.
+type answers struct{ nacked, abandoned int }
+
+func (*answers) Tokens(policy.JobID, []byte) bool   { return false }
+func (*answers) Honour(policy.JobID)                {}
+func (a *answers) Abandon(policy.JobID, string)     { a.abandoned++ }
+func (a *answers) Nack(policy.JobID, front.Refusal) { a.nacked++ }
+
+// A job that the module forgets has its final answer by the dispatcher's own deadline, within half a second of its client's;
+// the attempt that is out is closed.
+func TestForgottenJobIsAnswered(t *testing.T) {
+	for what, c := range map[string]struct {
+		launched, redoable bool
+		want               answers
+	}{
+		"never sent":             {redoable: true, want: answers{nacked: 1}},
+		"out":                    {launched: true, redoable: true, want: answers{nacked: 1}},
+		"out, not to be redone":  {launched: true, want: answers{abandoned: 1}},
+		"never sent, not redone": {want: answers{nacked: 1}},
+	} {
+		t.Run(what, func(t *testing.T) {
+			l, err := loop.New()
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer l.Close()
+			track := policy.Track{Expected: 1e9, Patience: 5e9}
+			if !c.redoable {
+				track.Effect = policy.Irreversible
+			}
+			mod, out, told := &deafModule{}, &silentExit{}, &answers{}
+			d, err := Direct(l, slog.New(slog.DiscardHandler), mod, []string{"a"}, []policy.Track{track}, 10, 1000, 0, 0, 1)
+			if err != nil {
+				t.Fatal(err)
+			}
+			d.gate.Known = true
+			d.Ends(noEntry{}, out)
+			const left = 200e6
+			id, err := d.Arrive(l.Now(), told, &front.Request{Track: []byte("a"), Prompt: 10, Patience: left})
+			if err != nil {
+				t.Fatal(err)
+			}
+			if c.launched {
+				mod.decisions = []policy.Decision{{Verb: policy.Launch, Job: id, Host: 1, For: 1e12}}
+			}
+			d.Round(l.Now())
+			var answered loop.Nanos
+			var end loop.Timer
+			l.At(&end, 5e9, func(loop.Nanos) { l.Stop() })
+			l.Run(func(now loop.Nanos) {
+				if d.Round(now); told.nacked+told.abandoned > 0 {
+					answered = now
+					l.Stop()
+				}
+			})
+			if *told != c.want || answered < left || answered > left+500e6 {
+				t.Errorf("%+v after %d ms, want %+v after 200 to 700 ms", *told, answered/1e6, c.want)
+			}
+			if d.Counts.Overdue != 1 || mod.left != 1 || d.jobs.Len() != 0 {
+				t.Errorf("counted %d, module told %d times, %d in hand", d.Counts.Overdue, mod.left, d.jobs.Len())
+			}
+			if c.launched && (out.closed != 1 || len(mod.ended) != 1) {
+				t.Errorf("attempt closed %d times, its end told %d times", out.closed, len(mod.ended))
+			}
+		})
+	}
+}
