--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -8,6 +8,7 @@
 	"fmt"
 	"io"
 	"log/slog"
+	"math"
 	"net/netip"
 	"runtime/metrics"
 	"slices"
@@ -134,6 +135,7 @@
 	Reads     bool          // it is a read
 	Sent      loop.Nanos
 	Within    int64      // its time
+	Before    loop.Nanos // it may begin to be written until then
 	ReadAt    loop.Nanos // its last read ended
 	Kept      int64      // prompt tokens that the module expects to be kept where it is read
 	rpc       sending    // how the gRPC exit holds it
@@ -592,6 +594,10 @@
 	switch what.Verb {
 	case policy.Launch:
 		j.Kept = what.Kept
+		j.Before = math.MaxInt64
+		if what.Before > 0 {
+			j.Before = int64(what.Before) - d.wall
+		}
 		d.launch(now, j, what.Host, int64(what.For))
 	case policy.Recall:
 		if shot, out := j.Out(); out && shot == what.Shot {
--- a/internal/dispatch/link.go
+++ b/internal/dispatch/link.go
@@ -194,7 +194,7 @@
 			shot, out := j.Out()
 			switch {
 			case !out:
-			case k.h.CanOpen():
+			case k.h.CanOpen() && now < j.Before:
 				k.send(now, j, shot)
 			default:
 				k.d.ended(now, j, policy.NotSent, false, policy.NoLoad)
--- a/internal/exit/platform/conn.go
+++ b/internal/exit/platform/conn.go
@@ -129,6 +129,12 @@
 	c.ready = true
 	c.h.heard = now
 	switch {
+	case c.j != nil && now >= c.j.Before: // it took too long to come up
+		j := c.j
+		c.j = nil
+		c.lc.Close()
+		c.leave()
+		c.x.d.Finish(now, j, policy.NotSent, "", policy.NoLoad)
 	case c.j != nil:
 		c.writeLaunch(now)
 	case c.r != nil:
--- a/internal/node/crossing_test.go
+++ b/internal/node/crossing_test.go
@@ -150,3 +150,30 @@
 		t.Error("a host that the list leaves out got a job")
 	}
 }
+
+// A repeat whose connection comes up when its group may no longer remember the first run is not written.
+func TestRepeatAfterWindow(t *testing.T) {
+	s := newStage(t)
+	s.terms = []string{`"effect":"idempotent"`, `"effect":"deduplicated"`, `"window_ns":5000000000`, `"window_ns":700000000`,
+		`"connect_timeout_ns":250000000`, `"connect_timeout_ns":4000000000`}
+	s.host("r1", "prefill", read)
+	first := s.scriptedHost("w1", "decode")
+	second := newFullPeer(t)
+	late := s.hosts[1]
+	late.ID, late.Addr = "w2", second.addr()
+	s.start(1024)
+	client := s.client()
+	client.send(request(jobName(1)))
+	attempt := first.accept()
+	attempt.request()
+	s.news(exit.List{Version: 42, Servers: []exit.Server{late}}) // only now: the first attempt is to go to w1
+	attempt.send("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
+	until(t, "the repeat is out", func() bool { return s.outAt("w2") == 1 })
+	s.let(700 * time.Millisecond) // the window is over
+	if got := second.take(); got != "" { // the system asks again after a second
+		t.Errorf("w2 got %q", got)
+	}
+	if status := client.expect("\r\n"); !strings.Contains(status, " 503 ") {
+		t.Errorf("the client got %q, want 503", status)
+	}
+}
--- a/internal/node/script_test.go
+++ b/internal/node/script_test.go
@@ -3,13 +3,17 @@
 import (
 	"bufio"
 	"encoding/json"
+	"fmt"
 	"io"
 	"net"
 	"net/netip"
+	"os"
 	"strings"
 	"testing"
 	"time"
 
+	"golang.org/x/sys/unix"
+
 	exit "docksail/internal/exit/platform"
 )
 
@@ -152,3 +156,79 @@
 const watchHead = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 func addrOf(p *peer) netip.AddrPort { return netip.MustParseAddrPort(p.ln.Addr().String()) }
+
+// outAt counts the attempts that are out to a host.
+func (s *stage) outAt(name string) int {
+	v, _ := s.node.View()
+	for _, b := range v.Beliefs {
+		if b.Name == name {
+			return b.Out
+		}
+	}
+	return 0
+}
+
+// let has some time pass at the dispatcher.
+func (s *stage) let(span time.Duration) {
+	begun := time.Now()
+	for time.Since(begun) < span {
+		s.node.View() // it turns meanwhile
+		time.Sleep(time.Millisecond)
+	}
+}
+
+// fullPeer is a scripted host whose system takes no connection yet: one to it stays under way, and is tried again by the
+// other side's system after a second.
+type fullPeer struct {
+	t      *testing.T
+	fd     int
+	filler net.Conn
+}
+
+func newFullPeer(t *testing.T) *fullPeer {
+	t.Helper()
+	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	p := &fullPeer{t: t, fd: fd}
+	t.Cleanup(func() { unix.Close(fd) })
+	if err := unix.Bind(fd, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
+		t.Fatal(err)
+	}
+	if err := unix.Listen(fd, 0); err != nil {
+		t.Fatal(err)
+	}
+	if p.filler, err = net.Dial("tcp", p.addr()); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { p.filler.Close() })
+	return p
+}
+
+func (p *fullPeer) addr() string {
+	bound, err := unix.Getsockname(p.fd)
+	if err != nil {
+		p.t.Fatal(err)
+	}
+	return fmt.Sprintf("127.0.0.1:%d", bound.(*unix.SockaddrInet4).Port)
+}
+
+// take makes room, takes the connection that was under way, and gives what came on it up to its end or the end of a request.
+func (p *fullPeer) take() string {
+	p.t.Helper()
+	var fds [2]int
+	for i := range fds {
+		fd, _, err := unix.Accept(p.fd)
+		if err != nil {
+			p.t.Fatal(err)
+		}
+		fds[i] = fd
+	}
+	f := os.NewFile(uintptr(fds[1]), "peer")
+	defer f.Close()
+	unix.Close(fds[0])
+	got := make([]byte, 64<<10)
+	n, _ := f.Read(got)
+	return string(got[:n])
+}
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -389,6 +389,16 @@
 	return !j.mayRun || t.Effect == Redoable || t.Effect == Labelled && now < j.ranSince+t.Window
 }
 
+// repeatBefore tells until when a launch may begin to be written: a repeat has to come while its group still
+// remembers the first run, and its connection may take longer than that to come up.
+func (d *Dispatcher) repeatBefore(j *job, h *host) Nanos {
+	t := &d.tracks[j.Track]
+	if j.mayRun && t.Effect == Labelled && h.role != Reader {
+		return j.ranSince + t.Window
+	}
+	return 0
+}
+
 // mayRelaunch tells whether withdrawing the launch that is out leaves the job another.
 func (d *Dispatcher) mayRelaunch(now Nanos, j *job) bool {
 	t := &d.tracks[j.Track]
@@ -474,7 +484,8 @@
 	if j.launches++; j.launches == 1 {
 		d.active++
 	}
-	return Decision{Verb: Launch, Job: j.ID, Host: h.id, For: d.timeOut(now, j, h.role), Kept: kept}
+	return Decision{Verb: Launch, Job: j.ID, Host: h.id, For: d.timeOut(now, j, h.role), Kept: kept,
+		Before: d.repeatBefore(j, h)}
 }
 
 // timeOut bounds a launch. Where launches can be recalled, a writer's silence ends them and the time-out only
--- a/policy/scenario_test.go
+++ b/policy/scenario_test.go
@@ -20,7 +20,7 @@
 //	job ID [prompt=N shared=N prefix=K session=K patience=T tenant=N]
 //	began ID | ended ID OUTCOME [after=T] [held=T] [over] | left ID
 //	                                   held: since then its state counts as held, 0 = it was let go of
-//	expect VERB [ID] [on HOST[|HOST]] [for T]  the next decision, wakes and log lines left out
+//	expect VERB [ID] [on HOST[|HOST]] [for T] [before T]  the next decision, wakes and log lines left out
 //	tally HOST                         launches on HOST among the decisions now taken are counted
 //	between A B                        the count is within these; it starts anew
 //	restart                            another dispatcher, with the next number, at the first time
@@ -250,6 +250,14 @@
 	name := map[Verb]string{Launch: "launch", Recall: "recall", Nack: "nack", Abandon: "abandon", LetGo: "letgo",
 		Watch: "watch"}[got.Verb]
 	ok := name == w[0] && (len(w) < 2 || fmt.Sprint(got.Job) == w[1])
+	if n := len(w) - 2; n > 0 && w[n] == "before" {
+		before := "never"
+		if got.Before > 0 {
+			before = fmt.Sprint(int64(got.Before / ms))
+		}
+		ok = ok && before == w[n+1]
+		w = w[:n]
+	}
 	if ok && len(w) > 3 && w[2] == "for" {
 		ok = fmt.Sprint(int64(got.For/ms)) == w[3]
 	} else if ok && len(w) > 3 {
--- a/policy/types.go
+++ b/policy/types.go
@@ -173,5 +173,8 @@
 	Shot Shot
 	For  Nanos
 	Kept int64 // of a launch that reads: prompt tokens expected to be kept there
-	Text string
+
+	// Before is until when a launch may begin to be written; 0 = that does not matter.
+	Before Nanos
+	Text   string
 }
