--- a/internal/node/crossing_test.go
+++ b/internal/node/crossing_test.go
@@ -169,7 +169,7 @@
 	s.news(exit.List{Version: 42, Servers: []exit.Server{late}}) // only now: the first attempt is to go to w1
 	attempt.send("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
 	until(t, "the repeat is out", func() bool { return s.outAt("w2") == 1 })
-	s.let(700 * time.Millisecond) // the window is over
+	s.let(700 * time.Millisecond)        // the window is over
 	if got := second.take(); got != "" { // the system asks again after a second
 		t.Errorf("w2 got %q", got)
 	}
