--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -115,6 +115,7 @@
 	Raw     []byte     // the client's message
 	Named   []byte     // the client's name for it
 	Target  []byte     // where the client sent it
+	Fields  []byte     // header fields that go with it, as lines
 	track   policy.TrackID
 	Repeat  uint32
 	Trace   string
@@ -210,12 +211,15 @@
 	return d, nil
 }
 
-// Direct makes a dispatcher whose jobs go to the module as they come, at most so many in hand, with the tracks that the
-// module was made with; Ends gives it its entry and exit, Start sets it going. advises is the longest advice;
+// Direct makes a dispatcher whose jobs go to the module as they come, at most so many in hand, with the tracks and tenants
+// that the module was made with; a job without a tenant is nobody's. Ends gives it its entry and exit, Start sets it going. advises is the longest advice;
 // hush, how long a client may be left waiting after a token.
-func Direct(l *loop.Loop, log *slog.Logger, mod Module, names []string, tracks []policy.Track, most int, prompt, advises, hush int64, life uint64) (*Dispatcher, error) {
+func Direct(l *loop.Loop, log *slog.Logger, mod Module, names []string, tracks []policy.Track, tenants []string, most int, prompt, advises, hush int64, life uint64) (*Dispatcher, error) {
 	d, shortest := bare(l, log, mod, names, tracks, life)
 	d.direct, d.advises, d.hush = true, advises, hush
+	for i, name := range tenants {
+		d.tenants[name] = policy.TenantID(i)
+	}
 	d.gate = gate.Gate{Most: most, Prompt: prompt}
 	var err error
 	d.queue, err = door.New(1, 1, shortest, nil) // nothing ever waits there
@@ -436,7 +440,7 @@
 		return 0, fmt.Errorf("track %q is unknown: %w", r.Track, front.ErrBad)
 	}
 	tenant := policy.TenantID(-1)
-	if len(d.tenants) > 0 {
+	if len(d.tenants) > 0 && !(d.direct && len(r.Tenant) == 0) {
 		if tenant, ok = d.tenants[string(r.Tenant)]; !ok {
 			return 0, fmt.Errorf("tenant %q is unknown: %w", r.Tenant, front.ErrBad)
 		}
@@ -480,7 +484,7 @@
 	ask.Ticket = nil
 	d.Counts.Jobs++
 	*j = Job{Account: jobs.Account{ID: id}, call: call, Raw: append(j.Raw[:0], r.Raw...), Named: append(j.Named[:0], r.Named...),
-		Target: append(j.Target[:0], r.Target...), track: track,
+		Target: append(j.Target[:0], r.Target...), Fields: append(j.Fields[:0], r.Fields...), track: track,
 		Repeat: uint32(r.Repeat), Trace: r.Trace, arrived: now, timer: j.timer, onTimer: j.onTimer,
 		overdue: j.overdue, onOverdue: j.onOverdue, d: d, ask: ask, atDoor: !d.direct}
 	j.rpc.j = j
@@ -491,9 +495,13 @@
 	if r.Timeout > 0 {
 		j.ends = now + r.Timeout
 	}
+	owner := tenant
+	if d.direct { // as in the simulator: equal names stand for equal text, whoever asks
+		owner = -1
+	}
 	j.given = policy.Job{ID: id, Track: track, Tenant: tenant,
-		Session: policy.SessionKey(d.key('s', tenant, r.Session)),
-		Prefix:  policy.PrefixKey(d.key('b', tenant, r.Beginning)),
+		Session: policy.SessionKey(d.key('s', owner, r.Session)),
+		Prefix:  policy.PrefixKey(d.key('b', owner, r.Beginning)),
 		Prompt:  r.Prompt, Shared: r.Shared, Cap: r.Most, Deadline: d.Time(now + left), Hint: policy.Nanos(r.Hint),
 		Repeat: r.Repeat > 0}
 	if d.direct {
--- a/internal/dispatch/overdue_test.go
+++ b/internal/dispatch/overdue_test.go
@@ -15,11 +15,14 @@
 	Module
 	decisions []policy.Decision
 	left      int
+	arrived   []policy.Job
 	ended     []policy.Outcome
 }
 
-func (m *deafModule) JobArrived(policy.Nanos, policy.Job) {}
-func (m *deafModule) Woken(policy.Nanos)                  {}
+func (m *deafModule) JobArrived(_ policy.Nanos, given policy.Job) {
+	m.arrived = append(m.arrived, given)
+}
+func (m *deafModule) Woken(policy.Nanos) {}
 func (m *deafModule) LaunchEnded(_ policy.Nanos, _ policy.JobID, _ policy.Shot, how policy.Outcome, _ policy.Nanos, _ bool, _ policy.Load) {
 	m.ended = append(m.ended, how)
 }
@@ -91,7 +94,7 @@
 				track.Effect = policy.Irreversible
 			}
 			mod, out, told := &deafModule{}, &silentExit{}, &answers{}
-			d, err := Direct(l, slog.New(slog.DiscardHandler), mod, []string{"a"}, []policy.Track{track}, 10, 1000, 0, 0, 1)
+			d, err := Direct(l, slog.New(slog.DiscardHandler), mod, []string{"a"}, []policy.Track{track}, nil, 10, 1000, 0, 0, 1)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -127,3 +130,31 @@
 		})
 	}
 }
+
+// The module learns whose a job is; its session and prefix stand for the same text whoever asks.
+func TestTenantOfJob(t *testing.T) {
+	l, err := loop.New()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer l.Close()
+	mod := &deafModule{}
+	tracks := []policy.Track{{Expected: 1e9, Patience: 5e9}}
+	d, err := Direct(l, slog.New(slog.DiscardHandler), mod, []string{"a"}, tracks, []string{"north", "south"}, 10, 1000, 0, 0, 1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	d.gate.Known = true
+	for _, tenant := range []string{"south", "north", ""} {
+		r := front.Request{Track: []byte("a"), Tenant: []byte(tenant), Session: []byte("s"), Beginning: []byte("p"), Prompt: 10}
+		if _, err := d.Arrive(l.Now(), &answers{}, &r); err != nil {
+			t.Fatal(err)
+		}
+	}
+	for i, want := range []policy.TenantID{1, 0, -1} {
+		got := mod.arrived[i]
+		if got.Tenant != want || got.Session != mod.arrived[0].Session || got.Prefix != mod.arrived[0].Prefix {
+			t.Errorf("job %d: %+v, want tenant %d and the keys of the others", i, got, want)
+		}
+	}
+}
--- a/internal/exit/platform/conn.go
+++ b/internal/exit/platform/conn.go
@@ -100,7 +100,8 @@
 	b := append(c.x.scratch[:0], "POST "...)
 	b = append(append(b, j.Target...), " HTTP/1.1\r\nHost: "...)
 	b = append(append(b, c.h.name...), "\r\nContent-Type: application/json\r\nX-Txn: "...)
-	b = append(append(b, j.Named...), "\r\nX-Remaining: "...)
+	b = append(append(b, j.Named...), "\r\n"...)
+	b = append(append(b, j.Fields...), "X-Remaining: "...)
 	ms := (j.TimeLeft(now) + 1e6 - 1) / 1e6
 	b = strconv.AppendInt(b, ms/1000, 10)
 	b = append(b, '.', byte('0'+ms/100%10), byte('0'+ms/10%10), byte('0'+ms%10))
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -53,6 +53,7 @@
 	Raw       []byte
 	Named     []byte // the client's own name for the job, where hosts are told it; nil = none
 	Target    []byte // where the request was sent, where hosts are told that; nil = nowhere
+	Fields    []byte // header fields that hosts are to see as well, as lines; nil = none
 	Track     []byte
 	Tenant    []byte
 	Session   []byte
--- a/internal/front/platform/request.go
+++ b/internal/front/platform/request.go
@@ -16,6 +16,8 @@
 // ask is what the head of a request says of its job, kept until the body has come.
 type ask struct {
 	name, target, track, session, prefix []byte
+	tenant                               []byte
+	fields                               []byte // header fields that hosts are to see as well, as lines
 	patience, hint                       int64
 	prompt, shared, most                 int64
 	again                                bool
@@ -31,11 +33,14 @@
 // head reads the fields that the platform has.
 func (a *ask) head(h *h1.Head) error {
 	*a = ask{name: a.name[:0], target: append(a.target[:0], h.Target...), track: a.track[:0], session: a.session[:0],
-		prefix: a.prefix[:0]}
-	var seen [8]bool
+		prefix: a.prefix[:0], tenant: a.tenant[:0], fields: a.fields[:0]}
+	var seen [len(fieldNameList)]bool
 	for _, f := range h.Fields {
 		i, known := fieldNames[string(lower(f.Name))]
 		if !known {
+			if endToEnd(h, f.Name) {
+				a.fields = append(append(append(append(a.fields, f.Name...), ": "...), f.Value...), "\r\n"...)
+			}
 			continue
 		}
 		if seen[i] {
@@ -71,6 +76,11 @@
 			}
 		case fieldAgain:
 			a.again = string(v) == "1"
+		case fieldTenant:
+			if len(v) == 0 || len(v) > nameMost {
+				err = errors.New("want the name of a tenant")
+			}
+			a.tenant = append(a.tenant, v...)
 		}
 		if err != nil {
 			return fmt.Errorf("%s %.40q: %w", f.Name, v, err)
@@ -95,13 +105,47 @@
 	fieldLabels
 	fieldHint
 	fieldAgain
+	fieldTenant
 )
 
-var fieldNames = map[string]int{"x-txn": fieldName, "x-lane": fieldTrack, "x-entity": fieldSession,
-	"x-remaining": fieldPatience, "x-labels": fieldLabels, "x-estimate": fieldHint, "x-resent": fieldAgain}
+// fieldNameList has the fields that are the dispatcher's to read, in lower case and in the order of their numbers.
+var fieldNameList = [...]string{"x-txn", "x-lane", "x-entity", "x-remaining", "x-labels", "x-estimate", "x-resent", "x-org"}
+
+var fieldNames = numbered(fieldNameList[:])
+
+func numbered(names []string) map[string]int {
+	numbers := make(map[string]int, len(names))
+	for i, name := range names {
+		numbers[name] = i
+	}
+	return numbers
+}
+
+// hopFields concern one connection only, or are written anew for the host.
+var hopFields = map[string]bool{"host": true, "content-length": true, "content-type": true, "transfer-encoding": true, "connection": true,
+	"keep-alive": true, "proxy-connection": true, "te": true, "trailer": true, "upgrade": true, "expect": true}
+
+// endToEnd tells that a field goes on to the host: it is none of this connection's own, be it by name or because the
+// client's Connection field lists it.
+func endToEnd(h *h1.Head, name []byte) bool {
+	if hopFields[string(lower(name))] {
+		return false
+	}
+	for _, f := range h.Fields {
+		if !bytes.EqualFold(f.Name, []byte("connection")) {
+			continue
+		}
+		for _, listed := range bytes.Split(f.Value, []byte{','}) {
+			if bytes.EqualFold(bytes.TrimSpace(listed), name) {
+				return false
+			}
+		}
+	}
+	return true
+}
 
 func lower(b []byte) []byte {
-	var buf [16]byte
+	var buf [32]byte
 	if len(b) > len(buf) {
 		return nil
 	}
@@ -225,7 +269,7 @@
 	if b.Max != nil && (*b.Max < 0 || *b.Max > tokenMost) {
 		return fmt.Errorf("body: max_tokens %d", *b.Max)
 	}
-	*r = front.Request{Raw: raw, Named: a.name, Target: a.target, Track: a.track, Session: a.session, Beginning: a.prefix,
+	*r = front.Request{Raw: raw, Named: a.name, Target: a.target, Fields: a.fields, Track: a.track, Tenant: a.tenant, Session: a.session, Beginning: a.prefix,
 		Prompt: a.prompt, Shared: a.shared, Most: a.most, Hint: a.hint, Patience: max(a.patience-age, 1)}
 	if a.again {
 		r.Repeat = 1
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -61,7 +61,7 @@
 	memory := t.Limits.Memory << 20
 	most := max(int(heapShare*float64(memory)/2/jobBytes), 16)
 	n := &Node{l: l, log: log, mod: m.Module, done: make(chan struct{})}
-	if n.d, err = dispatch.Direct(l, log, m.Module, m.Tracks, m.Terms, most, promptMost, int64(m.Advice), hush, life); err != nil {
+	if n.d, err = dispatch.Direct(l, log, m.Module, m.Tracks, m.Terms, m.Tenant, most, promptMost, int64(m.Advice), hush, life); err != nil {
 		return nil, err
 	}
 	n.in = front.New(l, n.d, log, clients, peers.Bodies(memory), n.d.Known)
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -769,3 +769,42 @@
 	close(hold)
 	until(t, "all ends", func() bool { return agree() == 0 })
 }
+
+// Header fields that are not the connection's own go on to hosts unchanged, such as the key by which repeats are known.
+func TestFieldsPassOn(t *testing.T) {
+	s := newStage(t)
+	got := make(chan http.Header, 2)
+	s.host("reader", "prefill", func(c net.Conn, r *http.Request, n int) bool { got <- r.Header; return read(c, r, n) })
+	s.host("writer", "decode", func(c net.Conn, r *http.Request, n int) bool { got <- r.Header; return write(c, r, n) })
+	s.start(1024)
+	_, text, _, err := ask(s.dial(), request(jobName(1), "X-Lane: chat\r\n",
+		"X-Lane: chat\r\nIdempotency-Key: k-17\r\nx-trace: a\r\nX-Trace: b\r\nX-Hop: h\r\nConnection: keep-alive, x-hop\r\nTE: trailers\r\n"))
+	if text != answer || err != nil {
+		t.Fatalf("%q, %v", text, err)
+	}
+	for range 2 {
+		h := <-got
+		if h.Get("Idempotency-Key") != "k-17" || len(h["X-Trace"]) != 2 || h["X-Trace"][1] != "b" || h["X-Hop"] != nil || h["Te"] != nil ||
+			len(h["X-Remaining"]) != 1 || len(h["X-Txn"]) != 1 || len(h["Connection"]) > 0 {
+			t.Errorf("the host got %v", h)
+		}
+	}
+}
+
+// Requests count for the tenant that they name; one that the settings don't have is refused.
+func TestTenants(t *testing.T) {
+	s := newStage(t)
+	s.terms = []string{`"tenants":[]`, `"tenants":[{"name":"north","allowance_per_s":5},{"name":"south","allowance_per_s":1}]`}
+	s.host("reader", "prefill", read)
+	s.host("writer", "decode", write)
+	s.start(1024)
+	for name, want := range map[string]int{"north": 200, "south": 200, "": 200, "west": 400} {
+		field := ""
+		if name != "" {
+			field = "X-Org: " + name + "\r\n"
+		}
+		if status, _, _, err := ask(s.dial(), request(jobName(1), "X-Lane", field+"X-Lane")); status != want || err != nil {
+			t.Errorf("tenant %q: %d, %v, want %d", name, status, err, want)
+		}
+	}
+}
