--- a/cmd/docksail/node.go
+++ b/cmd/docksail/node.go
@@ -24,12 +24,12 @@
 			"elsewhere and ends it when none is left; SIGHUP reads the file again and takes over where discovery is.",
 		Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
+			signals := make(chan os.Signal, 4) // before all else: a signal that comes during the start is kept
+			signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 			t, err := node.Load(os.Getenv)
 			if err != nil {
 				return err
 			}
-			signals := make(chan os.Signal, 4)
-			signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 			node.Spare(t)
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -527,8 +527,11 @@
 		return
 	}
 	d.mod.ClientLeft(d.Time(now), j.ID)
-	if j.begun > 0 {
+	switch {
+	case j.begun > 0:
 		d.ended(now, j, policy.Recalled, true, policy.NoLoad)
+	case j.sent != nil && j.sent.Stage() != Wired: // it is not to begin any more, also where what has begun may not be withdrawn
+		d.ended(now, j, policy.NotSent, true, policy.NoLoad)
 	}
 	d.settle(j)
 }
--- a/internal/exit/platform/conn.go
+++ b/internal/exit/platform/conn.go
@@ -347,6 +347,7 @@
 		c.retire()
 		return
 	}
+	c.lc.Pause(false) // it may have been held back for its last client
 	c.idle, c.since = true, now
 	c.x.idle.Put(c)
 	c.x.l.At(&c.timer, c.x.keeper.Until(now), c.onTimer)
--- a/internal/exit/platform/exit.go
+++ b/internal/exit/platform/exit.go
@@ -6,6 +6,7 @@
 import (
 	"context"
 	"log/slog"
+	"maps"
 	"math/rand/v2"
 	"net/netip"
 	"slices"
@@ -286,7 +287,8 @@
 // unlaunch ends launches to the host whose connections are not up yet, or that wait behind a release: it drains, and by
 // then it may be too late.
 func (h *host) unlaunch(now loop.Nanos) {
-	for _, r := range h.x.releases {
+	for _, id := range slices.Sorted(maps.Keys(h.x.releases)) { // in an order that does not change from run to run
+		r := h.x.releases[id]
 		if j := r.next; j != nil && j.Host == h.id {
 			r.next = nil
 			h.x.d.Moved(now, j, nil)
--- /dev/null
+++ b/internal/exit/platform/exit_test.go
@@ -0,0 +1,133 @@
+package platform
+
+import (
+	"bufio"
+	"io"
+	"log/slog"
+	"net"
+	"net/http"
+	"net/netip"
+	"testing"
+	"time"
+
+	"docksail/internal/dispatch"
+	"docksail/internal/enlist"
+	"docksail/internal/front"
+	"docksail/internal/loop"
+	"docksail/policy"
+)
+
+// scriptedModule decides what the test gives it to decide.
+type scriptedModule struct{ decisions []policy.Decision }
+
+func (*scriptedModule) ListBegin(bool) {}
+func (*scriptedModule) HostListed(policy.HostID, policy.ZoneID, policy.KindID, policy.CellID, policy.Health, policy.Nanos) {
+}
+func (*scriptedModule) ListEnd(policy.Nanos)                                              {}
+func (*scriptedModule) ListFailed(policy.Nanos)                                           {}
+func (*scriptedModule) JobArrived(policy.Nanos, policy.Job)                               {}
+func (*scriptedModule) StreamBegan(policy.Nanos, policy.JobID, policy.Shot, policy.Nanos) {}
+func (*scriptedModule) ClientLeft(policy.Nanos, policy.JobID)                             {}
+func (*scriptedModule) HeldSince(policy.Nanos, policy.JobID, policy.Nanos)                {}
+func (*scriptedModule) Woken(policy.Nanos)                                                {}
+func (*scriptedModule) LaunchEnded(policy.Nanos, policy.JobID, policy.Shot, policy.Outcome, policy.Nanos, bool, policy.Load) {
+}
+func (m *scriptedModule) Next(policy.Nanos) (policy.Decision, bool) {
+	if len(m.decisions) == 0 {
+		return policy.Decision{}, false
+	}
+	next := m.decisions[0]
+	m.decisions = m.decisions[1:]
+	return next, true
+}
+
+// noClients is an entry by which nobody comes.
+type noClients struct{}
+
+func (noClients) Listen(at netip.AddrPort, _ bool) (netip.AddrPort, error) { return at, nil }
+func (noClients) Flush()                                                   {}
+func (noClients) Conns() int                                               { return 0 }
+func (noClients) Idle() bool                                               { return true }
+func (noClients) Leave()                                                   {}
+
+// slowCall is a client that has never room: whatever is relayed to it waits.
+type slowCall struct{ served int }
+
+func (*slowCall) Tokens(policy.JobID, []byte) bool { return true }
+func (c *slowCall) Honour(policy.JobID)            { c.served++ }
+func (*slowCall) Abandon(policy.JobID, string)     {}
+func (*slowCall) Nack(policy.JobID, front.Refusal) {}
+
+// A connection that was held back for a slow client as its answer ended is read again when it carries the next request.
+func TestHeldBackConnectionIsReadAgain(t *testing.T) {
+	l, err := loop.New()
+	if err != nil {
+		t.Fatal(err)
+	}
+	host, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer host.Close()
+	mod, call := &scriptedModule{}, &slowCall{}
+	log := slog.New(slog.DiscardHandler)
+	d, err := dispatch.Direct(l, log, mod, []string{"a"}, []policy.Track{{Expected: 1e9, Patience: 9e9}}, nil, 10, 1000, 0, 0, 1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	x := New(l, d, log, &enlist.Module{Zones: []string{"z"}, Kinds: []string{"decode"}, Roles: []policy.Role{policy.Writer},
+		Idle: 15e9, Release: 1e9, Connect: 250e6}, 10, netip.AddrPort{})
+	d.Ends(noClients{}, x)
+	x.Known(0, List{Full: true, Servers: []Server{{ID: "w1", Addr: host.Addr().String(), Zone: "z", Kind: "decode", State: "Ready"}}})
+	done := make(chan error)
+	go func() { done <- l.Run(d.Round) }()
+	defer func() { l.Stop(); <-done; l.Close() }()
+	on := func(f func()) {
+		got := make(chan struct{})
+		l.Post(func() { f(); close(got) })
+		<-got
+	}
+	ask := func() {
+		on(func() {
+			id, err := d.Arrive(l.Now(), call, &front.Request{Track: []byte("a"), Named: []byte("n"), Target: []byte("/"), Raw: []byte("x"), Prompt: 1})
+			if err != nil {
+				t.Error(err)
+			}
+			mod.decisions = append(mod.decisions, policy.Decision{Verb: policy.Launch, Job: id, Host: x.byName["w1"].id, For: 9e9})
+		})
+	}
+	until := func(what string, is func() bool) {
+		t.Helper()
+		for end := time.Now().Add(5 * time.Second); ; {
+			var ok bool
+			if on(func() { ok = is() }); ok {
+				return
+			}
+			if time.Now().After(end) {
+				t.Fatalf("%s: not within 5 s", what)
+			}
+		}
+	}
+	const answer = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n8\r\ndata: x\n\r\n9\r\ndata: y\n\n\r\n0\r\n\r\n"
+
+	ask()
+	c, err := host.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer c.Close()
+	in := bufio.NewReader(c)
+	for n := range 2 {
+		r, err := http.ReadRequest(in)
+		if err != nil {
+			t.Fatal(err)
+		}
+		io.Copy(io.Discard, r.Body)
+		io.WriteString(c, answer) // its end comes in the same bytes as what waits for the client
+		until("the answer is relayed", func() bool { return call.served == n+1 })
+		if n == 0 {
+			until("the connection may be used again", func() bool { return x.byName["w1"].fit(l.Now()) != nil })
+			ask()
+		}
+	}
+}
