--- a/internal/decide/watch/watch.go
+++ b/internal/decide/watch/watch.go
@@ -20,6 +20,8 @@
 	// retryMost is shorter than what a send may follow on news that a host drains: there is a call open, or soon is, at the
 	// moment in which discovery is back.
 	retryMost = beat / 8
+	// refusedMost bounds how long a call that discovery refuses is put off: two more fit into the six seconds.
+	refusedMost = beat
 )
 
 // Retry tells how long after a watch was lost or not to be had another is begun: failures is how many in a row were
@@ -30,3 +32,14 @@
 	}
 	return retryMost/2 + int64(chance*float64(retryMost/2))
 }
+
+// RetryRefused tells the same after a call that discovery answered with a refusal, the so-manieth in a row: it is there and
+// has more calls than it takes, so each refusal doubles the wait. Whole fleets that asked again at once kept each other out
+// for as long as they did.
+func RetryRefused(refusals int, chance float64) int64 {
+	wait := int64(refusedMost)
+	if refusals < 4 {
+		wait = retryMost << refusals
+	}
+	return wait/2 + int64(chance*float64(wait/2))
+}
--- a/internal/decide/watch/watch_test.go
+++ b/internal/decide/watch/watch_test.go
@@ -27,3 +27,18 @@
 		t.Error("a watch on which nothing changes is given up")
 	}
 }
+
+// Calls that discovery refuses slacken, and no further than lets two more come while what is missed does not count as told.
+func TestRetryRefused(t *testing.T) {
+	for _, chance := range []float64{0, 0.5, 0.999} {
+		for refusals := 1; refusals < 40; refusals++ {
+			wait, before := RetryRefused(refusals, chance), RetryRefused(refusals-1, chance)
+			if wait < before || refusals < 4 && wait < 2*before-2 || 2*wait >= told-Quiet/2 {
+				t.Errorf("%d refusals, chance %v: %d ns after %d ns", refusals, chance, wait, before)
+			}
+		}
+	}
+	if RetryRefused(4, 0.999)-RetryRefused(4, 0) < refusedMost/3 {
+		t.Error("all call at once")
+	}
+}
--- a/internal/exit/platform/discovery.go
+++ b/internal/exit/platform/discovery.go
@@ -67,6 +67,7 @@
 	current  *watch         // the one whose news counts
 	next     *watch         // one that has told nothing yet
 	failures int            // watches in a row that were not to be had
+	refusals int            // calls in a row that discovery refused
 	version  int64          // of the last news from addr; -1 = none came from there: a whole list is asked for
 	timer    loop.Timer
 	onTimer  func(loop.Nanos)
@@ -96,7 +97,11 @@
 
 // later tries again after a while.
 func (s *discovery) later(now loop.Nanos) {
-	s.x.l.At(&s.timer, now+max(decide.Retry(s.failures, s.x.rng.Float64()), 1), s.onTimer)
+	wait := decide.Retry(s.failures, s.x.rng.Float64())
+	if s.refusals > 0 {
+		wait = decide.RetryRefused(s.refusals, s.x.rng.Float64())
+	}
+	s.x.l.At(&s.timer, now+max(wait, 1), s.onTimer)
 }
 
 // Discovery has the list watched at another address; the old watch goes when the new one has told something. Versions
@@ -106,7 +111,7 @@
 	if addr == s.addr {
 		return
 	}
-	s.addr, s.failures, s.version = addr, 0, -1
+	s.addr, s.failures, s.refusals, s.version = addr, 0, 0, -1
 	if s.next != nil {
 		s.next.end()
 		s.next = nil
@@ -116,15 +121,16 @@
 
 // watch is one connection to discovery.
 type watch struct {
-	s     *discovery
-	addr  netip.AddrPort
-	lc    *loop.Conn
-	dec   h1.Decoder
-	feed  h1.Feeder
-	list  values
-	timer loop.Timer
-	over  bool
-	quiet bool // it was given up as it said nothing
+	s       *discovery
+	addr    netip.AddrPort
+	lc      *loop.Conn
+	dec     h1.Decoder
+	feed    h1.Feeder
+	list    values
+	timer   loop.Timer
+	over    bool
+	quiet   bool // it was given up as it said nothing
+	refused bool // the call was answered with another status
 }
 
 func (w *watch) end() {
@@ -169,6 +175,7 @@
 					w.within(now, decide.Quiet)
 				}
 			default:
+				w.refused = err == nil && piece == h1.Start
 				if err == nil {
 					err = fmt.Errorf("answer with status %d, or its end", w.dec.Head.Status)
 				}
@@ -190,7 +197,7 @@
 		return
 	}
 	old := s.current
-	s.current, s.next, s.failures = w, nil, 0
+	s.current, s.next, s.failures, s.refusals = w, nil, 0, 0
 	if old != nil {
 		old.end()
 	}
@@ -241,6 +248,11 @@
 	case s.next:
 		s.next = nil
 		s.failures++
+		if w.refused {
+			s.refusals++
+		} else {
+			s.refusals = 0
+		}
 	}
 	s.later(now)
 }
--- a/internal/node/crossing_test.go
+++ b/internal/node/crossing_test.go
@@ -177,3 +177,40 @@
 		t.Errorf("the client got %q, want 503", status)
 	}
 }
+
+// An attempt whose connection is still under way as its client leaves does not begin, also where what has begun may not be
+// withdrawn.
+func TestClientLeavesWhileConnecting(t *testing.T) {
+	s := newStage(t)
+	s.terms = []string{`"cancel":true`, `"cancel":false`, `"connect_timeout_ns":250000000`, `"connect_timeout_ns":4000000000`,
+		`"on_time_ns":1500000000`, `"on_time_ns":12000000000`} // so long that the attempt is not given up for its time
+	reader := newFullPeer(t)
+	s.hosts = append(s.hosts, exit.Server{ID: "r1", Addr: reader.addr(), Zone: "z", Kind: "prefill", State: "Ready"})
+	s.start(1024)
+	client := s.client()
+	client.send(request(jobName(1)))
+	until(t, "the attempt is out", func() bool { return s.outAt("r1") == 1 })
+	client.Close()
+	until(t, "its client is gone", func() bool { v, _ := s.node.View(); return v.Jobs.Left == 1 })
+	if got := reader.take(); got != "" {
+		t.Errorf("r1 got %q", got)
+	}
+}
+
+// A discovery that refuses calls, as it has more of them than it takes, is asked ever more seldom.
+func TestRefusedCallsSlacken(t *testing.T) {
+	s := newStage(t)
+	s.start(1024)
+	fresh := newPeer(t)
+	s.discoveryAt(fresh)
+	var last time.Time
+	for n := range 5 {
+		call := fresh.accept()
+		call.request()
+		if gap := time.Since(last); n > 0 && gap < time.Duration(1<<n)*100*time.Millisecond {
+			t.Errorf("call %d came %v after the one before", n+1, gap)
+		}
+		call.send("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
+		last = time.Now()
+	}
+}
