--- a/policy/policy.go
+++ b/policy/policy.go
@@ -86,14 +86,14 @@
 	}
 	for i := range d.hosts {
 		h := &d.hosts[i]
-		h.high = h.answers.quantile(now-8*d.tracks[0].Expected, highQuantile)
+		h.high = h.answers.quantile(now-8*d.pace, highQuantile)
 	}
 	was := d.lookedAt
 	d.lookedAt = now
 	for role := Reader; role < roleCount; role++ {
-		d.usual[role] = d.recent[role].quantile(now-8*d.tracks[0].Expected, highQuantile)
+		d.usual[role] = d.recent[role].quantile(now-8*d.pace, highQuantile)
 		d.fellows[role] = d.median(role, func(h *host) float64 { return h.high })
-		d.typical[role] = d.recent[role].quantile(now-8*d.tracks[0].Expected, 0.5)
+		d.typical[role] = d.recent[role].quantile(now-8*d.pace, 0.5)
 	}
 	d.carried(now, was, 2*d.cold.Warm) // outlasts any warm-up
 	for i := range d.hosts {
@@ -142,7 +142,7 @@
 	if w.most == 0 || w.most >= 1 {
 		return w.most == 0 || float64(w.out) < w.most
 	}
-	return w.out == 0 && now >= w.sent+Nanos(lateRead*float64(d.tracks[0].Expected)/w.most)
+	return w.out == 0 && now >= w.sent+Nanos(lateRead*float64(d.pace)/w.most)
 }
 
 // setRoom finds how many jobs in hand the pools bear, from how their answers come: cut when many are late
@@ -157,7 +157,7 @@
 	} else if float64(d.active) > d.room/2 {
 		d.room += roomGrow*d.room + 1
 	}
-	d.told, d.roomAt = false, now+d.tracks[0].Expected/2
+	d.told, d.roomAt = false, now+d.pace/2
 }
 
 // press takes down whether an answer came late, or none, so that a few answers already tell.
@@ -243,7 +243,7 @@
 	if now > h.aside+4*h.spell {
 		h.spell = 0
 	}
-	h.spell = min(max(2*h.spell, d.tracks[0].Expected/2), max(d.cold.Warm, d.tracks[0].Expected))
+	h.spell = min(max(2*h.spell, d.pace/2), max(d.cold.Warm, d.pace))
 	h.aside, h.trial = now+h.spell, true
 	h.answers = ring{}
 	d.says = append(d.says, fmt.Sprintf("host %d set aside for %d ms: %s", h.id, h.spell/1e6, why))
@@ -256,11 +256,11 @@
 	if now > b.quiet+4*b.spell {
 		b.spell = 0
 	}
-	b.spell = max(2*b.spell, d.tracks[0].Expected/2, d.between(h.role))
-	b.spell = min(b.spell, max(d.cold.Warm, d.tracks[0].Expected))
+	b.spell = max(2*b.spell, d.pace/2, d.between(h.role))
+	b.spell = min(b.spell, max(d.cold.Warm, d.pace))
 	b.quiet, h.trial = now+b.spell, true
 	if h.moved <= j.sent {
-		h.aside = max(h.aside, now+d.tracks[0].Expected/2)
+		h.aside = max(h.aside, now+d.pace/2)
 	}
 	d.says = append(d.says, fmt.Sprintf("host %d silent to track %d, left %d ms", h.id, j.Track, b.spell/1e6))
 }
@@ -519,7 +519,7 @@
 // but a read is recalled only where many are out: a few have mostly queued, and read anew elsewhere they
 // spoil that queue too.
 func (d *Dispatcher) stalled(now Nanos, h *host, track TrackID) bool {
-	usual := stallAgainst * max(d.usual[h.role], stallFloor) * float64(d.tracks[0].Expected)
+	usual := stallAgainst * max(d.usual[h.role], stallFloor) * float64(d.tracks[track].Expected)
 	return h.by[track].out > 0 && now-h.by[track].moved > Nanos(usual)+h.longest
 }
 
@@ -622,7 +622,7 @@
 
 // backlog is the design's load signal of a reader: own unread prompts, plus what the host reported of late.
 func (d *Dispatcher) backlog(now Nanos, h *host) int64 {
-	if age := float64(now-h.loadAt) / float64(keepLoad*d.tracks[0].Expected); h.load.Unread > 0 && age < 1 {
+	if age := float64(now-h.loadAt) / float64(keepLoad*d.pace); h.load.Unread > 0 && age < 1 {
 		return h.queued + int64(h.load.Unread*(1-age))
 	}
 	return h.queued
@@ -716,7 +716,7 @@
 // farSlow tells that pulls from other cells take far longer than those within one, and long enough to
 // matter: the links crawl. It lapses as soon as a few quick ones are seen, or none for some time.
 func (d *Dispatcher) farSlow(now Nanos) bool {
-	since := now - 4*d.tracks[0].Expected
+	since := now - 4*d.pace
 	far := d.pulls[1].quantile(since, 0.5)
 	return far > slowHarms/2 && far > gateFactor*d.pulls[0].quantile(since, 0.5)
 }
--- a/policy/state.go
+++ b/policy/state.go
@@ -434,6 +434,7 @@
 // intake is the jobs in hand and what is owed for them.
 type intake struct {
 	tracks    []Track
+	pace      Nanos // shortest expected time of all tracks: how fast news of the pool goes stale, whatever their order
 	tenants   []Tenant
 	answering Answering
 	jobs      slab
--- a/policy/told.go
+++ b/policy/told.go
@@ -22,16 +22,16 @@
 	case place.Count < 1:
 		return nil, fmt.Errorf("number of dispatchers: %d, want 1 or more", place.Count)
 	}
-	shortest := release
+	shortest, pace := release, Never
 	for i, t := range tracks {
 		if t.Expected <= 0 || t.Patience <= 0 {
 			return nil, fmt.Errorf("track %d: expected time %d and patience %d: want both above 0",
 				i, t.Expected, t.Patience)
 		}
-		shortest = min(shortest, t.Expected)
+		shortest, pace = min(shortest, t.Expected), min(pace, t.Expected)
 	}
 	d := &Dispatcher{
-		intake: intake{tracks: tracks, tenants: tenants, answering: answering, jobs: newSlab(),
+		intake: intake{tracks: tracks, pace: pace, tenants: tenants, answering: answering, jobs: newSlab(),
 			shares: make([]bucket, len(tenants))},
 		pool:     pool{place: place, roles: roles, byID: make(map[HostID]int32), holds: newBeginnings()},
 		guards:   guards{cold: cold, launching: launching, release: release},
