--- a/internal/node/crossing_test.go
+++ b/internal/node/crossing_test.go
@@ -214,3 +214,141 @@
 		last = time.Now()
 	}
 }
+
+// An attempt whose connection comes up after its host was told to drain does not begin.
+func TestDrainWhileConnecting(t *testing.T) {
+	s := newStage(t)
+	s.terms = []string{`"connect_timeout_ns":250000000`, `"connect_timeout_ns":4000000000`}
+	reader := newFullPeer(t)
+	s.hosts = append(s.hosts, exit.Server{ID: "r1", Addr: reader.addr(), Zone: "z", Kind: "prefill", State: "Ready"})
+	s.start(1024)
+	client := s.client()
+	client.send(request(jobName(1)))
+	until(t, "the attempt is out", func() bool { return s.outAt("r1") == 1 })
+	drains := s.hosts[0]
+	drains.State = "Terminating"
+	s.news(exit.List{Version: 42, Servers: []exit.Server{drains}})
+	if got := reader.take(); got != "" {
+		t.Errorf("r1 got %q", got)
+	}
+	if status := client.expect("\r\n"); !strings.Contains(status, " 503 ") {
+		t.Errorf("the client got %q, want 503", status)
+	}
+}
+
+// What a watch had not told when it was reset is asked for by the next.
+func TestWatchResetBeforeItsNews(t *testing.T) {
+	s := newStage(t)
+	s.host("r1", "prefill", read)
+	s.host("w1", "decode", write)
+	s.start(1024)
+	fresh := newPeer(t)
+	s.discoveryAt(fresh)
+	watch := fresh.accept()
+	watch.request()
+	had, _ := s.node.View()
+	watch.send(watchHead + chunk(listText(exit.List{Version: 3, Full: true, Servers: s.hosts})))
+	until(t, "the list", func() bool { v, _ := s.node.View(); return v.Exit.News > had.Exit.News })
+	drains := s.hosts[1]
+	drains.State = "Terminating"
+	watch.send(chunk(listText(exit.List{Version: 4, Servers: []exit.Server{drains}}))[:40])
+	watch.reset()
+	next := fresh.accept()
+	if line := next.request(); !strings.Contains(line, "from=3") {
+		t.Errorf("%q, want what came after version 3", line)
+	}
+	next.send(watchHead + chunk(listText(exit.List{Version: 4, Servers: []exit.Server{drains}})))
+	until(t, "the host drains", func() bool {
+		status, _, _, _ := ask(s.dial(), request(jobName(1)))
+		return status == 503
+	})
+}
+
+// A host that has started anew under its address is not sent anything on a connection to the process before.
+func TestHostStartedAnew(t *testing.T) {
+	s := newStage(t)
+	s.host("r1", "prefill", read)
+	writer := s.scriptedHost("w1", "decode")
+	s.start(1024)
+	for n, started := range []float64{1, 2} {
+		client := s.client()
+		client.send(request(jobName(n)))
+		conn := writer.accept()
+		conn.request()
+		conn.send(streamHead + chunk(event1) + chunk(event2) + "0\r\n\r\n")
+		client.expect("0\r\n\r\n")
+		anew := s.hosts[1]
+		anew.Started = started
+		s.news(exit.List{Version: 42 + int64(n), Servers: []exit.Server{anew}})
+		if _, err := conn.rest(); err != nil {
+			t.Errorf("the connection to the process before: %v, want its end", err)
+		}
+	}
+}
+
+// Half a line that a host writes on a resting connection is no beginning of the next answer: that connection goes.
+func TestHalfLineOnRestingConnection(t *testing.T) {
+	s := newStage(t)
+	s.host("r1", "prefill", read)
+	writer := s.scriptedHost("w1", "decode")
+	s.start(1024)
+	for n := range 2 {
+		client := s.client()
+		client.send(request(jobName(n)))
+		conn := writer.accept()
+		conn.request()
+		conn.send(streamHead + chunk(event1) + chunk(event2) + "0\r\n\r\n")
+		if got := client.expect("0\r\n\r\n"); strings.Count(got, "[DONE]") != 1 {
+			t.Errorf("the client got %q", got)
+		}
+		conn.send("HTTP/1.1 2")
+		conn.rest()
+	}
+}
+
+// An event is passed on when it is whole, whatever is still to come.
+func TestEventsPassAtOnce(t *testing.T) {
+	s := newStage(t)
+	s.host("r1", "prefill", read)
+	writer := s.scriptedHost("w1", "decode")
+	s.start(1024)
+	client := s.client()
+	client.send(request(jobName(1)))
+	conn := writer.accept()
+	conn.request()
+	first := chunk(event1)
+	conn.send(streamHead + first[:len(first)-1])
+	conn.send(first[len(first)-1:])
+	client.expect("oqvh") // nothing more was written
+	for range 3 {
+		conn.send(chunk(event1) + chunk(event2)[:9])
+		client.expect("oqvh")
+		conn.send(chunk(event2)[9:])
+		client.expect("[DONE]")
+	}
+	conn.send("0\r\n\r\n")
+	client.expect("0\r\n\r\n")
+}
+
+// A dispatcher told to leave, twice, before discovery has said anything serves who waits by the list it was started with.
+func TestLeaveBeforeListIsKnown(t *testing.T) {
+	s := newStage(t)
+	s.host("r1", "prefill", read)
+	s.host("w1", "decode", write)
+	s.deaf.Store(true)
+	s.atOnce = true
+	s.start(1024)
+	client := s.client()
+	client.send(request(jobName(1)))
+	s.node.Leave()
+	s.node.Leave()
+	if got := client.expect("0\r\n\r\n"); !strings.Contains(got, " 200 ") || !strings.Contains(got, "Connection: close") {
+		t.Errorf("the client got %q", got)
+	}
+	client.Close()
+	select {
+	case <-s.node.Done():
+	case <-time.After(scriptTimeout):
+		t.Error("it has not ended")
+	}
+}
