--- /dev/null
+++ b/internal/dispatch/view.go
@@ -0,0 +1,129 @@
+package dispatch
+
+import (
+	"docksail/internal/decide/door"
+	"docksail/internal/front/grpc"
+	"docksail/internal/loop"
+	"docksail/internal/setup"
+	"fmt"
+	"runtime/metrics"
+)
+
+// What people see of a dispatcher, and what they may change while it runs.
+
+// Counts are what a dispatcher counted since its start.
+type Counts struct {
+	Jobs, Honoured, Nacked, Abandoned, Left, Refused uint64
+	Launches, Recalls, Late, Broken                  uint64
+	Releases, ReleasesLost                           uint64
+	Tokens                                           uint64 // messages relayed
+	LateReports, Reports                             uint64
+	Guarded                                          uint64 // decisions that the account of a job refused: faults of the program
+	Overdue                                          uint64 // jobs that had to be answered by the dispatcher's own deadline: faults of the program
+	Pings, DeadLinks                                 uint64
+}
+
+// InHand counts jobs in hand, Clients open connections of clients.
+func (d *Dispatcher) InHand() int { return d.jobs.Len() }
+
+// Clients counts open connections of clients.
+func (d *Dispatcher) Clients() int { return d.clients.Conns() }
+
+// Door gives what the clients' door counted.
+func (d *Dispatcher) Door() grpc.Counts {
+	if d.rpc == nil {
+		return grpc.Counts{}
+	}
+	return d.rpc.Count()
+}
+
+// Known tells that a list of engines is known.
+func (d *Dispatcher) Known() bool { return d.gate.Known }
+
+// Add adds up counts.
+func (c *Counts) Add(o Counts) {
+	for _, f := range []struct {
+		to   *uint64
+		from uint64
+	}{{&c.Jobs, o.Jobs}, {&c.Honoured, o.Honoured}, {&c.Nacked, o.Nacked}, {&c.Abandoned, o.Abandoned}, {&c.Left, o.Left},
+		{&c.Refused, o.Refused}, {&c.Launches, o.Launches}, {&c.Recalls, o.Recalls}, {&c.Late, o.Late}, {&c.Broken, o.Broken},
+		{&c.Releases, o.Releases}, {&c.ReleasesLost, o.ReleasesLost}, {&c.Tokens, o.Tokens}, {&c.LateReports, o.LateReports}, {&c.Reports, o.Reports},
+		{&c.Guarded, o.Guarded}, {&c.Overdue, o.Overdue}, {&c.Pings, o.Pings}, {&c.DeadLinks, o.DeadLinks}} {
+		*f.to += f.from
+	}
+}
+
+// memory reads how much the process uses, now and then.
+type memory struct {
+	most   uint64 // 0 = not bounded
+	used   uint64
+	at     loop.Nanos
+	sample [1]metrics.Sample
+}
+
+const memoryEvery = 100e6 // nanoseconds between two readings, each some microseconds
+
+func (m *memory) inUse(now loop.Nanos) uint64 {
+	if m.most > 0 && (m.at == 0 || now-m.at >= memoryEvery) {
+		m.at, m.sample[0].Name = now, "/memory/classes/heap/objects:bytes"
+		metrics.Read(m.sample[:])
+		m.used = m.sample[0].Value.Uint64()
+	}
+	return m.used
+}
+
+// TenantView is how a tenant does at the door.
+type TenantView struct {
+	Name             string
+	Weight           float64
+	Waiting, Running int
+	Counts           door.Counts
+}
+
+// View is a dispatcher's state as people see it.
+type View struct {
+	InHand, Clients, Waiting, Flows int
+	Background, BackgroundOut       int     // waiting and at hand
+	Spare                           float64 // so many may be at hand
+	Counts                          Counts
+	Door                            grpc.Counts
+	Tenants                         []TenantView // in the settings' order; one without a name where they name none
+}
+
+// View gives the state of now.
+func (d *Dispatcher) View() View {
+	v := View{InHand: d.jobs.Len(), Clients: d.clients.Conns(), Waiting: d.queue.Waiting(), Flows: d.queue.Flows(), Counts: d.Counts,
+		Background: d.queue.Background(), BackgroundOut: d.queue.Spare.Out(), Spare: d.queue.Spare.Allowance(),
+		Door: d.Door()}
+	for i, t := range d.terms {
+		w, r := d.queue.Tenant(i)
+		v.Tenants = append(v.Tenants, TenantView{Name: d.names[i], Weight: t.Weight, Waiting: w, Running: r, Counts: d.queue.Counts(i)})
+	}
+	return v
+}
+
+// Terms changes what tenants may do at the door, for jobs that wait too: all of them or, with an error, none. The
+// tenants must be those of the start.
+func (d *Dispatcher) Terms(s *setup.Dispatcher) error {
+	if len(s.Tenants) != len(d.tenants) {
+		return fmt.Errorf("%d tenants, want the %d of the start", len(s.Tenants), len(d.tenants))
+	}
+	for i, t := range s.Tenants {
+		if n, ok := d.tenants[t.Name]; !ok || int(n) != i {
+			return fmt.Errorf("tenant %q is new or in another place, want the tenants of the start", t.Name)
+		}
+	}
+	terms := s.Door()
+	for _, t := range terms {
+		if err := t.Check(); err != nil {
+			return err
+		}
+	}
+	for i, t := range terms {
+		if err := d.queue.SetTenant(i, t); err != nil {
+			return err
+		}
+	}
+	d.terms = terms
+	return nil
+}
