--- a/internal/decide/watch/watch.go
+++ b/internal/decide/watch/watch.go
@@ -20,6 +20,9 @@
 	// retryMost is shorter than what a send may follow on news that a host drains: there is a call open, or soon is, at the
 	// moment in which discovery is back.
 	retryMost = beat / 8
+	// answerMost is how long a discovery takes that answers by itself, and an eighth: one such call fits into the six seconds
+	// after silence was noticed, and the next begins.
+	answerMost = 9 * beat / 8
 	// refusedMost bounds how long a call that discovery refuses is put off: two more fit into the six seconds.
 	refusedMost = beat
 )
@@ -33,6 +36,16 @@
 	return retryMost/2 + int64(chance*float64(retryMost/2))
 }
 
+// AnswerWithin tells how long a new watch may take to begin its answer, and then to tell something. Where lists are asked for,
+// and wherever calls were refused, so many in a row, it is discovery itself that answers, after two seconds at the latest,
+// and a call that is given up before counts against the next.
+func AnswerWithin(asked bool, refusals int) int64 {
+	if asked || refusals > 0 {
+		return answerMost
+	}
+	return Answer
+}
+
 // RetryRefused tells the same after a call that discovery answered with a refusal, the so-manieth in a row: it is there and
 // has more calls than it takes, so each refusal doubles the wait. Whole fleets that asked again at once kept each other out
 // for as long as they did.
--- a/internal/decide/watch/watch_test.go
+++ b/internal/decide/watch/watch_test.go
@@ -20,6 +20,12 @@
 			}
 		}
 	}
+	if at := Quiet + Connect + AnswerWithin(true, 0) + Retry(1, 0.999) + Connect; at >= told {
+		t.Errorf("where lists are asked for the second try is made after %d ns, want less than %d", at, told)
+	}
+	if AnswerWithin(true, 0) <= 2e9 || AnswerWithin(false, 1) <= 2e9 || AnswerWithin(false, 0) != Answer {
+		t.Error("a call that discovery answers by itself is given up before")
+	}
 	if Answer < 2*Retry(1, 0.999) || Retry(1, 0.999)-Retry(1, 0) < 100e6 {
 		t.Error("most of the time no call is open, or all call at once")
 	}
--- a/internal/enlist/enlist.go
+++ b/internal/enlist/enlist.go
@@ -81,6 +81,7 @@
 	Advice  policy.Nanos // longest
 	Idle    policy.Nanos // a host ends a connection that stood idle so long; 0 = not told
 	Connect policy.Nanos // a connection is made in that time or not at all; 0 = not told
+	Asked   bool         // lists of hosts are asked for, not pushed
 }
 
 // New makes a module from the object.
@@ -142,7 +143,7 @@
 		return nil, fmt.Errorf("setup: %w", err)
 	}
 	m.Module, m.Seed, m.Release, m.Advice = d, seed, policy.Nanos(*s.Family.Release), policy.Nanos(s.Limits.MaxAdvice)
-	m.Idle, m.Connect = policy.Nanos(s.Limits.Idle), policy.Nanos(s.Limits.Connect)
+	m.Idle, m.Connect, m.Asked = policy.Nanos(s.Limits.Idle), policy.Nanos(s.Limits.Connect), s.Mode == "on_request"
 	return m, nil
 }
 
--- a/internal/exit/platform/discovery.go
+++ b/internal/exit/platform/discovery.go
@@ -64,6 +64,7 @@
 type discovery struct {
 	x        *Exit
 	addr     netip.AddrPort // where the configuration says that it is
+	asked    bool           // lists are asked for, not pushed
 	current  *watch         // the one whose news counts
 	next     *watch         // one that has told nothing yet
 	failures int            // watches in a row that were not to be had
@@ -74,8 +75,8 @@
 	onNews   func() // the first news of this process, once
 }
 
-func (s *discovery) init(x *Exit, addr netip.AddrPort) {
-	*s = discovery{x: x, addr: addr, version: -1, onTimer: s.watch}
+func (s *discovery) init(x *Exit, addr netip.AddrPort, asked bool) {
+	*s = discovery{x: x, addr: addr, asked: asked, version: -1, onTimer: s.watch}
 }
 
 // watch begins a watch, if none at the address is under way or at work.
@@ -146,7 +147,7 @@
 	}
 	b = append(append(append(b, " HTTP/1.1\r\nHost: "...), w.addr.String()...), "\r\n\r\n"...)
 	w.lc.Write(b)
-	w.within(now, decide.Answer)
+	w.within(now, decide.AnswerWithin(w.s.asked, w.s.refusals))
 }
 
 // within sets the time in which the next sign of life must come: the head of the answer, then whole news or the blank
@@ -167,7 +168,7 @@
 			case err == nil && piece == h1.None:
 				return n
 			case err == nil && piece == h1.Start && w.dec.Head.Status == 200:
-				w.within(now, decide.Answer)
+				w.within(now, decide.AnswerWithin(w.s.asked, w.s.refusals))
 			case err == nil && piece == h1.Data:
 				err = w.list.feed(data, func(text []byte) error { return w.news(now, text) })
 				if err == nil && !w.over && w.list.between() {
@@ -248,9 +249,10 @@
 	case s.next:
 		s.next = nil
 		s.failures++
-		if w.refused {
+		switch {
+		case w.refused:
 			s.refusals++
-		} else {
+		case !w.quiet: // it could not be reached at all
 			s.refusals = 0
 		}
 	}
--- a/internal/exit/platform/exit.go
+++ b/internal/exit/platform/exit.go
@@ -101,7 +101,7 @@
 	x.idle = order.Heap[*conn]{Place: func(c *conn) *int { return &c.place },
 		Less: func(a, b *conn) bool { return a.since < b.since || a.since == b.since && a.number < b.number }}
 	x.rng = rand.New(rand.NewPCG(m.Seed, 0))
-	x.list.init(x, discovery)
+	x.list.init(x, discovery, m.Asked)
 	return x
 }
 
--- a/internal/node/crossing_test.go
+++ b/internal/node/crossing_test.go
@@ -352,3 +352,21 @@
 		t.Error("it has not ended")
 	}
 }
+
+// Where lists are asked for, a call that discovery takes its time to answer is not given up: its answer counts.
+func TestAskedListTakesItsTime(t *testing.T) {
+	s := newStage(t)
+	s.terms = []string{`"membership_mode":"pushed"`, `"membership_mode":"on_request"`}
+	s.start(1024)
+	fresh := newPeer(t)
+	s.discoveryAt(fresh)
+	call := fresh.accept()
+	call.request()
+	s.let(1800 * time.Millisecond)
+	had, _ := s.node.View()
+	call.send(watchHead + chunk(listText(exit.List{Version: 3, Full: true})))
+	until(t, "the list", func() bool { v, _ := s.node.View(); return v.Exit.News > had.Exit.News })
+	if !fresh.idle() {
+		t.Error("another call came meanwhile")
+	}
+}
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -680,7 +680,7 @@
 func TestKeptConnectionsThatDied(t *testing.T) {
 	s := newStage(t)
 	s.terms = []string{`"connect_timeout_ns":250000000`, `"connect_timeout_ns":10000000000`} // a reset counts as come at once within a fiftieth
-	dead := func(does script) script { // every second request of a connection meets its end
+	dead := func(does script) script {                                                       // every second request of a connection meets its end
 		var mu sync.Mutex
 		served := map[net.Conn]bool{}
 		return func(c net.Conn, r *http.Request, n int) bool {
