--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -49,11 +49,7 @@
 
 // New makes a dispatcher on a loop by what it was told.
 func New(l *loop.Loop, t *Told, life uint64, log *slog.Logger) (*Node, error) {
-	seed, err := t.seed()
-	if err != nil {
-		return nil, err
-	}
-	m, err := enlist.New(seed, t.Settings)
+	m, err := enlist.New(t.seed(), t.Settings)
 	if err != nil {
 		return nil, err
 	}
