--- /dev/null
+++ b/policy/fair_test.go
@@ -0,0 +1,163 @@
+package policy
+
+import (
+	"cmp"
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"testing"
+)
+
+// shop is a few modules before readers that work off what they get one after another, at a rate in prompt tokens.
+type shop struct {
+	modules []*Dispatcher
+	wakes   []Nanos
+	now     Nanos
+	free    map[HostID]Nanos // when a reader is through with what it has
+	ends    []shopEnd        // in the order in which they fall due
+	jobs    []shopJob        // by id, from 1
+}
+
+type shopEnd struct {
+	ending
+	how Outcome
+}
+
+type shopJob struct {
+	prompt   int64
+	session  SessionKey
+	sent     Nanos // the launch that is out
+	answered bool
+}
+
+const (
+	shopReaders  = 6
+	shopRate     = 15000  // prompt tokens a second and reader
+	shopPrompt   = 2000.0 // mean tokens of a prompt
+	shopPatience = Nanos(6e9)
+)
+
+func newShop(t *testing.T, modules int) *shop {
+	t.Helper()
+	s := &shop{now: 10e9, free: map[HostID]Nanos{}}
+	for n := range modules {
+		d, err := New(uint64(n), Place{Number: int32(n), Count: int32(modules)}, []Track{{Expected: 1500e6, ExpectedPer1k: 40e6, Patience: shopPatience, Payoff: 1}},
+			nil, []Role{Reader}, ColdStart{}, Launching{Most: 6, Recall: true}, Answering{Slack: 16e6, Round: 4e6, Advice: true, MaxAdvice: 1e9}, Listing{}, 1e9)
+		if err != nil {
+			t.Fatal(err)
+		}
+		d.ListBegin(true)
+		for id := HostID(1); id <= shopReaders; id++ {
+			d.HostListed(id, 0, 0, 0, Serving, 0)
+		}
+		d.ListEnd(s.now)
+		s.modules, s.wakes = append(s.modules, d), append(s.wakes, Never)
+	}
+	return s
+}
+
+func (s *shop) end(at Nanos, n int, job JobID, shot Shot, how Outcome) {
+	e := shopEnd{ending{at, n, job, shot}, how}
+	i, _ := slices.BinarySearchFunc(s.ends, e, func(a, b shopEnd) int { return cmp.Or(cmp.Compare(a.at, b.at), -1) })
+	s.ends = slices.Insert(s.ends, i, e)
+}
+
+func (s *shop) pull(n int) {
+	d := s.modules[n]
+	for what, ok := d.Next(s.now); ok; what, ok = d.Next(s.now) {
+		switch what.Verb {
+		case Wake:
+			s.wakes[n] = s.now + what.For
+		case Launch:
+			_, j := d.jobs.find(what.Job)
+			job := &s.jobs[what.Job-1]
+			job.sent = s.now
+			done := max(s.now, s.free[what.Host]) + Nanos(float64(job.prompt)/shopRate*1e9)
+			if done <= s.now+what.For {
+				s.free[what.Host] = done
+				s.end(done, n, what.Job, Shot(j.launches-1), Read)
+			} else { // withdrawn from the queue before its turn
+				s.end(s.now+what.For, n, what.Job, Shot(j.launches-1), Late)
+			}
+		case Recall:
+			d.LaunchEnded(s.now, what.Job, what.Shot, Recalled, s.now-s.jobs[what.Job-1].sent, false, NoLoad)
+		}
+	}
+}
+
+// play has jobs come for so long, at a load that is a part of what the readers bear.
+func (s *shop) play(span Nanos, load float64, rng *rand.Rand) {
+	const tick = Nanos(4e6)
+	rate, owed := load*shopReaders*shopRate/shopPrompt, 0.0
+	for until := s.now + span; s.now < until || len(s.ends) > 0; s.now += tick {
+		for len(s.ends) > 0 && s.ends[0].at <= s.now {
+			e := s.ends[0]
+			s.ends = s.ends[1:]
+			job := &s.jobs[e.job-1]
+			job.answered = job.answered || e.how == Read
+			s.modules[e.module].LaunchEnded(s.now, e.job, e.shot, e.how, s.now-job.sent, e.how == Read, NoLoad)
+			s.pull(e.module)
+		}
+		for owed += rate * float64(tick) / 1e9; owed >= 1 && s.now < until; owed-- {
+			n := rng.IntN(len(s.modules))
+			job := shopJob{prompt: int64(200 + rng.ExpFloat64()*(shopPrompt-200)), session: SessionKey(rng.IntN(120) + 1)}
+			s.jobs = append(s.jobs, job)
+			s.modules[n].JobArrived(s.now, Job{ID: JobID(len(s.jobs)), Tenant: -1, Session: job.session, Prompt: job.prompt, Deadline: s.now + shopPatience})
+			s.pull(n)
+		}
+		for n, at := range s.wakes {
+			if at <= s.now {
+				s.wakes[n] = Never
+				s.modules[n].Woken(s.now)
+				s.pull(n)
+			}
+		}
+	}
+}
+
+// share is the answered part of the jobs that fit.
+func (s *shop) share(fits func(shopJob) bool) float64 {
+	all, answered := 0, 0
+	for _, j := range s.jobs {
+		if fits(j) {
+			if all++; j.answered {
+				answered++
+			}
+		}
+	}
+	return float64(answered) / float64(max(all, 1))
+}
+
+// Long prompts have their part of the answers: on a quiet day the longest tenth two thirds of what all have, beyond what the
+// readers bear half of it. And while there is room no session is refused throughout.
+func TestLongPromptsAndSessionsAreServed(t *testing.T) {
+	for _, c := range []struct{ load, least float64 }{{0.6, 2.0 / 3}, {0.9, 2.0 / 3}, {1.3, 1.0 / 2}} {
+		t.Run(fmt.Sprint(c.load), func(t *testing.T) {
+			s := newShop(t, 4)
+			s.play(60e9, c.load, rand.New(rand.NewPCG(1, 0)))
+			var prompts []int64
+			sessions := map[SessionKey]bool{}
+			for _, j := range s.jobs {
+				prompts = append(prompts, j.prompt)
+				sessions[j.session] = sessions[j.session] || j.answered
+			}
+			slices.Sort(prompts)
+			long := prompts[len(prompts)*9/10]
+			all := s.share(func(shopJob) bool { return true })
+			longest := s.share(func(j shopJob) bool { return j.prompt >= long })
+			if all < 0.5 || longest < c.least*all {
+				t.Errorf("answered: %.2f of all, %.2f of the longest tenth, want %.2f of that at least", all, longest, c.least)
+			}
+			refused := 0
+			for _, answered := range sessions {
+				if !answered {
+					refused++
+				}
+			}
+			if c.load < 1 && refused > 0 {
+				t.Errorf("%d of %d sessions are refused throughout", refused, len(sessions))
+			}
+			t.Logf("%d jobs, answered %.2f, longest tenth %.2f, sessions without any %d of %d", len(s.jobs), all, longest, refused, len(sessions))
+		})
+	}
+}
