--- a/internal/decide/door/door_test.go
+++ b/internal/decide/door/door_test.go
@@ -385,12 +385,11 @@
 	d := newDoor(t, 16, Tenant{Weight: 1}, Tenant{Weight: 1})
 	now := sec
 	var refused []*Ticket
-	var after []Nanos
 	for i := range 200 {
 		j := ask(0, 5, 100)
 		c, a := d.Arrive(now, j)
 		if c != Admitted && a.Ticket != nil {
-			refused, after = append(refused, a.Ticket), append(after, a.After)
+			refused = append(refused, a.Ticket)
 		}
 		if id, ok := d.Next(0, 0); ok && i%4 == 0 {
 			d.Taken(now, d.jobs[id].Job)
--- a/internal/h1/decoder.go
+++ b/internal/h1/decoder.go
@@ -32,7 +32,6 @@
 	Head    Head
 	lim     Limits
 	request bool
-	bodies  bool // answers have bodies: the request was no HEAD
 	state   state
 	left    int64
 	total   int64
--- a/internal/h2/h2.go
+++ b/internal/h2/h2.go
@@ -405,7 +405,7 @@
 	return c.over == nil && !c.left && uint32(len(c.streams)) < c.peerMost && c.nextID < 1<<31-1
 }
 
-// Open opens a stream as a client: path is /service/method; timeoutNS, if above 0, goes with it as
+// OpenStream opens a stream as a client: path is /service/method; timeoutNS, if above 0, goes with it as
 // grpc-timeout; extra are further headers, in lower case. CanOpen must hold.
 func (c *Conn) OpenStream(path, authority string, timeoutNS int64, extra ...hpack.HeaderField) *Stream {
 	s := c.place(c.nextID)
--- a/internal/lab/engine/batch/host.go
+++ b/internal/lab/engine/batch/host.go
@@ -103,7 +103,7 @@
 	return &Host{shape: shape, Memory: NewMemory(tokens, block), held: make(map[ID]*work), byID: make(map[ID]*work), chunk: make(map[*work]int)}, nil
 }
 
-// Queued, Running and Held count work by where it stands.
+// Queued counts work that waits for a slot.
 func (h *Host) Queued() int { return len(h.queue) }
 
 // Running counts work that has a slot.
--- a/internal/lab/relay/tap.go
+++ b/internal/lab/relay/tap.go
@@ -22,7 +22,6 @@
 	out  map[uint32]book.Entry // launches that are out, by stream
 	to   half
 	from half
-	over bool
 }
 
 // half is one direction.
@@ -31,7 +30,6 @@
 	buf   []byte
 	dec   *hpack.Decoder
 	block []byte
-	last  uint32
 	end   bool
 }
 
--- a/internal/lab/rules/rules.go
+++ b/internal/lab/rules/rules.go
@@ -57,11 +57,10 @@
 const never = int64(1) << 62
 
 type try struct {
-	asked    book.Entry
-	job      string
-	final    *book.Entry
-	finals   int
-	launches []*launch
+	asked  book.Entry
+	job    string
+	final  *book.Entry
+	finals int
 }
 
 // Check gives all rules that were broken, by time.
--- a/policy/types.go
+++ b/policy/types.go
@@ -15,10 +15,10 @@
 	PrefixKey  uint64 // a beginning shared with other sessions; 0 = none
 	TrackID    int32  // an index into the tracks given at start
 	TenantID   int32  // an index into the tenants given at start; -1 = none
-	ZoneID     int32
-	KindID     int32
-	CellID     int64
-	Shot       int32 // the number of a launch within its job, from 0
+	ZoneID     int32  // an index into the zones of the settings
+	KindID     int32  // an index into the kinds of host given at start
+	CellID     int64  // hosts on one link, within a zone
+	Shot       int32  // the number of a launch within its job, from 0
 )
 
 // Role is what a kind of model host can do.
