--- a/cmd/docksail/batch.go
+++ b/cmd/docksail/batch.go
@@ -43,8 +43,8 @@
 		plan.Target = net.JoinHostPort("localhost", fmt.Sprint(at.Port()))
 	}
 	for _, t := range s.Tracks {
-		plan.Tracks[t.Name] = runner.Track{Effect: map[policy.Effect]batch.Effect{policy.Redoable: batch.Redoable, policy.Labelled: batch.Labelled,
-			policy.Irreversible: batch.Irreversible}[policy.Effect(t.Effect)], Window: t.Window, Patience: t.Patience}
+		plan.Tracks[t.Name] = runner.Track{Effect: map[policy.Effect]batch.Effect{policy.Idempotent: batch.Redoable, policy.Deduplicated: batch.Labelled,
+			policy.NonIdempotent: batch.Irreversible}[policy.Effect(t.Effect)], Window: t.Window, Patience: t.Patience}
 	}
 	for _, t := range s.Tenants {
 		w := t.Weight
--- a/internal/dispatch/admission.go
+++ b/internal/dispatch/admission.go
@@ -12,11 +12,11 @@
 
 // unlaunched is a job that the module has and has not launched.
 type unlaunched struct {
-	id policy.JobID
+	id policy.RequestID
 	at loop.Nanos // let in
 }
 
-func (d *Dispatcher) insideAt(id policy.JobID) int {
+func (d *Dispatcher) insideAt(id policy.RequestID) int {
 	return slices.IndexFunc(d.inside, func(u unlaunched) bool { return u.id == id })
 }
 
@@ -30,21 +30,21 @@
 }
 
 // letIn hands a job that waited at the door to the module.
-func (d *Dispatcher) letIn(now loop.Nanos, id policy.JobID) {
+func (d *Dispatcher) letIn(now loop.Nanos, id policy.RequestID) {
 	d.queue.Let(now, door.JobID(id))
 	j := d.jobs.Find(id)
 	j.atDoor, j.let = false, true
 	d.inside = append(d.inside, unlaunched{id: id, at: now})
-	d.mod.JobArrived(d.Time(now), j.given)
+	d.mod.RequestArrived(d.Time(now), j.given)
 }
 
 // turnAway refuses a job that waits at the door.
-func (d *Dispatcher) turnAway(now loop.Nanos, id policy.JobID, why door.Cause) {
+func (d *Dispatcher) turnAway(now loop.Nanos, id policy.RequestID, why door.Cause) {
 	d.turnedAway(id, why, d.queue.Refuse(now, door.JobID(id), why))
 }
 
 // turnedAway answers a job that the door has given up.
-func (d *Dispatcher) turnedAway(id policy.JobID, why door.Cause, a door.Advice) {
+func (d *Dispatcher) turnedAway(id policy.RequestID, why door.Cause, a door.Advice) {
 	j := d.jobs.Find(id)
 	j.atDoor = false
 	d.answer(j, func() { j.call.Nack(j.ID, d.refusal(why.String(), why.Own(), a)) }, &d.Counts.Nacked)
--- a/internal/dispatch/attempts.go
+++ b/internal/dispatch/attempts.go
@@ -20,30 +20,30 @@
 	case policy.Watch:
 		d.exit.Watch(now)
 		return
-	case policy.Say:
+	case policy.Log:
 		d.log.Info("module", "says", what.Text)
 		return
 	}
-	j := d.jobs.Find(what.Job)
+	j := d.jobs.Find(what.Request)
 	if j == nil {
 		d.Counts.Guarded++
-		d.log.Error("decision about a job that is over", "job", what.Job, "verb", int(what.Verb))
+		d.log.Error("decision about a job that is over", "job", what.Request, "verb", int(what.Verb))
 		return
 	}
 	switch what.Verb {
-	case policy.Launch:
+	case policy.Attempt:
 		j.Kept = what.Kept
 		j.Before = math.MaxInt64
 		if what.Before > 0 {
 			j.Before = int64(what.Before) - d.wall
 		}
-		d.launch(now, j, what.Host, int64(what.For))
-	case policy.Recall:
-		if shot, out := j.Out(); out && shot == what.Shot {
+		d.launch(now, j, what.Server, int64(what.For))
+	case policy.Cancel:
+		if shot, out := j.Out(); out && shot == what.Attempt {
 			d.Counts.Recalls++
-			d.ended(now, j, policy.Recalled, false, policy.NoLoad)
+			d.ended(now, j, policy.Canceled, false, policy.NoLoad)
 		}
-	case policy.Nack:
+	case policy.Reject:
 		no := front.Refusal{Why: "no engine could take it in time"}
 		if d.insideAt(j.ID) >= 0 {
 			d.queue.Unplaced()
@@ -53,12 +53,12 @@
 			no = d.refusal(no.Why, false, d.queue.Again(now, j.ask, loop.Nanos(what.For)))
 		}
 		d.answer(j, func() { j.call.Nack(j.ID, no) }, &d.Counts.Nacked)
-	case policy.Abandon:
+	case policy.Fail:
 		d.answer(j, func() { j.call.Abandon(j.ID, "its time is up") }, &d.Counts.Abandoned)
-	case policy.LetGo:
+	case policy.Release:
 		if at, held := j.Held(); held {
 			j.LetGo()
-			d.exit.LetGo(now, j, at, policy.Shot(j.Launches()-1))
+			d.exit.LetGo(now, j, at, policy.AttemptNumber(j.Launches()-1))
 		}
 	default:
 		panic(fmt.Sprintf("decision with unknown verb %d", what.Verb))
@@ -67,7 +67,7 @@
 }
 
 // launch sends a job to a host.
-func (d *Dispatcher) launch(now loop.Nanos, j *Job, to policy.HostID, within int64) {
+func (d *Dispatcher) launch(now loop.Nanos, j *Job, to policy.ServerID, within int64) {
 	shot, err := j.Launch()
 	if err != nil {
 		d.Counts.Guarded++
@@ -126,7 +126,7 @@
 	}
 	how := policy.Late
 	if verdict == pace.Unread {
-		how = policy.Recalled
+		how = policy.Canceled
 	}
 	d.ended(now, j, how, true, policy.NoLoad)
 	d.settle(j)
@@ -157,7 +157,7 @@
 	lost := !j.Reads && j.begun == 0 && (sent == nil || !sent.Reached())
 	cut := sent != nil && sent.End(now)
 	// A read that was cut off may have ended all the same: what it left is let go.
-	cut = j.Reads && (cut || how == policy.Broken || how == policy.Late || how == policy.Lapsed)
+	cut = j.Reads && (cut || how == policy.Broken || how == policy.Late || how == policy.StaleConnection)
 	j.sent, j.waits = nil, 0
 	j.End(shot)
 	if d.traces {
@@ -174,7 +174,7 @@
 	if cut {
 		d.exit.LetGo(now, j, j.Host, shot)
 	}
-	d.mod.LaunchEnded(d.Time(now), j.ID, shot, how, policy.Nanos(now-j.Sent), over || j.Answered(), load)
+	d.mod.AttemptEnded(d.Time(now), j.ID, shot, how, policy.Nanos(now-j.Sent), over || j.Answered(), load)
 	if lost {
 		since := policy.Never
 		if _, held := j.Held(); held {
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -27,16 +27,16 @@
 // Module is the decision module as the dispatcher calls it; a test may stand between.
 type Module interface {
 	ListBegin(full bool)
-	HostListed(id policy.HostID, zone policy.ZoneID, kind policy.KindID, cell policy.CellID,
+	ServerListed(id policy.ServerID, zone policy.ZoneID, kind policy.KindID, cell policy.CellID,
 		health policy.Health, launched policy.Nanos)
 	ListEnd(now policy.Nanos)
 	ListFailed(now policy.Nanos)
-	JobArrived(now policy.Nanos, given policy.Job)
-	StreamBegan(now policy.Nanos, id policy.JobID, shot policy.Shot, elapsed policy.Nanos)
-	LaunchEnded(now policy.Nanos, id policy.JobID, shot policy.Shot, how policy.Outcome, elapsed policy.Nanos,
+	RequestArrived(now policy.Nanos, given policy.Request)
+	StreamBegan(now policy.Nanos, id policy.RequestID, shot policy.AttemptNumber, elapsed policy.Nanos)
+	AttemptEnded(now policy.Nanos, id policy.RequestID, shot policy.AttemptNumber, how policy.Outcome, elapsed policy.Nanos,
 		over bool, load policy.Load)
-	ClientLeft(now policy.Nanos, id policy.JobID)
-	HeldSince(now policy.Nanos, id policy.JobID, since policy.Nanos)
+	ClientLeft(now policy.Nanos, id policy.RequestID)
+	HeldSince(now policy.Nanos, id policy.RequestID, since policy.Nanos)
 	Woken(now policy.Nanos)
 	Next(now policy.Nanos) (policy.Decision, bool)
 }
@@ -70,7 +70,7 @@
 
 	jobs jobs.Table[Job]
 
-	tracks  map[string]policy.TrackID
+	tracks  map[string]policy.ClassID
 	tenants map[string]policy.TenantID
 	times   []trackTimes
 	hashKey uint64
@@ -143,7 +143,7 @@
 		return nil, err
 	}
 	d.clients = d.rpc
-	x := &engines{d: d, list: list, by: make(map[policy.HostID]*engine), keeper: links.Keeper{Expected: shortest},
+	x := &engines{d: d, list: list, by: make(map[policy.ServerID]*engine), keeper: links.Keeper{Expected: shortest},
 		connect: int64(s.Launches.Connect), lim: lim}
 	x.lister.init(x, s.Fleet)
 	d.exit = x
@@ -153,7 +153,7 @@
 // Direct makes a dispatcher whose jobs go to the module as they come, at most so many in hand, with the tracks and tenants
 // that the module was made with; a job without a tenant is nobody's. Ends gives it its entry and exit, Start sets it going. advises is the longest advice;
 // hush, how long a client may be left waiting after a token.
-func Direct(l *loop.Loop, log *slog.Logger, mod Module, names []string, tracks []policy.Track, tenants []string, most int, prompt, advises, hush int64, life uint64) (*Dispatcher, error) {
+func Direct(l *loop.Loop, log *slog.Logger, mod Module, names []string, tracks []policy.Class, tenants []string, most int, prompt, advises, hush int64, life uint64) (*Dispatcher, error) {
 	d, shortest := bare(l, log, mod, names, tracks, life)
 	d.direct, d.advises, d.hush = true, advises, hush
 	for i, name := range tenants {
@@ -169,15 +169,15 @@
 func (d *Dispatcher) Ends(in Entry, out Exit) { d.clients, d.exit = in, out }
 
 // bare makes what all dispatchers have, and gives the shortest expected time.
-func bare(l *loop.Loop, log *slog.Logger, mod Module, names []string, tracks []policy.Track, life uint64) (*Dispatcher, int64) {
-	d := &Dispatcher{l: l, log: log, traces: log.Enabled(context.Background(), slog.LevelDebug), mod: mod, life: life, wall: l.Wall(), tracks: make(map[string]policy.TrackID),
+func bare(l *loop.Loop, log *slog.Logger, mod Module, names []string, tracks []policy.Class, life uint64) (*Dispatcher, int64) {
+	d := &Dispatcher{l: l, log: log, traces: log.Enabled(context.Background(), slog.LevelDebug), mod: mod, life: life, wall: l.Wall(), tracks: make(map[string]policy.ClassID),
 		tenants: make(map[string]policy.TenantID)}
-	shortest := int64(tracks[0].Expected)
+	shortest := int64(tracks[0].Target)
 	for i, t := range tracks {
-		d.tracks[names[i]] = policy.TrackID(i)
-		d.times = append(d.times, trackTimes{int64(t.Expected), int64(t.ExpectedPer1k), int64(t.Patience),
-			int64(t.TokenGap), t.Effect == policy.Redoable})
-		shortest = min(shortest, int64(t.Expected))
+		d.tracks[names[i]] = policy.ClassID(i)
+		d.times = append(d.times, trackTimes{int64(t.Target), int64(t.TargetPer1k), int64(t.Patience),
+			int64(t.TokenGap), t.Effect == policy.Idempotent})
+		shortest = min(shortest, int64(t.Target))
 	}
 	d.onWake = func(now loop.Nanos) { d.mod.Woken(d.Time(now)) }
 	d.onLate = func(loop.Nanos) {} // the round looks
@@ -202,7 +202,7 @@
 		if !ok {
 			break
 		}
-		d.turnAway(now, policy.JobID(id), door.Shed)
+		d.turnAway(now, policy.RequestID(id), door.Shed)
 	}
 	for let := 0; ; {
 		if what, ok := d.mod.Next(d.Time(now)); ok {
@@ -210,11 +210,11 @@
 			continue
 		}
 		if id, a, ok := d.queue.Displaced(now); ok {
-			d.turnedAway(policy.JobID(id), door.Full, a)
+			d.turnedAway(policy.RequestID(id), door.Full, a)
 			continue
 		}
 		if id, ok := d.queue.Expired(now); ok {
-			d.turnAway(now, policy.JobID(id), door.TooLate)
+			d.turnAway(now, policy.RequestID(id), door.TooLate)
 			continue
 		}
 		if id, ok := d.queue.Next(now, len(d.inside)); ok && d.open(now) {
@@ -222,7 +222,7 @@
 				d.l.Again()
 				break
 			}
-			d.letIn(now, policy.JobID(id))
+			d.letIn(now, policy.RequestID(id))
 			continue
 		}
 		break
--- a/internal/dispatch/link.go
+++ b/internal/dispatch/link.go
@@ -32,7 +32,7 @@
 // engines is the way out to engines that speak gRPC.
 type engines struct {
 	d       *Dispatcher
-	by      map[policy.HostID]*engine
+	by      map[policy.ServerID]*engine
 	list    *fleet.List
 	lister  lister
 	keeper  links.Keeper
@@ -50,9 +50,9 @@
 // Idle implements Exit: releases that wait for a connection are left to the engines' own time.
 func (x *engines) Idle() bool { return true }
 
-func (x *engines) Reads(host policy.HostID) (reads, known bool) {
+func (x *engines) Reads(host policy.ServerID) (reads, known bool) {
 	e := x.by[host]
-	return e != nil && e.role == policy.Reader, e != nil
+	return e != nil && e.role == policy.Prefill, e != nil
 }
 
 func (x *engines) Flush() {
@@ -63,7 +63,7 @@
 	x.dirty = x.dirty[:0]
 }
 
-func (x *engines) LetGo(now loop.Nanos, j *Job, at policy.HostID, shot policy.Shot) {
+func (x *engines) LetGo(now loop.Nanos, j *Job, at policy.ServerID, shot policy.AttemptNumber) {
 	if e := x.by[at]; e != nil {
 		on := j.rpc.last // the launch's own keeps the order
 		if on != nil && on.e != e {
@@ -73,7 +73,7 @@
 	}
 }
 
-func (x *engines) Launch(now loop.Nanos, j *Job, shot policy.Shot) Sent {
+func (x *engines) Launch(now loop.Nanos, j *Job, shot policy.AttemptNumber) Sent {
 	e := x.by[j.Host]
 	k := e.linkFor(now)
 	if k != nil && k.ready && j.rpc.waited && !e.trial.May(e.wired()) { // once is enough: its time is the client's
@@ -162,7 +162,7 @@
 type engine struct {
 	d     *Dispatcher
 	x     *engines
-	id    policy.HostID
+	id    policy.ServerID
 	addr  netip.AddrPort
 	name  string // its address, as :authority has it
 	role  policy.Role
@@ -246,18 +246,18 @@
 
 // owed is something to be let go of that found no connection.
 type owed struct {
-	job  policy.JobID
-	shot policy.Shot
+	job  policy.RequestID
+	shot policy.AttemptNumber
 }
 
 // letGo has what a launch left at the engine let go: now, or as soon as there is a connection.
-func (e *engine) letGo(now loop.Nanos, on *link, id policy.JobID, shot policy.Shot) {
+func (e *engine) letGo(now loop.Nanos, on *link, id policy.RequestID, shot policy.AttemptNumber) {
 	e.d.Counts.Releases++
 	e.letGoBy(now, on, id, shot)
 }
 
 // letGoBy sends a release by a connection that is fit, or remembers it until there is one.
-func (e *engine) letGoBy(now loop.Nanos, on *link, id policy.JobID, shot policy.Shot) {
+func (e *engine) letGoBy(now loop.Nanos, on *link, id policy.RequestID, shot policy.AttemptNumber) {
 	if on == nil || on.gone || on.past || !on.h.CanOpen() { // the launch's own keeps the order
 		on = e.readyLink()
 	}
@@ -299,8 +299,8 @@
 	past   bool // its engine has moved: no more launches
 	dirty  bool
 	out    int
-	wired  int            // launches that were sent, of those out
-	queue  []policy.JobID // launches that wait for the connection, or for the engine's trial
+	wired  int                // launches that were sent, of those out
+	queue  []policy.RequestID // launches that wait for the connection, or for the engine's trial
 	now    loop.Nanos
 	heard  loop.Nanos
 	asked  loop.Nanos
@@ -428,7 +428,7 @@
 // ---- What is sent.
 
 // send opens the stream of a launch.
-func (k *link) send(now loop.Nanos, j *Job, shot policy.Shot) {
+func (k *link) send(now loop.Nanos, j *Job, shot policy.AttemptNumber) {
 	d, x := k.d, k.e.x
 	path, timeout := pathWrite, int64(0)
 	if j.Reads {
@@ -475,7 +475,7 @@
 
 // sendRelease lets go of what a host holds. If it is lost with its connection it is sent again by another, as long as
 // the engine can be reached.
-func (k *link) sendRelease(id policy.JobID, shot policy.Shot) {
+func (k *link) sendRelease(id policy.RequestID, shot policy.AttemptNumber) {
 	s := k.h.OpenStream(pathRelease, k.e.name, k.e.x.keeper.Expected)
 	b := k.e.x.scratch[:0]
 	b = protowire.AppendTag(b, 1, protowire.VarintType)
@@ -497,7 +497,7 @@
 	if s.Ref == 0 {
 		return nil
 	}
-	if j := k.d.jobs.Find(policy.JobID(s.Ref)); j != nil && j.rpc.stream == s {
+	if j := k.d.jobs.Find(policy.RequestID(s.Ref)); j != nil && j.rpc.stream == s {
 		return j
 	}
 	return nil
@@ -535,11 +535,11 @@
 		how = policy.Read
 		k.e.trial.Heard()
 	case code == codes.OK:
-		how = policy.Honoured
+		how = policy.Served
 	case j.Begun():
 		how = policy.Broken
 	case code == codes.ResourceExhausted:
-		how = policy.Turned
+		how = policy.Rejected
 	case code == codes.FailedPrecondition && held:
 		how = policy.Stateless
 	case code == codes.DeadlineExceeded:
@@ -563,7 +563,7 @@
 	j.rpc.stream = nil
 	how := policy.Broken
 	if refused { // nothing was done for it
-		how = policy.Turned
+		how = policy.Rejected
 	}
 	k.d.Finish(k.now, j, how, "", policy.NoLoad)
 }
--- a/internal/dispatch/lister.go
+++ b/internal/dispatch/lister.go
@@ -123,7 +123,7 @@
 		if h.Started > 0 {
 			started = min(policy.Nanos(h.Started), d.Time(now)) // a clock ahead of ours
 		}
-		mod.HostListed(h.ID, w.x.list.Zone(h.Zone), policy.KindID(h.Role), w.x.list.Cell(h.Zone, h.Cell), h.Health, started)
+		mod.ServerListed(h.ID, w.x.list.Zone(h.Zone), policy.KindID(h.Role), w.x.list.Cell(h.Zone, h.Cell), h.Health, started)
 		d.log.Info("host", "id", h.ID, "at", h.Address, "role", int(h.Role), "health", int(h.Health))
 	}
 }
@@ -234,7 +234,7 @@
 var healths = map[pb.Health]policy.Health{pb.Health_HEALTH_SERVING: policy.Serving,
 	pb.Health_HEALTH_DRAINING: policy.Draining, pb.Health_HEALTH_GONE: policy.Gone}
 
-var roles = map[pb.Role]policy.Role{pb.Role_ROLE_READER: policy.Reader, pb.Role_ROLE_WRITER: policy.Writer,
+var roles = map[pb.Role]policy.Role{pb.Role_ROLE_READER: policy.Prefill, pb.Role_ROLE_WRITER: policy.Decode,
 	pb.Role_ROLE_MIXED: policy.Mixed}
 
 func fromNews(news *pb.FleetNews) ([]fleet.Host, error) {
@@ -251,7 +251,7 @@
 		case err != nil:
 			return nil, err
 		}
-		hosts = append(hosts, fleet.Host{ID: policy.HostID(h.Id), Address: addr, Role: role, Zone: h.Zone,
+		hosts = append(hosts, fleet.Host{ID: policy.ServerID(h.Id), Address: addr, Role: role, Zone: h.Zone,
 			Cell: h.Cell, Health: health, Started: h.StartedUnixNs})
 	}
 	return hosts, nil
--- a/internal/dispatch/overdue_test.go
+++ b/internal/dispatch/overdue_test.go
@@ -15,19 +15,19 @@
 	Module
 	decisions []policy.Decision
 	left      int
-	arrived   []policy.Job
+	arrived   []policy.Request
 	ended     []policy.Outcome
 }
 
-func (m *deafModule) JobArrived(_ policy.Nanos, given policy.Job) {
+func (m *deafModule) RequestArrived(_ policy.Nanos, given policy.Request) {
 	m.arrived = append(m.arrived, given)
 }
 func (m *deafModule) Woken(policy.Nanos) {}
-func (m *deafModule) LaunchEnded(_ policy.Nanos, _ policy.JobID, _ policy.Shot, how policy.Outcome, _ policy.Nanos, _ bool, _ policy.Load) {
+func (m *deafModule) AttemptEnded(_ policy.Nanos, _ policy.RequestID, _ policy.AttemptNumber, how policy.Outcome, _ policy.Nanos, _ bool, _ policy.Load) {
 	m.ended = append(m.ended, how)
 }
-func (m *deafModule) ClientLeft(policy.Nanos, policy.JobID) { m.left++ }
-func (m *deafModule) HeldSince(policy.Nanos, policy.JobID, policy.Nanos) {
+func (m *deafModule) ClientLeft(policy.Nanos, policy.RequestID) { m.left++ }
+func (m *deafModule) HeldSince(policy.Nanos, policy.RequestID, policy.Nanos) {
 }
 func (m *deafModule) Next(policy.Nanos) (policy.Decision, bool) {
 	if len(m.decisions) == 0 {
@@ -49,27 +49,27 @@
 
 type silentExit struct{ closed int }
 
-func (*silentExit) Start(loop.Nanos)                                   {}
-func (*silentExit) Watch(loop.Nanos)                                   {}
-func (*silentExit) Reads(policy.HostID) (reads, known bool)            { return false, true }
-func (x *silentExit) Launch(loop.Nanos, *Job, policy.Shot) Sent        { return x }
-func (*silentExit) LetGo(loop.Nanos, *Job, policy.HostID, policy.Shot) {}
-func (*silentExit) Flush()                                             {}
-func (*silentExit) Idle() bool                                         { return true }
-func (*silentExit) Close()                                             {}
-func (x *silentExit) End(loop.Nanos) bool                              { x.closed++; return true }
-func (*silentExit) Over(loop.Nanos)                                    {}
-func (*silentExit) Credit(int)                                         {}
-func (*silentExit) Stage() Stage                                       { return Wired }
-func (*silentExit) Reached() bool                                      { return true }
+func (*silentExit) Start(loop.Nanos)                                              {}
+func (*silentExit) Watch(loop.Nanos)                                              {}
+func (*silentExit) Reads(policy.ServerID) (reads, known bool)                     { return false, true }
+func (x *silentExit) Launch(loop.Nanos, *Job, policy.AttemptNumber) Sent          { return x }
+func (*silentExit) LetGo(loop.Nanos, *Job, policy.ServerID, policy.AttemptNumber) {}
+func (*silentExit) Flush()                                                        {}
+func (*silentExit) Idle() bool                                                    { return true }
+func (*silentExit) Close()                                                        {}
+func (x *silentExit) End(loop.Nanos) bool                                         { x.closed++; return true }
+func (*silentExit) Over(loop.Nanos)                                               {}
+func (*silentExit) Credit(int)                                                    {}
+func (*silentExit) Stage() Stage                                                  { return Wired }
+func (*silentExit) Reached() bool                                                 { return true }
 
 // answers counts what a client was told.
 type answers struct{ nacked, abandoned int }
 
-func (*answers) Tokens(policy.JobID, []byte) bool   { return false }
-func (*answers) Honour(policy.JobID)                {}
-func (a *answers) Abandon(policy.JobID, string)     { a.abandoned++ }
-func (a *answers) Nack(policy.JobID, front.Refusal) { a.nacked++ }
+func (*answers) Tokens(policy.RequestID, []byte) bool   { return false }
+func (*answers) Honour(policy.RequestID)                {}
+func (a *answers) Abandon(policy.RequestID, string)     { a.abandoned++ }
+func (a *answers) Nack(policy.RequestID, front.Refusal) { a.nacked++ }
 
 // A job that the module forgets has its final answer by the dispatcher's own deadline, within half a second of its client's;
 // the attempt that is out is closed.
@@ -89,12 +89,12 @@
 				t.Fatal(err)
 			}
 			defer l.Close()
-			track := policy.Track{Expected: 1e9, Patience: 5e9}
+			track := policy.Class{Target: 1e9, Patience: 5e9}
 			if !c.redoable {
-				track.Effect = policy.Irreversible
+				track.Effect = policy.NonIdempotent
 			}
 			mod, out, told := &deafModule{}, &silentExit{}, &answers{}
-			d, err := Direct(l, slog.New(slog.DiscardHandler), mod, []string{"a"}, []policy.Track{track}, nil, 10, 1000, 0, 0, 1)
+			d, err := Direct(l, slog.New(slog.DiscardHandler), mod, []string{"a"}, []policy.Class{track}, nil, 10, 1000, 0, 0, 1)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -106,7 +106,7 @@
 				t.Fatal(err)
 			}
 			if c.launched {
-				mod.decisions = []policy.Decision{{Verb: policy.Launch, Job: id, Host: 1, For: 1e12}}
+				mod.decisions = []policy.Decision{{Verb: policy.Attempt, Request: id, Server: 1, For: 1e12}}
 			}
 			d.Round(l.Now())
 			var answered loop.Nanos
@@ -139,7 +139,7 @@
 	}
 	defer l.Close()
 	mod := &deafModule{}
-	tracks := []policy.Track{{Expected: 1e9, Patience: 5e9}}
+	tracks := []policy.Class{{Target: 1e9, Patience: 5e9}}
 	d, err := Direct(l, slog.New(slog.DiscardHandler), mod, []string{"a"}, tracks, []string{"north", "south"}, 10, 1000, 0, 0, 1)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/dispatch/requests.go
+++ b/internal/dispatch/requests.go
@@ -22,24 +22,24 @@
 	Named   []byte     // the client's name for it
 	Target  []byte     // where the client sent it
 	Fields  []byte     // header fields that go with it, as lines
-	track   policy.TrackID
+	track   policy.ClassID
 	Repeat  uint32
 	Trace   string
 	arrived loop.Nanos
-	ends    loop.Nanos // the call's own time is up; 0 = never
-	begun   loop.Nanos // the answer's first token came; 0 = not yet
-	last    loop.Nanos // its last token
-	waits   int        // bytes of the engine's window that wait for the client
-	given   policy.Job // as the module is told of it
-	ask     door.Job   // as the door is
+	ends    loop.Nanos     // the call's own time is up; 0 = never
+	begun   loop.Nanos     // the answer's first token came; 0 = not yet
+	last    loop.Nanos     // its last token
+	waits   int            // bytes of the engine's window that wait for the client
+	given   policy.Request // as the module is told of it
+	ask     door.Job       // as the door is
 	atDoor  bool
 	let     bool  // the door has let it in, and not been told of its end
 	tokens  int64 // messages relayed
 	ran     bool  // a launch was sent to a host that answers
 
-	sent      Sent          // the launch that is out; nil = it is none of the exit's
-	Host      policy.HostID // where it goes
-	Reads     bool          // it is a read
+	sent      Sent            // the launch that is out; nil = it is none of the exit's
+	Host      policy.ServerID // where it goes
+	Reads     bool            // it is a read
 	Sent      loop.Nanos
 	Within    int64      // its time
 	Before    loop.Nanos // it may begin to be written until then
@@ -69,13 +69,13 @@
 }
 
 // name is a job's for the outside: the dispatcher's life and the job, unique over dispatchers and restarts.
-func (d *Dispatcher) name(id policy.JobID) string {
+func (d *Dispatcher) name(id policy.RequestID) string {
 	var b [33]byte
 	return string(strconv.AppendUint(append(strconv.AppendUint(b[:0], d.life, 16), '.'), uint64(id), 16))
 }
 
 // Name implements the door's core.
-func (d *Dispatcher) Name(id policy.JobID) string { return d.name(id) }
+func (d *Dispatcher) Name(id policy.RequestID) string { return d.name(id) }
 
 // secretly hashes a name that strangers choose, under a key of this life's own; 0 stands for no name.
 func (d *Dispatcher) secretly(owner policy.TenantID, name []byte) uint64 {
@@ -88,7 +88,7 @@
 }
 
 // Arrive takes a job from the door.
-func (d *Dispatcher) Arrive(now loop.Nanos, call front.Call, r *front.Request) (policy.JobID, error) {
+func (d *Dispatcher) Arrive(now loop.Nanos, call front.Call, r *front.Request) (policy.RequestID, error) {
 	track, ok := d.tracks[string(r.Track)]
 	if !ok {
 		return 0, fmt.Errorf("track %q is unknown: %w", r.Track, front.ErrBad)
@@ -153,19 +153,19 @@
 	if d.direct { // as in the simulator: equal names stand for equal text, whoever asks
 		owner = -1
 	}
-	j.given = policy.Job{ID: id, Track: track, Tenant: tenant,
+	j.given = policy.Request{ID: id, Class: track, Tenant: tenant,
 		Session: policy.SessionKey(d.key('s', owner, r.Session)),
 		Prefix:  policy.PrefixKey(d.key('b', owner, r.Beginning)),
 		Prompt:  r.Prompt, Shared: r.Shared, Cap: r.Most, Deadline: d.Time(now + left), Hint: policy.Nanos(r.Hint),
 		Repeat: r.Repeat > 0}
 	if d.direct {
-		d.mod.JobArrived(d.Time(now), j.given)
+		d.mod.RequestArrived(d.Time(now), j.given)
 	}
 	return id, nil
 }
 
 // Left tells that a client is gone.
-func (d *Dispatcher) Left(now loop.Nanos, id policy.JobID) {
+func (d *Dispatcher) Left(now loop.Nanos, id policy.RequestID) {
 	if j := d.jobs.Find(id); j != nil && !j.Answered() {
 		d.answer(j, func() {}, &d.Counts.Left)
 		d.left(now, j)
@@ -183,7 +183,7 @@
 	d.mod.ClientLeft(d.Time(now), j.ID)
 	switch {
 	case j.begun > 0:
-		d.ended(now, j, policy.Recalled, true, policy.NoLoad)
+		d.ended(now, j, policy.Canceled, true, policy.NoLoad)
 	case j.sent != nil && j.sent.Stage() != Wired: // it is not to begin any more, also where what has begun may not be withdrawn
 		d.ended(now, j, policy.NotSent, true, policy.NoLoad)
 	}
@@ -191,7 +191,7 @@
 }
 
 // Room lets an engine go on that was held back for its client.
-func (d *Dispatcher) Room(now loop.Nanos, id policy.JobID) {
+func (d *Dispatcher) Room(now loop.Nanos, id policy.RequestID) {
 	j := d.jobs.Find(id)
 	if j == nil || j.waits == 0 || j.sent == nil {
 		return
@@ -246,7 +246,7 @@
 	id := j.ID
 	d.cutShort(now, j, "its time is up")
 	if j = d.jobs.Find(id); j != nil && out {
-		d.ended(now, j, policy.Recalled, true, policy.NoLoad)
+		d.ended(now, j, policy.Canceled, true, policy.NoLoad)
 		d.settle(j)
 	}
 }
--- a/internal/dispatch/seam.go
+++ b/internal/dispatch/seam.go
@@ -22,11 +22,11 @@
 	Start(now loop.Nanos) // asks for the list of hosts
 	Watch(now loop.Nanos) // asks for it again
 	// Reads tells whether a host is a reader; known, whether there is such a host.
-	Reads(host policy.HostID) (reads, known bool)
+	Reads(host policy.ServerID) (reads, known bool)
 	// Launch sends the job to its Host; nil: it was not sent and will not be.
-	Launch(now loop.Nanos, j *Job, shot policy.Shot) Sent
+	Launch(now loop.Nanos, j *Job, shot policy.AttemptNumber) Sent
 	// LetGo has what a launch of the job left at a host let go of. The job may be over after the call.
-	LetGo(now loop.Nanos, j *Job, at policy.HostID, shot policy.Shot)
+	LetGo(now loop.Nanos, j *Job, at policy.ServerID, shot policy.AttemptNumber)
 	Flush()     // queues on the sockets what has come together in this turn
 	Idle() bool // nothing is on its way to a host that must still come there
 	Close()     // the loop has ended
@@ -71,7 +71,7 @@
 // to be held back until the launch's Credit.
 func (d *Dispatcher) Tokens(now loop.Nanos, j *Job, p []byte, size int) bool {
 	if j.Answered() { // its client was gone as this came: nobody reads it
-		d.ended(now, j, policy.Recalled, true, policy.NoLoad)
+		d.ended(now, j, policy.Canceled, true, policy.NoLoad)
 		d.settle(j)
 		return false
 	}
@@ -89,7 +89,7 @@
 }
 
 // Given is the job as the module was told of it.
-func (j *Job) Given() policy.Job { return j.given }
+func (j *Job) Given() policy.Request { return j.given }
 
 // Begun tells that the answer has begun.
 func (j *Job) Begun() bool { return j.begun > 0 }
@@ -99,12 +99,12 @@
 	begun := j.begun > 0
 	switch {
 	case j.Answered():
-	case how == policy.Honoured:
+	case how == policy.Served:
 		d.answer(j, func() { j.call.Honour(j.ID) }, &d.Counts.Honoured)
 	case begun:
 		d.answer(j, func() { j.call.Abandon(j.ID, "the stream broke"+why) }, &d.Counts.Abandoned)
 	}
-	d.ended(now, j, how, how == policy.Honoured || begun, load)
+	d.ended(now, j, how, how == policy.Served || begun, load)
 	d.settle(j)
 }
 
@@ -122,7 +122,7 @@
 func (d *Dispatcher) Free(now loop.Nanos, j *Job) {
 	if at, held := j.Held(); held {
 		j.LetGo()
-		d.exit.LetGo(now, j, at, policy.Shot(j.Launches()-1))
+		d.exit.LetGo(now, j, at, policy.AttemptNumber(j.Launches()-1))
 	}
 }
 
--- a/internal/dispatch/shutdown.go
+++ b/internal/dispatch/shutdown.go
@@ -24,7 +24,7 @@
 	d.clients.Leave()
 	d.l.At(&d.leaveAt, d.l.Now()+within, func(now loop.Nanos) {
 		d.log.Warn("drain time is up", "jobs", d.jobs.Len())
-		d.jobs.Each(func(_ policy.JobID, j *Job) {
+		d.jobs.Each(func(_ policy.RequestID, j *Job) {
 			if j.Answered() {
 				return
 			}
--- a/internal/e2e/door_test.go
+++ b/internal/e2e/door_test.go
@@ -445,9 +445,9 @@
 	by time.Duration
 }
 
-func (m lags) JobArrived(now policy.Nanos, j policy.Job) {
+func (m lags) RequestArrived(now policy.Nanos, j policy.Request) {
 	time.Sleep(m.by)
-	m.Module.JobArrived(now, j)
+	m.Module.RequestArrived(now, j)
 }
 
 // TestOverloadShedsAtTheDoor: a dispatcher whose loop lags, or that uses more memory than it should, nacks what waits,
--- a/internal/e2e/rules_test.go
+++ b/internal/e2e/rules_test.go
@@ -82,9 +82,9 @@
 	n int
 }
 
-func (m *forgetsRequests) JobArrived(now policy.Nanos, r policy.Job) {
+func (m *forgetsRequests) RequestArrived(now policy.Nanos, r policy.Request) {
 	if m.n++; m.n%7 != 0 {
-		m.Module.JobArrived(now, r)
+		m.Module.RequestArrived(now, r)
 	}
 }
 
@@ -95,10 +95,10 @@
 	cancels []policy.Decision
 }
 
-func (m *dropsAnswers) StreamBegan(now policy.Nanos, id policy.JobID, attempt policy.Shot, elapsed policy.Nanos) {
+func (m *dropsAnswers) StreamBegan(now policy.Nanos, id policy.RequestID, attempt policy.AttemptNumber, elapsed policy.Nanos) {
 	m.Module.StreamBegan(now, id, attempt, elapsed)
 	if m.n++; m.n%7 == 0 {
-		m.cancels = append(m.cancels, policy.Decision{Verb: policy.Recall, Job: id, Shot: attempt})
+		m.cancels = append(m.cancels, policy.Decision{Verb: policy.Cancel, Request: id, Attempt: attempt})
 	}
 }
 
@@ -113,20 +113,20 @@
 
 type runsTwice struct{ dispatch.Module }
 
-func (m runsTwice) LaunchEnded(now policy.Nanos, id policy.JobID, shot policy.Shot, how policy.Outcome, elapsed policy.Nanos, over bool, load policy.Load) {
+func (m runsTwice) AttemptEnded(now policy.Nanos, id policy.RequestID, shot policy.AttemptNumber, how policy.Outcome, elapsed policy.Nanos, over bool, load policy.Load) {
 	if how == policy.Failed || how == policy.Broken || how == policy.Late {
 		how = policy.Unreachable // as if it had never run
 	}
-	m.Module.LaunchEnded(now, id, shot, how, elapsed, over, load)
+	m.Module.AttemptEnded(now, id, shot, how, elapsed, over, load)
 }
 
 type ignoresDrains struct{ dispatch.Module }
 
-func (m ignoresDrains) HostListed(id policy.HostID, zone policy.ZoneID, kind policy.KindID, cell policy.CellID, h policy.Health, at policy.Nanos) {
+func (m ignoresDrains) ServerListed(id policy.ServerID, zone policy.ZoneID, kind policy.KindID, cell policy.CellID, h policy.Health, at policy.Nanos) {
 	if h == policy.Draining {
 		h = policy.Serving
 	}
-	m.Module.HostListed(id, zone, kind, cell, h, at)
+	m.Module.ServerListed(id, zone, kind, cell, h, at)
 }
 
 type floodsCold struct {
@@ -134,15 +134,15 @@
 	cold bool // host 1 has been listed with a new start
 }
 
-func (m *floodsCold) HostListed(id policy.HostID, zone policy.ZoneID, kind policy.KindID, cell policy.CellID, h policy.Health, at policy.Nanos) {
+func (m *floodsCold) ServerListed(id policy.ServerID, zone policy.ZoneID, kind policy.KindID, cell policy.CellID, h policy.Health, at policy.Nanos) {
 	m.cold = m.cold || id == 1 && at > 0 && h == policy.Serving
-	m.Module.HostListed(id, zone, kind, cell, h, at)
+	m.Module.ServerListed(id, zone, kind, cell, h, at)
 }
 
 func (m *floodsCold) Next(now policy.Nanos) (policy.Decision, bool) {
 	what, ok := m.Module.Next(now)
-	if m.cold && what.Verb == policy.Launch && what.Host == 2 {
-		what.Host = 1 // all that the warm reader should read goes to the cold one
+	if m.cold && what.Verb == policy.Attempt && what.Server == 2 {
+		what.Server = 1 // all that the warm reader should read goes to the cold one
 	}
 	return what, ok
 }
@@ -152,7 +152,7 @@
 func (m neverLetsGo) Next(now policy.Nanos) (policy.Decision, bool) {
 	for {
 		what, ok := m.Module.Next(now)
-		if !ok || what.Verb != policy.LetGo {
+		if !ok || what.Verb != policy.Release {
 			return what, ok
 		}
 	}
--- a/internal/enlist/enlist.go
+++ b/internal/enlist/enlist.go
@@ -59,9 +59,9 @@
 }
 
 var (
-	roles   = map[string]policy.Role{"read": policy.Reader, "write": policy.Writer, "both": policy.Mixed}
-	effects = map[string]policy.Effect{"idempotent": policy.Redoable, "deduplicated": policy.Labelled,
-		"at_most_once": policy.Irreversible}
+	roles   = map[string]policy.Role{"read": policy.Prefill, "write": policy.Decode, "both": policy.Mixed}
+	effects = map[string]policy.Effect{"idempotent": policy.Idempotent, "deduplicated": policy.Deduplicated,
+		"at_most_once": policy.NonIdempotent}
 	groups = map[string]policy.Group{"": policy.GroupAll, "all": policy.GroupAll, "zone": policy.GroupZone,
 		"cell": policy.GroupCell}
 )
@@ -73,7 +73,7 @@
 	Kinds  []string
 	Roles  []policy.Role // of the kinds
 	Tracks []string
-	Terms  []policy.Track // of the tracks
+	Terms  []policy.Class // of the tracks
 	Tenant []string
 
 	Seed    uint64       // of all chance
@@ -113,10 +113,10 @@
 		if !ok {
 			return nil, fmt.Errorf("setup: request class %q has unknown dedup_scope %q", c.Name, c.Scope)
 		}
-		t := policy.Track{Expected: policy.Nanos(c.OnTime), Patience: policy.Nanos(c.GiveUp), Payoff: c.Points,
-			LatePayoff: c.Late, Effect: effect, Group: group, Window: policy.Nanos(c.Windows)}
+		t := policy.Class{Target: policy.Nanos(c.OnTime), Patience: policy.Nanos(c.GiveUp), Value: c.Points,
+			LateValue: c.Late, Effect: effect, Group: group, Window: policy.Nanos(c.Windows)}
 		if i < len(s.Family.AimPer1k) {
-			t.ExpectedPer1k = policy.Nanos(s.Family.AimPer1k[i] * 1000)
+			t.TargetPer1k = policy.Nanos(s.Family.AimPer1k[i] * 1000)
 		}
 		if i < len(s.Family.TokenGap) {
 			t.TokenGap = policy.Nanos(s.Family.TokenGap[i])
@@ -134,7 +134,7 @@
 		m.Terms, tenants, m.Roles,
 		policy.ColdStart{From: s.Rules.ColdFrom, Warm: policy.Nanos(s.Rules.Cold), Multiple: s.Rules.Multiple,
 			Window: policy.Nanos(s.Rules.Fall)},
-		policy.Launching{Most: s.Limits.Most, Recall: s.Limits.Cancel, ReadAtPens: s.Family.PensRead},
+		policy.AttemptLimits{Most: s.Limits.Most, Cancel: s.Limits.Cancel, DecodeReads: s.Family.PensRead},
 		policy.Answering{Slack: policy.Nanos(s.Rules.Slack), Round: policy.Nanos(s.Round),
 			Advice: s.Limits.RetryAfter, MaxAdvice: policy.Nanos(s.Limits.MaxAdvice)},
 		policy.Listing{Asked: s.Mode == "on_request", Within: policy.Nanos(s.Rules.Within)},
--- a/internal/exit/platform/conn.go
+++ b/internal/exit/platform/conn.go
@@ -267,13 +267,13 @@
 		switch {
 		case spoilt:
 		case c.x.keeper.Lapsed(c.used, c.written, c.heard, now-c.sent):
-			how = policy.Lapsed
+			how = policy.StaleConnection
 			c.x.Counts.Lapsed++
 			c.x.Counts.LapsedAt[restedFor(c.sent-c.since)]++
 		case !c.written:
 			how = policy.Unreachable
 		}
-		if !spoilt && how != policy.Lapsed {
+		if !spoilt && how != policy.StaleConnection {
 			c.x.log.Info("launch lost with its connection", "host", c.h.name, "ready", c.ready, "written", c.written, "begun", j.Begun(),
 				"after", now-c.sent, "rested", c.sent-c.since, "used", c.used)
 		}
@@ -307,7 +307,7 @@
 	how := policy.Failed
 	switch {
 	case c.stream && begun:
-		how = policy.Honoured
+		how = policy.Served
 	case c.stream: // it ended before its first event
 		how = policy.Broken
 	case status == 202 && j.Reads:
@@ -316,7 +316,7 @@
 	case status == 410 && turned && !j.Reads:
 		how = policy.Stateless
 	case (status == 503 || status == 504) && turned:
-		how = policy.Turned
+		how = policy.Rejected
 	case status == 400 || status == 404:
 		c.x.log.Warn("host cannot use a request", "host", c.h.name, "status", status)
 		c.x.d.Unusable(now, j, "the host cannot use the request")
--- a/internal/exit/platform/discovery.go
+++ b/internal/exit/platform/discovery.go
@@ -308,7 +308,7 @@
 	if health == policy.Gone {
 		if h != nil {
 			h.health = health
-			mod.HostListed(h.id, policy.ZoneID(max(zone, 0)), policy.KindID(max(kind, 0)), policy.CellID(e.Cell), health, 0)
+			mod.ServerListed(h.id, policy.ZoneID(max(zone, 0)), policy.KindID(max(kind, 0)), policy.CellID(e.Cell), health, 0)
 		}
 		return nil
 	}
@@ -332,7 +332,7 @@
 	}
 	h.listed = e
 	h.addr, h.started, h.role, h.health = addr, max(started, h.started), x.roles[kind], health
-	mod.HostListed(h.id, policy.ZoneID(zone), policy.KindID(kind), policy.CellID(e.Cell), health,
+	mod.ServerListed(h.id, policy.ZoneID(zone), policy.KindID(kind), policy.CellID(e.Cell), health,
 		min(policy.Nanos(started), x.d.Time(now)))
 	return nil
 }
--- a/internal/exit/platform/exit.go
+++ b/internal/exit/platform/exit.go
@@ -79,9 +79,9 @@
 	n        int
 	hosts    []*host // in the order in which they were first listed
 	byName   map[string]*host
-	byID     map[policy.HostID]*host
+	byID     map[policy.ServerID]*host
 	idle     order.Heap[*conn] // by since when
-	releases map[policy.JobID]*release
+	releases map[policy.RequestID]*release
 	list     discovery
 	rng      *rand.Rand
 	scratch  []byte
@@ -93,7 +93,7 @@
 func New(l *loop.Loop, d *dispatch.Dispatcher, log *slog.Logger, m *enlist.Module, most int, discovery netip.AddrPort) *Exit {
 	x := &Exit{l: l, d: d, log: log, traces: log.Enabled(context.Background(), slog.LevelDebug), zones: m.Zones, kinds: m.Kinds, roles: m.Roles, most: most, connect: int64(m.Connect),
 		keeper: pool.Keeper{Idle: int64(m.Idle), Release: int64(m.Release)}, byName: make(map[string]*host),
-		byID: make(map[policy.HostID]*host), releases: make(map[policy.JobID]*release)}
+		byID: make(map[policy.ServerID]*host), releases: make(map[policy.RequestID]*release)}
 	if x.connect <= 0 {
 		x.connect = usualReach
 	}
@@ -108,7 +108,7 @@
 // host is a model host of the list, and the connections to it.
 type host struct {
 	x       *Exit
-	id      policy.HostID
+	id      policy.ServerID
 	name    string
 	listed  Server // its entry of the list in force
 	addr    netip.AddrPort
@@ -123,8 +123,8 @@
 
 // idOf gives a host's number by its name, the same at every dispatcher and in every life but for names whose hashes
 // collide.
-func (x *Exit) idOf(name string) policy.HostID {
-	id := policy.HostID(xxhash.Sum64String(name))
+func (x *Exit) idOf(name string) policy.ServerID {
+	id := policy.ServerID(xxhash.Sum64String(name))
 	for x.byID[id] != nil {
 		id++
 	}
@@ -157,7 +157,7 @@
 
 // HostView is what crosses the sockets to a host.
 type HostView struct {
-	ID      policy.HostID
+	ID      policy.ServerID
 	Name    string
 	Reader  bool
 	Out     int // launches on connections to it, or waiting for a release
@@ -169,7 +169,7 @@
 // Each calls f for every host that is known.
 func (x *Exit) Each(now loop.Nanos, f func(HostView)) {
 	for _, h := range x.hosts {
-		v := HostView{ID: h.id, Name: h.name, Reader: h.role == policy.Reader, Load: h.load, LoadAge: -1}
+		v := HostView{ID: h.id, Name: h.name, Reader: h.role == policy.Prefill, Load: h.load, LoadAge: -1}
 		if h.load != policy.NoLoad {
 			v.LoadAge = now - h.loadAt
 		}
@@ -190,14 +190,14 @@
 }
 
 // Reads implements dispatch.Exit.
-func (x *Exit) Reads(id policy.HostID) (reads, known bool) {
+func (x *Exit) Reads(id policy.ServerID) (reads, known bool) {
 	h := x.byID[id]
-	return h != nil && h.role == policy.Reader, h != nil
+	return h != nil && h.role == policy.Prefill, h != nil
 }
 
 // Launch implements dispatch.Exit. A read waits until what was to be let go of for the job before is gone: a release
 // that came after it would take its state away.
-func (x *Exit) Launch(now loop.Nanos, j *dispatch.Job, shot policy.Shot) dispatch.Sent {
+func (x *Exit) Launch(now loop.Nanos, j *dispatch.Job, shot policy.AttemptNumber) dispatch.Sent {
 	if r := x.releases[j.ID]; r != nil && j.Reads {
 		r.next, r.shot = j, shot
 		return r
@@ -307,19 +307,19 @@
 // release is what is to be let go of for a job.
 type release struct {
 	x       *Exit
-	job     policy.JobID
+	job     policy.RequestID
 	name    []byte
 	begun   loop.Nanos
-	tried   []policy.HostID
+	tried   []policy.ServerID
 	on      *conn
 	timer   loop.Timer
 	onTimer func(loop.Nanos)
 	next    *dispatch.Job // a read of the job that waits for this
-	shot    policy.Shot
+	shot    policy.AttemptNumber
 }
 
 // LetGo implements dispatch.Exit: any host that runs takes a release.
-func (x *Exit) LetGo(now loop.Nanos, j *dispatch.Job, at policy.HostID, _ policy.Shot) {
+func (x *Exit) LetGo(now loop.Nanos, j *dispatch.Job, at policy.ServerID, _ policy.AttemptNumber) {
 	if r := x.releases[j.ID]; r != nil { // one that is under way may have passed too early
 		r.begun, r.tried = now, r.tried[:0]
 		r.drop()
--- a/internal/exit/platform/exit_test.go
+++ b/internal/exit/platform/exit_test.go
@@ -21,16 +21,17 @@
 type scriptedModule struct{ decisions []policy.Decision }
 
 func (*scriptedModule) ListBegin(bool) {}
-func (*scriptedModule) HostListed(policy.HostID, policy.ZoneID, policy.KindID, policy.CellID, policy.Health, policy.Nanos) {
+func (*scriptedModule) ServerListed(policy.ServerID, policy.ZoneID, policy.KindID, policy.CellID, policy.Health, policy.Nanos) {
 }
-func (*scriptedModule) ListEnd(policy.Nanos)                                              {}
-func (*scriptedModule) ListFailed(policy.Nanos)                                           {}
-func (*scriptedModule) JobArrived(policy.Nanos, policy.Job)                               {}
-func (*scriptedModule) StreamBegan(policy.Nanos, policy.JobID, policy.Shot, policy.Nanos) {}
-func (*scriptedModule) ClientLeft(policy.Nanos, policy.JobID)                             {}
-func (*scriptedModule) HeldSince(policy.Nanos, policy.JobID, policy.Nanos)                {}
-func (*scriptedModule) Woken(policy.Nanos)                                                {}
-func (*scriptedModule) LaunchEnded(policy.Nanos, policy.JobID, policy.Shot, policy.Outcome, policy.Nanos, bool, policy.Load) {
+func (*scriptedModule) ListEnd(policy.Nanos)                        {}
+func (*scriptedModule) ListFailed(policy.Nanos)                     {}
+func (*scriptedModule) RequestArrived(policy.Nanos, policy.Request) {}
+func (*scriptedModule) StreamBegan(policy.Nanos, policy.RequestID, policy.AttemptNumber, policy.Nanos) {
+}
+func (*scriptedModule) ClientLeft(policy.Nanos, policy.RequestID)              {}
+func (*scriptedModule) HeldSince(policy.Nanos, policy.RequestID, policy.Nanos) {}
+func (*scriptedModule) Woken(policy.Nanos)                                     {}
+func (*scriptedModule) AttemptEnded(policy.Nanos, policy.RequestID, policy.AttemptNumber, policy.Outcome, policy.Nanos, bool, policy.Load) {
 }
 func (m *scriptedModule) Next(policy.Nanos) (policy.Decision, bool) {
 	if len(m.decisions) == 0 {
@@ -53,10 +54,10 @@
 // slowCall is a client that has never room: whatever is relayed to it waits.
 type slowCall struct{ served int }
 
-func (*slowCall) Tokens(policy.JobID, []byte) bool { return true }
-func (c *slowCall) Honour(policy.JobID)            { c.served++ }
-func (*slowCall) Abandon(policy.JobID, string)     {}
-func (*slowCall) Nack(policy.JobID, front.Refusal) {}
+func (*slowCall) Tokens(policy.RequestID, []byte) bool { return true }
+func (c *slowCall) Honour(policy.RequestID)            { c.served++ }
+func (*slowCall) Abandon(policy.RequestID, string)     {}
+func (*slowCall) Nack(policy.RequestID, front.Refusal) {}
 
 // A connection that was held back for a slow client as its answer ended is read again when it carries the next request.
 func TestHeldBackConnectionIsReadAgain(t *testing.T) {
@@ -71,11 +72,11 @@
 	defer host.Close()
 	mod, call := &scriptedModule{}, &slowCall{}
 	log := slog.New(slog.DiscardHandler)
-	d, err := dispatch.Direct(l, log, mod, []string{"a"}, []policy.Track{{Expected: 1e9, Patience: 9e9}}, nil, 10, 1000, 0, 0, 1)
+	d, err := dispatch.Direct(l, log, mod, []string{"a"}, []policy.Class{{Target: 1e9, Patience: 9e9}}, nil, 10, 1000, 0, 0, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	x := New(l, d, log, &enlist.Module{Zones: []string{"z"}, Kinds: []string{"decode"}, Roles: []policy.Role{policy.Writer},
+	x := New(l, d, log, &enlist.Module{Zones: []string{"z"}, Kinds: []string{"decode"}, Roles: []policy.Role{policy.Decode},
 		Idle: 15e9, Release: 1e9, Connect: 250e6}, 10, netip.AddrPort{})
 	d.Ends(noClients{}, x)
 	x.Known(0, List{Full: true, Servers: []Server{{ID: "w1", Addr: host.Addr().String(), Zone: "z", Kind: "decode", State: "Ready"}}})
@@ -93,7 +94,7 @@
 			if err != nil {
 				t.Error(err)
 			}
-			mod.decisions = append(mod.decisions, policy.Decision{Verb: policy.Launch, Job: id, Host: x.byName["w1"].id, For: 9e9})
+			mod.decisions = append(mod.decisions, policy.Decision{Verb: policy.Attempt, Request: id, Server: x.byName["w1"].id, For: 9e9})
 		})
 	}
 	until := func(what string, is func() bool) {
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -16,26 +16,26 @@
 type Core interface {
 	// Arrive hands over a job. The request's slices are valid during the call only. An error that wraps ErrBad
 	// is the caller's fault; a Refusal is a nack.
-	Arrive(now loop.Nanos, call Call, r *Request) (policy.JobID, error)
+	Arrive(now loop.Nanos, call Call, r *Request) (policy.RequestID, error)
 	// Left tells that the client of a job is gone.
-	Left(now loop.Nanos, id policy.JobID)
+	Left(now loop.Nanos, id policy.RequestID)
 	// Name is a job's for the outside.
-	Name(id policy.JobID) string
+	Name(id policy.RequestID) string
 	// Room tells that all that was sent to the client has left.
-	Room(now loop.Nanos, id policy.JobID)
+	Room(now loop.Nanos, id policy.RequestID)
 }
 
 // Call is the client's end of a job.
 type Call interface {
 	// Tokens relays a piece of the answer. True says that it waits for the client: the host is to be held back until
 	// the core's Room.
-	Tokens(id policy.JobID, p []byte) (waits bool)
+	Tokens(id policy.RequestID, p []byte) (waits bool)
 	// Honour ends the answer as it should end.
-	Honour(id policy.JobID)
+	Honour(id policy.RequestID)
 	// Abandon ends the call, begun or not: nothing is promised.
-	Abandon(id policy.JobID, why string)
+	Abandon(id policy.RequestID, why string)
 	// Nack refuses the job: trying again is harmless.
-	Nack(id policy.JobID, no Refusal)
+	Nack(id policy.RequestID, no Refusal)
 }
 
 // Refusal is an error that says when to come back.
--- a/internal/front/grpc/grpc.go
+++ b/internal/front/grpc/grpc.go
@@ -291,7 +291,7 @@
 		}
 	default:
 		if s.Ref != 0 {
-			id := policy.JobID(s.Ref)
+			id := policy.RequestID(s.Ref)
 			c.bad(s, errors.New("a second message: Generate takes one"))
 			c.s.core.Left(c.now, id)
 		}
@@ -302,7 +302,7 @@
 func (c *conn) Finished(*h2.Stream, codes.Code, string, *h2.Header) {}
 
 func (c *conn) Reset(s *h2.Stream, _ http2.ErrCode, _ bool) {
-	if id := policy.JobID(s.Ref); id != 0 {
+	if id := policy.RequestID(s.Ref); id != 0 {
 		s.Ref = 0
 		c.s.core.Left(c.now, id)
 	}
@@ -310,7 +310,7 @@
 
 func (c *conn) Room(s *h2.Stream) {
 	if s.Ref != 0 {
-		c.s.core.Room(c.now, policy.JobID(s.Ref))
+		c.s.core.Room(c.now, policy.RequestID(s.Ref))
 	}
 }
 
@@ -325,7 +325,7 @@
 
 // Tokens relays one message. True says that it waits for the client: the engine is to be held back until the
 // core's Room.
-func (a *Call) Tokens(id policy.JobID, p []byte) (waits bool) {
+func (a *Call) Tokens(id policy.RequestID, p []byte) (waits bool) {
 	if !a.s.Headed() {
 		a.s.SendHeaders(hpack.HeaderField{Name: "docksail-job", Value: a.c.s.core.Name(id)})
 	}
@@ -335,16 +335,16 @@
 }
 
 // Honour ends the call with OK.
-func (a *Call) Honour(id policy.JobID) { a.end(id, codes.OK, "") }
+func (a *Call) Honour(id policy.RequestID) { a.end(id, codes.OK, "") }
 
 // Abandon ends the call with ABORTED: nothing is promised.
-func (a *Call) Abandon(id policy.JobID, why string) {
+func (a *Call) Abandon(id policy.RequestID, why string) {
 	a.end(id, codes.Aborted, "abandoned: "+why, hpack.HeaderField{Name: "grpc-retry-pushback-ms", Value: "-1"})
 }
 
 // Nack ends the call with UNAVAILABLE, or RESOURCE_EXHAUSTED where a limit of the caller's own was met: trying again
 // is harmless, best after so many nanoseconds.
-func (a *Call) Nack(id policy.JobID, no front.Refusal) {
+func (a *Call) Nack(id policy.RequestID, no front.Refusal) {
 	ms := (no.After + 1e6 - 1) / 1e6
 	why, code := "nacked: "+no.Why, codes.Unavailable
 	if no.Own {
@@ -363,7 +363,7 @@
 	backgroundHeader = "docksail-background" // any value: the job fills what is idle and yields to all others
 )
 
-func (a *Call) end(id policy.JobID, code codes.Code, why string, extra ...hpack.HeaderField) {
+func (a *Call) end(id policy.RequestID, code codes.Code, why string, extra ...hpack.HeaderField) {
 	if id != 0 && !a.s.Headed() {
 		extra = append(extra, hpack.HeaderField{Name: "docksail-job", Value: a.c.s.core.Name(id)})
 	}
--- a/internal/front/platform/answer.go
+++ b/internal/front/platform/answer.go
@@ -74,7 +74,7 @@
 }
 
 // Tokens implements front.Call.
-func (c *conn) Tokens(_ policy.JobID, p []byte) bool {
+func (c *conn) Tokens(_ policy.RequestID, p []byte) bool {
 	if c.gone {
 		return false
 	}
@@ -96,7 +96,7 @@
 }
 
 // Honour implements front.Call.
-func (c *conn) Honour(policy.JobID) {
+func (c *conn) Honour(policy.RequestID) {
 	if c.gone {
 		return
 	}
@@ -105,7 +105,7 @@
 }
 
 // Abandon implements front.Call. A stream that has begun ends without its last chunk.
-func (c *conn) Abandon(_ policy.JobID, why string) {
+func (c *conn) Abandon(_ policy.RequestID, why string) {
 	switch {
 	case c.gone:
 	case c.begun:
@@ -118,7 +118,7 @@
 }
 
 // Nack implements front.Call.
-func (c *conn) Nack(_ policy.JobID, no front.Refusal) {
+func (c *conn) Nack(_ policy.RequestID, no front.Refusal) {
 	if !c.gone {
 		c.answer(503, no.After, no.Why)
 	}
--- a/internal/front/platform/server.go
+++ b/internal/front/platform/server.go
@@ -209,7 +209,7 @@
 	body    []byte
 	ask     ask
 	aside   string // path of a request that is no job
-	id      policy.JobID
+	id      policy.RequestID
 	begun   bool // the head of an answer has been sent
 	last    bool // the connection ends with this answer
 	taking  bool
--- a/internal/front/platform/server_test.go
+++ b/internal/front/platform/server_test.go
@@ -21,13 +21,13 @@
 // core takes every request and leaves its answer to the test.
 type core struct{ calls []front.Call }
 
-func (k *core) Arrive(_ loop.Nanos, call front.Call, _ *front.Request) (policy.JobID, error) {
+func (k *core) Arrive(_ loop.Nanos, call front.Call, _ *front.Request) (policy.RequestID, error) {
 	k.calls = append(k.calls, call)
-	return policy.JobID(len(k.calls)), nil
+	return policy.RequestID(len(k.calls)), nil
 }
-func (*core) Left(loop.Nanos, policy.JobID) {}
-func (*core) Room(loop.Nanos, policy.JobID) {}
-func (*core) Name(policy.JobID) string      { return "" }
+func (*core) Left(loop.Nanos, policy.RequestID) {}
+func (*core) Room(loop.Nanos, policy.RequestID) {}
+func (*core) Name(policy.RequestID) string      { return "" }
 
 // served is a Server on a loop of its own, before a core that the test plays.
 type served struct {
--- a/internal/lab/drill/importday.go
+++ b/internal/lab/drill/importday.go
@@ -198,7 +198,7 @@
 			Payoff: c.Worth, TokenGap: time.Duration(max(t.Gap, 10) * 1e6), Window: us(c.Window), Turns: max(1, int(math.Round(2*t.Turns-1))),
 			Prompt: max(1, int(t.New/2)), PromptMost: int(1.5 * t.New), Beginning: int(t.Prefix), Beginnings: 8,
 			Answer: max(1, int(min(1.33*t.Out, float64(t.MaxOut)))), Retries: d.Clients.Retries, Idle: time.Second}
-		effect := map[string]policy.Effect{"safe": policy.Redoable, "keyed": policy.Labelled, "unsafe": policy.Irreversible}
+		effect := map[string]policy.Effect{"safe": policy.Idempotent, "keyed": policy.Deduplicated, "unsafe": policy.NonIdempotent}
 		e, ok := effect[c.Effect]
 		if !ok {
 			cannot = append(cannot, fmt.Sprintf("class %s: effect %q, played as redoable", c.Name, c.Effect))
--- a/internal/lab/drill/script.go
+++ b/internal/lab/drill/script.go
@@ -278,7 +278,7 @@
 			PromptMost: t.PromptMost, Beginning: t.Beginning, Beginnings: t.Beginnings, Answer: t.Answer, Expected: t.Expected,
 			Per1k: t.Per1k, Patience: t.Patience, Payoff: max(t.Payoff, 1), Retries: t.Retries, Leave: t.Leave, Idle: t.Idle,
 			Clients: t.Clients, Deaf: t.Deaf, Made: t.Made, Conns: t.Conns, Background: t.Background,
-			Irreversible: policy.Effect(t.Effect) != policy.Redoable})
+			Irreversible: policy.Effect(t.Effect) != policy.Idempotent})
 	}
 	return ts
 }
--- a/internal/lab/explore/explore_test.go
+++ b/internal/lab/explore/explore_test.go
@@ -35,11 +35,11 @@
 
 type deafToDrains struct{ dispatch.Module }
 
-func (m deafToDrains) HostListed(id policy.HostID, zone policy.ZoneID, kind policy.KindID, cell policy.CellID, health policy.Health, launched policy.Nanos) {
+func (m deafToDrains) ServerListed(id policy.ServerID, zone policy.ZoneID, kind policy.KindID, cell policy.CellID, health policy.Health, launched policy.Nanos) {
 	if health == policy.Draining {
 		health = policy.Serving
 	}
-	m.Module.HostListed(id, zone, kind, cell, health, launched)
+	m.Module.ServerListed(id, zone, kind, cell, health, launched)
 }
 
 // TestShrinks: a planted fault is found, and the day that shows it is made small: one drain is left, and the file plays
--- a/internal/lab/plain/plain.go
+++ b/internal/lab/plain/plain.go
@@ -13,7 +13,7 @@
 )
 
 // Sight is the true load of a host, which only a simulation can know: prompt tokens not read yet, and work at hand.
-type Sight func(id policy.HostID) (unread, work int)
+type Sight func(id policy.ServerID) (unread, work int)
 
 // Names of the policies.
 var Names = []string{"round robin", "random", "least outstanding", "full sight"}
@@ -24,22 +24,22 @@
 )
 
 type host struct {
-	id    policy.HostID
+	id    policy.ServerID
 	role  policy.Role
 	there bool
 	out   int
 }
 
 type job struct {
-	given  policy.Job
-	tried  []policy.HostID
+	given  policy.Request
+	tried  []policy.ServerID
 	reads  bool // a read is out, or the next launch is one
-	out    policy.HostID
+	out    policy.ServerID
 	isOut  bool
 	held   bool
 	begun  bool
 	answer bool
-	shots  policy.Shot // launches so far
+	shots  policy.AttemptNumber // launches so far
 }
 
 // Module is such a policy; it stands where dispatch wants a module.
@@ -47,13 +47,13 @@
 	name   string
 	sight  Sight
 	rng    *rand.Rand
-	hosts  map[policy.HostID]*host
+	hosts  map[policy.ServerID]*host
 	order  []*host // by number
-	jobs   map[policy.JobID]*job
+	jobs   map[policy.RequestID]*job
 	queue  []policy.Decision
 	turn   int
 	watch  bool
-	listed map[policy.HostID]bool
+	listed map[policy.ServerID]bool
 }
 
 // New makes a policy by its name; sight is for the one that needs it.
@@ -61,22 +61,22 @@
 	if !slices.Contains(Names, name) || name == "full sight" && sight == nil {
 		return nil, fmt.Errorf("policy %q, want one of %s", name, strings.Join(Names, ", "))
 	}
-	return &Module{name: name, sight: sight, rng: rand.New(rand.NewPCG(seed, 3)), hosts: map[policy.HostID]*host{}, jobs: map[policy.JobID]*job{}}, nil
+	return &Module{name: name, sight: sight, rng: rand.New(rand.NewPCG(seed, 3)), hosts: map[policy.ServerID]*host{}, jobs: map[policy.RequestID]*job{}}, nil
 }
 
 func (m *Module) ListBegin(full bool) {
 	m.listed = nil
 	if full {
-		m.listed = map[policy.HostID]bool{}
+		m.listed = map[policy.ServerID]bool{}
 	}
 }
 
-func (m *Module) HostListed(id policy.HostID, _ policy.ZoneID, kind policy.KindID, _ policy.CellID, health policy.Health, _ policy.Nanos) {
+func (m *Module) ServerListed(id policy.ServerID, _ policy.ZoneID, kind policy.KindID, _ policy.CellID, health policy.Health, _ policy.Nanos) {
 	h := m.hosts[id]
 	if h == nil {
 		h = &host{id: id}
 		m.hosts[id] = h
-		i, _ := slices.BinarySearchFunc(m.order, id, func(h *host, id policy.HostID) int { return int(h.id) - int(id) })
+		i, _ := slices.BinarySearchFunc(m.order, id, func(h *host, id policy.ServerID) int { return int(h.id) - int(id) })
 		m.order = slices.Insert(m.order, i, h)
 	}
 	h.role, h.there = policy.Role(kind), health == policy.Serving
@@ -107,13 +107,13 @@
 
 func (m *Module) say(d policy.Decision) { m.queue = append(m.queue, d) }
 
-func (m *Module) JobArrived(now policy.Nanos, given policy.Job) {
+func (m *Module) RequestArrived(now policy.Nanos, given policy.Request) {
 	m.jobs[given.ID] = &job{given: given, reads: true}
 	m.launch(now, given.ID)
 }
 
 // launch sends a job to a host for its next stage.
-func (m *Module) launch(now policy.Nanos, id policy.JobID) {
+func (m *Module) launch(now policy.Nanos, id policy.RequestID) {
 	j := m.jobs[id]
 	h := m.pick(j)
 	if h == nil || len(j.tried) >= tries || now >= j.given.Deadline {
@@ -123,13 +123,13 @@
 	h.out++
 	j.tried, j.out, j.isOut = append(j.tried, h.id), h.id, true
 	j.shots++
-	m.say(policy.Decision{Verb: policy.Launch, Job: id, Host: h.id, For: j.given.Deadline - now})
+	m.say(policy.Decision{Verb: policy.Attempt, Request: id, Server: h.id, For: j.given.Deadline - now})
 }
 
 func (m *Module) pick(j *job) *host {
 	var can []*host
 	for _, h := range m.order {
-		if h.there && (j.reads && h.role != policy.Writer || !j.reads && h.role == policy.Writer) && !slices.Contains(j.tried, h.id) {
+		if h.there && (j.reads && h.role != policy.Decode || !j.reads && h.role == policy.Decode) && !slices.Contains(j.tried, h.id) {
 			can = append(can, h)
 		}
 	}
@@ -166,28 +166,28 @@
 }
 
 // giveUp answers a job: nacked if trying again is harmless.
-func (m *Module) giveUp(id policy.JobID, harmless bool) {
+func (m *Module) giveUp(id policy.RequestID, harmless bool) {
 	j := m.jobs[id]
 	if j.held {
-		m.say(policy.Decision{Verb: policy.LetGo, Job: id})
+		m.say(policy.Decision{Verb: policy.Release, Request: id})
 	}
-	verb := policy.Abandon
+	verb := policy.Fail
 	if harmless {
-		verb = policy.Nack
+		verb = policy.Reject
 	}
-	m.say(policy.Decision{Verb: verb, Job: id, For: askAgain})
+	m.say(policy.Decision{Verb: verb, Request: id, For: askAgain})
 	delete(m.jobs, id)
 }
 
-func (m *Module) StreamBegan(_ policy.Nanos, id policy.JobID, _ policy.Shot, _ policy.Nanos) {
+func (m *Module) StreamBegan(_ policy.Nanos, id policy.RequestID, _ policy.AttemptNumber, _ policy.Nanos) {
 	if j := m.jobs[id]; j != nil {
 		j.begun, j.held = true, false
 	}
 }
 
-func (m *Module) HeldSince(policy.Nanos, policy.JobID, policy.Nanos) {}
+func (m *Module) HeldSince(policy.Nanos, policy.RequestID, policy.Nanos) {}
 
-func (m *Module) LaunchEnded(now policy.Nanos, id policy.JobID, _ policy.Shot, how policy.Outcome, _ policy.Nanos, over bool, _ policy.Load) {
+func (m *Module) AttemptEnded(now policy.Nanos, id policy.RequestID, _ policy.AttemptNumber, how policy.Outcome, _ policy.Nanos, over bool, _ policy.Load) {
 	j := m.jobs[id]
 	if j == nil || !j.isOut {
 		return
@@ -196,11 +196,11 @@
 	if h := m.hosts[j.out]; h != nil {
 		h.out--
 	}
-	read := m.hosts[j.out].role == policy.Reader
+	read := m.hosts[j.out].role == policy.Prefill
 	switch {
 	case over || j.answer:
 		if j.held {
-			m.say(policy.Decision{Verb: policy.LetGo, Job: id})
+			m.say(policy.Decision{Verb: policy.Release, Request: id})
 		}
 		delete(m.jobs, id)
 	case how == policy.Read:
@@ -209,25 +209,25 @@
 	case how == policy.Stateless:
 		j.reads, j.held, j.tried = true, false, j.tried[:0]
 		m.launch(now, id)
-	case read || how == policy.Turned || how == policy.Unreachable || how == policy.NotSent:
+	case read || how == policy.Rejected || how == policy.Unreachable || how == policy.NotSent:
 		m.launch(now, id)
 	default: // it may have run
 		m.giveUp(id, false)
 	}
 }
 
-func (m *Module) ClientLeft(_ policy.Nanos, id policy.JobID) {
+func (m *Module) ClientLeft(_ policy.Nanos, id policy.RequestID) {
 	j := m.jobs[id]
 	if j == nil {
 		return
 	}
 	j.answer = true
 	if j.isOut && !j.begun {
-		m.say(policy.Decision{Verb: policy.Recall, Job: id, Shot: j.shots - 1})
+		m.say(policy.Decision{Verb: policy.Cancel, Request: id, Attempt: j.shots - 1})
 	}
 	if !j.isOut {
 		if j.held {
-			m.say(policy.Decision{Verb: policy.LetGo, Job: id})
+			m.say(policy.Decision{Verb: policy.Release, Request: id})
 		}
 		delete(m.jobs, id)
 	}
--- a/internal/lab/sim/day.go
+++ b/internal/lab/sim/day.go
@@ -168,7 +168,7 @@
 func (d *Day) after(t loop.Nanos, f func()) { d.at(d.world.Now()+t, f) }
 
 // Sight is the true load of a host: prompt tokens that are not read yet, and work at hand.
-func (d *Day) Sight(id policy.HostID) (unread, work int) {
+func (d *Day) Sight(id policy.ServerID) (unread, work int) {
 	h := d.hosts[id-1]
 	if h.l == nil {
 		return math.MaxInt, math.MaxInt
--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/sim/sim_test.go
@@ -80,11 +80,11 @@
 // deafToDrains tells its module that hosts serve that drain.
 type deafToDrains struct{ dispatch.Module }
 
-func (m deafToDrains) HostListed(id policy.HostID, zone policy.ZoneID, kind policy.KindID, cell policy.CellID, health policy.Health, launched policy.Nanos) {
+func (m deafToDrains) ServerListed(id policy.ServerID, zone policy.ZoneID, kind policy.KindID, cell policy.CellID, health policy.Health, launched policy.Nanos) {
 	if health == policy.Draining {
 		health = policy.Serving
 	}
-	m.Module.HostListed(id, zone, kind, cell, health, launched)
+	m.Module.ServerListed(id, zone, kind, cell, health, launched)
 }
 
 // keepsStates keeps what is held: it lets nothing go.
@@ -93,7 +93,7 @@
 func (m keepsStates) Next(now policy.Nanos) (policy.Decision, bool) {
 	for {
 		what, ok := m.Module.Next(now)
-		if !ok || what.Verb != policy.LetGo {
+		if !ok || what.Verb != policy.Release {
 			return what, ok
 		}
 	}
@@ -166,12 +166,12 @@
 // outcomes counts how launches ended.
 type outcomes struct {
 	dispatch.Module
-	n *[policy.Recalled + 1]int
+	n *[policy.Canceled + 1]int
 }
 
-func (m outcomes) LaunchEnded(now policy.Nanos, id policy.JobID, shot policy.Shot, how policy.Outcome, elapsed policy.Nanos, over bool, load policy.Load) {
+func (m outcomes) AttemptEnded(now policy.Nanos, id policy.RequestID, shot policy.AttemptNumber, how policy.Outcome, elapsed policy.Nanos, over bool, load policy.Load) {
 	m.n[how]++
-	m.Module.LaunchEnded(now, id, shot, how, elapsed, over, load)
+	m.Module.AttemptEnded(now, id, shot, how, elapsed, over, load)
 }
 
 // TestStateGoneBeforeFetch: readers restart between the offer of a state and its fetch, and while it moves over a slow
@@ -183,7 +183,7 @@
 	for i := range 6 {
 		s.Troubles = append(s.Troubles, drill.Trouble{Kind: "crash", At: time.Duration(3+2*i) * time.Second, For: 200 * time.Millisecond, Hosts: []int{1 + i%3, 8 + i%3}})
 	}
-	var n [policy.Recalled + 1]int
+	var n [policy.Canceled + 1]int
 	rep := play(t, s, func(m dispatch.Module) dispatch.Module { return outcomes{m, &n} })
 	if n[policy.Stateless] < 3 || len(rep.Violations) > 0 {
 		t.Errorf("%d launches found no state; %v", n[policy.Stateless], rep.Violations)
--- a/internal/setup/print.go
+++ b/internal/setup/print.go
@@ -11,7 +11,7 @@
 
 // MarshalText gives the name.
 func (e Effect) MarshalText() ([]byte, error) {
-	return []byte([]string{policy.Redoable: "redoable", policy.Labelled: "labelled", policy.Irreversible: "irreversible"}[e]), nil
+	return []byte([]string{policy.Idempotent: "redoable", policy.Deduplicated: "labelled", policy.NonIdempotent: "irreversible"}[e]), nil
 }
 
 // MarshalText gives the name.
--- a/internal/setup/setup.go
+++ b/internal/setup/setup.go
@@ -217,7 +217,7 @@
 		if t.Patience < t.Expected {
 			d.bad(at+".patience", "is %v, want at least the expected time, %v", t.Patience, t.Expected)
 		}
-		if policy.Effect(t.Effect) == policy.Labelled {
+		if policy.Effect(t.Effect) == policy.Deduplicated {
 			above(at+".window", float64(t.Window))
 		}
 	}
@@ -316,22 +316,22 @@
 		tenants = append(tenants, policy.Tenant{PerSecond: t.PerSecond})
 	}
 	return policy.New(seed, policy.Place{Number: s.Number, Count: s.Count, Zone: zone}, tracks, tenants,
-		[]policy.Role{policy.Reader, policy.Writer, policy.Mixed},
+		[]policy.Role{policy.Prefill, policy.Decode, policy.Mixed},
 		policy.ColdStart{From: s.Cold.From, Warm: policy.Nanos(s.Cold.Warm), Multiple: s.Cold.Multiple,
 			Window: policy.Nanos(s.Cold.Window)},
-		policy.Launching{Most: s.Launches.Most, Recall: s.Launches.Recall, ReadAtPens: s.Launches.WritersRead},
+		policy.AttemptLimits{Most: s.Launches.Most, Cancel: s.Launches.Recall, DecodeReads: s.Launches.WritersRead},
 		policy.Answering{Slack: 0, Round: policy.Nanos(s.Answers.Round), Advice: s.Answers.Advice,
 			MaxAdvice: policy.Nanos(s.Answers.MaxAdvice)},
 		policy.Listing{Within: policy.Nanos(s.Fleet.Retry)}, policy.Nanos(s.Rules.Release))
 }
 
 // PolicyTracks gives the tracks as the decision module takes them.
-func (s *Dispatcher) PolicyTracks() []policy.Track {
-	var tracks []policy.Track
+func (s *Dispatcher) PolicyTracks() []policy.Class {
+	var tracks []policy.Class
 	for _, t := range s.Tracks {
-		tracks = append(tracks, policy.Track{Expected: policy.Nanos(t.Expected),
-			ExpectedPer1k: policy.Nanos(t.ExpectedPer1k), Patience: policy.Nanos(t.Patience), Payoff: t.Payoff,
-			LatePayoff: t.LatePayoff, TokenGap: policy.Nanos(t.TokenGap), Effect: policy.Effect(t.Effect),
+		tracks = append(tracks, policy.Class{Target: policy.Nanos(t.Expected),
+			TargetPer1k: policy.Nanos(t.ExpectedPer1k), Patience: policy.Nanos(t.Patience), Value: t.Payoff,
+			LateValue: t.LatePayoff, TokenGap: policy.Nanos(t.TokenGap), Effect: policy.Effect(t.Effect),
 			Group: policy.Group(t.Group), Window: policy.Nanos(t.Window)})
 	}
 	return tracks
@@ -401,7 +401,7 @@
 			d.bad(fmt.Sprintf("hosts[%d].id", i), "%d is out of range or stands twice, want a number of its own above 0", h.ID)
 		}
 		seen[h.ID] = true
-		list = append(list, fleet.Host{ID: policy.HostID(h.ID), Address: h.Address, Role: policy.Role(h.Role), Zone: h.Zone,
+		list = append(list, fleet.Host{ID: policy.ServerID(h.ID), Address: h.Address, Role: policy.Role(h.Role), Zone: h.Zone,
 			Cell: h.Cell, Health: policy.Health(h.Health), Started: h.Started})
 	}
 	if err := d.err(); err != nil {
--- a/internal/setup/setup_test.go
+++ b/internal/setup/setup_test.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Tracks[1].Effect != Effect(policy.Labelled) || s.Tracks[1].Group != Group(policy.GroupZone) || s.Tracks[1].Window != 3*time.Second {
+	if s.Tracks[1].Effect != Effect(policy.Deduplicated) || s.Tracks[1].Group != Group(policy.GroupZone) || s.Tracks[1].Window != 3*time.Second {
 		t.Errorf("track read as %+v", s.Tracks[1])
 	}
 	if s.Limits.Jobs != Usual().Limits.Jobs || s.Launches.Most != Usual().Launches.Most {
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -133,21 +133,21 @@
 
 func (h *host) encode(n int64, what policy.Decision) {
 	switch what.Verb {
-	case policy.Launch:
-		h.write("ATTEMPT", n, int64(what.Job), int64(what.Host), int64(what.For))
-	case policy.Recall:
-		h.write("RECALL", n, int64(what.Job), int64(what.Shot))
-	case policy.Nack:
-		h.write("BUSY", n, int64(what.Job), int64(what.For))
-	case policy.Abandon:
-		h.write("ABORT", n, int64(what.Job))
-	case policy.LetGo:
-		h.write("CLEAR_STATE", n, int64(what.Job))
+	case policy.Attempt:
+		h.write("ATTEMPT", n, int64(what.Request), int64(what.Server), int64(what.For))
+	case policy.Cancel:
+		h.write("RECALL", n, int64(what.Request), int64(what.Attempt))
+	case policy.Reject:
+		h.write("BUSY", n, int64(what.Request), int64(what.For))
+	case policy.Fail:
+		h.write("ABORT", n, int64(what.Request))
+	case policy.Release:
+		h.write("CLEAR_STATE", n, int64(what.Request))
 	case policy.Wake:
 		h.write("NOTIFY_ME", n, int64(what.For), 0)
 	case policy.Watch:
 		h.write("OBSERVE", n, 1)
-	case policy.Say:
+	case policy.Log:
 		h.out.WriteString("EMIT ")
 		h.out.WriteString(strconv.FormatInt(n, 10))
 		h.out.WriteByte(' ')
@@ -249,9 +249,9 @@
 	return int32(i)
 }
 
-var outcomes = map[string]policy.Outcome{"Ok": policy.Honoured, "Failed": policy.Failed, "QueueFull": policy.Turned,
+var outcomes = map[string]policy.Outcome{"Ok": policy.Served, "Failed": policy.Failed, "QueueFull": policy.Rejected,
 	"TimedOut": policy.Late, "ConnectError": policy.Unreachable, "ResetByPeer": policy.Broken,
-	"Canceled": policy.Recalled, "Ignored": policy.NotSent, "handover": policy.Read}
+	"Canceled": policy.Canceled, "Ignored": policy.NotSent, "handover": policy.Read}
 
 var healths = map[string]policy.Health{"IN": policy.Serving, "LAME": policy.Draining, "OUT": policy.Gone}
 
@@ -314,7 +314,9 @@
 	case "ACCEPTED":
 		id, shot, _, elapsed := f.whole("txn"), f.whole("shot"), f.whole("host"), f.whole("elapsed_ns")
 		if f.err == nil && in != nil {
-			in.guarded(func() { in.d.StreamBegan(h.now, policy.JobID(id), policy.Shot(shot), policy.Nanos(elapsed)) })
+			in.guarded(func() {
+				in.d.StreamBegan(h.now, policy.RequestID(id), policy.AttemptNumber(shot), policy.Nanos(elapsed))
+			})
 		}
 	case "VERDICT":
 		id, shot, _ := f.whole("txn"), f.whole("shot"), f.whole("host")
@@ -324,18 +326,18 @@
 			f.bad("rc", rc)
 		}
 		elapsed, over, remark, load := f.whole("elapsed_ns"), f.flag("complete"), f.maybe("remark"), f.load()
-		if how == policy.Turned && remark == 1 {
+		if how == policy.Rejected && remark == 1 {
 			how = policy.Stateless
 		}
 		if f.err == nil && in != nil {
 			in.guarded(func() {
-				in.d.LaunchEnded(h.now, policy.JobID(id), policy.Shot(shot), how, policy.Nanos(elapsed), over, load)
+				in.d.AttemptEnded(h.now, policy.RequestID(id), policy.AttemptNumber(shot), how, policy.Nanos(elapsed), over, load)
 			})
 		}
 	case "VANISHED":
 		id := f.whole("txn")
 		if f.err == nil && in != nil {
-			in.guarded(func() { in.d.ClientLeft(h.now, policy.JobID(id)) })
+			in.guarded(func() { in.d.ClientLeft(h.now, policy.RequestID(id)) })
 		}
 	case "DEADLINE_HIT":
 		f.whole("label")
@@ -350,7 +352,7 @@
 }
 
 func (h *host) jobIn(f *fields, in *instance) error {
-	job := policy.Job{ID: policy.JobID(f.whole("txn")), Cap: f.maybe("output_cap"),
+	job := policy.Request{ID: policy.RequestID(f.whole("txn")), Cap: f.maybe("output_cap"),
 		Prefix: policy.PrefixKey(f.hex("template"))}
 	project := h.word()
 	job.Deadline = policy.Nanos(f.whole("client_deadline_ns"))
@@ -364,13 +366,13 @@
 	if in == nil {
 		return f.err
 	}
-	job.Track = policy.TrackID(f.named("tier_class", in.Tracks, h.rest))
+	job.Class = policy.ClassID(f.named("tier_class", in.Tracks, h.rest))
 	job.Tenant = -1
 	if s := string(project); s != "-" && s != "0" && len(in.Tenant) > 0 {
 		job.Tenant = policy.TenantID(f.named("project", in.Tenant, project))
 	}
 	if f.err == nil {
-		in.guarded(func() { in.d.JobArrived(h.now, job) })
+		in.guarded(func() { in.d.RequestArrived(h.now, job) })
 	}
 	return f.err
 }
@@ -420,7 +422,7 @@
 			return e.err
 		}
 		in.guarded(func() {
-			in.d.HostListed(policy.HostID(id), policy.ZoneID(zone), policy.KindID(kind), policy.CellID(cell),
+			in.d.ServerListed(policy.ServerID(id), policy.ZoneID(zone), policy.KindID(kind), policy.CellID(cell),
 				health, policy.Nanos(launched))
 		})
 	}
--- a/internal/state/fleet/fleet.go
+++ b/internal/state/fleet/fleet.go
@@ -19,13 +19,13 @@
 
 // Host is one engine of the list.
 type Host struct {
-	ID      policy.HostID  `json:"id"`
-	Address netip.AddrPort `json:"address"`
-	Role    policy.Role    `json:"role"`
-	Zone    string         `json:"zone"`
-	Cell    string         `json:"cell"`
-	Health  policy.Health  `json:"health"`
-	Started int64          `json:"started_unix_ns"` // 0 = long ago, or not told
+	ID      policy.ServerID `json:"id"`
+	Address netip.AddrPort  `json:"address"`
+	Role    policy.Role     `json:"role"`
+	Zone    string          `json:"zone"`
+	Cell    string          `json:"cell"`
+	Health  policy.Health   `json:"health"`
+	Started int64           `json:"started_unix_ns"` // 0 = long ago, or not told
 }
 
 // ErrGap says that changes were missed: only a full list helps.
@@ -35,14 +35,14 @@
 type List struct {
 	version uint64
 	whole   bool // a full list has come
-	hosts   map[policy.HostID]Host
+	hosts   map[policy.ServerID]Host
 	zones   map[string]policy.ZoneID
 	cells   map[[2]string]policy.CellID
 }
 
 // New makes a list that knows nothing.
 func New() *List {
-	return &List{hosts: make(map[policy.HostID]Host), zones: make(map[string]policy.ZoneID),
+	return &List{hosts: make(map[policy.ServerID]Host), zones: make(map[string]policy.ZoneID),
 		cells: make(map[[2]string]policy.CellID)}
 }
 
@@ -67,7 +67,7 @@
 }
 
 // Find gives a host that was ever listed.
-func (l *List) Find(id policy.HostID) (Host, bool) {
+func (l *List) Find(id policy.ServerID) (Host, bool) {
 	h, ok := l.hosts[id]
 	return h, ok
 }
@@ -107,7 +107,7 @@
 		}
 	}
 	var told []Host
-	named := make(map[policy.HostID]bool, len(hosts))
+	named := make(map[policy.ServerID]bool, len(hosts))
 	for _, h := range hosts {
 		named[h.ID] = true
 		if was, ok := l.hosts[h.ID]; ok {
--- a/internal/state/fleet/fleet_test.go
+++ b/internal/state/fleet/fleet_test.go
@@ -13,8 +13,8 @@
 	"docksail/policy"
 )
 
-func host(id policy.HostID, started int64, health policy.Health) Host {
-	return Host{ID: id, Address: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(1000+id)), Role: policy.Writer, Zone: "a",
+func host(id policy.ServerID, started int64, health policy.Health) Host {
+	return Host{ID: id, Address: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(1000+id)), Role: policy.Decode, Zone: "a",
 		Cell: "c", Health: health, Started: started}
 }
 
@@ -58,10 +58,10 @@
 // TestFollow: full lists and changes in any mixture leave the same as the last of each host's states.
 func TestFollow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l, truth := New(), map[policy.HostID]Host{}
+		l, truth := New(), map[policy.ServerID]Host{}
 		version := uint64(0)
 		for i := range rapid.IntRange(1, 50).Draw(t, "steps") {
-			h := host(policy.HostID(rapid.IntRange(1, 6).Draw(t, "id")), int64(i+1), policy.Health(rapid.IntRange(0, 2).Draw(t, "health")))
+			h := host(policy.ServerID(rapid.IntRange(1, 6).Draw(t, "id")), int64(i+1), policy.Health(rapid.IntRange(0, 2).Draw(t, "health")))
 			truth[h.ID] = h
 			version++
 			if rapid.IntRange(0, 3).Draw(t, "lost") == 0 {
--- a/internal/state/jobs/jobs.go
+++ b/internal/state/jobs/jobs.go
@@ -18,12 +18,12 @@
 
 // Account is what is owed for one job.
 type Account struct {
-	ID       policy.JobID
+	ID       policy.RequestID
 	answered bool
 	out      bool
-	shot     policy.Shot
+	shot     policy.AttemptNumber
 	launches int32
-	holder   policy.HostID
+	holder   policy.ServerID
 	held     bool
 }
 
@@ -40,26 +40,26 @@
 func (a *Account) Answered() bool { return a.answered }
 
 // Launch takes down a launch and gives its number.
-func (a *Account) Launch() (policy.Shot, error) {
+func (a *Account) Launch() (policy.AttemptNumber, error) {
 	switch {
 	case a.out:
 		return 0, ErrOut
 	case a.answered:
 		return 0, ErrAnswered
 	}
-	a.out, a.shot = true, policy.Shot(a.launches)
+	a.out, a.shot = true, policy.AttemptNumber(a.launches)
 	a.launches++
 	return a.shot, nil
 }
 
 // Out is the number of the launch that is out.
-func (a *Account) Out() (policy.Shot, bool) { return a.shot, a.out }
+func (a *Account) Out() (policy.AttemptNumber, bool) { return a.shot, a.out }
 
 // Launches counts the launches so far.
 func (a *Account) Launches() int32 { return a.launches }
 
 // End takes down the end of a launch.
-func (a *Account) End(shot policy.Shot) error {
+func (a *Account) End(shot policy.AttemptNumber) error {
 	if !a.out || shot != a.shot {
 		return ErrNotOut
 	}
@@ -68,10 +68,10 @@
 }
 
 // Hold takes down that a host holds the state of the job.
-func (a *Account) Hold(at policy.HostID) { a.holder, a.held = at, true }
+func (a *Account) Hold(at policy.ServerID) { a.holder, a.held = at, true }
 
 // Held is the host that holds the state of the job.
-func (a *Account) Held() (policy.HostID, bool) { return a.holder, a.held }
+func (a *Account) Held() (policy.ServerID, bool) { return a.holder, a.held }
 
 // LetGo takes down that nothing is held any more.
 func (a *Account) LetGo() { a.held = false }
@@ -94,7 +94,7 @@
 }
 
 // Add takes a place. The job in it is as its last use left it: the caller sets it up anew.
-func (t *Table[T]) Add() (policy.JobID, *T) {
+func (t *Table[T]) Add() (policy.RequestID, *T) {
 	var i uint32
 	if n := len(t.free); n > 0 {
 		i, t.free = t.free[n-1], t.free[:n-1]
@@ -106,11 +106,11 @@
 	p.gen++
 	p.used = true
 	t.n++
-	return policy.JobID(uint64(p.gen)<<32 | uint64(i)), p.job
+	return policy.RequestID(uint64(p.gen)<<32 | uint64(i)), p.job
 }
 
 // Find gives the job of an id; nil if it is over.
-func (t *Table[T]) Find(id policy.JobID) *T {
+func (t *Table[T]) Find(id policy.RequestID) *T {
 	i, gen := uint32(id), uint32(id>>32)
 	if int(i) < len(t.places) && t.places[i].used && t.places[i].gen == gen {
 		return t.places[i].job
@@ -119,7 +119,7 @@
 }
 
 // Drop frees the place of an id.
-func (t *Table[T]) Drop(id policy.JobID) {
+func (t *Table[T]) Drop(id policy.RequestID) {
 	if t.Find(id) != nil {
 		t.places[uint32(id)].used = false
 		t.free = append(t.free, uint32(id))
@@ -131,10 +131,10 @@
 func (t *Table[T]) Len() int { return t.n }
 
 // Each calls f for every job in hand, in the order of their places; f may drop it.
-func (t *Table[T]) Each(f func(id policy.JobID, job *T)) {
+func (t *Table[T]) Each(f func(id policy.RequestID, job *T)) {
 	for i := range t.places {
 		if p := &t.places[i]; p.used {
-			f(policy.JobID(uint64(p.gen)<<32|uint64(i)), p.job)
+			f(policy.RequestID(uint64(p.gen)<<32|uint64(i)), p.job)
 		}
 	}
 }
--- a/internal/state/jobs/jobs_test.go
+++ b/internal/state/jobs/jobs_test.go
@@ -12,8 +12,8 @@
 func TestTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var table Table[int]
-		model := map[policy.JobID]int{}
-		var ids, old []policy.JobID
+		model := map[policy.RequestID]int{}
+		var ids, old []policy.RequestID
 		for i := range rapid.IntRange(1, 200).Draw(t, "steps") {
 			if len(ids) == 0 || rapid.Bool().Draw(t, "add") {
 				id, v := table.Add()
@@ -32,7 +32,7 @@
 			}
 		}
 		n := 0
-		table.Each(func(id policy.JobID, v *int) {
+		table.Each(func(id policy.RequestID, v *int) {
 			n++
 			if model[id] != *v {
 				t.Fatalf("job %d is %d, want %d", id, *v, model[id])
@@ -58,7 +58,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		a := Account{ID: 1}
 		answers, out := 0, false
-		next := policy.Shot(0)
+		next := policy.AttemptNumber(0)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0:
@@ -77,7 +77,7 @@
 					out, next = true, next+1
 				}
 			case 2:
-				shot := policy.Shot(rapid.IntRange(0, int(next)+1).Draw(t, "shot"))
+				shot := policy.AttemptNumber(rapid.IntRange(0, int(next)+1).Draw(t, "shot"))
 				err := a.End(shot)
 				if (err == nil) != (out && shot == next-1) {
 					t.Fatalf("end of %d: %v while out %v, last %d", shot, err, out, next-1)
--- a/policy/fair_test.go
+++ b/policy/fair_test.go
@@ -13,9 +13,9 @@
 	modules []*Dispatcher
 	wakes   []Nanos
 	now     Nanos
-	free    map[HostID]Nanos // when a reader is through with what it has
-	ends    []shopEnd        // in the order in which they fall due
-	jobs    []shopJob        // by id, from 1
+	free    map[ServerID]Nanos // when a reader is through with what it has
+	ends    []shopEnd          // in the order in which they fall due
+	jobs    []shopJob          // by id, from 1
 }
 
 type shopEnd struct {
@@ -39,16 +39,16 @@
 
 func newShop(t *testing.T, modules int) *shop {
 	t.Helper()
-	s := &shop{now: 10e9, free: map[HostID]Nanos{}}
+	s := &shop{now: 10e9, free: map[ServerID]Nanos{}}
 	for n := range modules {
-		d, err := New(uint64(n), Place{Number: int32(n), Count: int32(modules)}, []Track{{Expected: 1500e6, ExpectedPer1k: 40e6, Patience: shopPatience, Payoff: 1}},
-			nil, []Role{Reader}, ColdStart{}, Launching{Most: 6, Recall: true}, Answering{Slack: 16e6, Round: 4e6, Advice: true, MaxAdvice: 1e9}, Listing{}, 1e9)
+		d, err := New(uint64(n), Place{Number: int32(n), Count: int32(modules)}, []Class{{Target: 1500e6, TargetPer1k: 40e6, Patience: shopPatience, Value: 1}},
+			nil, []Role{Prefill}, ColdStart{}, AttemptLimits{Most: 6, Cancel: true}, Answering{Slack: 16e6, Round: 4e6, Advice: true, MaxAdvice: 1e9}, Listing{}, 1e9)
 		if err != nil {
 			t.Fatal(err)
 		}
 		d.ListBegin(true)
-		for id := HostID(1); id <= shopReaders; id++ {
-			d.HostListed(id, 0, 0, 0, Serving, 0)
+		for id := ServerID(1); id <= shopReaders; id++ {
+			d.ServerListed(id, 0, 0, 0, Serving, 0)
 		}
 		d.ListEnd(s.now)
 		s.modules, s.wakes = append(s.modules, d), append(s.wakes, Never)
@@ -56,7 +56,7 @@
 	return s
 }
 
-func (s *shop) end(at Nanos, n int, job JobID, shot Shot, how Outcome) {
+func (s *shop) end(at Nanos, n int, job RequestID, shot AttemptNumber, how Outcome) {
 	e := shopEnd{ending{at, n, job, shot}, how}
 	i, _ := slices.BinarySearchFunc(s.ends, e, func(a, b shopEnd) int { return cmp.Or(cmp.Compare(a.at, b.at), -1) })
 	s.ends = slices.Insert(s.ends, i, e)
@@ -68,19 +68,19 @@
 		switch what.Verb {
 		case Wake:
 			s.wakes[n] = s.now + what.For
-		case Launch:
-			_, j := d.jobs.find(what.Job)
-			job := &s.jobs[what.Job-1]
+		case Attempt:
+			_, j := d.jobs.find(what.Request)
+			job := &s.jobs[what.Request-1]
 			job.sent = s.now
-			done := max(s.now, s.free[what.Host]) + Nanos(float64(job.prompt)/shopRate*1e9)
+			done := max(s.now, s.free[what.Server]) + Nanos(float64(job.prompt)/shopRate*1e9)
 			if done <= s.now+what.For {
-				s.free[what.Host] = done
-				s.end(done, n, what.Job, Shot(j.launches-1), Read)
+				s.free[what.Server] = done
+				s.end(done, n, what.Request, AttemptNumber(j.launches-1), Read)
 			} else { // withdrawn from the queue before its turn
-				s.end(s.now+what.For, n, what.Job, Shot(j.launches-1), Late)
+				s.end(s.now+what.For, n, what.Request, AttemptNumber(j.launches-1), Late)
 			}
-		case Recall:
-			d.LaunchEnded(s.now, what.Job, what.Shot, Recalled, s.now-s.jobs[what.Job-1].sent, false, NoLoad)
+		case Cancel:
+			d.AttemptEnded(s.now, what.Request, what.Attempt, Canceled, s.now-s.jobs[what.Request-1].sent, false, NoLoad)
 		}
 	}
 }
@@ -95,14 +95,14 @@
 			s.ends = s.ends[1:]
 			job := &s.jobs[e.job-1]
 			job.answered = job.answered || e.how == Read
-			s.modules[e.module].LaunchEnded(s.now, e.job, e.shot, e.how, s.now-job.sent, e.how == Read, NoLoad)
+			s.modules[e.module].AttemptEnded(s.now, e.job, e.shot, e.how, s.now-job.sent, e.how == Read, NoLoad)
 			s.pull(e.module)
 		}
 		for owed += rate * float64(tick) / 1e9; owed >= 1 && s.now < until; owed-- {
 			n := rng.IntN(len(s.modules))
 			job := shopJob{prompt: int64(200 + rng.ExpFloat64()*(shopPrompt-200)), session: SessionKey(rng.IntN(120) + 1)}
 			s.jobs = append(s.jobs, job)
-			s.modules[n].JobArrived(s.now, Job{ID: JobID(len(s.jobs)), Tenant: -1, Session: job.session, Prompt: job.prompt, Deadline: s.now + shopPatience})
+			s.modules[n].RequestArrived(s.now, Request{ID: RequestID(len(s.jobs)), Tenant: -1, Session: job.session, Prompt: job.prompt, Deadline: s.now + shopPatience})
 			s.pull(n)
 		}
 		for n, at := range s.wakes {
--- a/policy/homes_test.go
+++ b/policy/homes_test.go
@@ -6,29 +6,29 @@
 // that has seen so many other jobs, one in every so many of them with that prefix; 0 = none.
 func homesOf(t *testing.T, others, every int) int {
 	const prefix = PrefixKey(99)
-	at := map[HostID]bool{}
+	at := map[ServerID]bool{}
 	for session := range 40 {
-		d, err := New(1, Place{Number: int32(session), Count: 40}, []Track{{Expected: 1e9, Patience: 5e9, Payoff: 1}}, nil, []Role{Reader},
-			ColdStart{}, Launching{Most: 3}, Answering{Round: 1e6}, Listing{}, 1e9)
+		d, err := New(1, Place{Number: int32(session), Count: 40}, []Class{{Target: 1e9, Patience: 5e9, Value: 1}}, nil, []Role{Prefill},
+			ColdStart{}, AttemptLimits{Most: 3}, Answering{Round: 1e6}, Listing{}, 1e9)
 		if err != nil {
 			t.Fatal(err)
 		}
 		now := Nanos(1e9)
 		d.ListBegin(true)
-		for id := range HostID(20) {
-			d.HostListed(id+1, 0, 0, 0, Serving, 0)
+		for id := range ServerID(20) {
+			d.ServerListed(id+1, 0, 0, 0, Serving, 0)
 		}
 		d.ListEnd(now)
-		job := func(id JobID, s SessionKey, p PrefixKey) HostID {
+		job := func(id RequestID, s SessionKey, p PrefixKey) ServerID {
 			now += 1e6
-			d.JobArrived(now, Job{ID: id, Tenant: -1, Session: s, Prefix: p, Prompt: 1500, Shared: 1000, Deadline: now + 5e9})
-			host := HostID(0)
+			d.RequestArrived(now, Request{ID: id, Tenant: -1, Session: s, Prefix: p, Prompt: 1500, Shared: 1000, Deadline: now + 5e9})
+			host := ServerID(0)
 			for what, ok := d.Next(now); ok; what, ok = d.Next(now) {
-				if what.Verb == Launch {
-					host = what.Host
+				if what.Verb == Attempt {
+					host = what.Server
 				}
 			}
-			d.LaunchEnded(now, id, 0, Read, 1e6, true, NoLoad)
+			d.AttemptEnded(now, id, 0, Read, 1e6, true, NoLoad)
 			for _, ok := d.Next(now); ok; _, ok = d.Next(now) {
 			}
 			return host
@@ -38,7 +38,7 @@
 			if every > 0 && n%every == 0 {
 				p = prefix
 			}
-			job(JobID(n+1), SessionKey(5000+100*session+n), p)
+			job(RequestID(n+1), SessionKey(5000+100*session+n), p)
 		}
 		d.holds.by = map[uint64][8]holder{} // the marks of its own jobs are not what is asked about
 		at[job(1000, SessionKey(session+1), prefix)] = true
--- a/policy/ramp_test.go
+++ b/policy/ramp_test.go
@@ -15,14 +15,14 @@
 	now     Nanos
 	ends    []ending // in the order in which they fall due
 	cold    []Nanos  // launches at the host that has just started
-	next    JobID
+	next    RequestID
 }
 
 type ending struct {
 	at     Nanos
 	module int
-	job    JobID
-	shot   Shot
+	job    RequestID
+	shot   AttemptNumber
 }
 
 const (
@@ -30,7 +30,7 @@
 	rampRate    = 600                       // requests a second, all modules together
 	rampTook    = Nanos(60e6)               // a read
 	rampStart   = Nanos(100e9)              // the last host starts
-	rampColdID  = HostID(rampHosts)         // which this is
+	rampColdID  = ServerID(rampHosts)       // which this is
 	rampTick    = Nanos(4e6)                // time between two rounds
 	rampCarried = rampRate / rampHosts * 3. // a warm host, over the window
 )
@@ -40,19 +40,19 @@
 // join starts a module, or starts it anew.
 func (r *ramp) join(t *testing.T, n int) {
 	t.Helper()
-	d, err := New(uint64(n)+uint64(r.now), Place{Number: int32(n), Count: int32(len(r.modules))}, []Track{{Expected: 1e9, Patience: 5e9}}, nil,
-		[]Role{Reader}, rampTerms, Launching{Most: 3}, Answering{Round: rampTick}, Listing{}, 1e9)
+	d, err := New(uint64(n)+uint64(r.now), Place{Number: int32(n), Count: int32(len(r.modules))}, []Class{{Target: 1e9, Patience: 5e9}}, nil,
+		[]Role{Prefill}, rampTerms, AttemptLimits{Most: 3}, Answering{Round: rampTick}, Listing{}, 1e9)
 	if err != nil {
 		t.Fatal(err)
 	}
 	r.modules[n], r.wakes[n] = d, Never
 	d.ListBegin(true)
-	for id := HostID(1); id <= rampHosts; id++ {
+	for id := ServerID(1); id <= rampHosts; id++ {
 		launched := Nanos(0)
 		if id == rampColdID && r.now >= rampStart {
 			launched = rampStart
 		}
-		d.HostListed(id, 0, 0, 0, Serving, launched)
+		d.ServerListed(id, 0, 0, 0, Serving, launched)
 	}
 	d.ListEnd(r.now)
 }
@@ -64,10 +64,10 @@
 		switch what.Verb {
 		case Wake:
 			r.wakes[n] = r.now + what.For
-		case Launch:
-			_, j := d.jobs.find(what.Job)
-			r.ends = append(r.ends, ending{r.now + rampTook, n, what.Job, Shot(j.launches - 1)})
-			if what.Host == rampColdID && r.now >= rampStart {
+		case Attempt:
+			_, j := d.jobs.find(what.Request)
+			r.ends = append(r.ends, ending{r.now + rampTook, n, what.Request, AttemptNumber(j.launches - 1)})
+			if what.Server == rampColdID && r.now >= rampStart {
 				r.cold = append(r.cold, r.now)
 			}
 		}
@@ -81,13 +81,13 @@
 		for len(r.ends) > 0 && r.ends[0].at <= r.now {
 			e := r.ends[0]
 			r.ends = r.ends[1:]
-			r.modules[e.module].LaunchEnded(r.now, e.job, e.shot, Read, rampTook, true, NoLoad)
+			r.modules[e.module].AttemptEnded(r.now, e.job, e.shot, Read, rampTook, true, NoLoad)
 			r.pull(e.module)
 		}
 		for owed += rampRate * float64(rampTick) / 1e9; owed >= 1; owed-- {
 			n := int(float64(len(r.modules)) * math.Pow(rng.Float64(), 2)) // the first tenth gets a third of all
 			r.next++
-			r.modules[n].JobArrived(r.now, Job{ID: r.next, Tenant: -1, Session: SessionKey(r.next), Prompt: 1000, Deadline: r.now + 5e9})
+			r.modules[n].RequestArrived(r.now, Request{ID: r.next, Tenant: -1, Session: SessionKey(r.next), Prompt: 1000, Deadline: r.now + 5e9})
 			r.pull(n)
 		}
 		for n, at := range r.wakes {
@@ -113,7 +113,7 @@
 			r.run(rampStart, rng)
 			for _, d := range r.modules {
 				d.ListBegin(false)
-				d.HostListed(rampColdID, 0, 0, 0, Serving, rampStart)
+				d.ServerListed(rampColdID, 0, 0, 0, Serving, rampStart)
 				d.ListEnd(r.now)
 			}
 			r.run(rampStart+3e9, rng)
--- a/policy/replace_test.go
+++ b/policy/replace_test.go
@@ -4,52 +4,52 @@
 
 // Hosts that are replaced under new names, each in a cell of its own, leave nothing behind.
 func TestReplacedHostsLeaveNothing(t *testing.T) {
-	d, err := New(1, Place{Count: 2}, []Track{{Expected: 1e9, Patience: 5e9, Payoff: 1}}, nil, []Role{Reader, Writer},
-		ColdStart{From: 0.3, Warm: 1e9, Multiple: 2.5, Window: 1e9}, Launching{Most: 6, Recall: true},
+	d, err := New(1, Place{Count: 2}, []Class{{Target: 1e9, Patience: 5e9, Value: 1}}, nil, []Role{Prefill, Decode},
+		ColdStart{From: 0.3, Warm: 1e9, Multiple: 2.5, Window: 1e9}, AttemptLimits{Most: 6, Cancel: true},
 		Answering{Round: 4e6}, Listing{}, 1e9)
 	if err != nil {
 		t.Fatal(err)
 	}
-	now, next := Nanos(1e9), HostID(1)
+	now, next := Nanos(1e9), ServerID(1)
 	d.ListBegin(true)
 	for ; next <= 14; next++ {
-		d.HostListed(next, ZoneID(next%3), KindID(next%2), CellID(next), Serving, 0)
+		d.ServerListed(next, ZoneID(next%3), KindID(next%2), CellID(next), Serving, 0)
 	}
 	d.ListEnd(now)
-	drain := func() (launched HostID) {
+	drain := func() (launched ServerID) {
 		for {
 			what, ok := d.Next(now)
 			if !ok {
 				return launched
 			}
-			if what.Verb == Launch {
-				launched = what.Host
+			if what.Verb == Attempt {
+				launched = what.Server
 			}
 		}
 	}
 	drain()
 	for n := range 10000 {
 		now += 50e6
-		id := JobID(n + 1)
-		d.JobArrived(now, Job{ID: id, Tenant: -1, Session: SessionKey(n/3 + 1), Prompt: 3000, Deadline: now + 5e9})
+		id := RequestID(n + 1)
+		d.RequestArrived(now, Request{ID: id, Tenant: -1, Session: SessionKey(n/3 + 1), Prompt: 3000, Deadline: now + 5e9})
 		reader := drain()
 		if reader == 0 {
 			t.Fatalf("job %d finds no reader", n)
 		}
 		d.ListBegin(false) // the reader goes while the job's state is there; its successor has another name and cell
-		d.HostListed(reader, ZoneID(reader%3), 0, CellID(reader), Gone, 0)
+		d.ServerListed(reader, ZoneID(reader%3), 0, CellID(reader), Gone, 0)
 		for next%2 != 0 {
 			next++
 		}
-		d.HostListed(next, ZoneID(next%3), 0, CellID(next), Serving, 0)
+		d.ServerListed(next, ZoneID(next%3), 0, CellID(next), Serving, 0)
 		next++
 		d.ListEnd(now)
-		d.LaunchEnded(now, id, 0, Read, 1e6, false, NoLoad)
+		d.AttemptEnded(now, id, 0, Read, 1e6, false, NoLoad)
 		if writer := drain(); writer == 0 || writer%2 == 0 {
 			t.Fatalf("job %d: writer %d", n, writer)
 		}
 		d.StreamBegan(now, id, 1, 1e6)
-		d.LaunchEnded(now, id, 1, Honoured, 1e6, true, NoLoad)
+		d.AttemptEnded(now, id, 1, Served, 1e6, true, NoLoad)
 		drain()
 	}
 	if len(d.hosts) > 20 || len(d.byID) > 20 || len(d.cells) > 20 {
--- a/policy/scenario_test.go
+++ b/policy/scenario_test.go
@@ -41,7 +41,7 @@
 	wake    Nanos
 	queue   []Decision
 	log     []string
-	shots   map[int]Shot
+	shots   map[int]AttemptNumber
 	listing bool
 	count   int
 }
@@ -59,7 +59,7 @@
 		for _, part := range strings.Split(string(text), "\n== ")[1:] {
 			name, body, _ := strings.Cut(part, "\n")
 			t.Run(strings.TrimSuffix(filepath.Base(file), ".txt")+"/"+name, func(t *testing.T) {
-				p := &player{t: t, now: 1000 * ms, wake: Never, shots: map[int]Shot{}, set: map[string]int{"expected": 1000,
+				p := &player{t: t, now: 1000 * ms, wake: Never, shots: map[int]AttemptNumber{}, set: map[string]int{"expected": 1000,
 					"per1k": 60, "patience": 5000, "most": 6, "recall": 1, "slack": 16, "round": 4, "release": 500,
 					"from": 30, "warm": 10000, "multiple": 250, "window": 2000, "advice": 1, "maxadvice": 1000, "count": 2}}
 				p.play(strings.Split(body, "\n"))
@@ -102,12 +102,12 @@
 func (p *player) start() {
 	s := func(name string) Nanos { return Nanos(p.set[name]) * ms }
 	var err error
-	p.d, err = New(1, Place{Number: int32(p.set["number"]), Count: int32(p.set["count"])}, []Track{{Expected: s("expected"), ExpectedPer1k: s("per1k"),
-		Patience: s("patience"), Payoff: 1, TokenGap: 50 * ms, Effect: Effect(p.set["effect"]), Group: Group(p.set["group"]),
-		Window: s("memory")}}, []Tenant{{PerSecond: float64(p.set["share"])}}, []Role{Reader, Writer, Mixed},
+	p.d, err = New(1, Place{Number: int32(p.set["number"]), Count: int32(p.set["count"])}, []Class{{Target: s("expected"), TargetPer1k: s("per1k"),
+		Patience: s("patience"), Value: 1, TokenGap: 50 * ms, Effect: Effect(p.set["effect"]), Group: Group(p.set["group"]),
+		Window: s("memory")}}, []Tenant{{PerSecond: float64(p.set["share"])}}, []Role{Prefill, Decode, Mixed},
 		ColdStart{From: float64(p.set["from"]) / 100, Warm: s("warm"), Multiple: float64(p.set["multiple"]) / 100,
 			Window: s("window")},
-		Launching{Most: int32(p.set["most"]), Recall: p.set["recall"] == 1, ReadAtPens: p.set["pens"] == 1},
+		AttemptLimits{Most: int32(p.set["most"]), Cancel: p.set["recall"] == 1, DecodeReads: p.set["pens"] == 1},
 		Answering{Slack: s("slack"), Round: s("round"), Advice: p.set["advice"] == 1, MaxAdvice: s("maxadvice")},
 		Listing{Asked: p.set["asked"] == 1, Within: 10000 * ms}, s("release"))
 	if err != nil {
@@ -125,13 +125,13 @@
 		switch what.Verb {
 		case Wake:
 			p.wake = min(p.wake, p.now+what.For)
-		case Say:
+		case Log:
 			p.log = append(p.log, what.Text)
-		case Launch:
-			if _, again := p.shots[int(what.Job)]; again {
-				p.shots[int(what.Job)]++
+		case Attempt:
+			if _, again := p.shots[int(what.Request)]; again {
+				p.shots[int(what.Request)]++
 			} else {
-				p.shots[int(what.Job)] = 0
+				p.shots[int(what.Request)] = 0
 			}
 			fallthrough
 		default:
@@ -173,7 +173,7 @@
 		if p.listing = true; w[0] == "host" {
 			role := map[string]KindID{"reader": 0, "writer": 1, "mixed": 2}[w[2]]
 			launched := Nanos(opts["launched"]) * ms
-			p.d.HostListed(HostID(id), ZoneID(opts["zone"]), role, CellID(opts["cell"]), Health(opts["health"]), launched)
+			p.d.ServerListed(ServerID(id), ZoneID(opts["zone"]), role, CellID(opts["cell"]), Health(opts["health"]), launched)
 		}
 		return
 	case "restored-failed":
@@ -188,32 +188,32 @@
 		p.now = Nanos(id) * ms
 	case "job":
 		p.settle()
-		p.d.JobArrived(p.now, Job{ID: JobID(id), Tenant: TenantID(opts["tenant"]), Session: SessionKey(opts["session"]),
+		p.d.RequestArrived(p.now, Request{ID: RequestID(id), Tenant: TenantID(opts["tenant"]), Session: SessionKey(opts["session"]),
 			Prefix: PrefixKey(opts["prefix"]), Prompt: int64(opts["prompt"]), Shared: int64(opts["shared"]), Cap: 200,
 			Deadline: p.now + Nanos(opts["patience"])*ms})
 	case "began":
-		p.d.StreamBegan(p.now, JobID(id), p.shots[id], Nanos(opts["after"])*ms)
+		p.d.StreamBegan(p.now, RequestID(id), p.shots[id], Nanos(opts["after"])*ms)
 	case "ended":
-		how, ok := map[string]Outcome{"honoured": Honoured, "read": Read, "turned": Turned, "stateless": Stateless,
+		how, ok := map[string]Outcome{"honoured": Served, "read": Read, "turned": Rejected, "stateless": Stateless,
 			"unreachable": Unreachable, "notsent": NotSent, "failed": Failed, "late": Late, "broken": Broken,
-			"recalled": Recalled, "lapsed": Lapsed}[w[2]]
+			"recalled": Canceled, "lapsed": StaleConnection}[w[2]]
 		if !ok {
 			p.t.Fatalf("%s: unknown outcome", p.at)
 		}
-		p.d.LaunchEnded(p.now, JobID(id), p.shots[id], how, Nanos(opts["after"])*ms, over, NoLoad)
+		p.d.AttemptEnded(p.now, RequestID(id), p.shots[id], how, Nanos(opts["after"])*ms, over, NoLoad)
 		if held := opts["held"]; held == 0 {
-			p.d.HeldSince(p.now, JobID(id), Never)
+			p.d.HeldSince(p.now, RequestID(id), Never)
 		} else if held > 0 {
-			p.d.HeldSince(p.now, JobID(id), Nanos(held)*ms)
+			p.d.HeldSince(p.now, RequestID(id), Nanos(held)*ms)
 		}
 	case "left":
-		p.d.ClientLeft(p.now, JobID(id))
+		p.d.ClientLeft(p.now, RequestID(id))
 	case "expect":
 		p.expect(w[1:])
 	case "tally":
 		p.settle()
 		for _, what := range p.queue {
-			if what.Verb == Launch && int(what.Host) == id {
+			if what.Verb == Attempt && int(what.Server) == id {
 				p.count++
 			}
 		}
@@ -224,7 +224,7 @@
 		}
 		p.count = 0
 	case "restart":
-		p.now, p.wake, p.shots = 1000*ms, Never, map[int]Shot{}
+		p.now, p.wake, p.shots = 1000*ms, Never, map[int]AttemptNumber{}
 		p.set["number"]++
 		p.start()
 	case "nothing":
@@ -247,9 +247,9 @@
 	}
 	got := p.queue[0]
 	p.queue = p.queue[1:]
-	name := map[Verb]string{Launch: "launch", Recall: "recall", Nack: "nack", Abandon: "abandon", LetGo: "letgo",
+	name := map[Verb]string{Attempt: "launch", Cancel: "recall", Reject: "nack", Fail: "abandon", Release: "letgo",
 		Watch: "watch"}[got.Verb]
-	ok := name == w[0] && (len(w) < 2 || fmt.Sprint(got.Job) == w[1])
+	ok := name == w[0] && (len(w) < 2 || fmt.Sprint(got.Request) == w[1])
 	if n := len(w) - 2; n > 0 && w[n] == "before" {
 		before := "never"
 		if got.Before > 0 {
@@ -263,11 +263,11 @@
 	} else if ok && len(w) > 3 {
 		ok = false
 		for _, h := range strings.Split(w[3], "|") {
-			ok = ok || fmt.Sprint(got.Host) == h
+			ok = ok || fmt.Sprint(got.Server) == h
 		}
 	}
 	if !ok {
-		p.t.Fatalf("at %d: %s: got %s %d on %d", p.now/ms, p.at, name, got.Job, got.Host)
+		p.t.Fatalf("at %d: %s: got %s %d on %d", p.now/ms, p.at, name, got.Request, got.Server)
 	}
 }
 
@@ -283,22 +283,22 @@
 	p := &player{t: t, set: map[string]int{"expected": 1000, "patience": 5000, "most": 6, "release": 500, "count": 1}}
 	p.start()
 	p.d.ListBegin(true)
-	p.d.HostListed(1, 0, 0, 0, Serving, 0)
-	p.d.HostListed(2, 0, 1, 0, Serving, 0)
+	p.d.ServerListed(1, 0, 0, 0, Serving, 0)
+	p.d.ServerListed(2, 0, 1, 0, Serving, 0)
 	p.d.ListEnd(0)
-	now, id := 1000*ms, JobID(0)
+	now, id := 1000*ms, RequestID(0)
 	pull := func() {
 		for _, ok := p.d.Next(now); ok; _, ok = p.d.Next(now) {
 		}
 	}
 	one := func() {
 		now, id = now+10*ms, id+1
-		p.d.JobArrived(now, Job{ID: id, Tenant: -1, Session: 5, Prefix: 7, Prompt: 500, Shared: 400, Deadline: now + 5e9})
+		p.d.RequestArrived(now, Request{ID: id, Tenant: -1, Session: 5, Prefix: 7, Prompt: 500, Shared: 400, Deadline: now + 5e9})
 		pull()
-		p.d.LaunchEnded(now, id, 0, Read, 5*ms, false, NoLoad)
+		p.d.AttemptEnded(now, id, 0, Read, 5*ms, false, NoLoad)
 		pull()
 		p.d.StreamBegan(now, id, 1, 5*ms)
-		p.d.LaunchEnded(now, id, 1, Honoured, 5*ms, true, NoLoad)
+		p.d.AttemptEnded(now, id, 1, Served, 5*ms, true, NoLoad)
 		pull()
 	}
 	for range 100 {
--- a/policy/state.go
+++ b/policy/state.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// What is known is kept here: jobs in hand, hosts, who holds which beginning. Nothing here decides.
+// What is known is kept here: requests in hand, servers, who holds which prefix. Nothing here decides.
 
 type phase uint8
 
@@ -12,35 +12,35 @@
 	streaming
 )
 
-// noHost stands for no host at all.
+// noHost stands for no server at all.
 const noHost = int32(-1)
 
 type job struct {
-	Job
+	Request
 	phase    phase
 	used     bool
 	queued   bool // waits in the work queue
 	over     bool // finally answered, or its client left
-	out      bool // a launch is out
-	withdrew bool // its launch was recalled
+	out      bool // an attempt is out
+	withdrew bool // its attempt was cancelled
 	held     bool // a state or place is held for it
-	unsplit  bool // its launch both reads and answers
-	mayRun   bool // some launch may have run
+	unsplit  bool // its attempt both reads and answers
+	mayRun   bool // some attempt may have run
 	doomed   bool // given up; what is held goes first
 	beyond   bool // its tenant was beyond its share when it came
 	launches int32
-	at       int32 // host of the launch that is out
-	reader   int32 // host that holds the state
-	ranAt    int32 // host of the first launch that may have run
+	at       int32 // server of the attempt that is out
+	reader   int32 // server that holds the state
+	ranAt    int32 // server of the first attempt that may have run
 	shunned  [4]int32
 	nshunned int32
-	tokens   int64 // counted as queued at the reader
+	tokens   int64 // counted as queued at the prefill server
 	born     Nanos
-	sent     Nanos // when the launch that is out was sent
+	sent     Nanos // when the attempt that is out was sent
 	ranSince Nanos
 	heldFrom Nanos
 	due      Nanos // to be looked at again
-	expected Nanos // expected time of this job, whole
+	expected Nanos // target of this request, whole
 }
 
 func (j *job) shun(h int32) {
@@ -57,18 +57,18 @@
 	return false
 }
 
-// slab keeps jobs in reused places.
+// slab keeps requests in reused places.
 type slab struct {
 	jobs []job
 	free []int32
-	byID map[JobID]int32
+	byID map[RequestID]int32
 	work []int32 // slots that want a decision, first come first
 	head int
 }
 
-func newSlab() slab { return slab{byID: make(map[JobID]int32)} }
+func newSlab() slab { return slab{byID: make(map[RequestID]int32)} }
 
-func (s *slab) add(given Job) int32 {
+func (s *slab) add(given Request) int32 {
 	var slot int32
 	if n := len(s.free); n > 0 {
 		slot, s.free = s.free[n-1], s.free[:n-1]
@@ -76,7 +76,7 @@
 		slot = int32(len(s.jobs))
 		s.jobs = append(s.jobs, job{})
 	}
-	s.jobs[slot] = job{Job: given, used: true, at: noHost, reader: noHost, ranAt: noHost}
+	s.jobs[slot] = job{Request: given, used: true, at: noHost, reader: noHost, ranAt: noHost}
 	s.byID[given.ID] = slot
 	return slot
 }
@@ -87,7 +87,7 @@
 	s.free = append(s.free, slot)
 }
 
-func (s *slab) find(id JobID) (int32, *job) {
+func (s *slab) find(id RequestID) (int32, *job) {
 	if slot, ok := s.byID[id]; ok {
 		return slot, &s.jobs[slot]
 	}
@@ -114,8 +114,8 @@
 	s.head++
 }
 
-type host struct {
-	id       HostID
+type server struct {
+	id       ServerID
 	zone     ZoneID
 	cell     CellID
 	at       int32 // its place among the cells
@@ -124,38 +124,38 @@
 	goneIn   uint64  // the news that said it is gone
 	launched Nanos   // last known start; 0 = long ago
 	queued   int64   // own prompt tokens sent there and not yet read
-	out      int32   // own launches there that have not answered
-	streams  int32   // own jobs there as a writer, begun or not
-	moved    Nanos   // last answer, or first launch since it stood idle
-	longest  Nanos   // longest allowance for prompt length among the launches out
-	answers  ring    // first answers, as shares of the job's expected time
+	out      int32   // own attempts there that have not answered
+	streams  int32   // own requests there as a decode server, begun or not
+	moved    Nanos   // last answer, or first attempt since it stood idle
+	longest  Nanos   // longest allowance for prompt length among the attempts out
+	answers  ring    // first answers, as shares of the request's target
 	high     float64 // high quantile of them
 	last     float64 // the last of them
-	doubt    float64 // share of recent launches that failed
-	aside    Nanos   // set aside until then
+	doubt    float64 // share of recent attempts that failed
+	aside    Nanos   // ejected until then
 	by       []trackAt
-	spell    Nanos // length of the last spell aside
+	spell    Nanos // length of the last ejection aside
 	trial    bool  // back from aside, not yet proven
 	downed   bool  // has not answered since it could not be reached
 	fullTill Nanos
 	load     Load
 	loadAt   Nanos
-	grantFor Nanos   // start that the grants are for
+	grantFor Nanos   // start that the slow-start grants are for
 	grantAt  Nanos   // granted up to then
-	granted  float64 // launches granted since it started
+	granted  float64 // attempts granted since it started
 	spent    float64 // of those, the ones made or lapsed
 }
 
-// trackAt is how one track does at a host.
+// trackAt is how one class does at a server.
 type trackAt struct {
-	out   int32 // own launches that have not been answered
-	moved Nanos // last answer, or first launch since none was out
-	quiet Nanos // jobs of it are kept from the host until then ...
+	out   int32 // own attempts that have not been answered
+	moved Nanos // last answer, or first attempt since none was out
+	quiet Nanos // requests of it are kept from the server until then ...
 	spell Nanos // ... for so long
 }
 
-// took takes down a launch, gave its answer.
-func (h *host) took(now Nanos, track TrackID) {
+// took takes down an attempt, gave its answer.
+func (h *server) took(now Nanos, track ClassID) {
 	b := &h.by[track]
 	if h.out == 0 {
 		h.moved = now
@@ -166,14 +166,14 @@
 	h.out, b.out = h.out+1, b.out+1
 }
 
-func (h *host) gave(now Nanos, track TrackID) {
+func (h *server) gave(now Nanos, track ClassID) {
 	b := &h.by[track]
 	h.moved, b.moved = now, now
 	h.out, b.out = h.out-1, b.out-1
 }
 
-// restarted forgets what no longer holds once a host's process is another.
-func (h *host) restarted() {
+// restarted forgets what no longer holds once a server's process is another.
+func (h *server) restarted() {
 	h.doubt, h.aside, h.spell, h.trial, h.downed, h.load = 0, 0, 0, false, false, NoLoad
 	h.answers = ring{}
 	for t := range h.by {
@@ -181,8 +181,9 @@
 	}
 }
 
-// vacant gives the place for a new host: that of one which earlier news said is gone and to which nothing in hand
-// refers, else another. It guards against fleets that are replaced again and again under new names.
+// vacant gives the place for a new server: that of one which earlier news said is gone and to which
+// nothing in hand refers, else another. It guards against fleets that are replaced again and again under
+// new names.
 func (d *Dispatcher) vacant() int32 {
 	for i := range d.hosts {
 		h, at := &d.hosts[i], int32(i)
@@ -194,18 +195,18 @@
 		delete(d.byID, h.id)
 		return at
 	}
-	d.hosts = append(d.hosts, host{})
+	d.hosts = append(d.hosts, server{})
 	return int32(len(d.hosts) - 1)
 }
 
-// refersTo tells whether a job in hand has a launch or a state at a host, or may have run there.
+// refersTo tells whether a request in hand has an attempt or a state at a server, or may have run there.
 func (d *Dispatcher) refersTo(at int32) bool {
 	return slices.ContainsFunc(d.jobs.jobs, func(j job) bool {
 		return j.used && (j.at == at || j.reader == at || j.ranAt == at)
 	})
 }
 
-// unshun forgets that jobs have failed at a host.
+// unshun forgets that requests have failed at a server.
 func (d *Dispatcher) unshun(at int32) {
 	for i := range d.jobs.jobs {
 		j := &d.jobs.jobs[i]
@@ -217,14 +218,14 @@
 	}
 }
 
-// cellOf gives the place of a cell, a new one that of a cell without any host.
+// cellOf gives the place of a cell, a new one that of a cell without any server.
 func (d *Dispatcher) cellOf(zone ZoneID, cell CellID) int32 {
 	free := noHost
 	for i := range d.cells {
 		if d.cells[i].id == cell && d.cells[i].zone == zone {
 			return int32(i)
 		}
-		empty := func(h host) bool { return h.at == int32(i) }
+		empty := func(h server) bool { return h.at == int32(i) }
 		if free == noHost && !slices.ContainsFunc(d.hosts, empty) {
 			free = int32(i)
 		}
@@ -268,7 +269,7 @@
 	return fresh[int(q*float64(n-1))]
 }
 
-// holder marks a host as holding a beginning of some length, until a time.
+// holder marks a server as holding a prefix of some length, until a time.
 type holder struct {
 	until  Nanos
 	host   int32
@@ -277,13 +278,13 @@
 
 const fewJobs = 4 // so many others weigh as much as what is usual
 
-// beginnings remembers which hosts hold which beginning; of more than fit, the oldest mark goes. It also
-// counts, over a time, how many of the jobs share one.
+// prefixes remembers which servers hold which prefix; of more than fit, the oldest mark goes. It also
+// counts, over a time, how many of the requests share one.
 type beginnings struct {
 	by   map[uint64][8]holder
 	seen map[uint64]float64
 	all  float64
-	twos float64 // pairs of jobs that share one ...
+	twos float64 // pairs of requests that share one ...
 	both float64 // ... among all pairs
 }
 
@@ -291,16 +292,16 @@
 	return beginnings{by: make(map[uint64][8]holder), seen: make(map[uint64]float64)}
 }
 
-// count takes down that a job shares a beginning.
+// count takes down that a request shares a prefix.
 func (b *beginnings) count(key uint64) {
 	b.twos, b.both = b.twos+b.seen[key], b.both+b.all
 	b.seen[key]++
 	b.all++
 }
 
-// share is the part of all jobs that share a beginning with one that is counted, as far as the others tell.
-// Who has seen few jobs goes by how often any two share one: where beginnings are many, one seen for the
-// first time is rare.
+// share is the part of all requests that share a prefix with one that is counted, as far as the others
+// tell. Who has seen few requests goes by how often any two share one: where prefixes are many, one seen
+// for the first time is rare.
 func (b *beginnings) share(key uint64) float64 {
 	usual := b.twos / max(b.both, 1)
 	return (max(b.seen[key]-1, 0) + fewJobs*usual) / (max(b.all-1, 0) + fewJobs)
@@ -341,7 +342,7 @@
 	return 0
 }
 
-// forget drops a host that has lost what it kept.
+// forget drops a server that has lost what it kept.
 func (b *beginnings) forget(h int32) {
 	for key, list := range b.by {
 		for i := range list {
@@ -353,7 +354,7 @@
 	}
 }
 
-// sweep drops beginnings that nobody holds any more.
+// sweep drops prefixes that nobody holds any more.
 func (b *beginnings) sweep(now Nanos) {
 	for key, list := range b.by {
 		live := false
@@ -414,72 +415,73 @@
 
 func (w *window) send(now Nanos) { w.out, w.sent = w.out+1, now }
 
-// cellPart is a set of hosts on one link: its part of all hosts, and how its readers and writers go together.
+// cellPart is a set of servers on one link: its part of all servers, and how its prefill servers and
+// decode servers go together.
 type cellPart struct {
 	id    CellID
 	zone  ZoneID
 	has   [roleCount]float64
-	pens  float64    // its part of the hosts that answer
-	near  float64    // how much of what its readers read its own writers can take
-	link  window     // own pulls from its readers to other cells
+	pens  float64    // its part of the servers that answer
+	near  float64    // how much of what its prefill servers read its own decode servers can take
+	link  window     // own pulls from its prefill servers to other cells
 	stay  float64    // how much of the rest its zone can
-	spare [2]float64 // share of its writers left for others of its zone, and of other zones
+	spare [2]float64 // share of its decode servers left for others of its zone, and of other zones
 }
 
-// zonePart is what a zone's cells lack, and have to spare, of writers.
+// zonePart is what a zone's cells lack, and have to spare, of decode servers.
 type zonePart struct {
 	lack, spare float64
 }
 
-// intake is the jobs in hand and what is owed for them.
+// intake is the requests in hand and what is owed for them.
 type intake struct {
-	tracks    []Track
-	pace      Nanos // shortest expected time of all tracks: how fast news of the pool goes stale, whatever their order
+	classes   []Class
+	pace      Nanos // shortest target of all classes: how fast news of the pool goes stale, whatever their order
 	tenants   []Tenant
 	answering Answering
 	jobs      slab
 	shares    []bucket // of the tenants
 }
 
-// pool is the hosts, what they hold and how they do.
+// pool is the servers, what they hold and how they do.
 type pool struct {
 	place    Place
 	roles    []Role
-	hosts    []host
-	byID     map[HostID]int32
+	hosts    []server
+	byID     map[ServerID]int32
 	news     uint64 // of the list, counted
 	holds    beginnings
-	recent   [roleCount]ring    // first answers of late, as shares of the expected time
+	recent   [roleCount]ring    // first answers of late, as shares of the target
 	usual    [roleCount]float64 // high quantile of them
-	fellows  [roleCount]float64 // median over hosts of the high quantile of each
+	peerHigh [roleCount]float64 // median over servers of the high quantile of each
 	typical  [roleCount]float64 // and their median
-	carry    [roleCount]float64 // what a warm host answers for this dispatcher over a window
-	answers  [roleCount]float64 // answers of warm hosts of late ...
-	warmTime [roleCount]float64 // ... and how many windows warm hosts served in that time
+	carry    [roleCount]float64 // what a warm server answers for this dispatcher over a window
+	answers  [roleCount]float64 // answers of warm servers of late ...
+	warmTime [roleCount]float64 // ... and how many windows warm servers served in that time
 	cells    []cellPart
 	zones    []zonePart
-	serving  [roleCount]float64 // hosts in service ...
+	serving  [roleCount]float64 // servers in service ...
 	warming  [roleCount]float64 // ... and those of them that warm up
-	homes    []int32            // hosts likely to hold the beginning of the job in hand
+	replicas []int32            // servers likely to hold the prefix of the request in hand
 	own      int32              // the one of them that its session gives
-	pulls    [2]ring            // first answers of writers, as shares of expected: near, far
+	pulls    [2]ring            // first answers of decode servers, as shares of expected: near, far
 }
 
-// guards is what bounds launches and what is held.
+// guards is what bounds attempts and what is held.
 type guards struct {
 	cold      ColdStart
-	launching Launching
+	launching AttemptLimits
 	release   Nanos
 }
 
 // pressure is how much is in hand and how much the pools bear.
 type pressure struct {
-	active int32 // jobs launched and not over
-	room   float64
-	poor   float64           // share of late ones among the last few answers
-	waits  [roleCount]window // own launches unanswered at hosts of a role
-	roomAt Nanos
-	told   bool // an answer came since then
+	active       int32 // requests sent and not over
+	requestLimit float64
+	lateShare    float64           // share of late ones among the last few answers
+	waits        [roleCount]window // own attempts unanswered at servers of a role
+	roomAt       Nanos
+	told         bool // an answer came since then
 }
 
 // clockwork is when to look again, and at what.
@@ -493,8 +495,8 @@
 	watchAt  Nanos
 }
 
-// median of a figure over the hosts of a role that have one.
-func (d *Dispatcher) median(role Role, figure func(h *host) float64) float64 {
+// median of a figure over the servers of a role that have one.
+func (d *Dispatcher) median(role Role, figure func(h *server) float64) float64 {
 	xs := d.scratch[:0]
 	for i := range d.hosts {
 		if h := &d.hosts[i]; h.role == role && h.health == Serving {
@@ -511,7 +513,8 @@
 	return xs[len(xs)/2]
 }
 
-// bucket tells whether a tenant asks for more than its share; it fills at that rate, to one second's worth.
+// bucket tells whether a tenant asks for more than its share; it fills at that rate, to one second's
+// worth.
 type bucket struct {
 	level float64
 	at    Nanos
@@ -528,7 +531,7 @@
 	return false
 }
 
-// countPlaces counts the hosts in service: of all, by role; by cell and zone, as parts of all.
+// countPlaces counts the servers in service: of all, by role; by cell and zone, as parts of all.
 func (d *Dispatcher) countPlaces(now Nanos) {
 	d.serving, d.warming = [roleCount]float64{}, [roleCount]float64{}
 	for i := range d.cells {
@@ -540,7 +543,7 @@
 	for i := range d.hosts {
 		if h := &d.hosts[i]; h.health == Serving && now >= h.aside {
 			d.serving[h.role]++
-			if d.isCold(now, h) {
+			if d.inSlowStart(now, h) {
 				d.warming[h.role]++
 			}
 			d.cells[h.at].has[h.role]++
@@ -548,25 +551,25 @@
 	}
 	for i := range d.cells {
 		c := &d.cells[i]
-		c.pens = (c.has[Writer] + c.has[Mixed]) / max(d.serving[Writer]+d.serving[Mixed], 1)
-		c.has[Reader] /= max(d.serving[Reader], 1)
+		c.pens = (c.has[Decode] + c.has[Mixed]) / max(d.serving[Decode]+d.serving[Mixed], 1)
+		c.has[Prefill] /= max(d.serving[Prefill], 1)
 		for int(c.zone) >= len(d.zones) {
 			d.zones = append(d.zones, zonePart{})
 		}
-		d.zones[c.zone].lack += max(0, c.has[Reader]-c.pens)
-		d.zones[c.zone].spare += max(0, c.pens-c.has[Reader])
+		d.zones[c.zone].lack += max(0, c.has[Prefill]-c.pens)
+		d.zones[c.zone].spare += max(0, c.pens-c.has[Prefill])
 	}
 }
 
-// carried finds what a warm host of each role answers for this dispatcher over a window, averaged over some
-// time. It stays as it was while no host is warm.
+// carried finds what a warm server of each role answers for this dispatcher over a window, averaged over
+// some time. It stays as it was while no server is warm.
 func (d *Dispatcher) carried(now, was, memory Nanos) {
 	if d.cold.Window <= 0 {
 		return
 	}
 	keep := max(0, 1-float64(now-was)/float64(memory))
 	for i := range d.hosts {
-		if h := &d.hosts[i]; h.health == Serving && !d.isCold(now, h) {
+		if h := &d.hosts[i]; h.health == Serving && !d.inSlowStart(now, h) {
 			d.warmTime[h.role] += float64(now-was) / float64(d.cold.Window)
 		}
 	}
@@ -578,7 +581,7 @@
 	}
 }
 
-// expectHeld is how much of a job's prompt a host is expected to have kept.
+// expectHeld is how much of a request's prompt a server is expected to have kept.
 func (d *Dispatcher) expectHeld(now Nanos, j *job, h int32) int64 {
 	kept := int64(0)
 	if j.Prefix != 0 {
@@ -590,11 +593,11 @@
 	return min(kept, j.Prompt)
 }
 
-// rank orders hosts for a pick: the least wins, the first figure counting most.
+// rank orders servers for a pick: the least wins, the first figure counting most.
 type rank [3]int64
 
-// least picks the host of least rank among those that the pick admits; chance settles ties.
-func (d *Dispatcher) least(of func(i int32, h *host) (rank, bool)) int32 {
+// least picks the server of least rank among those that the pick admits; chance settles ties.
+func (d *Dispatcher) least(of func(i int32, h *server) (rank, bool)) int32 {
 	best, ties, low := noHost, int32(0), rank{}
 	for i := range d.hosts {
 		r, ok := of(int32(i), &d.hosts[i])
--- a/policy/told.go
+++ b/policy/told.go
@@ -5,11 +5,11 @@
 	"math"
 )
 
-// What the host tells is taken down here, as far as no judgement goes into it; the rest is in policy.go.
+// What the server tells is taken down here, as far as no judgement goes into it; the rest is in policy.go.
 
 // New starts a dispatcher that knows nothing but its settings. seed feeds all chance.
-func New(seed uint64, place Place, tracks []Track, tenants []Tenant, roles []Role, cold ColdStart,
-	launching Launching, answering Answering, listing Listing, release Nanos) (*Dispatcher, error) {
+func New(seed uint64, place Place, tracks []Class, tenants []Tenant, roles []Role, cold ColdStart,
+	launching AttemptLimits, answering Answering, listing Listing, release Nanos) (*Dispatcher, error) {
 	switch {
 	case len(tracks) == 0:
 		return nil, fmt.Errorf("no tracks")
@@ -24,18 +24,18 @@
 	}
 	shortest, pace := release, Never
 	for i, t := range tracks {
-		if t.Expected <= 0 || t.Patience <= 0 {
+		if t.Target <= 0 || t.Patience <= 0 {
 			return nil, fmt.Errorf("track %d: expected time %d and patience %d: want both above 0",
-				i, t.Expected, t.Patience)
+				i, t.Target, t.Patience)
 		}
-		shortest, pace = min(shortest, t.Expected), min(pace, t.Expected)
+		shortest, pace = min(shortest, t.Target), min(pace, t.Target)
 	}
 	d := &Dispatcher{
-		intake: intake{tracks: tracks, pace: pace, tenants: tenants, answering: answering, jobs: newSlab(),
+		intake: intake{classes: tracks, pace: pace, tenants: tenants, answering: answering, jobs: newSlab(),
 			shares: make([]bucket, len(tenants))},
-		pool:     pool{place: place, roles: roles, byID: make(map[HostID]int32), holds: newBeginnings()},
+		pool:     pool{place: place, roles: roles, byID: make(map[ServerID]int32), holds: newBeginnings()},
 		guards:   guards{cold: cold, launching: launching, release: release},
-		pressure: pressure{room: math.MaxInt32},
+		pressure: pressure{requestLimit: math.MaxInt32},
 		clockwork: clockwork{listing: listing, watching: !listing.Asked, wakeAt: Never, lookAt: Never,
 			step: max(shortest/lookParts, answering.Round, 1)},
 		rng: chance{seed},
@@ -44,7 +44,7 @@
 	return d, nil
 }
 
-// ListBegin opens news of the list; full lists name every host that there is.
+// ListBegin opens news of the list; full lists name every server that there is.
 func (d *Dispatcher) ListBegin(full bool) {
 	d.news++
 	if full {
@@ -56,8 +56,8 @@
 	}
 }
 
-// HostListed is one entry of the news.
-func (d *Dispatcher) HostListed(id HostID, zone ZoneID, kind KindID, cell CellID, health Health,
+// ServerListed is one entry of the news.
+func (d *Dispatcher) ServerListed(id ServerID, zone ZoneID, kind KindID, cell CellID, health Health,
 	launched Nanos) {
 	i, ok := d.byID[id]
 	if !ok {
@@ -66,7 +66,7 @@
 		}
 		i = d.vacant()
 		d.byID[id] = i
-		d.hosts[i] = host{id: id, load: NoLoad, by: make([]trackAt, len(d.tracks))}
+		d.hosts[i] = server{id: id, load: NoLoad, by: make([]trackAt, len(d.classes))}
 	}
 	h := &d.hosts[i]
 	if health == Gone && h.health != Gone {
@@ -85,14 +85,14 @@
 }
 
 // ListEnd closes the news.
-func (d *Dispatcher) ListEnd(now Nanos) { d.look(now) }
+func (d *Dispatcher) ListEnd(now Nanos) { d.review(now) }
 
-// JobArrived hands over a job; from now on it is owed one final answer.
-func (d *Dispatcher) JobArrived(now Nanos, given Job) {
+// RequestArrived hands over a request; from now on it is owed one final answer.
+func (d *Dispatcher) RequestArrived(now Nanos, given Request) {
 	slot := d.jobs.add(given)
-	j, t := &d.jobs.jobs[slot], &d.tracks[given.Track]
+	j, t := &d.jobs.jobs[slot], &d.classes[given.Class]
 	j.born = now
-	j.expected = t.Expected + t.ExpectedPer1k*Nanos(j.Prompt)/1000
+	j.expected = t.Target + t.TargetPer1k*Nanos(j.Prompt)/1000
 	if given.Tenant >= 0 {
 		j.beyond = d.shares[given.Tenant].take(now, d.tenants[given.Tenant].PerSecond/float64(d.place.Count))
 	}
@@ -102,59 +102,59 @@
 	d.jobs.enqueue(slot)
 }
 
-// StreamBegan tells that a launch's answer has begun: from now on it has no deadline.
-func (d *Dispatcher) StreamBegan(now Nanos, id JobID, shot Shot, elapsed Nanos) {
+// StreamBegan tells that an attempt's answer has begun: from now on it has no deadline.
+func (d *Dispatcher) StreamBegan(now Nanos, id RequestID, shot AttemptNumber, elapsed Nanos) {
 	_, j := d.jobs.find(id)
-	if j == nil || !j.out || j.phase == streaming || shot != Shot(j.launches-1) {
+	if j == nil || !j.out || j.phase == streaming || shot != AttemptNumber(j.launches-1) {
 		return
 	}
 	d.answered(now, j, elapsed, true, false)
 	j.phase, j.held, j.due = streaming, false, Never
 }
 
-// LaunchEnded tells how a launch ended; over, that the job is finally answered.
-func (d *Dispatcher) LaunchEnded(now Nanos, id JobID, shot Shot, how Outcome,
+// AttemptEnded tells how an attempt ended; over, that the request is finally answered.
+func (d *Dispatcher) AttemptEnded(now Nanos, id RequestID, shot AttemptNumber, how Outcome,
 	elapsed Nanos, over bool, load Load) {
 	slot, j := d.jobs.find(id)
-	if j == nil || !j.out || shot != Shot(j.launches-1) {
+	if j == nil || !j.out || shot != AttemptNumber(j.launches-1) {
 		return
 	}
 	h := &d.hosts[j.at]
 	if load != NoLoad {
 		h.load, h.loadAt = load, now
 	}
-	d.judge(now, h, j, how)
+	d.recordOutcome(now, h, j, how)
 	if j.phase != streaming {
-		d.answered(now, j, elapsed, how == Read || how == Honoured, how == Late || j.withdrew)
+		d.answered(now, j, elapsed, how == Read || how == Served, how == Late || j.withdrew)
 	}
 	if j.phase != toRead || j.unsplit {
 		h.streams--
 	}
-	if (how == Failed || how == Late || how == Broken || how == Recalled || how == Lapsed) && h.role != Reader && !j.mayRun {
+	if (how == Failed || how == Late || how == Broken || how == Canceled || how == StaleConnection) && h.role != Prefill && !j.mayRun {
 		j.mayRun, j.ranAt, j.ranSince = true, j.at, j.sent
 	}
-	if how != Read && how != Stateless && how != Lapsed && (how != Broken || d.alone(h)) {
+	if how != Read && how != Stateless && how != StaleConnection && (how != Broken || d.failsMoreThanPeers(h)) {
 		j.shun(j.at)
 	}
 	switch {
 	case how == Read:
 		j.phase, j.reader, j.held, j.heldFrom = toWrite, j.at, true, now
-	case how == Stateless: // the state may be cut off rather than gone: it is let go before the next read
+	case how == Stateless: // the state may be cut off rather than gone: it is released before the next read
 		j.phase, j.heldFrom = toRead, now
 		j.shun(j.reader)
 	case j.phase == streaming:
 		over = true
 	case !j.held:
 		j.phase = toRead
-	case how != NotSent && how != Lapsed:
+	case how != NotSent && how != StaleConnection:
 		j.heldFrom = now
 	}
 	j.out, j.over, j.at, j.unsplit = false, j.over || over, noHost, false
 	d.jobs.enqueue(slot)
 }
 
-// ClientLeft tells that nothing more is owed for a job.
-func (d *Dispatcher) ClientLeft(now Nanos, id JobID) {
+// ClientLeft tells that nothing more is owed for a request.
+func (d *Dispatcher) ClientLeft(now Nanos, id RequestID) {
 	if slot, j := d.jobs.find(id); j != nil {
 		j.over = true
 		d.jobs.enqueue(slot)
@@ -165,14 +165,15 @@
 func (d *Dispatcher) Woken(now Nanos) {
 	d.wakeAt = Never
 	if now >= d.lookAt {
-		d.look(now)
+		d.review(now)
 	}
 }
 
-// answered books the first answer of the launch that is out: a read that ended, a stream begun, or a failure.
+// answered books the first answer of the attempt that is out: a read that ended, a stream begun, or a
+// failure.
 func (d *Dispatcher) answered(now Nanos, j *job, elapsed Nanos, good, slow bool) {
 	h := &d.hosts[j.at]
-	h.gave(now, j.Track)
+	h.gave(now, j.Class)
 	d.waits[h.role].out--
 	h.queued = max(h.queued-j.tokens, 0)
 	j.tokens = 0
@@ -190,7 +191,7 @@
 			d.pulls[far].add(now, x)
 			if far == 1 {
 				c := &d.cells[from.at]
-				d.heed(&c.link, x, c.has[Reader]*d.serving[Reader])
+				d.adjustWindow(&c.link, x, c.has[Prefill]*d.serving[Prefill])
 			}
 		}
 	}
@@ -201,22 +202,22 @@
 		return
 	}
 	h.last = x
-	if !d.isCold(now, h) {
+	if !d.inSlowStart(now, h) {
 		d.answers[h.role]++
 	}
-	d.weigh(now, j, h, x)
+	d.recordFirstAnswer(now, j, h, x)
 }
 
-// Belief is what the module holds of a host, for whoever compares it with what is so.
+// Belief is what the module holds of a server, for whoever compares it with what is so.
 type Belief struct {
 	Unread  int64 // own prompt tokens sent there and not yet read
-	Waiting int32 // own launches there that have not answered
-	Writing int32 // own jobs there as a writer, begun or not
-	Aside   bool  // kept from new jobs, or on trial
+	Waiting int32 // own attempts there that have not answered
+	Writing int32 // own requests there as a decode server, begun or not
+	Aside   bool  // kept from new requests, or on trial
 }
 
-// Believes tells what is held of a host; false if it is not known.
-func (d *Dispatcher) Believes(now Nanos, id HostID) (Belief, bool) {
+// Believes tells what is held of a server; false if it is not known.
+func (d *Dispatcher) Believes(now Nanos, id ServerID) (Belief, bool) {
 	i, ok := d.byID[id]
 	if !ok {
 		return Belief{}, false
--- a/policy/types.go
+++ b/policy/types.go
@@ -1,46 +1,46 @@
-// Package policy decides, for one dispatcher, where each job is read and where it is answered.
-// This file is its interface: ids, what the host tells it and what it answers.
+// Package policy decides, for one dispatcher, where each request is read and where it is answered. This
+// file is its interface: ids, what its caller tells it and what it answers.
 package policy
 
-// Nanos is a time on the host's clock, or a span of it, in whole nanoseconds.
+// Nanos is a time on the caller's clock, or a span of it, in whole nanoseconds.
 type Nanos int64
 
 // Never is later than every time on the clock.
 const Never = Nanos(1 << 62)
 
 type (
-	JobID      uint64 // a job, as the host names it
-	HostID     uint32 // a model host, as the list names it
-	SessionKey uint64 // a conversation; 0 = none
-	PrefixKey  uint64 // a beginning shared with other sessions; 0 = none
-	TrackID    int32  // an index into the tracks given at start
-	TenantID   int32  // an index into the tenants given at start; -1 = none
-	ZoneID     int32  // an index into the zones of the settings
-	KindID     int32  // an index into the kinds of host given at start
-	CellID     int64  // hosts on one link, within a zone
-	Shot       int32  // the number of a launch within its job, from 0
+	RequestID     uint64 // a request, as the server names it
+	ServerID      uint32 // a server, as the list names it
+	SessionKey    uint64 // a conversation; 0 = none
+	PrefixKey     uint64 // a prefix shared with other sessions; 0 = none
+	ClassID       int32  // an index into the classes given at start
+	TenantID      int32  // an index into the tenants given at start; -1 = none
+	ZoneID        int32  // an index into the zones of the settings
+	KindID        int32  // an index into the kinds of server given at start
+	CellID        int64  // servers on one link, within a zone
+	AttemptNumber int32  // the number of an attempt within its request, from 0
 )
 
-// Role is what a kind of model host can do.
+// Role is what a kind of server can do.
 type Role uint8
 
 const (
-	Reader Role = iota
-	Writer
+	Prefill Role = iota
+	Decode
 	Mixed
 	roleCount
 )
 
-// Effect says what a repeated run of a job would do.
+// Effect says what a repeated run of a request would do.
 type Effect uint8
 
 const (
-	Redoable     Effect = iota // may run any number of times
-	Labelled                   // repeats are known and dropped within a group of hosts, for a time
-	Irreversible               // must never run twice
+	Idempotent    Effect = iota // may run any number of times
+	Deduplicated                // repeats are known and dropped within a group of servers, for a time
+	NonIdempotent               // must never run twice
 )
 
-// Group is the set of hosts that knows a labelled job's repeats.
+// Group is the set of servers that knows a deduplicated request's repeats.
 type Group uint8
 
 const (
@@ -49,7 +49,7 @@
 	GroupCell
 )
 
-// Health is what the list says of a host's process.
+// Health is what the list says of a server's process.
 type Health uint8
 
 const (
@@ -58,34 +58,34 @@
 	Gone
 )
 
-// Outcome is how a launch ended.
+// Outcome is how an attempt ended.
 type Outcome uint8
 
 const (
-	Honoured    Outcome = iota // answered to the end
-	Read                       // the prompt is read, its state waits at the reader
-	Turned                     // turned away: full, draining
-	Stateless                  // turned away: there was no state to fetch
-	Unreachable                // no connection; it never ran
-	NotSent                    // never left the dispatcher
-	Failed                     // the host returned an error
-	Late                       // its time ran out
-	Broken                     // the connection broke
-	Recalled                   // withdrawn
-	Lapsed                     // lost with a connection kept from before, dead by then: it may have run
+	Served          Outcome = iota // answered to the end
+	Read                           // the prompt is read, its state waits at the prefill server
+	Rejected                       // turned away: full, draining
+	Stateless                      // turned away: there was no state to fetch
+	Unreachable                    // no connection; it never ran
+	NotSent                        // never left the dispatcher
+	Failed                         // the server returned an error
+	Late                           // its time ran out
+	Broken                         // the connection broke
+	Canceled                       // withdrawn
+	StaleConnection                // lost with a connection kept from before, dead by then: it may have run
 )
 
-// Track is one class of jobs.
-type Track struct {
-	Expected      Nanos // first token wanted within this time of arrival ...
-	ExpectedPer1k Nanos // ... and so much more for each 1,000 prompt tokens
-	Patience      Nanos // the client's whole patience, all its tries together
-	Payoff        float64
-	LatePayoff    float64 // share paid after the expected time
-	TokenGap      Nanos   // wanted between tokens
-	Effect        Effect
-	Group         Group
-	Window        Nanos // for this long the group remembers a labelled job
+// Class is one class of requests.
+type Class struct {
+	Target      Nanos // first token wanted within this time of arrival ...
+	TargetPer1k Nanos // ... and so much more for each 1,000 prompt tokens
+	Patience    Nanos // the client's whole time, all its tries together
+	Value       float64
+	LateValue   float64 // share paid after the target
+	TokenGap    Nanos   // wanted between tokens
+	Effect      Effect
+	Group       Group
+	Window      Nanos // for this long the group remembers a deduplicated request
 }
 
 // Tenant is one payer and what it is entitled to, over all dispatchers.
@@ -97,19 +97,19 @@
 	Zone          ZoneID
 }
 
-// ColdStart describes hosts that have just started, and what topples them.
+// ColdStart describes servers that have just started, and what topples them.
 type ColdStart struct {
-	From     float64 // share of its capacity with which a host starts, at least
+	From     float64 // share of its capacity with which a server starts, at least
 	Warm     Nanos   // warm after this time
 	Multiple float64 // sent this multiple of what it can do ...
 	Window   Nanos   // ... over this long, it falls over
 }
 
-// Launching bounds what may be sent.
-type Launching struct {
-	Most       int32 // launches for one job
-	Recall     bool
-	ReadAtPens bool // writers read a prompt themselves when no state waits
+// AttemptLimits bounds what may be sent.
+type AttemptLimits struct {
+	Most        int32 // attempts for one request
+	Cancel      bool
+	DecodeReads bool // decode servers read a prompt themselves when no state waits
 }
 
 // Answering bounds final answers.
@@ -120,61 +120,61 @@
 	MaxAdvice Nanos
 }
 
-// Listing says how the list of hosts is come by.
+// Listing says how the list of servers is come by.
 type Listing struct {
 	Asked  bool  // only on request
 	Within Nanos // to be asked for at least so often
 }
 
-// Job is what the client tells of a job.
-type Job struct {
-	ID       JobID
-	Track    TrackID
+// Request is what the client tells of a request.
+type Request struct {
+	ID       RequestID
+	Class    ClassID
 	Tenant   TenantID
 	Session  SessionKey
 	Prefix   PrefixKey
 	Prompt   int64 // tokens of the prompt
-	Shared   int64 // how many of them are the shared beginning
+	Shared   int64 // how many of them are the shared prefix
 	Cap      int64 // most tokens in the answer
 	Deadline Nanos // the client gives this try up then
 	Hint     Nanos // rough length of the answer; 0 = none
 	Repeat   bool
 }
 
-// Load is a host's own report; a negative value was not reported.
+// Load is a server's own report; a negative value was not reported.
 type Load struct {
 	Requests float64 // held now
 	Memory   float64 // share held
 	Unread   float64 // prompt tokens waiting to be read or fetched
 }
 
-// NoLoad is the report of a host that reports nothing.
+// NoLoad is the report of a server that reports nothing.
 var NoLoad = Load{-1, -1, -1}
 
-// Verb names what a decision asks of the host program.
+// Verb names what a decision asks of the caller.
 type Verb uint8
 
 const (
-	Launch  Verb = iota + 1 // send Job to Host, for at most For
-	Recall                  // withdraw launch Shot of Job
-	Nack                    // final: refused, may come back after For
-	Abandon                 // final: failed
-	LetGo                   // let go of what is held for Job
+	Attempt Verb = iota + 1 // send Request to Server, for at most For
+	Cancel                  // withdraw attempt Shot of Request
+	Reject                  // final: refused, may come back after For
+	Fail                    // final: failed
+	Release                 // released what is held for Request
 	Wake                    // call Woken after For
 	Watch                   // subscribe to the list
-	Say                     // write Text to the log
+	Log                     // write Text to the log
 )
 
 // Decision is one thing to be done now.
 type Decision struct {
-	Verb Verb
-	Job  JobID
-	Host HostID
-	Shot Shot
-	For  Nanos
-	Kept int64 // of a launch that reads: prompt tokens expected to be kept there
-
-	// Before is until when a launch may begin to be written; 0 = that does not matter.
+	Verb    Verb
+	Request RequestID
+	Server  ServerID
+	Attempt AttemptNumber
+	For     Nanos
+	Kept    int64 // of an attempt that reads: prompt tokens expected to be kept there
+
+	// Before is until when an attempt may begin to be written; 0 = that does not matter.
 	Before Nanos
 	Text   string
 }
