--- a/internal/node/crossing_test.go
+++ b/internal/node/crossing_test.go
@@ -1,6 +1,7 @@
 package node
 
 import (
+	"net"
 	"strings"
 	"testing"
 	"time"
@@ -370,3 +371,33 @@
 		t.Error("another call came meanwhile")
 	}
 }
+
+// Idle clients that fill the descriptors while discovery is away leave one for the watch, and for those that ask.
+func TestIdleClientsWhileDiscoveryIsAway(t *testing.T) {
+	s := newStage(t)
+	s.host("r1", "prefill", read)
+	s.host("w1", "decode", write)
+	s.start(64)
+	away := newPeer(t)
+	at := away.ln.Addr().String()
+	away.ln.Close()
+	s.discoveryAt(away) // nobody listens there
+	for range 200 {
+		s.dial()
+	}
+	back, err := net.Listen("tcp", at)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer back.Close()
+	conn, err := back.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	watch := newPeerConn(t, conn)
+	watch.request()
+	had, _ := s.node.View()
+	watch.send(watchHead + chunk(listText(exit.List{Version: 3, Full: true, Servers: s.hosts})))
+	until(t, "the list", func() bool { v, _ := s.node.View(); return v.Exit.News > had.Exit.News })
+	s.served(s.dial(), 1)
+}
--- a/policy/fair_test.go
+++ b/policy/fair_test.go
@@ -26,6 +26,8 @@
 type shopJob struct {
 	prompt   int64
 	session  SessionKey
+	class    ClassID
+	tenant   TenantID
 	sent     Nanos // the launch that is out
 	answered bool
 }
@@ -37,12 +39,15 @@
 	shopPatience = Nanos(6e9)
 )
 
-func newShop(t *testing.T, modules int) *shop {
+// shopClass is the class of a shop in which there is but one.
+var shopClass = Class{Target: 1500e6, TargetPer1k: 40e6, Patience: shopPatience, Value: 1}
+
+func newShop(t *testing.T, modules int, tenants []Tenant, classes ...Class) *shop {
 	t.Helper()
 	s := &shop{now: 10e9, free: map[ServerID]Nanos{}}
 	for n := range modules {
-		d, err := New(uint64(n), Place{Number: int32(n), Count: int32(modules)}, []Class{{Target: 1500e6, TargetPer1k: 40e6, Patience: shopPatience, Value: 1}},
-			nil, []Role{Prefill}, ColdStart{}, AttemptLimits{Most: 6, Cancel: true}, Answering{Slack: 16e6, Round: 4e6, Advice: true, MaxAdvice: 1e9}, Listing{}, 1e9)
+		d, err := New(uint64(n), Place{Number: int32(n), Count: int32(modules)}, classes, tenants, []Role{Prefill}, ColdStart{},
+			AttemptLimits{Most: 6, Cancel: true}, Answering{Slack: 16e6, Round: 4e6, Advice: true, MaxAdvice: 1e9}, Listing{}, 1e9)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -85,8 +90,8 @@
 	}
 }
 
-// play has jobs come for so long, at a load that is a part of what the readers bear.
-func (s *shop) play(span Nanos, load float64, rng *rand.Rand) {
+// play has jobs come for so long, at a load that is a part of what the readers bear; whose draws a job's class and tenant.
+func (s *shop) play(span Nanos, load float64, rng *rand.Rand, whose func() (ClassID, TenantID)) {
 	const tick = Nanos(4e6)
 	rate, owed := load*shopReaders*shopRate/shopPrompt, 0.0
 	for until := s.now + span; s.now < until || len(s.ends) > 0; s.now += tick {
@@ -101,8 +106,9 @@
 		for owed += rate * float64(tick) / 1e9; owed >= 1 && s.now < until; owed-- {
 			n := rng.IntN(len(s.modules))
 			job := shopJob{prompt: int64(200 + rng.ExpFloat64()*(shopPrompt-200)), session: SessionKey(rng.IntN(120) + 1)}
+			job.class, job.tenant = whose()
 			s.jobs = append(s.jobs, job)
-			s.modules[n].RequestArrived(s.now, Request{ID: RequestID(len(s.jobs)), Tenant: -1, Session: job.session, Prompt: job.prompt, Deadline: s.now + shopPatience})
+			s.modules[n].RequestArrived(s.now, Request{ID: RequestID(len(s.jobs)), Class: job.class, Tenant: job.tenant, Session: job.session, Prompt: job.prompt, Deadline: s.now + shopPatience})
 			s.pull(n)
 		}
 		for n, at := range s.wakes {
@@ -133,8 +139,8 @@
 func TestLongPromptsAndSessionsAreServed(t *testing.T) {
 	for _, c := range []struct{ load, least float64 }{{0.6, 2.0 / 3}, {0.9, 2.0 / 3}, {1.3, 1.0 / 2}} {
 		t.Run(fmt.Sprint(c.load), func(t *testing.T) {
-			s := newShop(t, 4)
-			s.play(60e9, c.load, rand.New(rand.NewPCG(1, 0)))
+			s := newShop(t, 4, nil, shopClass)
+			s.play(60e9, c.load, rand.New(rand.NewPCG(1, 0)), func() (ClassID, TenantID) { return 0, -1 })
 			var prompts []int64
 			sessions := map[SessionKey]bool{}
 			for _, j := range s.jobs {
@@ -161,3 +167,38 @@
 		})
 	}
 }
+
+// Beyond what the readers bear no class is left out, whatever its target, its worth and its place in the settings.
+func TestNoClassIsLeftOut(t *testing.T) {
+	slow := Class{Target: 4e9, TargetPer1k: 40e6, Patience: shopPatience, Value: 5}
+	for what, classes := range map[string][]Class{"quick first": {shopClass, slow}, "slow first": {slow, shopClass}} {
+		rng := rand.New(rand.NewPCG(2, 0))
+		s := newShop(t, 4, nil, classes...)
+		s.play(60e9, 1.3, rng, func() (ClassID, TenantID) { return ClassID(rng.IntN(2)), -1 })
+		all := s.share(func(shopJob) bool { return true })
+		for id := range classes {
+			if got := s.share(func(j shopJob) bool { return j.class == ClassID(id) }); got < all/2 {
+				t.Errorf("%s: %.2f of class %d are answered, of all %.2f", what, got, id, all)
+			}
+		}
+	}
+}
+
+// A tenant that asks for what it is entitled to is served better than one that asks for far more.
+func TestTenantWithinItsShare(t *testing.T) {
+	const bears = shopReaders * shopRate / shopPrompt // requests a second
+	rng := rand.New(rand.NewPCG(3, 0))
+	s := newShop(t, 4, []Tenant{{PerSecond: bears / 2}, {PerSecond: bears / 2}}, shopClass)
+	s.play(60e9, 1.5, rng, func() (ClassID, TenantID) {
+		if rng.IntN(4) == 0 {
+			return 0, 0
+		}
+		return 0, 1 // three times as much as the other, beyond its share
+	})
+	within := s.share(func(j shopJob) bool { return j.tenant == 0 })
+	beyond := s.share(func(j shopJob) bool { return j.tenant == 1 })
+	if within < beyond+0.05 || within < 0.5 {
+		t.Errorf("answered: %.2f of the tenant within its share, %.2f of the other", within, beyond)
+	}
+	t.Logf("%.2f and %.2f", within, beyond)
+}
