--- a/internal/decide/gate/gate.go
+++ b/internal/decide/gate/gate.go
@@ -49,6 +49,10 @@
 	return Taken, 0
 }
 
+// OverdueAfter is how long after its client's deadline a request without an answer is taken for forgotten, in nanoseconds:
+// later than any answer that was decided, and well within the half second in which an answer still counts as given.
+const OverdueAfter = 100e6
+
 // End is how a job ends that is in hand when the dispatcher's time to drain is up.
 type End uint8
 
--- a/internal/decide/peers/peers.go
+++ b/internal/decide/peers/peers.go
@@ -28,6 +28,8 @@
 	restLeast = 2 * second
 	// A client may be slow to take its last answer; one that takes nothing of it for so long is gone.
 	takeWithin = 15 * second
+	// However slowly it takes it, a last answer has so long in all: some would hold a descriptor for ever by a byte now and then.
+	lingerMost = 60 * second
 	// In a crowd a client that has said nothing for so long is taken for one that never will.
 	silentLeast = second / 4
 )
@@ -51,8 +53,17 @@
 }
 
 // Lingers tells that a connection that is over stays beyond its time: so many bytes of its last answer still wait for the
-// client, which last took some at that time.
-func Lingers(now, taken int64, waiting int) bool { return waiting > 0 && now-taken < takeWithin }
+// client, which last took some at that time; over is since when the connection is.
+func Lingers(now, over, taken int64, waiting int) bool {
+	return waiting > 0 && now-taken < takeWithin && now-over < lingerMost
+}
+
+// UnreadAgain is how long after its time a connection is looked at again on which something came in that moment: by then it
+// is read.
+const UnreadAgain = second / 100
+
+// CrowdTries is how many connections of a kind are looked at to find one that may end for a new one.
+const CrowdTries = 4
 
 // Choice is what makes room for a new connection.
 type Choice uint8
--- a/internal/decide/peers/peers_test.go
+++ b/internal/decide/peers/peers_test.go
@@ -62,8 +62,10 @@
 		taken   int64
 		waiting int
 		want    bool
-	}{{now - second, 1, true}, {now - second, 0, false}, {now - takeWithin, 1, false}} {
-		if got := Lingers(now, c.taken, c.waiting); got != c.want {
+		over    int64
+	}{{now - second, 1, true, now - 3*second}, {now - second, 0, false, now - 3*second}, {now - takeWithin, 1, false, now - 3*second},
+		{now - second, 1, false, now - lingerMost}} {
+		if got := Lingers(now, c.over, c.taken, c.waiting); got != c.want {
 			t.Errorf("taken %d s ago, %d waiting: %v", (now-c.taken)/second, c.waiting, got)
 		}
 	}
--- a/internal/decide/watch/watch.go
+++ b/internal/decide/watch/watch.go
@@ -46,6 +46,14 @@
 	return Answer
 }
 
+// RetryAfter tells the same with regard to refusals, so many in a row.
+func RetryAfter(failures, refusals int, chance float64) int64 {
+	if refusals > 0 {
+		return RetryRefused(refusals, chance)
+	}
+	return Retry(failures, chance)
+}
+
 // RetryRefused tells the same after a call that discovery answered with a refusal, the so-manieth in a row: it is there and
 // has more calls than it takes, so each refusal doubles the wait. Whole fleets that asked again at once kept each other out
 // for as long as they did.
--- a/internal/dispatch/requests.go
+++ b/internal/dispatch/requests.go
@@ -53,10 +53,6 @@
 	d         *Dispatcher
 }
 
-// overdueAfter is how long after a client's deadline a job without an answer is taken for forgotten: later than any answer
-// that was decided, and well within the half second in which an answer still counts as given.
-const overdueAfter = 100e6 // nanoseconds
-
 // key hashes a name under the settings' key and its owner, the same at every dispatcher; 0 stands for no name.
 func (d *Dispatcher) key(kind byte, owner policy.TenantID, name []byte) uint64 {
 	if len(name) == 0 {
@@ -145,7 +141,7 @@
 	if j.onTimer == nil {
 		j.onTimer, j.onOverdue = j.due, j.forgotten
 	}
-	d.l.At(&j.overdue, now+left+overdueAfter, j.onOverdue)
+	d.l.At(&j.overdue, now+left+gate.OverdueAfter, j.onOverdue)
 	if r.Timeout > 0 {
 		j.ends = now + r.Timeout
 	}
--- a/internal/exit/platform/discovery.go
+++ b/internal/exit/platform/discovery.go
@@ -98,10 +98,7 @@
 
 // later tries again after a while.
 func (s *discovery) later(now loop.Nanos) {
-	wait := decide.Retry(s.failures, s.x.rng.Float64())
-	if s.refusals > 0 {
-		wait = decide.RetryRefused(s.refusals, s.x.rng.Float64())
-	}
+	wait := decide.RetryAfter(s.failures, s.refusals, s.x.rng.Float64())
 	s.x.l.At(&s.timer, now+max(wait, 1), s.onTimer)
 }
 
--- a/internal/front/platform/server.go
+++ b/internal/front/platform/server.go
@@ -141,9 +141,6 @@
 	return c
 }
 
-// crowdTries is how many connections of a kind are looked at to find one that may end.
-const crowdTries = 4
-
 // makeRoom ends a connection for a new one, if there is one to end.
 func (s *Server) makeRoom() bool {
 	s.Counts.Crowded++
@@ -165,9 +162,9 @@
 // firstQuiet gives the connection of a kind that has stood longest, passing over those with bytes that are not read or an
 // answer that is not taken yet: to close one would reset it. nil if there is none among the first few.
 func (s *Server) firstQuiet(stage *order.Heap[*conn]) (found *conn) {
-	var passed [crowdTries]*conn
+	var passed [peers.CrowdTries]*conn
 	n := 0
-	for ; n < crowdTries && stage.Len() > 0 && found == nil; n++ {
+	for ; n < peers.CrowdTries && stage.Len() > 0 && found == nil; n++ {
 		c := stage.Min()
 		if c.lc.Quiet() && c.lc.Queued() == 0 {
 			found = c
@@ -252,9 +249,6 @@
 	}
 }
 
-// unreadAgain is when a connection whose time is up as something came on it is looked at again: by then that is read.
-const unreadAgain = loop.Nanos(10e6)
-
 // due ends a connection that has stood as it is for too long.
 func (c *conn) due(now loop.Nanos) {
 	c.now = now
@@ -265,7 +259,7 @@
 		c.last = true
 		c.next()
 	case c.stage == peers.Silent && !c.lc.Quiet():
-		c.s.l.At(&c.timer, now+unreadAgain, c.onTimer)
+		c.s.l.At(&c.timer, now+peers.UnreadAgain, c.onTimer)
 	case c.stage == peers.Over && c.lingers():
 		c.s.l.At(&c.timer, peers.Until(peers.Over, now), c.onTimer)
 	default:
@@ -279,7 +273,7 @@
 	if waiting < c.unsent {
 		c.unsent, c.taken = waiting, c.now
 	}
-	return peers.Lingers(c.now, c.taken, waiting)
+	return peers.Lingers(c.now, c.since, c.taken, waiting)
 }
 
 func (c *conn) Opened(now loop.Nanos) {
