--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -11,10 +11,10 @@
 	"net/netip"
 	"os"
 	"runtime"
+	"sync"
 	"sync/atomic"
 	"time"
 
-	"github.com/puzpuzpuz/xsync/v4"
 	"golang.org/x/sys/unix"
 )
 
@@ -26,6 +26,10 @@
 	backlog    = 4096                  // connections that may wait to be accepted
 	postRoom   = 1 << 14               // calls from other threads that may wait
 	acceptRest = 50 * time.Millisecond // a listener rests so long after the process ran out of descriptors
+
+	// waitMost is the longest wait for events. Go's runtime stops all goroutines for a moment in each garbage collection;
+	// where that meets this goroutine as it enters the wait, the others stand still until the wait is over (Go 1.26).
+	waitMost = 100 * time.Millisecond
 )
 
 // Nanos is a time on the loop's monotonic clock, in nanoseconds since the loop was made.
@@ -56,10 +60,8 @@
 	dead     []*Conn
 	buf      []byte
 	pool     bufPool
-	posts    *xsync.MPMCQueue[func()]
-	awake    atomic.Bool
+	posts    postQueue
 	stop     atomic.Bool
-	dropped  atomic.Uint64
 	conns    int
 	lag      Nanos // how long the last turn took beyond waiting
 	rests    uint64
@@ -88,8 +90,7 @@
 
 // New makes a loop; it holds four descriptors until Close.
 func New() (*Loop, error) {
-	l := &Loop{start: time.Now(), timers: newTimers(), byFD: make(map[int32]registration), buf: make([]byte, readSize),
-		posts: xsync.NewMPMCQueue[func()](postRoom)}
+	l := &Loop{start: time.Now(), timers: newTimers(), byFD: make(map[int32]registration), buf: make([]byte, readSize)}
 	var err error
 	if l.ep, err = unix.EpollCreate1(unix.EPOLL_CLOEXEC); err != nil {
 		return nil, os.NewSyscallError("epoll_create1", err)
@@ -164,19 +165,21 @@
 		l.world.push(l.world.now, l, calls).call = f
 		return true
 	}
-	if !l.posts.TryEnqueue(f) {
-		l.dropped.Add(1)
-		return false
-	}
-	if !l.awake.Swap(true) {
-		one := [8]byte{1}
-		unix.Write(l.wake, one[:])
+	taken, first := l.posts.put(f)
+	if first {
+		l.wakeUp()
 	}
-	return true
+	return taken
 }
 
 // Dropped counts calls that Post could not take.
-func (l *Loop) Dropped() uint64 { return l.dropped.Load() }
+func (l *Loop) Dropped() uint64 { return l.posts.droppedCount() }
+
+// wakeUp ends the loop's wait for events.
+func (l *Loop) wakeUp() {
+	one := [8]byte{1}
+	unix.Write(l.wake, one[:])
+}
 
 // Stop ends Run after its present turn. Any goroutine may call it.
 func (l *Loop) Stop() {
@@ -184,23 +187,54 @@
 	if l.world != nil {
 		return
 	}
-	one := [8]byte{1}
-	unix.Write(l.wake, one[:])
+	l.wakeUp()
 }
 
+// postQueue holds the calls from other goroutines until the loop takes them all at once.
+type postQueue struct {
+	mu      sync.Mutex
+	calls   []func()
+	taken   []func() // those of the last turn: its memory is used again
+	dropped uint64
+}
+
+// put adds a call if there is room; first tells that none waited before it.
+func (q *postQueue) put(call func()) (taken, first bool) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if len(q.calls) >= postRoom {
+		q.dropped++
+		return false, false
+	}
+	q.calls = append(q.calls, call)
+	return true, len(q.calls) == 1
+}
+
+// takeAll gives the calls that wait, valid until it is called again.
+func (q *postQueue) takeAll() []func() {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.calls, q.taken = q.taken[:0], q.calls
+	return q.taken
+}
+
+func (q *postQueue) droppedCount() uint64 {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return q.dropped
+}
+
+// waker is the descriptor by which other goroutines wake the loop.
 type waker struct{}
 
 func (waker) ready(l *Loop, _ uint32) {
 	var b [8]byte
 	unix.Read(l.wake, b[:])
-	l.awake.Store(false)
-	for range postRoom {
-		f, ok := l.posts.TryDequeue()
-		if !ok {
-			return
-		}
-		f()
+	calls := l.posts.takeAll()
+	for _, call := range calls {
+		call()
 	}
+	clear(calls) // what they hold is not needed any more
 }
 
 func (l *Loop) watch(fd int, events uint32, s source) error {
@@ -230,7 +264,7 @@
 	defer runtime.UnlockOSThread()
 	events := make([]unix.EpollEvent, eventsTurn)
 	for !l.stop.Load() {
-		n, err := unix.EpollWait(l.ep, events, l.patience())
+		n, err := unix.EpollWait(l.ep, events, l.waitTime())
 		if err != nil && err != unix.EINTR {
 			return os.NewSyscallError("epoll_wait", err)
 		}
@@ -251,21 +285,17 @@
 	return nil
 }
 
-// patience is how long to wait for events, in whole milliseconds, rounded up.
-func (l *Loop) patience() int {
+// waitTime is how long to wait for events, in whole milliseconds, rounded up.
+func (l *Loop) waitTime() int {
 	if l.again || len(l.dirty) > 0 || len(l.dead) > 0 {
 		l.again = false
 		return 0
 	}
-	at, ok := l.timers.next()
-	if !ok {
-		return -1
-	}
-	wait := at - l.Clock()
-	if wait <= 0 {
-		return 0
+	wait := int64(waitMost)
+	if at, ok := l.timers.next(); ok {
+		wait = min(max(at-l.Clock(), 0), wait)
 	}
-	return int(min((wait+1e6-1)/1e6, 1<<30))
+	return int((wait + 1e6 - 1) / 1e6)
 }
 
 // flush writes what was queued in this turn and tells of connections that ended in it. What these calls queue
--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -6,6 +6,7 @@
 	"net"
 	"net/netip"
 	"os"
+	"sync"
 	"sync/atomic"
 	"testing"
 	"time"
@@ -446,6 +447,51 @@
 	}
 }
 
+// Calls of many goroutines at once are all taken while there is room, and the next one is refused and counted.
+func TestPostRefusesOnlyWhenFull(t *testing.T) {
+	l, err := New() // it does not turn: nothing is taken out
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer l.Close()
+	var group sync.WaitGroup
+	for range 8 {
+		group.Go(func() {
+			for range postRoom / 8 {
+				l.Post(func() {})
+			}
+		})
+	}
+	group.Wait()
+	if n := l.Dropped(); n != 0 {
+		t.Errorf("%d calls were refused while there was room", n)
+	}
+	if l.Post(func() {}) || l.Dropped() != 1 {
+		t.Errorf("with no room left: %d refused, want 1", l.Dropped())
+	}
+}
+
+// A loop with nothing to do turns now and then: a collection that stops all goroutines may have to wait for it.
+func TestWaitIsBounded(t *testing.T) {
+	l, err := New()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer l.Close()
+	if got := l.waitTime(); got != 100 {
+		t.Errorf("without timers it waits %d ms, want 100", got)
+	}
+	var timer Timer
+	l.At(&timer, l.Clock()+3600e9, func(Nanos) {})
+	if got := l.waitTime(); got != 100 {
+		t.Errorf("with a timer far off it waits %d ms, want 100", got)
+	}
+	l.At(&timer, l.Clock(), func(Nanos) {})
+	if got := l.waitTime(); got != 0 {
+		t.Errorf("with a timer due it waits %d ms, want 0", got)
+	}
+}
+
 // accepted gives a loop that has accepted one connection for each handler, in order, and the peers' ends; it has not
 // turned since.
 func accepted(t *testing.T, handlers ...*peer) (*Loop, []*net.TCPConn) {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -6,6 +6,7 @@
 	"net/netip"
 	"runtime"
 	"runtime/debug"
+	"runtime/metrics"
 	"time"
 
 	"docksail/internal/decide/peers"
@@ -132,10 +133,10 @@
 	return int(b.Writing) != b.Out
 }
 
-// View gives the state of now, by way of the loop; false if the loop has ended.
+// View gives the state of now, by way of the loop; false if the loop has ended or takes no call.
 func (n *Node) View() (View, bool) {
 	got := make(chan View, 1)
-	n.l.Post(func() {
+	posted := n.l.Post(func() {
 		now := n.l.Now()
 		var beliefs []Belief
 		n.out.Each(now, func(h exit.HostView) {
@@ -146,13 +147,21 @@
 		got <- View{Beliefs: beliefs, InHand: n.d.InHand(), Clients: n.in.Conns(), Hosts: n.out.Hosts(), ToHosts: n.out.Conns(),
 			Jobs: n.d.Counts, Door: n.in.Counts, Exit: n.out.Counts}
 	})
+	if !posted {
+		return View{}, false
+	}
 	select {
 	case v := <-got:
-		var m runtime.MemStats
-		runtime.ReadMemStats(&m)
-		v.HeapMB = float64(m.HeapAlloc) / (1 << 20)
+		v.HeapMB = float64(heapBytes()) / (1 << 20)
 		return v, true
 	case <-n.done:
 		return View{}, false
 	}
 }
+
+// heapBytes reads how much memory objects take, without stopping the program for it as runtime.ReadMemStats does.
+func heapBytes() uint64 {
+	sample := []metrics.Sample{{Name: "/memory/classes/heap/objects:bytes"}}
+	metrics.Read(sample)
+	return sample[0].Value.Uint64()
+}
