--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -337,6 +337,10 @@
 	addr   netip.AddrPort
 	accept func(c *Conn, from netip.AddrPort) Handler
 	rest   Timer
+
+	// In a world:
+	held    bool
+	waiting []*Conn // that dialed while it was held
 }
 
 // Listen opens a listener; port 0 takes any. accept is called for each new connection and gives its handler,
@@ -398,7 +402,11 @@
 
 // Hold has connections wait in the kernel's queue, or takes them again.
 func (ln *Listener) Hold(yes bool) {
-	if ln.l.world != nil || ln.fd < 0 {
+	if ln.l.world != nil {
+		ln.simHold(yes)
+		return
+	}
+	if ln.fd < 0 {
 		return
 	}
 	events := uint32(unix.EPOLLIN)
@@ -410,7 +418,10 @@
 
 // Finish accepts whoever waits, and stops listening.
 func (ln *Listener) Finish() {
-	if ln.l.world == nil && ln.fd >= 0 {
+	switch {
+	case ln.l.world != nil:
+		ln.simFinish()
+	case ln.fd >= 0:
 		ln.take(backlog)
 	}
 	ln.Close()
--- a/internal/loop/world.go
+++ b/internal/loop/world.go
@@ -298,6 +298,29 @@
 	return ln, nil
 }
 
+// simHold has connections wait before they are accepted, or accepts those that wait.
+func (ln *Listener) simHold(yes bool) {
+	ln.held = yes
+	if yes {
+		return
+	}
+	w := ln.l.world
+	for _, from := range ln.waiting {
+		w.push(w.now, ln.l, dials).c = from
+	}
+	ln.waiting = nil
+}
+
+// simFinish accepts the connections that wait.
+func (ln *Listener) simFinish() {
+	ln.held = false
+	waiting := ln.waiting
+	ln.waiting = nil
+	for _, from := range waiting {
+		ln.l.taken(from)
+	}
+}
+
 func (l *Loop) simDial(to netip.AddrPort, within Nanos, h Handler) (*Conn, error) {
 	w := l.world
 	c := l.simConn()
@@ -384,6 +407,10 @@
 		w.push(w.now+w.Delay, from.l, refuses).c = from
 		return
 	}
+	if ln.held && len(ln.waiting) < backlog {
+		ln.waiting = append(ln.waiting, from)
+		return
+	}
 	c := l.simConn()
 	c.peer, from.peer = from, c
 	e := w.push(w.now+w.Delay, from.l, accepts)
--- a/internal/node/crossing_test.go
+++ b/internal/node/crossing_test.go
@@ -1,7 +1,10 @@
 package node
 
 import (
+	"bufio"
 	"net"
+	"net/http"
+	"net/netip"
 	"strings"
 	"testing"
 	"time"
@@ -9,296 +12,148 @@
 	exit "docksail/internal/exit/platform"
 )
 
-// Tests of events that cross: each forces the order in which one spoils the other.
+// Tests of events that cross: each forces the order in which one spoils the other, in simulated time.
 
-const noContent = "HTTP/1.1 204 No Content\r\n\r\n"
-
-// A read that waits behind a release is not sent to a host that has begun to drain meanwhile.
+// A read that waits behind a release is not sent to a server that has begun to drain meanwhile.
 func TestDrainWhileReadWaitsForRelease(t *testing.T) {
-	s := newStage(t)
-	reader := s.scriptedHost("r1", "prefill")
-	s.start(1024)
+	s := newSimulation(t)
+	reader := s.server("r1", "prefill")
+	watch := s.startInService()
 	client := s.client()
 	client.send(request(jobName(1)))
 	first := reader.accept()
 	first.request()
-	first.Close() // it may have ended well: what it left is to be released
+	first.close() // it may have ended well: what it left is to be released
 	release := reader.accept()
 	if line := release.request(); !strings.HasPrefix(line, "DELETE ") {
 		t.Fatalf("%q, want a release", line)
 	}
-	until(t, "the second read waits", func() bool { v, _ := s.node.View(); return v.Beliefs[0].Out == 1 })
-	drains := s.hosts[0]
-	drains.State = "Terminating"
-	s.news(exit.List{Version: 42, Servers: []exit.Server{drains}})
+	s.until("the second read waits", func() bool { return s.out("r1") == 1 })
+	s.tell(watch, exit.List{Version: 43, Servers: []exit.Server{s.draining("r1")}})
 	release.send(noContent)
 	if status := client.expect("\r\n"); !strings.Contains(status, " 503 ") {
 		t.Errorf("the client got %q, want 503", status)
 	}
-	if !reader.idle() {
-		t.Errorf("a host that drains got %q", reader.accept().request())
+	if len(release.in) > 0 {
+		t.Errorf("a server that drains got %q", release.in)
 	}
+	reader.wantNoRequest()
 }
 
-// discoveryAt puts a scripted discovery in the place of the stage's own, by a new configuration.
-func (s *stage) discoveryAt(p *peer) {
-	changed := *s.told
-	changed.Discovery = addrOf(p)
-	s.node.Reload(&changed)
-}
-
-// A discovery at a new address may count its versions otherwise: it is asked for the whole list, and its changes are
-// taken however low their versions are.
-func TestReloadToLowerVersions(t *testing.T) {
-	s := newStage(t)
-	s.host("r1", "prefill", read)
-	s.host("w1", "decode", write)
-	s.start(1024)
-	fresh := newPeer(t)
-	s.discoveryAt(fresh)
-	watch := fresh.accept()
-	if line := watch.request(); strings.Contains(line, "from=") {
-		t.Errorf("%q, want a whole list asked for", line)
-	}
-	drains := s.hosts[1]
-	drains.State = "Terminating"
-	watch.send(watchHead + chunk(listText(exit.List{Version: 3, Full: true, Servers: s.hosts})) + chunk(listText(exit.List{Version: 4, Servers: []exit.Server{drains}})))
-	until(t, "the host drains", func() bool {
-		status, _, _, _ := ask(s.dial(), request(jobName(1)))
-		return status == 503
-	})
-}
-
-// The old watch stays until the new one has told something: what the old one tells meanwhile is taken.
-func TestReloadKeepsOldWatchUntilNews(t *testing.T) {
-	s := newStage(t)
-	s.host("r1", "prefill", read)
-	s.start(1024)
-	s.news(exit.List{Version: 42, Servers: s.hosts})
-	fresh := newPeer(t)
-	s.discoveryAt(fresh)
-	watch := fresh.accept()
-	watch.request()
-	watch.send(watchHead)
-	s.news(exit.List{Version: 43, Servers: s.hosts})
-	v, _ := s.node.View()
-	watch.send(chunk(listText(exit.List{Version: 3, Full: true, Servers: s.hosts})))
-	until(t, "news of the new one", func() bool { now, _ := s.node.View(); return now.Exit.News == v.Exit.News+1 })
-}
-
-// A watch whose news stops half way, or trickles without ever being whole, is silent: another is begun in time.
-func TestWatchThatTrickles(t *testing.T) {
-	s := newStage(t)
-	s.start(1024)
-	fresh := newPeer(t)
-	s.discoveryAt(fresh)
-	watch := fresh.accept()
-	watch.request()
-	watch.send(watchHead + chunk(listText(exit.List{Version: 3, Full: true})))
-	begun := time.Now()
-	stop := make(chan bool)
-	defer close(stop)
-	go func() {
-		for _, c := range `{"version":4,"full":false,"servers":[                                                            ` {
-			select {
-			case <-stop:
-				return
-			case <-time.After(100 * time.Millisecond):
-				watch.Write([]byte(chunk(string(c))))
-			}
-		}
-	}()
-	if line := fresh.accept().request(); !strings.Contains(line, "from=3") {
-		t.Errorf("%q, want what came after version 3", line)
-	}
-	if took := time.Since(begun); took > 4500*time.Millisecond { // of the six seconds in which one more may fail
-		t.Errorf("after %v", took)
-	}
-}
-
-// A watch that begins its answer and tells nothing is given up as soon as one without an answer.
-func TestWatchWithoutNews(t *testing.T) {
-	s := newStage(t)
-	s.start(1024)
-	fresh := newPeer(t)
-	s.discoveryAt(fresh)
-	watch := fresh.accept()
-	watch.request()
-	watch.send(watchHead)
-	begun := time.Now()
-	fresh.accept().request()
-	if took := time.Since(begun); took > 1500*time.Millisecond {
-		t.Errorf("after %v", took)
-	}
-}
-
-// An entry that cannot be read does not cost the others, and its host stays as it was.
+// An entry that cannot be read does not cost the others, and its server stays as it was.
 func TestUnreadableEntry(t *testing.T) {
-	s := newStage(t)
-	s.host("r1", "prefill", read)
-	s.host("w1", "decode", write)
-	s.host("w2", "decode", write)
-	s.start(1024)
-	list := listText(exit.List{Version: 42, Full: true, Servers: s.hosts[:2]})
-	list = strings.Replace(list, `"cell":0`, `"cell":"x"`, 1) // of r1
-	had, _ := s.node.View()
-	s.raw <- list
-	until(t, "the news", func() bool { v, _ := s.node.View(); return v.Exit.News > had.Exit.News })
+	s := newSimulation(t)
+	s.server("r1", "prefill").reply = prefillAnswer
+	s.server("w1", "decode").reply = decodeAnswer
+	leftOut := s.server("w2", "decode")
+	watch := s.startInService()
+	taken := s.news()
+	list := listText(exit.List{Version: 43, Full: true, Servers: s.servers[:2]})
+	watch.send(chunk(strings.Replace(list, `"cell":0`, `"cell":"x"`, 1))) // of r1
+	s.until("the list is taken", func() bool { return s.news() > taken })
 	for n := range 4 {
-		s.served(s.dial(), n)
+		client := s.client()
+		client.send(request(jobName(n)))
+		client.expect("[DONE]")
 	}
-	if s.jobsAt("w2") > 0 {
-		t.Error("a host that the list leaves out got a job")
+	if !leftOut.idle() {
+		t.Error("a server that the list leaves out got a request")
 	}
 }
 
 // A repeat whose connection comes up when its group may no longer remember the first run is not written.
 func TestRepeatAfterWindow(t *testing.T) {
-	s := newStage(t)
-	s.terms = []string{`"effect":"idempotent"`, `"effect":"deduplicated"`, `"window_ns":5000000000`, `"window_ns":700000000`,
-		`"connect_timeout_ns":250000000`, `"connect_timeout_ns":4000000000`}
-	s.host("r1", "prefill", read)
-	first := s.scriptedHost("w1", "decode")
-	second := newFullPeer(t)
-	late := s.hosts[1]
-	late.ID, late.Addr = "w2", second.addr()
-	s.start(1024)
+	s := newSimulation(t, `"effect":"idempotent"`, `"effect":"deduplicated"`, `"window_ns":5000000000`, `"window_ns":700000000`,
+		`"connect_timeout_ns":250000000`, `"connect_timeout_ns":4000000000`)
+	s.server("r1", "prefill").reply = prefillAnswer
+	first := s.server("w1", "decode")
+	watch := s.startInService()
+	second := s.server("w2", "decode")
 	client := s.client()
 	client.send(request(jobName(1)))
 	attempt := first.accept()
 	attempt.request()
-	s.news(exit.List{Version: 42, Servers: []exit.Server{late}}) // only now: the first attempt is to go to w1
+	s.tell(watch, exit.List{Version: 43, Servers: s.servers[2:]}) // only now: the first attempt is to go to w1
+	second.cut(true)
 	attempt.send("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
-	until(t, "the repeat is out", func() bool { return s.outAt("w2") == 1 })
-	s.let(700 * time.Millisecond)        // the window is over
-	if got := second.take(); got != "" { // the system asks again after a second
-		t.Errorf("w2 got %q", got)
-	}
+	s.until("the repeat is out", func() bool { return s.out("w2") == 1 })
+	s.run(700 * time.Millisecond) // the window is over
+	second.cut(false)
 	if status := client.expect("\r\n"); !strings.Contains(status, " 503 ") {
 		t.Errorf("the client got %q, want 503", status)
 	}
+	second.wantNoRequest()
 }
 
 // An attempt whose connection is still under way as its client leaves does not begin, also where what has begun may not be
 // withdrawn.
 func TestClientLeavesWhileConnecting(t *testing.T) {
-	s := newStage(t)
-	s.terms = []string{`"cancel":true`, `"cancel":false`, `"connect_timeout_ns":250000000`, `"connect_timeout_ns":4000000000`,
-		`"on_time_ns":1500000000`, `"on_time_ns":12000000000`} // so long that the attempt is not given up for its time
-	reader := newFullPeer(t)
-	s.hosts = append(s.hosts, exit.Server{ID: "r1", Addr: reader.addr(), Zone: "z", Kind: "prefill", State: "Ready"})
-	s.start(1024)
+	s := newSimulation(t, `"cancel":true`, `"cancel":false`, `"connect_timeout_ns":250000000`, `"connect_timeout_ns":4000000000`,
+		`"on_time_ns":1500000000`, `"on_time_ns":12000000000`) // so long that the attempt is not given up for its time
+	reader := s.server("r1", "prefill")
+	s.startInService()
+	reader.cut(true)
 	client := s.client()
 	client.send(request(jobName(1)))
-	until(t, "the attempt is out", func() bool { return s.outAt("r1") == 1 })
-	client.Close()
-	until(t, "its client is gone", func() bool { v, _ := s.node.View(); return v.Jobs.Left == 1 })
-	if got := reader.take(); got != "" {
-		t.Errorf("r1 got %q", got)
-	}
-}
-
-// A discovery that refuses calls, as it has more of them than it takes, is asked ever more seldom.
-func TestRefusedCallsSlacken(t *testing.T) {
-	s := newStage(t)
-	s.start(1024)
-	fresh := newPeer(t)
-	s.discoveryAt(fresh)
-	var last time.Time
-	for n := range 5 {
-		call := fresh.accept()
-		call.request()
-		if gap := time.Since(last); n > 0 && gap < time.Duration(min(1<<n, 8))*100*time.Millisecond {
-			t.Errorf("call %d came %v after the one before", n+1, gap)
-		}
-		call.send("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
-		last = time.Now()
-	}
+	s.until("the attempt is out", func() bool { return s.out("r1") == 1 })
+	client.close()
+	s.until("its client is gone", func() bool { return s.node.d.Counts.Left == 1 })
+	reader.cut(false)
+	reader.wantNoRequest()
 }
 
-// An attempt whose connection comes up after its host was told to drain does not begin.
+// An attempt whose connection comes up after its server was told to drain does not begin.
 func TestDrainWhileConnecting(t *testing.T) {
-	s := newStage(t)
-	s.terms = []string{`"connect_timeout_ns":250000000`, `"connect_timeout_ns":4000000000`}
-	reader := newFullPeer(t)
-	s.hosts = append(s.hosts, exit.Server{ID: "r1", Addr: reader.addr(), Zone: "z", Kind: "prefill", State: "Ready"})
-	s.start(1024)
+	s := newSimulation(t, `"connect_timeout_ns":250000000`, `"connect_timeout_ns":4000000000`)
+	reader := s.server("r1", "prefill")
+	watch := s.startInService()
+	reader.cut(true)
 	client := s.client()
 	client.send(request(jobName(1)))
-	until(t, "the attempt is out", func() bool { return s.outAt("r1") == 1 })
-	drains := s.hosts[0]
-	drains.State = "Terminating"
-	s.news(exit.List{Version: 42, Servers: []exit.Server{drains}})
-	if got := reader.take(); got != "" {
-		t.Errorf("r1 got %q", got)
-	}
+	s.until("the attempt is out", func() bool { return s.out("r1") == 1 })
+	s.tell(watch, exit.List{Version: 43, Servers: []exit.Server{s.draining("r1")}})
+	reader.cut(false)
 	if status := client.expect("\r\n"); !strings.Contains(status, " 503 ") {
 		t.Errorf("the client got %q, want 503", status)
 	}
+	reader.wantNoRequest()
 }
 
-// What a watch had not told when it was reset is asked for by the next.
-func TestWatchResetBeforeItsNews(t *testing.T) {
-	s := newStage(t)
-	s.host("r1", "prefill", read)
-	s.host("w1", "decode", write)
-	s.start(1024)
-	fresh := newPeer(t)
-	s.discoveryAt(fresh)
-	watch := fresh.accept()
-	watch.request()
-	had, _ := s.node.View()
-	watch.send(watchHead + chunk(listText(exit.List{Version: 3, Full: true, Servers: s.hosts})))
-	until(t, "the list", func() bool { v, _ := s.node.View(); return v.Exit.News > had.Exit.News })
-	drains := s.hosts[1]
-	drains.State = "Terminating"
-	watch.send(chunk(listText(exit.List{Version: 4, Servers: []exit.Server{drains}}))[:40])
-	watch.reset()
-	next := fresh.accept()
-	if line := next.request(); !strings.Contains(line, "from=3") {
-		t.Errorf("%q, want what came after version 3", line)
-	}
-	next.send(watchHead + chunk(listText(exit.List{Version: 4, Servers: []exit.Server{drains}})))
-	until(t, "the host drains", func() bool {
-		status, _, _, _ := ask(s.dial(), request(jobName(1)))
-		return status == 503
-	})
-}
-
-// A host that has started anew under its address is not sent anything on a connection to the process before.
-func TestHostStartedAnew(t *testing.T) {
-	s := newStage(t)
-	s.host("r1", "prefill", read)
-	writer := s.scriptedHost("w1", "decode")
-	s.start(1024)
+// A server that has started anew under its address is not sent anything on a connection to the process before.
+func TestServerStartedAnew(t *testing.T) {
+	s := newSimulation(t)
+	s.server("r1", "prefill").reply = prefillAnswer
+	writer := s.server("w1", "decode")
+	watch := s.startInService()
 	for n, started := range []float64{1, 2} {
 		client := s.client()
 		client.send(request(jobName(n)))
 		conn := writer.accept()
 		conn.request()
-		conn.send(streamHead + chunk(event1) + chunk(event2) + "0\r\n\r\n")
+		conn.send(decodeAnswer)
 		client.expect("0\r\n\r\n")
-		anew := s.hosts[1]
+		anew := s.servers[1]
 		anew.Started = started
-		s.news(exit.List{Version: 42 + int64(n), Servers: []exit.Server{anew}})
-		if _, err := conn.rest(); err != nil {
-			t.Errorf("the connection to the process before: %v, want its end", err)
+		s.tell(watch, exit.List{Version: 43 + int64(n), Servers: []exit.Server{anew}})
+		s.run(simulationDelay)
+		if !conn.ended {
+			t.Error("the connection to the process before still stands")
 		}
 	}
 }
 
-// Half a line that a host writes on a resting connection is no beginning of the next answer: that connection goes.
+// Half a line that a server writes on a resting connection is no beginning of the next answer: that connection goes.
 func TestHalfLineOnRestingConnection(t *testing.T) {
-	s := newStage(t)
-	s.host("r1", "prefill", read)
-	writer := s.scriptedHost("w1", "decode")
-	s.start(1024)
+	s := newSimulation(t)
+	s.server("r1", "prefill").reply = prefillAnswer
+	writer := s.server("w1", "decode")
+	s.startInService()
 	for n := range 2 {
 		client := s.client()
 		client.send(request(jobName(n)))
 		conn := writer.accept()
 		conn.request()
-		conn.send(streamHead + chunk(event1) + chunk(event2) + "0\r\n\r\n")
+		conn.send(decodeAnswer)
 		if got := client.expect("0\r\n\r\n"); strings.Count(got, "[DONE]") != 1 {
 			t.Errorf("the client got %q", got)
 		}
@@ -309,10 +164,10 @@
 
 // An event is passed on when it is whole, whatever is still to come.
 func TestEventsPassAtOnce(t *testing.T) {
-	s := newStage(t)
-	s.host("r1", "prefill", read)
-	writer := s.scriptedHost("w1", "decode")
-	s.start(1024)
+	s := newSimulation(t)
+	s.server("r1", "prefill").reply = prefillAnswer
+	writer := s.server("w1", "decode")
+	s.startInService()
 	client := s.client()
 	client.send(request(jobName(1)))
 	conn := writer.accept()
@@ -320,68 +175,33 @@
 	first := chunk(event1)
 	conn.send(streamHead + first[:len(first)-1])
 	conn.send(first[len(first)-1:])
-	client.expect("oqvh") // nothing more was written
+	client.expectSoon("oqvh") // nothing more was written
 	for range 3 {
 		conn.send(chunk(event1) + chunk(event2)[:9])
-		client.expect("oqvh")
+		client.expectSoon("oqvh")
 		conn.send(chunk(event2)[9:])
-		client.expect("[DONE]")
+		client.expectSoon("[DONE]")
 	}
 	conn.send("0\r\n\r\n")
 	client.expect("0\r\n\r\n")
 }
 
-// A dispatcher told to leave, twice, before discovery has said anything serves who waits by the list it was started with.
-func TestLeaveBeforeListIsKnown(t *testing.T) {
-	s := newStage(t)
-	s.host("r1", "prefill", read)
-	s.host("w1", "decode", write)
-	s.deaf.Store(true)
-	s.atOnce = true
-	s.start(1024)
-	client := s.client()
-	client.send(request(jobName(1)))
-	s.node.Leave()
-	s.node.Leave()
-	if got := client.expect("0\r\n\r\n"); !strings.Contains(got, " 200 ") || !strings.Contains(got, "Connection: close") {
-		t.Errorf("the client got %q", got)
-	}
-	client.Close()
-	select {
-	case <-s.node.Done():
-	case <-time.After(scriptTimeout):
-		t.Error("it has not ended")
-	}
-}
-
-// Where lists are asked for, a call that discovery takes its time to answer is not given up: its answer counts.
-func TestAskedListTakesItsTime(t *testing.T) {
-	s := newStage(t)
-	s.terms = []string{`"membership_mode":"pushed"`, `"membership_mode":"on_request"`}
-	s.start(1024)
-	fresh := newPeer(t)
-	s.discoveryAt(fresh)
-	call := fresh.accept()
-	call.request()
-	s.let(1800 * time.Millisecond)
-	had, _ := s.node.View()
-	call.send(watchHead + chunk(listText(exit.List{Version: 3, Full: true})))
-	until(t, "the list", func() bool { v, _ := s.node.View(); return v.Exit.News > had.Exit.News })
-	if !fresh.idle() {
-		t.Error("another call came meanwhile")
-	}
-}
-
-// Idle clients that fill the descriptors while discovery is away leave one for the watch, and for those that ask.
+// Idle clients that fill the descriptors while discovery is away leave one for the watch, and for those that ask. It is the
+// system's limits that matter here: sockets, not simulated ones.
 func TestIdleClientsWhileDiscoveryIsAway(t *testing.T) {
 	s := newStage(t)
 	s.host("r1", "prefill", read)
 	s.host("w1", "decode", write)
 	s.start(64)
-	away := newPeer(t)
-	at := away.ln.Addr().String()
-	away.ln.Close()
-	s.discoveryAt(away) // nobody listens there
+	away, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	at := away.Addr().String()
+	away.Close() // nobody listens there
+	changed := *s.told
+	changed.Discovery = netip.MustParseAddrPort(at)
+	s.node.Reload(&changed)
 	for range 200 {
 		s.dial()
 	}
@@ -390,14 +210,16 @@
 		t.Fatal(err)
 	}
 	defer back.Close()
-	conn, err := back.Accept()
+	watch, err := back.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	watch := newPeerConn(t, conn)
-	watch.request()
+	defer watch.Close()
+	if _, err := http.ReadRequest(bufio.NewReader(watch)); err != nil {
+		t.Fatal(err)
+	}
 	had, _ := s.node.View()
-	watch.send(watchHead + chunk(listText(exit.List{Version: 3, Full: true, Servers: s.hosts})))
+	say(watch, watchHead+chunk(listText(exit.List{Version: 3, Full: true, Servers: s.hosts})))
 	until(t, "the list", func() bool { v, _ := s.node.View(); return v.Exit.News > had.Exit.News })
 	s.served(s.dial(), 1)
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -9,7 +9,6 @@
 	"strconv"
 	"strings"
 	"sync"
-	"sync/atomic"
 	"testing"
 	"time"
 
@@ -494,48 +493,6 @@
 	}
 }
 
-// A watch that has fallen silent is begun anew in time, by a call for what came since.
-func TestSilentWatch(t *testing.T) {
-	s := newStage(t)
-	s.host("r1", "prefill", read)
-	s.host("w1", "decode", write)
-	s.start(1024)
-	silent := s.deaf
-	s.mu.Lock()
-	s.deaf = new(atomic.Bool)
-	s.mu.Unlock()
-	silent.Store(true)
-	begun := time.Now()
-	until(t, "another watch", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return len(s.froms) == 2 })
-	if took := time.Since(begun); took > 4500*time.Millisecond { // of the six seconds in which one more may fail
-		t.Errorf("after %v", took)
-	}
-}
-
-// What the agent knows counts as told from a process's first moment: it is asked before the first job goes.
-func TestListBeforeJobs(t *testing.T) {
-	s := newStage(t)
-	s.host("r1", "prefill", read)
-	s.host("w1", "decode", write)
-	s.host("w2", "decode", write)
-	drains := s.hosts[1]
-	drains.State = "Terminating"
-	news := exit.List{Version: 50, Full: true, Servers: []exit.Server{s.hosts[0], drains, s.hosts[2]}}
-	s.atOnce = true
-	go func() {
-		time.Sleep(100 * time.Millisecond) // jobs come before it
-		text, _ := json.Marshal(news)
-		s.raw <- string(text)
-	}()
-	s.start(1024)
-	for n := range 6 {
-		s.served(s.dial(), n)
-	}
-	if s.jobsAt("w1") != 0 {
-		t.Error("a host that drains got a job")
-	}
-}
-
 // Hosts that are replaced under new names leave nothing behind.
 func TestReplacedHosts(t *testing.T) {
 	s := newStage(t)
--- a/internal/node/stage_test.go
+++ b/internal/node/stage_test.go
@@ -51,7 +51,7 @@
 func say(c net.Conn, text string) bool { _, err := io.WriteString(c, text); return err == nil }
 
 func read(c net.Conn, _ *http.Request, _ int) bool {
-	return say(c, "HTTP/1.1 202 Accepted\r\nContent-Length: 19\r\nX-Pressure: {\"x0\":0.1,\"x1\":0}\r\n\r\n{\"cached_tokens\":0}")
+	return say(c, prefillAnswer)
 }
 
 func chunk(text string) string {
@@ -59,14 +59,15 @@
 }
 
 const (
-	streamHead = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
-	event1     = "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"oqvh\"}}]}\n\n"
-	event2     = "data: [DONE]\n\n"
-	answer     = event1 + event2
+	prefillAnswer = "HTTP/1.1 202 Accepted\r\nContent-Length: 19\r\nX-Pressure: {\"x0\":0.1,\"x1\":0}\r\n\r\n{\"cached_tokens\":0}"
+	streamHead    = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
+	event1        = "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"oqvh\"}}]}\n\n"
+	event2        = "data: [DONE]\n\n"
+	answer        = event1 + event2
 )
 
 func write(c net.Conn, _ *http.Request, _ int) bool {
-	return say(c, streamHead+chunk(event1)+chunk(event2)+"0\r\n\r\n")
+	return say(c, decodeAnswer)
 }
 
 // host adds a scripted host; it takes every release.
@@ -199,6 +200,9 @@
 	}
 }
 
+// decodeAnswer is the whole of a decode server's answer.
+var decodeAnswer = streamHead + chunk(event1) + chunk(event2) + "0\r\n\r\n"
+
 const body = `{"model":"chat","stream":true,"max_tokens":80,"messages":[{"role":"user","content":"abcd"}]}`
 
 // request makes the text of a job's request; change replaces pieces of it, pairwise.
