--- a/internal/node/crossing_test.go
+++ b/internal/node/crossing_test.go
@@ -16,68 +16,70 @@
 
 // A read that waits behind a release is not sent to a server that has begun to drain meanwhile.
 func TestDrainWhileReadWaitsForRelease(t *testing.T) {
-	s := newSimulation(t)
-	reader := s.server("r1", "prefill")
-	watch := s.startInService()
-	client := s.client()
-	client.send(request(jobName(1)))
-	first := reader.accept()
-	first.request()
-	first.close() // it may have ended well: what it left is to be released
-	release := reader.accept()
-	if line := release.request(); !strings.HasPrefix(line, "DELETE ") {
-		t.Fatalf("%q, want a release", line)
-	}
-	s.until("the second read waits", func() bool { return s.out("r1") == 1 })
-	s.tell(watch, exit.List{Version: 43, Servers: []exit.Server{s.draining("r1")}})
-	release.send(noContent)
-	if status := client.expect("\r\n"); !strings.Contains(status, " 503 ") {
-		t.Errorf("the client got %q, want 503", status)
-	}
-	if len(release.in) > 0 {
-		t.Errorf("a server that drains got %q", release.in)
-	}
-	reader.wantNoRequest()
+	onEachNetwork(t, func(t *testing.T, on network) {
+		h := newHarness(t, on)
+		reader := h.server("r1", "prefill")
+		watch := h.startInService()
+		client := h.client()
+		client.send(request(jobName(1)))
+		first := reader.accept()
+		first.request()
+		first.close() // it may have ended well: what it left is to be released
+		release := reader.accept()
+		if line := release.request(); !strings.HasPrefix(line, "DELETE ") {
+			t.Fatalf("%q, want a release", line)
+		}
+		h.untilOut("r1")
+		h.tell(watch, exit.List{Version: 43, Servers: []exit.Server{h.draining("r1")}})
+		release.send(noContent)
+		if status := client.expect("\r\n"); !strings.Contains(status, " 503 ") {
+			t.Errorf("the client got %q, want 503", status)
+		}
+		release.wantNothing()
+		reader.wantNoRequest()
+	})
 }
 
 // An entry that cannot be read does not cost the others, and its server stays as it was.
 func TestUnreadableEntry(t *testing.T) {
-	s := newSimulation(t)
-	s.server("r1", "prefill").reply = prefillAnswer
-	s.server("w1", "decode").reply = decodeAnswer
-	leftOut := s.server("w2", "decode")
-	watch := s.startInService()
-	taken := s.news()
-	list := listText(exit.List{Version: 43, Full: true, Servers: s.servers[:2]})
-	watch.send(chunk(strings.Replace(list, `"cell":0`, `"cell":"x"`, 1))) // of r1
-	s.until("the list is taken", func() bool { return s.news() > taken })
-	for n := range 4 {
-		client := s.client()
-		client.send(request(jobName(n)))
-		client.expect("[DONE]")
-	}
-	if !leftOut.idle() {
-		t.Error("a server that the list leaves out got a request")
-	}
+	onEachNetwork(t, func(t *testing.T, on network) {
+		h := newHarness(t, on)
+		h.server("r1", "prefill").reply = prefillAnswer
+		h.server("w1", "decode").reply = decodeAnswer
+		leftOut := h.server("w2", "decode")
+		watch := h.startInService()
+		taken := h.news()
+		list := listText(exit.List{Version: 43, Full: true, Servers: h.servers[:2]})
+		watch.send(chunk(strings.Replace(list, `"cell":0`, `"cell":"x"`, 1))) // of r1
+		h.untilNews(taken)
+		for n := range 4 {
+			client := h.client()
+			client.send(request(jobName(n)))
+			client.expect("[DONE]")
+		}
+		if !leftOut.idle() {
+			t.Error("a server that the list leaves out got a request")
+		}
+	})
 }
 
 // A repeat whose connection comes up when its group may no longer remember the first run is not written.
 func TestRepeatAfterWindow(t *testing.T) {
-	s := newSimulation(t, `"effect":"idempotent"`, `"effect":"deduplicated"`, `"window_ns":5000000000`, `"window_ns":700000000`,
+	h := newHarness(t, simulated, `"effect":"idempotent"`, `"effect":"deduplicated"`, `"window_ns":5000000000`, `"window_ns":700000000`,
 		`"connect_timeout_ns":250000000`, `"connect_timeout_ns":4000000000`)
-	s.server("r1", "prefill").reply = prefillAnswer
-	first := s.server("w1", "decode")
-	watch := s.startInService()
-	second := s.server("w2", "decode")
-	client := s.client()
+	h.server("r1", "prefill").reply = prefillAnswer
+	first := h.server("w1", "decode")
+	watch := h.startInService()
+	second := h.server("w2", "decode")
+	client := h.client()
 	client.send(request(jobName(1)))
 	attempt := first.accept()
 	attempt.request()
-	s.tell(watch, exit.List{Version: 43, Servers: s.servers[2:]}) // only now: the first attempt is to go to w1
+	h.tell(watch, exit.List{Version: 43, Servers: h.servers[2:]}) // only now: the first attempt is to go to w1
 	second.cut(true)
 	attempt.send("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
-	s.until("the repeat is out", func() bool { return s.out("w2") == 1 })
-	s.run(700 * time.Millisecond) // the window is over
+	h.untilOut("w2")
+	h.run(700 * time.Millisecond) // the window is over
 	second.cut(false)
 	if status := client.expect("\r\n"); !strings.Contains(status, " 503 ") {
 		t.Errorf("the client got %q, want 503", status)
@@ -88,30 +90,30 @@
 // An attempt whose connection is still under way as its client leaves does not begin, also where what has begun may not be
 // withdrawn.
 func TestClientLeavesWhileConnecting(t *testing.T) {
-	s := newSimulation(t, `"cancel":true`, `"cancel":false`, `"connect_timeout_ns":250000000`, `"connect_timeout_ns":4000000000`,
+	h := newHarness(t, simulated, `"cancel":true`, `"cancel":false`, `"connect_timeout_ns":250000000`, `"connect_timeout_ns":4000000000`,
 		`"on_time_ns":1500000000`, `"on_time_ns":12000000000`) // so long that the attempt is not given up for its time
-	reader := s.server("r1", "prefill")
-	s.startInService()
+	reader := h.server("r1", "prefill")
+	h.startInService()
 	reader.cut(true)
-	client := s.client()
+	client := h.client()
 	client.send(request(jobName(1)))
-	s.until("the attempt is out", func() bool { return s.out("r1") == 1 })
+	h.untilOut("r1")
 	client.close()
-	s.until("its client is gone", func() bool { return s.node.d.Counts.Left == 1 })
+	h.until("its client is gone", func() bool { return h.node.d.Counts.Left == 1 })
 	reader.cut(false)
 	reader.wantNoRequest()
 }
 
 // An attempt whose connection comes up after its server was told to drain does not begin.
 func TestDrainWhileConnecting(t *testing.T) {
-	s := newSimulation(t, `"connect_timeout_ns":250000000`, `"connect_timeout_ns":4000000000`)
-	reader := s.server("r1", "prefill")
-	watch := s.startInService()
+	h := newHarness(t, simulated, `"connect_timeout_ns":250000000`, `"connect_timeout_ns":4000000000`)
+	reader := h.server("r1", "prefill")
+	watch := h.startInService()
 	reader.cut(true)
-	client := s.client()
+	client := h.client()
 	client.send(request(jobName(1)))
-	s.until("the attempt is out", func() bool { return s.out("r1") == 1 })
-	s.tell(watch, exit.List{Version: 43, Servers: []exit.Server{s.draining("r1")}})
+	h.untilOut("r1")
+	h.tell(watch, exit.List{Version: 43, Servers: []exit.Server{h.draining("r1")}})
 	reader.cut(false)
 	if status := client.expect("\r\n"); !strings.Contains(status, " 503 ") {
 		t.Errorf("the client got %q, want 503", status)
@@ -121,69 +123,72 @@
 
 // A server that has started anew under its address is not sent anything on a connection to the process before.
 func TestServerStartedAnew(t *testing.T) {
-	s := newSimulation(t)
-	s.server("r1", "prefill").reply = prefillAnswer
-	writer := s.server("w1", "decode")
-	watch := s.startInService()
-	for n, started := range []float64{1, 2} {
-		client := s.client()
-		client.send(request(jobName(n)))
-		conn := writer.accept()
-		conn.request()
-		conn.send(decodeAnswer)
-		client.expect("0\r\n\r\n")
-		anew := s.servers[1]
-		anew.Started = started
-		s.tell(watch, exit.List{Version: 43 + int64(n), Servers: []exit.Server{anew}})
-		s.run(simulationDelay)
-		if !conn.ended {
-			t.Error("the connection to the process before still stands")
+	onEachNetwork(t, func(t *testing.T, on network) {
+		h := newHarness(t, on)
+		h.server("r1", "prefill").reply = prefillAnswer
+		writer := h.server("w1", "decode")
+		watch := h.startInService()
+		for n, started := range []float64{1, 2} {
+			client := h.client()
+			client.send(request(jobName(n)))
+			conn := writer.accept()
+			conn.request()
+			conn.send(decodeAnswer)
+			client.expect("0\r\n\r\n")
+			anew := h.servers[1]
+			anew.Started = started
+			h.tell(watch, exit.List{Version: 43 + int64(n), Servers: []exit.Server{anew}})
+			conn.untilEnd()
 		}
-	}
+	})
 }
 
 // Half a line that a server writes on a resting connection is no beginning of the next answer: that connection goes.
 func TestHalfLineOnRestingConnection(t *testing.T) {
-	s := newSimulation(t)
-	s.server("r1", "prefill").reply = prefillAnswer
-	writer := s.server("w1", "decode")
-	s.startInService()
-	for n := range 2 {
-		client := s.client()
-		client.send(request(jobName(n)))
-		conn := writer.accept()
-		conn.request()
-		conn.send(decodeAnswer)
-		if got := client.expect("0\r\n\r\n"); strings.Count(got, "[DONE]") != 1 {
-			t.Errorf("the client got %q", got)
+	onEachNetwork(t, func(t *testing.T, on network) {
+		h := newHarness(t, on)
+		h.server("r1", "prefill").reply = prefillAnswer
+		writer := h.server("w1", "decode")
+		h.startInService()
+		for n := range 2 {
+			client := h.client()
+			client.send(request(jobName(n)))
+			conn := writer.accept()
+			conn.request()
+			conn.send(decodeAnswer)
+			if got := client.expect("0\r\n\r\n"); strings.Count(got, "[DONE]") != 1 {
+				t.Errorf("the client got %q", got)
+			}
+			conn.send("HTTP/1.1 2")
+			conn.untilEnd()
 		}
-		conn.send("HTTP/1.1 2")
-		conn.rest()
-	}
+	})
 }
 
 // An event is passed on when it is whole, whatever is still to come.
 func TestEventsPassAtOnce(t *testing.T) {
-	s := newSimulation(t)
-	s.server("r1", "prefill").reply = prefillAnswer
-	writer := s.server("w1", "decode")
-	s.startInService()
-	client := s.client()
-	client.send(request(jobName(1)))
-	conn := writer.accept()
-	conn.request()
-	first := chunk(event1)
-	conn.send(streamHead + first[:len(first)-1])
-	conn.send(first[len(first)-1:])
-	client.expectSoon("oqvh") // nothing more was written
-	for range 3 {
-		conn.send(chunk(event1) + chunk(event2)[:9])
-		client.expectSoon("oqvh")
-		conn.send(chunk(event2)[9:])
-		client.expectSoon("[DONE]")
-	}
-	conn.send("0\r\n\r\n")
-	client.expect("0\r\n\r\n")
+	onEachNetwork(t, func(t *testing.T, on network) {
+		h := newHarness(t, on)
+		h.server("r1", "prefill").reply = prefillAnswer
+		writer := h.server("w1", "decode")
+		h.startInService()
+		client := h.client()
+		client.send(request(jobName(1)))
+		conn := writer.accept()
+		conn.request()
+		first := chunk(event1)
+		conn.send(streamHead + first[:len(first)-1])
+		conn.send(first[len(first)-1:])
+		client.expectSoon("oqvh") // nothing more was written
+		for range 3 {
+			conn.send(chunk(event1) + chunk(event2)[:9])
+			client.expectSoon("oqvh")
+			conn.send(chunk(event2)[9:])
+			client.expectSoon("[DONE]")
+		}
+		conn.send("0\r\n\r\n")
+		client.expect("0\r\n\r\n")
+	})
 }
 
 // Idle clients that fill the descriptors while discovery is away leave one for the watch, and for those that ask. It is the
--- /dev/null
+++ b/internal/node/harness_test.go
@@ -0,0 +1,479 @@
+package node
+
+import (
+	"bytes"
+	"encoding/json"
+	"log/slog"
+	"net/netip"
+	"strings"
+	"testing"
+	"time"
+
+	exit "docksail/internal/exit/platform"
+	"docksail/internal/loop"
+)
+
+// watchHead begins the answer to a watch.
+const watchHead = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
+
+// noContent answers a release.
+const noContent = "HTTP/1.1 204 No Content\r\n\r\n"
+
+// harness is a dispatcher between scripted servers and clients: nothing happens but what the test has happen. On the
+// simulated network a wait takes no time and what depends on time has the same verdict on any machine; on the loopback
+// network the same script runs over real connections.
+type harness struct {
+	t         *testing.T
+	world     *loop.World // nil = loopback
+	loop      *loop.Loop  // the dispatcher's; on loopback, that of all
+	round     func(loop.Nanos)
+	began     time.Time
+	node      *Node
+	config    *Told
+	discovery *scriptedServer
+	servers   []exit.Server
+	replaced  []string // pieces of the settings and what stands in their place, pairwise
+	addresses byte     // given out so far
+}
+
+// network is what connections of a harness run over.
+type network int
+
+const (
+	simulated network = iota
+	loopback
+)
+
+const (
+	simulationStart = 1_700_000_000_000_000_000 // Unix nanoseconds
+	simulationPort  = 80                        // of every server
+	transitTime     = 100 * time.Microsecond    // of bytes on the simulated network
+	// scriptTimeout ends a wait for what does not come.
+	scriptTimeout = 20 * time.Second
+)
+
+// onEachNetwork runs a script over simulated and over real connections.
+func onEachNetwork(t *testing.T, script func(t *testing.T, on network)) {
+	t.Run("simulated", func(t *testing.T) { script(t, simulated) })
+	t.Run("loopback", func(t *testing.T) { script(t, loopback) })
+}
+
+func newHarness(t *testing.T, on network, replaced ...string) *harness {
+	t.Helper()
+	h := &harness{t: t, began: time.Now(), replaced: replaced}
+	if on == simulated {
+		h.world = loop.NewWorld(simulationStart, int64(transitTime))
+	} else {
+		h.runLoop()
+	}
+	h.discovery = h.newServer()
+	return h
+}
+
+// runLoop starts the one loop of a harness on loopback.
+func (h *harness) runLoop() {
+	h.t.Helper()
+	var err error
+	if h.loop, err = loop.New(); err != nil {
+		h.t.Fatal(err)
+	}
+	done := make(chan error, 1)
+	go func() {
+		done <- h.loop.Run(func(now loop.Nanos) {
+			if h.round != nil {
+				h.round(now)
+			}
+		})
+	}()
+	h.t.Cleanup(func() {
+		h.loop.Stop()
+		if err := <-done; err != nil {
+			h.t.Error(err)
+		}
+		h.loop.Close()
+	})
+}
+
+// do runs something where the loops' state may be touched.
+func (h *harness) do(action func()) {
+	h.t.Helper()
+	if h.world != nil {
+		action()
+		return
+	}
+	done := make(chan struct{})
+	h.loop.Post(func() { action(); close(done) })
+	select {
+	case <-done:
+	case <-time.After(scriptTimeout):
+		h.t.Fatal("the loop does not turn")
+	}
+}
+
+// endpoint gives a loop at an address of its own, with any port where the network has others.
+func (h *harness) endpoint() (*loop.Loop, netip.AddrPort) {
+	if h.world == nil {
+		return h.loop, netip.MustParseAddrPort("127.0.0.1:0")
+	}
+	h.addresses++
+	at := netip.AddrFrom4([4]byte{127, 0, 1, h.addresses})
+	return h.world.Loop(at, nil), netip.AddrPortFrom(at, simulationPort)
+}
+
+// newServer makes a scripted server.
+func (h *harness) newServer() *scriptedServer {
+	h.t.Helper()
+	p := &scriptedServer{h: h}
+	var at netip.AddrPort
+	p.loop, at = h.endpoint()
+	h.do(func() {
+		listener, err := p.loop.Listen(at, false, func(c *loop.Conn, _ netip.AddrPort) loop.Handler {
+			conn := &scriptedConn{h: h, server: p, loop: p.loop, conn: c}
+			p.conns = append(p.conns, conn)
+			return conn
+		})
+		if err != nil {
+			h.t.Error(err)
+			return
+		}
+		p.addr = listener.Addr()
+	})
+	return p
+}
+
+// server makes a scripted model server and adds it to the list.
+func (h *harness) server(name, kind string) *scriptedServer {
+	h.t.Helper()
+	p := h.newServer()
+	h.servers = append(h.servers, exit.Server{ID: name, Addr: p.addr.String(), Zone: "z", Kind: kind, State: "Ready"})
+	return p
+}
+
+// start puts the dispatcher into service. Discovery takes its watch, and has told nothing yet.
+func (h *harness) start() (watch *scriptedConn) {
+	h.t.Helper()
+	h.config = &Told{Name: "n0", Discovery: h.discovery.addr, Seed: "8c1f30d27a5be964",
+		Settings: json.RawMessage(strings.NewReplacer(h.replaced...).Replace(settings))}
+	h.config.Limits.Sockets, h.config.Limits.Memory = 1024, 96
+	h.config.Known = exit.List{Version: 41, Full: true, Servers: h.servers}
+	h.loop, h.config.Listen = h.endpoint()
+	h.do(func() {
+		var err error
+		if h.node, err = New(h.loop, h.config, 1, slog.New(slog.DiscardHandler)); err != nil {
+			h.t.Error(err)
+			return
+		}
+		h.round = h.node.d.Round
+	})
+	if h.world != nil {
+		h.loop.SetRound(h.node.d.Round)
+		h.loop.Post(func() {})
+	}
+	watch = h.discovery.accept()
+	watch.request()
+	return watch
+}
+
+// startInService is start with discovery's first word, after which clients are taken.
+func (h *harness) startInService() (watch *scriptedConn) {
+	h.t.Helper()
+	watch = h.start()
+	watch.send(watchHead)
+	h.tell(watch, exit.List{Version: 42, Full: true, Servers: h.servers})
+	return watch
+}
+
+// now is the time that passes for the dispatcher, in nanoseconds.
+func (h *harness) now() int64 {
+	if h.world != nil {
+		return h.world.Now()
+	}
+	return int64(time.Since(h.began))
+}
+
+// since tells how much time has passed.
+func (h *harness) since(at int64) time.Duration { return time.Duration(h.now() - at) }
+
+// run has time pass.
+func (h *harness) run(span time.Duration) {
+	if h.world != nil {
+		h.world.Run(h.world.Now() + int64(span))
+		return
+	}
+	time.Sleep(span)
+}
+
+// until has time pass until something is so; is may touch the loops' state.
+func (h *harness) until(what string, is func() bool) {
+	h.t.Helper()
+	for began := h.now(); ; h.run(transitTime) {
+		so := false
+		h.do(func() { so = is() })
+		if so {
+			return
+		}
+		if h.since(began) > scriptTimeout {
+			h.t.Fatalf("%s: not within %v", what, scriptTimeout)
+		}
+	}
+}
+
+// untilNews waits until discovery has told something more often than so many times.
+func (h *harness) untilNews(had uint64) {
+	h.t.Helper()
+	h.until("the list is taken", func() bool { return h.node.out.Counts.News > had })
+}
+
+// news counts what discovery has told so far.
+func (h *harness) news() (count uint64) {
+	h.do(func() { count = h.node.out.Counts.News })
+	return count
+}
+
+// tell sends a list over a watch and waits until it has been taken.
+func (h *harness) tell(watch *scriptedConn, list exit.List) {
+	h.t.Helper()
+	had := h.news()
+	watch.send(chunk(listText(list)))
+	h.untilNews(had)
+}
+
+// reload has the dispatcher look for discovery at another address.
+func (h *harness) reload(p *scriptedServer) {
+	changed := *h.config
+	changed.Discovery = p.addr
+	h.node.Reload(&changed)
+}
+
+// dial has a client connect to the dispatcher; what it sends meanwhile waits.
+func (h *harness) dial() *scriptedConn {
+	h.t.Helper()
+	c := &scriptedConn{h: h}
+	c.loop, _ = h.endpoint()
+	c.loop.Post(func() {
+		var err error
+		if c.conn, err = c.loop.Dial(h.node.addr, int64(scriptTimeout), c); err != nil {
+			h.t.Error(err)
+		}
+	})
+	return c
+}
+
+// client connects a client to the dispatcher.
+func (h *harness) client() *scriptedConn {
+	h.t.Helper()
+	c := h.dial()
+	h.until("the client is connected", func() bool { return c.opened })
+	return c
+}
+
+// untilOut waits until an attempt is out to a server.
+func (h *harness) untilOut(name string) {
+	h.t.Helper()
+	h.until("an attempt is out to "+name, func() bool {
+		out := 0
+		h.node.out.Each(h.loop.Now(), func(v exit.HostView) {
+			if v.Name == name {
+				out = v.Out
+			}
+		})
+		return out == 1
+	})
+}
+
+// draining gives a server's entry with the state in which it takes nothing new.
+func (h *harness) draining(name string) exit.Server {
+	for _, server := range h.servers {
+		if server.ID == name {
+			server.State = "Terminating"
+			return server
+		}
+	}
+	h.t.Fatalf("no server %q", name)
+	return exit.Server{}
+}
+
+// wantRefused asks for something, which no server may be there for.
+func (h *harness) wantRefused() {
+	h.t.Helper()
+	client := h.client()
+	client.send(request(jobName(99)))
+	if status := client.expect("\r\n"); !strings.Contains(status, " 503 ") {
+		h.t.Errorf("the client got %q, want 503", status)
+	}
+}
+
+// scriptedServer is a scripted server in simulated time.
+type scriptedServer struct {
+	h     *harness
+	addr  netip.AddrPort
+	loop  *loop.Loop
+	conns []*scriptedConn // that nobody has taken yet
+	reply string          // to every request; empty = the test answers
+}
+
+// accept gives the next connection.
+func (p *scriptedServer) accept() (c *scriptedConn) {
+	p.h.t.Helper()
+	p.h.until("a connection comes", func() bool {
+		if len(p.conns) == 0 {
+			return false
+		}
+		c, p.conns = p.conns[0], p.conns[1:]
+		return true
+	})
+	return c
+}
+
+// idle tells that no connection waits to be taken.
+func (p *scriptedServer) idle() (none bool) {
+	p.h.do(func() { none = len(p.conns) == 0 })
+	return none
+}
+
+// wantNoRequest looks for requests, of which none may come; on the simulated network it waits for them.
+func (p *scriptedServer) wantNoRequest() {
+	p.h.t.Helper()
+	if p.h.world != nil {
+		p.h.run(2 * time.Second)
+	}
+	p.h.do(func() {
+		for _, c := range p.conns {
+			if len(c.in) > 0 {
+				p.h.t.Errorf("%v got %q", p.addr, c.in)
+			}
+		}
+	})
+}
+
+// cut stops, or lets pass again, all that is under way between the dispatcher and this peer.
+func (p *scriptedServer) cut(yes bool) { p.h.world.Cut(p.h.loop, p.loop, yes) }
+
+// scriptedConn is one connection of a scripted peer in simulated time.
+type scriptedConn struct {
+	h      *harness
+	server *scriptedServer // nil for a client
+	loop   *loop.Loop
+	conn   *loop.Conn
+	in     []byte // that came and was not taken yet
+	opened bool
+	ended  bool // the dispatcher sends no more
+}
+
+func (c *scriptedConn) Opened(loop.Nanos) { c.opened = true }
+func (c *scriptedConn) Data(_ loop.Nanos, p []byte) {
+	c.in = append(c.in, p...)
+	if c.server != nil && c.server.reply != "" {
+		c.reply()
+	}
+}
+func (c *scriptedConn) PeerDone(loop.Nanos)      { c.ended = true }
+func (c *scriptedConn) Drained(loop.Nanos)       {}
+func (c *scriptedConn) Closed(loop.Nanos, error) { c.ended = true }
+
+// reply answers the requests that have come whole as its peer does.
+func (c *scriptedConn) reply() {
+	for {
+		head, rest, whole := bytes.Cut(c.in, []byte("\r\n\r\n"))
+		withBody := bytes.Contains(head, []byte("Content-Length: "))
+		if !whole || withBody && len(rest) < len(body) {
+			return
+		}
+		if withBody {
+			rest = rest[len(body):]
+		}
+		answer := c.server.reply
+		if bytes.HasPrefix(head, []byte("DELETE ")) {
+			answer = noContent
+		}
+		c.conn.Write([]byte(answer))
+		c.in = rest
+	}
+}
+
+// expect takes what came up to the end of a text, which has to come.
+func (c *scriptedConn) expect(text string) (got string) {
+	c.h.t.Helper()
+	ended := false
+	c.h.until("want "+text, func() bool {
+		before, after, found := bytes.Cut(c.in, []byte(text))
+		if found {
+			got, c.in = string(before)+text, after
+		}
+		ended = c.ended
+		return found || ended
+	})
+	if !strings.HasSuffix(got, text) {
+		c.h.t.Fatalf("the connection ended, want %q", text)
+	}
+	return got
+}
+
+// wantNothing looks for bytes that nobody took, of which there may be none.
+func (c *scriptedConn) wantNothing() {
+	c.h.t.Helper()
+	c.h.do(func() {
+		if len(c.in) > 0 {
+			c.h.t.Errorf("there came %q", c.in)
+		}
+	})
+}
+
+// stands tells that the dispatcher has not ended the connection.
+func (c *scriptedConn) stands() (so bool) {
+	c.h.do(func() { so = !c.ended })
+	return so
+}
+
+// request takes one request with its body and gives its request line.
+func (c *scriptedConn) request() string {
+	c.h.t.Helper()
+	head := c.expect("\r\n\r\n")
+	if strings.Contains(head, "Content-Length: ") {
+		c.expect(body)
+	}
+	line, _, _ := strings.Cut(head, "\r\n")
+	return line
+}
+
+// expectSoon is expect for what has been sent already: on the simulated network no time passes but that on the way.
+func (c *scriptedConn) expectSoon(text string) {
+	c.h.t.Helper()
+	began := c.h.now()
+	c.expect(text)
+	if took := c.h.since(began); c.h.world != nil && took > 4*transitTime {
+		c.h.t.Errorf("%q came after %v", text, took)
+	}
+}
+
+// untilEnd waits until the dispatcher has ended the connection.
+func (c *scriptedConn) untilEnd() {
+	c.h.t.Helper()
+	c.h.until("the connection ends", func() bool { return c.ended })
+}
+
+func (c *scriptedConn) send(text string) {
+	c.loop.Post(func() { c.conn.Write([]byte(text)) })
+}
+
+func (c *scriptedConn) close() { c.loop.Post(func() { c.conn.Close() }) }
+
+// sendSlowly sends pieces, one each interval, for as long as the connection stands.
+func (c *scriptedConn) sendSlowly(pieces []string, interval time.Duration) {
+	for _, piece := range pieces {
+		if !c.stands() {
+			return
+		}
+		c.send(piece)
+		c.h.run(interval)
+	}
+}
+
+// listText is the text of a list as discovery writes it.
+func listText(list exit.List) string {
+	text, err := json.Marshal(list)
+	if err != nil {
+		panic(err)
+	}
+	return string(text)
+}
