--- a/internal/loop/conn.go
+++ b/internal/loop/conn.go
@@ -309,7 +309,9 @@
 	}
 	if c.ending {
 		c.ending = false
-		if c.l.world == nil {
+		if c.l.world != nil {
+			c.send(ends, nil)
+		} else {
 			unix.Shutdown(c.fd, unix.SHUT_WR)
 		}
 	}
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -310,6 +310,7 @@
 	loop  *loop.Loop
 	conns []*scriptedConn // that nobody has taken yet
 	reply string          // to every request; empty = the test answers
+	lines []string        // the request lines that were replied to
 }
 
 // accept gives the next connection.
@@ -382,6 +383,8 @@
 		if withBody {
 			rest = rest[len(body):]
 		}
+		line, _, _ := strings.Cut(string(head), "\r\n")
+		c.server.lines = append(c.server.lines, line)
 		answer := c.server.reply
 		if bytes.HasPrefix(head, []byte("DELETE ")) {
 			answer = noContent
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bufio"
-	"encoding/json"
 	"io"
 	"net"
 	"net/http"
@@ -101,27 +100,6 @@
 
 func (zeros) Read(p []byte) (int, error) { clear(p); return len(p), nil }
 
-// Half a request and silence are ended in time, whatever comes drop by drop.
-func TestSlowClients(t *testing.T) {
-	s := newStage(t)
-	s.start(1024)
-	silent, half, drops := s.dial(), s.dial(), s.dial()
-	begun := time.Now()
-	io.WriteString(half, request(jobName(1))[:200])
-	go func() {
-		for range 60 {
-			io.WriteString(drops, "P")
-			time.Sleep(50 * time.Millisecond)
-		}
-	}()
-	for _, c := range []net.Conn{silent, half, drops} {
-		b, _ := io.ReadAll(c)
-		if took := time.Since(begun); took > 3*time.Second || c == half && !strings.Contains(string(b), "408") {
-			t.Errorf("after %v: %q", took, b)
-		}
-	}
-}
-
 // The id of a job in hand is refused elsewhere, and the job goes on.
 func TestSameID(t *testing.T) {
 	s := newStage(t)
@@ -312,35 +290,6 @@
 	}
 }
 
-// A writer that falls silent on a kept connection may be cut off, and never have heard of the job: what was read is let
-// go of in its time all the same.
-func TestReleaseBesideSilence(t *testing.T) {
-	s := newStage(t)
-	s.terms = []string{`"on_time_ns":1500000000`, `"on_time_ns":6000000000`} // so long that nothing is recalled
-	hung := make(chan bool)
-	s.host("reader", "prefill", read)
-	s.host("writer", "decode", func(c net.Conn, r *http.Request, n int) bool {
-		if n > 1 {
-			<-hung
-		}
-		return write(c, r, n)
-	})
-	s.start(1024)
-	defer close(hung)
-	c := s.dial()
-	s.served(c, 1)
-	time.Sleep(15 * time.Millisecond) // so long a connection rests
-	io.WriteString(c, request(jobName(2)))
-	released := func() []seen {
-		return s.got(func(x seen) bool { return x.method == "DELETE" && x.path == "/state/"+jobName(2) })
-	}
-	until(t, "a release", func() bool { return len(released()) > 0 })
-	read := s.got(func(x seen) bool { return x.host == "reader" && x.name == jobName(2) })[0]
-	if after := released()[0].at.Sub(read.at); after > 1300*time.Millisecond {
-		t.Errorf("released after %v, want 1 s and what the rule allows", after)
-	}
-}
-
 // A client that has sent more than is read while its job is in hand, and goes, is gone at once.
 func TestLeaverBehindUnreadBytes(t *testing.T) {
 	s := newStage(t)
@@ -379,48 +328,6 @@
 	}
 }
 
-// An answer that takes long, as its connection's last, goes out whole.
-func TestLongLastAnswer(t *testing.T) {
-	s := newStage(t)
-	s.host("reader", "prefill", read)
-	s.host("writer", "decode", func(c net.Conn, _ *http.Request, _ int) bool {
-		say(c, streamHead+chunk(event1))
-		time.Sleep(3200 * time.Millisecond) // longer than what comes after a last answer is thrown away
-		return say(c, chunk(event2)+"0\r\n\r\n")
-	})
-	s.start(1024)
-	status, got, _, err := ask(s.dial(), request(jobName(1), "Host: api.internal\r\n", "Host: api.internal\r\nConnection: close\r\n"))
-	if status != 200 || got != answer || err != nil {
-		t.Errorf("%d %q, %v", status, got, err)
-	}
-}
-
-// A dispatcher that leaves with its last client sees to it first that what it had read is let go of.
-func TestLeaveReleases(t *testing.T) {
-	s := newStage(t)
-	hung := make(chan bool)
-	s.host("r1", "prefill", func(net.Conn, *http.Request, int) bool { <-hung; return false })
-	s.host("writer", "decode", write)
-	s.mute = "r1"   // it is asked first, as it was heard
-	s.atOnce = true // no other client holds the dispatcher back
-	s.start(1024)
-	defer close(hung)
-	c := s.dial()
-	io.WriteString(c, request(jobName(1)))
-	until(t, "the read is out", func() bool { return s.jobsAt("r1") == 1 })
-	s.node.Leave()
-	time.Sleep(600 * time.Millisecond) // the door is closed
-	c.Close()
-	select {
-	case <-s.node.Done():
-	case <-time.After(3 * time.Second):
-		t.Fatal("it has not ended")
-	}
-	if len(s.got(func(x seen) bool { return x.host == "writer" && x.method == "DELETE" })) == 0 {
-		t.Error("it has ended before its release was answered")
-	}
-}
-
 // The jobs that find no host are answered at once, with when to come back.
 func TestNack(t *testing.T) {
 	s := newStage(t)
@@ -466,33 +373,6 @@
 	}
 }
 
-// Lists come in any form of JSON and in pieces; one that cannot be read leaves the one in force.
-func TestListForms(t *testing.T) {
-	s := newStage(t)
-	s.host("r1", "prefill", read)
-	s.host("w1", "decode", write)
-	s.host("w2", "decode", write)
-	s.start(1024)
-	w1 := s.hosts[1]
-	w1.State = "Terminating"
-	text, _ := json.MarshalIndent(exit.List{Version: 42, Servers: []exit.Server{w1}}, "", "\t")
-	for i, piece := range []string{"\n \r\n" + string(text[:7]), string(text[7:60]), string(text[60:]) + "\n{\"version\":43,\"full\":false,\"servers\":[]}"} {
-		s.raw <- piece
-		if i < 2 {
-			time.Sleep(5 * time.Millisecond)
-		}
-	}
-	until(t, "the news", func() bool { v, _ := s.node.View(); return v.Exit.News == 3 })
-	s.raw <- "{\"version\": 44, \"servers\": [}]}"
-	until(t, "another watch", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return len(s.froms) == 2 && s.froms[1] == "43" })
-	for n := range 6 {
-		s.served(s.dial(), n)
-	}
-	if s.jobsAt("w1") != 0 {
-		t.Error("a host that drains got a job")
-	}
-}
-
 // Hosts that are replaced under new names leave nothing behind.
 func TestReplacedHosts(t *testing.T) {
 	s := newStage(t)
@@ -568,53 +448,6 @@
 	}
 }
 
-// A stream that had begun before the dispatcher was told to leave goes out whole and is its connection's last; whatever
-// comes late is refused at once, as the process may be killed before an answer.
-func TestLeaveUnderStreams(t *testing.T) {
-	s := newStage(t)
-	s.host("reader", "prefill", read)
-	let := make(chan bool)
-	s.host("writer", "decode", func(c net.Conn, _ *http.Request, _ int) bool {
-		say(c, streamHead+chunk(event1))
-		<-let
-		return say(c, chunk(event2)+"0\r\n\r\n")
-	})
-	s.start(1024)
-	c, slow := s.dial(), s.dial()
-	io.WriteString(c, request(jobName(1)))
-	in := bufio.NewReader(c)
-	res, err := http.ReadResponse(in, nil)
-	if err != nil || res.Close {
-		t.Fatalf("%v, %v", res, err)
-	}
-	text := request(jobName(2))
-	io.WriteString(slow, text[:20])
-	s.node.Leave()
-	until(t, "the door is closed", func() bool {
-		late, err := net.Dial("tcp", s.node.addr.String())
-		if err == nil {
-			late.Close()
-		}
-		return err != nil
-	})
-	time.Sleep(200 * time.Millisecond) // past the time in which requests are still served
-	io.WriteString(slow, text[20:])
-	if res, err := http.ReadResponse(bufio.NewReader(slow), nil); err != nil || res.StatusCode != 503 || !res.Close {
-		t.Errorf("a request that came late: %v, %v", res, err)
-	}
-	close(let)
-	if got, err := io.ReadAll(res.Body); string(got) != answer || err != nil {
-		t.Errorf("the stream: %q, %v", got, err)
-	}
-	io.WriteString(c, request(jobName(3)))
-	if b, err := in.ReadByte(); err != io.EOF {
-		t.Errorf("after the stream: %q, %v, want the end", b, err)
-	}
-	if n := s.jobsAt("reader"); n != 1 {
-		t.Errorf("%d reads, want 1", n)
-	}
-}
-
 // Where descriptors are short, clients that say nothing and such as rest give way to those that ask.
 func TestDescriptorsShort(t *testing.T) {
 	s := newStage(t)
--- /dev/null
+++ b/internal/node/slow_test.go
@@ -0,0 +1,160 @@
+package node
+
+import (
+	"encoding/json"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	exit "docksail/internal/exit/platform"
+)
+
+// Tests of what takes long: slow clients and servers, and the end of a process. They run in simulated time.
+
+// Half a request and silence are ended in time, whatever comes drop by drop.
+func TestSlowClients(t *testing.T) {
+	h := newHarness(t, simulated)
+	h.startInService()
+	silent, half, drops := h.client(), h.client(), h.client()
+	began := h.now()
+	half.send(request(jobName(1))[:200])
+	drops.sendSlowly(strings.Split(strings.Repeat("P", 60), ""), 50*time.Millisecond)
+	if took := h.since(began); took >= 3*time.Second {
+		t.Errorf("the one that sends drop by drop was ended after %v", took)
+	}
+	if status := half.expect("\r\n"); !strings.Contains(status, " 408 ") {
+		t.Errorf("half a request got %q, want 408", status)
+	}
+	half.untilEnd()
+	silent.untilEnd()
+	if took := h.since(began); took >= 3*time.Second {
+		t.Errorf("the others were ended after %v", took)
+	}
+}
+
+// A decode server that falls silent on a kept connection may be cut off, and never have heard of the request: what was
+// read is released in its time all the same.
+func TestReleaseBesideSilence(t *testing.T) {
+	h := newHarness(t, simulated, `"on_time_ns":1500000000`, `"on_time_ns":6000000000`) // so long that nothing is cancelled
+	reader, writer := h.server("r1", "prefill"), h.server("w1", "decode")
+	reader.reply = prefillAnswer
+	h.startInService()
+	client := h.client()
+	client.send(request(jobName(1)))
+	writing := writer.accept()
+	writing.request()
+	writing.send(decodeAnswer)
+	client.expect("0\r\n\r\n")
+	h.run(15 * time.Millisecond) // so long a connection rests before it is used again
+	client.send(request(jobName(2)))
+	began := h.now()
+	writing.request() // it says nothing to that
+	h.until("a release", func() bool {
+		return slices.Contains(reader.lines, "DELETE /state/"+jobName(2)+" HTTP/1.1")
+	})
+	if took := h.since(began); took > 1300*time.Millisecond {
+		t.Errorf("released after %v, want 1 s and what the rule allows", took)
+	}
+}
+
+// An answer that takes long, as its connection's last, goes out whole.
+func TestLongLastAnswer(t *testing.T) {
+	h := newHarness(t, simulated)
+	h.server("r1", "prefill").reply = prefillAnswer
+	writer := h.server("w1", "decode")
+	h.startInService()
+	client := h.client()
+	client.send(request(jobName(1), "Host: api.internal\r\n", "Host: api.internal\r\nConnection: close\r\n"))
+	writing := writer.accept()
+	writing.request()
+	writing.send(streamHead + chunk(event1))
+	h.run(3200 * time.Millisecond) // longer than what comes after a last answer is thrown away
+	writing.send(chunk(event2) + "0\r\n\r\n")
+	if got := client.expect("0\r\n\r\n"); !strings.Contains(got, " 200 ") || !strings.HasSuffix(got, chunk(event1)+chunk(event2)+"0\r\n\r\n") {
+		t.Errorf("the client got %q", got)
+	}
+	client.untilEnd()
+}
+
+// A dispatcher that leaves with its last client sees to it first that what it had read is released, by a server that is
+// heard where the one that holds it is silent.
+func TestLeaveReleases(t *testing.T) {
+	h := newHarness(t, simulated)
+	reader, writer := h.server("r1", "prefill"), h.server("w1", "decode")
+	watch := h.startInService()
+	client := h.client()
+	client.send(request(jobName(1)))
+	reader.accept().request()
+	h.node.Leave()
+	h.run(600 * time.Millisecond) // the listener is closed
+	client.close()
+	release := writer.accept()
+	if line := release.request(); line != "DELETE /state/"+jobName(1)+" HTTP/1.1" {
+		t.Errorf("%q, want a release", line)
+	}
+	if !watch.stands() {
+		t.Fatal("the process has ended before its release was answered")
+	}
+	release.send(noContent)
+	watch.untilEnd() // the process has ended
+}
+
+// A stream that had begun before the dispatcher was told to leave goes out whole and is its connection's last; whatever
+// comes late is refused at once, as the process may be killed before an answer.
+func TestLeaveUnderStreams(t *testing.T) {
+	h := newHarness(t, simulated)
+	reader, writer := h.server("r1", "prefill"), h.server("w1", "decode")
+	reader.reply = prefillAnswer
+	watch := h.startInService()
+	client, slow := h.client(), h.client()
+	client.send(request(jobName(1)))
+	writing := writer.accept()
+	writing.request()
+	writing.send(streamHead + chunk(event1))
+	if got := client.expect("oqvh"); strings.Contains(got, "Connection: close") {
+		t.Fatalf("the client got %q", got)
+	}
+	text := request(jobName(2))
+	slow.send(text[:20])
+	h.node.Leave()
+	h.run(700 * time.Millisecond) // past the time in which requests are still served
+	slow.send(text[20:])
+	if got := slow.expect("\r\n\r\n"); !strings.Contains(got, " 503 ") || !strings.Contains(got, "Connection: close") {
+		t.Errorf("a request that came late got %q", got)
+	}
+	slow.untilEnd()
+	writing.send(chunk(event2) + "0\r\n\r\n")
+	client.expect("0\r\n\r\n")
+	client.send(request(jobName(3)))
+	client.untilEnd()
+	client.wantNothing()
+	watch.untilEnd() // the process has ended
+	if len(reader.conns) != 1 {
+		t.Errorf("%d connections to the prefill server, want the one of the first request", len(reader.conns))
+	}
+}
+
+// Lists come in any form of JSON and in pieces; one that cannot be read leaves the one in force.
+func TestListForms(t *testing.T) {
+	onEachNetwork(t, func(t *testing.T, on network) {
+		h := newHarness(t, on)
+		h.server("r1", "prefill")
+		watch := h.startInService()
+		text, err := json.MarshalIndent(exit.List{Version: 43, Servers: []exit.Server{h.draining("r1")}}, "", "\t")
+		if err != nil {
+			t.Fatal(err)
+		}
+		watch.send(chunk("\n \r\n" + string(text[:7])))
+		h.run(5 * time.Millisecond)
+		watch.send(chunk(string(text[7:60])))
+		h.run(5 * time.Millisecond)
+		watch.send(chunk(string(text[60:]) + "\n{\"version\":44,\"full\":false,\"servers\":[]}"))
+		h.untilNews(2)
+		watch.send(chunk("{\"version\": 45, \"servers\": [}]}"))
+		if line := h.discovery.accept().request(); !strings.Contains(line, "from=44") {
+			t.Errorf("%q, want what came after version 44", line)
+		}
+		h.wantRefused()
+	})
+}
--- a/internal/node/stage_test.go
+++ b/internal/node/stage_test.go
@@ -13,7 +13,6 @@
 	"strconv"
 	"strings"
 	"sync"
-	"sync/atomic"
 	"testing"
 	"time"
 
@@ -29,20 +28,16 @@
 
 // stage is a dispatcher in service between scripted hosts, a scripted discovery and the test as its client.
 type stage struct {
-	t      *testing.T
-	node   *Node
-	told   *Told
-	hosts  []exit.Server
-	mu     sync.Mutex
-	seen   []seen
-	conns  int
-	watch  chan exit.List // news for whoever watches
-	raw    chan string    // the same, as written
-	deaf   *atomic.Bool   // watches that began by now say nothing more
-	froms  []string       // what watches asked for
-	mute   string         // the host that answers no release
-	atOnce bool           // the test goes on before clients are taken
-	terms  []string       // pieces of the settings and what stands in their place, pairwise
+	t     *testing.T
+	node  *Node
+	told  *Told
+	hosts []exit.Server
+	mu    sync.Mutex
+	seen  []seen
+	conns int
+	watch chan exit.List // news for whoever watches
+	froms []string       // what watches asked for
+	terms []string       // pieces of the settings and what stands in their place, pairwise
 }
 
 // script answers a request; false: the connection is to be closed.
@@ -103,9 +98,7 @@
 					nth++
 					n := nth
 					s.mu.Unlock()
-					if r.Method == "DELETE" && name == s.mute {
-						continue
-					} else if r.Method == "DELETE" {
+					if r.Method == "DELETE" {
 						say(c, "HTTP/1.1 204 No Content\r\n\r\n")
 					} else if !does(c, r, n) {
 						return
@@ -153,7 +146,6 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
-		deaf := s.deaf
 		s.froms = append(s.froms, r.URL.Query().Get("from"))
 		s.mu.Unlock()
 		w.(http.Flusher).Flush()
@@ -162,11 +154,7 @@
 			case list := <-watch:
 				json.NewEncoder(w).Encode(list)
 			case <-time.After(500 * time.Millisecond):
-				if !deaf.Load() {
-					io.WriteString(w, "\n")
-				}
-			case text := <-s.raw:
-				io.WriteString(w, text)
+				io.WriteString(w, "\n")
 			case <-r.Context().Done():
 				return
 			case <-ctx.Done():
@@ -181,7 +169,7 @@
 }
 
 func newStage(t *testing.T) *stage {
-	return &stage{t: t, raw: make(chan string), deaf: new(atomic.Bool)}
+	return &stage{t: t}
 }
 
 // start puts the dispatcher between them.
@@ -195,9 +183,7 @@
 	}
 	s.node = n
 	s.t.Cleanup(func() { n.l.Stop(); <-n.done })
-	if !s.atOnce {
-		ask(s.dial(), "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n") // it takes clients from then on
-	}
+	ask(s.dial(), "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n") // it takes clients from then on
 }
 
 // decodeAnswer is the whole of a decode server's answer.
