--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -175,7 +175,7 @@
 	shortest := int64(tracks[0].Target)
 	for i, t := range tracks {
 		d.tracks[names[i]] = policy.ClassID(i)
-		d.times = append(d.times, trackTimes{int64(t.Target), int64(t.TargetPer1k), int64(t.Patience),
+		d.times = append(d.times, trackTimes{int64(t.Target), int64(t.TargetPer1k), int64(t.Timeout),
 			int64(t.TokenGap), t.Effect == policy.Idempotent})
 		shortest = min(shortest, int64(t.Target))
 	}
--- a/internal/dispatch/overdue_test.go
+++ b/internal/dispatch/overdue_test.go
@@ -89,7 +89,7 @@
 				t.Fatal(err)
 			}
 			defer l.Close()
-			track := policy.Class{Target: 1e9, Patience: 5e9}
+			track := policy.Class{Target: 1e9, Timeout: 5e9}
 			if !c.redoable {
 				track.Effect = policy.NonIdempotent
 			}
@@ -139,7 +139,7 @@
 	}
 	defer l.Close()
 	mod := &deafModule{}
-	tracks := []policy.Class{{Target: 1e9, Patience: 5e9}}
+	tracks := []policy.Class{{Target: 1e9, Timeout: 5e9}}
 	d, err := Direct(l, slog.New(slog.DiscardHandler), mod, []string{"a"}, tracks, []string{"north", "south"}, 10, 1000, 0, 0, 1)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/enlist/enlist.go
+++ b/internal/enlist/enlist.go
@@ -113,7 +113,7 @@
 		if !ok {
 			return nil, fmt.Errorf("setup: request class %q has unknown dedup_scope %q", c.Name, c.Scope)
 		}
-		t := policy.Class{Target: policy.Nanos(c.OnTime), Patience: policy.Nanos(c.GiveUp), Value: c.Points,
+		t := policy.Class{Target: policy.Nanos(c.OnTime), Timeout: policy.Nanos(c.GiveUp), Value: c.Points,
 			LateValue: c.Late, Effect: effect, Group: group, Window: policy.Nanos(c.Windows)}
 		if i < len(s.Family.AimPer1k) {
 			t.TargetPer1k = policy.Nanos(s.Family.AimPer1k[i] * 1000)
@@ -130,7 +130,7 @@
 		m.Tenant = append(m.Tenant, t.Name)
 	}
 	d, err := policy.New(seed,
-		policy.Place{Number: s.Me, Count: s.Siblings, Zone: policy.ZoneID(slices.Index(s.Zones, s.Zone))},
+		policy.Identity{Number: s.Me, Count: s.Siblings, Zone: policy.ZoneID(slices.Index(s.Zones, s.Zone))},
 		m.Terms, tenants, m.Roles,
 		policy.ColdStart{From: s.Rules.ColdFrom, Warm: policy.Nanos(s.Rules.Cold), Multiple: s.Rules.Multiple,
 			Window: policy.Nanos(s.Rules.Fall)},
--- a/internal/exit/platform/exit_test.go
+++ b/internal/exit/platform/exit_test.go
@@ -72,7 +72,7 @@
 	defer host.Close()
 	mod, call := &scriptedModule{}, &slowCall{}
 	log := slog.New(slog.DiscardHandler)
-	d, err := dispatch.Direct(l, log, mod, []string{"a"}, []policy.Class{{Target: 1e9, Patience: 9e9}}, nil, 10, 1000, 0, 0, 1)
+	d, err := dispatch.Direct(l, log, mod, []string{"a"}, []policy.Class{{Target: 1e9, Timeout: 9e9}}, nil, 10, 1000, 0, 0, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/setup/setup.go
+++ b/internal/setup/setup.go
@@ -315,7 +315,7 @@
 	for _, t := range s.Tenants {
 		tenants = append(tenants, policy.Tenant{PerSecond: t.PerSecond})
 	}
-	return policy.New(seed, policy.Place{Number: s.Number, Count: s.Count, Zone: zone}, tracks, tenants,
+	return policy.New(seed, policy.Identity{Number: s.Number, Count: s.Count, Zone: zone}, tracks, tenants,
 		[]policy.Role{policy.Prefill, policy.Decode, policy.Mixed},
 		policy.ColdStart{From: s.Cold.From, Warm: policy.Nanos(s.Cold.Warm), Multiple: s.Cold.Multiple,
 			Window: policy.Nanos(s.Cold.Window)},
@@ -330,7 +330,7 @@
 	var tracks []policy.Class
 	for _, t := range s.Tracks {
 		tracks = append(tracks, policy.Class{Target: policy.Nanos(t.Expected),
-			TargetPer1k: policy.Nanos(t.ExpectedPer1k), Patience: policy.Nanos(t.Patience), Value: t.Payoff,
+			TargetPer1k: policy.Nanos(t.ExpectedPer1k), Timeout: policy.Nanos(t.Patience), Value: t.Payoff,
 			LateValue: t.LatePayoff, TokenGap: policy.Nanos(t.TokenGap), Effect: policy.Effect(t.Effect),
 			Group: policy.Group(t.Group), Window: policy.Nanos(t.Window)})
 	}
--- a/policy/classes_test.go
+++ b/policy/classes_test.go
@@ -9,7 +9,7 @@
 // and gives all that it decides.
 func play(t *testing.T, seed uint64, tracks []Class, place []ClassID) (decided []Decision) {
 	t.Helper()
-	d, err := New(7, Place{Count: 3}, tracks, nil, []Role{Prefill, Decode}, ColdStart{From: 0.3, Warm: 5e9, Multiple: 2.5, Window: 3e9},
+	d, err := New(7, Identity{Count: 3}, tracks, nil, []Role{Prefill, Decode}, ColdStart{From: 0.3, Warm: 5e9, Multiple: 2.5, Window: 3e9},
 		AttemptLimits{Most: 4, Cancel: true}, Answering{Slack: 16e6, Round: 4e6, Advice: true, MaxAdvice: 1e9}, Listing{}, 1e9)
 	if err != nil {
 		t.Fatal(err)
@@ -34,17 +34,17 @@
 		if k := rng.IntN(max(len(out), 1)); len(out) > 0 && rng.IntN(3) > 0 {
 			what := out[k]
 			out = append(out[:k], out[k+1:]...)
-			how := []Outcome{Read, Read, Read, Failed, Late, Rejected}[rng.IntN(6)]
-			if what.Server%2 == 0 && how == Read {
-				how = Served
+			outcome := []Outcome{Read, Read, Read, Failed, Late, Rejected}[rng.IntN(6)]
+			if what.Server%2 == 0 && outcome == Read {
+				outcome = Served
 			}
-			d.AttemptEnded(now, what.Request, what.Attempt, how, Nanos(rng.Int64N(800e6)), how == Served, NoLoad)
+			d.AttemptEnded(now, what.Request, what.Attempt, outcome, Nanos(rng.Int64N(800e6)), outcome == Served, NoLoad)
 		}
 		for what, ok := d.Next(now); ok; what, ok = d.Next(now) {
 			switch what.Verb {
 			case Attempt:
-				_, j := d.jobs.find(what.Request)
-				what.Attempt = AttemptNumber(j.launches - 1)
+				_, req := d.requests.find(what.Request)
+				what.Attempt = AttemptNumber(req.attempts - 1)
 				out = append(out, what)
 			case Wake:
 				wake = now + what.For
@@ -66,8 +66,8 @@
 
 // No decision goes by the place of a class in the settings.
 func TestClassOrder(t *testing.T) {
-	quick := Class{Target: 1e9, TargetPer1k: 40e6, Patience: 5e9, Value: 1}
-	slow := Class{Target: 4e9, TargetPer1k: 40e6, Patience: 9e9, Value: 3, Effect: Deduplicated, Window: 3e9}
+	quick := Class{Target: 1e9, TargetPer1k: 40e6, Timeout: 5e9, Value: 1}
+	slow := Class{Target: 4e9, TargetPer1k: 40e6, Timeout: 9e9, Value: 3, Effect: Deduplicated, Window: 3e9}
 	for seed := range uint64(5) {
 		a := play(t, seed, []Class{quick, slow}, []ClassID{0, 1})
 		b := play(t, seed, []Class{slow, quick}, []ClassID{1, 0})
@@ -84,8 +84,8 @@
 
 // A host that has not answered a class whose target is long is not taken for silent at the pace of a quicker one.
 func TestSilenceByOwnTarget(t *testing.T) {
-	quick, slow := Class{Target: 1e9, Patience: 20e9}, Class{Target: 6e9, Patience: 20e9}
-	d, err := New(7, Place{Count: 1}, []Class{quick, slow}, nil, []Role{Prefill, Decode}, ColdStart{}, AttemptLimits{Most: 4, Cancel: true},
+	quick, slow := Class{Target: 1e9, Timeout: 20e9}, Class{Target: 6e9, Timeout: 20e9}
+	d, err := New(7, Identity{Count: 1}, []Class{quick, slow}, nil, []Role{Prefill, Decode}, ColdStart{}, AttemptLimits{Most: 4, Cancel: true},
 		Answering{Slack: 16e6, Round: 4e6}, Listing{}, 5e9)
 	if err != nil {
 		t.Fatal(err)
@@ -104,8 +104,8 @@
 		}
 		return n
 	}
-	for id, track := range []ClassID{0, 1} {
-		d.RequestArrived(now, Request{ID: RequestID(id), Class: track, Tenant: -1, Prompt: 100, Deadline: now + 20e9})
+	for id, class := range []ClassID{0, 1} {
+		d.RequestArrived(now, Request{ID: RequestID(id), Class: class, Tenant: -1, Prompt: 100, Deadline: now + 20e9})
 		recalled()
 		d.AttemptEnded(now, RequestID(id), 0, Read, 1e6, false, NoLoad)
 		recalled()
--- a/policy/fair_test.go
+++ b/policy/fair_test.go
@@ -40,13 +40,13 @@
 )
 
 // shopClass is the class of a shop in which there is but one.
-var shopClass = Class{Target: 1500e6, TargetPer1k: 40e6, Patience: shopPatience, Value: 1}
+var shopClass = Class{Target: 1500e6, TargetPer1k: 40e6, Timeout: shopPatience, Value: 1}
 
 func newShop(t *testing.T, modules int, tenants []Tenant, classes ...Class) *shop {
 	t.Helper()
 	s := &shop{now: 10e9, free: map[ServerID]Nanos{}}
 	for n := range modules {
-		d, err := New(uint64(n), Place{Number: int32(n), Count: int32(modules)}, classes, tenants, []Role{Prefill}, ColdStart{},
+		d, err := New(uint64(n), Identity{Number: int32(n), Count: int32(modules)}, classes, tenants, []Role{Prefill}, ColdStart{},
 			AttemptLimits{Most: 6, Cancel: true}, Answering{Slack: 16e6, Round: 4e6, Advice: true, MaxAdvice: 1e9}, Listing{}, 1e9)
 		if err != nil {
 			t.Fatal(err)
@@ -61,8 +61,8 @@
 	return s
 }
 
-func (s *shop) end(at Nanos, n int, job RequestID, shot AttemptNumber, how Outcome) {
-	e := shopEnd{ending{at, n, job, shot}, how}
+func (s *shop) end(at Nanos, n int, job RequestID, attempt AttemptNumber, outcome Outcome) {
+	e := shopEnd{ending{at, n, job, attempt}, outcome}
 	i, _ := slices.BinarySearchFunc(s.ends, e, func(a, b shopEnd) int { return cmp.Or(cmp.Compare(a.at, b.at), -1) })
 	s.ends = slices.Insert(s.ends, i, e)
 }
@@ -74,15 +74,15 @@
 		case Wake:
 			s.wakes[n] = s.now + what.For
 		case Attempt:
-			_, j := d.jobs.find(what.Request)
+			_, req := d.requests.find(what.Request)
 			job := &s.jobs[what.Request-1]
 			job.sent = s.now
 			done := max(s.now, s.free[what.Server]) + Nanos(float64(job.prompt)/shopRate*1e9)
 			if done <= s.now+what.For {
 				s.free[what.Server] = done
-				s.end(done, n, what.Request, AttemptNumber(j.launches-1), Read)
+				s.end(done, n, what.Request, AttemptNumber(req.attempts-1), Read)
 			} else { // withdrawn from the queue before its turn
-				s.end(s.now+what.For, n, what.Request, AttemptNumber(j.launches-1), Late)
+				s.end(s.now+what.For, n, what.Request, AttemptNumber(req.attempts-1), Late)
 			}
 		case Cancel:
 			d.AttemptEnded(s.now, what.Request, what.Attempt, Canceled, s.now-s.jobs[what.Request-1].sent, false, NoLoad)
@@ -124,9 +124,9 @@
 // share is the answered part of the jobs that fit.
 func (s *shop) share(fits func(shopJob) bool) float64 {
 	all, answered := 0, 0
-	for _, j := range s.jobs {
-		if fits(j) {
-			if all++; j.answered {
+	for _, req := range s.jobs {
+		if fits(req) {
+			if all++; req.answered {
 				answered++
 			}
 		}
@@ -143,14 +143,14 @@
 			s.play(60e9, c.load, rand.New(rand.NewPCG(1, 0)), func() (ClassID, TenantID) { return 0, -1 })
 			var prompts []int64
 			sessions := map[SessionKey]bool{}
-			for _, j := range s.jobs {
-				prompts = append(prompts, j.prompt)
-				sessions[j.session] = sessions[j.session] || j.answered
+			for _, req := range s.jobs {
+				prompts = append(prompts, req.prompt)
+				sessions[req.session] = sessions[req.session] || req.answered
 			}
 			slices.Sort(prompts)
 			long := prompts[len(prompts)*9/10]
 			all := s.share(func(shopJob) bool { return true })
-			longest := s.share(func(j shopJob) bool { return j.prompt >= long })
+			longest := s.share(func(req shopJob) bool { return req.prompt >= long })
 			if all < 0.5 || longest < c.least*all {
 				t.Errorf("answered: %.2f of all, %.2f of the longest tenth, want %.2f of that at least", all, longest, c.least)
 			}
@@ -170,14 +170,14 @@
 
 // Beyond what the readers bear no class is left out, whatever its target, its worth and its place in the settings.
 func TestNoClassIsLeftOut(t *testing.T) {
-	slow := Class{Target: 4e9, TargetPer1k: 40e6, Patience: shopPatience, Value: 5}
+	slow := Class{Target: 4e9, TargetPer1k: 40e6, Timeout: shopPatience, Value: 5}
 	for what, classes := range map[string][]Class{"quick first": {shopClass, slow}, "slow first": {slow, shopClass}} {
 		rng := rand.New(rand.NewPCG(2, 0))
 		s := newShop(t, 4, nil, classes...)
 		s.play(60e9, 1.3, rng, func() (ClassID, TenantID) { return ClassID(rng.IntN(2)), -1 })
 		all := s.share(func(shopJob) bool { return true })
 		for id := range classes {
-			got := s.share(func(j shopJob) bool { return j.class == ClassID(id) })
+			got := s.share(func(req shopJob) bool { return req.class == ClassID(id) })
 			if got < 2*all/3 {
 				t.Errorf("%s: %.2f of class %d are answered, of all %.2f", what, got, id, all)
 			}
@@ -197,8 +197,8 @@
 		}
 		return 0, 1 // three times as much as the other, beyond its share
 	})
-	within := s.share(func(j shopJob) bool { return j.tenant == 0 })
-	beyond := s.share(func(j shopJob) bool { return j.tenant == 1 })
+	within := s.share(func(req shopJob) bool { return req.tenant == 0 })
+	beyond := s.share(func(req shopJob) bool { return req.tenant == 1 })
 	if within < beyond+0.05 || within < 0.5 {
 		t.Errorf("answered: %.2f of the tenant within its share, %.2f of the other", within, beyond)
 	}
--- a/policy/homes_test.go
+++ b/policy/homes_test.go
@@ -8,7 +8,7 @@
 	const prefix = PrefixKey(99)
 	at := map[ServerID]bool{}
 	for session := range 40 {
-		d, err := New(1, Place{Number: int32(session), Count: 40}, []Class{{Target: 1e9, Patience: 5e9, Value: 1}}, nil, []Role{Prefill},
+		d, err := New(1, Identity{Number: int32(session), Count: 40}, []Class{{Target: 1e9, Timeout: 5e9, Value: 1}}, nil, []Role{Prefill},
 			ColdStart{}, AttemptLimits{Most: 3}, Answering{Round: 1e6}, Listing{}, 1e9)
 		if err != nil {
 			t.Fatal(err)
@@ -40,7 +40,7 @@
 			}
 			job(RequestID(n+1), SessionKey(5000+100*session+n), p)
 		}
-		d.holds.by = map[uint64][8]holder{} // the marks of its own jobs are not what is asked about
+		d.prefixes.marks = map[uint64][8]prefixMark{} // the marks of its own jobs are not what is asked about
 		at[job(1000, SessionKey(session+1), prefix)] = true
 	}
 	return len(at)
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -1,10 +1,11 @@
 package policy
 
-// Every decision of docksail is in this file; its interface is types.go, and told.go takes down what needs
-// no judgement. To call it: New once for each dispatcher, then, as things happen, the methods that tell it
-// (ListBegin, ServerListed, ListEnd, ListFailed, RequestArrived, StreamBegan, AttemptEnded, ClientLeft,
-// Woken). They only update what is known. After them call Next until it has no further decision. The
-// module reads no clock of its own.
+// All routing decisions are made in this file. types.go is the interface, told.go records events that need no
+// judgement, state.go holds the state.
+//
+// A caller makes a Dispatcher with New and reports events to it: ListBegin, ServerListed, ListEnd,
+// ListFailed, RequestArrived, StreamBegan, AttemptEnded, HeldSince, ClientLeft, Woken. These only update
+// state. After them it calls Next until that has no further decision. The package reads no clock.
 
 import (
 	"fmt"
@@ -12,594 +13,659 @@
 	"slices"
 )
 
+// Prefix affinity and placement.
 const (
-	gateFactor  = 2        // affinity yields at this multiple of shortest queue and prompt (design page)
-	keepMarks   = 30 * 1e9 // a prefix is believed held so long after its last use (design page)
-	shortPrompt = 2000     // unshared prompt tokens under which a mixed server reads by itself (design page)
-	nearStreams = 1        // within so many streams of the fewest, locality chooses (design page)
-	tellStreams = 4        // own streams at each decode server from which on one more is no chance
-
-	highQuantile = 0.9      // answer times are judged by this quantile: one slow request in ten is no verdict
-	slowAgainst  = 3.0      // times its peers' median: uneven load makes 2, sickness 4 and more
-	slowHarms    = 1.0 / 3  // of the target: answers faster than that harm nobody, whatever peers do
-	stallAgainst = 2.0      // silence of so many high answer times is no chance
-	stallFloor   = 1.0 / 6  // of the target, taken as the high answer time while servers are quicker
-	manySilent   = 6        // attempts out at a prefill server that answers none: a queue would move
-	failKeep     = 0.8      // weight of the past in a server's share of failures
-	failLimit    = 0.3      // two failures in a row from clean, or one attempt in three
-	failAgainst  = 3.0      // times its peers' median share: what befalls all alike is no sickness of one
-	keepLoad     = 8        // targets over which a server's report fades: as long as answers count
-	fewHomes     = 2        // replicas more while little is known: one jams where prefixes are few
-	manyWarm     = 1.0 / 2  // of the servers of a role that warm up: beside fewer the others bear the rest
-	mostAside    = 3        // one server in so many may be ejected for slowness or failures
-	poorAnswer   = 1.0 / 2  // of the target, for one stage of two: a longer answer has waited too long
-	lateRead     = 1.0 / 4  // of the target: a read that takes longer has waited in a queue
-	poorWeight   = 1.0 / 4  // of the last answer in the share of late ones: two of three in a row tell
-	poorShare    = 1.0 / 4  // of the answers: one sick server makes fewer, so it is the pool that is full
-	waitAtHost   = 3.0      // attempts of all dispatchers that may always wait at a server
-	beyondShare  = 3.0 / 4  // of the request limit is open to tenants beyond their share
-	homeSpread   = 1.5      // replicas of a prefix, against the servers that its requests would keep busy
-	roomCut      = 0.85     // of what is in hand is kept when the pool is full: a few steps find any level
-	roomGrow     = 1.0 / 16 // of the request limit is added back at a time: slower than it is cut
-	waitShare    = 1.0 / 8  // of the target a new request may wait: the work needs the rest
-	coldMargin   = 0.9      // of what topples a cold server: the rest is for chance and unequal sights
-	holdMargin   = 0.6      // of the time for release that a held state may wait
-	lookParts    = 16       // of the shortest time that decisions wait for, between two looks at everything
+	// affinityYield is the multiple of the shortest queue and the prompt at which affinity yields (design page).
+	affinityYield = 2
+	// markLifetime is how long after its last use a prefix is believed to be cached (design page).
+	markLifetime = 30 * 1e9
+	// shortPromptTokens: a mixed server may read a prompt with fewer uncached tokens itself (design page).
+	shortPromptTokens = 2000
+	// localityStreams: of decode servers within so many streams of the fewest, locality chooses (design page).
+	localityStreams = 1
+	// comparableStreams per decode server make a difference of one more than chance.
+	comparableStreams = 4
+	// replicaSpread is the number of replicas of a prefix, per server that its requests would keep busy.
+	replicaSpread = 1.5
+	// extraReplicas are added while little is known: where prefixes are few, one replica becomes a hot spot.
+	extraReplicas = 2
+	// loadReportTargets is the time, in shortest targets, over which a server's report loses its weight.
+	loadReportTargets = 8
 )
 
-// ---- What is told, where judgement goes in.
+// Ejection of slow and failing servers.
+const (
+	// highQuantile of the latencies judges a server: one slow request in ten is no verdict.
+	highQuantile = 0.9
+	// slowFactor times its peers' median makes a server slow: uneven load makes 2, sickness 4 and more.
+	slowFactor = 3.0
+	// slowFloor is the share of the target under which no latency counts as slow.
+	slowFloor = 1.0 / 3
+	// stallFactor high latencies without an answer are no chance.
+	stallFactor = 2.0
+	// stallFloor is the share of the target that is the least high latency a stall is measured by.
+	stallFloor = 1.0 / 6
+	// manyUnanswered attempts at a prefill server that answers none: a queue would move.
+	manyUnanswered = 6
+	// failureDecay is the weight of the past in a server's share of failures.
+	failureDecay = 0.8
+	// failureLimit is reached by two failures in a row, or by one attempt in three.
+	failureLimit = 0.3
+	// failureFactor times its peers' median share of failures: what happens to all is not one server's fault.
+	failureFactor = 3.0
+	// ejectedPart: at most one server in so many is ejected for slowness or failures.
+	ejectedPart = 3
+)
+
+// Concurrency limits and deadlines.
+const (
+	// lateStage is the share of the target from which one stage of two came late.
+	lateStage = 1.0 / 2
+	// queuedRead is the share of the target from which a read has waited in a queue.
+	queuedRead = 1.0 / 4
+	// lateWeight is the weight of the last answer in the share of late ones: two late of three show.
+	lateWeight = 1.0 / 4
+	// lateLimit is the share of late answers that one sick server does not reach: the pool is full.
+	lateLimit = 1.0 / 4
+	// unansweredPerServer attempts, of all dispatchers together, may always wait at a server.
+	unansweredPerServer = 3.0
+	// overShareLimit is the share of the request limit that is open to tenants beyond their own share.
+	overShareLimit = 3.0 / 4
+	// limitDecrease is the share of what is in hand that a cut of the request limit keeps.
+	limitDecrease = 0.85
+	// limitIncrease is the share of the request limit that is added at a time: it grows slower than it is cut.
+	limitIncrease = 1.0 / 16
+	// waitLimit is the share of the target for which a new request may wait: the work needs the rest.
+	waitLimit = 1.0 / 8
+	// heldLimit is the share of the release time for which a held state may wait.
+	heldLimit = 0.6
+	// reviewsPerTarget is how often all that is in hand is reviewed within the shortest target.
+	reviewsPerTarget = 16
+)
+
+// Slow start.
+const (
+	// manyWarming is the share of a role's servers: while fewer warm up, the others bear the load.
+	manyWarming = 1.0 / 2
+	// slowStartMargin is the share used of what makes a cold server fail: the rest is for chance.
+	slowStartMargin = 0.9
+)
 
-// ListFailed tells that the list could not be had.
+// ---- Events.
+
+// ListFailed reports that the list of servers could not be had.
 func (d *Dispatcher) ListFailed(now Nanos) {
 	d.watching, d.watchAt = false, now+d.listing.Within/8 // early enough for several more tries
-	d.lookAt = min(d.lookAt, d.watchAt)
+	d.reviewAt = min(d.reviewAt, d.watchAt)
 }
 
-// HeldSince tells, after an attempt that may never have come to its server has ended, since when what is
-// held for its request counts as held; Never: it has been released. It keeps rule five where decode
-// servers fall silent: there each attempt in vain would put the time for release off. A state too old for
-// another attempt is read anew.
+// HeldSince reports, after the end of an attempt that may never have reached its server, since when the KV
+// state of its request counts as held; Never: it has been released. Where decode servers fall silent,
+// attempts in vain must not extend the time in which a state has to be released (rule five). A state that
+// is too old for another attempt is released and its prompt read anew.
 func (d *Dispatcher) HeldSince(now Nanos, id RequestID, since Nanos) {
-	_, j := d.jobs.find(id)
+	_, req := d.requests.find(id)
 	switch {
-	case j == nil || !j.held || j.out:
+	case req == nil || !req.stateHeld || req.attemptOut:
 	case since == Never:
-		j.held, j.phase = false, toRead
+		req.stateHeld, req.phase = false, toRead
 	default:
-		if j.heldFrom = since; now >= since+Nanos(holdMargin*float64(d.release)) {
-			j.phase = toRead
+		if req.heldSince = since; now >= since+Nanos(heldLimit*float64(d.releaseTime)) {
+			req.phase = toRead
 		}
 	}
 }
 
-// review goes over all that is in hand: requests that fell due, marks that ran out, servers against their
-// peers.
+// review goes over everything in hand: requests that are due, expired prefix marks, servers against their
+// peers, concurrency limits.
 func (d *Dispatcher) review(now Nanos) {
-	d.lookAt = Never
-	for i := range d.jobs.jobs {
-		if j := &d.jobs.jobs[i]; !j.used || j.due >= Never {
+	d.reviewAt = Never
+	for i := range d.requests.entries {
+		if req := &d.requests.entries[i]; !req.used || req.reviewAt >= Never {
 			continue
-		} else if j.due <= now {
-			d.jobs.enqueue(int32(i))
+		} else if req.reviewAt <= now {
+			d.requests.enqueue(int32(i))
 		} else {
-			d.lookAt = min(d.lookAt, j.due, now+d.step)
+			d.reviewAt = min(d.reviewAt, req.reviewAt, now+d.reviewInterval)
 		}
 	}
-	for i := range d.hosts {
-		h := &d.hosts[i]
-		h.high = h.answers.quantile(now-8*d.pace, highQuantile)
+	for i := range d.servers {
+		srv := &d.servers[i]
+		srv.highLatency = srv.latencies.quantile(now-8*d.shortestTarget, highQuantile)
 	}
-	was := d.lookedAt
-	d.lookedAt = now
+	before := d.reviewedAt
+	d.reviewedAt = now
 	for role := Prefill; role < roleCount; role++ {
-		d.usual[role] = d.recent[role].quantile(now-8*d.pace, highQuantile)
-		d.peerHigh[role] = d.median(role, func(h *server) float64 { return h.high })
-		d.typical[role] = d.recent[role].quantile(now-8*d.pace, 0.5)
-	}
-	d.carried(now, was, 2*d.cold.Warm) // outlasts any warm-up
-	for i := range d.hosts {
-		h := &d.hosts[i]
-		if h.health != Serving || now < h.aside || d.inSlowStart(now, h) {
+		d.highLatency[role] = d.latencies[role].quantile(now-8*d.shortestTarget, highQuantile)
+		d.medianHighLatency[role] = d.median(role, func(srv *server) float64 { return srv.highLatency })
+		d.medianLatency[role] = d.latencies[role].quantile(now-8*d.shortestTarget, 0.5)
+	}
+	d.measureThroughput(now, before, 2*d.coldStart.Warm) // outlasts any warm-up
+	for i := range d.servers {
+		srv := &d.servers[i]
+		if srv.health != Serving || now < srv.ejectedUntil || d.inSlowStart(now, srv) {
 			continue
 		}
-		if h.high > slowHarms && h.high > slowAgainst*d.peerHigh[h.role] {
-			d.eject(now, h, "slow to answer", true)
+		if srv.highLatency > slowFloor && srv.highLatency > slowFactor*d.medianHighLatency[srv.role] {
+			d.eject(now, srv, "slow to answer", true)
 		}
 	}
-	d.countPlaces(now)
-	d.sharePlaces()
+	d.countServers(now)
+	d.shareCapacity()
 	d.adjustRequestLimit(now)
-	d.holds.sweep(now)
-	d.holds.fade(max(0, 1-float64(now-was)/keepMarks))
+	d.prefixes.dropExpired(now)
+	d.prefixes.decay(max(0, 1-float64(now-before)/markLifetime))
 }
 
-// requestLimitFor is the request limit as a request sees it: what its tenant asks beyond its share waits
-// before the request limit is full, so that a tenant within its share finds some left. Without pressure
-// nobody is held to a share.
-func (d *Dispatcher) requestLimitFor(j *job) float64 {
-	if j.beyond {
-		return beyondShare * d.requestLimit
+// requestLimitFor is the request limit that applies to a request. The last part of it is kept from requests
+// beyond their tenant's share, so that tenants within theirs find room. Without pressure the share has no
+// effect.
+func (d *Dispatcher) requestLimitFor(req *requestState) float64 {
+	if req.overShare {
+		return overShareLimit * d.requestLimit
 	}
 	return d.requestLimit
 }
 
-// adjustWindow bounds what is out at once by how long it takes, share x of the target: own attempts
-// unanswered by servers of a role, or pulls over the link of a cell. A queue at a prefill server makes
-// sessions come back later than their text is kept, which makes more to read; on a link pulls delay each
-// other until none ends in time. A window opens with the first late answer, and is cut down to what lets
-// all dispatchers together keep a few waiting at each server. Less than one stands for pauses.
-func (d *Dispatcher) adjustWindow(w *window, x, hosts float64) {
-	if x > lateRead {
-		if w.most == 0 {
-			w.most = float64(w.out + 1)
+// adjustLimit bounds the outstanding attempts by the latency of the last one, x as a share of the target:
+// attempts at the servers of a role, or transfers over the link of a cell. A queue at a prefill server
+// makes sessions come back after their prefix was evicted, which makes more to read; on a link, transfers
+// slow each other down until none ends in time. The limit is set by the first late answer and is cut to no
+// less than what lets all dispatchers together keep a few attempts waiting at each server. A limit below
+// one means pauses between attempts.
+func (d *Dispatcher) adjustLimit(limit *concurrencyLimit, latency, servers float64) {
+	if latency > queuedRead {
+		if limit.limit == 0 {
+			limit.limit = float64(limit.outstanding + 1)
 		}
-		w.most = max(roomCut*w.most, waitAtHost*hosts/float64(d.place.Count))
-	} else if w.most > 0 {
-		w.most += min(1, 1/w.most)
+		limit.limit = max(limitDecrease*limit.limit, unansweredPerServer*servers/float64(d.self.Count))
+	} else if limit.limit > 0 {
+		limit.limit += min(1, 1/limit.limit)
 	}
 }
 
-// windowOpen tells whether a window lets one more out.
-func (d *Dispatcher) windowOpen(now Nanos, w *window) bool {
-	if w.most == 0 || w.most >= 1 {
-		return w.most == 0 || float64(w.out) < w.most
+// limitAllows tells whether a concurrency limit admits one more attempt.
+func (d *Dispatcher) limitAllows(now Nanos, limit *concurrencyLimit) bool {
+	switch {
+	case limit.limit == 0:
+		return true
+	case limit.limit >= 1:
+		return float64(limit.outstanding) < limit.limit
 	}
-	return w.out == 0 && now >= w.sent+Nanos(lateRead*float64(d.pace)/w.most)
+	pause := Nanos(queuedRead * float64(d.shortestTarget) / limit.limit)
+	return limit.outstanding == 0 && now >= limit.lastSentAt+pause
 }
 
-// adjustRequestLimit finds how many requests in hand the pools bear, from how their answers come: cut when
-// many are late or turned away, else let grow. It guards against load beyond capacity, whatever made the
-// one grow or the other shrink. It may do harm when answers are late for a reason that fewer requests
-// don't cure.
+// adjustRequestLimit adapts the number of requests in hand to what the servers bear (additive increase,
+// multiplicative decrease): it is cut when many answers are late or rejected, else it grows. It guards
+// against overload, whether load has grown or capacity has shrunk. It may do harm when answers are late for
+// a reason that fewer requests do not cure.
 func (d *Dispatcher) adjustRequestLimit(now Nanos) {
-	if now < d.roomAt {
+	if now < d.limitReviewAt {
 		return
 	}
-	if d.lateShare > poorShare && d.told {
-		d.requestLimit = max(roomCut*min(d.requestLimit, float64(d.active)), 1)
+	if d.lateShare > lateLimit && d.answered {
+		d.requestLimit = max(limitDecrease*min(d.requestLimit, float64(d.active)), 1)
 	} else if float64(d.active) > d.requestLimit/2 {
-		d.requestLimit += roomGrow*d.requestLimit + 1
+		d.requestLimit += limitIncrease*d.requestLimit + 1
 	}
-	d.told, d.roomAt = false, now+d.pace/2
+	d.answered, d.limitReviewAt = false, now+d.shortestTarget/2
 }
 
-// recordLateness takes down whether an answer came late, or none, so that a few answers already tell.
+// recordLateness records whether an answer was late or missing; the average is short so that a few answers
+// already show.
 func (d *Dispatcher) recordLateness(late bool) {
-	d.told = true
-	if d.lateShare -= d.lateShare * poorWeight; late {
-		d.lateShare += poorWeight
+	d.answered = true
+	if d.lateShare -= d.lateShare * lateWeight; late {
+		d.lateShare += lateWeight
 	}
 }
 
-// recordFirstAnswer takes a first answer, of share x of its request's target, as a sign of the load and of
-// its server.
-func (d *Dispatcher) recordFirstAnswer(now Nanos, j *job, h *server, x float64) {
-	d.adjustWindow(&d.waits[h.role], x, d.serving[h.role])
-	d.recent[h.role].add(now, x)
-	if d.crawls(now, j) {
+// recordFirstAnswer takes the latency of a first answer, x as a share of its request's target, as a sign of
+// the load and of its server's health.
+func (d *Dispatcher) recordFirstAnswer(now Nanos, req *requestState, srv *server, latency float64) {
+	d.adjustLimit(&d.roleLimits[srv.role], latency, d.serving[srv.role])
+	d.latencies[srv.role].add(now, latency)
+	if d.transferSlow(now, req) {
 		return
 	}
-	h.answers.add(now, x)
-	d.recordLateness(x > poorAnswer)
+	srv.latencies.add(now, latency)
+	d.recordLateness(latency > lateStage)
 }
 
-// recordOutcome keeps a server's share of failures. It guards against servers that fail fast, hang, or are
-// gone before the list says so. A turned-away request is no failure: the server is full and says so.
-func (d *Dispatcher) recordOutcome(now Nanos, h *server, j *job, how Outcome) {
-	bad, why := 0.0, "failing"
-	switch how {
+// recordOutcome updates a server's share of failures. It guards against servers that fail fast, hang, or
+// are gone before the list says so. A rejection is no failure: the server is full and says so.
+func (d *Dispatcher) recordOutcome(now Nanos, srv *server, req *requestState, outcome Outcome) {
+	failure, reason := 0.0, "failing"
+	switch outcome {
 	case Failed, Broken:
-		bad = 1
+		failure = 1
 	case Late, Canceled:
-		excused := d.crawls(now, j) || j.phase == streaming || j.over
-		if excused || !d.stalled(now, h, j.Class) && !j.withdrew {
-			if how == Late {
+		excused := d.transferSlow(now, req) || req.phase == streaming || req.finished
+		if excused || !d.stalled(now, srv, req.Class) && !req.canceled {
+			if outcome == Late {
 				d.recordLateness(true)
 			}
 			return
 		}
-		d.ejectForClass(now, h, j)
+		d.ejectForClass(now, srv, req)
 		return
 	case Unreachable:
-		bad, h.doubt, h.downed, why = 1, max(h.doubt, 2*failLimit), true, "not reached"
+		failure, reason = 1, "not reached"
+		srv.failureShare = max(srv.failureShare, 2*failureLimit)
+		srv.unreachable = true
 	case Rejected:
 		d.recordLateness(true)
-		d.adjustWindow(&d.waits[h.role], 1, d.serving[h.role])
-		h.fullTill = now + j.expected/8
+		d.adjustLimit(&d.roleLimits[srv.role], 1, d.serving[srv.role])
+		srv.fullUntil = now + req.target/8
 		return
 	case NotSent, Stateless, StaleConnection: // a kept connection that died is no sign
 		return
 	default:
-		h.trial = false
-		if h.downed { // it is back, and nobody has said since when: treat it as just started
-			h.downed, h.launched = false, now
+		srv.halfOpen = false
+		if srv.unreachable { // it is back, since an unknown time: treated as just started
+			srv.unreachable, srv.startedAt = false, now
 		}
 	}
-	h.doubt = h.doubt*failKeep + bad*(1-failKeep)
-	alone := how == Unreachable || d.failsMoreThanPeers(h)
-	if bad > 0 && h.doubt > failLimit && alone && now >= h.aside {
-		d.eject(now, h, why, how == Failed || how == Broken)
+	srv.failureShare = srv.failureShare*failureDecay + failure*(1-failureDecay)
+	alone := outcome == Unreachable || d.failsMoreThanPeers(srv)
+	if failure > 0 && srv.failureShare > failureLimit && alone && now >= srv.ejectedUntil {
+		d.eject(now, srv, reason, outcome == Failed || outcome == Broken)
 	}
 }
 
 // failsMoreThanPeers tells that a server fails far more often than its peers. Where attempts fail at all
-// servers alike, by the network or by what is sent, to set some aside only leaves fewer, and whoever has
-// begun to read a prompt keeps it: a request whose read broke may go there again.
-func (d *Dispatcher) failsMoreThanPeers(h *server) bool {
-	return h.doubt > failAgainst*d.median(h.role, func(o *server) float64 { return o.doubt + 1e-9 })
-}
-
-// eject keeps new requests from a server for an ejection; then one request at a time tries it. An ejection
-// that follows soon on the last one is twice as long, up to the time in which a server warms up, so that a
-// long trouble costs few trials.
-func (d *Dispatcher) eject(now Nanos, h *server, why string, sparing bool) {
-	if sparing {
-		aside, all := 1, 0
-		for i := range d.hosts {
-			if o := &d.hosts[i]; (o.role == Prefill) == (h.role == Prefill) && o.health == Serving {
-				if all++; now < o.aside {
-					aside++
-				}
-			}
+// servers alike, because of the network or of what is sent, ejecting some only leaves fewer; and a server
+// that has begun to read a prompt keeps its prefix, so a request whose read broke may go there again.
+func (d *Dispatcher) failsMoreThanPeers(srv *server) bool {
+	typical := d.median(srv.role, func(o *server) float64 { return o.failureShare + 1e-9 })
+	return srv.failureShare > failureFactor*typical
+}
+
+// eject keeps new requests from a server for a time; after that, one request at a time probes it. An
+// ejection that soon follows another lasts twice as long, up to the time in which a server warms up, so
+// that a long outage costs few probes.
+func (d *Dispatcher) eject(now Nanos, srv *server, reason string, keepsOthers bool) {
+	if keepsOthers && d.tooManyEjected(now, srv.role) {
+		return
+	}
+	if now > srv.ejectedUntil+4*srv.ejectionTime {
+		srv.ejectionTime = 0
+	}
+	srv.ejectionTime = min(max(2*srv.ejectionTime, d.shortestTarget/2), max(d.coldStart.Warm, d.shortestTarget))
+	srv.ejectedUntil, srv.halfOpen = now+srv.ejectionTime, true
+	srv.latencies = sampleRing{}
+	d.logLines = append(d.logLines,
+		fmt.Sprintf("server %d ejected for %d ms: %s", srv.id, srv.ejectionTime/1e6, reason))
+}
+
+// tooManyEjected tells that no more servers of a stage may be ejected but those that cannot be reached.
+func (d *Dispatcher) tooManyEjected(now Nanos, role Role) bool {
+	ejected, total := 1, 0
+	for i := range d.servers {
+		srv := &d.servers[i]
+		if (srv.role == Prefill) != (role == Prefill) || srv.health != Serving {
+			continue
 		}
-		if aside*mostAside > all {
-			return
+		if total++; now < srv.ejectedUntil {
+			ejected++
 		}
 	}
-	if now > h.aside+4*h.spell {
-		h.spell = 0
-	}
-	h.spell = min(max(2*h.spell, d.pace/2), max(d.cold.Warm, d.pace))
-	h.aside, h.trial = now+h.spell, true
-	h.answers = ring{}
-	d.says = append(d.says, fmt.Sprintf("server %d ejected for %d ms: %s", h.id, h.spell/1e6, why))
+	return ejected*ejectedPart > total
 }
 
-// ejectForClass keeps requests of a class from a server that was silent to one, for ejections that double;
-// it may well serve the others. All are kept from it for a moment, unless it has answered another since.
-func (d *Dispatcher) ejectForClass(now Nanos, h *server, j *job) {
-	b := &h.by[j.Class]
-	if now > b.quiet+4*b.spell {
-		b.spell = 0
+// ejectForClass keeps requests of one class from a server that did not answer one, for times that double;
+// it may well serve other classes. All requests are kept from it for a moment, unless it has answered
+// another since.
+func (d *Dispatcher) ejectForClass(now Nanos, srv *server, req *requestState) {
+	b := &srv.byClass[req.Class]
+	if now > b.ejectedUntil+4*b.ejectionTime {
+		b.ejectionTime = 0
 	}
-	b.spell = max(2*b.spell, d.pace/2, d.between(h.role))
-	b.spell = min(b.spell, max(d.cold.Warm, d.pace))
-	b.quiet, h.trial = now+b.spell, true
-	if h.moved <= j.sent {
-		h.aside = max(h.aside, now+d.pace/2)
+	b.ejectionTime = max(2*b.ejectionTime, d.shortestTarget/2, d.answerInterval(srv.role))
+	b.ejectionTime = min(b.ejectionTime, max(d.coldStart.Warm, d.shortestTarget))
+	b.ejectedUntil, srv.halfOpen = now+b.ejectionTime, true
+	if srv.lastAnswerAt <= req.sentAt {
+		srv.ejectedUntil = max(srv.ejectedUntil, now+d.shortestTarget/2)
 	}
-	d.says = append(d.says,
-		fmt.Sprintf("server %d silent to class %d, left alone for %d ms", h.id, j.Class, b.spell/1e6))
+	d.logLines = append(d.logLines,
+		fmt.Sprintf("server %d silent to class %d, left alone for %d ms", srv.id, req.Class, b.ejectionTime/1e6))
 }
 
-// between is the usual time between two own answers of a server: a mark that lapses sooner is never used.
-func (d *Dispatcher) between(role Role) Nanos {
-	if d.carry[role] == 0 {
+// answerInterval is the usual time between two answers of a server to this dispatcher: a shorter ejection
+// would never be noticed.
+func (d *Dispatcher) answerInterval(role Role) Nanos {
+	if d.answersPerWindow[role] == 0 {
 		return 0
 	}
-	return Nanos(float64(d.cold.Window) / d.carry[role])
+	return Nanos(float64(d.coldStart.Window) / d.answersPerWindow[role])
 }
 
-// ---- What is decided.
+// ---- Decisions.
 
 // Next gives the next decision, until there is none.
 func (d *Dispatcher) Next(now Nanos) (Decision, bool) {
-	if n := len(d.says); n > 0 {
-		text := d.says[n-1]
-		d.says = d.says[:n-1]
+	if n := len(d.logLines); n > 0 {
+		text := d.logLines[n-1]
+		d.logLines = d.logLines[:n-1]
 		return Decision{Verb: Log, Text: text}, true
 	}
 	for {
-		slot, ok := d.jobs.peek()
+		slot, ok := d.requests.peek()
 		if !ok {
 			break
 		}
 		if what, ok := d.decide(now, slot); ok {
 			return what, true
 		}
-		d.jobs.dequeue()
-		if j := &d.jobs.jobs[slot]; j.used && j.over && !j.out {
-			if j.launches > 0 {
+		d.requests.dequeue()
+		if req := &d.requests.entries[slot]; req.used && req.finished && !req.attemptOut {
+			if req.attempts > 0 {
 				d.active--
 			}
-			d.jobs.drop(slot)
+			d.requests.drop(slot)
 		}
 	}
 	if !d.watching && now >= d.watchAt {
 		d.watching = true
 		return Decision{Verb: Watch}, true
 	}
-	if d.lookAt < d.wakeAt {
-		d.wakeAt = max(d.lookAt, now+1)
+	if d.reviewAt < d.wakeAt {
+		d.wakeAt = max(d.reviewAt, now+1)
 		return Decision{Verb: Wake, For: d.wakeAt - now}, true
 	}
 	return Decision{}, false
 }
 
 func (d *Dispatcher) decide(now Nanos, slot int32) (Decision, bool) {
-	j := &d.jobs.jobs[slot]
+	req := &d.requests.entries[slot]
 	switch {
-	case j.over:
-		j.due = Never
-		if j.out && j.phase != streaming && d.launching.Cancel && !j.withdrew {
-			return d.cancel(j)
+	case req.finished:
+		req.reviewAt = Never
+		if req.attemptOut && req.phase != streaming && d.attemptLimits.Cancel && !req.canceled {
+			return d.cancel(req)
 		}
-		if !j.out && j.held { // rule five: whatever ended it, nothing stays held
-			return d.releaseState(j)
+		if !req.attemptOut && req.stateHeld { // rule five: whatever ended it, nothing stays held
+			return d.releaseState(req)
 		}
 		return Decision{}, false
-	case j.phase == streaming:
+	case req.phase == streaming:
 		return Decision{}, false
-	case j.out:
-		last := j.Deadline + d.answering.Slack/2
+	case req.attemptOut:
+		last := req.Deadline + d.answering.Slack/2
 		if now >= last { // an outcome that never comes must not cost the final answer
-			return d.giveUp(now, j)
+			return d.giveUp(now, req)
 		}
-		if h := &d.hosts[j.at]; d.launching.Cancel && !j.withdrew && d.mayRetry(now, j) &&
-			(h.role != Prefill || h.out >= manySilent) && d.stalled(now, h, j.Class) {
-			return d.cancel(j)
+		if srv := &d.servers[req.attemptServer]; d.attemptLimits.Cancel && !req.canceled && d.mayRetry(now, req) &&
+			(srv.role != Prefill || srv.outstanding >= manyUnanswered) && d.stalled(now, srv, req.Class) {
+			return d.cancel(req)
 		}
-		d.reviewLater(now, j, min(last, now+d.step))
+		d.reviewLater(now, req, min(last, now+d.reviewInterval))
 		return Decision{}, false
-	case j.phase == toRead && j.held:
-		return d.releaseState(j)
-	case j.doomed, now+d.answering.Round >= j.Deadline, j.launches >= d.launching.Most,
-		!d.mayAttempt(now, j):
-		return d.giveUp(now, j)
-	case j.phase == toRead && d.tooShort(now, j):
-		return d.giveUp(now, j)
-	case j.launches == 0 && float64(d.active) >= d.requestLimitFor(j):
-		if now >= j.born+Nanos(waitShare*float64(j.expected)) {
-			return d.giveUp(now, j)
-		}
-		d.reviewLater(now, j, min(now+d.step, j.Deadline-d.answering.Round))
+	case req.phase == toRead && req.stateHeld:
+		return d.releaseState(req)
+	case req.givenUp, now+d.answering.Round >= req.Deadline, req.attempts >= d.attemptLimits.Most,
+		!d.mayAttempt(now, req):
+		return d.giveUp(now, req)
+	case req.phase == toRead && d.tooShort(now, req):
+		return d.giveUp(now, req)
+	case req.attempts == 0 && float64(d.active) >= d.requestLimitFor(req):
+		if now >= req.arrivedAt+Nanos(waitLimit*float64(req.target)) {
+			return d.giveUp(now, req)
+		}
+		d.reviewLater(now, req, min(now+d.reviewInterval, req.Deadline-d.answering.Round))
 		return Decision{}, false
 	}
-	to := noHost
-	for pass := 0; pass < 3 && to == noHost; pass++ {
-		if j.phase == toWrite {
-			to = d.pickDecode(now, j, pass)
-		} else if to = d.pickMixed(now, j, pass); to == noHost {
-			to = d.pickPrefill(now, j, pass)
+	to := noServer
+	for pass := 0; pass < 3 && to == noServer; pass++ {
+		if req.phase == toWrite {
+			to = d.pickDecode(now, req, pass)
+		} else if to = d.pickMixed(now, req, pass); to == noServer {
+			to = d.pickPrefill(now, req, pass)
 		}
-		if to == noHost && j.phase == toRead {
-			to = d.pickWithoutPrefill(now, j, pass)
+		if to == noServer && req.phase == toRead {
+			to = d.pickWithoutPrefill(now, req, pass)
 		}
 	}
-	if to == noHost {
-		if d.hopeless(now, j) {
-			return d.giveUp(now, j)
+	if to == noServer {
+		if d.waitedTooLong(now, req) {
+			return d.giveUp(now, req)
 		}
-		d.reviewLater(now, j, min(now+d.step, j.Deadline-d.answering.Round))
+		d.reviewLater(now, req, min(now+d.reviewInterval, req.Deadline-d.answering.Round))
 		return Decision{}, false
 	}
-	return d.attempt(now, j, to), true
+	return d.attempt(now, req, to), true
 }
 
-func (d *Dispatcher) reviewLater(now Nanos, j *job, at Nanos) {
-	j.due = max(at, now+1)
-	d.lookAt = min(d.lookAt, j.due)
+func (d *Dispatcher) reviewLater(now Nanos, req *requestState, at Nanos) {
+	req.reviewAt = max(at, now+1)
+	d.reviewAt = min(d.reviewAt, req.reviewAt)
 }
 
-func (d *Dispatcher) cancel(j *job) (Decision, bool) {
-	j.withdrew = true
-	return Decision{Verb: Cancel, Request: j.ID, Attempt: AttemptNumber(j.launches - 1)}, true
+func (d *Dispatcher) cancel(req *requestState) (Decision, bool) {
+	req.canceled = true
+	return Decision{Verb: Cancel, Request: req.ID, Attempt: AttemptNumber(req.attempts - 1)}, true
 }
 
-func (d *Dispatcher) releaseState(j *job) (Decision, bool) {
-	j.held = false
-	return Decision{Verb: Release, Request: j.ID}, true
+func (d *Dispatcher) releaseState(req *requestState) (Decision, bool) {
+	req.stateHeld = false
+	return Decision{Verb: Release, Request: req.ID}, true
 }
 
-// mayAttempt keeps rule two: what may have run is sent again only where the repeat does no harm.
-func (d *Dispatcher) mayAttempt(now Nanos, j *job) bool {
-	t := &d.classes[j.Class]
-	return !j.mayRun || t.Effect == Idempotent || t.Effect == Deduplicated && now < j.ranSince+t.Window
+// mayAttempt keeps rule two: a request that may have run is sent again only where a repeat does no harm.
+func (d *Dispatcher) mayAttempt(now Nanos, req *requestState) bool {
+	t := &d.classes[req.Class]
+	return !req.mayHaveRun || t.Effect == Idempotent || t.Effect == Deduplicated && now < req.ranSince+t.Window
 }
 
-// repeatBefore tells until when an attempt may begin to be written: a repeat has to come while its group
-// still remembers the first run, and its connection may take longer than that to come up.
-func (d *Dispatcher) repeatBefore(j *job, h *server) Nanos {
-	t := &d.classes[j.Class]
-	if j.mayRun && t.Effect == Deduplicated && h.role != Prefill {
-		return j.ranSince + t.Window
+// repeatBefore tells until when an attempt may begin to be written. A repeat has to arrive while its group
+// still remembers the first run, and its connection may take longer than that to be established.
+func (d *Dispatcher) repeatBefore(req *requestState, srv *server) Nanos {
+	t := &d.classes[req.Class]
+	if req.mayHaveRun && t.Effect == Deduplicated && srv.role != Prefill {
+		return req.ranSince + t.Window
 	}
 	return 0
 }
 
-// mayRetry tells whether withdrawing the attempt that is out leaves the request another.
-func (d *Dispatcher) mayRetry(now Nanos, j *job) bool {
-	t := &d.classes[j.Class]
-	return j.launches < d.launching.Most && (t.Effect == Idempotent || d.hosts[j.at].role == Prefill)
+// mayRetry tells whether the request may be sent again once the attempt that is out is cancelled.
+func (d *Dispatcher) mayRetry(now Nanos, req *requestState) bool {
+	t := &d.classes[req.Class]
+	harmless := t.Effect == Idempotent || d.servers[req.attemptServer].role == Prefill
+	return req.attempts < d.attemptLimits.Most && harmless
 }
 
-// knowsRepeats tells whether a server drops repeats of a deduplicated request that may have run.
-func (d *Dispatcher) knowsRepeats(j *job, h *server) bool {
-	t := &d.classes[j.Class]
-	if !j.mayRun || t.Effect != Deduplicated || t.Group == GroupAll {
+// knowsRepeats tells whether a server recognises a repeat of a deduplicated request that may have run.
+func (d *Dispatcher) knowsRepeats(req *requestState, srv *server) bool {
+	t := &d.classes[req.Class]
+	if !req.mayHaveRun || t.Effect != Deduplicated || t.Group == GroupAll {
 		return true
 	}
-	ran := &d.hosts[j.ranAt]
-	return t.Group == GroupZone && h.zone == ran.zone || t.Group == GroupCell && h.cell == ran.cell
+	ran := &d.servers[req.ranOn]
+	return t.Group == GroupZone && srv.zone == ran.zone || t.Group == GroupCell && srv.cell == ran.cell
 }
 
-// hopeless tells whether a request that finds no place should stop waiting for one.
-func (d *Dispatcher) hopeless(now Nanos, j *job) bool {
-	if j.held && now >= j.heldFrom+Nanos(holdMargin*float64(d.release)) {
+// waitedTooLong tells that a request without an eligible server should stop waiting for one.
+func (d *Dispatcher) waitedTooLong(now Nanos, req *requestState) bool {
+	if req.stateHeld && now >= req.heldSince+Nanos(heldLimit*float64(d.releaseTime)) {
 		return true
 	}
-	if j.launches == 0 {
-		return now >= j.born+Nanos(waitShare*float64(j.expected))
+	if req.attempts == 0 {
+		return now >= req.arrivedAt+Nanos(waitLimit*float64(req.target))
 	}
-	return now >= j.born+j.expected/2 // half is needed for the work itself
+	return now >= req.arrivedAt+req.target/2 // half is needed for the work itself
 }
 
-// tooShort tells that a client will be gone before servers as quick as usual could begin to answer it. It
-// guards against clients with hardly any time, who come back at once and by the dozen: what is begun for
-// them is wasted.
-func (d *Dispatcher) tooShort(now Nanos, j *job) bool {
-	usual := (d.typical[Prefill] + d.typical[Decode]) * float64(j.expected)
-	return j.Deadline-now < Nanos(usual)
+// tooShort tells that the client will be gone before servers as quick as usual could begin to answer. It
+// guards against clients with hardly any time left, which come back at once and in numbers: the work begun
+// for them is wasted.
+func (d *Dispatcher) tooShort(now Nanos, req *requestState) bool {
+	usual := (d.medianLatency[Prefill] + d.medianLatency[Decode]) * float64(req.target)
+	return req.Deadline-now < Nanos(usual)
 }
 
-// giveUp ends a request: first whatever is held goes, then the client is told; a rejection wherever it
-// tells the truth.
-func (d *Dispatcher) giveUp(now Nanos, j *job) (Decision, bool) {
-	j.doomed = true
-	if j.held && !j.out {
-		return d.releaseState(j)
+// giveUp ends a request: first its held state is released, then the client is answered; with a rejection
+// where that is true, and a failure where the request may have run or its time is over.
+func (d *Dispatcher) giveUp(now Nanos, req *requestState) (Decision, bool) {
+	req.givenUp = true
+	if req.stateHeld && !req.attemptOut {
+		return d.releaseState(req)
 	}
-	t := &d.classes[j.Class]
-	j.over = true
-	unsafe := j.mayRun || j.out && d.hosts[j.at].role != Prefill
+	t := &d.classes[req.Class]
+	req.finished = true
+	unsafe := req.mayHaveRun || req.attemptOut && d.servers[req.attemptServer].role != Prefill
 	unsafe = unsafe && (t.Effect == NonIdempotent || t.Effect == Deduplicated && t.Group != GroupAll)
-	if unsafe || now >= j.Deadline {
-		return Decision{Verb: Fail, Request: j.ID}, true
+	if unsafe || now >= req.Deadline {
+		return Decision{Verb: Fail, Request: req.ID}, true
 	}
 	advice := Nanos(0)
 	if d.answering.Advice {
-		advice = min(t.Target/2, d.answering.MaxAdvice) // about as long as a burst's head takes to pass
+		advice = min(t.Target/2, d.answering.MaxAdvice) // about the length of a burst
 	}
-	return Decision{Verb: Reject, Request: j.ID, For: advice}, true
+	return Decision{Verb: Reject, Request: req.ID, For: advice}, true
 }
 
-func (d *Dispatcher) attempt(now Nanos, j *job, to int32) Decision {
-	h := &d.hosts[to]
-	h.took(now, j.Class)
-	d.waits[h.role].send(now)
-	h.longest = max(h.longest, j.expected-d.classes[j.Class].Target)
-	h.spent++
-	if h.role != Prefill {
-		h.streams++
+func (d *Dispatcher) attempt(now Nanos, req *requestState, to int32) Decision {
+	srv := &d.servers[to]
+	srv.attemptSent(now, req.Class)
+	d.roleLimits[srv.role].attemptSent(now)
+	srv.longestAllowance = max(srv.longestAllowance, req.target-d.classes[req.Class].Target)
+	srv.creditSpent++
+	if srv.role != Prefill {
+		srv.streams++
 	}
-	if j.phase == toWrite && d.hosts[j.reader].cell != h.cell {
-		d.cells[d.hosts[j.reader].at].link.send(now)
+	if req.phase == toWrite && d.servers[req.prefillServer].cell != srv.cell {
+		d.cells[d.servers[req.prefillServer].cellIndex].link.attemptSent(now)
 	}
 	kept := int64(0)
-	if j.phase == toRead {
-		kept = d.expectHeld(now, j, to)
-		j.unsplit = h.role != Prefill
-		j.tokens = j.Prompt - kept
-		h.queued += j.tokens
-		if j.Prefix != 0 && j.Shared > 0 {
-			d.holds.mark(uint64(j.Prefix), to, j.Shared, now+keepMarks)
+	if req.phase == toRead {
+		kept = d.expectedCached(now, req, to)
+		req.combined = srv.role != Prefill
+		req.queuedTokens = req.Prompt - kept
+		srv.queuedTokens += req.queuedTokens
+		if req.Prefix != 0 && req.Shared > 0 {
+			d.prefixes.mark(uint64(req.Prefix), to, req.Shared, now+markLifetime)
 		}
-		if j.Session != 0 {
-			d.holds.mark(^uint64(j.Session), to, j.Prompt, now+keepMarks)
+		if req.Session != 0 {
+			d.prefixes.mark(^uint64(req.Session), to, req.Prompt, now+markLifetime)
 		}
 	}
-	j.out, j.withdrew, j.at, j.sent = true, false, to, now
-	if j.launches++; j.launches == 1 {
+	req.attemptOut, req.canceled, req.attemptServer, req.sentAt = true, false, to, now
+	if req.attempts++; req.attempts == 1 {
 		d.active++
 	}
-	return Decision{Verb: Attempt, Request: j.ID, Server: h.id, Kept: kept,
-		For: d.attemptTimeout(now, j, h.role), Before: d.repeatBefore(j, h)}
+	return Decision{Verb: Attempt, Request: req.ID, Server: srv.id, Kept: kept,
+		For: d.attemptTimeout(now, req, srv.role), Before: d.repeatBefore(req, srv)}
 }
 
-// attemptTimeout bounds an attempt. Where attempts can be cancelled, a decode server's silence ends them
-// and the time-out only keeps the last quarter for another; else several usual answer times, at most half
-// of what is left.
-func (d *Dispatcher) attemptTimeout(now Nanos, j *job, role Role) Nanos {
-	left := j.Deadline - now
-	if d.launching.Cancel {
+// attemptTimeout bounds an attempt. Where attempts can be cancelled, a stalled decode server is noticed by
+// other means and the timeout only keeps the last quarter of the time for a retry; else it is several usual
+// latencies, at most half of what is left.
+func (d *Dispatcher) attemptTimeout(now Nanos, req *requestState, role Role) Nanos {
+	left := req.Deadline - now
+	if d.attemptLimits.Cancel {
 		return left - left/4
 	}
-	usual := Nanos(stallAgainst * max(d.usual[role], stallFloor) * float64(j.expected))
-	return max(min(usual, left/2), min(left, j.expected/2))
+	usual := Nanos(stallFactor * max(d.highLatency[role], stallFloor) * float64(req.target))
+	return max(min(usual, left/2), min(left, req.target/2))
 }
 
-// eligible tells whether a server may and should be sent a request now. Later passes, when nothing else is
-// left, lift what is only advice: first the servers that this request has failed at, then trials and
-// silence.
-func (d *Dispatcher) eligible(now Nanos, j *job, i int32, pass int) bool {
-	h := &d.hosts[i]
+// eligible tells whether a server may and should be sent a request now. Later passes, used when no other
+// server is left, lift what is only advice: first that this request has failed there, then probing and
+// stalls.
+func (d *Dispatcher) eligible(now Nanos, req *requestState, i int32, pass int) bool {
+	srv := &d.servers[i]
 	switch {
-	case h.health != Serving, !d.knowsRepeats(j, h), !d.slowStartAllows(now, h): // rules two, three and four
+	case srv.health != Serving, !d.knowsRepeats(req, srv), !d.slowStartAllows(now, srv):
+		return false // rules two, three and four
+	case now < srv.fullUntil, now < srv.ejectedUntil, now < srv.byClass[req.Class].ejectedUntil:
 		return false
-	case now < h.fullTill, now < h.aside, now < h.by[j.Class].quiet, !d.windowOpen(now, &d.waits[h.role]):
+	case !d.limitAllows(now, &d.roleLimits[srv.role]):
 		return false
-	case pass < 2 && (h.trial && h.out > 0 || d.stalled(now, h, j.Class)):
+	case pass < 2 && (srv.halfOpen && srv.outstanding > 0 || d.stalled(now, srv, req.Class)):
 		return false
 	}
-	return pass > 0 || !j.shuns(i)
+	return pass > 0 || !req.avoids(i)
 }
 
-// stalled tells that a server has attempts out and has not answered one for far longer than its role
-// takes: hung, cut off, or gone with the list still silent. Its first answer lifts it. A prefill server
-// gets no new request, but a read is cancelled only where many are out: a few have mostly queued, and read
-// anew elsewhere they spoil that queue too.
-func (d *Dispatcher) stalled(now Nanos, h *server, track ClassID) bool {
-	usual := stallAgainst * max(d.usual[h.role], stallFloor) * float64(d.classes[track].Target)
-	return h.by[track].out > 0 && now-h.by[track].moved > Nanos(usual)+h.longest
+// stalled tells that a server has attempts outstanding and has not answered for far longer than its role
+// takes: hung, cut off, or gone while the list is still silent. Its first answer ends the stall. A stalled
+// prefill server gets no new request, but a read is cancelled only where many are outstanding: a few have
+// mostly queued, and read again elsewhere they lengthen that queue too.
+func (d *Dispatcher) stalled(now Nanos, srv *server, class ClassID) bool {
+	usual := stallFactor * max(d.highLatency[srv.role], stallFloor) * float64(d.classes[class].Target)
+	c := &srv.byClass[class]
+	return c.outstanding > 0 && now-c.lastAnswerAt > Nanos(usual)+srv.longestAllowance
 }
 
-func (d *Dispatcher) inSlowStart(now Nanos, h *server) bool {
-	return d.cold.Window > 0 && h.launched > 0 && now < h.launched+d.cold.Warm
+func (d *Dispatcher) inSlowStart(now Nanos, srv *server) bool {
+	return d.coldStart.Window > 0 && srv.startedAt > 0 && now < srv.startedAt+d.coldStart.Warm
 }
 
-// slowStartAllows keeps rule four alone. All dispatchers together may send a server that has just started
-// a share of what warm peers carry, so each is granted its own small part of an attempt as time goes on, by
-// what it sees them carry itself: the sum over all is right however little one of them sees. Where in its
-// first attempt a dispatcher starts is spread by its number. A grant not used in two windows lapses, lest
-// many are saved up and spent at once. Who has seen nobody carry anything gets a part of one attempt a
-// window. A grant that is due goes before locality and kept text: a dispatcher that sees little has one
-// open for a moment now and then, and where half a fleet warms up the other half would drown beside
-// slow-start grants unused. Where few warm up, what they keep nothing of is better read by the others.
-func (d *Dispatcher) slowStartAllows(now Nanos, h *server) bool {
-	if !d.inSlowStart(now, h) {
+// slowStartAllows keeps rule four. All dispatchers together may send a server that has just started only a
+// share of what its warm peers get. Each dispatcher accrues credit for its own part of it, from what it
+// sees warm servers answer; so the sum is right however little one of them sees. The first credit is offset
+// by the dispatcher's number. Credit that is not used within two windows lapses, so that it cannot be saved
+// and spent at once. A dispatcher that has seen no answers accrues its part of one attempt a window. Due
+// credit goes before locality and prefix affinity: a dispatcher with little traffic has some only now and
+// then, and where half of the servers warm up, the other half would be overloaded while credit stays
+// unused. Where few warm up, prompts that they hold nothing of are better read by the others.
+func (d *Dispatcher) slowStartAllows(now Nanos, srv *server) bool {
+	if !d.inSlowStart(now, srv) {
 		return true
 	}
-	n := float64(d.place.Count)
-	if h.grantFor != h.launched {
-		h.grantFor, h.grantAt, h.spent = h.launched, h.launched, 0
-		_, h.granted = math.Modf(float64(d.place.Number)/n + float64(mix(uint64(h.id))>>11)/(1<<53))
-	}
-	share := max(coldMargin*d.cold.Multiple*d.cold.From*d.carry[h.role], 1/n)
-	h.granted += share * float64(now-h.grantAt) / float64(d.cold.Window)
-	h.grantAt = now
-	h.spent = max(h.spent, math.Floor(h.granted-2*share))
-	return h.granted >= h.spent+1
-}
-
-// pickMixed is the design's rule for short prompts: the mixed server with fewest own streams reads them
-// itself. While own streams are too few to tell, none do but under pressure: hundreds of dispatchers would
-// each find it empty, and what it reads slows its streams. It also serves where no prefill server is on
-// the list.
-func (d *Dispatcher) pickMixed(now Nanos, j *job, pass int) int32 {
-	if j.Prompt-j.Shared >= shortPrompt {
-		return noHost
-	}
-	fewest := d.lowest(now, j, pass, func(h *server) (int64, bool) { return streams(h), h.role != Prefill })
-	pressed := d.pressed(now, j, pass)
-	bound := fewest + nearStreams
+	n := float64(d.self.Count)
+	if srv.creditStart != srv.startedAt {
+		srv.creditStart, srv.creditedAt, srv.creditSpent = srv.startedAt, srv.startedAt, 0
+		_, srv.credit = math.Modf(float64(d.self.Number)/n + float64(mixBits(uint64(srv.id))>>11)/(1<<53))
+	}
+	share := max(slowStartMargin*d.coldStart.Multiple*d.coldStart.From*d.answersPerWindow[srv.role], 1/n)
+	srv.credit += share * float64(now-srv.creditedAt) / float64(d.coldStart.Window)
+	srv.creditedAt = now
+	srv.creditSpent = max(srv.creditSpent, math.Floor(srv.credit-2*share))
+	return srv.credit >= srv.creditSpent+1
+}
+
+// pickMixed implements the design's rule for short prompts: the mixed server with the fewest own streams
+// reads them itself. While own streams are too few to compare, it does so only under pressure: hundreds of
+// dispatchers would each find it empty, and what it reads slows its streams. It also serves where no
+// prefill server is listed.
+func (d *Dispatcher) pickMixed(now Nanos, req *requestState, pass int) int32 {
+	if req.Prompt-req.Shared >= shortPromptTokens {
+		return noServer
+	}
+	fewest := d.lowestEligible(now, req, pass, func(srv *server) (int64, bool) {
+		return streams(srv), srv.role != Prefill
+	})
+	pressed := d.prefillOverloaded(now, req, pass)
+	bound := fewest + localityStreams
 	if pressed {
-		bound *= gateFactor
-	} else if fewest < tellStreams {
-		return noHost
-	}
-	d.findReplicas(now, j, Mixed, pass, int64(Never))
-	return d.least(func(i int32, h *server) (rank, bool) {
-		willing := h.role == Mixed && streams(h) <= bound && (pressed || h.high <= slowHarms)
-		apart := d.apart(now, j, i)
-		willing = willing && (apart < 2 || j.Prompt < shortPrompt)
-		return rank{apart, streams(h)}, willing && d.eligible(now, j, i, pass)
+		bound *= affinityYield
+	} else if fewest < comparableStreams {
+		return noServer
+	}
+	d.findReplicas(now, req, Mixed, pass, int64(Never))
+	return d.pickLowestRank(func(i int32, srv *server) (rank, bool) {
+		willing := srv.role == Mixed && streams(srv) <= bound && (pressed || srv.highLatency <= slowFloor)
+		distance := d.prefixDistance(now, req, i)
+		willing = willing && (distance < 2 || req.Prompt < shortPromptTokens)
+		return rank{distance, streams(srv)}, willing && d.eligible(now, req, i, pass)
 	})
 }
 
-// pressed tells that no prefill server is likely to read this request in good time: each is on trial, has
-// more tokens in wait than clients allow time for (by their own allowance for prompt length), or has kept
-// attempts waiting of late. It guards against pools that shrink and against prefill servers taken up by
-// work that this dispatcher can't see.
-func (d *Dispatcher) pressed(now Nanos, j *job, pass int) bool {
-	t := &d.classes[j.Class]
-	wait := Nanos(lateRead * float64(t.Target))
-	for i := range d.hosts {
-		h := &d.hosts[i]
-		if h.role != Prefill || h.trial || !d.eligible(now, j, int32(i), pass) {
+// prefillOverloaded tells that no prefill server is likely to read this request in good time: each is being
+// probed, has more tokens queued than the class's allowance for prompt length gives time for, or has
+// answered late. It guards against pools that shrink and against load that this dispatcher cannot see.
+func (d *Dispatcher) prefillOverloaded(now Nanos, req *requestState, pass int) bool {
+	t := &d.classes[req.Class]
+	wait := Nanos(queuedRead * float64(t.Target))
+	for i := range d.servers {
+		srv := &d.servers[i]
+		if srv.role != Prefill || srv.halfOpen || !d.eligible(now, req, int32(i), pass) {
 			continue
 		}
-		late := h.out > 0 && (h.last > lateRead || now-h.moved > wait)
-		if !late && Nanos(d.backlog(now, h))*t.TargetPer1k/1000 < wait {
+		late := srv.outstanding > 0 && (srv.lastLatency > queuedRead || now-srv.lastAnswerAt > wait)
+		if !late && Nanos(d.backlog(now, srv))*t.TargetPer1k/1000 < wait {
 			return false
 		}
 	}
@@ -607,119 +673,125 @@
 }
 
 // pickWithoutPrefill places a request while there is no prefill server at all: at a mixed server whatever
-// its length, or at a decode server where those read. It guards against a pool of prefill servers that is
-// lost whole.
-func (d *Dispatcher) pickWithoutPrefill(now Nanos, j *job, pass int) int32 {
+// its length, or at a decode server where those may read. It guards against the loss of the whole prefill
+// pool.
+func (d *Dispatcher) pickWithoutPrefill(now Nanos, req *requestState, pass int) int32 {
 	if d.serving[Prefill] > 0 {
-		return noHost
+		return noServer
 	}
-	return d.least(func(i int32, h *server) (rank, bool) {
-		reads := h.role == Mixed || h.role == Decode && d.launching.DecodeReads
-		return rank{streams(h)}, reads && d.eligible(now, j, i, pass)
+	return d.pickLowestRank(func(i int32, srv *server) (rank, bool) {
+		reads := srv.role == Mixed || srv.role == Decode && d.attemptLimits.DecodeReads
+		return rank{streams(srv)}, reads && d.eligible(now, req, i, pass)
 	})
 }
 
-// lowest is the least of a figure among the servers that have it and may be sent a request.
-func (d *Dispatcher) lowest(now Nanos, j *job, pass int, of func(h *server) (int64, bool)) int64 {
+// lowestEligible is the least value of a figure among the eligible servers that have it.
+func (d *Dispatcher) lowestEligible(now Nanos, req *requestState, pass int,
+	of func(srv *server) (int64, bool)) int64 {
 	low := int64(Never)
-	for i := range d.hosts {
-		if x, ok := of(&d.hosts[i]); ok && d.eligible(now, j, int32(i), pass) {
+	for i := range d.servers {
+		if x, ok := of(&d.servers[i]); ok && d.eligible(now, req, int32(i), pass) {
 			low = min(low, x)
 		}
 	}
 	return low
 }
 
-func streams(h *server) int64 { return int64(h.streams) }
+func streams(srv *server) int64 { return int64(srv.streams) }
 
-// backlog is the design's load signal of a prefill server: own unread prompts, plus what the server
-// reported of late.
-func (d *Dispatcher) backlog(now Nanos, h *server) int64 {
-	if age := float64(now-h.loadAt) / float64(keepLoad*d.pace); h.load.Unread > 0 && age < 1 {
-		return h.queued + int64(h.load.Unread*(1-age))
+// backlog is the design's load signal of a prefill server: the own queued prompt tokens, plus what the
+// server reported lately.
+func (d *Dispatcher) backlog(now Nanos, srv *server) int64 {
+	age := float64(now-srv.loadAt) / float64(loadReportTargets*d.shortestTarget)
+	if srv.load.Unread > 0 && age < 1 {
+		return srv.queuedTokens + int64(srv.load.Unread*(1-age))
 	}
-	return h.queued
+	return srv.queuedTokens
 }
 
-// pickPrefill: among prefill servers that hold the request's prefix and are not overloaded, the fewest
-// queued prompt tokens, this prompt's own unheld ones counted in. A prefill server that has read this
-// session before shares the longest prefix and goes first: sessions that roam are read anew each time, and
-// what they leave drives out what others need.
-func (d *Dispatcher) pickPrefill(now Nanos, j *job, pass int) int32 {
-	lowest := d.lowest(now, j, pass, func(h *server) (int64, bool) {
-		return d.backlog(now, h), h.role == Prefill
+// pickPrefill picks, among prefill servers that hold the request's prefix and are not overloaded, the one
+// with the fewest queued prompt tokens, the uncached ones of this prompt included. A server that has read
+// this session before holds the longest prefix and goes first: a session that moves is read anew each time,
+// and what it leaves behind evicts what others need.
+func (d *Dispatcher) pickPrefill(now Nanos, req *requestState, pass int) int32 {
+	lowest := d.lowestEligible(now, req, pass, func(srv *server) (int64, bool) {
+		return d.backlog(now, srv), srv.role == Prefill
 	})
-	d.findReplicas(now, j, Prefill, pass, gateFactor*(lowest+j.Prompt))
-	return d.least(func(i int32, h *server) (rank, bool) {
-		log, held, apart, far := d.backlog(now, h), d.expectHeld(now, j, i), int64(2), int64(1)
-		if log < gateFactor*(lowest+j.Prompt) {
-			apart = d.apart(now, j, i)
-		}
-		if h.zone == d.place.Zone {
-			far = 0
-		}
-		c := &d.cells[h.at]
-		if c.link.most > 0 && chanceOf(uint64(j.ID)) >= c.near && !d.windowOpen(now, &c.link) {
-			apart += 3 // what it reads would have to cross a jammed link
-		}
-		if d.inSlowStart(now, h) && d.warming[Prefill] > manyWarm*d.serving[Prefill] { // see slowStartAllows
-			apart = -1
-		}
-		return rank{apart, log + j.Prompt - held, far}, h.role == Prefill && d.eligible(now, j, i, pass)
+	d.findReplicas(now, req, Prefill, pass, affinityYield*(lowest+req.Prompt))
+	return d.pickLowestRank(func(i int32, srv *server) (rank, bool) {
+		queue, cached := d.backlog(now, srv), d.expectedCached(now, req, i)
+		distance, remote := int64(2), int64(1)
+		if queue < affinityYield*(lowest+req.Prompt) {
+			distance = d.prefixDistance(now, req, i)
+		}
+		if srv.zone == d.self.Zone {
+			remote = 0
+		}
+		c := &d.cells[srv.cellIndex]
+		overLink := c.link.limit > 0 && hashFraction(uint64(req.ID)) >= c.localCapacity
+		if overLink && !d.limitAllows(now, &c.link) {
+			distance += 3 // its state would have to cross an overloaded link
+		}
+		if d.inSlowStart(now, srv) && d.warming[Prefill] > manyWarming*d.serving[Prefill] {
+			distance = -1 // see slowStartAllows
+		}
+		admitted := srv.role == Prefill && d.eligible(now, req, i, pass)
+		return rank{distance, queue + req.Prompt - cached, remote}, admitted
 	})
 }
 
-// findReplicas finds the servers of a role that are likely to hold a request's prefix whoever sent it
-// there: the first few in an order that the prefix and the ids give, the same at every dispatcher, and of
-// them the one that the session gives. A session's turns come to many dispatchers, of which none could
-// mark it. A prefix has more replicas the more requests share it. Those at which affinity yields are left
-// out, so that the next in the same order takes over at every dispatcher that knows.
-func (d *Dispatcher) findReplicas(now Nanos, j *job, role Role, pass int, full int64) {
-	d.replicas, d.own = d.replicas[:0], noHost
-	if j.Prefix == 0 && j.Session == 0 {
+// findReplicas finds the servers of a role that are likely to hold a request's prefix, whichever dispatcher
+// sent it there, by rendezvous hashing of prefix and server; and, of those, the one that the session hashes
+// to. The turns of a session come to many dispatchers, none of which could remember it. A prefix has more
+// replicas the more requests share it. Overloaded servers are left out, so that the next in the same order
+// takes over at every dispatcher that knows.
+func (d *Dispatcher) findReplicas(now Nanos, req *requestState, role Role, pass int, fullQueue int64) {
+	d.replicas, d.sessionReplica = d.replicas[:0], noServer
+	if req.Prefix == 0 && req.Session == 0 {
 		return
 	}
-	most := 1 + int(homeSpread*d.holds.share(uint64(j.Prefix))*float64(len(d.hosts)))
-	if d.holds.all < float64(len(d.hosts)) { // too few to tell a rare one from one that all others send
-		most += fewHomes
+	most := 1 + int(replicaSpread*d.prefixes.share(uint64(req.Prefix))*float64(len(d.servers)))
+	if d.prefixes.total < float64(len(d.servers)) { // too few to tell a rare one from one that all others send
+		most += extraReplicas
 	}
-	if j.Prefix == 0 {
-		most = len(d.hosts)
+	if req.Prefix == 0 {
+		most = len(d.servers)
 	}
 	for last := uint64(math.MaxUint64); len(d.replicas) < most; {
-		best, top := noHost, uint64(0)
-		for i := range d.hosts {
-			h := &d.hosts[i]
-			if x := mix(uint64(j.Prefix) ^ mix(uint64(h.id))); h.role == role && x < last && x > top &&
-				d.backlog(now, h) < full && d.eligible(now, j, int32(i), pass) {
-				best, top = int32(i), x
+		best, highest := noServer, uint64(0)
+		for i := range d.servers {
+			srv := &d.servers[i]
+			hash := mixBits(uint64(req.Prefix) ^ mixBits(uint64(srv.id)))
+			next := srv.role == role && hash < last && hash > highest
+			if next && d.backlog(now, srv) < fullQueue && d.eligible(now, req, int32(i), pass) {
+				best, highest = int32(i), hash
 			}
 		}
-		if best == noHost {
+		if best == noServer {
 			break
 		}
-		d.replicas, last = append(d.replicas, best), top
+		d.replicas, last = append(d.replicas, best), highest
 	}
-	if j.Session != 0 {
-		top := uint64(0)
+	if req.Session != 0 {
+		highest := uint64(0)
 		for _, i := range d.replicas {
-			x := mix(uint64(j.Session)^mix(uint64(d.hosts[i].id))) >> 1
-			if d.hosts[i].zone == d.place.Zone {
-				x += 1 << 63
+			hash := mixBits(uint64(req.Session)^mixBits(uint64(d.servers[i].id))) >> 1
+			if d.servers[i].zone == d.self.Zone {
+				hash += 1 << 63
 			}
-			if x >= top {
-				d.own, top = i, x
+			if hash >= highest {
+				d.sessionReplica, highest = i, hash
 			}
 		}
 	}
 }
 
-// apart tells how far a server is from holding all of a request's prefix: 0, its session; 1, what it
+// prefixDistance tells how much of a request's prefix a server holds: 0, that of its session; 1, what it
 // shares with others; 2, nothing.
-func (d *Dispatcher) apart(now Nanos, j *job, i int32) int64 {
-	held := d.expectHeld(now, j, i)
+func (d *Dispatcher) prefixDistance(now Nanos, req *requestState, i int32) int64 {
+	held := d.expectedCached(now, req, i)
 	switch {
-	case i == d.own || held > j.Shared:
+	case i == d.sessionReplica || held > req.Shared:
 		return 0
 	case held > 0 || slices.Contains(d.replicas, i):
 		return 1
@@ -727,72 +799,77 @@
 	return 2
 }
 
-// farSlow tells that pulls from other cells take far longer than those within one, and long enough to
-// matter: the links crawl. It lapses as soon as a few quick ones are seen, or none for some time.
-func (d *Dispatcher) farSlow(now Nanos) bool {
-	since := now - 4*d.pace
-	far := d.pulls[1].quantile(since, 0.5)
-	return far > slowHarms/2 && far > gateFactor*d.pulls[0].quantile(since, 0.5)
+// remoteTransfersSlow tells that KV transfers from other cells take far longer than those within one, and
+// long enough to matter. It ends with a few quick ones, or when none was seen for some time.
+func (d *Dispatcher) remoteTransfersSlow(now Nanos) bool {
+	since := now - 4*d.shortestTarget
+	far := d.transferLatencies[1].quantile(since, 0.5)
+	return far > slowFloor/2 && far > affinityYield*d.transferLatencies[0].quantile(since, 0.5)
 }
 
-// crawls tells that the attempt that is out pulls its state over links that crawl: neither its decode
-// server nor the load is to blame for its time.
-func (d *Dispatcher) crawls(now Nanos, j *job) bool {
-	return j.phase == toWrite && d.hosts[j.reader].cell != d.hosts[j.at].cell && d.farSlow(now)
+// transferSlow tells that the outstanding attempt transfers its state over slow links: neither its decode
+// server nor the load is to blame for its latency.
+func (d *Dispatcher) transferSlow(now Nanos, req *requestState) bool {
+	if req.phase != toWrite {
+		return false
+	}
+	from, to := &d.servers[req.prefillServer], &d.servers[req.attemptServer]
+	return from.cell != to.cell && d.remoteTransfersSlow(now)
 }
 
-// pickDecode: the fewest own streams; within one of the fewest the prefill server's cell, then its zone.
-// While far links crawl, locality holds like a prefill server's affinity: until a near decode server has
-// twice the fewest. While own streams are too few to tell, locality is granted by chance, as often as the
-// near decode servers can bear if all dispatchers do so; the rest goes where decode servers are more than
-// their prefill servers need.
-func (d *Dispatcher) pickDecode(now Nanos, j *job, pass int) int32 {
-	from := &d.hosts[j.reader]
-	shut := !d.windowOpen(now, &d.cells[from.at].link)
-	fewest := d.lowest(now, j, pass, func(h *server) (int64, bool) {
-		return streams(h), h.role != Prefill && !(shut && h.cell != from.cell)
+// pickDecode picks the decode server with the fewest own streams; within localityStreams of the fewest, the
+// prefill server's cell comes first, then its zone. While remote links are slow, locality yields only where
+// a near server has twice the fewest. While own streams are too few to compare, locality is chosen at
+// random, as often as the near decode servers can bear if all dispatchers do so; the rest goes where there
+// are more decode servers than their prefill servers need.
+func (d *Dispatcher) pickDecode(now Nanos, req *requestState, pass int) int32 {
+	from := &d.servers[req.prefillServer]
+	linkFull := !d.limitAllows(now, &d.cells[from.cellIndex].link)
+	fewest := d.lowestEligible(now, req, pass, func(srv *server) (int64, bool) {
+		return streams(srv), srv.role != Prefill && !(linkFull && srv.cell != from.cell)
 	})
-	bound, reach, more := fewest+nearStreams, int64(0), 1.0
-	if d.farSlow(now) {
-		bound, more = bound*gateFactor, gateFactor
+	bound, reach, factor := fewest+localityStreams, int64(0), 1.0
+	if d.remoteTransfersSlow(now) {
+		bound, factor = bound*affinityYield, affinityYield
 	}
-	if c := &d.cells[from.at]; fewest < tellStreams && d.rng.unit() >= more*c.near {
-		if reach = 1; d.rng.unit() >= more*c.stay {
+	if c := &d.cells[from.cellIndex]; fewest < comparableStreams && d.rng.float() >= factor*c.localCapacity {
+		if reach = 1; d.rng.float() >= factor*c.zoneCapacity {
 			reach = 2
 		}
 	}
-	return d.least(func(i int32, h *server) (rank, bool) {
-		far := int64(2)
-		if h.cell == from.cell {
-			far = 0
-		} else if h.zone == from.zone {
-			far = 1
+	return d.pickLowestRank(func(i int32, srv *server) (rank, bool) {
+		distance := int64(2)
+		if srv.cell == from.cell {
+			distance = 0
+		} else if srv.zone == from.zone {
+			distance = 1
 		}
-		r := rank{far, 2 * streams(h), int64(h.load.Memory * 100)}
-		if d.inSlowStart(now, h) && d.warming[h.role] > manyWarm*d.serving[h.role] { // too
-			r[1]--
+		order := rank{distance, 2 * streams(srv), int64(srv.load.Memory * 100)}
+		if d.inSlowStart(now, srv) && d.warming[srv.role] > manyWarming*d.serving[srv.role] { // too
+			order[1]--
 		}
-		if c := &d.cells[h.at]; reach > 0 && far == reach && d.rng.unit() < c.spare[far-1] {
-			r[0] = -1
+		c := &d.cells[srv.cellIndex]
+		if reach > 0 && distance == reach && d.rng.float() < c.spareCapacity[distance-1] {
+			order[0] = -1
 		}
-		near := !(shut && far > 0)
-		return r, h.role != Prefill && near && streams(h) <= bound && d.eligible(now, j, i, pass)
+		near := !(linkFull && distance > 0)
+		return order, srv.role != Prefill && near && streams(srv) <= bound && d.eligible(now, req, i, pass)
 	})
 }
 
-// sharePlaces finds, from the servers in service, how much of what a cell's prefill servers read its
-// decode servers, or its zone's, can take if prefill servers are all alike and decode servers are too, and
-// how much decode servers have to spare for others.
-func (d *Dispatcher) sharePlaces() {
+// shareCapacity computes, from the servers in service, how much of what a cell's prefill servers read its
+// own decode servers, or those of its zone, can take, if all servers of a role are alike; and how much
+// decode capacity is left for others.
+func (d *Dispatcher) shareCapacity() {
 	for i := range d.cells {
 		c := &d.cells[i]
 		z := &d.zones[c.zone]
-		c.near = min(1, c.pens/max(c.has[Prefill], 1e-9))
-		c.stay = min(1, z.spare/max(z.lack, 1e-9))
-		c.spare = [2]float64{}
-		if c.pens > 0 {
-			c.spare[0] = max(0, 1-c.has[Prefill]/c.pens)
-			c.spare[1] = c.spare[0] * max(0, 1-z.lack/max(z.spare, 1e-9))
+		c.localCapacity = min(1, c.decodeShare/max(c.share[Prefill], 1e-9))
+		c.zoneCapacity = min(1, z.spare/max(z.missing, 1e-9))
+		c.spareCapacity = [2]float64{}
+		if c.decodeShare > 0 {
+			c.spareCapacity[0] = max(0, 1-c.share[Prefill]/c.decodeShare)
+			c.spareCapacity[1] = c.spareCapacity[0] * max(0, 1-z.missing/max(z.spare, 1e-9))
 		}
 	}
 }
--- a/policy/ramp_test.go
+++ b/policy/ramp_test.go
@@ -40,7 +40,7 @@
 // join starts a module, or starts it anew.
 func (r *ramp) join(t *testing.T, n int) {
 	t.Helper()
-	d, err := New(uint64(n)+uint64(r.now), Place{Number: int32(n), Count: int32(len(r.modules))}, []Class{{Target: 1e9, Patience: 5e9}}, nil,
+	d, err := New(uint64(n)+uint64(r.now), Identity{Number: int32(n), Count: int32(len(r.modules))}, []Class{{Target: 1e9, Timeout: 5e9}}, nil,
 		[]Role{Prefill}, rampTerms, AttemptLimits{Most: 3}, Answering{Round: rampTick}, Listing{}, 1e9)
 	if err != nil {
 		t.Fatal(err)
@@ -65,8 +65,8 @@
 		case Wake:
 			r.wakes[n] = r.now + what.For
 		case Attempt:
-			_, j := d.jobs.find(what.Request)
-			r.ends = append(r.ends, ending{r.now + rampTook, n, what.Request, AttemptNumber(j.launches - 1)})
+			_, req := d.requests.find(what.Request)
+			r.ends = append(r.ends, ending{r.now + rampTook, n, what.Request, AttemptNumber(req.attempts - 1)})
 			if what.Server == rampColdID && r.now >= rampStart {
 				r.cold = append(r.cold, r.now)
 			}
--- a/policy/replace_test.go
+++ b/policy/replace_test.go
@@ -4,7 +4,7 @@
 
 // Hosts that are replaced under new names, each in a cell of its own, leave nothing behind.
 func TestReplacedHostsLeaveNothing(t *testing.T) {
-	d, err := New(1, Place{Count: 2}, []Class{{Target: 1e9, Patience: 5e9, Value: 1}}, nil, []Role{Prefill, Decode},
+	d, err := New(1, Identity{Count: 2}, []Class{{Target: 1e9, Timeout: 5e9, Value: 1}}, nil, []Role{Prefill, Decode},
 		ColdStart{From: 0.3, Warm: 1e9, Multiple: 2.5, Window: 1e9}, AttemptLimits{Most: 6, Cancel: true},
 		Answering{Round: 4e6}, Listing{}, 1e9)
 	if err != nil {
@@ -52,11 +52,11 @@
 		d.AttemptEnded(now, id, 1, Served, 1e6, true, NoLoad)
 		drain()
 	}
-	if len(d.hosts) > 20 || len(d.byID) > 20 || len(d.cells) > 20 {
-		t.Errorf("after 10000 replacements %d hosts, %d ids, %d cells, want about the 14 there are", len(d.hosts),
+	if len(d.servers) > 20 || len(d.byID) > 20 || len(d.cells) > 20 {
+		t.Errorf("after 10000 replacements %d hosts, %d ids, %d cells, want about the 14 there are", len(d.servers),
 			len(d.byID), len(d.cells))
 	}
-	if n := len(d.holds.by); n > 2000 { // what is believed held for 30 s
+	if n := len(d.prefixes.marks); n > 2000 { // what is believed held for 30 s
 		t.Errorf("%d marks of beginnings", n)
 	}
 }
--- a/policy/scenario_test.go
+++ b/policy/scenario_test.go
@@ -102,8 +102,8 @@
 func (p *player) start() {
 	s := func(name string) Nanos { return Nanos(p.set[name]) * ms }
 	var err error
-	p.d, err = New(1, Place{Number: int32(p.set["number"]), Count: int32(p.set["count"])}, []Class{{Target: s("expected"), TargetPer1k: s("per1k"),
-		Patience: s("patience"), Value: 1, TokenGap: 50 * ms, Effect: Effect(p.set["effect"]), Group: Group(p.set["group"]),
+	p.d, err = New(1, Identity{Number: int32(p.set["number"]), Count: int32(p.set["count"])}, []Class{{Target: s("expected"), TargetPer1k: s("per1k"),
+		Timeout: s("patience"), Value: 1, TokenGap: 50 * ms, Effect: Effect(p.set["effect"]), Group: Group(p.set["group"]),
 		Window: s("memory")}}, []Tenant{{PerSecond: float64(p.set["share"])}}, []Role{Prefill, Decode, Mixed},
 		ColdStart{From: float64(p.set["from"]) / 100, Warm: s("warm"), Multiple: float64(p.set["multiple"]) / 100,
 			Window: s("window")},
@@ -194,13 +194,13 @@
 	case "began":
 		p.d.StreamBegan(p.now, RequestID(id), p.shots[id], Nanos(opts["after"])*ms)
 	case "ended":
-		how, ok := map[string]Outcome{"honoured": Served, "read": Read, "turned": Rejected, "stateless": Stateless,
+		outcome, ok := map[string]Outcome{"honoured": Served, "read": Read, "turned": Rejected, "stateless": Stateless,
 			"unreachable": Unreachable, "notsent": NotSent, "failed": Failed, "late": Late, "broken": Broken,
 			"recalled": Canceled, "lapsed": StaleConnection}[w[2]]
 		if !ok {
 			p.t.Fatalf("%s: unknown outcome", p.at)
 		}
-		p.d.AttemptEnded(p.now, RequestID(id), p.shots[id], how, Nanos(opts["after"])*ms, over, NoLoad)
+		p.d.AttemptEnded(p.now, RequestID(id), p.shots[id], outcome, Nanos(opts["after"])*ms, over, NoLoad)
 		if held := opts["held"]; held == 0 {
 			p.d.HeldSince(p.now, RequestID(id), Never)
 		} else if held > 0 {
@@ -262,8 +262,8 @@
 		ok = fmt.Sprint(int64(got.For/ms)) == w[3]
 	} else if ok && len(w) > 3 {
 		ok = false
-		for _, h := range strings.Split(w[3], "|") {
-			ok = ok || fmt.Sprint(got.Server) == h
+		for _, srv := range strings.Split(w[3], "|") {
+			ok = ok || fmt.Sprint(got.Server) == srv
 		}
 	}
 	if !ok {
--- a/policy/state.go
+++ b/policy/state.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// What is known is kept here: requests in hand, servers, who holds which prefix. Nothing here decides.
+// The state of a dispatcher: requests in hand, servers, who holds which prefix. Nothing here decides.
 
 type phase uint8
 
@@ -13,252 +13,257 @@
 )
 
 // noHost stands for no server at all.
-const noHost = int32(-1)
+const noServer = int32(-1)
 
-type job struct {
+type requestState struct {
 	Request
-	phase    phase
-	used     bool
-	queued   bool // waits in the work queue
-	over     bool // finally answered, or its client left
-	out      bool // an attempt is out
-	withdrew bool // its attempt was cancelled
-	held     bool // a state or place is held for it
-	unsplit  bool // its attempt both reads and answers
-	mayRun   bool // some attempt may have run
-	doomed   bool // given up; what is held goes first
-	beyond   bool // its tenant was beyond its share when it came
-	launches int32
-	at       int32 // server of the attempt that is out
-	reader   int32 // server that holds the state
-	ranAt    int32 // server of the first attempt that may have run
-	shunned  [4]int32
-	nshunned int32
-	tokens   int64 // counted as queued at the prefill server
-	born     Nanos
-	sent     Nanos // when the attempt that is out was sent
-	ranSince Nanos
-	heldFrom Nanos
-	due      Nanos // to be looked at again
-	expected Nanos // target of this request, whole
-}
-
-func (j *job) shun(h int32) {
-	j.shunned[j.nshunned%int32(len(j.shunned))] = h
-	j.nshunned++
-}
-
-func (j *job) shuns(h int32) bool {
-	for i := int32(0); i < j.nshunned && i < int32(len(j.shunned)); i++ {
-		if j.shunned[i] == h {
+	phase         phase
+	used          bool
+	enqueued      bool // waits in the work queue
+	finished      bool // finally answered, or its client left
+	attemptOut    bool // an attempt is out
+	canceled      bool // its attempt was cancelled
+	stateHeld     bool // a state or place is held for it
+	combined      bool // its attempt both reads and answers
+	mayHaveRun    bool // some attempt may have run
+	givenUp       bool // given up; what is held goes first
+	overShare     bool // its tenant was beyond its share when it came
+	attempts      int32
+	attemptServer int32 // server of the attempt that is out
+	prefillServer int32 // server that holds the state
+	ranOn         int32 // server of the first attempt that may have run
+	avoided       [4]int32
+	avoidedCount  int32
+	queuedTokens  int64 // counted as queued at the prefill server
+	arrivedAt     Nanos
+	sentAt        Nanos // when the attempt that is out was sent
+	ranSince      Nanos
+	heldSince     Nanos
+	reviewAt      Nanos // to be looked at again
+	target        Nanos // target of this request, whole
+}
+
+func (req *requestState) avoid(server int32) {
+	req.avoided[req.avoidedCount%int32(len(req.avoided))] = server
+	req.avoidedCount++
+}
+
+func (req *requestState) avoids(server int32) bool {
+	for i := int32(0); i < req.avoidedCount && i < int32(len(req.avoided)); i++ {
+		if req.avoided[i] == server {
 			return true
 		}
 	}
 	return false
 }
 
-// slab keeps requests in reused places.
-type slab struct {
-	jobs []job
-	free []int32
-	byID map[RequestID]int32
-	work []int32 // slots that want a decision, first come first
-	head int
+// requestTable keeps requests in reused slots.
+type requestTable struct {
+	entries []requestState
+	free    []int32
+	byID    map[RequestID]int32
+	queue   []int32 // slots that want a decision, first come first
+	head    int
 }
 
-func newSlab() slab { return slab{byID: make(map[RequestID]int32)} }
+func newRequestTable() requestTable { return requestTable{byID: make(map[RequestID]int32)} }
 
-func (s *slab) add(given Request) int32 {
+func (s *requestTable) add(request Request) int32 {
 	var slot int32
 	if n := len(s.free); n > 0 {
 		slot, s.free = s.free[n-1], s.free[:n-1]
 	} else {
-		slot = int32(len(s.jobs))
-		s.jobs = append(s.jobs, job{})
+		slot = int32(len(s.entries))
+		s.entries = append(s.entries, requestState{})
 	}
-	s.jobs[slot] = job{Request: given, used: true, at: noHost, reader: noHost, ranAt: noHost}
-	s.byID[given.ID] = slot
+	s.entries[slot] = requestState{Request: request, used: true,
+		attemptServer: noServer, prefillServer: noServer, ranOn: noServer}
+	s.byID[request.ID] = slot
 	return slot
 }
 
-func (s *slab) drop(slot int32) {
-	delete(s.byID, s.jobs[slot].ID)
-	s.jobs[slot].used = false
+func (s *requestTable) drop(slot int32) {
+	delete(s.byID, s.entries[slot].ID)
+	s.entries[slot].used = false
 	s.free = append(s.free, slot)
 }
 
-func (s *slab) find(id RequestID) (int32, *job) {
+func (s *requestTable) find(id RequestID) (int32, *requestState) {
 	if slot, ok := s.byID[id]; ok {
-		return slot, &s.jobs[slot]
+		return slot, &s.entries[slot]
 	}
 	return -1, nil
 }
 
-func (s *slab) enqueue(slot int32) {
-	if j := &s.jobs[slot]; !j.queued {
-		j.queued = true
-		s.work = append(s.work, slot)
+func (s *requestTable) enqueue(slot int32) {
+	if req := &s.entries[slot]; !req.enqueued {
+		req.enqueued = true
+		s.queue = append(s.queue, slot)
 	}
 }
 
-func (s *slab) peek() (int32, bool) {
-	if s.head == len(s.work) {
-		s.work, s.head = s.work[:0], 0
+func (s *requestTable) peek() (int32, bool) {
+	if s.head == len(s.queue) {
+		s.queue, s.head = s.queue[:0], 0
 		return 0, false
 	}
-	return s.work[s.head], true
+	return s.queue[s.head], true
 }
 
-func (s *slab) dequeue() {
-	s.jobs[s.work[s.head]].queued = false
+func (s *requestTable) dequeue() {
+	s.entries[s.queue[s.head]].enqueued = false
 	s.head++
 }
 
 type server struct {
-	id       ServerID
-	zone     ZoneID
-	cell     CellID
-	at       int32 // its place among the cells
-	role     Role
-	health   Health
-	goneIn   uint64  // the news that said it is gone
-	launched Nanos   // last known start; 0 = long ago
-	queued   int64   // own prompt tokens sent there and not yet read
-	out      int32   // own attempts there that have not answered
-	streams  int32   // own requests there as a decode server, begun or not
-	moved    Nanos   // last answer, or first attempt since it stood idle
-	longest  Nanos   // longest allowance for prompt length among the attempts out
-	answers  ring    // first answers, as shares of the request's target
-	high     float64 // high quantile of them
-	last     float64 // the last of them
-	doubt    float64 // share of recent attempts that failed
-	aside    Nanos   // ejected until then
-	by       []trackAt
-	spell    Nanos // length of the last ejection aside
-	trial    bool  // back from aside, not yet proven
-	downed   bool  // has not answered since it could not be reached
-	fullTill Nanos
-	load     Load
-	loadAt   Nanos
-	grantFor Nanos   // start that the slow-start grants are for
-	grantAt  Nanos   // granted up to then
-	granted  float64 // attempts granted since it started
-	spent    float64 // of those, the ones made or lapsed
-}
-
-// trackAt is how one class does at a server.
-type trackAt struct {
-	out   int32 // own attempts that have not been answered
-	moved Nanos // last answer, or first attempt since none was out
-	quiet Nanos // requests of it are kept from the server until then ...
-	spell Nanos // ... for so long
-}
-
-// took takes down an attempt, gave its answer.
-func (h *server) took(now Nanos, track ClassID) {
-	b := &h.by[track]
-	if h.out == 0 {
-		h.moved = now
-	}
-	if b.out == 0 {
-		b.moved = now
-	}
-	h.out, b.out = h.out+1, b.out+1
-}
-
-func (h *server) gave(now Nanos, track ClassID) {
-	b := &h.by[track]
-	h.moved, b.moved = now, now
-	h.out, b.out = h.out-1, b.out-1
-}
-
-// restarted forgets what no longer holds once a server's process is another.
-func (h *server) restarted() {
-	h.doubt, h.aside, h.spell, h.trial, h.downed, h.load = 0, 0, 0, false, false, NoLoad
-	h.answers = ring{}
-	for t := range h.by {
-		h.by[t].quiet, h.by[t].spell = 0, 0
-	}
-}
-
-// vacant gives the place for a new server: that of one which earlier news said is gone and to which
+	id               ServerID
+	zone             ZoneID
+	cell             CellID
+	cellIndex        int32 // its place among the cells
+	role             Role
+	health           Health
+	goneInUpdate     uint64     // the news that said it is gone
+	startedAt        Nanos      // last known start; 0 = long ago
+	queuedTokens     int64      // own prompt tokens sent there and not yet read
+	outstanding      int32      // own attempts there that have not answered
+	streams          int32      // own requests there as a decode server, begun or not
+	lastAnswerAt     Nanos      // last answer, or first attempt since it stood idle
+	longestAllowance Nanos      // longest allowance for prompt length among the attempts out
+	latencies        sampleRing // first answers, as shares of the request's target
+	highLatency      float64    // high quantile of them
+	lastLatency      float64    // the last of them
+	failureShare     float64    // share of recent attempts that failed
+	ejectedUntil     Nanos      // ejected until then
+	byClass          []serverClass
+	ejectionTime     Nanos // length of the last ejection
+	halfOpen         bool  // ejection over, to be probed by one request at a time
+	unreachable      bool  // has not answered since it could not be reached
+	fullUntil        Nanos
+	load             Load
+	loadAt           Nanos
+	creditStart      Nanos   // start that the slow-start grants are for
+	creditedAt       Nanos   // granted up to then
+	credit           float64 // attempts granted since it started
+	creditSpent      float64 // of those, the ones made or lapsed
+}
+
+// serverClass is how one class does at a server.
+type serverClass struct {
+	outstanding  int32 // own attempts that have not been answered
+	lastAnswerAt Nanos // last answer, or first attempt since none was out
+	ejectedUntil Nanos // requests of it are kept from the server until then ...
+	ejectionTime Nanos // ... for so long
+}
+
+// attemptSent records an attempt.
+func (srv *server) attemptSent(now Nanos, class ClassID) {
+	b := &srv.byClass[class]
+	if srv.outstanding == 0 {
+		srv.lastAnswerAt = now
+	}
+	if b.outstanding == 0 {
+		b.lastAnswerAt = now
+	}
+	srv.outstanding, b.outstanding = srv.outstanding+1, b.outstanding+1
+}
+
+// attemptAnswered records the answer to an attempt.
+func (srv *server) attemptAnswered(now Nanos, class ClassID) {
+	b := &srv.byClass[class]
+	srv.lastAnswerAt, b.lastAnswerAt = now, now
+	srv.outstanding, b.outstanding = srv.outstanding-1, b.outstanding-1
+}
+
+// resetHistory forgets what no longer holds once a server runs another process.
+func (srv *server) resetHistory() {
+	srv.failureShare, srv.halfOpen, srv.unreachable = 0, false, false
+	srv.ejectedUntil, srv.ejectionTime = 0, 0
+	srv.load = NoLoad
+	srv.latencies = sampleRing{}
+	for t := range srv.byClass {
+		srv.byClass[t].ejectedUntil, srv.byClass[t].ejectionTime = 0, 0
+	}
+}
+
+// freeServerSlot gives the slot for a new server: that of one which earlier news said is gone and to which
 // nothing in hand refers, else another. It guards against fleets that are replaced again and again under
 // new names.
-func (d *Dispatcher) vacant() int32 {
-	for i := range d.hosts {
-		h, at := &d.hosts[i], int32(i)
-		if h.health != Gone || h.goneIn >= d.news || h.out > 0 || h.streams > 0 || d.refersTo(at) {
+func (d *Dispatcher) freeServerSlot() int32 {
+	for i := range d.servers {
+		srv, at := &d.servers[i], int32(i)
+		old := srv.health == Gone && srv.goneInUpdate < d.listUpdates
+		if !old || srv.outstanding > 0 || srv.streams > 0 || d.serverInUse(at) {
 			continue
 		}
-		d.holds.forget(at)
-		d.unshun(at)
-		delete(d.byID, h.id)
+		d.prefixes.dropServer(at)
+		d.clearAvoided(at)
+		delete(d.byID, srv.id)
 		return at
 	}
-	d.hosts = append(d.hosts, server{})
-	return int32(len(d.hosts) - 1)
+	d.servers = append(d.servers, server{})
+	return int32(len(d.servers) - 1)
 }
 
-// refersTo tells whether a request in hand has an attempt or a state at a server, or may have run there.
-func (d *Dispatcher) refersTo(at int32) bool {
-	return slices.ContainsFunc(d.jobs.jobs, func(j job) bool {
-		return j.used && (j.at == at || j.reader == at || j.ranAt == at)
+// serverInUse tells whether a request in hand has an attempt or a state at a server, or may have run there.
+func (d *Dispatcher) serverInUse(server int32) bool {
+	return slices.ContainsFunc(d.requests.entries, func(req requestState) bool {
+		return req.used && (req.attemptServer == server || req.prefillServer == server || req.ranOn == server)
 	})
 }
 
-// unshun forgets that requests have failed at a server.
-func (d *Dispatcher) unshun(at int32) {
-	for i := range d.jobs.jobs {
-		j := &d.jobs.jobs[i]
-		for k := range min(j.nshunned, int32(len(j.shunned))) {
-			if j.shunned[k] == at {
-				j.shunned[k] = noHost
+// clearAvoided forgets that requests have failed at a server.
+func (d *Dispatcher) clearAvoided(server int32) {
+	for i := range d.requests.entries {
+		req := &d.requests.entries[i]
+		for k := range min(req.avoidedCount, int32(len(req.avoided))) {
+			if req.avoided[k] == server {
+				req.avoided[k] = noServer
 			}
 		}
 	}
 }
 
-// cellOf gives the place of a cell, a new one that of a cell without any server.
-func (d *Dispatcher) cellOf(zone ZoneID, cell CellID) int32 {
-	free := noHost
+// cellIndexOf gives the index of a cell; a new one takes that of a cell without any server.
+func (d *Dispatcher) cellIndexOf(zone ZoneID, cell CellID) int32 {
+	free := noServer
 	for i := range d.cells {
 		if d.cells[i].id == cell && d.cells[i].zone == zone {
 			return int32(i)
 		}
-		empty := func(h server) bool { return h.at == int32(i) }
-		if free == noHost && !slices.ContainsFunc(d.hosts, empty) {
+		empty := func(srv server) bool { return srv.cellIndex == int32(i) }
+		if free == noServer && !slices.ContainsFunc(d.servers, empty) {
 			free = int32(i)
 		}
 	}
-	if free == noHost {
+	if free == noServer {
 		free = int32(len(d.cells))
-		d.cells = append(d.cells, cellPart{})
+		d.cells = append(d.cells, cellShare{})
 	}
-	d.cells[free] = cellPart{id: cell, zone: zone}
+	d.cells[free] = cellShare{id: cell, zone: zone}
 	return free
 }
 
 const ringSize = 32
 
-// ring keeps the last few figures and when they came.
-type ring struct {
-	xs [ringSize]float64
-	at [ringSize]Nanos
-	n  int
+// sampleRing keeps the last few samples and when they came.
+type sampleRing struct {
+	values [ringSize]float64
+	times  [ringSize]Nanos
+	count  int
 }
 
-func (r *ring) add(now Nanos, x float64) {
-	r.xs[r.n%ringSize], r.at[r.n%ringSize] = x, now
-	r.n++
+func (r *sampleRing) add(now Nanos, x float64) {
+	r.values[r.count%ringSize], r.times[r.count%ringSize] = x, now
+	r.count++
 }
 
 // quantile of the figures that came since a time; 0 if they are too few to tell.
-func (r *ring) quantile(since Nanos, q float64) float64 {
+func (r *sampleRing) quantile(since Nanos, q float64) float64 {
 	var fresh [ringSize]float64
 	n := 0
-	for i := 0; i < min(r.n, ringSize); i++ {
-		if r.at[i] >= since {
-			fresh[n] = r.xs[i]
+	for i := 0; i < min(r.count, ringSize); i++ {
+		if r.times[i] >= since {
+			fresh[n] = r.values[i]
 			n++
 		}
 	}
@@ -269,59 +274,59 @@
 	return fresh[int(q*float64(n-1))]
 }
 
-// holder marks a server as holding a prefix of some length, until a time.
-type holder struct {
+// prefixMark marks a server as holding a prefix of some length, until a time.
+type prefixMark struct {
 	until  Nanos
-	host   int32
+	server int32
 	tokens int32
 }
 
-const fewJobs = 4 // so many others weigh as much as what is usual
+const priorRequests = 4 // weight of what is usual against what was counted for one prefix
 
-// prefixes remembers which servers hold which prefix; of more than fit, the oldest mark goes. It also
+// prefixIndex remembers which servers hold which prefix; of more than fit, the oldest mark goes. It also
 // counts, over a time, how many of the requests share one.
-type beginnings struct {
-	by   map[uint64][8]holder
-	seen map[uint64]float64
-	all  float64
-	twos float64 // pairs of requests that share one ...
-	both float64 // ... among all pairs
+type prefixIndex struct {
+	marks        map[uint64][8]prefixMark
+	requests     map[uint64]float64
+	total        float64
+	sharingPairs float64 // pairs of requests that share one ...
+	pairs        float64 // ... among all pairs
 }
 
-func newBeginnings() beginnings {
-	return beginnings{by: make(map[uint64][8]holder), seen: make(map[uint64]float64)}
+func newPrefixIndex() prefixIndex {
+	return prefixIndex{marks: make(map[uint64][8]prefixMark), requests: make(map[uint64]float64)}
 }
 
-// count takes down that a request shares a prefix.
-func (b *beginnings) count(key uint64) {
-	b.twos, b.both = b.twos+b.seen[key], b.both+b.all
-	b.seen[key]++
-	b.all++
+// count records that a request has a prefix.
+func (b *prefixIndex) count(key uint64) {
+	b.sharingPairs, b.pairs = b.sharingPairs+b.requests[key], b.pairs+b.total
+	b.requests[key]++
+	b.total++
 }
 
 // share is the part of all requests that share a prefix with one that is counted, as far as the others
 // tell. Who has seen few requests goes by how often any two share one: where prefixes are many, one seen
 // for the first time is rare.
-func (b *beginnings) share(key uint64) float64 {
-	usual := b.twos / max(b.both, 1)
-	return (max(b.seen[key]-1, 0) + fewJobs*usual) / (max(b.all-1, 0) + fewJobs)
+func (b *prefixIndex) share(key uint64) float64 {
+	usual := b.sharingPairs / max(b.pairs, 1)
+	return (max(b.requests[key]-1, 0) + priorRequests*usual) / (max(b.total-1, 0) + priorRequests)
 }
 
-// fade lets counts fade; what has faded to little is dropped.
-func (b *beginnings) fade(keep float64) {
-	b.all, b.twos, b.both = b.all*keep, b.twos*keep*keep, b.both*keep*keep
-	for key := range b.seen {
-		if b.seen[key] *= keep; b.seen[key] < 1.0/16 {
-			delete(b.seen, key)
+// decay lets the counts decay; those that have become small are dropped.
+func (b *prefixIndex) decay(keep float64) {
+	b.total, b.sharingPairs, b.pairs = b.total*keep, b.sharingPairs*keep*keep, b.pairs*keep*keep
+	for key := range b.requests {
+		if b.requests[key] *= keep; b.requests[key] < 1.0/16 {
+			delete(b.requests, key)
 		}
 	}
 }
 
-func (b *beginnings) mark(key uint64, h int32, tokens int64, until Nanos) {
-	list := b.by[key]
+func (b *prefixIndex) mark(key uint64, server int32, tokens int64, until Nanos) {
+	list := b.marks[key]
 	at := 0
 	for i, e := range list {
-		if e.until > 0 && e.host == h {
+		if e.until > 0 && e.server == server {
 			at = i
 			break
 		}
@@ -329,58 +334,58 @@
 			at = i
 		}
 	}
-	list[at] = holder{until, h, int32(tokens)}
-	b.by[key] = list
+	list[at] = prefixMark{until, server, int32(tokens)}
+	b.marks[key] = list
 }
 
-func (b *beginnings) held(now Nanos, key uint64, h int32) int64 {
-	for _, e := range b.by[key] {
-		if e.until > now && e.host == h {
+func (b *prefixIndex) tokensAt(now Nanos, key uint64, server int32) int64 {
+	for _, e := range b.marks[key] {
+		if e.until > now && e.server == server {
 			return int64(e.tokens)
 		}
 	}
 	return 0
 }
 
-// forget drops a server that has lost what it kept.
-func (b *beginnings) forget(h int32) {
-	for key, list := range b.by {
+// dropServer forgets the marks of a server that has lost its cache.
+func (b *prefixIndex) dropServer(server int32) {
+	for key, list := range b.marks {
 		for i := range list {
-			if list[i].host == h {
-				list[i] = holder{}
+			if list[i].server == server {
+				list[i] = prefixMark{}
 			}
 		}
-		b.by[key] = list
+		b.marks[key] = list
 	}
 }
 
-// sweep drops prefixes that nobody holds any more.
-func (b *beginnings) sweep(now Nanos) {
-	for key, list := range b.by {
+// dropExpired forgets prefixes that no server holds any more.
+func (b *prefixIndex) dropExpired(now Nanos) {
+	for key, list := range b.marks {
 		live := false
 		for _, e := range list {
 			live = live || e.until > now
 		}
 		if !live {
-			delete(b.by, key)
+			delete(b.marks, key)
 		}
 	}
 }
 
-// mix spreads the bits of a number, the same at every dispatcher (the finisher of splitmix64).
-func mix(x uint64) uint64 {
+// mixBits spreads the bits of a number, the same at every dispatcher (the finisher of splitmix64).
+func mixBits(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
 }
 
-// chanceOf is a number in [0, 1) that a key gives, the same at every dispatcher.
-func chanceOf(key uint64) float64 { return float64(mix(key+1)>>11) / (1 << 53) }
+// hashFraction is a number in [0, 1) that a key gives, the same at every dispatcher.
+func hashFraction(key uint64) float64 { return float64(mixBits(key+1)>>11) / (1 << 53) }
 
-// chance is a permuted congruential generator (PCG-XSH-RR 64/32).
-type chance struct{ state uint64 }
+// pcg is a permuted congruential generator (PCG-XSH-RR 64/32).
+type pcg struct{ state uint64 }
 
-func (c *chance) below(n int32) int32 {
+func (c *pcg) intn(n int32) int32 {
 	old := c.state
 	c.state = old*6364136223846793005 + 1442695040888963407
 	x := uint32(((old >> 18) ^ old) >> 27)
@@ -389,118 +394,118 @@
 	return int32(uint64(x) * uint64(n) >> 32)
 }
 
-// unit is a number in [0, 1).
-func (c *chance) unit() float64 { return float64(c.below(1<<30)) / (1 << 30) }
+// float is a number in [0, 1).
+func (c *pcg) float() float64 { return float64(c.intn(1<<30)) / (1 << 30) }
 
 // Dispatcher decides for one dispatcher. It shares nothing with others. Each of its parts keeps the few
 // settings that it works by.
 type Dispatcher struct {
-	intake
-	pool
-	guards
-	pressure
-	clockwork
-
-	rng     chance
-	says    []string // lines for the log
-	scratch []float64
-}
-
-// window bounds what is out at once; 0 = no bound yet.
-type window struct {
-	most float64
-	out  int32
-	sent Nanos // the last that went out
-}
-
-func (w *window) send(now Nanos) { w.out, w.sent = w.out+1, now }
-
-// cellPart is a set of servers on one link: its part of all servers, and how its prefill servers and
-// decode servers go together.
-type cellPart struct {
-	id    CellID
-	zone  ZoneID
-	has   [roleCount]float64
-	pens  float64    // its part of the servers that answer
-	near  float64    // how much of what its prefill servers read its own decode servers can take
-	link  window     // own pulls from its prefill servers to other cells
-	stay  float64    // how much of the rest its zone can
-	spare [2]float64 // share of its decode servers left for others of its zone, and of other zones
-}
-
-// zonePart is what a zone's cells lack, and have to spare, of decode servers.
-type zonePart struct {
-	lack, spare float64
-}
-
-// intake is the requests in hand and what is owed for them.
-type intake struct {
-	classes   []Class
-	pace      Nanos // shortest target of all classes: how fast news of the pool goes stale, whatever their order
-	tenants   []Tenant
-	answering Answering
-	jobs      slab
-	shares    []bucket // of the tenants
-}
-
-// pool is the servers, what they hold and how they do.
-type pool struct {
-	place    Place
-	roles    []Role
-	hosts    []server
-	byID     map[ServerID]int32
-	news     uint64 // of the list, counted
-	holds    beginnings
-	recent   [roleCount]ring    // first answers of late, as shares of the target
-	usual    [roleCount]float64 // high quantile of them
-	peerHigh [roleCount]float64 // median over servers of the high quantile of each
-	typical  [roleCount]float64 // and their median
-	carry    [roleCount]float64 // what a warm server answers for this dispatcher over a window
-	answers  [roleCount]float64 // answers of warm servers of late ...
-	warmTime [roleCount]float64 // ... and how many windows warm servers served in that time
-	cells    []cellPart
-	zones    []zonePart
-	serving  [roleCount]float64 // servers in service ...
-	warming  [roleCount]float64 // ... and those of them that warm up
-	replicas []int32            // servers likely to hold the prefix of the request in hand
-	own      int32              // the one of them that its session gives
-	pulls    [2]ring            // first answers of decode servers, as shares of expected: near, far
-}
-
-// guards is what bounds attempts and what is held.
-type guards struct {
-	cold      ColdStart
-	launching AttemptLimits
-	release   Nanos
-}
-
-// pressure is how much is in hand and how much the pools bear.
-type pressure struct {
-	active       int32 // requests sent and not over
-	requestLimit float64
-	lateShare    float64           // share of late ones among the last few answers
-	waits        [roleCount]window // own attempts unanswered at servers of a role
-	roomAt       Nanos
-	told         bool // an answer came since then
-}
-
-// clockwork is when to look again, and at what.
-type clockwork struct {
-	listing  Listing
-	step     Nanos // longest time between two looks at everything in hand
-	lookedAt Nanos
-	lookAt   Nanos // next look at everything in hand
-	wakeAt   Nanos // the Wake that is out; Never = none
-	watching bool
-	watchAt  Nanos
+	requestPart
+	serverPart
+	limitPart
+	loadPart
+	schedulePart
+
+	rng      pcg
+	logLines []string // lines for the log
+	scratch  []float64
+}
+
+// concurrencyLimit bounds the attempts that are outstanding at once; a limit of 0 means none yet.
+type concurrencyLimit struct {
+	limit       float64
+	outstanding int32
+	lastSentAt  Nanos // the last that went out
+}
+
+func (w *concurrencyLimit) attemptSent(now Nanos) { w.outstanding, w.lastSentAt = w.outstanding+1, now }
+
+// cellShare is a set of servers on one link: its share of all servers, and how its prefill and decode
+// servers match.
+type cellShare struct {
+	id            CellID
+	zone          ZoneID
+	share         [roleCount]float64
+	decodeShare   float64          // its part of the servers that answer
+	localCapacity float64          // how much of what its prefill servers read its own decode servers can take
+	link          concurrencyLimit // own pulls from its prefill servers to other cells
+	zoneCapacity  float64          // how much of the rest its zone can
+	spareCapacity [2]float64       // share of its decode servers left for others: of its zone, of other zones
+}
+
+// zoneShare is the decode capacity that cells of a zone miss, and that cells of it have to spare.
+type zoneShare struct {
+	missing, spare float64
+}
+
+// requestPart is the requests in hand and what is owed for them.
+type requestPart struct {
+	classes        []Class
+	shortestTarget Nanos // of all classes, whatever their order: how fast news of the pool goes stale
+	tenants        []Tenant
+	answering      Answering
+	requests       requestTable
+	shares         []tokenBucket // of the tenants
+}
+
+// serverPart is the servers, what they hold and how they do.
+type serverPart struct {
+	self              Identity
+	roles             []Role
+	servers           []server
+	byID              map[ServerID]int32
+	listUpdates       uint64 // of the list, counted
+	prefixes          prefixIndex
+	latencies         [roleCount]sampleRing // first answers of late, as shares of the target
+	highLatency       [roleCount]float64    // high quantile of them
+	medianHighLatency [roleCount]float64    // median over servers of the high quantile of each
+	medianLatency     [roleCount]float64    // and their median
+	answersPerWindow  [roleCount]float64    // what a warm server answers for this dispatcher over a window
+	warmAnswers       [roleCount]float64    // answers of warm servers of late ...
+	warmWindows       [roleCount]float64    // ... and how many windows warm servers served in that time
+	cells             []cellShare
+	zones             []zoneShare
+	serving           [roleCount]float64 // servers in service ...
+	warming           [roleCount]float64 // ... and those of them that warm up
+	replicas          []int32            // servers likely to hold the prefix of the request in hand
+	sessionReplica    int32              // the one of them that its session gives
+	transferLatencies [2]sampleRing      // first answers of decode servers, as shares of expected: near, far
+}
+
+// limitPart is what bounds attempts and what is held.
+type limitPart struct {
+	coldStart     ColdStart
+	attemptLimits AttemptLimits
+	releaseTime   Nanos
+}
+
+// loadPart is how much is in hand and how much the pools bear.
+type loadPart struct {
+	active        int32 // requests sent and not over
+	requestLimit  float64
+	lateShare     float64                     // share of late ones among the last few answers
+	roleLimits    [roleCount]concurrencyLimit // own attempts unanswered at servers of a role
+	limitReviewAt Nanos
+	answered      bool // an answer came since then
+}
+
+// schedulePart is when to look again, and at what.
+type schedulePart struct {
+	listing        Listing
+	reviewInterval Nanos // longest time between two looks at everything in hand
+	reviewedAt     Nanos
+	reviewAt       Nanos // next look at everything in hand
+	wakeAt         Nanos // the Wake that is out; Never = none
+	watching       bool
+	watchAt        Nanos
 }
 
 // median of a figure over the servers of a role that have one.
-func (d *Dispatcher) median(role Role, figure func(h *server) float64) float64 {
+func (d *Dispatcher) median(role Role, figure func(srv *server) float64) float64 {
 	xs := d.scratch[:0]
-	for i := range d.hosts {
-		if h := &d.hosts[i]; h.role == role && h.health == Serving {
-			if x := figure(h); x > 0 {
+	for i := range d.servers {
+		if srv := &d.servers[i]; srv.role == role && srv.health == Serving {
+			if x := figure(srv); x > 0 {
 				xs = append(xs, x)
 			}
 		}
@@ -513,15 +518,15 @@
 	return xs[len(xs)/2]
 }
 
-// bucket tells whether a tenant asks for more than its share; it fills at that rate, to one second's
+// tokenBucket tells whether a tenant asks for more than its share; it fills at that rate, up to one second's
 // worth.
-type bucket struct {
+type tokenBucket struct {
 	level float64
 	at    Nanos
 }
 
 // take tells whether one more is beyond the share.
-func (b *bucket) take(now Nanos, perSecond float64) bool {
+func (b *tokenBucket) take(now Nanos, perSecond float64) bool {
 	b.level = min(b.level+float64(now-b.at)/1e9*perSecond, max(perSecond, 1))
 	b.at = now
 	if b.level < 1 {
@@ -531,84 +536,84 @@
 	return false
 }
 
-// countPlaces counts the servers in service: of all, by role; by cell and zone, as parts of all.
-func (d *Dispatcher) countPlaces(now Nanos) {
+// countServers counts the servers in service: of all, by role; by cell and zone, as parts of all.
+func (d *Dispatcher) countServers(now Nanos) {
 	d.serving, d.warming = [roleCount]float64{}, [roleCount]float64{}
 	for i := range d.cells {
-		d.cells[i].has = [roleCount]float64{}
+		d.cells[i].share = [roleCount]float64{}
 	}
 	for i := range d.zones {
-		d.zones[i] = zonePart{}
+		d.zones[i] = zoneShare{}
 	}
-	for i := range d.hosts {
-		if h := &d.hosts[i]; h.health == Serving && now >= h.aside {
-			d.serving[h.role]++
-			if d.inSlowStart(now, h) {
-				d.warming[h.role]++
+	for i := range d.servers {
+		if srv := &d.servers[i]; srv.health == Serving && now >= srv.ejectedUntil {
+			d.serving[srv.role]++
+			if d.inSlowStart(now, srv) {
+				d.warming[srv.role]++
 			}
-			d.cells[h.at].has[h.role]++
+			d.cells[srv.cellIndex].share[srv.role]++
 		}
 	}
 	for i := range d.cells {
 		c := &d.cells[i]
-		c.pens = (c.has[Decode] + c.has[Mixed]) / max(d.serving[Decode]+d.serving[Mixed], 1)
-		c.has[Prefill] /= max(d.serving[Prefill], 1)
+		c.decodeShare = (c.share[Decode] + c.share[Mixed]) / max(d.serving[Decode]+d.serving[Mixed], 1)
+		c.share[Prefill] /= max(d.serving[Prefill], 1)
 		for int(c.zone) >= len(d.zones) {
-			d.zones = append(d.zones, zonePart{})
+			d.zones = append(d.zones, zoneShare{})
 		}
-		d.zones[c.zone].lack += max(0, c.has[Prefill]-c.pens)
-		d.zones[c.zone].spare += max(0, c.pens-c.has[Prefill])
+		d.zones[c.zone].missing += max(0, c.share[Prefill]-c.decodeShare)
+		d.zones[c.zone].spare += max(0, c.decodeShare-c.share[Prefill])
 	}
 }
 
-// carried finds what a warm server of each role answers for this dispatcher over a window, averaged over
-// some time. It stays as it was while no server is warm.
-func (d *Dispatcher) carried(now, was, memory Nanos) {
-	if d.cold.Window <= 0 {
+// measureThroughput finds how many answers a warm server of each role gives this dispatcher over a window,
+// averaged over some time. The figure stays while no server is warm.
+func (d *Dispatcher) measureThroughput(now, before, memory Nanos) {
+	if d.coldStart.Window <= 0 {
 		return
 	}
-	keep := max(0, 1-float64(now-was)/float64(memory))
-	for i := range d.hosts {
-		if h := &d.hosts[i]; h.health == Serving && !d.inSlowStart(now, h) {
-			d.warmTime[h.role] += float64(now-was) / float64(d.cold.Window)
+	keep := max(0, 1-float64(now-before)/float64(memory))
+	for i := range d.servers {
+		if srv := &d.servers[i]; srv.health == Serving && !d.inSlowStart(now, srv) {
+			d.warmWindows[srv.role] += float64(now-before) / float64(d.coldStart.Window)
 		}
 	}
-	for role := range d.carry {
-		if d.warmTime[role] > 0 {
-			d.carry[role] = d.answers[role] / d.warmTime[role]
+	for role := range d.answersPerWindow {
+		if d.warmWindows[role] > 0 {
+			d.answersPerWindow[role] = d.warmAnswers[role] / d.warmWindows[role]
 		}
-		d.answers[role], d.warmTime[role] = d.answers[role]*keep, d.warmTime[role]*keep
+		d.warmAnswers[role], d.warmWindows[role] = d.warmAnswers[role]*keep, d.warmWindows[role]*keep
 	}
 }
 
-// expectHeld is how much of a request's prompt a server is expected to have kept.
-func (d *Dispatcher) expectHeld(now Nanos, j *job, h int32) int64 {
+// expectedCached is how many tokens of a request's prompt a server is expected to have cached.
+func (d *Dispatcher) expectedCached(now Nanos, req *requestState, server int32) int64 {
 	kept := int64(0)
-	if j.Prefix != 0 {
-		kept = min(d.holds.held(now, uint64(j.Prefix), h), j.Shared)
+	if req.Prefix != 0 {
+		kept = min(d.prefixes.tokensAt(now, uint64(req.Prefix), server), req.Shared)
 	}
-	if j.Session != 0 {
-		kept = max(kept, d.holds.held(now, ^uint64(j.Session), h))
+	if req.Session != 0 {
+		kept = max(kept, d.prefixes.tokensAt(now, ^uint64(req.Session), server))
 	}
-	return min(kept, j.Prompt)
+	return min(kept, req.Prompt)
 }
 
 // rank orders servers for a pick: the least wins, the first figure counting most.
 type rank [3]int64
 
-// least picks the server of least rank among those that the pick admits; chance settles ties.
-func (d *Dispatcher) least(of func(i int32, h *server) (rank, bool)) int32 {
-	best, ties, low := noHost, int32(0), rank{}
-	for i := range d.hosts {
-		r, ok := of(int32(i), &d.hosts[i])
+// pickLowestRank picks the server of lowest rank among those admitted; ties are broken at random.
+func (d *Dispatcher) pickLowestRank(of func(i int32, srv *server) (rank, bool)) int32 {
+	best, ties, low := noServer, int32(0), rank{}
+	for i := range d.servers {
+		order, ok := of(int32(i), &d.servers[i])
 		if !ok {
 			continue
 		}
-		order := slices.Compare(r[:], low[:])
-		if best == noHost || order < 0 {
-			best, ties, low = int32(i), 1, r
-		} else if order == 0 {
-			if ties++; d.rng.below(ties) == 0 {
+		comparison := slices.Compare(order[:], low[:])
+		if best == noServer || comparison < 0 {
+			best, ties, low = int32(i), 1, order
+		} else if comparison == 0 {
+			if ties++; d.rng.intn(ties) == 0 {
 				best = int32(i)
 			}
 		}
--- a/policy/told.go
+++ b/policy/told.go
@@ -5,210 +5,224 @@
 	"math"
 )
 
-// What the server tells is taken down here, as far as no judgement goes into it; the rest is in policy.go.
+// Events are recorded here as far as that needs no judgement; the rest is in policy.go.
 
-// New starts a dispatcher that knows nothing but its settings. seed feeds all chance.
-func New(seed uint64, place Place, tracks []Class, tenants []Tenant, roles []Role, cold ColdStart,
-	launching AttemptLimits, answering Answering, listing Listing, release Nanos) (*Dispatcher, error) {
+// New makes a dispatcher that knows nothing but its settings. All its random choices follow from the seed.
+func New(seed uint64, self Identity, classes []Class, tenants []Tenant, roles []Role, coldStart ColdStart,
+	limits AttemptLimits, answering Answering, listing Listing, releaseTime Nanos) (*Dispatcher, error) {
 	switch {
-	case len(tracks) == 0:
-		return nil, fmt.Errorf("no tracks")
+	case len(classes) == 0:
+		return nil, fmt.Errorf("no classes")
 	case len(roles) == 0:
-		return nil, fmt.Errorf("no kinds of host")
-	case launching.Most < 1:
-		return nil, fmt.Errorf("launches for a job: %d, want 1 or more", launching.Most)
-	case release <= 0:
-		return nil, fmt.Errorf("time for letting go: %d, want more than 0", release)
-	case place.Count < 1:
-		return nil, fmt.Errorf("number of dispatchers: %d, want 1 or more", place.Count)
-	}
-	shortest, pace := release, Never
-	for i, t := range tracks {
-		if t.Target <= 0 || t.Patience <= 0 {
-			return nil, fmt.Errorf("track %d: expected time %d and patience %d: want both above 0",
-				i, t.Target, t.Patience)
+		return nil, fmt.Errorf("no kinds of server")
+	case limits.Most < 1:
+		return nil, fmt.Errorf("attempts of a request: %d, want 1 or more", limits.Most)
+	case releaseTime <= 0:
+		return nil, fmt.Errorf("release time: %d, want more than 0", releaseTime)
+	case self.Count < 1:
+		return nil, fmt.Errorf("number of dispatchers: %d, want 1 or more", self.Count)
+	}
+	shortestWait, shortestTarget := releaseTime, Never
+	for i, t := range classes {
+		if t.Target <= 0 || t.Timeout <= 0 {
+			return nil, fmt.Errorf("class %d: target %d and timeout %d: want both above 0",
+				i, t.Target, t.Timeout)
 		}
-		shortest, pace = min(shortest, t.Target), min(pace, t.Target)
+		shortestWait, shortestTarget = min(shortestWait, t.Target), min(shortestTarget, t.Target)
 	}
 	d := &Dispatcher{
-		intake: intake{classes: tracks, pace: pace, tenants: tenants, answering: answering, jobs: newSlab(),
-			shares: make([]bucket, len(tenants))},
-		pool:     pool{place: place, roles: roles, byID: make(map[ServerID]int32), holds: newBeginnings()},
-		guards:   guards{cold: cold, launching: launching, release: release},
-		pressure: pressure{requestLimit: math.MaxInt32},
-		clockwork: clockwork{listing: listing, watching: !listing.Asked, wakeAt: Never, lookAt: Never,
-			step: max(shortest/lookParts, answering.Round, 1)},
-		rng: chance{seed},
-	}
-	d.rng.below(1)
+		requestPart: requestPart{classes: classes, shortestTarget: shortestTarget, tenants: tenants,
+			answering: answering, requests: newRequestTable(), shares: make([]tokenBucket, len(tenants))},
+		serverPart: serverPart{self: self, roles: roles, byID: make(map[ServerID]int32),
+			prefixes: newPrefixIndex()},
+		limitPart: limitPart{coldStart: coldStart, attemptLimits: limits, releaseTime: releaseTime},
+		loadPart:  loadPart{requestLimit: math.MaxInt32},
+		schedulePart: schedulePart{listing: listing, watching: !listing.Asked, wakeAt: Never, reviewAt: Never,
+			reviewInterval: max(shortestWait/reviewsPerTarget, answering.Round, 1)},
+		rng: pcg{seed},
+	}
+	d.rng.intn(1)
 	return d, nil
 }
 
-// ListBegin opens news of the list; full lists name every server that there is.
+// ListBegin begins an update of the list; a full one names every server that there is.
 func (d *Dispatcher) ListBegin(full bool) {
-	d.news++
+	d.listUpdates++
 	if full {
-		for i := range d.hosts {
-			if h := &d.hosts[i]; h.health != Gone {
-				h.health, h.goneIn = Gone, d.news
+		for i := range d.servers {
+			if srv := &d.servers[i]; srv.health != Gone {
+				srv.health, srv.goneInUpdate = Gone, d.listUpdates
 			}
 		}
 	}
 }
 
-// ServerListed is one entry of the news.
+// ServerListed reports one entry of the update.
 func (d *Dispatcher) ServerListed(id ServerID, zone ZoneID, kind KindID, cell CellID, health Health,
-	launched Nanos) {
+	startedAt Nanos) {
 	i, ok := d.byID[id]
 	if !ok {
 		if health == Gone {
 			return
 		}
-		i = d.vacant()
+		i = d.freeServerSlot()
 		d.byID[id] = i
-		d.hosts[i] = server{id: id, load: NoLoad, by: make([]trackAt, len(d.classes))}
+		d.servers[i] = server{id: id, load: NoLoad, byClass: make([]serverClass, len(d.classes))}
 	}
-	h := &d.hosts[i]
-	if health == Gone && h.health != Gone {
-		h.goneIn = d.news
+	srv := &d.servers[i]
+	if health == Gone && srv.health != Gone {
+		srv.goneInUpdate = d.listUpdates
 	}
-	if launched > h.launched && ok { // a new process has kept nothing, and no old verdict on it holds
-		d.holds.forget(i)
-		h.restarted()
+	if startedAt > srv.startedAt && ok { // a new process: empty cache, no failures
+		d.prefixes.dropServer(i)
+		srv.resetHistory()
 	}
-	h.zone, h.cell, h.health, h.launched = zone, cell, health, max(launched, h.launched)
-	h.at = noHost
-	h.at = d.cellOf(zone, cell)
+	srv.zone, srv.cell, srv.health, srv.startedAt = zone, cell, health, max(startedAt, srv.startedAt)
+	srv.cellIndex = noServer
+	srv.cellIndex = d.cellIndexOf(zone, cell)
 	if int(kind) < len(d.roles) {
-		h.role = d.roles[kind]
+		srv.role = d.roles[kind]
 	}
 }
 
-// ListEnd closes the news.
+// ListEnd ends the update.
 func (d *Dispatcher) ListEnd(now Nanos) { d.review(now) }
 
-// RequestArrived hands over a request; from now on it is owed one final answer.
-func (d *Dispatcher) RequestArrived(now Nanos, given Request) {
-	slot := d.jobs.add(given)
-	j, t := &d.jobs.jobs[slot], &d.classes[given.Class]
-	j.born = now
-	j.expected = t.Target + t.TargetPer1k*Nanos(j.Prompt)/1000
-	if given.Tenant >= 0 {
-		j.beyond = d.shares[given.Tenant].take(now, d.tenants[given.Tenant].PerSecond/float64(d.place.Count))
-	}
-	if j.Prefix != 0 {
-		d.holds.count(uint64(j.Prefix))
-	}
-	d.jobs.enqueue(slot)
+// RequestArrived hands over a request, which is owed one final answer from now on.
+func (d *Dispatcher) RequestArrived(now Nanos, request Request) {
+	slot := d.requests.add(request)
+	req, t := &d.requests.entries[slot], &d.classes[request.Class]
+	req.arrivedAt = now
+	req.target = t.Target + t.TargetPer1k*Nanos(req.Prompt)/1000
+	if request.Tenant >= 0 {
+		perSecond := d.tenants[request.Tenant].PerSecond / float64(d.self.Count)
+		req.overShare = d.shares[request.Tenant].take(now, perSecond)
+	}
+	if req.Prefix != 0 {
+		d.prefixes.count(uint64(req.Prefix))
+	}
+	d.requests.enqueue(slot)
 }
 
-// StreamBegan tells that an attempt's answer has begun: from now on it has no deadline.
-func (d *Dispatcher) StreamBegan(now Nanos, id RequestID, shot AttemptNumber, elapsed Nanos) {
-	_, j := d.jobs.find(id)
-	if j == nil || !j.out || j.phase == streaming || shot != AttemptNumber(j.launches-1) {
+// StreamBegan reports that the answer to an attempt has begun: it has no deadline any more.
+func (d *Dispatcher) StreamBegan(now Nanos, id RequestID, attempt AttemptNumber, elapsed Nanos) {
+	_, req := d.requests.find(id)
+	if req == nil || !req.attemptOut || req.phase == streaming || attempt != AttemptNumber(req.attempts-1) {
 		return
 	}
-	d.answered(now, j, elapsed, true, false)
-	j.phase, j.held, j.due = streaming, false, Never
+	d.recordFirstResponse(now, req, elapsed, true, false)
+	req.phase, req.stateHeld, req.reviewAt = streaming, false, Never
 }
 
-// AttemptEnded tells how an attempt ended; over, that the request is finally answered.
-func (d *Dispatcher) AttemptEnded(now Nanos, id RequestID, shot AttemptNumber, how Outcome,
+// AttemptEnded reports the outcome of an attempt; over tells that the request has its final answer.
+func (d *Dispatcher) AttemptEnded(now Nanos, id RequestID, attempt AttemptNumber, outcome Outcome,
 	elapsed Nanos, over bool, load Load) {
-	slot, j := d.jobs.find(id)
-	if j == nil || !j.out || shot != AttemptNumber(j.launches-1) {
+	slot, req := d.requests.find(id)
+	if req == nil || !req.attemptOut || attempt != AttemptNumber(req.attempts-1) {
 		return
 	}
-	h := &d.hosts[j.at]
+	srv := &d.servers[req.attemptServer]
 	if load != NoLoad {
-		h.load, h.loadAt = load, now
+		srv.load, srv.loadAt = load, now
 	}
-	d.recordOutcome(now, h, j, how)
-	if j.phase != streaming {
-		d.answered(now, j, elapsed, how == Read || how == Served, how == Late || j.withdrew)
+	d.recordOutcome(now, srv, req, outcome)
+	if req.phase != streaming {
+		good, slow := outcome == Read || outcome == Served, outcome == Late || req.canceled
+		d.recordFirstResponse(now, req, elapsed, good, slow)
 	}
-	if j.phase != toRead || j.unsplit {
-		h.streams--
+	if req.phase != toRead || req.combined {
+		srv.streams--
 	}
-	if (how == Failed || how == Late || how == Broken || how == Canceled || how == StaleConnection) && h.role != Prefill && !j.mayRun {
-		j.mayRun, j.ranAt, j.ranSince = true, j.at, j.sent
+	if outcome.mayHaveRun() && srv.role != Prefill && !req.mayHaveRun {
+		req.mayHaveRun, req.ranOn, req.ranSince = true, req.attemptServer, req.sentAt
 	}
-	if how != Read && how != Stateless && how != StaleConnection && (how != Broken || d.failsMoreThanPeers(h)) {
-		j.shun(j.at)
+	if outcome.blamesServer() && (outcome != Broken || d.failsMoreThanPeers(srv)) {
+		req.avoid(req.attemptServer)
 	}
 	switch {
-	case how == Read:
-		j.phase, j.reader, j.held, j.heldFrom = toWrite, j.at, true, now
-	case how == Stateless: // the state may be cut off rather than gone: it is released before the next read
-		j.phase, j.heldFrom = toRead, now
-		j.shun(j.reader)
-	case j.phase == streaming:
+	case outcome == Read:
+		req.phase, req.prefillServer, req.stateHeld, req.heldSince = toWrite, req.attemptServer, true, now
+	case outcome == Stateless: // the state may be cut off rather than gone: released before the next read
+		req.phase, req.heldSince = toRead, now
+		req.avoid(req.prefillServer)
+	case req.phase == streaming:
 		over = true
-	case !j.held:
-		j.phase = toRead
-	case how != NotSent && how != StaleConnection:
-		j.heldFrom = now
-	}
-	j.out, j.over, j.at, j.unsplit = false, j.over || over, noHost, false
-	d.jobs.enqueue(slot)
+	case !req.stateHeld:
+		req.phase = toRead
+	case outcome != NotSent && outcome != StaleConnection:
+		req.heldSince = now
+	}
+	req.attemptOut, req.attemptServer, req.combined = false, noServer, false
+	req.finished = req.finished || over
+	d.requests.enqueue(slot)
+}
+
+// mayHaveRun tells that after an attempt with this outcome its request may have been executed.
+func (o Outcome) mayHaveRun() bool {
+	return o == Failed || o == Late || o == Broken || o == Canceled || o == StaleConnection
+}
+
+// blamesServer tells that the request should rather not go to the same server again.
+func (o Outcome) blamesServer() bool {
+	return o != Read && o != Stateless && o != StaleConnection
 }
 
-// ClientLeft tells that nothing more is owed for a request.
+// ClientLeft reports that nothing more is owed for a request.
 func (d *Dispatcher) ClientLeft(now Nanos, id RequestID) {
-	if slot, j := d.jobs.find(id); j != nil {
-		j.over = true
-		d.jobs.enqueue(slot)
+	if slot, req := d.requests.find(id); req != nil {
+		req.finished = true
+		d.requests.enqueue(slot)
 	}
 }
 
-// Woken tells that a Wake has come due.
+// Woken reports that a Wake is due.
 func (d *Dispatcher) Woken(now Nanos) {
 	d.wakeAt = Never
-	if now >= d.lookAt {
+	if now >= d.reviewAt {
 		d.review(now)
 	}
 }
 
-// answered books the first answer of the attempt that is out: a read that ended, a stream begun, or a
-// failure.
-func (d *Dispatcher) answered(now Nanos, j *job, elapsed Nanos, good, slow bool) {
-	h := &d.hosts[j.at]
-	h.gave(now, j.Class)
-	d.waits[h.role].out--
-	h.queued = max(h.queued-j.tokens, 0)
-	j.tokens = 0
-	if h.out == 0 {
-		h.longest = 0
-	}
-	x := float64(elapsed) / float64(j.expected)
-	if j.phase == toWrite {
-		from, far := &d.hosts[j.reader], 0
-		if from.cell != h.cell {
+// recordFirstResponse records the first response to the outstanding attempt: a read that ended, a stream that
+// began, or a failure.
+func (d *Dispatcher) recordFirstResponse(now Nanos, req *requestState, elapsed Nanos, good, slow bool) {
+	srv := &d.servers[req.attemptServer]
+	srv.attemptAnswered(now, req.Class)
+	d.roleLimits[srv.role].outstanding--
+	srv.queuedTokens = max(srv.queuedTokens-req.queuedTokens, 0)
+	req.queuedTokens = 0
+	if srv.outstanding == 0 {
+		srv.longestAllowance = 0
+	}
+	latency := float64(elapsed) / float64(req.target)
+	if req.phase == toWrite {
+		from, far := &d.servers[req.prefillServer], 0
+		if from.cell != srv.cell {
 			far = 1
-			d.cells[from.at].link.out--
+			d.cells[from.cellIndex].link.outstanding--
 		}
-		if good || slow { // a pull that did not end took at least so long
-			d.pulls[far].add(now, x)
+		if good || slow { // a transfer that did not end took at least so long
+			d.transferLatencies[far].add(now, latency)
 			if far == 1 {
-				c := &d.cells[from.at]
-				d.adjustWindow(&c.link, x, c.has[Prefill]*d.serving[Prefill])
+				c := &d.cells[from.cellIndex]
+				d.adjustLimit(&c.link, latency, c.share[Prefill]*d.serving[Prefill])
 			}
 		}
 	}
 	if !good {
 		if slow {
-			d.recent[h.role].add(now, x)
+			d.latencies[srv.role].add(now, latency)
 		}
 		return
 	}
-	h.last = x
-	if !d.inSlowStart(now, h) {
-		d.answers[h.role]++
+	srv.lastLatency = latency
+	if !d.inSlowStart(now, srv) {
+		d.warmAnswers[srv.role]++
 	}
-	d.recordFirstAnswer(now, j, h, x)
+	d.recordFirstAnswer(now, req, srv, latency)
 }
 
-// Belief is what the module holds of a server, for whoever compares it with what is so.
+// Belief is what a dispatcher assumes of a server, to be compared with what is true.
 type Belief struct {
 	Unread  int64 // own prompt tokens sent there and not yet read
 	Waiting int32 // own attempts there that have not answered
@@ -216,12 +230,13 @@
 	Aside   bool  // kept from new requests, or on trial
 }
 
-// Believes tells what is held of a server; false if it is not known.
+// Believes gives what is assumed of a server; false if it is not known.
 func (d *Dispatcher) Believes(now Nanos, id ServerID) (Belief, bool) {
 	i, ok := d.byID[id]
 	if !ok {
 		return Belief{}, false
 	}
-	h := &d.hosts[i]
-	return Belief{Unread: h.queued, Waiting: h.out, Writing: h.streams, Aside: now < h.aside || h.trial}, true
+	srv := &d.servers[i]
+	return Belief{Unread: srv.queuedTokens, Waiting: srv.outstanding, Writing: srv.streams,
+		Aside: now < srv.ejectedUntil || srv.halfOpen}, true
 }
--- a/policy/types.go
+++ b/policy/types.go
@@ -1,15 +1,15 @@
-// Package policy decides, for one dispatcher, where each request is read and where it is answered. This
-// file is its interface: ids, what its caller tells it and what it answers.
+// Package policy decides, for one dispatcher, where the prompt of each request is read (prefill) and where
+// its answer is written (decode). This file is its interface: ids, settings, events and decisions.
 package policy
 
 // Nanos is a time on the caller's clock, or a span of it, in whole nanoseconds.
 type Nanos int64
 
-// Never is later than every time on the clock.
+// Never is later than every time on the caller's clock.
 const Never = Nanos(1 << 62)
 
 type (
-	RequestID     uint64 // a request, as the server names it
+	RequestID     uint64 // a request, as the caller names it
 	ServerID      uint32 // a server, as the list names it
 	SessionKey    uint64 // a conversation; 0 = none
 	PrefixKey     uint64 // a prefix shared with other sessions; 0 = none
@@ -71,7 +71,7 @@
 	Failed                         // the server returned an error
 	Late                           // its time ran out
 	Broken                         // the connection broke
-	Canceled                       // withdrawn
+	Canceled                       // cancelled by this dispatcher
 	StaleConnection                // lost with a connection kept from before, dead by then: it may have run
 )
 
@@ -79,7 +79,7 @@
 type Class struct {
 	Target      Nanos // first token wanted within this time of arrival ...
 	TargetPer1k Nanos // ... and so much more for each 1,000 prompt tokens
-	Patience    Nanos // the client's whole time, all its tries together
+	Timeout     Nanos // the client's whole time, all its tries together
 	Value       float64
 	LateValue   float64 // share paid after the target
 	TokenGap    Nanos   // wanted between tokens
@@ -91,13 +91,13 @@
 // Tenant is one payer and what it is entitled to, over all dispatchers.
 type Tenant struct{ PerSecond float64 }
 
-// Place tells a dispatcher which one it is.
-type Place struct {
+// Identity tells a dispatcher which one of them it is.
+type Identity struct {
 	Number, Count int32
 	Zone          ZoneID
 }
 
-// ColdStart describes servers that have just started, and what topples them.
+// ColdStart describes servers that have just started, and what makes them fail.
 type ColdStart struct {
 	From     float64 // share of its capacity with which a server starts, at least
 	Warm     Nanos   // warm after this time
@@ -156,10 +156,10 @@
 
 const (
 	Attempt Verb = iota + 1 // send Request to Server, for at most For
-	Cancel                  // withdraw attempt Shot of Request
+	Cancel                  // cancel the attempt Attempt of Request
 	Reject                  // final: refused, may come back after For
 	Fail                    // final: failed
-	Release                 // released what is held for Request
+	Release                 // have the KV state that is held for Request released
 	Wake                    // call Woken after For
 	Watch                   // subscribe to the list
 	Log                     // write Text to the log
