--- a/cmd/docksail/node.go
+++ b/cmd/docksail/node.go
@@ -30,7 +30,7 @@
 			if err != nil {
 				return err
 			}
-			node.Spare(t)
+			node.LimitResources(t)
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
 			log := slog.New(dispatch.LogBeside(ctx, slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})))
@@ -49,7 +49,7 @@
 						v.Beliefs = nil
 						log.Info("counts", "view", v)
 						for _, b := range beliefs {
-							log.Info("belief", "host", b.Name, "reader", b.Reader, "unread", b.Unread, "reported", b.Load.Unread, "age_ms", b.LoadAge/1e6,
+							log.Info("belief", "server", b.Name, "prefill", b.Prefill, "unread", b.Unread, "reported", b.Load.Unread, "age_ms", b.LoadAge/1e6,
 								"waiting", b.Waiting, "writing", b.Writing, "out", b.Out, "idle", b.Idle, "aside", b.Aside, "differs", b.Differs())
 						}
 					}
--- a/cmd/docksail/serve.go
+++ b/cmd/docksail/serve.go
@@ -26,7 +26,7 @@
 	c := &cobra.Command{
 		Use:   "serve FILE",
 		Short: "Run a dispatcher by its settings",
-		Long: "Run a dispatcher by its settings. SIGTERM and SIGINT drain it: jobs in hand are finished within the\n" +
+		Long: "Run a dispatcher by its settings. SIGTERM and SIGINT drain it: requests in hand are finished within the\n" +
 			"settings' drain_within, then it exits. A second signal ends it at once. SIGHUP reads the file again and takes over\n" +
 			"the weights and limits of tenants; all else stays.",
 		Args: cobra.ExactArgs(1),
@@ -170,7 +170,7 @@
 	if age > 5*time.Second {
 		old = "  (" + age.String() + " old: the dispatcher may have ended)"
 	}
-	fmt.Fprintf(out, "%s%s\n%d jobs in hand, %d waiting in %d flows, %d connections\n", s.At.Format(time.TimeOnly), old, v.InHand, v.Waiting, v.Flows, v.Clients)
+	fmt.Fprintf(out, "%s%s\n%d requests in hand, %d waiting in %d flows, %d connections\n", s.At.Format(time.TimeOnly), old, v.InHand, v.Waiting, v.Flows, v.Clients)
 	total := 0.0
 	for _, t := range v.Tenants {
 		total += t.Counts.Cost
@@ -192,8 +192,8 @@
 		}
 	}
 	k := v.Counts
-	fmt.Fprintf(out, "%d honoured, %d nacked, %d abandoned, %d left; %d launches, %d late, %d broken\n", k.Honoured, k.Nacked, k.Abandoned, k.Left,
-		k.Launches, k.Late, k.Broken)
+	fmt.Fprintf(out, "%d served, %d rejected, %d failed, %d left; %d attempts, %d late, %d broken\n", k.Served, k.Rejected, k.Failed, k.ClientsLeft,
+		k.Attempts, k.TimedOut, k.Broken)
 }
 
 func checkCommand() *cobra.Command {
--- a/internal/decide/batch/batch.go
+++ b/internal/decide/batch/batch.go
@@ -1,4 +1,4 @@
-// Package batch decides about files of jobs that nobody waits for: which line of which batch goes out next, which is
+// Package batch decides about files of requests that nobody waits for: which line of which batch goes out next, which is
 // tried again and when, what a restart means for a line that was out, and how batches go from state to state. It does
 // no I/O and reads no clock.
 package batch
@@ -20,7 +20,7 @@
 	Line int32
 )
 
-// Effect is what a second launch of a line does.
+// Effect is what a second attempt of a line does.
 type Effect uint8
 
 const (
@@ -75,12 +75,12 @@
 
 const (
 	Waiting At = iota
-	Out        // a launch may be out
+	Out        // a attempt may be out
 	Done       // its result is kept
 	Lost       // it ended without one: the reason is kept
 )
 
-// Recover says where a line stands after a restart: one that was out has no launch out any more, as the job's client
+// Recover says where a line stands after a restart: one that was out has no attempt out any more, as the request's client
 // is gone; whether it may go again depends on its effect.
 func Recover(at At, effect Effect) (now At, mayHaveRun bool) {
 	if at != Out {
@@ -97,7 +97,7 @@
 	ID     ID
 	Tenant int
 	Effect Effect
-	Window Nanos // of a labelled one's launches
+	Window Nanos // of a labelled one's attempts
 	Ends   Nanos // its completion window
 	Lines  []Entry
 }
@@ -109,7 +109,7 @@
 	At    At
 }
 
-// How a line's job ended.
+// How a line's request ended.
 type How uint8
 
 const (
@@ -120,7 +120,7 @@
 	Bad           // it can never be taken
 )
 
-// Verdict is what becomes of a line whose job ended.
+// Verdict is what becomes of a line whose request ended.
 type Verdict uint8
 
 const (
@@ -338,7 +338,7 @@
 	return max(at, now), some
 }
 
-// Ended tells how the job of a line ended, with the time that a nack asks to stay away. The reason goes with IsLost.
+// Ended tells how the request of a line ended, with the time that a nack asks to stay away. The reason goes with IsLost.
 func (s *Scheduler) Ended(now Nanos, id ID, n Line, how How, after Nanos) (Verdict, string) {
 	k := s.byID[id]
 	if k == nil || int(n) >= len(k.lines) || k.lines[n].At != Out {
--- a/internal/decide/batch/batch_test.go
+++ b/internal/decide/batch/batch_test.go
@@ -28,7 +28,7 @@
 	return es
 }
 
-// TestEveryLineEndsOnce: whatever happens to jobs, with restarts in between, each line ends once, and one that may have
+// TestEveryLineEndsOnce: whatever happens to requests, with restarts in between, each line ends once, and one that may have
 // run and must not run twice is never out again.
 func TestEveryLineEndsOnce(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
@@ -164,7 +164,7 @@
 	}
 }
 
-// TestWaits: a line that is nacked comes again later and later, never before it was asked to, and no more once its
+// TestWaits: a line that is rejected comes again later and later, never before it was asked to, and no more once its
 // window is over; one that may have run a few times is given up.
 func TestWaits(t *testing.T) {
 	s := newScheduler(t, 1, 1)
--- a/internal/decide/crowd/crowd.go
+++ b/internal/decide/crowd/crowd.go
@@ -6,7 +6,7 @@
 
 import "fmt"
 
-// Source is an address, as bytes; an IPv6 source is its network of 64 bits, as one host has a whole one.
+// Source is an address, as bytes; an IPv6 source is its network of 64 bits, as one server has a whole one.
 type Source [16]byte
 
 // Cut gives the source of an address in its form of 16 bytes.
--- a/internal/decide/door/book.go
+++ b/internal/decide/door/book.go
@@ -9,11 +9,11 @@
 	"math"
 )
 
-// drain measures how much cost is taken a nanosecond while jobs wait: only then is it the pace of what stands
+// drain measures how much cost is taken a nanosecond while requests wait: only then is it the pace of what stands
 // behind the door.
 type drain struct {
 	memory Nanos
-	since  Nanos // jobs wait since then; 0 = none does
+	since  Nanos // requests wait since then; 0 = none does
 	busy   float64
 	cost   float64
 }
@@ -24,7 +24,7 @@
 	}
 }
 
-// pass takes the time in which jobs waited into account; old time fades.
+// pass takes the time in which requests waited into account; old time fades.
 func (r *drain) pass(now Nanos) {
 	if r.since == 0 || now <= r.since {
 		return
@@ -49,7 +49,7 @@
 	r.since = 0
 }
 
-// rate is the cost a nanosecond; 0 if jobs have hardly had to wait yet.
+// rate is the cost a nanosecond; 0 if requests have hardly had to wait yet.
 func (r *drain) rate() float64 {
 	if r.busy < float64(r.memory)/64 {
 		return 0
@@ -57,7 +57,7 @@
 	return r.cost / r.busy
 }
 
-// wait is how long a job of some cost would wait in a flow, which may be none yet: no longer than for all that
+// wait is how long a request of some cost would wait in a flow, which may be none yet: no longer than for all that
 // waits to pass, and no longer than for its flow's part of the pace.
 func (d *Door) wait(now Nanos, t *tenant, f *flow, cost float64) Nanos {
 	d.drain.pass(now)
@@ -204,7 +204,7 @@
 		if n < from/b.len || held > 0 && held+cost > weight*hoardPart*room*float64(n-now+1) {
 			continue
 		}
-		if s.given < serials && (s.cost+cost <= room || s.given == 0) { // a job larger than a slot takes one of its own
+		if s.given < serials && (s.cost+cost <= room || s.given == 0) { // a request larger than a slot takes one of its own
 			s.cost += cost
 			*hand += cost
 			s.given++
@@ -268,7 +268,7 @@
 	return Advice{After: max(at-now, 1), Ticket: &Ticket{Tenant: t.n, Client: j.Client, Slot: n, Serial: serial}}
 }
 
-// known remembers, for a bounded number of clients, how many of their jobs were served, in sets of a few: of a
+// known remembers, for a bounded number of clients, how many of their requests were served, in sets of a few: of a
 // full set the one that was served least lately goes.
 type known struct {
 	sets [][knownWays]knownClient
--- a/internal/decide/door/door.go
+++ b/internal/decide/door/door.go
@@ -1,9 +1,9 @@
-// Package door decides in what order jobs that wait at the door go in, which are refused, and when those come back.
+// Package door decides in what order requests that wait in the admission queue go in, which are refused, and when those come back.
 //
-// Jobs wait in flows: a tenant, and within it a client. Service is shared by start-time fair queueing on both
-// levels: tenants by weight, a tenant's flows evenly, each job at its cost in what it takes of the fleet. Clients that
+// Requests wait in flows: a tenant, and within it a client. Service is shared by start-time fair queueing on both
+// levels: tenants by weight, a tenant's flows evenly, each request at its cost in what it takes of the fleet. Clients that
 // are not known yet share flows by the source they come from, so that made-up names bring nothing; a client is
-// known once enough of its jobs were served. Everything is bounded: jobs waiting, flows, clients known.
+// known once enough of its requests were served. Everything is bounded: requests waiting, flows, clients known.
 //
 // The package does no I/O and reads no clock. Equal calls give equal decisions.
 package door
@@ -19,19 +19,19 @@
 // Nanos is a time or a span in nanoseconds.
 type Nanos = int64
 
-// JobID is a job's name at the host of this package.
+// JobID is a request's name at the server of this package.
 type JobID uint64
 
 // Tenant is what a tenant may do.
 type Tenant struct {
 	Weight    float64 // its part of the service while others want some too
-	Rate      float64 // jobs a second, with one second's worth at once; 0 = no limit
-	Waiting   int     // jobs waiting at the door; 0 = as many as fit
-	Running   int     // jobs let in and not over; 0 = no limit
+	Rate      float64 // requests a second, with one second's worth at once; 0 = no limit
+	Waiting   int     // requests waiting in the admission queue; 0 = as many as fit
+	Running   int     // requests let in and not over; 0 = no limit
 	PromptMax int64   // tokens of a prompt; 0 = no limit
 }
 
-// Job is what is known of a job that comes.
+// Request is what is known of a request that comes.
 type Job struct {
 	ID       JobID
 	Tenant   int
@@ -46,13 +46,13 @@
 	Background bool // it fills what is idle, and yields to all others
 }
 
-// Cause says why a job is refused.
+// Cause says why a request is refused.
 type Cause uint8
 
 const (
 	Admitted   Cause = iota
-	Full             // the door holds all the jobs it may
-	TenantFull       // this tenant's jobs waiting are at their limit
+	Full             // the door holds all the requests it may
+	TenantFull       // this tenant's requests waiting are at their limit
 	OverRate         // the tenant asks faster than it may
 	TooLong          // the prompt is longer than the tenant's may be
 	TooLate          // it could not be let in in time
@@ -69,7 +69,7 @@
 // Own tells that a limit of the caller's own was met.
 func (c Cause) Own() bool { return c == TenantFull || c == OverRate || c == TooLong }
 
-// PerTurn is how many jobs may be let in within one turn of the host's loop: a turn that took long must be seen, and
+// PerTurn is how many requests may be let in within one turn of the server's loop: a turn that took long must be seen, and
 // what has come meanwhile be heard, before the next.
 const PerTurn = 16
 
@@ -79,37 +79,37 @@
 	answerCost = 8
 	// expectedPart of the most tokens of an answer is what is charged before its length is known.
 	expectedPart = 0.5
-	// knownAfter jobs served, a client has a flow of its own: a made-up name would have to be used as often.
+	// knownAfter requests served, a client has a flow of its own: a made-up name would have to be used as often.
 	knownAfter = 3
-	// forgetAfter so many expected times without a job, a client is not known any more.
+	// forgetAfter so many expected times without a request, a client is not known any more.
 	forgetAfter = 600
 	// newcomers is the weight of all clients of one source that are not known, in clients: there may be many.
 	newcomers = 4
 	// shedLag of the shortest expected time that one turn of the loop works is overload of the dispatcher itself: a
-	// job takes several turns; shedPart of what waits goes then, at each such turn.
+	// request takes several turns; shedPart of what waits goes then, at each such turn.
 	shedLag  = 1.0 / 8
 	shedPart = 1.0 / 8
 	// bookedRoom is the part of the door that is kept for those who come back as advised.
 	bookedRoom = 1.0 / 8
-	// unlaunchedWait of the shortest expected time after a job was let in, and not launched, another may follow it: half
-	// of the time for which the module itself lets a job wait.
+	// unlaunchedWait of the shortest expected time after a request was let in, and not sent, another may follow it: half
+	// of the time for which the module itself lets a request wait.
 	unlaunchedWait = 1.0 / 16
-	// unlaunchedMost jobs may be let in and not launched; half as many after each that the module could not place, one
-	// at least, and insideStep more with each launch: a refusal weighs as many launches as make it rare.
+	// unlaunchedMost requests may be let in and not sent; half as many after each that the module could not place, one
+	// at least, and insideStep more with each attempt: a refusal weighs as many attempts as make it rare.
 	unlaunchedMost = 4
 	insideStep     = 1.0 / 8
-	// backRoom of the door's room is there for background jobs besides: they bring their own patience.
+	// backRoom of the door's room is there for background requests besides: they bring their own timeout.
 	backRoom = 1.0 / 4
 	// burstSeconds of its rate a tenant may ask at once.
 	burstSeconds = 1
 	// drainMemory is how fast the measured drain follows, in expected times: some, so that one gap says little.
 	drainMemory = 4
-	// hopeless is the share of its expected time, or of what its client has left, within which a job has to be let
+	// hopeless is the share of its expected time, or of what its client has left, within which a request has to be let
 	// in: the rest is for the work, and an answer that comes later is worth little.
 	hopeless = 0.5
 )
 
-// Cost of a job in tokens read, as charged before its answer is known.
+// Cost of a request in tokens read, as charged before its answer is known.
 func Cost(prompt, answer int64) float64 {
 	return max(float64(prompt)+answerCost*expectedPart*float64(answer), 1)
 }
@@ -127,13 +127,13 @@
 	in     bool // it came back as advised
 }
 
-// flow is the waiting jobs of one client, or of the newcomers from one source.
+// flow is the waiting requests of one client, or of the newcomers from one source.
 type flow struct {
 	key    flowKey
 	tenant *tenant
 	weight float64
 	jobs   order.Heap[*job]
-	start  float64 // start tag of its next job
+	start  float64 // start tag of its next request
 	order  uint64
 	at     int // place in the tenant's heap
 	last   Nanos
@@ -153,7 +153,7 @@
 	active  order.Heap[*flow]
 	heavy   order.Heap[*flow] // the same, the heaviest first
 	virtual float64           // virtual time of its flows
-	start   float64           // start tag of its next job among tenants
+	start   float64           // start tag of its next request among tenants
 	at      int               // place in the door's heap
 	waiting int
 	running int
@@ -170,7 +170,7 @@
 	Waited                           Nanos // in all, of those let in
 	Longest                          Nanos
 	Cost                             float64 // of those let in
-	Booked, Returned, Kept, Unbooked uint64  // advice given; returned with it; let in; tickets not honoured
+	Booked, Returned, Kept, Unbooked uint64  // advice given; returned with it; let in; tickets not served
 }
 
 // Add adds up counts.
@@ -185,8 +185,8 @@
 
 // Door is the queue. Make it with New.
 type Door struct {
-	// FirstCome lets jobs in as they came, whoever sent them: a baseline to measure against. It is set before the
-	// first job comes.
+	// FirstCome lets requests in as they came, whoever sent them: a baseline to measure against. It is set before the
+	// first request comes.
 	FirstCome bool
 
 	most     int
@@ -207,13 +207,13 @@
 	drain    drain
 	book     book
 	total    float64 // cost waiting
-	inside   float64 // so many may be let in and not launched
-	back     *Door   // where background jobs wait; nil in that one itself
+	inside   float64 // so many may be let in and not sent
+	back     *Door   // where background requests wait; nil in that one itself
 	Spare    *spare.Spare
 }
 
-// New makes a door for so many waiting jobs, with so many known clients remembered. expected is the shortest
-// expected time of the tracks, by which spans are measured. tickets signs advice; nil gives none.
+// New makes a door for so many waiting requests, with so many known clients remembered. expected is the shortest
+// expected time of the classes, by which spans are measured. tickets signs advice; nil gives none.
 func New(most, clients int, expected Nanos, tickets *Signer) (*Door, error) {
 	if most < 1 || clients < 1 || expected < 1 {
 		return nil, fmt.Errorf("door for %d jobs, %d clients, expected time %d: want all above 0", most, clients, expected)
@@ -241,7 +241,7 @@
 	return nil
 }
 
-// SetTenant adds tenant n, or changes what it may do; it holds for jobs that wait too.
+// SetTenant adds tenant n, or changes what it may do; it holds for requests that wait too.
 func (d *Door) SetTenant(n int, t Tenant) error {
 	if n < 0 || n > len(d.tenants) {
 		return fmt.Errorf("tenant %d: want 0 to %d", n, len(d.tenants))
@@ -262,7 +262,7 @@
 	return nil
 }
 
-// Waiting counts jobs at the door, Background those of them that yield to all others.
+// Waiting counts requests in the admission queue, Background those of them that yield to all others.
 func (d *Door) Waiting() int {
 	if d.back == nil {
 		return len(d.jobs)
@@ -270,10 +270,10 @@
 	return len(d.jobs) + len(d.back.jobs)
 }
 
-// Background counts the background jobs at the door.
+// Background counts the background requests in the admission queue.
 func (d *Door) Background() int { return len(d.back.jobs) }
 
-// of gives the door in which a job waits.
+// of gives the door in which a request waits.
 func (d *Door) of(id JobID) *Door {
 	if d.back != nil && d.back.jobs[id] != nil {
 		return d.back
@@ -287,13 +287,13 @@
 // Counts gives what was counted of a tenant.
 func (d *Door) Counts(n int) Counts { return d.tenants[n].Counts }
 
-// Tenant gives how many jobs of a tenant wait and run.
+// Tenant gives how many requests of a tenant wait and run.
 func (d *Door) Tenant(n int) (waiting, running int) {
 	return d.tenants[n].waiting, d.tenants[n].running
 }
 
-// Open tells whether another job may be let in, by how long ago those were that the module has not launched yet. One
-// is enough: the next follows within the same turn once it is launched, and the order stays the door's. Those that
+// Open tells whether another request may be let in, by how long ago those were that the module has not sent yet. One
+// is enough: the next follows within the same turn once it is sent, and the order stays the door's. Those that
 // wait for long are such as the module can't place, or it is slow; the others need not stand behind them.
 func (d *Door) Open(inside []Nanos) bool {
 	fresh := 0
@@ -305,22 +305,22 @@
 	return fresh == 0 && len(inside) < int(d.inside)
 }
 
-// Unplaced tells that the module refused a job that was let in and never launched: fewer stand before it at once, so
-// that the next launch is not fought over by jobs that the door has put in order already.
+// Unplaced tells that the module refused a request that was let in and never sent: fewer stand before it at once, so
+// that the next attempt is not fought over by requests that the door has put in order already.
 func (d *Door) Unplaced() { d.inside = max(d.inside/2, 1) }
 
-// Taken tells that the module has launched a job that was let in: this is the pace of what stands behind the door.
+// Taken tells that the module has sent a request that was let in: this is the pace of what stands behind the door.
 func (d *Door) Taken(now Nanos, j Job) {
 	d.drain.taken(now, Cost(j.Prompt, j.Answer))
 	d.inside = min(d.inside+insideStep, unlaunchedMost)
 }
 
-// lateAt is when it is too late to let a job in.
+// lateAt is when it is too late to let a request in.
 func lateAt(now Nanos, j *Job) Nanos {
 	return now + Nanos(hopeless*float64(min(j.Expected, j.Deadline-now)))
 }
 
-// Arrive takes a job to wait, or refuses it with the time to stay away; a Ticket goes with advice if the door gives
+// Arrive takes a request to wait, or refuses it with the time to stay away; a Ticket goes with advice if the door gives
 // any.
 func (d *Door) Arrive(now Nanos, j Job) (Cause, Advice) {
 	if j.Background && d.back != nil {
@@ -362,7 +362,7 @@
 		return refuse(OverRate)
 	}
 	mine := d.flowOf(now, t, &j, false)
-	var gives *job // the job that makes room for this one
+	var gives *job // the request that makes room for this one
 	if t.Waiting > 0 && t.waiting >= t.Waiting {
 		if gives = d.yields(now, t, t, mine, &j); gives == nil {
 			return refuse(TenantFull)
@@ -415,13 +415,13 @@
 	return Admitted, Advice{}
 }
 
-// displaced is a job that gave up its place and is not answered yet.
+// displaced is a request that gave up its place and is not answered yet.
 type displaced struct {
 	Job
 	cost float64
 }
 
-// yields gives the job that makes room for one of a flow of t (nil: it has none yet), among those of a tenant: the
+// yields gives the request that makes room for one of a flow of t (nil: it has none yet), among those of a tenant: the
 // newest of its heaviest flow that is not back as advised, if that flow has more for its weight than the newcomer's
 // would have. Else a flood would keep out, by filling the door, those to whom the order inside it is fair.
 func (d *Door) yields(now Nanos, t, from *tenant, mine *flow, j *Job) *job {
@@ -454,7 +454,7 @@
 	return worst
 }
 
-// newest gives the job of a flow that came last; those that are back as advised count only if told so.
+// newest gives the request of a flow that came last; those that are back as advised count only if told so.
 func (f *flow) newest(booked bool) *job {
 	var newest *job
 	for _, w := range f.jobs.All() {
@@ -465,7 +465,7 @@
 	return newest
 }
 
-// Displaced gives a job that waited and made room for another, and how its client is to be answered; the host pulls
+// Displaced gives a request that waited and made room for another, and how its client is to be answered; the server pulls
 // until there is none.
 func (d *Door) Displaced(now Nanos) (JobID, Advice, bool) {
 	if len(d.out) == 0 {
@@ -484,8 +484,8 @@
 	return w.ID, a, true
 }
 
-// Next gives the next job to let in, if there is one, while so many that were let in are not launched yet. A background
-// job comes when no other may, the module has nothing to place, and there is something to spare. It changes nothing:
+// Next gives the next request to let in, if there is one, while so many that were let in are not sent yet. A background
+// request comes when no other may, the module has nothing to place, and there is something to spare. It changes nothing:
 // Let does.
 func (d *Door) Next(now Nanos, inside int) (JobID, bool) {
 	if d.active.Len() == 0 {
@@ -497,7 +497,7 @@
 	return d.active.Min().active.Min().jobs.Min().ID, true
 }
 
-// Let takes the job that Next gave out of the queue: it has been let in.
+// Let takes the request that Next gave out of the queue: it has been let in.
 func (d *Door) Let(now Nanos, id JobID) {
 	if b := d.of(id); b != d {
 		b.Let(now, id)
@@ -528,7 +528,7 @@
 	d.remove(now, w)
 }
 
-// Over tells that a job that was let in is over: tenant and what it was charged by, and what it truly took. The
+// Over tells that a request that was let in is over: tenant and what it was charged by, and what it truly took. The
 // difference is charged to its flow.
 func (d *Door) Over(now Nanos, j Job, served bool, answered int64) {
 	if j.Background && d.back != nil {
@@ -554,7 +554,7 @@
 	d.place(t)
 }
 
-// Cancel takes back a job that waits, as its client left or its time is up; false if it does not wait.
+// Cancel takes back a request that waits, as its client left or its time is up; false if it does not wait.
 func (d *Door) Cancel(now Nanos, id JobID) bool {
 	if b := d.of(id); b != d {
 		return b.Cancel(now, id)
@@ -574,7 +574,7 @@
 	return true
 }
 
-// Expired gives a waiting job for which it has become too late: the host refuses it, after Refuse has said how.
+// Expired gives a waiting request for which it has become too late: the server refuses it, after Refuse has said how.
 func (d *Door) Expired(now Nanos) (JobID, bool) {
 	if d.late.Len() == 0 || now < d.late.Min().late {
 		if d.back != nil {
@@ -585,7 +585,7 @@
 	return d.late.Min().ID, true
 }
 
-// NextExpiry is when time alone changes something at the earliest: Expired has a job to give, or background work may go
+// NextExpiry is when time alone changes something at the earliest: Expired has a request to give, or background work may go
 // on; false if nothing waits.
 func (d *Door) NextExpiry(now Nanos) (Nanos, bool) {
 	at, some := Nanos(0), false
@@ -603,7 +603,7 @@
 	return at, some
 }
 
-// Refuse takes a waiting job out and says how its client is to be answered.
+// Refuse takes a waiting request out and says how its client is to be answered.
 func (d *Door) Refuse(now Nanos, id JobID, c Cause) Advice {
 	if b := d.of(id); b != d {
 		return b.Refuse(now, id, c)
@@ -623,7 +623,7 @@
 	return a
 }
 
-// Again says when a job should come back that was let in and then refused by the module, which asks for least from
+// Again says when a request should come back that was let in and then refused by the module, which asks for least from
 // now, and books it in.
 func (d *Door) Again(now Nanos, j Job, least Nanos) Advice {
 	if j.Tenant < 0 || j.Tenant >= len(d.tenants) {
@@ -641,14 +641,14 @@
 	return a
 }
 
-// refused tells that a job that somebody waits for found no place.
+// refused tells that a request that somebody waits for found no place.
 func (d *Door) refused(now Nanos) {
 	if d.Spare != nil {
 		d.Spare.Refused(now)
 	}
 }
 
-// First tells of a job's first token, so long after it came.
+// First tells of a request's first token, so long after it came.
 func (d *Door) First(now Nanos, j Job, took Nanos) {
 	if j.Background {
 		d.Spare.Began()
@@ -657,8 +657,8 @@
 	}
 }
 
-// ToShed is how many waiting jobs the host should refuse, the heaviest flow's first, after a turn of its loop worked
-// for so long: a loop that lags makes every job late, so what waits goes before what runs suffers.
+// ToShed is how many waiting requests the server should refuse, the heaviest flow's first, after a turn of its loop worked
+// for so long: a loop that lags makes every request late, so what waits goes before what runs suffers.
 // The same holds while more memory is in use than there should be; most is 0 where that is not bounded.
 func (d *Door) ToShed(worked Nanos, memory, most uint64) int {
 	if worked < Nanos(shedLag*float64(d.expected)) && (most == 0 || memory <= most) || d.Waiting() == 0 {
@@ -667,7 +667,7 @@
 	return max(1, int(shedPart*float64(d.Waiting())))
 }
 
-// Heaviest gives the newest job of the flow that has most waiting for its weight, to be shed first.
+// Heaviest gives the newest request of the flow that has most waiting for its weight, to be shed first.
 func (d *Door) Heaviest() (JobID, bool) {
 	if d.back != nil && len(d.back.jobs) > 0 { // what yields to all others goes first
 		return d.back.Heaviest()
@@ -679,7 +679,7 @@
 	return t.heavy.Min().newest(true).ID, true
 }
 
-// remove takes a job out of its flow.
+// remove takes a request out of its flow.
 func (d *Door) remove(now Nanos, w *job) {
 	f, t := w.flow, w.flow.tenant
 	f.jobs.Take(w)
@@ -714,7 +714,7 @@
 	return d.orders
 }
 
-// flowOf gives the flow of a job; with create it is made if there is none.
+// flowOf gives the flow of a request; with create it is made if there is none.
 func (d *Door) flowOf(now Nanos, t *tenant, j *Job, create bool) *flow {
 	key := flowKey{known: j.Client != 0 && d.known.is(now, t.n, j.Client), key: j.Client}
 	weight := 1.0
--- a/internal/decide/door/door_test.go
+++ b/internal/decide/door/door_test.go
@@ -45,8 +45,8 @@
 	return Job{ID: orders, Tenant: tenant, Client: client, Source: 1, Prompt: prompt, Answer: 0, Expected: sec, Deadline: 1 << 60}
 }
 
-// TestFairAgainstFluid: over any stretch in which a flow has jobs waiting, what it is let in lies within its own largest
-// and the largest job of all of what an ideal fluid schedule would give it.
+// TestFairAgainstFluid: over any stretch in which a flow has requests waiting, what it is let in lies within its own largest
+// and the largest request of all of what an ideal fluid schedule would give it.
 func TestFairAgainstFluid(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		seed := rapid.Uint64().Draw(rt, "seed")
@@ -98,8 +98,8 @@
 	})
 }
 
-// TestWorkConserving: whatever comes, is cancelled, expires or changes, while a job may be let in there is one; every
-// job leaves exactly once, and nothing is left behind.
+// TestWorkConserving: whatever comes, is cancelled, expires or changes, while a request may be let in there is one; every
+// request leaves exactly once, and nothing is left behind.
 func TestWorkConserving(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		d := newDoor(t, 50, Tenant{Weight: 1}, Tenant{Weight: 3, Running: 4}, Tenant{Weight: 2, Waiting: 5, Rate: 50})
@@ -228,7 +228,7 @@
 	}
 }
 
-// serve lets so much cost in for each millisecond and gives the wait of each job of a client, in milliseconds.
+// serve lets so much cost in for each millisecond and gives the wait of each request of a client, in milliseconds.
 func serve(d *Door, credit *float64, from, to Nanos, perMS float64, came map[JobID]Nanos, done func(id JobID, wait Nanos)) {
 	for now := from; now < to; now += ms {
 		*credit = min(*credit+perMS, 10*perMS)
@@ -248,7 +248,7 @@
 }
 
 // TestFlood: a client that floods, under one name or under many made-up ones, does not make a small known client
-// wait longer than a few of its own jobs' time.
+// wait longer than a few of its own requests' time.
 func TestFlood(t *testing.T) {
 	for name, flooder := range map[string]func(i int) uint64{
 		"one name":   func(int) uint64 { return 77 },
@@ -296,7 +296,7 @@
 	}
 }
 
-// TestIdleTenant: an hour without a job saves nothing up.
+// TestIdleTenant: an hour without a request saves nothing up.
 func TestIdleTenant(t *testing.T) {
 	d := newDoor(t, 1000, Tenant{Weight: 1}, Tenant{Weight: 1})
 	for range 100 {
@@ -325,7 +325,7 @@
 	}
 }
 
-// TestHugeJob: one huge job between many small ones of another client delays them by itself at most once.
+// TestHugeJob: one huge request between many small ones of another client delays them by itself at most once.
 func TestHugeJob(t *testing.T) {
 	d := newDoor(t, 1000, Tenant{Weight: 1})
 	meet(d, 1, 0, 1, 2)
@@ -530,7 +530,7 @@
 	}
 }
 
-// TestMemoryBound: ten thousand clients with one job each, then a flood of names: flows and jobs stay bounded.
+// TestMemoryBound: ten thousand clients with one request each, then a flood of names: flows and requests stay bounded.
 func TestMemoryBound(t *testing.T) {
 	d := newDoor(t, 2000, Tenant{Weight: 1})
 	for i := range 200000 {
@@ -547,7 +547,7 @@
 	}
 }
 
-// TestQuickTracksFirst: within a client the job goes first whose expected time is up first.
+// TestQuickTracksFirst: within a client the request goes first whose expected time is up first.
 func TestQuickTracksFirst(t *testing.T) {
 	d := newDoor(t, 100, Tenant{Weight: 1})
 	meet(d, 1, 0, 5)
@@ -644,7 +644,7 @@
 	}
 }
 
-// TestUnplaced: after jobs that the module could not place, fewer stand before it; launches bring them back.
+// TestUnplaced: after requests that the module could not place, fewer stand before it; attempts bring them back.
 func TestUnplaced(t *testing.T) {
 	d := newDoor(t, 10, Tenant{Weight: 1})
 	old := []Nanos{sec, sec, sec, sec}
@@ -746,7 +746,7 @@
 	}
 }
 
-// TestDisplace: a door full of one flood takes the jobs of others in its stead, the newest first, down to an even
+// TestDisplace: a door full of one flood takes the requests of others in its stead, the newest first, down to an even
 // share and no further; those back as advised stay.
 func TestDisplace(t *testing.T) {
 	d := newDoor(t, 64, Tenant{Weight: 1, Waiting: 100}, Tenant{Weight: 1, Waiting: 4})
--- a/internal/decide/door/heaps.go
+++ b/internal/decide/door/heaps.go
@@ -2,7 +2,7 @@
 
 import "docksail/internal/order"
 
-// A flow's jobs stand by when they are due, all waiting jobs by when it is too late for them, a tenant's flows and the
+// A flow's requests stand by when they are due, all waiting requests by when it is too late for them, a tenant's flows and the
 // tenants by their start tags.
 
 func byDue(a, b *job) bool  { return a.due < b.due || a.due == b.due && a.order < b.order }
@@ -40,7 +40,7 @@
 	return order.Heap[*flow]{Less: byLoad, Place: func(f *flow) *int { return &f.heavyAt }}
 }
 
-// placeFlow puts a flow where it belongs among its tenant's that have jobs.
+// placeFlow puts a flow where it belongs among its tenant's that have requests.
 func (d *Door) placeFlow(f *flow) {
 	if f.jobs.Len() > 0 {
 		f.tenant.active.Put(f)
@@ -51,7 +51,7 @@
 	}
 }
 
-// place puts a tenant where it belongs among those that may have a job let in.
+// place puts a tenant where it belongs among those that may have a request let in.
 func (d *Door) place(t *tenant) {
 	if t.active.Len() == 0 || t.Running > 0 && t.running >= t.Running {
 		d.active.Take(t)
--- a/internal/decide/flood/flood.go
+++ b/internal/decide/flood/flood.go
@@ -22,8 +22,8 @@
 }
 
 // burst is how many of each may come at once, perSecond how many more each second, and perJob how many each
-// job taken or byte-carrying frame brings. A client that opens and cancels at leisure stays far below; one
-// that resets as fast as it opens is let do so for one full set of streams. Each job that came whole may be reset once as
+// request taken or byte-carrying frame brings. A client that opens and cancels at leisure stays far below; one
+// that resets as fast as it opens is let do so for one full set of streams. Each request that came whole may be reset once as
 // its end is under way: many whose time is up at once are.
 var burst = [acts]float64{Reset: 200, Ping: 20, Settings: 10, Empty: 200, Update: 2000, Fault: 50, Crossed: 200}
 var perSecond = [acts]float64{Reset: 100, Ping: 2, Settings: 1, Empty: 50, Update: 1000, Fault: 10, Crossed: 50}
--- a/internal/decide/flood/flood_test.go
+++ b/internal/decide/flood/flood_test.go
@@ -49,7 +49,7 @@
 	t.Error("a clock that runs backwards fills the allowance")
 }
 
-// TestCrossed: a thousand jobs whose time is up in one instant may all be reset as their ends are under way; resets of
+// TestCrossed: a thousand requests whose time is up in one instant may all be reset as their ends are under way; resets of
 // streams that are over, beyond that, may not.
 func TestCrossed(t *testing.T) {
 	var g Guard
--- a/internal/decide/gate/gate.go
+++ b/internal/decide/gate/gate.go
@@ -1,14 +1,14 @@
-// Package gate decides whether a dispatcher takes a job at all, before its module sees it, and how jobs end that
+// Package gate decides whether a dispatcher takes a request at all, before its module sees it, and how requests end that
 // are still in hand when the dispatcher has to go. It does no I/O and reads no clock.
 package gate
 
-// Cause says why a job is not taken.
+// Cause says why a request is not taken.
 type Cause uint8
 
 const (
 	Taken    Cause = iota
 	Leaving        // the dispatcher drains
-	Full           // it has as many jobs in hand as it may
+	Full           // it has as many requests in hand as it may
 	TooLong        // its prompt is longer than any may be
 	NoTime         // its time is up before an answer could leave
 	NoEngine       // no list of engines is known yet
@@ -19,20 +19,20 @@
 		"no engines known"}[c]
 }
 
-// Harmless tells that the job may be tried again as it is: the refusal is a nack with advice.
+// Harmless tells that the request may be tried again as it is: the refusal is a nack with advice.
 func (c Cause) Harmless() bool { return c != TooLong }
 
 // Gate is the state of the dispatcher that counts here.
 type Gate struct {
-	Most    int   // jobs in hand
+	Most    int   // requests in hand
 	Prompt  int64 // tokens of a prompt
 	Leaving bool
 	Known   bool // a list of engines is known
 }
 
-// Take decides on a job. left is the client's time less what an answer needs to arrive; expected the job's
+// Take decides on a request. left is the client's time less what an answer needs to arrive; expected the request's
 // expected time. The advice is how long to stay away, in nanoseconds: half an expected time, about what a
-// burst's head takes to pass; a dispatcher that leaves advises none, as others take the job at once.
+// burst's head takes to pass; a dispatcher that leaves advises none, as others take the request at once.
 func (g *Gate) Take(inHand int, prompt, left, expected int64) (Cause, int64) {
 	switch {
 	case prompt > g.Prompt:
@@ -53,7 +53,7 @@
 // later than any answer that was decided, and well within the half second in which an answer still counts as given.
 const OverdueAfter = 100e6
 
-// End is how a job ends that is in hand when the dispatcher's time to drain is up.
+// End is how a request ends that is in hand when the dispatcher's time to drain is up.
 type End uint8
 
 const (
@@ -61,7 +61,7 @@
 	Abandoned            // it may have run
 )
 
-// AtEnd decides that end from whether any launch of the job was sent to a host that answers.
+// AtEnd decides that end from whether any attempt of the request was sent to a server that answers.
 func AtEnd(redoable, mayHaveRun bool) End {
 	if redoable || !mayHaveRun {
 		return Nacked
--- a/internal/decide/links/links.go
+++ b/internal/decide/links/links.go
@@ -1,4 +1,4 @@
-// Package links decides about a dispatcher's connections to one engine: which of them takes the next launch,
+// Package links decides about a dispatcher's connections to one engine: which of them takes the next attempt,
 // when another is made, when a silent one is asked for a sign of life and when it is given up. Whether the engine
 // is fit for work is the decision module's matter. It does no I/O and reads no clock.
 package links
@@ -7,19 +7,19 @@
 type Link struct {
 	Ready  bool  // made, and takes another stream
 	Making bool  // under way
-	Out    int   // launches on it
+	Out    int   // attempts on it
 	Heard  int64 // last sign of life
 	Asked  int64 // the last ping was sent then; 0 = none
 	Asks   int   // pings since the engine last sent something of its own
-	Used   int64 // last launch sent or ended
-	Sent   int64 // last launch sent
+	Used   int64 // last attempt sent or ended
+	Sent   int64 // last attempt sent
 }
 
 // most connections to one engine: a second where the engine allows few streams on one; more would only cost it.
 const most = 4
 
-// Pick chooses the connection for a launch: the ready one with fewest launches, else one under way, else a new
-// one. None, if all are full and there may be no more: the launch is not sent.
+// Pick chooses the connection for a attempt: the ready one with fewest attempts, else one under way, else a new
+// one. None, if all are full and there may be no more: the attempt is not sent.
 func Pick(ls []Link) (i int, dial, none bool) {
 	best := -1
 	for i, l := range ls {
@@ -50,7 +50,7 @@
 const (
 	Keep  Verdict = iota
 	Ask           // send a ping
-	Dead          // half open or cut off: give it up, its launches are broken
+	Dead          // half open or cut off: give it up, its attempts are broken
 	Spare         // unused for long: close it
 )
 
@@ -58,7 +58,7 @@
 type Keeper struct{ Expected int64 }
 
 const (
-	askAfter = 4 // of an expected time is a quarter: unheard for so long with launches out, it is asked
+	askAfter = 4 // of an expected time is a quarter: unheard for so long with attempts out, it is asked
 	// asksMost pings may go unanswered by anything but their like, and then one in askRest: servers commonly end
 	// a connection at the fourth ping within five minutes in which they sent nothing.
 	asksMost   = 2
@@ -67,7 +67,7 @@
 	spareAfter = 60 // expected times unused
 )
 
-// Trial holds back launches to an engine that may have started anew, and be cold, before the list of engines says so: to
+// Trial holds back attempts to an engine that may have started anew, and be cold, before the list of engines says so: to
 // which the connection was lost, or one is made while there is no list. Its zero value holds nothing back.
 type Trial struct{ allow int }
 
@@ -78,7 +78,7 @@
 // Lost tells that it may have started anew.
 func (t *Trial) Lost() { t.allow = 1 }
 
-// Heard tells that it answered a launch.
+// Heard tells that it answered a attempt.
 func (t *Trial) Heard() {
 	if t.allow++; t.allow == 1 || t.allow > trialOver { // 1: nothing was held back
 		t.allow = 0
@@ -88,20 +88,20 @@
 // Listed tells that there is news of it: how cold it is is known now.
 func (t *Trial) Listed() { t.allow = 0 }
 
-// Hold is how long a launch may wait for a trial: its job has other engines to go to, and a state may be held for it.
+// Hold is how long a attempt may wait for a trial: its request has other engines to go to, and a state may be held for it.
 func (k Keeper) Hold() int64 { return k.Expected / askAfter }
 
-// On tells that launches may be held back.
+// On tells that attempts may be held back.
 func (t *Trial) On() bool { return t.allow > 0 }
 
-// May tells whether another launch may go to it beside those that are out.
+// May tells whether another attempt may go to it beside those that are out.
 func (t *Trial) May(out int) bool { return t.allow == 0 || out < t.allow }
 
-// Begin is when a connection is to be judged on which a launch goes out after a time without any: what it was like
+// Begin is when a connection is to be judged on which a attempt goes out after a time without any: what it was like
 // while nothing was sent says nothing.
 func (k Keeper) Begin(now int64) int64 { return now + k.Expected/askAfter }
 
-// mostOwed things to be let go of are remembered for one engine while it has no connection; more are left to its own
+// mostOwed things to be released are remembered for one engine while it has no connection; more are left to its own
 // time.
 const mostOwed = 1024
 
@@ -116,7 +116,7 @@
 		}
 		return Dead, 0
 	}
-	if l.Out == 0 && l.Heard >= l.Sent { // nothing was heard since the last launch: it may have died of this connection
+	if l.Out == 0 && l.Heard >= l.Sent { // nothing was heard since the last attempt: it may have died of this connection
 		if at := l.Used + spareAfter*k.Expected; now < at {
 			return Keep, at
 		}
--- a/internal/decide/links/links_test.go
+++ b/internal/decide/links/links_test.go
@@ -65,7 +65,7 @@
 }
 
 // TestIdleThenSilent: a connection that goes silent while nothing is out on it is given up within two expected times of
-// the next launch, even if that launch ends before.
+// the next attempt, even if that attempt ends before.
 func TestIdleThenSilent(t *testing.T) {
 	const s = int64(1e9)
 	k := Keeper{Expected: s}
@@ -91,7 +91,7 @@
 	}
 }
 
-// TestTrial: after a silent loss one launch at a time, one more with each answer, until there is news or enough of them.
+// TestTrial: after a silent loss one attempt at a time, one more with each answer, until there is news or enough of them.
 func TestTrial(t *testing.T) {
 	var x Trial
 	x.Heard()
--- a/internal/decide/pace/pace.go
+++ b/internal/decide/pace/pace.go
@@ -1,5 +1,5 @@
 // Package pace decides what becomes of an answer that has begun to stream: the module has handed it over by
-// then. It tells a writer that has fallen silent from one that is only slow and from a client that does not
+// then. It tells a decode server that has fallen silent from one that is only slow and from a client that does not
 // read, and keeps the end of the client's time. It does no I/O and reads no clock.
 package pace
 
@@ -8,7 +8,7 @@
 
 const (
 	GoesOn  Verdict = iota
-	Silent          // its writer gives no more tokens: end it, the client is told that it is abandoned
+	Silent          // its writer gives no more tokens: end it, the client is told that it is failed
 	Unread          // its client takes nothing: end it
 	TimeOut         // the client's time is nearly up: the final answer has to leave now
 )
@@ -18,10 +18,10 @@
 }
 
 const (
-	// silentGaps is how many wanted gaps between tokens a writer may be silent: a batch that was held up by long
+	// silentGaps is how many wanted gaps between tokens a decode server may be silent: a batch that was held up by long
 	// reads or a preemption takes tens of gaps, a dead one for ever.
 	silentGaps = 60
-	// silentLeast is the same as a part of the job's expected time, where gaps are short: a writer that reads
+	// silentLeast is the same as a part of the request's expected time, where gaps are short: a decode server that reads
 	// an answer anew after it ran out of memory needs about a first token's time.
 	silentLeast = 1
 	// hushMargin is the part of what a client may be left waiting that is kept for its end to arrive.
@@ -48,7 +48,7 @@
 		return TimeOut, 0
 	}
 	patience, verdict := max(silentGaps*s.Gap, silentLeast*s.Expected), Silent
-	if s.Hush > 0 { // as long as is allowed: a slow host must not be taken for a dead one
+	if s.Hush > 0 { // as long as is allowed: a slow server must not be taken for a dead one
 		patience = s.Hush - s.Hush/hushMargin
 	}
 	if s.Unread {
--- a/internal/decide/peers/peers.go
+++ b/internal/decide/peers/peers.go
@@ -8,7 +8,7 @@
 const (
 	Silent  Stage = iota // nothing has come on it yet
 	Part                 // a request has come in part
-	Busy                 // a job of it is in hand
+	Busy                 // a request of it is in hand
 	Resting              // between requests
 	Over                 // it has had its last answer: what still comes is thrown away
 )
@@ -92,16 +92,16 @@
 }
 
 const (
-	// ownShare of the descriptors, and a few, are kept for the process itself, the list of hosts and the moment in which a
+	// ownShare of the descriptors, and a few, are kept for the process itself, the list of servers and the moment in which a
 	// descriptor is between two owners.
 	ownShare = 1.0 / 32
 	ownLeast = 24
-	// hostShare of all is the hosts': clients hold as many for requests, each of which has one launch out at most. The
+	// hostShare of all is the servers': clients hold as many for requests, each of which has one attempt out at most. The
 	// rest is the clients', as more knock than ask.
 	hostShare = 1.0 / 3
 )
 
-// Shares tells how many connections clients and hosts may have.
+// Shares tells how many connections clients and servers may have.
 func Shares(descriptors int) (clients, hosts int) {
 	free := descriptors - ownLeast - int(ownShare*float64(descriptors))
 	hosts = max(int(hostShare*float64(descriptors)), 1)
--- a/internal/decide/peers/peers_test.go
+++ b/internal/decide/peers/peers_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// Whatever the limit, the shares fit into it and hosts have as many as clients may hold for requests.
+// Whatever the limit, the shares fit into it and servers have as many as clients may hold for requests.
 func TestShares(t *testing.T) {
 	for n := 64; n <= 4096; n += 7 {
 		clients, hosts := Shares(n)
--- a/internal/decide/pool/pool.go
+++ b/internal/decide/pool/pool.go
@@ -1,9 +1,9 @@
-// Package pool decides about connections to hosts that carry one request at a time: which may be used again, when an
-// unused one goes, and by which host a release is sent. It does no I/O and reads no clock.
+// Package pool decides about connections to servers that carry one request at a time: which may be used again, when an
+// unused one goes, and by which server a release is sent. It does no I/O and reads no clock.
 package pool
 
-// Keeper judges connections by the time after which hosts end those that stand idle, and by the time in which held
-// states must be let go of.
+// Keeper judges connections by the time after which servers end those that stand idle, and by the time in which held
+// states must be released.
 type Keeper struct {
 	Idle    int64 // 0 = not told
 	Connect int64 // a connection is made in that time or not at all
@@ -14,16 +14,16 @@
 	// rest is how long a connection stands before it is used again: a second answer may follow the first, and would be
 	// taken for that of the next request.
 	rest = int64(10e6)
-	// idleShare of the hosts' own time an unused connection is kept: what is written as the host closes it is lost.
+	// idleShare of the servers' own time an unused connection is kept: what is written as the server closes it is lost.
 	idleShare = 2.0 / 3
-	// releaseParts is how many hosts are tried in the time for letting go.
+	// releaseParts is how many servers are tried in the time for releasing.
 	releaseParts = 10
-	// releaseMost is how many times that time a release is worth trying: what counts is the first host that it reaches.
+	// releaseMost is how many times that time a release is worth trying: what counts is the first server that it reaches.
 	releaseMost = 2
 )
 
-// Fit tells whether a connection unused since then may carry another request. Hosts that end unused connections sooner
-// than is stated, some without a word, are not heeded: to lose one launch in six at once costs less than to make half of
+// Fit tells whether a connection unused since then may carry another request. Servers that end unused connections sooner
+// than is stated, some without a word, are not heeded: to lose one attempt in six at once costs less than to make half of
 // the connections anew, as was measured.
 func (k Keeper) Fit(now, since int64) bool { return now-since >= rest && now < k.Until(since) }
 
@@ -40,18 +40,18 @@
 const lapseParts = 50
 
 // Lapsed tells that what was lost with a connection was lost because the connection had died before, unseen: it had
-// carried something else earlier, nothing came back, and its end came at once, or before all was written. The host is not to blame.
+// carried something else earlier, nothing came back, and its end came at once, or before all was written. The server is not to blame.
 func (k Keeper) Lapsed(used int, written, heard bool, after int64) bool {
 	return used > 1 && !heard && (!written || after < k.Connect/lapseParts)
 }
 
-// Try tells how long a release waits for its answer before another host is asked.
+// Try tells how long a release waits for its answer before another server is asked.
 func (k Keeper) Try() int64 { return k.Release / releaseParts }
 
 // GiveUp tells when a release is no longer tried.
 func (k Keeper) GiveUp(begun int64) int64 { return begun + releaseMost*k.Release }
 
-// Way is what is known of a host by which a release might go.
+// Way is what is known of a server by which a release might go.
 type Way struct {
 	Heard int64 // last sign of life; 0 = none yet
 	Ready bool  // a connection to it is fit
@@ -59,7 +59,7 @@
 	Gone  bool
 }
 
-// Choose picks the host by which a release goes: one that has not been tried, rather with a connection, heard last; -1 if there
+// Choose picks the server by which a release goes: one that has not been tried, rather with a connection, heard last; -1 if there
 // is none.
 func Choose(ways []Way) int {
 	best := -1
@@ -80,22 +80,22 @@
 	return best
 }
 
-// Distrust tells that the other connections to a host are not to be used again, as one that was given up had carried a
-// request since then and nothing at all was heard from the host after it.
+// Distrust tells that the other connections to a server are not to be used again, as one that was given up had carried a
+// request since then and nothing at all was heard from the server after it.
 func Distrust(sent, heard int64) bool { return heard <= sent }
 
-// Reached tells that a request written on a connection that is used for the so-many-th time has come to its host: the connection was
-// made for it, or the host was heard since.
+// Reached tells that a request written on a connection that is used for the so-many-th time has come to its server: the connection was
+// made for it, or the server was heard since.
 func Reached(used int, sent, heard int64) bool { return used <= 1 || heard > sent }
 
-// freeShare of the time for letting go a state waits for a launch that may not have come to its host: while it has not,
-// the host counts the state as held for nobody.
+// freeShare of the time for releasing a state waits for a attempt that may not have come to its server: while it has not,
+// the server counts the state as held for nobody.
 const freeShare = 0.6
 
-// Free tells when a state read then is let go of beside such a launch.
+// Free tells when a state read then is released beside such a attempt.
 func (k Keeper) Free(read int64) int64 { return read + int64(freeShare*float64(k.Release)) }
 
-// mostReleases may be under way at once; more are left to the hosts' own time.
+// mostReleases may be under way at once; more are left to the servers' own time.
 const mostReleases = 4096
 
 // MayRelease tells whether one more release may be begun beside n.
--- a/internal/decide/pool/pool_test.go
+++ b/internal/decide/pool/pool_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// What is lost at once with a connection used before is no fault of its host; what was answered, or worked on, or had a
+// What is lost at once with a connection used before is no fault of its server; what was answered, or worked on, or had a
 // connection of its own, may be.
 func TestLapsed(t *testing.T) {
 	k := Keeper{Connect: 250e6}
--- a/internal/decide/spare/spare.go
+++ b/internal/decide/spare/spare.go
@@ -5,7 +5,7 @@
 // Nanos is a time or a span in nanoseconds.
 type Nanos = int64
 
-// Spare is the account of background jobs that were let in. Make it with New.
+// Spare is the account of background requests that were let in. Make it with New.
 type Spare struct {
 	expected Nanos   // shortest expected time of the work that somebody waits for
 	allow    float64 // so many may be at hand
@@ -21,9 +21,9 @@
 type Counts struct{ Begun, Served, Cuts, Stops uint64 }
 
 const (
-	// waitSign of the shortest expected time at the door is a sign: an idle fleet takes a job at once.
+	// waitSign of the shortest expected time in the admission queue is a sign: an idle fleet takes a request at once.
 	waitSign = 1.0 / 32
-	// slowSign of a job's own expected time until its first token is a sign, half of it a strong one: on an idle fleet
+	// slowSign of a request's own expected time until its first token is a sign, half of it a strong one: on an idle fleet
 	// it is a small part.
 	slowSign, slowStop = 1.0 / 3, 1.0 / 2
 	// cutEvery of the shortest expected time the allowance is cut once at most: what was let in before the cut needs
@@ -34,14 +34,14 @@
 	// startPart of the allowance may be waiting for a first token at once: reads stand before others' reads, answers
 	// run beside them.
 	startPart = 1.0 / 4
-	// grow is by how much the allowance grows with each served job, over itself: by that many a round of all of them.
+	// grow is by how much the allowance grows with each served request, over itself: by that many a round of all of them.
 	grow = 1
 )
 
 // New makes an account; expected is the shortest expected time of the work that somebody waits for.
 func New(expected Nanos) *Spare { return &Spare{expected: max(expected, 1), allow: 1} }
 
-// May tells whether another background job, which waits, may be let in now.
+// May tells whether another background request, which waits, may be let in now.
 func (s *Spare) May(now Nanos) bool {
 	if now < s.until {
 		return false
@@ -54,23 +54,23 @@
 // Until is when May can change by time alone; false if it does not.
 func (s *Spare) Until(now Nanos) (Nanos, bool) { return s.until, s.until > now }
 
-// Out counts the background jobs at hand, Allowance how many there may be.
+// Out counts the background requests at hand, Allowance how many there may be.
 func (s *Spare) Out() int { return s.out }
 
-// Allowance is how many background jobs may be at hand.
+// Allowance is how many background requests may be at hand.
 func (s *Spare) Allowance() float64 { return s.allow }
 
-// Let tells that a background job was let in.
+// Let tells that a background request was let in.
 func (s *Spare) Let() {
 	s.out++
 	s.starting++
 	s.Counts.Begun++
 }
 
-// Began tells of a background job's first token.
+// Began tells of a background request's first token.
 func (s *Spare) Began() { s.starting = max(s.starting-1, 0) }
 
-// Over tells that a background job is over: whether its first token had come, and whether it was served.
+// Over tells that a background request is over: whether its first token had come, and whether it was served.
 func (s *Spare) Over(now Nanos, began, served bool) {
 	s.out = max(s.out-1, 0)
 	if !began {
@@ -87,14 +87,14 @@
 	}
 }
 
-// Waited tells how long a job that somebody waits for stood at the door.
+// Waited tells how long a request that somebody waits for stood in the admission queue.
 func (s *Spare) Waited(now Nanos, by Nanos) {
 	if s.out > 0 && float64(by) > waitSign*float64(s.expected) {
 		s.cut(now)
 	}
 }
 
-// First tells how long such a job took to its first token, of its expected time.
+// First tells how long such a request took to its first token, of its expected time.
 func (s *Spare) First(now Nanos, took, expected Nanos) {
 	switch part := float64(took) / float64(max(expected, 1)); {
 	case part > slowStop:
@@ -104,7 +104,7 @@
 	}
 }
 
-// Refused tells that such a job was refused, or came late: there is nothing to spare.
+// Refused tells that such a request was refused, or came late: there is nothing to spare.
 func (s *Spare) Refused(now Nanos) {
 	s.Counts.Stops++
 	s.until = max(s.until, now+rest*s.expected)
--- a/internal/decide/spare/spare_test.go
+++ b/internal/decide/spare/spare_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// TestShortJobs: jobs that are over with their first token are few at once; the allowance grows all the same while more
+// TestShortJobs: requests that are over with their first token are few at once; the allowance grows all the same while more
 // would go in, and not while none would.
 func TestShortJobs(t *testing.T) {
 	s := New(sec)
@@ -108,7 +108,7 @@
 	}
 }
 
-// TestAccount: whatever is told in whatever order, the account stays within its bounds and one job may go in after a
+// TestAccount: whatever is told in whatever order, the account stays within its bounds and one request may go in after a
 // quiet time.
 func TestAccount(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
--- a/internal/decide/watch/watch.go
+++ b/internal/decide/watch/watch.go
@@ -1,4 +1,4 @@
-// Package watch decides about the watch on the list of hosts: when one that says nothing is given up, when the next is begun, and
+// Package watch decides about the watch on the list of servers: when one that says nothing is given up, when the next is begun, and
 // how long a new process waits for what its agent knows. It does no I/O and reads no clock.
 //
 // What discovery tells counts as told six seconds after it could be reached, heard or not. In that time a watch that
@@ -17,7 +17,7 @@
 	// First is how long a new process waits for the list before it takes clients; after that it goes by the list it was started with.
 	First = beat / 8
 
-	// retryMost is shorter than what a send may follow on news that a host drains: there is a call open, or soon is, at the
+	// retryMost is shorter than what a send may follow on news that a server drains: there is a call open, or soon is, at the
 	// moment in which discovery is back.
 	retryMost = beat / 8
 	// answerMost is how long a discovery takes that answers by itself, and an eighth: one such call fits into the six seconds
--- a/internal/dispatch/attempts.go
+++ b/internal/dispatch/attempts.go
@@ -10,179 +10,179 @@
 	"slices"
 )
 
-// What the module decides about jobs, and how its launches go.
+// What the module decides about requests, and how its attempts go.
 
-func (d *Dispatcher) do(now loop.Nanos, what policy.Decision) {
-	switch what.Verb {
+func (d *Dispatcher) carryOut(now loop.Nanos, decision policy.Decision) {
+	switch decision.Verb {
 	case policy.Wake:
-		d.l.At(&d.wake, now+loop.Nanos(what.For), d.onWake)
+		d.loop.At(&d.wakeTimer, now+loop.Nanos(decision.For), d.onWake)
 		return
 	case policy.Watch:
 		d.exit.Watch(now)
 		return
 	case policy.Log:
-		d.log.Info("module", "says", what.Text)
+		d.log.Info("module", "says", decision.Text)
 		return
 	}
-	j := d.jobs.Find(what.Request)
-	if j == nil {
-		d.Counts.Guarded++
-		d.log.Error("decision about a job that is over", "job", what.Request, "verb", int(what.Verb))
+	req := d.requests.Find(decision.Request)
+	if req == nil {
+		d.Counts.InvalidDecisions++
+		d.log.Error("decision about a request that is over", "request", decision.Request, "verb", int(decision.Verb))
 		return
 	}
-	switch what.Verb {
+	switch decision.Verb {
 	case policy.Attempt:
-		j.Kept = what.Kept
-		j.Before = math.MaxInt64
-		if what.Before > 0 {
-			j.Before = int64(what.Before) - d.wall
+		req.ExpectedCached = decision.Kept
+		req.WriteBefore = math.MaxInt64
+		if decision.Before > 0 {
+			req.WriteBefore = int64(decision.Before) - d.clockStart
 		}
-		d.launch(now, j, what.Server, int64(what.For))
+		d.sendAttempt(now, req, decision.Server, int64(decision.For))
 	case policy.Cancel:
-		if shot, out := j.Out(); out && shot == what.Attempt {
-			d.Counts.Recalls++
-			d.ended(now, j, policy.Canceled, false, policy.NoLoad)
+		if attempt, out := req.Outstanding(); out && attempt == decision.Attempt {
+			d.Counts.Cancels++
+			d.attemptEnded(now, req, policy.Canceled, false, policy.NoLoad)
 		}
 	case policy.Reject:
-		no := front.Refusal{Why: "no engine could take it in time"}
-		if d.insideAt(j.ID) >= 0 {
+		no := front.Refusal{Reason: "no engine could take it in time"}
+		if d.unsentIndex(req.ID) >= 0 {
 			d.queue.Unplaced()
 		}
-		no.After = min(int64(what.For), d.advises)
-		if what.For > 0 && !d.direct { // that at least; the door books a place
-			no = d.refusal(no.Why, false, d.queue.Again(now, j.ask, loop.Nanos(what.For)))
+		no.RetryAfter = min(int64(decision.For), d.maxRetryAfter)
+		if decision.For > 0 && !d.direct { // that at least; the door books a place
+			no = d.refusal(no.Reason, false, d.queue.Again(now, req.queueRequest, loop.Nanos(decision.For)))
 		}
-		d.answer(j, func() { j.call.Nack(j.ID, no) }, &d.Counts.Nacked)
+		d.answer(req, func() { req.call.Reject(req.ID, no) }, &d.Counts.Rejected)
 	case policy.Fail:
-		d.answer(j, func() { j.call.Abandon(j.ID, "its time is up") }, &d.Counts.Abandoned)
+		d.answer(req, func() { req.call.Fail(req.ID, "its time is up") }, &d.Counts.Failed)
 	case policy.Release:
-		if at, held := j.Held(); held {
-			j.LetGo()
-			d.exit.LetGo(now, j, at, policy.AttemptNumber(j.Launches()-1))
+		if at, held := req.StateHeld(); held {
+			req.ReleaseState()
+			d.exit.Release(now, req, at, policy.AttemptNumber(req.Attempts()-1))
 		}
 	default:
-		panic(fmt.Sprintf("decision with unknown verb %d", what.Verb))
+		panic(fmt.Sprintf("decision with unknown verb %d", decision.Verb))
 	}
-	d.settle(j)
+	d.dropIfDone(req)
 }
 
-// launch sends a job to a host.
-func (d *Dispatcher) launch(now loop.Nanos, j *Job, to policy.ServerID, within int64) {
-	shot, err := j.Launch()
+// attempt sends a request to a server.
+func (d *Dispatcher) sendAttempt(now loop.Nanos, req *Request, to policy.ServerID, within int64) {
+	attempt, err := req.BeginAttempt()
 	if err != nil {
-		d.Counts.Guarded++
-		d.log.Error("launch refused", "job", j.ID, "host", to, "err", err)
+		d.Counts.InvalidDecisions++
+		d.log.Error("attempt refused", "request", req.ID, "server", to, "err", err)
 		return
 	}
-	d.Counts.Launches++
-	if i := d.insideAt(j.ID); i >= 0 {
-		d.inside = slices.Delete(d.inside, i, i+1)
-		d.queue.Taken(now, j.ask)
+	d.Counts.Attempts++
+	if i := d.unsentIndex(req.ID); i >= 0 {
+		d.unsent = slices.Delete(d.unsent, i, i+1)
+		d.queue.Taken(now, req.queueRequest)
 	}
-	j.Host, j.Sent, j.Within, j.sent = to, now, within, nil
+	req.Server, req.SentAt, req.Timeout, req.attempt = to, now, within, nil
 	known := false
-	if j.Reads, known = d.exit.Reads(to); known {
-		j.ran = j.ran || !j.Reads
-		d.l.At(&j.timer, now+within, j.onTimer)
-		j.sent = d.exit.Launch(now, j, shot)
+	if req.Prefill, known = d.exit.IsPrefill(to); known {
+		req.mayHaveRun = req.mayHaveRun || !req.Prefill
+		d.loop.At(&req.timer, now+within, req.onTimer)
+		req.attempt = d.exit.Send(now, req, attempt)
 	}
-	if j.sent == nil {
-		d.ended(now, j, policy.NotSent, false, policy.NoLoad)
+	if req.attempt == nil {
+		d.attemptEnded(now, req, policy.NotSent, false, policy.NoLoad)
 	}
 }
 
-// due is the timer of a job: its launch's time, or, once the answer streams, the time to look at it.
-func (j *Job) due(now loop.Nanos) {
-	d := j.d
-	if j.begun == 0 {
-		if _, out := j.Out(); out {
-			d.Counts.Late++
-			how := policy.Late
-			switch j.sent.Stage() {
+// timerDue is the timer of a request: its attempt's time, or, once the answer streams, the time to look at it.
+func (req *Request) timerDue(now loop.Nanos) {
+	d := req.d
+	if req.firstTokenAt == 0 {
+		if _, out := req.Outstanding(); out {
+			d.Counts.TimedOut++
+			outcome := policy.Late
+			switch req.attempt.Stage() {
 			case Queued: // others stood before it
-				how = policy.NotSent
+				outcome = policy.NotSent
 			case Connecting:
-				how = policy.Unreachable
+				outcome = policy.Unreachable
 			}
-			d.ended(now, j, how, false, policy.NoLoad)
-			d.settle(j)
+			d.attemptEnded(now, req, outcome, false, policy.NoLoad)
+			d.dropIfDone(req)
 		}
 		return
 	}
-	d.watchStream(now, j)
+	d.checkStream(now, req)
 }
 
-// watchStream has the pace of a running answer judged.
-func (d *Dispatcher) watchStream(now loop.Nanos, j *Job) {
-	t := &d.times[j.track]
-	verdict, again := pace.Judge(now, pace.Stream{Begun: j.begun, Last: j.last, Gap: t.gap, Expected: t.expected,
-		Ends: j.ends, Ahead: d.ahead, Hush: d.hush, Unread: j.waits > 0})
+// checkStream has the pace of a running answer judged.
+func (d *Dispatcher) checkStream(now loop.Nanos, req *Request) {
+	t := &d.classTimes[req.class]
+	verdict, again := pace.Judge(now, pace.Stream{Begun: req.firstTokenAt, Last: req.lastTokenAt, Gap: t.tokenGap, Expected: t.target,
+		Ends: req.callEnds, Ahead: d.answerAhead, Hush: d.silenceLimit, Unread: req.unread > 0})
 	if verdict == pace.GoesOn {
-		d.l.At(&j.timer, again, j.onTimer)
+		d.loop.At(&req.timer, again, req.onTimer)
 		return
 	}
-	if !j.Answered() {
-		d.answer(j, func() { j.call.Abandon(j.ID, verdict.String()) }, &d.Counts.Abandoned)
+	if !req.Answered() {
+		d.answer(req, func() { req.call.Fail(req.ID, verdict.String()) }, &d.Counts.Failed)
 	}
-	how := policy.Late
+	outcome := policy.Late
 	if verdict == pace.Unread {
-		how = policy.Canceled
+		outcome = policy.Canceled
 	}
-	d.ended(now, j, how, true, policy.NoLoad)
-	d.settle(j)
+	d.attemptEnded(now, req, outcome, true, policy.NoLoad)
+	d.dropIfDone(req)
 }
 
-// began tells of the first token.
-func (d *Dispatcher) began(now loop.Nanos, j *Job) {
-	shot, _ := j.Out()
-	j.begun, j.last = now, now
-	d.l.Cancel(&j.overdue)
-	if j.let {
-		d.queue.First(now, j.ask, now-j.arrived)
-	}
-	j.LetGo()
-	d.mod.StreamBegan(d.Time(now), j.ID, shot, policy.Nanos(now-j.Sent))
-	d.watchStream(now, j)
+// streamBegan tells of the first token.
+func (d *Dispatcher) streamBegan(now loop.Nanos, req *Request) {
+	attempt, _ := req.Outstanding()
+	req.firstTokenAt, req.lastTokenAt = now, now
+	d.loop.Cancel(&req.overdueTimer)
+	if req.admitted {
+		d.queue.First(now, req.queueRequest, now-req.arrivedAt)
+	}
+	req.ReleaseState()
+	d.module.StreamBegan(d.Time(now), req.ID, attempt, policy.Nanos(now-req.SentAt))
+	d.checkStream(now, req)
 }
 
-// ended tells how the launch that is out has ended; where the engine has not ended it, its stream is reset
-// first, so that it is no longer out. The job may be over by this.
-func (d *Dispatcher) ended(now loop.Nanos, j *Job, how policy.Outcome, over bool, load policy.Load) {
-	shot, out := j.Out()
+// attemptEnded tells how the attempt that is out has ended; where the engine has not ended it, its stream is reset
+// first, so that it is no longer out. The request may be over by this.
+func (d *Dispatcher) attemptEnded(now loop.Nanos, req *Request, outcome policy.Outcome, over bool, load policy.Load) {
+	attempt, out := req.Outstanding()
 	if !out {
 		return
 	}
-	d.l.Cancel(&j.timer)
-	sent := j.sent
-	lost := !j.Reads && j.begun == 0 && (sent == nil || !sent.Reached())
+	d.loop.Cancel(&req.timer)
+	sent := req.attempt
+	lost := !req.Prefill && req.firstTokenAt == 0 && (sent == nil || !sent.Reached())
 	cut := sent != nil && sent.End(now)
-	// A read that was cut off may have ended all the same: what it left is let go.
-	cut = j.Reads && (cut || how == policy.Broken || how == policy.Late || how == policy.StaleConnection)
-	j.sent, j.waits = nil, 0
-	j.End(shot)
-	if d.traces {
-		d.log.Debug("launch over", "job", string(j.Named), "shot", shot, "host", j.Host, "read", j.Reads, "how", how, "sent", d.Time(j.Sent), "took", now-j.Sent,
-			"begun", j.begun > 0, "answered", j.Answered())
-	}
-	switch how {
+	// A read that was cut off may have ended all the same: what it left is released.
+	cut = req.Prefill && (cut || outcome == policy.Broken || outcome == policy.Late || outcome == policy.StaleConnection)
+	req.attempt, req.unread = nil, 0
+	req.EndAttempt(attempt)
+	if d.debug {
+		d.log.Debug("attempt over", "request", string(req.ClientID), "attempt", attempt, "server", req.Server, "read", req.Prefill, "how", outcome, "sent", d.Time(req.SentAt), "took", now-req.SentAt,
+			"begun", req.firstTokenAt > 0, "answered", req.Answered())
+	}
+	switch outcome {
 	case policy.Read:
-		j.Hold(j.Host)
-		j.ReadAt = now
+		req.HoldState(req.Server)
+		req.PrefilledAt = now
 	case policy.Broken:
 		d.Counts.Broken++
 	}
 	if cut {
-		d.exit.LetGo(now, j, j.Host, shot)
+		d.exit.Release(now, req, req.Server, attempt)
 	}
-	d.mod.AttemptEnded(d.Time(now), j.ID, shot, how, policy.Nanos(now-j.Sent), over || j.Answered(), load)
+	d.module.AttemptEnded(d.Time(now), req.ID, attempt, outcome, policy.Nanos(now-req.SentAt), over || req.Answered(), load)
 	if lost {
 		since := policy.Never
-		if _, held := j.Held(); held {
-			since = d.Time(j.ReadAt)
+		if _, held := req.StateHeld(); held {
+			since = d.Time(req.PrefilledAt)
 		}
-		d.mod.HeldSince(d.Time(now), j.ID, since)
+		d.module.HeldSince(d.Time(now), req.ID, since)
 	}
 	if sent != nil {
-		sent.Over(now)
+		sent.Ended(now)
 	}
 }
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -45,49 +45,49 @@
 type Dispatcher struct {
 	Counts Counts
 
-	l       *loop.Loop
-	log     *slog.Logger
-	traces  bool // the log takes lines of single jobs
-	mod     Module
-	clients Entry
-	rpc     *grpc.Server // the door, where it is gRPC's
-	exit    Exit
-	direct  bool // jobs go to the module as they come: no door holds them back
-	gate    gate.Gate
-	queue   *door.Door
-	signer  *door.Signer
-	memory  memory
-	terms   []door.Tenant // what tenants may do at the door
-	names   []string
-	secret  uint64 // keys the hashes of clients' names
-	expiry  loop.Timer
-	onLate  func(loop.Nanos)
-	ages    []loop.Nanos
-	inside  []unlaunched // jobs that the module has and has not launched, by when they were let in
-	advises int64
-	life    uint64 // this start of the dispatcher, in what engines are told
-	wall    int64  // module time at the loop's 0: Unix nanoseconds
-
-	jobs jobs.Table[Job]
-
-	tracks  map[string]policy.ClassID
-	tenants map[string]policy.TenantID
-	times   []trackTimes
-	hashKey uint64
-	hash    xxhash.Digest
-	ahead   int64
-	hush    int64 // a client may be left waiting so long after its last token; 0 = not told
-	wake    loop.Timer
-	onWake  func(loop.Nanos)
-
-	leaving  bool
-	leaveAt  loop.Timer
-	leaveEnd func()
+	loop          *loop.Loop
+	log           *slog.Logger
+	debug         bool // the log takes lines of single requests
+	module        Module
+	entry         Entry
+	grpcEntry     *grpc.Server // the door, where it is gRPC's
+	exit          Exit
+	direct        bool // requests go to the module as they come: no door holds them back
+	gate          gate.Gate
+	queue         *door.Door
+	signer        *door.Signer
+	memory        memory
+	tenantTerms   []door.Tenant // what tenants may do in the admission queue
+	tenantNames   []string
+	secretKey     uint64 // keys the hashes of clients' names
+	expiryTimer   loop.Timer
+	onExpiry      func(loop.Nanos)
+	ages          []loop.Nanos
+	unsent        []unsentRequest // requests that the module has and has not sent, by when they were let in
+	maxRetryAfter int64
+	incarnation   uint64 // this start of the dispatcher, in what engines are told
+	clockStart    int64  // module time at the loop's 0: Unix nanoseconds
+
+	requests jobs.Table[Request]
+
+	classes      map[string]policy.ClassID
+	tenants      map[string]policy.TenantID
+	classTimes   []classTimes
+	hashKey      uint64
+	hash         xxhash.Digest
+	answerAhead  int64
+	silenceLimit int64 // a client may be left waiting so long after its last token; 0 = not told
+	wakeTimer    loop.Timer
+	onWake       func(loop.Nanos)
+
+	draining   bool
+	drainTimer loop.Timer
+	onDrained  func()
 }
 
-type trackTimes struct {
-	expected, per1k, patience, gap int64
-	redoable                       bool
+type classTimes struct {
+	target, targetPer1k, timeout, tokenGap int64
+	idempotent                             bool
 }
 
 // New makes a dispatcher on a loop, whose clients and engines speak gRPC; Start sets it going. life must differ from
@@ -95,7 +95,7 @@
 // simulations.
 func New(l *loop.Loop, s *setup.Dispatcher, log *slog.Logger, seed, life uint64, secrets io.Reader, wrap func(Module) Module) (*Dispatcher, error) {
 	list := fleet.New()
-	mod, err := s.Module(seed, list.Zone(s.Zone))
+	module, err := s.Module(seed, list.Zone(s.Zone))
 	if err != nil {
 		return nil, fmt.Errorf("decision module: %w", err)
 	}
@@ -103,11 +103,11 @@
 	for _, t := range s.Tracks {
 		names = append(names, t.Name)
 	}
-	d, shortest := bare(l, log, mod, names, s.PolicyTracks(), life)
+	d, shortest := newDispatcher(l, log, module, names, s.PolicyTracks(), life)
 	if wrap != nil {
-		d.mod = wrap(mod)
+		d.module = wrap(module)
 	}
-	d.hashKey, d.ahead, d.advises = s.HashKey, int64(s.Answers.Ahead), int64(s.Answers.MaxAdvice)
+	d.hashKey, d.answerAhead, d.maxRetryAfter = s.HashKey, int64(s.Answers.Ahead), int64(s.Answers.MaxAdvice)
 	for i, t := range s.Tenants {
 		d.tenants[t.Name] = policy.TenantID(i)
 	}
@@ -118,7 +118,7 @@
 	if _, err := io.ReadFull(secrets, key[:]); err != nil {
 		return nil, fmt.Errorf("keys: %w", err)
 	}
-	d.signer, d.secret = door.NewSigner(key[:32]), binary.LittleEndian.Uint64(key[32:])
+	d.signer, d.secretKey = door.NewSigner(key[:32]), binary.LittleEndian.Uint64(key[32:])
 	if !s.Answers.Advice {
 		d.signer = nil
 	}
@@ -127,35 +127,35 @@
 	}
 	d.queue.FirstCome = s.FirstCome
 	d.memory.most = uint64(s.Limits.Memory)
-	d.terms, d.names = s.Door(), []string{""}
-	for i, t := range d.terms {
+	d.tenantTerms, d.tenantNames = s.Door(), []string{""}
+	for i, t := range d.tenantTerms {
 		if err := d.queue.SetTenant(i, t); err != nil {
 			return nil, err
 		}
 	}
 	if len(s.Tenants) > 0 {
-		d.names = nil
+		d.tenantNames = nil
 		for _, t := range s.Tenants {
-			d.names = append(d.names, t.Name)
+			d.tenantNames = append(d.tenantNames, t.Name)
 		}
 	}
-	if d.rpc, err = grpc.New(l, d, lim, s.Limits.Connections, s.Limits.Output, s.Limits.Partial); err != nil {
+	if d.grpcEntry, err = grpc.New(l, d, lim, s.Limits.Connections, s.Limits.Output, s.Limits.Partial); err != nil {
 		return nil, err
 	}
-	d.clients = d.rpc
-	x := &engines{d: d, list: list, by: make(map[policy.ServerID]*engine), keeper: links.Keeper{Expected: shortest},
+	d.entry = d.grpcEntry
+	x := &grpcExit{d: d, list: list, servers: make(map[policy.ServerID]*grpcServer), keeper: links.Keeper{Expected: shortest},
 		connect: int64(s.Launches.Connect), lim: lim}
 	x.lister.init(x, s.Fleet)
 	d.exit = x
 	return d, nil
 }
 
-// Direct makes a dispatcher whose jobs go to the module as they come, at most so many in hand, with the tracks and tenants
-// that the module was made with; a job without a tenant is nobody's. Ends gives it its entry and exit, Start sets it going. advises is the longest advice;
+// Direct makes a dispatcher whose requests go to the module as they come, at most so many in hand, with the classes and tenants
+// that the module was made with; a request without a tenant is nobody's. Ends gives it its entry and exit, Start sets it going. advises is the longest advice;
 // hush, how long a client may be left waiting after a token.
-func Direct(l *loop.Loop, log *slog.Logger, mod Module, names []string, tracks []policy.Class, tenants []string, most int, prompt, advises, hush int64, life uint64) (*Dispatcher, error) {
-	d, shortest := bare(l, log, mod, names, tracks, life)
-	d.direct, d.advises, d.hush = true, advises, hush
+func Direct(l *loop.Loop, log *slog.Logger, module Module, names []string, tracks []policy.Class, tenants []string, most int, prompt, advises, hush int64, life uint64) (*Dispatcher, error) {
+	d, shortest := newDispatcher(l, log, module, names, tracks, life)
+	d.direct, d.maxRetryAfter, d.silenceLimit = true, advises, hush
 	for i, name := range tenants {
 		d.tenants[name] = policy.TenantID(i)
 	}
@@ -165,77 +165,77 @@
 	return d, err
 }
 
-// Ends gives a dispatcher made by Direct the ways in and out.
-func (d *Dispatcher) Ends(in Entry, out Exit) { d.clients, d.exit = in, out }
+// Attach gives a dispatcher made by Direct the ways in and out.
+func (d *Dispatcher) Attach(in Entry, out Exit) { d.entry, d.exit = in, out }
 
-// bare makes what all dispatchers have, and gives the shortest expected time.
-func bare(l *loop.Loop, log *slog.Logger, mod Module, names []string, tracks []policy.Class, life uint64) (*Dispatcher, int64) {
-	d := &Dispatcher{l: l, log: log, traces: log.Enabled(context.Background(), slog.LevelDebug), mod: mod, life: life, wall: l.Wall(), tracks: make(map[string]policy.ClassID),
+// newDispatcher makes what all dispatchers have, and gives the shortest expected time.
+func newDispatcher(l *loop.Loop, log *slog.Logger, module Module, names []string, tracks []policy.Class, life uint64) (*Dispatcher, int64) {
+	d := &Dispatcher{loop: l, log: log, debug: log.Enabled(context.Background(), slog.LevelDebug), module: module, incarnation: life, clockStart: l.Wall(), classes: make(map[string]policy.ClassID),
 		tenants: make(map[string]policy.TenantID)}
 	shortest := int64(tracks[0].Target)
 	for i, t := range tracks {
-		d.tracks[names[i]] = policy.ClassID(i)
-		d.times = append(d.times, trackTimes{int64(t.Target), int64(t.TargetPer1k), int64(t.Timeout),
+		d.classes[names[i]] = policy.ClassID(i)
+		d.classTimes = append(d.classTimes, classTimes{int64(t.Target), int64(t.TargetPer1k), int64(t.Timeout),
 			int64(t.TokenGap), t.Effect == policy.Idempotent})
 		shortest = min(shortest, int64(t.Target))
 	}
-	d.onWake = func(now loop.Nanos) { d.mod.Woken(d.Time(now)) }
-	d.onLate = func(loop.Nanos) {} // the round looks
+	d.onWake = func(now loop.Nanos) { d.module.Woken(d.Time(now)) }
+	d.onExpiry = func(loop.Nanos) {} // the round looks
 	return d, shortest
 }
 
 // Start listens for clients and asks for the list of engines; it gives the address it listens on.
 func (d *Dispatcher) Start(at netip.AddrPort, share bool) (netip.AddrPort, error) {
-	addr, err := d.clients.Listen(at, share)
+	addr, err := d.entry.Listen(at, share)
 	if err != nil {
 		return addr, err
 	}
-	d.exit.Start(d.l.Now())
+	d.exit.Start(d.loop.Now())
 	return addr, nil
 }
 
-// Round is what the loop calls once a turn: decisions are pulled until there is none, jobs that wait at the door are
+// Round is what the loop calls once a turn: decisions are pulled until there is none, requests that wait in the admission queue are
 // let in as the module takes them, then output is queued.
 func (d *Dispatcher) Round(now loop.Nanos) {
-	for n := d.queue.ToShed(d.l.Lag(), d.memory.inUse(now), d.memory.most); n > 0; n-- {
+	for n := d.queue.ToShed(d.loop.Lag(), d.memory.inUse(now), d.memory.most); n > 0; n-- {
 		id, ok := d.queue.Heaviest()
 		if !ok {
 			break
 		}
-		d.turnAway(now, policy.RequestID(id), door.Shed)
+		d.refuseQueued(now, policy.RequestID(id), door.Shed)
 	}
 	for let := 0; ; {
-		if what, ok := d.mod.Next(d.Time(now)); ok {
-			d.do(now, what)
+		if decision, ok := d.module.Next(d.Time(now)); ok {
+			d.carryOut(now, decision)
 			continue
 		}
 		if id, a, ok := d.queue.Displaced(now); ok {
-			d.turnedAway(policy.RequestID(id), door.Full, a)
+			d.rejectQueued(policy.RequestID(id), door.Full, a)
 			continue
 		}
 		if id, ok := d.queue.Expired(now); ok {
-			d.turnAway(now, policy.RequestID(id), door.TooLate)
+			d.refuseQueued(now, policy.RequestID(id), door.TooLate)
 			continue
 		}
-		if id, ok := d.queue.Next(now, len(d.inside)); ok && d.open(now) {
+		if id, ok := d.queue.Next(now, len(d.unsent)); ok && d.admits(now) {
 			if let++; let > door.PerTurn {
-				d.l.Again()
+				d.loop.Again()
 				break
 			}
-			d.letIn(now, policy.RequestID(id))
+			d.admit(now, policy.RequestID(id))
 			continue
 		}
 		break
 	}
 	if at, ok := d.queue.NextExpiry(now); ok {
-		d.l.At(&d.expiry, max(at, now+1), d.onLate)
+		d.loop.At(&d.expiryTimer, max(at, now+1), d.onExpiry)
 	}
-	d.clients.Flush()
+	d.entry.Flush()
 	d.exit.Flush()
-	if d.leaving && d.jobs.Len() == 0 && d.clients.Idle() && d.exit.Idle() {
-		d.leaveEnd()
+	if d.draining && d.requests.Len() == 0 && d.entry.Idle() && d.exit.Idle() {
+		d.onDrained()
 	}
 }
 
-// Time is the module's: Unix nanoseconds by the loop's clock, so that hosts' starts compare with it.
-func (d *Dispatcher) Time(now loop.Nanos) policy.Nanos { return policy.Nanos(d.wall + now) }
+// Time is the module's: Unix nanoseconds by the loop's clock, so that servers' starts compare with it.
+func (d *Dispatcher) Time(now loop.Nanos) policy.Nanos { return policy.Nanos(d.clockStart + now) }
--- a/internal/dispatch/link.go
+++ b/internal/dispatch/link.go
@@ -29,33 +29,33 @@
 	linkOutput = 32 << 20  // at which a connection to an engine that takes nothing is given up
 )
 
-// engines is the way out to engines that speak gRPC.
-type engines struct {
+// grpcExit is the way out to engines that speak gRPC.
+type grpcExit struct {
 	d       *Dispatcher
-	by      map[policy.ServerID]*engine
+	servers map[policy.ServerID]*grpcServer
 	list    *fleet.List
-	lister  lister
+	lister  listWatch
 	keeper  links.Keeper
 	connect int64
 	lim     h2.Limits
-	dirty   []*link
+	dirty   []*serverConn
 	facts   []links.Link
 	scratch []byte
 }
 
-func (x *engines) Start(loop.Nanos)     { x.lister.start() }
-func (x *engines) Watch(now loop.Nanos) { x.lister.watch(now) }
-func (x *engines) Close()               { x.lister.close() }
+func (x *grpcExit) Start(loop.Nanos)     { x.lister.start() }
+func (x *grpcExit) Watch(now loop.Nanos) { x.lister.watch(now) }
+func (x *grpcExit) Close()               { x.lister.close() }
 
 // Idle implements Exit: releases that wait for a connection are left to the engines' own time.
-func (x *engines) Idle() bool { return true }
+func (x *grpcExit) Idle() bool { return true }
 
-func (x *engines) Reads(host policy.ServerID) (reads, known bool) {
-	e := x.by[host]
-	return e != nil && e.role == policy.Prefill, e != nil
+func (x *grpcExit) IsPrefill(host policy.ServerID) (reads, known bool) {
+	srv := x.servers[host]
+	return srv != nil && srv.role == policy.Prefill, srv != nil
 }
 
-func (x *engines) Flush() {
+func (x *grpcExit) Flush() {
 	for _, k := range x.dirty {
 		k.dirty = false
 		k.flush()
@@ -63,520 +63,520 @@
 	x.dirty = x.dirty[:0]
 }
 
-func (x *engines) LetGo(now loop.Nanos, j *Job, at policy.ServerID, shot policy.AttemptNumber) {
-	if e := x.by[at]; e != nil {
-		on := j.rpc.last // the launch's own keeps the order
-		if on != nil && on.e != e {
+func (x *grpcExit) Release(now loop.Nanos, req *Request, at policy.ServerID, attempt policy.AttemptNumber) {
+	if srv := x.servers[at]; srv != nil {
+		on := req.grpcAttempt.last // the attempt's own keeps the order
+		if on != nil && on.server != srv {
 			on = nil
 		}
-		e.letGo(now, on, j.ID, shot)
+		srv.release(now, on, req.ID, attempt)
 	}
 }
 
-func (x *engines) Launch(now loop.Nanos, j *Job, shot policy.AttemptNumber) Sent {
-	e := x.by[j.Host]
-	k := e.linkFor(now)
-	if k != nil && k.ready && j.rpc.waited && !e.trial.May(e.wired()) { // once is enough: its time is the client's
+func (x *grpcExit) Send(now loop.Nanos, req *Request, attempt policy.AttemptNumber) Attempt {
+	srv := x.servers[req.Server]
+	k := srv.linkFor(now)
+	if k != nil && k.ready && req.grpcAttempt.queuedBehind && !srv.trial.May(srv.onWire()) { // once is enough: its time is the client's
 		k = nil
 	}
 	if k == nil {
 		return nil
 	}
-	j.rpc.on, j.rpc.last = k, nil
-	k.out++
-	k.used, k.sent = now, now
-	if k.out == 1 && k.ready && k.asked <= k.heard {
-		x.d.l.At(&k.timer, x.keeper.Begin(now), k.onKeep)
+	req.grpcAttempt.conn, req.grpcAttempt.last = k, nil
+	k.streams++
+	k.usedAt, k.sentAt = now, now
+	if k.streams == 1 && k.ready && k.pingedAt <= k.heardAt {
+		x.d.loop.At(&k.timer, x.keeper.Begin(now), k.onKeep)
 	}
-	if k.ready && e.trial.May(e.wired()) {
-		k.send(now, j, shot)
-		return &j.rpc
+	if k.ready && srv.trial.May(srv.onWire()) {
+		k.send(now, req, attempt)
+		return &req.grpcAttempt
 	}
-	k.queue = append(k.queue, j.ID)
+	k.queue = append(k.queue, req.ID)
 	if k.ready {
-		j.rpc.wait(now)
+		req.grpcAttempt.wait(now)
 	}
-	return &j.rpc
+	return &req.grpcAttempt
 }
 
-// sending is a launch that is out to an engine.
-type sending struct {
-	j      *Job
-	on     *link      // nil: none is out
-	last   *link      // where the last one was
-	stream *h2.Stream // nil while its connection is under way
-	wired  bool       // it was sent
-	waited bool       // one of the job's launches has waited for an engine's trial
+// grpcAttempt is a attempt that is out to an engine.
+type grpcAttempt struct {
+	request      *Request
+	conn         *serverConn // nil: none is out
+	last         *serverConn // where the last one was
+	stream       *h2.Stream  // nil while its connection is under way
+	onWire       bool        // it was sent
+	queuedBehind bool        // one of the request's attempts has waited for an engine's trial
 }
 
-// wait has a launch wait for its engine's trial: not for long, as what it is to fetch is held meanwhile.
-func (s *sending) wait(now loop.Nanos) {
-	s.waited = true
-	s.j.d.l.At(&s.j.timer, min(s.j.Sent+s.j.Within, now+s.on.e.x.keeper.Hold()), s.j.onTimer)
+// wait has a attempt wait for its engine's trial: not for long, as what it is to fetch is held meanwhile.
+func (s *grpcAttempt) wait(now loop.Nanos) {
+	s.queuedBehind = true
+	s.request.d.loop.At(&s.request.timer, min(s.request.SentAt+s.request.Timeout, now+s.conn.server.exit.keeper.Hold()), s.request.onTimer)
 }
 
-func (s *sending) End(now loop.Nanos) bool {
-	k, cut := s.on, s.stream != nil
+func (s *grpcAttempt) End(now loop.Nanos) bool {
+	k, cut := s.conn, s.stream != nil
 	if cut {
 		s.stream.Ref = 0
 		s.stream.Reset(http2.ErrCodeCancel)
 	}
-	k.out--
-	if s.wired {
+	k.streams--
+	if s.onWire {
 		k.wired--
 	}
-	k.used = now
+	k.usedAt = now
 	k.touch()
-	s.on, s.last, s.stream, s.wired = nil, k, nil, false
+	s.conn, s.last, s.stream, s.onWire = nil, k, nil, false
 	return cut
 }
 
-func (s *sending) Over(now loop.Nanos) {
+func (s *grpcAttempt) Ended(now loop.Nanos) {
 	if k := s.last; k != nil && len(k.queue) > 0 {
-		k.e.pump(now)
+		k.server.sendQueued(now)
 	}
 }
 
-func (s *sending) Credit(n int) {
+func (s *grpcAttempt) Credit(n int) {
 	if s.stream != nil {
 		s.stream.Credit(n)
-		s.on.touch()
+		s.conn.touch()
 	}
 }
 
 // Reached implements Sent: on a connection that is asked for signs of life, what was written is taken to have come.
-func (s *sending) Reached() bool { return s.Stage() == Wired }
+func (s *grpcAttempt) Reached() bool { return s.Stage() == OnWire }
 
 // Stage implements Sent.
-func (s *sending) Stage() Stage {
+func (s *grpcAttempt) Stage() Stage {
 	switch {
 	case s.stream != nil:
-		return Wired
-	case s.on.ready:
+		return OnWire
+	case s.conn.ready:
 		return Queued
 	}
 	return Connecting
 }
 
-// engine is a host of the list and the connections to it.
-type engine struct {
-	d     *Dispatcher
-	x     *engines
-	id    policy.ServerID
-	addr  netip.AddrPort
-	name  string // its address, as :authority has it
-	role  policy.Role
-	links []*link
-	owed  []owed
-	trial links.Trial
-	lost  bool // its last connection ended, or could not be made
+// grpcServer is a server of the list and the connections to it.
+type grpcServer struct {
+	d              *Dispatcher
+	exit           *grpcExit
+	id             policy.ServerID
+	addr           netip.AddrPort
+	name           string // its address, as :authority has it
+	role           policy.Role
+	links          []*serverConn
+	releases       []pendingRelease
+	trial          links.Trial
+	lostConnection bool // its last connection ended, or could not be made
 }
 
-// wired counts the launches that were sent to it and are out.
-func (e *engine) wired() int {
+// onWire counts the attempts that were sent to it and are out.
+func (srv *grpcServer) onWire() int {
 	n := 0
-	for _, k := range e.links {
+	for _, k := range srv.links {
 		n += k.wired
 	}
 	return n
 }
 
-// pump sends launches that wait, as far as the engine's trial lets them.
-func (e *engine) pump(now loop.Nanos) {
-	for _, k := range e.links {
-		for k.ready && !k.gone && len(k.queue) > 0 && e.trial.May(e.wired()) {
+// sendQueued sends attempts that wait, as far as the engine's trial lets them.
+func (srv *grpcServer) sendQueued(now loop.Nanos) {
+	for _, k := range srv.links {
+		for k.ready && !k.gone && len(k.queue) > 0 && srv.trial.May(srv.onWire()) {
 			id := k.queue[0]
 			k.queue = k.queue[1:]
-			j := k.d.jobs.Find(id)
-			if j == nil || j.rpc.on != k || j.rpc.stream != nil {
+			req := k.d.requests.Find(id)
+			if req == nil || req.grpcAttempt.conn != k || req.grpcAttempt.stream != nil {
 				continue
 			}
-			shot, out := j.Out()
+			attempt, out := req.Outstanding()
 			switch {
 			case !out:
-			case k.h.CanOpen() && now < j.Before:
-				k.send(now, j, shot)
+			case k.http2.CanOpen() && now < req.WriteBefore:
+				k.send(now, req, attempt)
 			default:
-				k.d.ended(now, j, policy.NotSent, false, policy.NoLoad)
-				k.d.settle(j)
+				k.d.attemptEnded(now, req, policy.NotSent, false, policy.NoLoad)
+				k.d.dropIfDone(req)
 			}
 		}
 	}
 }
 
-// linkFor gives the connection for a launch; nil if there may be none.
-func (e *engine) linkFor(now loop.Nanos) *link {
-	d := e.d
-	e.x.facts = e.x.facts[:0]
-	for _, k := range e.links {
-		e.x.facts = append(e.x.facts, k.facts())
+// linkFor gives the connection for a attempt; nil if there may be none.
+func (srv *grpcServer) linkFor(now loop.Nanos) *serverConn {
+	d := srv.d
+	srv.exit.facts = srv.exit.facts[:0]
+	for _, k := range srv.links {
+		srv.exit.facts = append(srv.exit.facts, k.facts())
 	}
-	i, dial, none := links.Pick(e.x.facts)
+	i, dial, none := links.Pick(srv.exit.facts)
 	switch {
 	case none:
 		return nil
 	case !dial:
-		return e.links[i]
+		return srv.links[i]
 	}
-	k := &link{d: d, e: e, heard: now, used: now}
+	k := &serverConn{d: d, server: srv, heardAt: now, usedAt: now}
 	k.onKeep = k.keep
-	k.h = h2.NewClient(e.x.lim, k)
-	lc, err := d.l.Dial(e.addr, e.x.connect, k)
+	k.http2 = h2.NewClient(srv.exit.lim, k)
+	lc, err := d.loop.Dial(srv.addr, srv.exit.connect, k)
 	if err != nil {
-		d.log.Warn("engine", "host", e.id, "err", err)
+		d.log.Warn("engine", "server", srv.id, "err", err)
 		return nil
 	}
-	k.lc = lc
+	k.conn = lc
 	lc.Bound(linkOutput)
-	if len(e.links) == 0 && (e.lost || e.x.lister.lost()) { // what was known of it may be over
-		e.trial.Lost()
+	if len(srv.links) == 0 && (srv.lostConnection || srv.exit.lister.lost()) { // what was known of it may be over
+		srv.trial.Lost()
 	}
-	e.links = append(e.links, k)
+	srv.links = append(srv.links, k)
 	return k
 }
 
-func (e *engine) readyLink() *link {
-	for _, k := range e.links {
-		if k.ready && !k.past && k.h.CanOpen() {
+func (srv *grpcServer) readyLink() *serverConn {
+	for _, k := range srv.links {
+		if k.ready && !k.retired && k.http2.CanOpen() {
 			return k
 		}
 	}
 	return nil
 }
 
-// owed is something to be let go of that found no connection.
-type owed struct {
-	job  policy.RequestID
-	shot policy.AttemptNumber
+// pendingRelease is something to be released that found no connection.
+type pendingRelease struct {
+	request policy.RequestID
+	attempt policy.AttemptNumber
 }
 
-// letGo has what a launch left at the engine let go: now, or as soon as there is a connection.
-func (e *engine) letGo(now loop.Nanos, on *link, id policy.RequestID, shot policy.AttemptNumber) {
-	e.d.Counts.Releases++
-	e.letGoBy(now, on, id, shot)
+// release has what a attempt left at the engine released: now, or as soon as there is a connection.
+func (srv *grpcServer) release(now loop.Nanos, on *serverConn, id policy.RequestID, attempt policy.AttemptNumber) {
+	srv.d.Counts.Releases++
+	srv.releaseBy(now, on, id, attempt)
 }
 
-// letGoBy sends a release by a connection that is fit, or remembers it until there is one.
-func (e *engine) letGoBy(now loop.Nanos, on *link, id policy.RequestID, shot policy.AttemptNumber) {
-	if on == nil || on.gone || on.past || !on.h.CanOpen() { // the launch's own keeps the order
-		on = e.readyLink()
+// releaseBy sends a release by a connection that is fit, or remembers it until there is one.
+func (srv *grpcServer) releaseBy(now loop.Nanos, on *serverConn, id policy.RequestID, attempt policy.AttemptNumber) {
+	if on == nil || on.gone || on.retired || !on.http2.CanOpen() { // the attempt's own keeps the order
+		on = srv.readyLink()
 	}
 	if on != nil {
-		on.sendRelease(id, shot)
+		on.sendRelease(id, attempt)
 		return
 	}
-	if !links.MayOwe(len(e.owed)) || e.linkFor(now) == nil {
-		e.d.Counts.ReleasesLost++
+	if !links.MayOwe(len(srv.releases)) || srv.linkFor(now) == nil {
+		srv.d.Counts.ReleasesLost++
 		return
 	}
-	e.owed = append(e.owed, owed{id, shot})
+	srv.releases = append(srv.releases, pendingRelease{id, attempt})
 }
 
-// unqueue ends launches that wait for a connection: the host drains, and by the time the connection is made it
+// dropQueued ends attempts that wait for a connection: the server drains, and by the time the connection is made it
 // may be too late to send them.
-func (e *engine) unqueue(now loop.Nanos) {
-	for _, k := range e.links {
+func (srv *grpcServer) dropQueued(now loop.Nanos) {
+	for _, k := range srv.links {
 		queue := k.queue
 		k.queue = nil
 		for _, id := range queue {
-			if j := e.d.jobs.Find(id); j != nil && j.rpc.on == k && j.rpc.stream == nil {
-				e.d.ended(now, j, policy.NotSent, false, policy.NoLoad)
-				e.d.settle(j)
+			if req := srv.d.requests.Find(id); req != nil && req.grpcAttempt.conn == k && req.grpcAttempt.stream == nil {
+				srv.d.attemptEnded(now, req, policy.NotSent, false, policy.NoLoad)
+				srv.d.dropIfDone(req)
 			}
 		}
 	}
 }
 
-// link is one connection to an engine.
-type link struct {
-	d      *Dispatcher
-	e      *engine
-	lc     *loop.Conn
-	h      *h2.Conn
-	ready  bool
-	gone   bool
-	spare  bool // it was closed because nothing needed it
-	past   bool // its engine has moved: no more launches
-	dirty  bool
-	out    int
-	wired  int                // launches that were sent, of those out
-	queue  []policy.RequestID // launches that wait for the connection, or for the engine's trial
-	now    loop.Nanos
-	heard  loop.Nanos
-	asked  loop.Nanos
-	asks   int
-	used   loop.Nanos
-	sent   loop.Nanos
-	timer  loop.Timer
-	onKeep func(loop.Nanos)
-}
-
-func (k *link) facts() links.Link {
-	return links.Link{Ready: k.ready && !k.past && k.h.CanOpen(), Making: !k.ready && !k.gone && !k.past, Out: k.out, Heard: k.heard,
-		Asked: k.asked, Asks: k.asks, Used: k.used, Sent: k.sent}
-}
-
-func (k *link) touch() {
+// serverConn is one connection to an engine.
+type serverConn struct {
+	d        *Dispatcher
+	server   *grpcServer
+	conn     *loop.Conn
+	http2    *h2.Conn
+	ready    bool
+	gone     bool
+	spare    bool // it was closed because nothing needed it
+	retired  bool // its engine has moved: no more attempts
+	dirty    bool
+	streams  int
+	wired    int                // attempts that were sent, of those out
+	queue    []policy.RequestID // attempts that wait for the connection, or for the engine's trial
+	now      loop.Nanos
+	heardAt  loop.Nanos
+	pingedAt loop.Nanos
+	pings    int
+	usedAt   loop.Nanos
+	sentAt   loop.Nanos
+	timer    loop.Timer
+	onKeep   func(loop.Nanos)
+}
+
+func (k *serverConn) facts() links.Link {
+	return links.Link{Ready: k.ready && !k.retired && k.http2.CanOpen(), Making: !k.ready && !k.gone && !k.retired, Out: k.streams, Heard: k.heardAt,
+		Asked: k.pingedAt, Asks: k.pings, Used: k.usedAt, Sent: k.sentAt}
+}
+
+func (k *serverConn) touch() {
 	if !k.dirty && !k.gone {
 		k.dirty = true
-		k.e.x.dirty = append(k.e.x.dirty, k)
+		k.server.exit.dirty = append(k.server.exit.dirty, k)
 	}
 }
 
-func (k *link) flush() {
+func (k *serverConn) flush() {
 	if k.gone {
 		return
 	}
-	if k.ready && k.h.Waiting() {
-		k.lc.Write(k.h.Take())
+	if k.ready && k.http2.Waiting() {
+		k.conn.Write(k.http2.Take())
 	}
-	if k.h.Over() != nil {
-		k.lc.CloseSoon()
-	} else if k.lc.Queued() > busyOutput {
-		k.h.Congested(true)
+	if k.http2.Over() != nil {
+		k.conn.CloseSoon()
+	} else if k.conn.Queued() > busyOutput {
+		k.http2.Congested(true)
 	}
 }
 
 // keep has the connection judged.
-func (k *link) keep(now loop.Nanos) {
+func (k *serverConn) keep(now loop.Nanos) {
 	if k.gone {
 		return
 	}
-	verdict, again := k.e.x.keeper.Judge(now, k.facts())
+	verdict, again := k.server.exit.keeper.Judge(now, k.facts())
 	switch verdict {
 	case links.Ask:
 		k.d.Counts.Pings++
-		k.asked = now
-		k.asks++
-		k.h.Ping()
+		k.pingedAt = now
+		k.pings++
+		k.http2.Ping()
 		k.touch()
 	case links.Dead:
-		k.d.Counts.DeadLinks++
-		k.d.log.Warn("engine does not answer a ping", "host", k.e.id, "launches", k.out)
-		k.lc.Close()
+		k.d.Counts.DeadConnections++
+		k.d.log.Warn("engine does not answer a ping", "server", k.server.id, "attempts", k.streams)
+		k.conn.Close()
 		return
 	case links.Spare:
 		k.spare = true
-		k.lc.Close()
+		k.conn.Close()
 		return
 	}
-	k.d.l.At(&k.timer, again, k.onKeep)
+	k.d.loop.At(&k.timer, again, k.onKeep)
 }
 
 // ---- What the loop tells.
 
-func (k *link) Opened(now loop.Nanos) {
-	k.now, k.ready, k.heard = now, true, now
-	k.e.pump(now)
+func (k *serverConn) Opened(now loop.Nanos) {
+	k.now, k.ready, k.heardAt = now, true, now
+	k.server.sendQueued(now)
 	for _, id := range k.queue {
-		if j := k.d.jobs.Find(id); j != nil && j.rpc.on == k && j.rpc.stream == nil {
-			j.rpc.wait(now)
+		if req := k.d.requests.Find(id); req != nil && req.grpcAttempt.conn == k && req.grpcAttempt.stream == nil {
+			req.grpcAttempt.wait(now)
 		}
 	}
-	for _, o := range k.e.owed {
-		if k.h.CanOpen() {
-			k.sendRelease(o.job, o.shot)
+	for _, o := range k.server.releases {
+		if k.http2.CanOpen() {
+			k.sendRelease(o.request, o.attempt)
 		}
 	}
-	k.e.owed = k.e.owed[:0]
+	k.server.releases = k.server.releases[:0]
 	k.touch()
-	k.d.l.At(&k.timer, now+k.e.x.keeper.Expected, k.onKeep)
+	k.d.loop.At(&k.timer, now+k.server.exit.keeper.Expected, k.onKeep)
 }
 
-func (k *link) Data(now loop.Nanos, p []byte) {
-	k.now, k.heard = now, now
-	k.h.Feed(now, p)
+func (k *serverConn) Data(now loop.Nanos, p []byte) {
+	k.now, k.heardAt = now, now
+	k.http2.Feed(now, p)
 	k.touch()
 }
 
-func (k *link) PeerDone(loop.Nanos) { k.lc.Close() }
+func (k *serverConn) PeerDone(loop.Nanos) { k.conn.Close() }
 
-func (k *link) Drained(now loop.Nanos) {
+func (k *serverConn) Drained(now loop.Nanos) {
 	k.now = now
-	k.h.Congested(false)
+	k.http2.Congested(false)
 	k.flush()
 }
 
-func (k *link) Closed(now loop.Nanos, err error) {
+func (k *serverConn) Closed(now loop.Nanos, err error) {
 	k.now, k.gone = now, true
 	d := k.d
-	d.l.Cancel(&k.timer)
-	for i, other := range k.e.links {
+	d.loop.Cancel(&k.timer)
+	for i, other := range k.server.links {
 		if other == k {
-			k.e.links = append(k.e.links[:i], k.e.links[i+1:]...)
+			k.server.links = append(k.server.links[:i], k.server.links[i+1:]...)
 			break
 		}
 	}
-	k.e.lost = !k.spare && !k.past
+	k.server.lostConnection = !k.spare && !k.retired
 	if !k.ready {
-		d.log.Info("engine not reached", "host", k.e.id, "err", err)
-		d.Counts.ReleasesLost += uint64(len(k.e.owed)) // its process has ended, or lets go by its own time
-		k.e.owed = k.e.owed[:0]
+		d.log.Info("engine not reached", "server", k.server.id, "err", err)
+		d.Counts.ReleasesLost += uint64(len(k.server.releases)) // its process has ended, or lets go by its own time
+		k.server.releases = k.server.releases[:0]
 	}
 	queue := k.queue
 	k.queue = nil
 	for _, id := range queue { // none of them was sent
-		if j := d.jobs.Find(id); j != nil && j.rpc.on == k && j.rpc.stream == nil {
-			d.ended(now, j, policy.Unreachable, false, policy.NoLoad)
-			d.settle(j)
+		if req := d.requests.Find(id); req != nil && req.grpcAttempt.conn == k && req.grpcAttempt.stream == nil {
+			d.attemptEnded(now, req, policy.Unreachable, false, policy.NoLoad)
+			d.dropIfDone(req)
 		}
 	}
 	k.ready = false
-	k.h.Lost()
+	k.http2.Lost()
 }
 
 // ---- What is sent.
 
-// send opens the stream of a launch.
-func (k *link) send(now loop.Nanos, j *Job, shot policy.AttemptNumber) {
-	d, x := k.d, k.e.x
+// send opens the stream of a attempt.
+func (k *serverConn) send(now loop.Nanos, req *Request, attempt policy.AttemptNumber) {
+	d, x := k.d, k.server.exit
 	path, timeout := pathWrite, int64(0)
-	if j.Reads {
-		path, timeout = pathRead, max(j.Within-(now-j.Sent), 1)
+	if req.Prefill {
+		path, timeout = pathRead, max(req.Timeout-(now-req.SentAt), 1)
 	}
 	extra := [3]hpack.HeaderField{
-		{Name: "docksail-job", Value: d.name(j.ID), Sensitive: true},
-		{Name: "docksail-shot", Value: strconv.Itoa(int(shot))}}
+		{Name: "docksail-job", Value: d.requestName(req.ID), Sensitive: true},
+		{Name: "docksail-shot", Value: strconv.Itoa(int(attempt))}}
 	n := 2
-	if j.Trace != "" {
-		extra[2] = hpack.HeaderField{Name: "traceparent", Value: j.Trace, Sensitive: true}
+	if req.Trace != "" {
+		extra[2] = hpack.HeaderField{Name: "traceparent", Value: req.Trace, Sensitive: true}
 		n = 3
 	}
-	s := k.h.OpenStream(path, k.e.name, timeout, extra[:n]...)
+	s := k.http2.OpenStream(path, k.server.name, timeout, extra[:n]...)
 	b := x.scratch[:0]
 	b = protowire.AppendTag(b, 1, protowire.VarintType)
-	b = protowire.AppendVarint(b, d.life)
+	b = protowire.AppendVarint(b, d.incarnation)
 	b = protowire.AppendTag(b, 2, protowire.VarintType)
-	b = protowire.AppendVarint(b, uint64(j.ID))
+	b = protowire.AppendVarint(b, uint64(req.ID))
 	b = protowire.AppendTag(b, 3, protowire.VarintType)
-	b = protowire.AppendVarint(b, uint64(shot))
+	b = protowire.AppendVarint(b, uint64(attempt))
 	b = protowire.AppendTag(b, 4, protowire.BytesType)
-	b = protowire.AppendBytes(b, j.Raw)
-	if at, held := j.Held(); held && !j.Reads {
-		if e := k.e.x.by[at]; e != nil {
+	b = protowire.AppendBytes(b, req.Raw)
+	if at, held := req.StateHeld(); held && !req.Prefill {
+		if srv := k.server.exit.servers[at]; srv != nil {
 			b = protowire.AppendTag(b, 5, protowire.BytesType)
-			b = protowire.AppendString(b, e.name)
+			b = protowire.AppendString(b, srv.name)
 		}
 	}
 	b = protowire.AppendTag(b, 6, protowire.VarintType)
-	b = protowire.AppendVarint(b, uint64(max(j.Within-(now-j.Sent), 1)))
-	if j.Repeat > 0 {
+	b = protowire.AppendVarint(b, uint64(max(req.Timeout-(now-req.SentAt), 1)))
+	if req.Repeat > 0 {
 		b = protowire.AppendTag(b, 7, protowire.VarintType)
-		b = protowire.AppendVarint(b, uint64(j.Repeat))
+		b = protowire.AppendVarint(b, uint64(req.Repeat))
 	}
 	x.scratch = b
-	s.Ref = uint64(j.ID)
+	s.Ref = uint64(req.ID)
 	s.Send(b, true)
-	j.rpc.stream, j.rpc.wired = s, true
-	d.l.At(&j.timer, max(j.Sent+j.Within, now+1), j.onTimer)
+	req.grpcAttempt.stream, req.grpcAttempt.onWire = s, true
+	d.loop.At(&req.timer, max(req.SentAt+req.Timeout, now+1), req.onTimer)
 	k.wired++
 	k.touch()
 }
 
-// sendRelease lets go of what a host holds. If it is lost with its connection it is sent again by another, as long as
+// sendRelease releases what a server holds. If it is lost with its connection it is sent again by another, as long as
 // the engine can be reached.
-func (k *link) sendRelease(id policy.RequestID, shot policy.AttemptNumber) {
-	s := k.h.OpenStream(pathRelease, k.e.name, k.e.x.keeper.Expected)
-	b := k.e.x.scratch[:0]
+func (k *serverConn) sendRelease(id policy.RequestID, attempt policy.AttemptNumber) {
+	s := k.http2.OpenStream(pathRelease, k.server.name, k.server.exit.keeper.Expected)
+	b := k.server.exit.scratch[:0]
 	b = protowire.AppendTag(b, 1, protowire.VarintType)
-	b = protowire.AppendVarint(b, k.d.life)
+	b = protowire.AppendVarint(b, k.d.incarnation)
 	b = protowire.AppendTag(b, 2, protowire.VarintType)
 	b = protowire.AppendVarint(b, uint64(id))
 	b = protowire.AppendTag(b, 3, protowire.VarintType)
-	b = protowire.AppendVarint(b, uint64(shot))
-	k.e.x.scratch = b
-	s.Tag = owed{id, shot}
+	b = protowire.AppendVarint(b, uint64(attempt))
+	k.server.exit.scratch = b
+	s.Tag = pendingRelease{id, attempt}
 	s.Send(b, true)
 	k.touch()
 }
 
 // ---- What HTTP/2 tells.
 
-// job of a stream, if the stream is still its launch.
-func (k *link) job(s *h2.Stream) *Job {
+// request of a stream, if the stream is still its attempt.
+func (k *serverConn) job(s *h2.Stream) *Request {
 	if s.Ref == 0 {
 		return nil
 	}
-	if j := k.d.jobs.Find(policy.RequestID(s.Ref)); j != nil && j.rpc.stream == s {
-		return j
+	if req := k.d.requests.Find(policy.RequestID(s.Ref)); req != nil && req.grpcAttempt.stream == s {
+		return req
 	}
 	return nil
 }
 
-func (k *link) Headers(*h2.Stream, *h2.Header) { k.asks = 0 }
+func (k *serverConn) Headers(*h2.Stream, *h2.Header) { k.pings = 0 }
 
-func (k *link) Message(s *h2.Stream, p []byte) bool {
-	k.asks = 0
-	j := k.job(s)
-	if j == nil || j.Reads {
+func (k *serverConn) Message(s *h2.Stream, p []byte) bool {
+	k.pings = 0
+	req := k.job(s)
+	if req == nil || req.Prefill {
 		return false
 	}
-	if !j.Answered() && !j.Begun() {
-		k.e.trial.Heard()
-		k.e.pump(k.now)
+	if !req.Answered() && !req.Streaming() {
+		k.server.trial.Heard()
+		k.server.sendQueued(k.now)
 	}
-	return k.d.Tokens(k.now, j, p, len(p)+5)
+	return k.d.Tokens(k.now, req, p, len(p)+5)
 }
 
-func (k *link) HalfClosed(*h2.Stream) {}
+func (k *serverConn) HalfClosed(*h2.Stream) {}
 
-func (k *link) Finished(s *h2.Stream, code codes.Code, _ string, trailer *h2.Header) {
-	k.asks = 0
-	j := k.job(s)
-	if j == nil {
+func (k *serverConn) Finished(s *h2.Stream, code codes.Code, _ string, trailer *h2.Header) {
+	k.pings = 0
+	req := k.job(s)
+	if req == nil {
 		return
 	}
 	s.Ref = 0
-	j.rpc.stream = nil // it is over by itself
-	_, held := j.Held()
-	how := policy.Failed
+	req.grpcAttempt.stream = nil // it is over by itself
+	_, held := req.StateHeld()
+	outcome := policy.Failed
 	switch {
-	case code == codes.OK && j.Reads:
-		how = policy.Read
-		k.e.trial.Heard()
+	case code == codes.OK && req.Prefill:
+		outcome = policy.Read
+		k.server.trial.Heard()
 	case code == codes.OK:
-		how = policy.Served
-	case j.Begun():
-		how = policy.Broken
+		outcome = policy.Served
+	case req.Streaming():
+		outcome = policy.Broken
 	case code == codes.ResourceExhausted:
-		how = policy.Rejected
+		outcome = policy.Rejected
 	case code == codes.FailedPrecondition && held:
-		how = policy.Stateless
+		outcome = policy.Stateless
 	case code == codes.DeadlineExceeded:
-		how = policy.Late
+		outcome = policy.Late
 	}
-	k.d.Finish(k.now, j, how, ": "+code.String(), k.e.x.load(trailer))
+	k.d.Finish(k.now, req, outcome, ": "+code.String(), k.server.exit.load(trailer))
 	k.touch()
 }
 
-func (k *link) Reset(s *h2.Stream, _ http2.ErrCode, refused bool) {
-	if o, ok := s.Tag.(owed); ok && k.gone {
+func (k *serverConn) Reset(s *h2.Stream, _ http2.ErrCode, refused bool) {
+	if o, ok := s.Tag.(pendingRelease); ok && k.gone {
 		s.Tag = nil
-		k.e.letGoBy(k.now, nil, o.job, o.shot)
+		k.server.releaseBy(k.now, nil, o.request, o.attempt)
 		return
 	}
-	j := k.job(s)
-	if j == nil {
+	req := k.job(s)
+	if req == nil {
 		return
 	}
 	s.Ref = 0
-	j.rpc.stream = nil
-	how := policy.Broken
+	req.grpcAttempt.stream = nil
+	outcome := policy.Broken
 	if refused { // nothing was done for it
-		how = policy.Rejected
+		outcome = policy.Rejected
 	}
-	k.d.Finish(k.now, j, how, "", policy.NoLoad)
+	k.d.Finish(k.now, req, outcome, "", policy.NoLoad)
 }
 
-func (k *link) Room(*h2.Stream) {}
+func (k *serverConn) Room(*h2.Stream) {}
 
 // GoingAway: the engine wants no more on this connection; what runs on it ends there.
-func (k *link) GoingAway() { k.touch() }
+func (k *serverConn) GoingAway() { k.touch() }
 
-func (k *link) Pong() {}
+func (k *serverConn) Pong() {}
 
 // load reads an ORCA report from a trailer; one that is too old counts as none.
-func (x *engines) load(trailer *h2.Header) policy.Load {
+func (x *grpcExit) load(trailer *h2.Header) policy.Load {
 	text := trailer.Get("endpoint-load-metrics-bin")
 	if text == "" {
 		return policy.NoLoad
--- a/internal/dispatch/lister.go
+++ b/internal/dispatch/lister.go
@@ -19,48 +19,48 @@
 	"docksail/policy"
 )
 
-// lister follows the list of engines: a watch on a lister, or a file.
-type lister struct {
-	d      *Dispatcher
-	x      *engines
-	addr   netip.AddrPort
-	file   string
-	keepAt string // file that keeps the list for the next start
-	every  int64
-	lc     *loop.Conn
-	h      *h2.Conn
-	now    loop.Nanos
-	open   bool
-	heard  loop.Nanos
-	asked  loop.Nanos
-	asks   int
-	timer  loop.Timer
-	stamp  time.Time
-	keeps  chan []byte
+// listWatch follows the list of engines: a watch on a lister, or a file.
+type listWatch struct {
+	d        *Dispatcher
+	exit     *grpcExit
+	addr     netip.AddrPort
+	file     string
+	savePath string // file that keeps the list for the next start
+	every    int64
+	conn     *loop.Conn
+	http2    *h2.Conn
+	now      loop.Nanos
+	open     bool
+	heardAt  loop.Nanos
+	pingedAt loop.Nanos
+	pings    int
+	timer    loop.Timer
+	stamp    time.Time
+	saves    chan []byte
 }
 
-func (w *lister) init(x *engines, s setup.Fleet) {
-	*w = lister{d: x.d, x: x, addr: s.Watch, file: s.File, keepAt: s.Keep, every: int64(s.Retry) / 8}
+func (w *listWatch) init(x *grpcExit, s setup.Fleet) {
+	*w = listWatch{d: x.d, exit: x, addr: s.Watch, file: s.File, savePath: s.Keep, every: int64(s.Retry) / 8}
 }
 
-func (w *lister) start() {
-	if w.keepAt != "" {
-		told, err := w.x.list.Load(w.keepAt)
+func (w *listWatch) start() {
+	if w.savePath != "" {
+		told, err := w.exit.list.Load(w.savePath)
 		switch {
 		case err == nil:
-			w.d.log.Info("list of engines as it was kept", "hosts", len(told), "version", w.x.list.Version())
-			w.tell(w.d.l.Now(), true, told)
+			w.d.log.Info("list of engines as it was kept", "servers", len(told), "version", w.exit.list.Version())
+			w.update(w.d.loop.Now(), true, told)
 		case !errors.Is(err, os.ErrNotExist):
 			w.d.log.Warn("kept list of engines not used", "err", err)
 		}
-		w.keeps = make(chan []byte, 1)
-		go keepList(w.keepAt, w.keeps, w.d)
+		w.saves = make(chan []byte, 1)
+		go keepList(w.savePath, w.saves, w.d)
 	}
 	if w.file != "" {
-		w.poll(w.d.l.Now())
+		w.poll(w.d.loop.Now())
 		return
 	}
-	w.watch(w.d.l.Now())
+	w.watch(w.d.loop.Now())
 }
 
 // keepList writes lists beside the loop; of several that wait only the newest counts.
@@ -72,150 +72,150 @@
 	}
 }
 
-func (w *lister) keep() {
-	if w.keeps == nil {
+func (w *listWatch) keep() {
+	if w.saves == nil {
 		return
 	}
-	b := w.x.list.Encode()
+	b := w.exit.list.Encode()
 	select {
-	case w.keeps <- b:
+	case w.saves <- b:
 	default:
 		select { // make room: an older list need not be written any more
-		case <-w.keeps:
+		case <-w.saves:
 		default:
 		}
 		select {
-		case w.keeps <- b:
+		case w.saves <- b:
 		default:
 		}
 	}
 }
 
-// tell hands news to the module.
-func (w *lister) tell(now loop.Nanos, full bool, told []fleet.Host) {
+// update hands news to the module.
+func (w *listWatch) update(now loop.Nanos, full bool, told []fleet.Host) {
 	d := w.d
 	if full {
-		told = w.x.list.Hosts() // the module forgets what a full list does not name
+		told = w.exit.list.Hosts() // the module forgets what a full list does not name
 	}
-	d.Listed(now, full, len(told) > 0, func(mod Module) { w.hosts(now, mod, told) })
+	d.ListUpdated(now, full, len(told) > 0, func(module Module) { w.hosts(now, module, told) })
 }
 
-func (w *lister) hosts(now loop.Nanos, mod Module, told []fleet.Host) {
+func (w *listWatch) hosts(now loop.Nanos, module Module, told []fleet.Host) {
 	d := w.d
 	for _, h := range told {
-		e := w.x.by[h.ID]
-		if e == nil {
-			e = &engine{d: d, x: w.x, id: h.ID}
-			w.x.by[h.ID] = e
+		srv := w.exit.servers[h.ID]
+		if srv == nil {
+			srv = &grpcServer{d: d, exit: w.exit, id: h.ID}
+			w.exit.servers[h.ID] = srv
 		}
-		e.role = h.Role
-		if e.addr != h.Address {
-			e.addr, e.name = h.Address, h.Address.String()
-			for _, k := range e.links { // it has moved: what runs there ends there
-				k.past = true
+		srv.role = h.Role
+		if srv.addr != h.Address {
+			srv.addr, srv.name = h.Address, h.Address.String()
+			for _, k := range srv.links { // it has moved: what runs there ends there
+				k.retired = true
 			}
 		}
-		if h.Health != policy.Serving || e.trial.On() { // the module decides anew, by what it knows now
-			e.unqueue(now)
+		if h.Health != policy.Serving || srv.trial.On() { // the module decides anew, by what it knows now
+			srv.dropQueued(now)
 		}
-		e.trial.Listed()
+		srv.trial.Listed()
 		started := policy.Nanos(0)
 		if h.Started > 0 {
 			started = min(policy.Nanos(h.Started), d.Time(now)) // a clock ahead of ours
 		}
-		mod.ServerListed(h.ID, w.x.list.Zone(h.Zone), policy.KindID(h.Role), w.x.list.Cell(h.Zone, h.Cell), h.Health, started)
-		d.log.Info("host", "id", h.ID, "at", h.Address, "role", int(h.Role), "health", int(h.Health))
+		module.ServerListed(h.ID, w.exit.list.Zone(h.Zone), policy.KindID(h.Role), w.exit.list.Cell(h.Zone, h.Cell), h.Health, started)
+		d.log.Info("server", "id", h.ID, "at", h.Address, "role", int(h.Role), "health", int(h.Health))
 	}
 }
 
-func (w *lister) take(now loop.Nanos, version uint64, full bool, hosts []fleet.Host) error {
-	told, err := w.x.list.Take(version, full, hosts)
+func (w *listWatch) take(now loop.Nanos, version uint64, full bool, hosts []fleet.Host) error {
+	told, err := w.exit.list.Take(version, full, hosts)
 	if err != nil {
 		return err
 	}
 	if full || len(told) > 0 {
-		w.tell(now, full, told)
+		w.update(now, full, told)
 		w.keep()
 	}
 	return nil
 }
 
 // watch opens the watch on the lister; losing it is told to the module, which asks for it again.
-func (w *lister) watch(now loop.Nanos) {
-	if w.file != "" || w.lc != nil {
+func (w *listWatch) watch(now loop.Nanos) {
+	if w.file != "" || w.conn != nil {
 		return
 	}
-	w.h = h2.NewClient(w.x.lim, w)
-	lc, err := w.d.l.Dial(w.addr, w.x.connect, w)
+	w.http2 = h2.NewClient(w.exit.lim, w)
+	lc, err := w.d.loop.Dial(w.addr, w.exit.connect, w)
 	if err != nil {
 		w.d.log.Warn("lister", "err", err)
-		w.d.ListLost(now)
+		w.d.ListFailed(now)
 		return
 	}
-	w.lc = lc
+	w.conn = lc
 }
 
 // lost tells that the list is as it was some time ago.
-func (w *lister) lost() bool { return w.file == "" && !w.open }
+func (w *listWatch) lost() bool { return w.file == "" && !w.open }
 
-func (w *lister) Opened(now loop.Nanos) {
-	w.now, w.heard, w.asked, w.asks, w.open = now, now, 0, 0, true
-	s := w.h.OpenStream(pathWatch, w.addr.String(), 0)
+func (w *listWatch) Opened(now loop.Nanos) {
+	w.now, w.heardAt, w.pingedAt, w.pings, w.open = now, now, 0, 0, true
+	s := w.http2.OpenStream(pathWatch, w.addr.String(), 0)
 	b, err := proto.Marshal(&pb.WatchRequest{})
 	if err != nil {
 		panic(err)
 	}
 	s.Send(b, true)
-	w.lc.Write(w.h.Take())
-	w.d.l.At(&w.timer, now+w.every, w.keepWatch)
+	w.conn.Write(w.http2.Take())
+	w.d.loop.At(&w.timer, now+w.every, w.keepWatch)
 }
 
 // keepWatch pings a lister that is silent: on a half-open connection news would never come.
-func (w *lister) keepWatch(now loop.Nanos) {
-	if w.lc == nil {
+func (w *listWatch) keepWatch(now loop.Nanos) {
+	if w.conn == nil {
 		return
 	}
-	verdict, again := links.Keeper{Expected: w.every}.Judge(now, links.Link{Ready: true, Out: 1, Heard: w.heard,
-		Asked: w.asked, Asks: w.asks})
+	verdict, again := links.Keeper{Expected: w.every}.Judge(now, links.Link{Ready: true, Out: 1, Heard: w.heardAt,
+		Asked: w.pingedAt, Asks: w.pings})
 	switch verdict {
 	case links.Ask:
-		w.asked = now
-		w.asks++
-		w.h.Ping()
-		w.lc.Write(w.h.Take())
+		w.pingedAt = now
+		w.pings++
+		w.http2.Ping()
+		w.conn.Write(w.http2.Take())
 	case links.Dead:
 		w.d.log.Warn("lister does not answer a ping")
-		w.lc.Close()
+		w.conn.Close()
 		return
 	}
-	w.d.l.At(&w.timer, again, w.keepWatch)
+	w.d.loop.At(&w.timer, again, w.keepWatch)
 }
 
-func (w *lister) Data(now loop.Nanos, p []byte) {
-	w.now, w.heard = now, now
-	w.h.Feed(now, p)
-	w.lc.Write(w.h.Take())
-	if w.h.Over() != nil {
-		w.lc.CloseSoon()
+func (w *listWatch) Data(now loop.Nanos, p []byte) {
+	w.now, w.heardAt = now, now
+	w.http2.Feed(now, p)
+	w.conn.Write(w.http2.Take())
+	if w.http2.Over() != nil {
+		w.conn.CloseSoon()
 	}
 }
 
-func (w *lister) PeerDone(loop.Nanos) { w.lc.Close() }
-func (w *lister) Drained(loop.Nanos)  {}
+func (w *listWatch) PeerDone(loop.Nanos) { w.conn.Close() }
+func (w *listWatch) Drained(loop.Nanos)  {}
 
-func (w *lister) Closed(now loop.Nanos, err error) {
-	w.d.l.Cancel(&w.timer)
+func (w *listWatch) Closed(now loop.Nanos, err error) {
+	w.d.loop.Cancel(&w.timer)
 	if w.open {
 		w.d.log.Warn("lister lost", "err", err)
 	}
-	w.lc, w.h, w.open = nil, nil, false
-	w.d.ListLost(now)
+	w.conn, w.http2, w.open = nil, nil, false
+	w.d.ListFailed(now)
 }
 
-func (w *lister) Headers(*h2.Stream, *h2.Header) {}
+func (w *listWatch) Headers(*h2.Stream, *h2.Header) {}
 
-func (w *lister) Message(s *h2.Stream, p []byte) bool {
-	w.asks = 0
+func (w *listWatch) Message(s *h2.Stream, p []byte) bool {
+	w.pings = 0
 	var news pb.FleetNews
 	err := proto.Unmarshal(p, &news)
 	if err == nil {
@@ -226,7 +226,7 @@
 	}
 	if err != nil { // a new watch begins with the whole list
 		w.d.log.Warn("news of the list not taken", "version", news.Version, "err", err)
-		w.lc.Close()
+		w.conn.Close()
 	}
 	return false
 }
@@ -245,9 +245,9 @@
 		addr, err := netip.ParseAddrPort(h.Address)
 		switch {
 		case !ok:
-			return nil, errors.New("host " + h.Address + " has no role")
+			return nil, errors.New("server " + h.Address + " has no role")
 		case !ok2:
-			return nil, errors.New("host " + h.Address + " has no health")
+			return nil, errors.New("server " + h.Address + " has no health")
 		case err != nil:
 			return nil, err
 		}
@@ -257,38 +257,38 @@
 	return hosts, nil
 }
 
-func (w *lister) HalfClosed(*h2.Stream) {}
-func (w *lister) Finished(_ *h2.Stream, code codes.Code, message string, _ *h2.Header) {
+func (w *listWatch) HalfClosed(*h2.Stream) {}
+func (w *listWatch) Finished(_ *h2.Stream, code codes.Code, message string, _ *h2.Header) {
 	w.d.log.Warn("lister ended the watch", "code", code.String(), "message", message)
-	w.lc.Close()
+	w.conn.Close()
 }
-func (w *lister) Reset(*h2.Stream, http2.ErrCode, bool) {
-	if w.lc != nil {
-		w.lc.Close()
+func (w *listWatch) Reset(*h2.Stream, http2.ErrCode, bool) {
+	if w.conn != nil {
+		w.conn.Close()
 	}
 }
-func (w *lister) Room(*h2.Stream) {}
-func (w *lister) GoingAway()      {}
-func (w *lister) Pong()           {}
+func (w *listWatch) Room(*h2.Stream) {}
+func (w *listWatch) GoingAway()      {}
+func (w *listWatch) Pong()           {}
 
 // poll reads the file again when it has changed, beside the loop.
-func (w *lister) poll(now loop.Nanos) {
+func (w *listWatch) poll(now loop.Nanos) {
 	name, stamp := w.file, w.stamp
 	go func() {
 		hosts, at, err := readHosts(name, stamp)
-		w.d.l.Post(func() {
+		w.d.loop.Post(func() {
 			switch {
 			case err != nil:
 				w.d.log.Warn("list of engines not read", "err", err)
 			case at != w.stamp:
 				w.stamp = at
-				if err := w.take(w.d.l.Now(), w.x.list.Version()+1, true, hosts); err != nil {
+				if err := w.take(w.d.loop.Now(), w.exit.list.Version()+1, true, hosts); err != nil {
 					w.d.log.Warn("list of engines not taken", "file", name, "err", err)
 				}
 			}
 		})
 	}()
-	w.d.l.At(&w.timer, now+w.every, w.poll)
+	w.d.loop.At(&w.timer, now+w.every, w.poll)
 }
 
 // readHosts reads a list of engines from a file, unless it is as old as was read before.
@@ -308,9 +308,9 @@
 	return hosts, info.ModTime(), nil
 }
 
-// close ends the writer of kept lists; the loop must have ended.
-func (w *lister) close() {
-	if w.keeps != nil {
-		close(w.keeps)
+// close ends the decode server of kept lists; the loop must have ended.
+func (w *listWatch) close() {
+	if w.saves != nil {
+		close(w.saves)
 	}
 }
--- a/internal/dispatch/overdue_test.go
+++ b/internal/dispatch/overdue_test.go
@@ -10,7 +10,7 @@
 	"docksail/policy"
 )
 
-// deafModule decides what it is given to decide and nothing else: it forgets every job.
+// deafModule decides what it is given to decide and nothing else: it forgets every request.
 type deafModule struct {
 	Module
 	decisions []policy.Decision
@@ -23,8 +23,8 @@
 	m.arrived = append(m.arrived, given)
 }
 func (m *deafModule) Woken(policy.Nanos) {}
-func (m *deafModule) AttemptEnded(_ policy.Nanos, _ policy.RequestID, _ policy.AttemptNumber, how policy.Outcome, _ policy.Nanos, _ bool, _ policy.Load) {
-	m.ended = append(m.ended, how)
+func (m *deafModule) AttemptEnded(_ policy.Nanos, _ policy.RequestID, _ policy.AttemptNumber, outcome policy.Outcome, _ policy.Nanos, _ bool, _ policy.Load) {
+	m.ended = append(m.ended, outcome)
 }
 func (m *deafModule) ClientLeft(policy.Nanos, policy.RequestID) { m.left++ }
 func (m *deafModule) HeldSince(policy.Nanos, policy.RequestID, policy.Nanos) {
@@ -49,32 +49,32 @@
 
 type silentExit struct{ closed int }
 
-func (*silentExit) Start(loop.Nanos)                                              {}
-func (*silentExit) Watch(loop.Nanos)                                              {}
-func (*silentExit) Reads(policy.ServerID) (reads, known bool)                     { return false, true }
-func (x *silentExit) Launch(loop.Nanos, *Job, policy.AttemptNumber) Sent          { return x }
-func (*silentExit) LetGo(loop.Nanos, *Job, policy.ServerID, policy.AttemptNumber) {}
-func (*silentExit) Flush()                                                        {}
-func (*silentExit) Idle() bool                                                    { return true }
-func (*silentExit) Close()                                                        {}
-func (x *silentExit) End(loop.Nanos) bool                                         { x.closed++; return true }
-func (*silentExit) Over(loop.Nanos)                                               {}
-func (*silentExit) Credit(int)                                                    {}
-func (*silentExit) Stage() Stage                                                  { return Wired }
-func (*silentExit) Reached() bool                                                 { return true }
+func (*silentExit) Start(loop.Nanos)                                                    {}
+func (*silentExit) Watch(loop.Nanos)                                                    {}
+func (*silentExit) IsPrefill(policy.ServerID) (reads, known bool)                       { return false, true }
+func (x *silentExit) Send(loop.Nanos, *Request, policy.AttemptNumber) Attempt           { return x }
+func (*silentExit) Release(loop.Nanos, *Request, policy.ServerID, policy.AttemptNumber) {}
+func (*silentExit) Flush()                                                              {}
+func (*silentExit) Idle() bool                                                          { return true }
+func (*silentExit) Close()                                                              {}
+func (x *silentExit) End(loop.Nanos) bool                                               { x.closed++; return true }
+func (*silentExit) Ended(loop.Nanos)                                                    {}
+func (*silentExit) Credit(int)                                                          {}
+func (*silentExit) Stage() Stage                                                        { return OnWire }
+func (*silentExit) Reached() bool                                                       { return true }
 
 // answers counts what a client was told.
 type answers struct{ nacked, abandoned int }
 
-func (*answers) Tokens(policy.RequestID, []byte) bool   { return false }
-func (*answers) Honour(policy.RequestID)                {}
-func (a *answers) Abandon(policy.RequestID, string)     { a.abandoned++ }
-func (a *answers) Nack(policy.RequestID, front.Refusal) { a.nacked++ }
+func (*answers) Tokens(policy.RequestID, []byte) bool     { return false }
+func (*answers) Served(policy.RequestID)                  {}
+func (a *answers) Fail(policy.RequestID, string)          { a.abandoned++ }
+func (a *answers) Reject(policy.RequestID, front.Refusal) { a.nacked++ }
 
-// A job that the module forgets has its final answer by the dispatcher's own deadline, within half a second of its client's;
+// A request that the module forgets has its final answer by the dispatcher's own deadline, within half a second of its client's;
 // the attempt that is out is closed.
 func TestForgottenJobIsAnswered(t *testing.T) {
-	for what, c := range map[string]struct {
+	for decision, c := range map[string]struct {
 		launched, redoable bool
 		want               answers
 	}{
@@ -83,30 +83,30 @@
 		"out, not to be redone":  {launched: true, want: answers{abandoned: 1}},
 		"never sent, not redone": {want: answers{nacked: 1}},
 	} {
-		t.Run(what, func(t *testing.T) {
+		t.Run(decision, func(t *testing.T) {
 			l, err := loop.New()
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer l.Close()
-			track := policy.Class{Target: 1e9, Timeout: 5e9}
+			class := policy.Class{Target: 1e9, Timeout: 5e9}
 			if !c.redoable {
-				track.Effect = policy.NonIdempotent
+				class.Effect = policy.NonIdempotent
 			}
-			mod, out, told := &deafModule{}, &silentExit{}, &answers{}
-			d, err := Direct(l, slog.New(slog.DiscardHandler), mod, []string{"a"}, []policy.Class{track}, nil, 10, 1000, 0, 0, 1)
+			module, out, told := &deafModule{}, &silentExit{}, &answers{}
+			d, err := Direct(l, slog.New(slog.DiscardHandler), module, []string{"a"}, []policy.Class{class}, nil, 10, 1000, 0, 0, 1)
 			if err != nil {
 				t.Fatal(err)
 			}
 			d.gate.Known = true
-			d.Ends(noEntry{}, out)
+			d.Attach(noEntry{}, out)
 			const left = 200e6
-			id, err := d.Arrive(l.Now(), told, &front.Request{Track: []byte("a"), Prompt: 10, Patience: left})
+			id, err := d.Arrive(l.Now(), told, &front.Request{Class: []byte("a"), Prompt: 10, WaitLimit: left})
 			if err != nil {
 				t.Fatal(err)
 			}
 			if c.launched {
-				mod.decisions = []policy.Decision{{Verb: policy.Attempt, Request: id, Server: 1, For: 1e12}}
+				module.decisions = []policy.Decision{{Verb: policy.Attempt, Request: id, Server: 1, For: 1e12}}
 			}
 			d.Round(l.Now())
 			var answered loop.Nanos
@@ -121,40 +121,40 @@
 			if *told != c.want || answered < left || answered > left+500e6 {
 				t.Errorf("%+v after %d ms, want %+v after 200 to 700 ms", *told, answered/1e6, c.want)
 			}
-			if d.Counts.Overdue != 1 || mod.left != 1 || d.jobs.Len() != 0 {
-				t.Errorf("counted %d, module told %d times, %d in hand", d.Counts.Overdue, mod.left, d.jobs.Len())
+			if d.Counts.Overdue != 1 || module.left != 1 || d.requests.Len() != 0 {
+				t.Errorf("counted %d, module told %d times, %d in hand", d.Counts.Overdue, module.left, d.requests.Len())
 			}
-			if c.launched && (out.closed != 1 || len(mod.ended) != 1) {
-				t.Errorf("attempt closed %d times, its end told %d times", out.closed, len(mod.ended))
+			if c.launched && (out.closed != 1 || len(module.ended) != 1) {
+				t.Errorf("attempt closed %d times, its end told %d times", out.closed, len(module.ended))
 			}
 		})
 	}
 }
 
-// The module learns whose a job is; its session and prefix stand for the same text whoever asks.
+// The module learns whose a request is; its session and prefix stand for the same text whoever asks.
 func TestTenantOfJob(t *testing.T) {
 	l, err := loop.New()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	mod := &deafModule{}
+	module := &deafModule{}
 	tracks := []policy.Class{{Target: 1e9, Timeout: 5e9}}
-	d, err := Direct(l, slog.New(slog.DiscardHandler), mod, []string{"a"}, tracks, []string{"north", "south"}, 10, 1000, 0, 0, 1)
+	d, err := Direct(l, slog.New(slog.DiscardHandler), module, []string{"a"}, tracks, []string{"north", "south"}, 10, 1000, 0, 0, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	d.gate.Known = true
 	for _, tenant := range []string{"south", "north", ""} {
-		r := front.Request{Track: []byte("a"), Tenant: []byte(tenant), Session: []byte("s"), Beginning: []byte("p"), Prompt: 10}
+		r := front.Request{Class: []byte("a"), Tenant: []byte(tenant), Session: []byte("s"), Prefix: []byte("p"), Prompt: 10}
 		if _, err := d.Arrive(l.Now(), &answers{}, &r); err != nil {
 			t.Fatal(err)
 		}
 	}
 	for i, want := range []policy.TenantID{1, 0, -1} {
-		got := mod.arrived[i]
-		if got.Tenant != want || got.Session != mod.arrived[0].Session || got.Prefix != mod.arrived[0].Prefix {
-			t.Errorf("job %d: %+v, want tenant %d and the keys of the others", i, got, want)
+		got := module.arrived[i]
+		if got.Tenant != want || got.Session != module.arrived[0].Session || got.Prefix != module.arrived[0].Prefix {
+			t.Errorf("request %d: %+v, want tenant %d and the keys of the others", i, got, want)
 		}
 	}
 }
--- a/internal/dispatch/seam.go
+++ b/internal/dispatch/seam.go
@@ -7,132 +7,132 @@
 	"docksail/policy"
 )
 
-// Entry is a door by which clients come in; it hands jobs over by Arrive and answers them by their front.Call.
+// Entry is a door by which clients come in; it hands requests over by Arrive and answers them by their front.Call.
 type Entry interface {
 	Listen(at netip.AddrPort, share bool) (netip.AddrPort, error)
 	Flush()     // queues on the sockets what has come together in this turn
 	Conns() int // open connections
 	Idle() bool // none of them has anything under way or output waiting
-	Leave()     // no new connections, no new jobs
+	Leave()     // no new connections, no new requests
 }
 
-// Exit is the way to the hosts and to their list. It tells the dispatcher what becomes of launches by Heard,
+// Exit is the way to the servers and to their list. It tells the dispatcher what becomes of attempts by Heard,
 // Tokens and Finish, and the module, by the dispatcher's Listed, what the list says.
 type Exit interface {
-	Start(now loop.Nanos) // asks for the list of hosts
+	Start(now loop.Nanos) // asks for the list of servers
 	Watch(now loop.Nanos) // asks for it again
-	// Reads tells whether a host is a reader; known, whether there is such a host.
-	Reads(host policy.ServerID) (reads, known bool)
-	// Launch sends the job to its Host; nil: it was not sent and will not be.
-	Launch(now loop.Nanos, j *Job, shot policy.AttemptNumber) Sent
-	// LetGo has what a launch of the job left at a host let go of. The job may be over after the call.
-	LetGo(now loop.Nanos, j *Job, at policy.ServerID, shot policy.AttemptNumber)
+	// IsPrefill tells whether a server is a prefill server; known, whether there is such a server.
+	IsPrefill(host policy.ServerID) (reads, known bool)
+	// Attempt sends the request to its Host; nil: it was not sent and will not be.
+	Send(now loop.Nanos, j *Request, shot policy.AttemptNumber) Attempt
+	// Release has what a attempt of the request left at a server released. The request may be over after the call.
+	Release(now loop.Nanos, j *Request, at policy.ServerID, shot policy.AttemptNumber)
 	Flush()     // queues on the sockets what has come together in this turn
-	Idle() bool // nothing is on its way to a host that must still come there
+	Idle() bool // nothing is on its way to a server that must still come there
 	Close()     // the loop has ended
 }
 
-// Sent is a launch that is out, as its exit holds it.
-type Sent interface {
-	// End is called once, when the launch is over, whoever ended it. What is left of it at the host is ended before
+// Attempt is a attempt that is out, as its exit holds it.
+type Attempt interface {
+	// End is called once, when the attempt is over, whoever ended it. What is left of it at the server is ended before
 	// End returns; true: there was something.
 	End(now loop.Nanos) bool
-	// Over follows End once the module has been told.
-	Over(now loop.Nanos)
+	// Ended follows End once the module has been told.
+	Ended(now loop.Nanos)
 	// Credit tells that the client has taken so many bytes that had to wait.
 	Credit(n int)
 	// Stage is how far it has come.
 	Stage() Stage
-	// Reached tells that there is a sign that it came to the host; a host that is cut off gives none.
+	// Reached tells that there is a sign that it came to the server; a server that is cut off gives none.
 	Reached() bool
 }
 
-// Stage is how far a launch has come.
+// Stage is how far a attempt has come.
 type Stage uint8
 
 const (
 	Connecting Stage = iota // its connection is under way
-	Queued                  // it waits for its turn at the host
-	Wired                   // it was written to the host
+	Queued                  // it waits for its turn at the server
+	OnWire                  // it was written to the server
 )
 
-// Listed tells the module news of the list: tell is called between its beginning and its end; some, that they name a host.
-func (d *Dispatcher) Listed(now loop.Nanos, full, some bool, tell func(mod Module)) {
-	d.mod.ListBegin(full)
-	tell(d.mod)
-	d.mod.ListEnd(d.Time(now))
+// ListUpdated tells the module news of the list: tell is called between its beginning and its end; some, that they name a server.
+func (d *Dispatcher) ListUpdated(now loop.Nanos, full, some bool, tell func(module Module)) {
+	d.module.ListBegin(full)
+	tell(d.module)
+	d.module.ListEnd(d.Time(now))
 	d.gate.Known = d.gate.Known || some
 }
 
-// ListLost tells the module that the list can't be had.
-func (d *Dispatcher) ListLost(now loop.Nanos) { d.mod.ListFailed(d.Time(now)) }
+// ListFailed tells the module that the list can't be had.
+func (d *Dispatcher) ListFailed(now loop.Nanos) { d.module.ListFailed(d.Time(now)) }
 
-// Tokens relays a piece of a job's answer, of so many bytes on the wire; the first piece begins it. True: the host is
-// to be held back until the launch's Credit.
-func (d *Dispatcher) Tokens(now loop.Nanos, j *Job, p []byte, size int) bool {
-	if j.Answered() { // its client was gone as this came: nobody reads it
-		d.ended(now, j, policy.Canceled, true, policy.NoLoad)
-		d.settle(j)
+// Tokens relays a piece of a request's answer, of so many bytes on the wire; the first piece begins it. True: the server is
+// to be held back until the attempt's Credit.
+func (d *Dispatcher) Tokens(now loop.Nanos, req *Request, p []byte, size int) bool {
+	if req.Answered() { // its client was gone as this came: nobody reads it
+		d.attemptEnded(now, req, policy.Canceled, true, policy.NoLoad)
+		d.dropIfDone(req)
 		return false
 	}
-	if j.begun == 0 {
-		d.began(now, j)
+	if req.firstTokenAt == 0 {
+		d.streamBegan(now, req)
 	}
-	j.last = now
-	j.tokens++
-	d.Counts.Tokens++
-	if !j.call.Tokens(j.ID, p) {
+	req.lastTokenAt = now
+	req.messages++
+	d.Counts.Messages++
+	if !req.call.Tokens(req.ID, p) {
 		return false
 	}
-	j.waits += size
+	req.unread += size
 	return true
 }
 
-// Given is the job as the module was told of it.
-func (j *Job) Given() policy.Request { return j.given }
+// PolicyRequest is the request as the module was told of it.
+func (req *Request) PolicyRequest() policy.Request { return req.policyRequest }
 
-// Begun tells that the answer has begun.
-func (j *Job) Begun() bool { return j.begun > 0 }
+// Streaming tells that the answer has begun.
+func (req *Request) Streaming() bool { return req.firstTokenAt > 0 }
 
-// Finish tells how the launch that is out has come to its end; why is for a client whose answer had begun.
-func (d *Dispatcher) Finish(now loop.Nanos, j *Job, how policy.Outcome, why string, load policy.Load) {
-	begun := j.begun > 0
+// Finish tells how the attempt that is out has come to its end; why is for a client whose answer had begun.
+func (d *Dispatcher) Finish(now loop.Nanos, req *Request, outcome policy.Outcome, why string, load policy.Load) {
+	begun := req.firstTokenAt > 0
 	switch {
-	case j.Answered():
-	case how == policy.Served:
-		d.answer(j, func() { j.call.Honour(j.ID) }, &d.Counts.Honoured)
+	case req.Answered():
+	case outcome == policy.Served:
+		d.answer(req, func() { req.call.Served(req.ID) }, &d.Counts.Served)
 	case begun:
-		d.answer(j, func() { j.call.Abandon(j.ID, "the stream broke"+why) }, &d.Counts.Abandoned)
+		d.answer(req, func() { req.call.Fail(req.ID, "the stream broke"+why) }, &d.Counts.Failed)
 	}
-	d.ended(now, j, how, how == policy.Served || begun, load)
-	d.settle(j)
+	d.attemptEnded(now, req, outcome, outcome == policy.Served || begun, load)
+	d.dropIfDone(req)
 }
 
-// Unusable tells that a host finds the job itself at fault: that is no news of the host, and no other would find
+// Unacceptable tells that a server finds the request itself at fault: that is no news of the server, and no other would find
 // otherwise.
-func (d *Dispatcher) Unusable(now loop.Nanos, j *Job, why string) {
-	if !j.Answered() {
-		d.answer(j, func() { j.call.Abandon(j.ID, why) }, &d.Counts.Abandoned)
+func (d *Dispatcher) Unacceptable(now loop.Nanos, req *Request, why string) {
+	if !req.Answered() {
+		d.answer(req, func() { req.call.Fail(req.ID, why) }, &d.Counts.Failed)
 	}
-	d.ended(now, j, policy.NotSent, true, policy.NoLoad)
-	d.settle(j)
+	d.attemptEnded(now, req, policy.NotSent, true, policy.NoLoad)
+	d.dropIfDone(req)
 }
 
-// Free lets go of what is held for a job beside the launch that is out and may never come to its host.
-func (d *Dispatcher) Free(now loop.Nanos, j *Job) {
-	if at, held := j.Held(); held {
-		j.LetGo()
-		d.exit.LetGo(now, j, at, policy.AttemptNumber(j.Launches()-1))
+// ReleaseState releases what is held for a request beside the attempt that is out and may never come to its server.
+func (d *Dispatcher) ReleaseState(now loop.Nanos, req *Request) {
+	if at, held := req.StateHeld(); held {
+		req.ReleaseState()
+		d.exit.Release(now, req, at, policy.AttemptNumber(req.Attempts()-1))
 	}
 }
 
-// Moved tells that a launch is from now on held as s; nil: it could not be sent after all.
-func (d *Dispatcher) Moved(now loop.Nanos, j *Job, s Sent) {
-	if j.sent = s; s == nil {
-		d.ended(now, j, policy.NotSent, false, policy.NoLoad)
-		d.settle(j)
+// Reassigned tells that a attempt is from now on held as s; nil: it could not be sent after all.
+func (d *Dispatcher) Reassigned(now loop.Nanos, req *Request, s Attempt) {
+	if req.attempt = s; s == nil {
+		d.attemptEnded(now, req, policy.NotSent, false, policy.NoLoad)
+		d.dropIfDone(req)
 	}
 }
 
-// TimeLeft is how long the launch that is out may still take.
-func (j *Job) TimeLeft(now loop.Nanos) int64 { return max(j.Sent+j.Within-now, 1) }
+// TimeLeft is how long the attempt that is out may still take.
+func (req *Request) TimeLeft(now loop.Nanos) int64 { return max(req.SentAt+req.Timeout-now, 1) }
--- a/internal/dispatch/serve.go
+++ b/internal/dispatch/serve.go
@@ -55,7 +55,7 @@
 
 // Drain asks the dispatcher to leave; Wait tells when it has.
 func (r *Running) Drain(within time.Duration) {
-	r.l.Post(func() { r.d.Leave(int64(within), r.l.Stop) })
+	r.l.Post(func() { r.d.Drain(int64(within), r.l.Stop) })
 }
 
 // Kill ends the dispatcher at once: nothing is answered, every socket closes.
--- a/internal/dispatch/shutdown.go
+++ b/internal/dispatch/shutdown.go
@@ -9,47 +9,47 @@
 
 // The end of a dispatcher.
 
-// Leave drains: no new clients or jobs; those in hand have so long to end; then done is called, once.
-func (d *Dispatcher) Leave(within int64, done func()) {
-	if d.leaving {
+// Drain drains: no new clients or requests; those in hand have so long to end; then done is called, once.
+func (d *Dispatcher) Drain(within int64, done func()) {
+	if d.draining {
 		return
 	}
-	d.leaving, d.gate.Leaving = true, true
-	d.leaveEnd = func() {
-		d.l.Cancel(&d.leaveAt)
-		d.leaveEnd = func() {}
+	d.draining, d.gate.Leaving = true, true
+	d.onDrained = func() {
+		d.loop.Cancel(&d.drainTimer)
+		d.onDrained = func() {}
 		done()
 	}
-	d.log.Info("draining", "jobs", d.jobs.Len(), "within_ms", within/1e6)
-	d.clients.Leave()
-	d.l.At(&d.leaveAt, d.l.Now()+within, func(now loop.Nanos) {
-		d.log.Warn("drain time is up", "jobs", d.jobs.Len())
-		d.jobs.Each(func(_ policy.RequestID, j *Job) {
-			if j.Answered() {
+	d.log.Info("draining", "requests", d.requests.Len(), "within_ms", within/1e6)
+	d.entry.Leave()
+	d.loop.At(&d.drainTimer, d.loop.Now()+within, func(now loop.Nanos) {
+		d.log.Warn("drain time is up", "requests", d.requests.Len())
+		d.requests.Each(func(_ policy.RequestID, req *Request) {
+			if req.Answered() {
 				return
 			}
-			d.cutShort(now, j, "dispatcher leaves")
+			d.abort(now, req, "dispatcher leaves")
 		})
-		d.l.At(&d.leaveAt, now+int64(d.ahead), func(loop.Nanos) { d.leaveEnd() })
+		d.loop.At(&d.drainTimer, now+int64(d.answerAhead), func(loop.Nanos) { d.onDrained() })
 	})
 }
 
-// cutShort gives a job its final answer whatever the module holds of it, and tells the module that nothing more is owed.
-func (d *Dispatcher) cutShort(now loop.Nanos, j *Job, why string) {
-	if gate.AtEnd(d.times[j.track].redoable && j.begun == 0, j.ran) == gate.Nacked {
-		d.answer(j, func() { j.call.Nack(j.ID, front.Refusal{Why: why}) }, &d.Counts.Nacked)
+// abort gives a request its final answer whatever the module holds of it, and tells the module that nothing more is owed.
+func (d *Dispatcher) abort(now loop.Nanos, req *Request, why string) {
+	if gate.AtEnd(d.classTimes[req.class].idempotent && req.firstTokenAt == 0, req.mayHaveRun) == gate.Nacked {
+		d.answer(req, func() { req.call.Reject(req.ID, front.Refusal{Reason: why}) }, &d.Counts.Rejected)
 	} else {
-		d.answer(j, func() { j.call.Abandon(j.ID, why) }, &d.Counts.Abandoned)
+		d.answer(req, func() { req.call.Fail(req.ID, why) }, &d.Counts.Failed)
 	}
-	d.left(now, j)
+	d.clientLeft(now, req)
 }
 
-// LeaveIdle has the entry leave and takes jobs as before; done is called, once, when none is in hand and the entry idle.
-func (d *Dispatcher) LeaveIdle(done func()) {
-	if d.leaving {
+// DrainIdle has the entry leave and takes requests as before; done is called, once, when none is in hand and the entry idle.
+func (d *Dispatcher) DrainIdle(done func()) {
+	if d.draining {
 		return
 	}
-	d.leaving = true
-	d.leaveEnd = func() { d.leaveEnd = func() {}; done() }
-	d.clients.Leave()
+	d.draining = true
+	d.onDrained = func() { d.onDrained = func() {}; done() }
+	d.entry.Leave()
 }
--- a/internal/dispatch/view.go
+++ b/internal/dispatch/view.go
@@ -13,28 +13,28 @@
 
 // Counts are what a dispatcher counted since its start.
 type Counts struct {
-	Jobs, Honoured, Nacked, Abandoned, Left, Refused uint64
-	Launches, Recalls, Late, Broken                  uint64
-	Releases, ReleasesLost                           uint64
-	Tokens                                           uint64 // messages relayed
-	LateReports, Reports                             uint64
-	Guarded                                          uint64 // decisions that the account of a job refused: faults of the program
-	Overdue                                          uint64 // jobs that had to be answered by the dispatcher's own deadline: faults of the program
-	Pings, DeadLinks                                 uint64
+	Requests, Served, Rejected, Failed, ClientsLeft, Refused uint64
+	Attempts, Cancels, TimedOut, Broken                      uint64
+	Releases, ReleasesLost                                   uint64
+	Messages                                                 uint64 // messages relayed
+	LateReports, Reports                                     uint64
+	InvalidDecisions                                         uint64 // decisions that the account of a request refused: faults of the program
+	Overdue                                                  uint64 // requests that had to be answered by the dispatcher's own deadline: faults of the program
+	Pings, DeadConnections                                   uint64
 }
 
-// InHand counts jobs in hand, Clients open connections of clients.
-func (d *Dispatcher) InHand() int { return d.jobs.Len() }
+// InHand counts requests in hand, Clients open connections of clients.
+func (d *Dispatcher) InHand() int { return d.requests.Len() }
 
 // Clients counts open connections of clients.
-func (d *Dispatcher) Clients() int { return d.clients.Conns() }
+func (d *Dispatcher) Clients() int { return d.entry.Conns() }
 
 // Door gives what the clients' door counted.
 func (d *Dispatcher) Door() grpc.Counts {
-	if d.rpc == nil {
+	if d.grpcEntry == nil {
 		return grpc.Counts{}
 	}
-	return d.rpc.Count()
+	return d.grpcEntry.Count()
 }
 
 // Known tells that a list of engines is known.
@@ -45,10 +45,10 @@
 	for _, f := range []struct {
 		to   *uint64
 		from uint64
-	}{{&c.Jobs, o.Jobs}, {&c.Honoured, o.Honoured}, {&c.Nacked, o.Nacked}, {&c.Abandoned, o.Abandoned}, {&c.Left, o.Left},
-		{&c.Refused, o.Refused}, {&c.Launches, o.Launches}, {&c.Recalls, o.Recalls}, {&c.Late, o.Late}, {&c.Broken, o.Broken},
-		{&c.Releases, o.Releases}, {&c.ReleasesLost, o.ReleasesLost}, {&c.Tokens, o.Tokens}, {&c.LateReports, o.LateReports}, {&c.Reports, o.Reports},
-		{&c.Guarded, o.Guarded}, {&c.Overdue, o.Overdue}, {&c.Pings, o.Pings}, {&c.DeadLinks, o.DeadLinks}} {
+	}{{&c.Requests, o.Requests}, {&c.Served, o.Served}, {&c.Rejected, o.Rejected}, {&c.Failed, o.Failed}, {&c.ClientsLeft, o.ClientsLeft},
+		{&c.Refused, o.Refused}, {&c.Attempts, o.Attempts}, {&c.Cancels, o.Cancels}, {&c.TimedOut, o.TimedOut}, {&c.Broken, o.Broken},
+		{&c.Releases, o.Releases}, {&c.ReleasesLost, o.ReleasesLost}, {&c.Messages, o.Messages}, {&c.LateReports, o.LateReports}, {&c.Reports, o.Reports},
+		{&c.InvalidDecisions, o.InvalidDecisions}, {&c.Overdue, o.Overdue}, {&c.Pings, o.Pings}, {&c.DeadConnections, o.DeadConnections}} {
 		*f.to += f.from
 	}
 }
@@ -72,7 +72,7 @@
 	return m.used
 }
 
-// TenantView is how a tenant does at the door.
+// TenantView is how a tenant does in the admission queue.
 type TenantView struct {
 	Name             string
 	Weight           float64
@@ -92,17 +92,17 @@
 
 // View gives the state of now.
 func (d *Dispatcher) View() View {
-	v := View{InHand: d.jobs.Len(), Clients: d.clients.Conns(), Waiting: d.queue.Waiting(), Flows: d.queue.Flows(), Counts: d.Counts,
+	v := View{InHand: d.requests.Len(), Clients: d.entry.Conns(), Waiting: d.queue.Waiting(), Flows: d.queue.Flows(), Counts: d.Counts,
 		Background: d.queue.Background(), BackgroundOut: d.queue.Spare.Out(), Spare: d.queue.Spare.Allowance(),
 		Door: d.Door()}
-	for i, t := range d.terms {
+	for i, t := range d.tenantTerms {
 		w, r := d.queue.Tenant(i)
-		v.Tenants = append(v.Tenants, TenantView{Name: d.names[i], Weight: t.Weight, Waiting: w, Running: r, Counts: d.queue.Counts(i)})
+		v.Tenants = append(v.Tenants, TenantView{Name: d.tenantNames[i], Weight: t.Weight, Waiting: w, Running: r, Counts: d.queue.Counts(i)})
 	}
 	return v
 }
 
-// Terms changes what tenants may do at the door, for jobs that wait too: all of them or, with an error, none. The
+// Terms changes what tenants may do in the admission queue, for requests that wait too: all of them or, with an error, none. The
 // tenants must be those of the start.
 func (d *Dispatcher) Terms(s *setup.Dispatcher) error {
 	if len(s.Tenants) != len(d.tenants) {
@@ -124,6 +124,6 @@
 			return err
 		}
 	}
-	d.terms = terms
+	d.tenantTerms = terms
 	return nil
 }
--- a/internal/e2e/door_test.go
+++ b/internal/e2e/door_test.go
@@ -86,8 +86,8 @@
 			t.Logf("small clients, p50/p99 to the first token: without the flood %v/%v, with it %v/%v, in order of arrival %v/%v; honoured %d of %d, in order of arrival %d of %d",
 				calmP50, calmP99, p(a.First, 0.5), p(a.First, 0.99), p(b.First, 0.5), p(b.First, 0.99), a.Honoured, a.Jobs, b.Honoured, b.Jobs)
 			for _, rep := range []*drill.Report{fair, first} {
-				if len(rep.Violations) > 0 || rep.Counts.Guarded > 0 {
-					t.Errorf("%v, %d decisions refused", rep.Violations, rep.Counts.Guarded)
+				if len(rep.Violations) > 0 || rep.Counts.InvalidDecisions > 0 {
+					t.Errorf("%v, %d decisions refused", rep.Violations, rep.Counts.InvalidDecisions)
 				}
 			}
 			if got := p(a.First, 0.5); got > 4*calmP50+100*time.Millisecond {
--- a/internal/e2e/hard_test.go
+++ b/internal/e2e/hard_test.go
@@ -116,8 +116,8 @@
 		t.Error(v)
 	}
 	st.Dispatcher(0).Ask(func(d *dispatch.Dispatcher) {
-		if d.Counts.Guarded > 0 {
-			t.Errorf("the account of a job refused %d decisions", d.Counts.Guarded)
+		if d.Counts.InvalidDecisions > 0 {
+			t.Errorf("the account of a job refused %d decisions", d.Counts.InvalidDecisions)
 		}
 	})
 }
@@ -159,9 +159,9 @@
 			}
 			cancel()
 			calm(t, st, st.Script.Release+500*time.Millisecond)
-			launches := st.Counts().Launches
+			launches := st.Counts().Attempts
 			time.Sleep(200 * time.Millisecond)
-			if now := st.Counts().Launches; now != launches {
+			if now := st.Counts().Attempts; now != launches {
 				t.Errorf("%d launches after the client had left", now-launches)
 			}
 			clean(t, st)
@@ -307,9 +307,9 @@
 	}
 	held := false
 	for end := time.Now().Add(15 * time.Second); !held && time.Now().Before(end); { // once the windows are full
-		relayed := st.Counts().Tokens
+		relayed := st.Counts().Messages
 		time.Sleep(300 * time.Millisecond)
-		held = st.Counts().Tokens == relayed
+		held = st.Counts().Messages == relayed
 	}
 	if !held {
 		t.Error("the writer of a client that takes nothing was not held back in 15 s")
@@ -346,8 +346,8 @@
 	}
 	s.For, s.Rate = 3*time.Second, 60
 	rep := playScript(t, s, nil)
-	if len(rep.Violations) > 0 || rep.Counts.Guarded > 0 {
-		t.Errorf("%v, %d decisions refused", rep.Violations, rep.Counts.Guarded)
+	if len(rep.Violations) > 0 || rep.Counts.InvalidDecisions > 0 {
+		t.Errorf("%v, %d decisions refused", rep.Violations, rep.Counts.InvalidDecisions)
 	}
 	q := rep.Sums["question"]
 	if q.Honoured == 0 || q.Honoured == q.Jobs {
--- a/internal/e2e/rules_test.go
+++ b/internal/e2e/rules_test.go
@@ -191,8 +191,8 @@
 		})
 		t.Run(c.name+", not", func(t *testing.T) {
 			t.Parallel()
-			if rep := playChanged(t, c.troubles, nil, c.change); len(rep.Violations) > 0 || rep.Counts.Guarded > 0 {
-				t.Errorf("rules broken by the module as it is: %v, %d decisions refused", rep.Violations, rep.Counts.Guarded)
+			if rep := playChanged(t, c.troubles, nil, c.change); len(rep.Violations) > 0 || rep.Counts.InvalidDecisions > 0 {
+				t.Errorf("rules broken by the module as it is: %v, %d decisions refused", rep.Violations, rep.Counts.InvalidDecisions)
 			}
 		})
 	}
@@ -221,8 +221,8 @@
 	for _, v := range rep.Violations {
 		t.Error(v)
 	}
-	if rep.Counts.Guarded > 0 {
-		t.Errorf("the account of a job refused %d decisions", rep.Counts.Guarded)
+	if rep.Counts.InvalidDecisions > 0 {
+		t.Errorf("the account of a job refused %d decisions", rep.Counts.InvalidDecisions)
 	}
 	names := []string{}
 	for name, sum := range rep.Sums {
--- a/internal/enlist/enlist.go
+++ b/internal/enlist/enlist.go
@@ -66,22 +66,22 @@
 		"cell": policy.GroupCell}
 )
 
-// Module is a decision module and what the host that drives it has to know beside.
+// Module is a decision module and what the server that drives it has to know beside.
 type Module struct {
 	Module *policy.Dispatcher
 	Zones  []string // names by number
 	Kinds  []string
 	Roles  []policy.Role // of the kinds
 	Tracks []string
-	Terms  []policy.Class // of the tracks
+	Terms  []policy.Class // of the classes
 	Tenant []string
 
 	Seed    uint64       // of all chance
-	Release policy.Nanos // nothing is held longer for a job that is over
+	Release policy.Nanos // nothing is held longer for a request that is over
 	Advice  policy.Nanos // longest
-	Idle    policy.Nanos // a host ends a connection that stood idle so long; 0 = not told
+	Idle    policy.Nanos // a server ends a connection that stood idle so long; 0 = not told
 	Connect policy.Nanos // a connection is made in that time or not at all; 0 = not told
-	Asked   bool         // lists of hosts are asked for, not pushed
+	Asked   bool         // lists of servers are asked for, not pushed
 }
 
 // New makes a module from the object.
@@ -147,7 +147,7 @@
 	return m, nil
 }
 
-// Report takes one figure of a host's load report by its name; others are passed over.
+// Report takes one figure of a server's load report by its name; others are passed over.
 func Report(load *policy.Load, name string, x float64) {
 	switch name {
 	case "inflight":
--- a/internal/exit/platform/conn.go
+++ b/internal/exit/platform/conn.go
@@ -15,33 +15,33 @@
 	"docksail/policy"
 )
 
-// conn is one connection to a host. It carries a launch, a release, or nothing.
+// conn is one connection to a server. It carries a attempt, a release, or nothing.
 type conn struct {
-	x       *Exit
-	h       *host
-	lc      *loop.Conn
-	dec     h1.Decoder
-	feed    h1.Feeder
-	number  uint64
-	ready   bool
-	idle    bool
-	gone    bool
-	since   loop.Nanos // idle since then
-	place   int
-	used    int // how often
-	timer   loop.Timer
-	onTimer func(loop.Nanos)
-
-	j       *dispatch.Job
-	r       *release
-	sent    loop.Nanos // what it carries was written then
-	written bool       // to its last byte
-	heard   bool       // something came back
-	headed  bool       // its answer's head has come
-	stream  bool       // which is that of a stream
-	events  int        // pieces of it
-	first   []byte     // what has come of a stream's first event
-	load    policy.Load
+	exit      *Exit
+	server    *server
+	conn      *loop.Conn
+	decoder   h1.Decoder
+	feed      h1.Feeder
+	number    uint64
+	ready     bool
+	idle      bool
+	gone      bool
+	idleSince loop.Nanos // idle since then
+	heapIndex int
+	uses      int // how often
+	timer     loop.Timer
+	onTimer   func(loop.Nanos)
+
+	request     *dispatch.Request
+	release     *release
+	sentAt      loop.Nanos // what it carries was written then
+	written     bool       // to its last byte
+	answered    bool       // something came back
+	headSeen    bool       // its answer's head has come
+	stream      bool       // which is that of a stream
+	events      int        // pieces of it
+	prefillBody []byte     // what has come of a stream's first event
+	load        policy.Load
 }
 
 // restedFor gives the place of a time at rest in the counts.
@@ -49,132 +49,132 @@
 
 // retire closes a connection that carries nothing.
 func (c *conn) retire() {
-	c.x.Counts.Retired++
+	c.exit.Counts.Retired++
 	c.idle = false
-	c.x.idle.Take(c)
-	c.lc.Close()
+	c.exit.idle.Take(c)
+	c.conn.Close()
 	c.leave()
 }
 
-// leave takes the connection off its host, at once: it must not be counted or chosen any more.
+// leave takes the connection off its server, at once: it must not be counted or chosen any more.
 func (c *conn) leave() {
 	if c.gone {
 		return
 	}
 	c.gone = true
-	c.x.l.Cancel(&c.timer)
-	c.x.idle.Take(c)
-	c.x.n--
-	if i := slices.Index(c.h.conns, c); i >= 0 {
-		c.h.conns = slices.Delete(c.h.conns, i, i+1)
+	c.exit.loop.Cancel(&c.timer)
+	c.exit.idle.Take(c)
+	c.exit.conns--
+	if i := slices.Index(c.server.conns, c); i >= 0 {
+		c.server.conns = slices.Delete(c.server.conns, i, i+1)
 	}
-	c.x.forgetGone(c.h)
+	c.exit.forgetGone(c.server)
 }
 
-// due closes it when it has stood idle for long enough. If it carries a launch that is to take a state, and no sign has
-// come that the host got it, the state is let go of meanwhile: a launch that waits for it at its writer keeps it all the same.
+// due closes it when it has stood idle for long enough. If it carries a attempt that is to take a state, and no sign has
+// come that the server got it, the state is released meanwhile: a attempt that waits for it at its writer keeps it all the same.
 func (c *conn) due(now loop.Nanos) {
 	switch {
 	case c.idle:
 		c.retire()
-	case c.j != nil && !c.Reached():
-		c.x.Counts.Freed++
-		c.x.d.Free(now, c.j)
+	case c.request != nil && !c.Reached():
+		c.exit.Counts.ReleasedEarly++
+		c.exit.dispatcher.ReleaseState(now, c.request)
 	}
 }
 
 func (c *conn) begin(now loop.Nanos) {
-	c.dec = h1.NewClient(h1.Limits{Head: headMost, Body: 0, Chunk: chunkMost})
-	c.used++
-	if c.used > 1 {
-		c.x.Counts.Rested[restedFor(now-c.since)]++
+	c.decoder = h1.NewClient(h1.Limits{Head: headMost, Body: 0, Chunk: chunkMost})
+	c.uses++
+	if c.uses > 1 {
+		c.exit.Counts.Rested[restedFor(now-c.idleSince)]++
 	}
-	c.heard = false
-	c.sent, c.written, c.headed, c.stream, c.first, c.load, c.events = now, false, false, false, c.first[:0], policy.NoLoad, 0
+	c.answered = false
+	c.sentAt, c.written, c.headSeen, c.stream, c.prefillBody, c.load, c.events = now, false, false, false, c.prefillBody[:0], policy.NoLoad, 0
 }
 
-// writeLaunch writes the job's request as its client sent it.
-func (c *conn) writeLaunch(now loop.Nanos) {
-	j := c.j
+// writeAttempt writes the request's request as its client sent it.
+func (c *conn) writeAttempt(now loop.Nanos) {
+	req := c.request
 	c.begin(now)
-	b := append(c.x.scratch[:0], "POST "...)
-	b = append(append(b, j.Target...), " HTTP/1.1\r\nHost: "...)
-	b = append(append(b, c.h.name...), "\r\nContent-Type: application/json\r\nX-Txn: "...)
-	b = append(append(b, j.Named...), "\r\n"...)
-	b = append(append(b, j.Fields...), "X-Remaining: "...)
-	ms := (j.TimeLeft(now) + 1e6 - 1) / 1e6
+	b := append(c.exit.scratch[:0], "POST "...)
+	b = append(append(b, req.Path...), " HTTP/1.1\r\nHost: "...)
+	b = append(append(b, c.server.name...), "\r\nContent-Type: application/json\r\nX-Txn: "...)
+	b = append(append(b, req.ClientID...), "\r\n"...)
+	b = append(append(b, req.Header...), "X-Remaining: "...)
+	ms := (req.TimeLeft(now) + 1e6 - 1) / 1e6
 	b = strconv.AppendInt(b, ms/1000, 10)
 	b = append(b, '.', byte('0'+ms/100%10), byte('0'+ms/10%10), byte('0'+ms%10))
 	b = append(b, "\r\nContent-Length: "...)
-	b = strconv.AppendInt(b, int64(len(j.Raw)), 10)
-	b = append(append(b, "\r\n\r\n"...), j.Raw...)
-	c.x.scratch = b
-	c.lc.Write(b)
-	if _, held := j.Held(); held && !c.Reached() {
-		c.x.l.At(&c.timer, max(c.x.keeper.Free(j.ReadAt), now+1), c.onTimer)
+	b = strconv.AppendInt(b, int64(len(req.Raw)), 10)
+	b = append(append(b, "\r\n\r\n"...), req.Raw...)
+	c.exit.scratch = b
+	c.conn.Write(b)
+	if _, held := req.StateHeld(); held && !c.Reached() {
+		c.exit.loop.At(&c.timer, max(c.exit.keeper.Free(req.PrefilledAt), now+1), c.onTimer)
 	}
 }
 
 func (c *conn) writeRelease() {
-	c.begin(c.x.l.Now())
-	b := append(c.x.scratch[:0], "DELETE /state/"...)
-	b = append(append(b, c.r.name...), " HTTP/1.1\r\nHost: "...)
-	b = append(append(b, c.h.name...), "\r\n\r\n"...)
-	c.x.scratch = b
-	c.lc.Write(b)
+	c.begin(c.exit.loop.Now())
+	b := append(c.exit.scratch[:0], "DELETE /state/"...)
+	b = append(append(b, c.release.name...), " HTTP/1.1\r\nHost: "...)
+	b = append(append(b, c.server.name...), "\r\n\r\n"...)
+	c.exit.scratch = b
+	c.conn.Write(b)
 }
 
 // ---- What the loop tells.
 
 func (c *conn) Opened(now loop.Nanos) {
 	c.ready = true
-	c.h.heard = now
+	c.server.heardAt = now
 	switch {
-	case c.j != nil && now >= c.j.Before: // it took too long to come up
-		j := c.j
-		c.j = nil
-		c.lc.Close()
+	case c.request != nil && now >= c.request.WriteBefore: // it took too long to come up
+		req := c.request
+		c.request = nil
+		c.conn.Close()
 		c.leave()
-		c.x.d.Finish(now, j, policy.NotSent, "", policy.NoLoad)
-	case c.j != nil:
-		c.writeLaunch(now)
-	case c.r != nil:
+		c.exit.dispatcher.Finish(now, req, policy.NotSent, "", policy.NoLoad)
+	case c.request != nil:
+		c.writeAttempt(now)
+	case c.release != nil:
 		c.writeRelease()
 	default:
-		c.lc.Close()
+		c.conn.Close()
 	}
 }
 
 func (c *conn) Drained(loop.Nanos) { c.written = true }
 
 func (c *conn) PeerDone(now loop.Nanos) {
-	if piece, err := c.dec.End(); err == nil && piece == h1.Whole && c.headed {
-		c.answered(now, false)
+	if piece, err := c.decoder.End(); err == nil && piece == h1.Whole && c.headSeen {
+		c.answerComplete(now, false)
 		return
 	}
-	c.lc.Close()
+	c.conn.Close()
 }
 
 func (c *conn) Data(now loop.Nanos, p []byte) {
-	c.h.heard = now
-	if c.j == nil && c.r == nil { // nobody asked for that
-		c.x.Counts.Extra++
-		c.lc.Close()
+	c.server.heardAt = now
+	if c.request == nil && c.release == nil { // nobody asked for that
+		c.exit.Counts.ExtraBytes++
+		c.conn.Close()
 		c.leave()
 		return
 	}
-	c.heard = true
+	c.answered = true
 	c.feed.Feed(p, func(p []byte) int { return c.take(now, p) })
 }
 
 // take takes the answer apart.
 func (c *conn) take(now loop.Nanos, p []byte) (n int) {
-	for !c.gone && (c.j != nil || c.r != nil) {
-		piece, data, k, err := c.dec.Next(p[n:])
+	for !c.gone && (c.request != nil || c.release != nil) {
+		piece, data, k, err := c.decoder.Next(p[n:])
 		n += k
 		switch {
 		case err != nil:
-			c.spoilt(now, err)
+			c.invalidAnswer(now, err)
 			return len(p)
 		case piece == h1.None:
 			return n
@@ -182,10 +182,10 @@
 			c.start()
 		case piece == h1.Data && c.stream:
 			c.event(now, data)
-		case piece == h1.Data && c.j != nil && c.j.Reads && len(c.first)+len(data) <= foundMost:
-			c.first = append(c.first, data...)
+		case piece == h1.Data && c.request != nil && c.request.Prefill && len(c.prefillBody)+len(data) <= foundMost:
+			c.prefillBody = append(c.prefillBody, data...)
 		case piece == h1.Whole:
-			c.answered(now, n == len(p))
+			c.answerComplete(now, n == len(p))
 			return len(p)
 		}
 	}
@@ -194,10 +194,10 @@
 
 // start reads the head of an answer.
 func (c *conn) start() {
-	h := &c.dec.Head
-	c.headed = true
-	c.stream = c.j != nil && !c.j.Reads && h.Status == 200 && h.Chunked
-	if v := h.Get("x-pressure"); v != nil {
+	srv := &c.decoder.Head
+	c.headSeen = true
+	c.stream = c.request != nil && !c.request.Prefill && srv.Status == 200 && srv.Chunked
+	if v := srv.Get("x-pressure"); v != nil {
 		c.report(v)
 	}
 }
@@ -215,142 +215,142 @@
 		}
 	}
 	c.load = load
-	c.h.load, c.h.loadAt = load, c.x.l.Now()
-	c.x.Counts.Reports++
+	c.server.load, c.server.loadAt = load, c.exit.loop.Now()
+	c.exit.Counts.Reports++
 }
 
 var loadLine = []byte(": X-Pressure: ")
 
 // event passes on a piece of a stream; the first is held until an event is whole, as a stream that is spoilt before is
-// a launch that failed.
+// a attempt that failed.
 func (c *conn) event(now loop.Nanos, data []byte) {
 	if i := bytes.Index(data, loadLine); i == 0 || i > 0 && data[i-1] == '\n' {
 		line, _, _ := bytes.Cut(data[i+len(loadLine):], []byte{'\n'})
 		c.report(bytes.TrimSpace(line))
 	}
 	c.events++
-	if !c.j.Begun() {
-		c.first = append(c.first, data...)
-		if !bytes.Contains(c.first, []byte("\n\n")) && !bytes.Contains(c.first, []byte("\r\n\r\n")) {
-			if len(c.first) > chunkMost {
-				c.spoilt(now, h1.ErrTooLarge)
+	if !c.request.Streaming() {
+		c.prefillBody = append(c.prefillBody, data...)
+		if !bytes.Contains(c.prefillBody, []byte("\n\n")) && !bytes.Contains(c.prefillBody, []byte("\r\n\r\n")) {
+			if len(c.prefillBody) > chunkMost {
+				c.invalidAnswer(now, h1.ErrTooLarge)
 			}
 			return
 		}
-		if !bytes.Contains(c.first, []byte("data:")) {
-			c.spoilt(now, h1.ErrBad)
+		if !bytes.Contains(c.prefillBody, []byte("data:")) {
+			c.invalidAnswer(now, h1.ErrBad)
 			return
 		}
-		data = c.first
+		data = c.prefillBody
 	}
-	if c.x.d.Tokens(now, c.j, data, len(data)) && !c.gone {
-		c.lc.Pause(true)
+	if c.exit.dispatcher.Tokens(now, c.request, data, len(data)) && !c.gone {
+		c.conn.Pause(true)
 	}
 }
 
-// spoilt ends a launch or release whose answer cannot be read.
-func (c *conn) spoilt(now loop.Nanos, err error) {
-	c.x.Counts.Spoilt++
-	c.x.log.Info("answer spoilt", "host", c.h.name, "begun", c.j != nil && c.j.Begun(), "after", now-c.sent, "events", c.events, "err", err)
+// invalidAnswer ends a attempt or release whose answer cannot be read.
+func (c *conn) invalidAnswer(now loop.Nanos, err error) {
+	c.exit.Counts.InvalidAnswers++
+	c.exit.log.Info("answer invalid", "server", c.server.name, "begun", c.request != nil && c.request.Streaming(), "after", now-c.sentAt, "events", c.events, "err", err)
 	c.ended(now, true)
 }
 
 // ended tells what carried on the connection that it is of no more use: spoilt by what came on it, or lost.
 func (c *conn) ended(now loop.Nanos, spoilt bool) {
-	j, r := c.j, c.r
-	c.j, c.r = nil, nil
-	c.lc.Close()
+	req, r := c.request, c.release
+	c.request, c.release = nil, nil
+	c.conn.Close()
 	c.leave()
 	switch {
-	case j != nil:
-		how := policy.Broken
+	case req != nil:
+		outcome := policy.Broken
 		switch {
 		case spoilt:
-		case c.x.keeper.Lapsed(c.used, c.written, c.heard, now-c.sent):
-			how = policy.StaleConnection
-			c.x.Counts.Lapsed++
-			c.x.Counts.LapsedAt[restedFor(c.sent-c.since)]++
+		case c.exit.keeper.Lapsed(c.uses, c.written, c.answered, now-c.sentAt):
+			outcome = policy.StaleConnection
+			c.exit.Counts.StaleConnections++
+			c.exit.Counts.StaleAfter[restedFor(c.sentAt-c.idleSince)]++
 		case !c.written:
-			how = policy.Unreachable
+			outcome = policy.Unreachable
 		}
-		if !spoilt && how != policy.StaleConnection {
-			c.x.log.Info("launch lost with its connection", "host", c.h.name, "ready", c.ready, "written", c.written, "begun", j.Begun(),
-				"after", now-c.sent, "rested", c.sent-c.since, "used", c.used)
+		if !spoilt && outcome != policy.StaleConnection {
+			c.exit.log.Info("attempt lost with its connection", "server", c.server.name, "ready", c.ready, "written", c.written, "begun", req.Streaming(),
+				"after", now-c.sentAt, "rested", c.sentAt-c.idleSince, "used", c.uses)
 		}
-		c.x.d.Finish(now, j, how, "", c.load)
-		c.x.l.Again()
+		c.exit.dispatcher.Finish(now, req, outcome, "", c.load)
+		c.exit.loop.Again()
 	case r != nil:
-		r.on = nil
+		r.conn = nil
 		r.try(now)
 	}
 }
 
-// answered deals with an answer that has come whole; clean tells that nothing came behind it.
-func (c *conn) answered(now loop.Nanos, clean bool) {
-	j, r := c.j, c.r
-	h := &c.dec.Head
-	status, turned, begun := h.Status, h.Get("x-turned-away") != nil, j != nil && j.Begun()
-	c.j, c.r = nil, nil
-	if clean && c.written && !h.Close {
-		c.rest(now)
+// answerComplete deals with an answer that has come whole; clean tells that nothing came behind it.
+func (c *conn) answerComplete(now loop.Nanos, clean bool) {
+	req, r := c.request, c.release
+	srv := &c.decoder.Head
+	status, turned, begun := srv.Status, srv.Get("x-turned-away") != nil, req != nil && req.Streaming()
+	c.request, c.release = nil, nil
+	if clean && c.written && !srv.Close {
+		c.becomeIdle(now)
 	} else {
 		if !clean {
-			c.x.Counts.Extra++
+			c.exit.Counts.ExtraBytes++
 		}
-		c.lc.Close()
+		c.conn.Close()
 		c.leave()
 	}
 	if r != nil {
 		r.done(now)
 		return
 	}
-	how := policy.Failed
+	outcome := policy.Failed
 	switch {
 	case c.stream && begun:
-		how = policy.Served
+		outcome = policy.Served
 	case c.stream: // it ended before its first event
-		how = policy.Broken
-	case status == 202 && j.Reads:
-		how = policy.Read
-		c.found(j)
-	case status == 410 && turned && !j.Reads:
-		how = policy.Stateless
+		outcome = policy.Broken
+	case status == 202 && req.Prefill:
+		outcome = policy.Read
+		c.recordCached(req)
+	case status == 410 && turned && !req.Prefill:
+		outcome = policy.Stateless
 	case (status == 503 || status == 504) && turned:
-		how = policy.Rejected
+		outcome = policy.Rejected
 	case status == 400 || status == 404:
-		c.x.log.Warn("host cannot use a request", "host", c.h.name, "status", status)
-		c.x.d.Unusable(now, j, "the host cannot use the request")
+		c.exit.log.Warn("server cannot use a request", "server", c.server.name, "status", status)
+		c.exit.dispatcher.Unacceptable(now, req, "the server cannot use the request")
 		return
 	}
-	c.x.d.Finish(now, j, how, "", c.load)
+	c.exit.dispatcher.Finish(now, req, outcome, "", c.load)
 }
 
-// found takes down how much of a prompt the host had kept, if the answer to its read tells.
-func (c *conn) found(j *dispatch.Job) {
+// recordCached takes down how much of a prompt the server had kept, if the answer to its read tells.
+func (c *conn) recordCached(req *dispatch.Request) {
 	var told struct {
 		Cached *int64 `json:"cached_tokens"`
 	}
-	g := j.Given()
-	if json.Unmarshal(c.first, &told) != nil || told.Cached == nil || *told.Cached < 0 || *told.Cached > g.Prompt {
+	g := req.PolicyRequest()
+	if json.Unmarshal(c.prefillBody, &told) != nil || told.Cached == nil || *told.Cached < 0 || *told.Cached > g.Prompt {
 		return
 	}
-	c.x.Counts.Kept.read(g.Prompt, g.Shared, j.Kept, *told.Cached)
-	if c.x.traces {
-		c.x.log.Debug("read", "job", string(j.Named), "host", c.h.name, "prefix", g.Prefix, "session", g.Session, "prompt", g.Prompt, "shared", g.Shared,
-			"expected", j.Kept, "found", *told.Cached)
+	c.exit.Counts.PrefixCache.read(g.Prompt, g.Shared, req.ExpectedCached, *told.Cached)
+	if c.exit.debug {
+		c.exit.log.Debug("read", "request", string(req.ClientID), "server", c.server.name, "prefix", g.Prefix, "session", g.Session, "prompt", g.Prompt, "shared", g.Shared,
+			"expected", req.ExpectedCached, "found", *told.Cached)
 	}
 }
 
-// rest keeps the connection for the next request.
-func (c *conn) rest(now loop.Nanos) {
-	if c.h.health == policy.Gone {
+// becomeIdle keeps the connection for the next request.
+func (c *conn) becomeIdle(now loop.Nanos) {
+	if c.server.health == policy.Gone {
 		c.retire()
 		return
 	}
-	c.lc.Pause(false) // it may have been held back for its last client
-	c.idle, c.since = true, now
-	c.x.idle.Put(c)
-	c.x.l.At(&c.timer, c.x.keeper.Until(now), c.onTimer)
+	c.conn.Pause(false) // it may have been held back for its last client
+	c.idle, c.idleSince = true, now
+	c.exit.idle.Put(c)
+	c.exit.loop.At(&c.timer, c.exit.keeper.Until(now), c.onTimer)
 }
 
 func (c *conn) Closed(now loop.Nanos, err error) {
@@ -358,46 +358,46 @@
 		return
 	}
 	if !c.ready {
-		c.x.log.Debug("host not reached", "host", c.h.name, "err", err)
+		c.exit.log.Debug("server not reached", "server", c.server.name, "err", err)
 	}
 	c.ended(now, false)
 }
 
-// ---- What the dispatcher asks of a launch.
+// ---- What the dispatcher asks of a attempt.
 
-// End implements dispatch.Sent: closing the connection is how a host learns that a launch is given up.
+// End implements dispatch.Sent: closing the connection is how a server learns that a attempt is given up.
 func (c *conn) End(loop.Nanos) bool {
-	if c.j == nil {
+	if c.request == nil {
 		return false
 	}
-	c.j = nil
-	c.lc.Close()
+	c.request = nil
+	c.conn.Close()
 	wired := c.ready
-	h, sent := c.h, c.sent
+	srv, sent := c.server, c.sentAt
 	c.leave()
-	if wired && pool.Distrust(sent, h.heard) {
-		h.distrust()
+	if wired && pool.Distrust(sent, srv.heardAt) {
+		srv.closeIdle()
 	}
 	return wired
 }
 
-// Over implements dispatch.Sent.
-func (c *conn) Over(loop.Nanos) {}
+// Ended implements dispatch.Sent.
+func (c *conn) Ended(loop.Nanos) {}
 
 // Credit implements dispatch.Sent.
 func (c *conn) Credit(int) {
 	if !c.gone {
-		c.lc.Pause(false)
+		c.conn.Pause(false)
 	}
 }
 
 // Reached implements dispatch.Sent.
-func (c *conn) Reached() bool { return c.ready && pool.Reached(c.used, c.sent, c.h.heard) }
+func (c *conn) Reached() bool { return c.ready && pool.Reached(c.uses, c.sentAt, c.server.heardAt) }
 
 // Stage implements dispatch.Sent.
 func (c *conn) Stage() dispatch.Stage {
 	if c.ready {
-		return dispatch.Wired
+		return dispatch.OnWire
 	}
 	return dispatch.Connecting
 }
--- a/internal/exit/platform/exit.go
+++ b/internal/exit/platform/exit.go
@@ -1,5 +1,5 @@
-// Package platform is the way to model hosts that speak the platform's protocol over HTTP/1.1, and to the platform's
-// discovery. What becomes of launches is told to the dispatcher; what is decided about connections stands in
+// Package platform is the way to model servers that speak the platform's protocol over HTTP/1.1, and to the platform's
+// discovery. What becomes of attempts is told to the dispatcher; what is decided about connections stands in
 // decide/pool.
 package platform
 
@@ -31,20 +31,20 @@
 
 // Counts are what the exit counted since its start.
 type Counts struct {
-	Dialled, Reused, Unfit, Retired, NoRoom uint64
-	Spoilt, Extra                           uint64 // answers that could not be read; bytes that belong to none
-	Releases, ReleaseTries, ReleasesLost    uint64
-	Reports, Lapsed                         uint64
-	Freed                                   uint64     // states let go of beside a launch that may not have come to its host
-	Rested                                  [12]uint64 // launches on connections used before, by how long those had rested: under 16 ms, 32, ...
-	LapsedAt                                [12]uint64 // of these, the ones that lapsed
-	News, Watches                           uint64
-	Kept                                    Kept
+	Dialled, Reused, Unusable, Retired, NoRoom uint64
+	InvalidAnswers, ExtraBytes                 uint64 // answers that could not be read; bytes that belong to none
+	Releases, ReleaseTries, ReleasesLost       uint64
+	Reports, StaleConnections                  uint64
+	ReleasedEarly                              uint64     // states released beside a attempt that may not have come to its server
+	Rested                                     [12]uint64 // attempts on connections used before, by how long those had rested: under 16 ms, 32, ...
+	StaleAfter                                 [12]uint64 // of these, the ones that lapsed
+	ListUpdates, Watches                       uint64
+	PrefixCache                                PrefixCache
 }
 
-// Kept compares, over the reads that ended well and told, what hosts had kept of prompts with what was expected. All but
+// PrefixCache compares, over the reads that ended well and told, what servers had kept of prompts with what was expected. All but
 // Reads are prompt tokens.
-type Kept struct {
+type PrefixCache struct {
 	Reads, Prompt, Shared uint64
 	Expected, Found       uint64
 	Missed                uint64 // expected and not found
@@ -52,7 +52,7 @@
 }
 
 // read takes down one read.
-func (k *Kept) read(prompt, shared, expected, found int64) {
+func (k *PrefixCache) read(prompt, shared, expected, found int64) {
 	k.Reads++
 	k.Prompt += uint64(prompt)
 	k.Shared += uint64(shared)
@@ -62,66 +62,68 @@
 	k.Unforeseen += uint64(max(found-expected, 0))
 }
 
-// Exit reaches the hosts on a loop.
+// Exit reaches the servers on a loop.
 type Exit struct {
 	Counts Counts
 
-	l        *loop.Loop
-	d        *dispatch.Dispatcher
-	log      *slog.Logger
-	traces   bool // the log takes lines of single jobs
-	zones    []string
-	kinds    []string
-	roles    []policy.Role
-	keeper   pool.Keeper
-	connect  int64
-	most     int // connections
-	n        int
-	hosts    []*host // in the order in which they were first listed
-	byName   map[string]*host
-	byID     map[policy.ServerID]*host
-	idle     order.Heap[*conn] // by since when
-	releases map[policy.RequestID]*release
-	list     discovery
-	rng      *rand.Rand
-	scratch  []byte
-	ways     []pool.Way
-	number   uint64
+	loop       *loop.Loop
+	dispatcher *dispatch.Dispatcher
+	log        *slog.Logger
+	debug      bool // the log takes lines of single requests
+	zones      []string
+	kinds      []string
+	roles      []policy.Role
+	keeper     pool.Keeper
+	connect    int64
+	maxConns   int // connections
+	conns      int
+	servers    []*server // in the order in which they were first listed
+	byName     map[string]*server
+	byID       map[policy.ServerID]*server
+	idle       order.Heap[*conn] // by since when
+	releases   map[policy.RequestID]*release
+	discovery  discovery
+	rng        *rand.Rand
+	scratch    []byte
+	ways       []pool.Way
+	number     uint64
 }
 
-// New makes the way to the hosts for a dispatcher: at most so many connections, discovery at an address.
+// New makes the way to the servers for a dispatcher: at most so many connections, discovery at an address.
 func New(l *loop.Loop, d *dispatch.Dispatcher, log *slog.Logger, m *enlist.Module, most int, discovery netip.AddrPort) *Exit {
-	x := &Exit{l: l, d: d, log: log, traces: log.Enabled(context.Background(), slog.LevelDebug), zones: m.Zones, kinds: m.Kinds, roles: m.Roles, most: most, connect: int64(m.Connect),
-		keeper: pool.Keeper{Idle: int64(m.Idle), Release: int64(m.Release)}, byName: make(map[string]*host),
-		byID: make(map[policy.ServerID]*host), releases: make(map[policy.RequestID]*release)}
+	x := &Exit{loop: l, dispatcher: d, log: log, debug: log.Enabled(context.Background(), slog.LevelDebug), zones: m.Zones, kinds: m.Kinds, roles: m.Roles, maxConns: most, connect: int64(m.Connect),
+		keeper: pool.Keeper{Idle: int64(m.Idle), Release: int64(m.Release)}, byName: make(map[string]*server),
+		byID: make(map[policy.ServerID]*server), releases: make(map[policy.RequestID]*release)}
 	if x.connect <= 0 {
 		x.connect = usualReach
 	}
 	x.keeper.Connect = x.connect
-	x.idle = order.Heap[*conn]{Place: func(c *conn) *int { return &c.place },
-		Less: func(a, b *conn) bool { return a.since < b.since || a.since == b.since && a.number < b.number }}
+	x.idle = order.Heap[*conn]{Place: func(c *conn) *int { return &c.heapIndex },
+		Less: func(a, b *conn) bool {
+			return a.idleSince < b.idleSince || a.idleSince == b.idleSince && a.number < b.number
+		}}
 	x.rng = rand.New(rand.NewPCG(m.Seed, 0))
-	x.list.init(x, discovery, m.Asked)
+	x.discovery.init(x, discovery, m.Asked)
 	return x
 }
 
-// host is a model host of the list, and the connections to it.
-type host struct {
-	x       *Exit
-	id      policy.ServerID
-	name    string
-	listed  Server // its entry of the list in force
-	addr    netip.AddrPort
-	role    policy.Role
-	health  policy.Health
-	started int64
-	conns   []*conn
-	heard   loop.Nanos  // last bytes from it
-	load    policy.Load // its last report ...
-	loadAt  loop.Nanos  // ... and when that came
+// server is a model server of the list, and the connections to it.
+type server struct {
+	x         *Exit
+	id        policy.ServerID
+	name      string
+	entry     Server // its entry of the list in force
+	addr      netip.AddrPort
+	role      policy.Role
+	health    policy.Health
+	startedAt int64
+	conns     []*conn
+	heardAt   loop.Nanos  // last bytes from it
+	load      policy.Load // its last report ...
+	loadAt    loop.Nanos  // ... and when that came
 }
 
-// idOf gives a host's number by its name, the same at every dispatcher and in every life but for names whose hashes
+// idOf gives a server's number by its name, the same at every dispatcher and in every life but for names whose hashes
 // collide.
 func (x *Exit) idOf(name string) policy.ServerID {
 	id := policy.ServerID(xxhash.Sum64String(name))
@@ -132,13 +134,13 @@
 }
 
 // Start implements dispatch.Exit.
-func (x *Exit) Start(now loop.Nanos) { x.list.watch(now) }
+func (x *Exit) Start(now loop.Nanos) { x.discovery.watch(now) }
 
 // OnNews has f called with the first news of this process.
-func (x *Exit) OnNews(f func()) { x.list.onNews = f }
+func (x *Exit) OnNews(f func()) { x.discovery.onNews = f }
 
 // Watch implements dispatch.Exit.
-func (x *Exit) Watch(now loop.Nanos) { x.list.watch(now) }
+func (x *Exit) Watch(now loop.Nanos) { x.discovery.watch(now) }
 
 // Flush implements dispatch.Exit; what is written is queued already.
 func (x *Exit) Flush() {}
@@ -149,39 +151,39 @@
 // Close implements dispatch.Exit.
 func (x *Exit) Close() {}
 
-// Conns counts open connections to hosts.
-func (x *Exit) Conns() int { return x.n }
+// Conns counts open connections to servers.
+func (x *Exit) Conns() int { return x.conns }
 
-// Hosts counts the hosts that are known.
-func (x *Exit) Hosts() int { return len(x.hosts) }
+// Servers counts the servers that are known.
+func (x *Exit) Servers() int { return len(x.servers) }
 
-// HostView is what crosses the sockets to a host.
-type HostView struct {
+// ServerView is what crosses the sockets to a server.
+type ServerView struct {
 	ID      policy.ServerID
 	Name    string
-	Reader  bool
-	Out     int // launches on connections to it, or waiting for a release
+	Prefill bool
+	Out     int // attempts on connections to it, or waiting for a release
 	Idle    int // connections that carry nothing
 	Load    policy.Load
 	LoadAge int64 // nanoseconds since that report; -1 = none has come
 }
 
-// Each calls f for every host that is known.
-func (x *Exit) Each(now loop.Nanos, f func(HostView)) {
-	for _, h := range x.hosts {
-		v := HostView{ID: h.id, Name: h.name, Reader: h.role == policy.Prefill, Load: h.load, LoadAge: -1}
-		if h.load != policy.NoLoad {
-			v.LoadAge = now - h.loadAt
+// Each calls f for every server that is known.
+func (x *Exit) Each(now loop.Nanos, f func(ServerView)) {
+	for _, srv := range x.servers {
+		v := ServerView{ID: srv.id, Name: srv.name, Prefill: srv.role == policy.Prefill, Load: srv.load, LoadAge: -1}
+		if srv.load != policy.NoLoad {
+			v.LoadAge = now - srv.loadAt
 		}
-		for _, c := range h.conns {
-			if c.j != nil {
+		for _, c := range srv.conns {
+			if c.request != nil {
 				v.Out++
 			} else if c.idle {
 				v.Idle++
 			}
 		}
 		for _, r := range x.releases {
-			if r.next != nil && r.next.Host == h.id {
+			if r.next != nil && r.next.Server == srv.id {
 				v.Out++
 			}
 		}
@@ -189,139 +191,139 @@
 	}
 }
 
-// Reads implements dispatch.Exit.
-func (x *Exit) Reads(id policy.ServerID) (reads, known bool) {
-	h := x.byID[id]
-	return h != nil && h.role == policy.Prefill, h != nil
+// IsPrefill implements dispatch.Exit.
+func (x *Exit) IsPrefill(id policy.ServerID) (reads, known bool) {
+	srv := x.byID[id]
+	return srv != nil && srv.role == policy.Prefill, srv != nil
 }
 
-// Launch implements dispatch.Exit. A read waits until what was to be let go of for the job before is gone: a release
+// Attempt implements dispatch.Exit. A read waits until what was to be released for the request before is gone: a release
 // that came after it would take its state away.
-func (x *Exit) Launch(now loop.Nanos, j *dispatch.Job, shot policy.AttemptNumber) dispatch.Sent {
-	if r := x.releases[j.ID]; r != nil && j.Reads {
-		r.next, r.shot = j, shot
+func (x *Exit) Send(now loop.Nanos, req *dispatch.Request, attempt policy.AttemptNumber) dispatch.Attempt {
+	if r := x.releases[req.ID]; r != nil && req.Prefill {
+		r.next, r.nextAttempt = req, attempt
 		return r
 	}
-	if c := x.send(now, j); c != nil {
+	if c := x.send(now, req); c != nil {
 		return c
 	}
 	return nil
 }
 
-// send has a connection to the job's host carry its launch; nil if the host takes none, as it may have begun to drain
-// while the launch waited behind a release.
-func (x *Exit) send(now loop.Nanos, j *dispatch.Job) *conn {
-	h := x.byID[j.Host]
-	if h == nil || h.health != policy.Serving {
+// send has a connection to the request's server carry its attempt; nil if the server takes none, as it may have begun to drain
+// while the attempt waited behind a release.
+func (x *Exit) send(now loop.Nanos, req *dispatch.Request) *conn {
+	srv := x.byID[req.Server]
+	if srv == nil || srv.health != policy.Serving {
 		return nil
 	}
-	c := x.connTo(now, h)
+	c := x.connTo(now, srv)
 	if c == nil {
 		return nil
 	}
-	c.j = j
+	c.request = req
 	if c.ready {
-		c.writeLaunch(now)
+		c.writeAttempt(now)
 	}
 	return c
 }
 
 // connTo gives a connection that carries nothing: one that is at hand, else a new one; nil if there can be none.
-func (x *Exit) connTo(now loop.Nanos, h *host) *conn {
-	if c := h.fit(now); c != nil {
+func (x *Exit) connTo(now loop.Nanos, srv *server) *conn {
+	if c := srv.usableConn(now); c != nil {
 		x.Counts.Reused++
 		x.idle.Take(c)
-		x.l.Cancel(&c.timer)
+		x.loop.Cancel(&c.timer)
 		c.idle = false
 		return c
 	}
-	if x.n >= x.most {
+	if x.conns >= x.maxConns {
 		if x.idle.Len() == 0 {
 			x.Counts.NoRoom++
 			return nil
 		}
 		x.idle.Min().retire()
 	}
-	c := &conn{x: x, h: h}
+	c := &conn{exit: x, server: srv}
 	c.onTimer = c.due
 	x.number++
 	c.number = x.number
-	lc, err := x.l.Dial(h.addr, x.connect, c)
+	lc, err := x.loop.Dial(srv.addr, x.connect, c)
 	if err != nil {
-		x.log.Warn("host", "name", h.name, "err", err)
+		x.log.Warn("server", "name", srv.name, "err", err)
 		return nil
 	}
 	x.Counts.Dialled++
-	x.n++
-	c.lc = lc
-	h.conns = append(h.conns, c)
+	x.conns++
+	c.conn = lc
+	srv.conns = append(srv.conns, c)
 	return c
 }
 
-// fit gives the unused connection that was used last, if one is fit; what is found to have ended is dropped.
-func (h *host) fit(now loop.Nanos) *conn {
+// usableConn gives the unused connection that was used last, if one is fit; what is found to have ended is dropped.
+func (srv *server) usableConn(now loop.Nanos) *conn {
 	for {
 		var best *conn
-		for _, c := range h.conns {
-			if c.idle && h.x.keeper.Fit(now, c.since) && (best == nil || c.since > best.since) {
+		for _, c := range srv.conns {
+			if c.idle && srv.x.keeper.Fit(now, c.idleSince) && (best == nil || c.idleSince > best.idleSince) {
 				best = c
 			}
 		}
-		if best == nil || best.lc.Quiet() {
+		if best == nil || best.conn.Quiet() {
 			return best
 		}
-		h.x.Counts.Unfit++
+		srv.x.Counts.Unusable++
 		best.retire()
 	}
 }
 
-// distrust drops the unused connections to a host.
-func (h *host) distrust() {
-	for _, c := range slices.Clone(h.conns) {
+// closeIdle drops the unused connections to a server.
+func (srv *server) closeIdle() {
+	for _, c := range slices.Clone(srv.conns) {
 		if c.idle {
 			c.retire()
 		}
 	}
 }
 
-// unlaunch ends launches to the host whose connections are not up yet, or that wait behind a release: it drains, and by
+// endUnsent ends attempts to the server whose connections are not up yet, or that wait behind a release: it drains, and by
 // then it may be too late.
-func (h *host) unlaunch(now loop.Nanos) {
-	for _, id := range slices.Sorted(maps.Keys(h.x.releases)) { // in an order that does not change from run to run
-		r := h.x.releases[id]
-		if j := r.next; j != nil && j.Host == h.id {
+func (srv *server) endUnsent(now loop.Nanos) {
+	for _, id := range slices.Sorted(maps.Keys(srv.x.releases)) { // in an order that does not change from run to run
+		r := srv.x.releases[id]
+		if req := r.next; req != nil && req.Server == srv.id {
 			r.next = nil
-			h.x.d.Moved(now, j, nil)
+			srv.x.dispatcher.Reassigned(now, req, nil)
 		}
 	}
-	for _, c := range slices.Clone(h.conns) {
-		if j := c.j; j != nil && !c.ready {
-			c.j = nil
-			c.lc.Close()
+	for _, c := range slices.Clone(srv.conns) {
+		if req := c.request; req != nil && !c.ready {
+			c.request = nil
+			c.conn.Close()
 			c.leave()
-			h.x.d.Finish(now, j, policy.NotSent, "", policy.NoLoad)
+			srv.x.dispatcher.Finish(now, req, policy.NotSent, "", policy.NoLoad)
 		}
 	}
 }
 
-// release is what is to be let go of for a job.
+// release is what is to be released for a request.
 type release struct {
-	x       *Exit
-	job     policy.RequestID
-	name    []byte
-	begun   loop.Nanos
-	tried   []policy.ServerID
-	on      *conn
-	timer   loop.Timer
-	onTimer func(loop.Nanos)
-	next    *dispatch.Job // a read of the job that waits for this
-	shot    policy.AttemptNumber
+	exit        *Exit
+	request     policy.RequestID
+	name        []byte
+	beganAt     loop.Nanos
+	tried       []policy.ServerID
+	conn        *conn
+	timer       loop.Timer
+	onTimer     func(loop.Nanos)
+	next        *dispatch.Request // a read of the request that waits for this
+	nextAttempt policy.AttemptNumber
 }
 
-// LetGo implements dispatch.Exit: any host that runs takes a release.
-func (x *Exit) LetGo(now loop.Nanos, j *dispatch.Job, at policy.ServerID, _ policy.AttemptNumber) {
-	if r := x.releases[j.ID]; r != nil { // one that is under way may have passed too early
-		r.begun, r.tried = now, r.tried[:0]
+// Release implements dispatch.Exit: any server that runs takes a release.
+func (x *Exit) Release(now loop.Nanos, req *dispatch.Request, at policy.ServerID, _ policy.AttemptNumber) {
+	if r := x.releases[req.ID]; r != nil { // one that is under way may have passed too early
+		r.beganAt, r.tried = now, r.tried[:0]
 		r.drop()
 		r.try(now)
 		return
@@ -331,54 +333,54 @@
 		x.Counts.ReleasesLost++
 		return
 	}
-	r := &release{x: x, job: j.ID, name: slices.Clone(j.Named), begun: now}
+	r := &release{exit: x, request: req.ID, name: slices.Clone(req.ClientID), beganAt: now}
 	r.onTimer = r.again
-	x.releases[j.ID] = r
+	x.releases[req.ID] = r
 	r.try(now)
 }
 
 // drop takes the release off its connection.
 func (r *release) drop() {
-	if c := r.on; c != nil {
-		r.on, c.r = nil, nil
-		c.lc.Close()
+	if c := r.conn; c != nil {
+		r.conn, c.release = nil, nil
+		c.conn.Close()
 		c.leave()
 	}
 }
 
-// try sends the release by a host.
+// try sends the release by a server.
 func (r *release) try(now loop.Nanos) {
-	x := r.x
+	x := r.exit
 	x.ways = x.ways[:0]
-	for _, h := range x.hosts {
-		gone := h.health == policy.Gone
-		x.ways = append(x.ways, pool.Way{Heard: h.heard, Ready: !gone && h.fit(now) != nil,
-			Tried: slices.Contains(r.tried, h.id), Gone: gone})
+	for _, srv := range x.servers {
+		gone := srv.health == policy.Gone
+		x.ways = append(x.ways, pool.Way{Heard: srv.heardAt, Ready: !gone && srv.usableConn(now) != nil,
+			Tried: slices.Contains(r.tried, srv.id), Gone: gone})
 	}
 	i := pool.Choose(x.ways)
-	if i < 0 || now >= x.keeper.GiveUp(r.begun) {
+	if i < 0 || now >= x.keeper.GiveUp(r.beganAt) {
 		x.Counts.ReleasesLost++
 		r.done(now)
 		return
 	}
-	h := x.hosts[i]
+	srv := x.servers[i]
 	if x.ways[i].Tried {
 		r.tried = r.tried[:0] // all have been tried: once more round
 	}
-	r.tried = append(r.tried, h.id)
+	r.tried = append(r.tried, srv.id)
 	x.Counts.ReleaseTries++
-	x.l.At(&r.timer, now+x.keeper.Try(), r.onTimer)
-	c := x.connTo(now, h)
+	x.loop.At(&r.timer, now+x.keeper.Try(), r.onTimer)
+	c := x.connTo(now, srv)
 	if c == nil {
 		return // again when the time is up
 	}
-	r.on, c.r = c, r
+	r.conn, c.release = c, r
 	if c.ready {
 		c.writeRelease()
 	}
 }
 
-// again is when a host has not answered in time: another is asked.
+// again is when a server has not answered in time: another is asked.
 func (r *release) again(now loop.Nanos) {
 	r.drop()
 	r.try(now)
@@ -386,21 +388,21 @@
 
 // done ends it, answered or given up.
 func (r *release) done(now loop.Nanos) {
-	x := r.x
-	if x.traces {
-		x.log.Debug("release over", "job", string(r.name), "tries", r.tried, "took", now-r.begun)
+	x := r.exit
+	if x.debug {
+		x.log.Debug("release over", "request", string(r.name), "tries", r.tried, "took", now-r.beganAt)
 	}
-	x.l.Cancel(&r.timer)
-	delete(x.releases, r.job)
-	r.on = nil
-	if j := r.next; j != nil {
+	x.loop.Cancel(&r.timer)
+	delete(x.releases, r.request)
+	r.conn = nil
+	if req := r.next; req != nil {
 		r.next = nil
-		var s dispatch.Sent
-		if c := x.send(now, j); c != nil {
+		var s dispatch.Attempt
+		if c := x.send(now, req); c != nil {
 			s = c
 		}
-		x.d.Moved(now, j, s)
-		x.l.Again()
+		x.dispatcher.Reassigned(now, req, s)
+		x.loop.Again()
 	}
 }
 
@@ -410,8 +412,8 @@
 	return false
 }
 
-// Over implements dispatch.Sent.
-func (r *release) Over(loop.Nanos) {}
+// Ended implements dispatch.Sent.
+func (r *release) Ended(loop.Nanos) {}
 
 // Credit implements dispatch.Sent.
 func (r *release) Credit(int) {}
--- a/internal/exit/platform/exit_test.go
+++ b/internal/exit/platform/exit_test.go
@@ -54,10 +54,10 @@
 // slowCall is a client that has never room: whatever is relayed to it waits.
 type slowCall struct{ served int }
 
-func (*slowCall) Tokens(policy.RequestID, []byte) bool { return true }
-func (c *slowCall) Honour(policy.RequestID)            { c.served++ }
-func (*slowCall) Abandon(policy.RequestID, string)     {}
-func (*slowCall) Nack(policy.RequestID, front.Refusal) {}
+func (*slowCall) Tokens(policy.RequestID, []byte) bool   { return true }
+func (c *slowCall) Served(policy.RequestID)              { c.served++ }
+func (*slowCall) Fail(policy.RequestID, string)          {}
+func (*slowCall) Reject(policy.RequestID, front.Refusal) {}
 
 // A connection that was held back for a slow client as its answer ended is read again when it carries the next request.
 func TestHeldBackConnectionIsReadAgain(t *testing.T) {
@@ -78,7 +78,7 @@
 	}
 	x := New(l, d, log, &enlist.Module{Zones: []string{"z"}, Kinds: []string{"decode"}, Roles: []policy.Role{policy.Decode},
 		Idle: 15e9, Release: 1e9, Connect: 250e6}, 10, netip.AddrPort{})
-	d.Ends(noClients{}, x)
+	d.Attach(noClients{}, x)
 	x.Known(0, List{Full: true, Servers: []Server{{ID: "w1", Addr: host.Addr().String(), Zone: "z", Kind: "decode", State: "Ready"}}})
 	done := make(chan error)
 	go func() { done <- l.Run(d.Round) }()
@@ -90,7 +90,7 @@
 	}
 	ask := func() {
 		on(func() {
-			id, err := d.Arrive(l.Now(), call, &front.Request{Track: []byte("a"), Named: []byte("n"), Target: []byte("/"), Raw: []byte("x"), Prompt: 1})
+			id, err := d.Arrive(l.Now(), call, &front.Request{Class: []byte("a"), ClientID: []byte("n"), Path: []byte("/"), Raw: []byte("x"), Prompt: 1})
 			if err != nil {
 				t.Error(err)
 			}
@@ -127,7 +127,7 @@
 		io.WriteString(c, answer) // its end comes in the same bytes as what waits for the client
 		until("the answer is relayed", func() bool { return call.served == n+1 })
 		if n == 0 {
-			until("the connection may be used again", func() bool { return x.byName["w1"].fit(l.Now()) != nil })
+			until("the connection may be used again", func() bool { return x.byName["w1"].usableConn(l.Now()) != nil })
 			ask()
 		}
 	}
--- a/internal/front/grpc/grpc.go
+++ b/internal/front/grpc/grpc.go
@@ -285,7 +285,7 @@
 		case err == nil:
 			s.Ref = uint64(id)
 		case errors.As(err, &no):
-			tag.call.Nack(0, no)
+			tag.call.Reject(0, no)
 		default:
 			c.bad(s, err)
 		}
@@ -293,7 +293,7 @@
 		if s.Ref != 0 {
 			id := policy.RequestID(s.Ref)
 			c.bad(s, errors.New("a second message: Generate takes one"))
-			c.s.core.Left(c.now, id)
+			c.s.core.ClientLeft(c.now, id)
 		}
 	}
 	return false
@@ -304,7 +304,7 @@
 func (c *conn) Reset(s *h2.Stream, _ http2.ErrCode, _ bool) {
 	if id := policy.RequestID(s.Ref); id != 0 {
 		s.Ref = 0
-		c.s.core.Left(c.now, id)
+		c.s.core.ClientLeft(c.now, id)
 	}
 }
 
@@ -317,7 +317,7 @@
 func (c *conn) GoingAway() {}
 func (c *conn) Pong()      {}
 
-// Call is the client's end of a job.
+// Call is the client's end of a request.
 type Call struct {
 	c *conn
 	s *h2.Stream
@@ -334,24 +334,24 @@
 	return a.s.Pending() > 0
 }
 
-// Honour ends the call with OK.
-func (a *Call) Honour(id policy.RequestID) { a.end(id, codes.OK, "") }
+// Served ends the call with OK.
+func (a *Call) Served(id policy.RequestID) { a.end(id, codes.OK, "") }
 
-// Abandon ends the call with ABORTED: nothing is promised.
-func (a *Call) Abandon(id policy.RequestID, why string) {
+// Fail ends the call with ABORTED: nothing is promised.
+func (a *Call) Fail(id policy.RequestID, why string) {
 	a.end(id, codes.Aborted, "abandoned: "+why, hpack.HeaderField{Name: "grpc-retry-pushback-ms", Value: "-1"})
 }
 
-// Nack ends the call with UNAVAILABLE, or RESOURCE_EXHAUSTED where a limit of the caller's own was met: trying again
+// Reject ends the call with UNAVAILABLE, or RESOURCE_EXHAUSTED where a limit of the caller's own was met: trying again
 // is harmless, best after so many nanoseconds.
-func (a *Call) Nack(id policy.RequestID, no front.Refusal) {
-	ms := (no.After + 1e6 - 1) / 1e6
-	why, code := "nacked: "+no.Why, codes.Unavailable
-	if no.Own {
+func (a *Call) Reject(id policy.RequestID, no front.Refusal) {
+	ms := (no.RetryAfter + 1e6 - 1) / 1e6
+	why, code := "nacked: "+no.Reason, codes.Unavailable
+	if no.TenantLimit {
 		code = codes.ResourceExhausted
 	}
 	extra := []hpack.HeaderField{{Name: "grpc-retry-pushback-ms", Value: strconv.FormatInt(ms, 10)},
-		{Name: "grpc-status-details-bin", Value: details(code, why, no.After)}}
+		{Name: "grpc-status-details-bin", Value: details(code, why, no.RetryAfter)}}
 	if no.Ticket != nil {
 		extra = append(extra, hpack.HeaderField{Name: ticketHeader, Value: base64.RawStdEncoding.EncodeToString(no.Ticket)})
 	}
@@ -360,7 +360,7 @@
 
 const (
 	ticketHeader     = "docksail-ticket-bin"
-	backgroundHeader = "docksail-background" // any value: the job fills what is idle and yields to all others
+	backgroundHeader = "docksail-background" // any value: the request fills what is idle and yields to all others
 )
 
 func (a *Call) end(id policy.RequestID, code codes.Code, why string, extra ...hpack.HeaderField) {
--- a/internal/front/grpc/request.go
+++ b/internal/front/grpc/request.go
@@ -23,25 +23,25 @@
 		most := uint64(1<<32 - 1)
 		switch num {
 		case 1:
-			to = &r.Track
+			to = &r.Class
 		case 2:
 			to = &r.Tenant
 		case 3:
 			to = &r.Session
 		case 4:
-			to = &r.Beginning
+			to = &r.Prefix
 		case 5:
 			val = &r.Prompt
 		case 6:
 			val = &r.Shared
 		case 7:
-			val = &r.Most
+			val = &r.MaxTokens
 		case 8:
 			to = &r.Label
 		case 12:
 			to = &r.Client
 		case 9:
-			val, most = &r.Patience, 1<<62
+			val, most = &r.WaitLimit, 1<<62
 		case 10:
 			val, most = &r.Hint, 1<<62
 		}
