--- a/internal/front/platform/answer.go
+++ b/internal/front/platform/answer.go
@@ -13,16 +13,16 @@
 
 // refuse answers a request that cannot be taken, whatever still comes of it, and ends the connection.
 func (c *conn) refuse(status int, why string) {
-	c.s.Counts.Bad++
-	c.last = true
+	c.server.Counts.Bad++
+	c.closeAfter = true
 	c.answer(status, 0, why)
 }
 
 // answer gives an answer that is no stream; after is when to come back, 0 = not told.
 func (c *conn) answer(status int, after loop.Nanos, why string) {
-	c.s.Counts.Answers[status/100]++
-	c.last = c.last || c.ends()
-	b := append(c.s.scratch[:0], "HTTP/1.1 "...)
+	c.server.Counts.Answers[status/100]++
+	c.closeAfter = c.closeAfter || c.ends()
+	b := append(c.server.scratch[:0], "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(status), 10)
 	b = append(append(append(b, ' '), http.StatusText(status)...), "\r\nContent-Type: application/json\r\n"...)
 	if after > 0 {
@@ -30,7 +30,7 @@
 		b = appendSeconds(b, after)
 		b = append(b, "\r\n"...)
 	}
-	if c.last {
+	if c.closeAfter {
 		b = append(b, "Connection: close\r\n"...)
 	}
 	text := []byte("{}")
@@ -42,13 +42,13 @@
 	b = append(b, "Content-Length: "...)
 	b = strconv.AppendInt(b, int64(len(text)), 10)
 	b = append(append(b, "\r\n\r\n"...), text...)
-	c.s.scratch = b
-	c.lc.Write(b)
+	c.server.scratch = b
+	c.conn.Write(b)
 	c.done()
 }
 
 // ends tells that the answer under way is the connection's last: the dispatcher leaves, and no request stands behind it.
-func (c *conn) ends() bool { return c.s.leaving && c.waiting() == 0 }
+func (c *conn) ends() bool { return c.server.draining && c.waiting() == 0 }
 
 // appendSeconds writes a span in seconds with three decimals, rounded up.
 func appendSeconds(b []byte, span loop.Nanos) []byte {
@@ -63,12 +63,12 @@
 		c.forget()
 	}
 	c.dropBody()
-	c.begun = false
+	c.headSent = false
 	if c.next(); c.stage == peers.Over {
 		return
 	}
-	if !c.taking { // what has come meanwhile
-		c.lc.Pause(false)
+	if !c.requestOpen { // what has come meanwhile
+		c.conn.Pause(false)
 		c.pull(nil)
 	}
 }
@@ -78,48 +78,48 @@
 	if c.gone {
 		return false
 	}
-	if !c.begun {
-		c.begun = true
-		c.s.Counts.Answers[2]++
-		c.last = c.last || c.ends()
-		c.lc.Write([]byte("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nCache-Control: no-cache\r\n"))
-		if c.last {
-			c.lc.Write([]byte("Connection: close\r\n"))
+	if !c.headSent {
+		c.headSent = true
+		c.server.Counts.Answers[2]++
+		c.closeAfter = c.closeAfter || c.ends()
+		c.conn.Write([]byte("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nCache-Control: no-cache\r\n"))
+		if c.closeAfter {
+			c.conn.Write([]byte("Connection: close\r\n"))
 		}
-		c.lc.Write([]byte("Transfer-Encoding: chunked\r\n\r\n"))
+		c.conn.Write([]byte("Transfer-Encoding: chunked\r\n\r\n"))
 	}
-	b := strconv.AppendInt(c.s.scratch[:0], int64(len(p)), 16)
+	b := strconv.AppendInt(c.server.scratch[:0], int64(len(p)), 16)
 	b = append(append(append(b, "\r\n"...), p...), "\r\n"...)
-	c.s.scratch = b
-	c.lc.Write(b)
-	return c.lc.Queued() > outputBusy
+	c.server.scratch = b
+	c.conn.Write(b)
+	return c.conn.Queued() > outputBusy
 }
 
-// Honour implements front.Call.
-func (c *conn) Honour(policy.RequestID) {
+// Served implements front.Call.
+func (c *conn) Served(policy.RequestID) {
 	if c.gone {
 		return
 	}
-	c.lc.Write([]byte("0\r\n\r\n"))
+	c.conn.Write([]byte("0\r\n\r\n"))
 	c.done()
 }
 
-// Abandon implements front.Call. A stream that has begun ends without its last chunk.
-func (c *conn) Abandon(_ policy.RequestID, why string) {
+// Fail implements front.Call. A stream that has begun ends without its last chunk.
+func (c *conn) Fail(_ policy.RequestID, why string) {
 	switch {
 	case c.gone:
-	case c.begun:
-		c.s.Counts.Cut++
-		c.last = true
+	case c.headSent:
+		c.server.Counts.CutOff++
+		c.closeAfter = true
 		c.done()
 	default:
 		c.answer(504, 0, why)
 	}
 }
 
-// Nack implements front.Call.
-func (c *conn) Nack(_ policy.RequestID, no front.Refusal) {
+// Reject implements front.Call.
+func (c *conn) Reject(_ policy.RequestID, no front.Refusal) {
 	if !c.gone {
-		c.answer(503, no.After, no.Why)
+		c.answer(503, no.RetryAfter, no.Reason)
 	}
 }
--- a/internal/front/platform/request.go
+++ b/internal/front/platform/request.go
@@ -13,14 +13,14 @@
 
 func cut(p []byte, sep byte) (before, after []byte, found bool) { return bytes.Cut(p, []byte{sep}) }
 
-// ask is what the head of a request says of its job, kept until the body has come.
-type ask struct {
-	name, target, track, session, prefix []byte
-	tenant                               []byte
-	fields                               []byte // header fields that hosts are to see as well, as lines
-	patience, hint                       int64
-	prompt, shared, most                 int64
-	again                                bool
+// parsedRequest is what the head of a request says of its request, kept until the body has come.
+type parsedRequest struct {
+	id, path, class, session, prefix      []byte
+	tenant                                []byte
+	fields                                []byte // header fields that servers are to see as well, as lines
+	remaining, hint                       int64
+	promptTokens, prefixTokens, maxTokens int64
+	resent                                bool
 }
 
 const (
@@ -31,8 +31,8 @@
 )
 
 // head reads the fields that the platform has.
-func (a *ask) head(h *h1.Head) error {
-	*a = ask{name: a.name[:0], target: append(a.target[:0], h.Target...), track: a.track[:0], session: a.session[:0],
+func (a *parsedRequest) head(h *h1.Head) error {
+	*a = parsedRequest{id: a.id[:0], path: append(a.path[:0], h.Target...), class: a.class[:0], session: a.session[:0],
 		prefix: a.prefix[:0], tenant: a.tenant[:0], fields: a.fields[:0]}
 	var seen [len(fieldNameList)]bool
 	for _, f := range h.Fields {
@@ -54,19 +54,19 @@
 			if !hexName(v) {
 				err = errors.New("want 16 hexadecimal digits")
 			}
-			a.name = append(a.name, v...)
+			a.id = append(a.id, v...)
 		case fieldTrack:
 			if len(v) == 0 || len(v) > trackMost {
 				err = errors.New("want the name of a class")
 			}
-			a.track = append(a.track, v...)
+			a.class = append(a.class, v...)
 		case fieldSession:
 			if len(v) > nameMost {
 				err = errors.New("too long")
 			}
 			a.session = append(a.session, v...)
 		case fieldPatience:
-			a.patience, err = seconds(v)
+			a.remaining, err = seconds(v)
 		case fieldLabels:
 			err = a.labels(v)
 		case fieldHint:
@@ -75,7 +75,7 @@
 				a.hint = us * 1000
 			}
 		case fieldAgain:
-			a.again = string(v) == "1"
+			a.resent = string(v) == "1"
 		case fieldTenant:
 			if len(v) == 0 || len(v) > nameMost {
 				err = errors.New("want the name of a tenant")
@@ -121,11 +121,11 @@
 	return numbers
 }
 
-// hopFields concern one connection only, or are written anew for the host.
+// hopFields concern one connection only, or are written anew for the server.
 var hopFields = map[string]bool{"host": true, "content-length": true, "content-type": true, "transfer-encoding": true, "connection": true,
 	"keep-alive": true, "proxy-connection": true, "te": true, "trailer": true, "upgrade": true, "expect": true}
 
-// endToEnd tells that a field goes on to the host: it is none of this connection's own, be it by name or because the
+// endToEnd tells that a field goes on to the server: it is none of this connection's own, be it by name or because the
 // client's Connection field lists it.
 func endToEnd(h *h1.Head, name []byte) bool {
 	if hopFields[string(lower(name))] {
@@ -196,7 +196,7 @@
 }
 
 // labels reads what the client says of the prompt.
-func (a *ask) labels(v []byte) error {
+func (a *parsedRequest) labels(v []byte) error {
 	for len(v) > 0 {
 		var pair []byte
 		pair, v, _ = cut(v, ',')
@@ -212,23 +212,23 @@
 			}
 			a.prefix = append(a.prefix[:0], value...)
 		case "prompt_len":
-			a.prompt, err = whole(value, tokenMost)
+			a.promptTokens, err = whole(value, tokenMost)
 		case "prefix_len":
-			a.shared, err = whole(value, tokenMost)
+			a.prefixTokens, err = whole(value, tokenMost)
 		case "max_out":
-			a.most, err = whole(value, tokenMost)
+			a.maxTokens, err = whole(value, tokenMost)
 		}
 		if err != nil {
 			return fmt.Errorf("label %s: %w", key, err)
 		}
 	}
-	if a.shared > a.prompt {
+	if a.prefixTokens > a.promptTokens {
 		return errors.New("prefix_len is more than prompt_len")
 	}
 	return nil
 }
 
-// body is the shape that a request's body must have; what it says is the host's matter.
+// body is the shape that a request's body must have; what it says is the server's matter.
 type body struct {
 	Model    *text     `json:"model"`
 	Messages []message `json:"messages"`
@@ -251,9 +251,9 @@
 	return nil
 }
 
-// request makes the job of a request that has all come; age is how long ago its first byte came, be it while another was
+// request makes the request of a request that has all come; age is how long ago its first byte came, be it while another was
 // in hand: the client's time has run since.
-func (a *ask) request(r *front.Request, raw []byte, age int64) error {
+func (a *parsedRequest) request(r *front.Request, raw []byte, age int64) error {
 	var b body
 	if err := json.Unmarshal(raw, &b); err != nil {
 		return fmt.Errorf("body: %w", err)
@@ -269,9 +269,9 @@
 	if b.Max != nil && (*b.Max < 0 || *b.Max > tokenMost) {
 		return fmt.Errorf("body: max_tokens %d", *b.Max)
 	}
-	*r = front.Request{Raw: raw, Named: a.name, Target: a.target, Fields: a.fields, Track: a.track, Tenant: a.tenant, Session: a.session, Beginning: a.prefix,
-		Prompt: a.prompt, Shared: a.shared, Most: a.most, Hint: a.hint, Patience: max(a.patience-age, 1)}
-	if a.again {
+	*r = front.Request{Raw: raw, ClientID: a.id, Path: a.path, Header: a.fields, Class: a.class, Tenant: a.tenant, Session: a.session, Prefix: a.prefix,
+		Prompt: a.promptTokens, Shared: a.prefixTokens, MaxTokens: a.maxTokens, Hint: a.hint, WaitLimit: max(a.remaining-age, 1)}
+	if a.resent {
 		r.Repeat = 1
 	}
 	if r.Prompt == 0 {
--- a/internal/front/platform/server_test.go
+++ b/internal/front/platform/server_test.go
@@ -25,9 +25,9 @@
 	k.calls = append(k.calls, call)
 	return policy.RequestID(len(k.calls)), nil
 }
-func (*core) Left(loop.Nanos, policy.RequestID) {}
-func (*core) Room(loop.Nanos, policy.RequestID) {}
-func (*core) Name(policy.RequestID) string      { return "" }
+func (*core) ClientLeft(loop.Nanos, policy.RequestID) {}
+func (*core) Room(loop.Nanos, policy.RequestID)       {}
+func (*core) Name(policy.RequestID) string            { return "" }
 
 // served is a Server on a loop of its own, before a core that the test plays.
 type served struct {
@@ -105,9 +105,9 @@
 	for queued := 0; queued == 0; {
 		v.on(func() { call.Tokens(1, piece) })
 		length += len(piece)
-		v.on(func() { queued = call.(*conn).lc.Queued() })
+		v.on(func() { queued = call.(*conn).conn.Queued() })
 	}
-	v.on(func() { call.Honour(1) })
+	v.on(func() { call.Served(1) })
 	return length
 }
 
@@ -131,7 +131,7 @@
 	c := v.client()
 	length := v.stuffed(c, "Connection: close\r\n")
 	call := v.core.calls[0].(*conn)
-	v.until("the connection's time is up", func() bool { return call.gone || v.l.Now() > peers.Until(peers.Over, call.since)+100e6 })
+	v.until("the connection's time is up", func() bool { return call.gone || v.l.Now() > peers.Until(peers.Over, call.stageSince)+100e6 })
 	if got := wholeAnswer(t, c); got != length {
 		t.Errorf("%d bytes, want %d", got, length)
 	}
@@ -160,8 +160,8 @@
 	v.until("it is connected", func() bool { return v.s.Conns() == 1 })
 	v.on(func() {
 		var first loop.Timer // fires in the same turn, before the connection's own
-		silent := v.s.stages[0].Min()
-		v.l.At(&first, peers.Until(peers.Silent, silent.since)-1, func(loop.Nanos) { io.WriteString(c, request("")) })
+		silent := v.s.byStage[0].Min()
+		v.l.At(&first, peers.Until(peers.Silent, silent.stageSince)-1, func(loop.Nanos) { io.WriteString(c, request("")) })
 	})
 	v.until("the request", func() bool { return len(v.core.calls) == 1 || v.s.Conns() == 0 })
 	if len(v.core.calls) != 1 {
@@ -181,9 +181,9 @@
 	var came, now loop.Nanos
 	v.on(func() { came = v.l.Now() })
 	v.until("some time", func() bool { now = v.l.Now(); return now > came+50e6 })
-	v.on(func() { first.Nack(1, front.Refusal{}) })
+	v.on(func() { first.Reject(1, front.Refusal{}) })
 	v.until("the second", func() bool { return len(v.core.calls) == 2 })
-	if left := v.s.req.Patience; left > int64(5e9)-50e6 {
+	if left := v.s.req.WaitLimit; left > int64(5e9)-50e6 {
 		t.Errorf("%d ms left of 5 s after 50 ms", left/1e6)
 	}
 }
--- a/internal/lab/drill/script.go
+++ b/internal/lab/drill/script.go
@@ -121,7 +121,7 @@
 // what is left behind them.
 const Noticed = 5 * time.Second
 
-// Kinds of trouble, and what each needs.
+// kinds of trouble, and what each needs.
 var kinds = map[string]string{
 	"crash":      "hosts end at once and start again, cold, at its end",
 	"hang":       "hosts take work and answer none",
--- a/internal/lab/drill/stage.go
+++ b/internal/lab/drill/stage.go
@@ -573,7 +573,7 @@
 	}
 	c := r.Counts
 	fmt.Fprintf(w, "dispatchers: %d launches, %d recalled, %d late, %d broken, %d releases, %d reports (%d late), %d refused at the gate, "+
-		"%d guarded\n", c.Launches, c.Recalls, c.Late, c.Broken, c.Releases, c.Reports, c.LateReports, c.Refused, c.Guarded)
+		"%d guarded\n", c.Attempts, c.Cancels, c.TimedOut, c.Broken, c.Releases, c.Reports, c.LateReports, c.Refused, c.InvalidDecisions)
 	doors := r.Doors
 	if len(doors) > 8 { // their sum tells more than a page of them
 		var sum door.Counts
--- a/internal/lab/explore/explore.go
+++ b/internal/lab/explore/explore.go
@@ -98,8 +98,8 @@
 		return nil, "", err
 	}
 	broken = rep.Violations
-	if rep.Counts.Guarded > 0 {
-		broken = append(broken, rules.Violation{What: fmt.Sprintf("the account of a job refused %d decisions", rep.Counts.Guarded)})
+	if rep.Counts.InvalidDecisions > 0 {
+		broken = append(broken, rules.Violation{What: fmt.Sprintf("the account of a job refused %d decisions", rep.Counts.InvalidDecisions)})
 	}
 	for name, sum := range rep.Sums {
 		if sum.Wrong > 0 {
--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/sim/sim_test.go
@@ -71,8 +71,8 @@
 				t.Errorf("seed %d: %d answers of %s were not whole", 100+seed, s.Wrong, name)
 			}
 		}
-		if rep.Counts.Guarded > 0 || jobs < 500 || honoured < jobs*3/4 || rep.Simulated < 40*time.Second {
-			t.Errorf("seed %d: %d of %d jobs honoured in %v, %d decisions refused", 100+seed, honoured, jobs, rep.Simulated, rep.Counts.Guarded)
+		if rep.Counts.InvalidDecisions > 0 || jobs < 500 || honoured < jobs*3/4 || rep.Simulated < 40*time.Second {
+			t.Errorf("seed %d: %d of %d jobs honoured in %v, %d decisions refused", 100+seed, honoured, jobs, rep.Simulated, rep.Counts.InvalidDecisions)
 		}
 	}
 }
--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -70,7 +70,7 @@
 	}
 }
 
-// Ends that are known are told before the round of their turn.
+// TestEndsBeforeRound that are known are told before the round of their turn.
 func TestEndsBeforeRound(t *testing.T) {
 	l, err := New()
 	if err != nil {
--- a/internal/node/crossing_test.go
+++ b/internal/node/crossing_test.go
@@ -99,7 +99,7 @@
 	client.send(request(jobName(1)))
 	h.untilOut("r1")
 	client.close()
-	h.until("its client is gone", func() bool { return h.node.d.Counts.Left == 1 })
+	h.until("its client is gone", func() bool { return h.node.dispatcher.Counts.ClientsLeft == 1 })
 	reader.cut(false)
 	reader.wantNoRequest()
 }
@@ -225,6 +225,6 @@
 	}
 	had, _ := s.node.View()
 	say(watch, watchHead+chunk(listText(exit.List{Version: 3, Full: true, Servers: s.hosts})))
-	until(t, "the list", func() bool { v, _ := s.node.View(); return v.Exit.News > had.Exit.News })
+	until(t, "the list", func() bool { v, _ := s.node.View(); return v.Exit.ListUpdates > had.Exit.ListUpdates })
 	s.served(s.dial(), 1)
 }
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -29,7 +29,7 @@
 	round     func(loop.Nanos)
 	began     time.Time
 	node      *Node
-	config    *Told
+	config    *Config
 	discovery *scriptedServer
 	servers   []exit.Server
 	replaced  []string // pieces of the settings and what stands in their place, pairwise
@@ -152,7 +152,7 @@
 // start puts the dispatcher into service. Discovery takes its watch, and has told nothing yet.
 func (h *harness) start() (watch *scriptedConn) {
 	h.t.Helper()
-	h.config = &Told{Name: "n0", Discovery: h.discovery.addr, Seed: "8c1f30d27a5be964",
+	h.config = &Config{Name: "n0", Discovery: h.discovery.addr, Seed: "8c1f30d27a5be964",
 		Settings: json.RawMessage(strings.NewReplacer(h.replaced...).Replace(settings))}
 	h.config.Limits.Sockets, h.config.Limits.Memory = 1024, 96
 	h.config.Known = exit.List{Version: 41, Full: true, Servers: h.servers}
@@ -163,10 +163,10 @@
 			h.t.Error(err)
 			return
 		}
-		h.round = h.node.d.Round
+		h.round = h.node.dispatcher.Round
 	})
 	if h.world != nil {
-		h.loop.SetRound(h.node.d.Round)
+		h.loop.SetRound(h.node.dispatcher.Round)
 		h.loop.Post(func() {})
 	}
 	watch = h.discovery.accept()
@@ -221,12 +221,12 @@
 // untilNews waits until discovery has told something more often than so many times.
 func (h *harness) untilNews(had uint64) {
 	h.t.Helper()
-	h.until("the list is taken", func() bool { return h.node.out.Counts.News > had })
+	h.until("the list is taken", func() bool { return h.node.exit.Counts.ListUpdates > had })
 }
 
 // news counts what discovery has told so far.
 func (h *harness) news() (count uint64) {
-	h.do(func() { count = h.node.out.Counts.News })
+	h.do(func() { count = h.node.exit.Counts.ListUpdates })
 	return count
 }
 
@@ -272,7 +272,7 @@
 	h.t.Helper()
 	h.until("an attempt is out to "+name, func() bool {
 		out := 0
-		h.node.out.Each(h.loop.Now(), func(v exit.HostView) {
+		h.node.exit.Each(h.loop.Now(), func(v exit.ServerView) {
 			if v.Name == name {
 				out = v.Out
 			}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -23,61 +23,61 @@
 	// heapShare of the memory limit is the collector's: the rest is for the program's text, stacks and what the kernel
 	// counts as ours.
 	heapShare = 0.6
-	// jobBytes is what a job in hand may take: most are a tenth of it.
-	jobBytes   = 64 << 10
-	promptMost = 1 << 20
-	hush       = 5 * int64(time.Second) // a client is lost that waits longer after a running host's last event
+	// jobBytes is what a request in hand may take: most are a tenth of it.
+	requestBytes    = 64 << 10
+	maxPromptTokens = 1 << 20
+	silenceLimit    = 5 * int64(time.Second) // a client is lost that waits longer after a running server's last event
 )
 
 // Node is one dispatcher in service.
 type Node struct {
-	l    *loop.Loop
-	d    *dispatch.Dispatcher
-	mod  *policy.Dispatcher
-	addr netip.AddrPort
-	in   *front.Server
-	out  *exit.Exit
-	log  *slog.Logger
-	done chan struct{}
-	err  error
+	loop       *loop.Loop
+	dispatcher *dispatch.Dispatcher
+	module     *policy.Dispatcher
+	addr       netip.AddrPort
+	front      *front.Server
+	exit       *exit.Exit
+	log        *slog.Logger
+	done       chan struct{}
+	err        error
 }
 
-// Spare sets the run-time to a small machine: one core, and a heap that keeps within the limit.
-func Spare(t *Told) {
+// LimitResources sets the run-time to a small machine: one core, and a heap that keeps within the limit.
+func LimitResources(t *Config) {
 	runtime.GOMAXPROCS(max(1, int(t.Limits.Cores+0.5)))
 	debug.SetMemoryLimit(int64(heapShare * float64(t.Limits.Memory<<20)))
 }
 
 // New makes a dispatcher on a loop by what it was told.
-func New(l *loop.Loop, t *Told, life uint64, log *slog.Logger) (*Node, error) {
+func New(l *loop.Loop, t *Config, life uint64, log *slog.Logger) (*Node, error) {
 	m, err := enlist.New(t.seed(), t.Settings)
 	if err != nil {
 		return nil, err
 	}
 	clients, hosts := peers.Shares(t.Limits.Sockets)
 	memory := t.Limits.Memory << 20
-	most := max(int(heapShare*float64(memory)/2/jobBytes), 16)
-	n := &Node{l: l, log: log, mod: m.Module, done: make(chan struct{})}
-	if n.d, err = dispatch.Direct(l, log, m.Module, m.Tracks, m.Terms, m.Tenant, most, promptMost, int64(m.Advice), hush, life); err != nil {
+	most := max(int(heapShare*float64(memory)/2/requestBytes), 16)
+	n := &Node{loop: l, log: log, module: m.Module, done: make(chan struct{})}
+	if n.dispatcher, err = dispatch.Direct(l, log, m.Module, m.Tracks, m.Terms, m.Tenant, most, maxPromptTokens, int64(m.Advice), silenceLimit, life); err != nil {
 		return nil, err
 	}
-	n.in = front.New(l, n.d, log, clients, peers.Bodies(memory), n.d.Known)
-	n.out = exit.New(l, n.d, log, m, hosts, t.Discovery)
-	n.d.Ends(n.in, n.out)
-	n.out.Known(l.Now(), t.Known)
-	if n.addr, err = n.d.Start(t.Listen, false); err != nil {
+	n.front = front.New(l, n.dispatcher, log, clients, peers.Bodies(memory), n.dispatcher.Known)
+	n.exit = exit.New(l, n.dispatcher, log, m, hosts, t.Discovery)
+	n.dispatcher.Attach(n.front, n.exit)
+	n.exit.Known(l.Now(), t.Known)
+	if n.addr, err = n.dispatcher.Start(t.Listen, false); err != nil {
 		return nil, fmt.Errorf("node %s: %w", t.Name, err)
 	}
-	n.in.Hold(true) // what the agent knows counts as told from now on: no job goes before it is asked
-	open := func() { n.in.Hold(false) }
-	n.out.OnNews(open)
+	n.front.Hold(true) // what the agent knows counts as told from now on: no request goes before it is asked
+	open := func() { n.front.Hold(false) }
+	n.exit.OnNews(open)
 	var late loop.Timer
 	l.At(&late, l.Now()+watch.First, func(loop.Nanos) { open() })
 	return n, nil
 }
 
 // Run starts a dispatcher in service on a loop of its own goroutine.
-func Run(t *Told, log *slog.Logger) (*Node, error) {
+func Run(t *Config, log *slog.Logger) (*Node, error) {
 	l, err := loop.New()
 	if err != nil {
 		return nil, err
@@ -89,19 +89,19 @@
 	}
 	go func() {
 		defer close(n.done)
-		n.err = l.Run(n.d.Round)
+		n.err = l.Run(n.dispatcher.Round)
 		l.Close()
 	}()
 	return n, nil
 }
 
 // Reload takes over what may change under a dispatcher that runs: where discovery is.
-func (n *Node) Reload(t *Told) {
-	n.l.Post(func() { n.out.Discovery(n.l.Now(), t.Discovery) })
+func (n *Node) Reload(t *Config) {
+	n.loop.Post(func() { n.exit.Discovery(n.loop.Now(), t.Discovery) })
 }
 
 // Leave has clients go elsewhere and the dispatcher end when nobody is left.
-func (n *Node) Leave() { n.l.Post(func() { n.d.LeaveIdle(n.l.Stop) }) }
+func (n *Node) Leave() { n.loop.Post(func() { n.dispatcher.DrainIdle(n.loop.Stop) }) }
 
 // Done is closed at the end.
 func (n *Node) Done() <-chan struct{} { return n.done }
@@ -111,23 +111,23 @@
 
 // View is how a dispatcher does.
 type View struct {
-	InHand, Clients, Hosts, ToHosts int
-	Jobs                            dispatch.Counts
-	Door                            front.Counts
-	Exit                            exit.Counts
-	HeapMB                          float64
-	Beliefs                         []Belief `json:"-"`
+	Requests, Clients, Servers, ServerConns int
+	Dispatch                                dispatch.Counts
+	Front                                   front.Counts
+	Exit                                    exit.Counts
+	HeapMB                                  float64
+	Beliefs                                 []Belief `json:"-"`
 }
 
-// Belief is what the module holds of a host beside what crosses the sockets to it.
+// Belief is what the module holds of a server beside what crosses the sockets to it.
 type Belief struct {
 	policy.Belief
-	exit.HostView
+	exit.ServerView
 }
 
-// Differs tells that the two do not agree on the launches that are out: a fault of the program.
+// Differs tells that the two do not agree on the attempts that are out: a fault of the program.
 func (b *Belief) Differs() bool {
-	if b.Reader {
+	if b.Prefill {
 		return int(b.Waiting) != b.Out
 	}
 	return int(b.Writing) != b.Out
@@ -136,16 +136,16 @@
 // View gives the state of now, by way of the loop; false if the loop has ended or takes no call.
 func (n *Node) View() (View, bool) {
 	got := make(chan View, 1)
-	posted := n.l.Post(func() {
-		now := n.l.Now()
+	posted := n.loop.Post(func() {
+		now := n.loop.Now()
 		var beliefs []Belief
-		n.out.Each(now, func(h exit.HostView) {
-			if held, ok := n.mod.Believes(n.d.Time(now), h.ID); ok {
+		n.exit.Each(now, func(h exit.ServerView) {
+			if held, ok := n.module.Believes(n.dispatcher.Time(now), h.ID); ok {
 				beliefs = append(beliefs, Belief{held, h})
 			}
 		})
-		got <- View{Beliefs: beliefs, InHand: n.d.InHand(), Clients: n.in.Conns(), Hosts: n.out.Hosts(), ToHosts: n.out.Conns(),
-			Jobs: n.d.Counts, Door: n.in.Counts, Exit: n.out.Counts}
+		got <- View{Beliefs: beliefs, Requests: n.dispatcher.InHand(), Clients: n.front.Conns(), Servers: n.exit.Servers(), ServerConns: n.exit.Conns(),
+			Dispatch: n.dispatcher.Counts, Front: n.front.Counts, Exit: n.exit.Counts}
 	})
 	if !posted {
 		return View{}, false
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -14,7 +14,7 @@
 	exit "docksail/internal/exit/platform"
 )
 
-// A job is read at a reader and written at a writer as its client sent it, and its events pass unchanged; connections
+// A request is read at a prefill server and written at a decode server as its client sent it, and its events pass unchanged; connections
 // are used again.
 func TestServes(t *testing.T) {
 	s := newStage(t)
@@ -35,11 +35,11 @@
 	conns := s.conns
 	s.mu.Unlock()
 	if s.jobsAt("reader") != 5 || s.jobsAt("writer") != 5 || conns != 2 {
-		t.Errorf("%d reads, %d writes on %d connections, want 5 and 5 on 2", s.jobsAt("reader"), s.jobsAt("writer"), conns)
+		t.Errorf("%d reads, %d writes on %d connections, want 5 and 5 on 2", s.jobsAt("prefill"), s.jobsAt("writer"), conns)
 	}
 }
 
-// What is no request of the platform's is answered as an error, and no host hears of it.
+// What is no request of the platform's is answered as an error, and no server hears of it.
 func TestBadRequests(t *testing.T) {
 	s := newStage(t)
 	s.host("reader", "prefill", read)
@@ -75,7 +75,7 @@
 		}
 	}
 	if n := len(s.got(func(seen) bool { return true })); n > 0 {
-		t.Errorf("hosts heard of %d requests", n)
+		t.Errorf("servers heard of %d requests", n)
 	}
 	s.served(s.dial(), 1)
 }
@@ -100,7 +100,7 @@
 
 func (zeros) Read(p []byte) (int, error) { clear(p); return len(p), nil }
 
-// The id of a job in hand is refused elsewhere, and the job goes on.
+// The id of a request in hand is refused elsewhere, and the request goes on.
 func TestSameID(t *testing.T) {
 	s := newStage(t)
 	s.host("reader", "prefill", read)
@@ -115,7 +115,7 @@
 	}
 	close(let)
 	if got := <-first; got != answer {
-		t.Errorf("the job in hand: %q", got)
+		t.Errorf("the request in hand: %q", got)
 	}
 }
 
@@ -139,7 +139,7 @@
 	}
 }
 
-// A stream spoilt before its first event is a launch that failed; one spoilt later ends the client's connection without
+// A stream spoilt before its first event is a attempt that failed; one spoilt later ends the client's connection without
 // the last chunk; one with more than belongs to it serves, and its connection is not used again.
 func TestSpoiltStreams(t *testing.T) {
 	for what, c := range map[string]struct {
@@ -182,11 +182,11 @@
 			switch {
 			case c.ends:
 				if status != 200 || got != event1 || err == nil || launches != 1 || time.Since(begun) > time.Second {
-					t.Errorf("%d %q, %v after %v, %d launches", status, got, err, time.Since(begun), launches)
+					t.Errorf("%d %q, %v after %v, %d attempts", status, got, err, time.Since(begun), launches)
 				}
 			case c.extra:
 				if status != 200 || !strings.HasPrefix(got, answer) || err != nil || launches != 1 {
-					t.Errorf("%d %q, %v, %d launches", status, got, err, launches)
+					t.Errorf("%d %q, %v, %d attempts", status, got, err, launches)
 				}
 				for n := 2; n < 6; n++ {
 					time.Sleep(15 * time.Millisecond)
@@ -194,15 +194,15 @@
 				}
 			default:
 				if status != 200 || got != answer || err != nil || launches != 2 {
-					t.Errorf("%d %q, %v, %d launches", status, got, err, launches)
+					t.Errorf("%d %q, %v, %d attempts", status, got, err, launches)
 				}
 			}
 		})
 	}
 }
 
-// A connection that its host closed while it stood idle is not written to, and one to a host that cannot be reached costs
-// the job nothing but another launch.
+// A connection that its server closed while it stood idle is not written to, and one to a server that cannot be reached costs
+// the request nothing but another attempt.
 func TestStaleAndUnreachable(t *testing.T) {
 	s := newStage(t)
 	s.host("r1", "prefill", func(c net.Conn, r *http.Request, n int) bool { read(c, r, n); return false })
@@ -220,7 +220,7 @@
 	}
 }
 
-// What may have run is launched again where that does no harm; a 400 of a host is the request's own fault.
+// What may have run is sent again where that does no harm; a 400 of a server is the request's own fault.
 func TestOutcomes(t *testing.T) {
 	for what, c := range map[string]struct {
 		does   script
@@ -270,7 +270,7 @@
 	}
 }
 
-// A client that is gone ends its job: the launch's connection is closed and what was read is let go of, by a host that
+// A client that is gone ends its request: the attempt's connection is closed and what was read is released, by a server that
 // is heard, as the one that holds it is silent.
 func TestReleaseByAnotherHost(t *testing.T) {
 	s := newStage(t)
@@ -290,7 +290,7 @@
 	}
 }
 
-// A client that has sent more than is read while its job is in hand, and goes, is gone at once.
+// A client that has sent more than is read while its request is in hand, and goes, is gone at once.
 func TestLeaverBehindUnreadBytes(t *testing.T) {
 	s := newStage(t)
 	hung := make(chan bool)
@@ -306,7 +306,7 @@
 		time.Sleep(20 * time.Millisecond)
 	}
 	c.(*net.TCPConn).CloseWrite()
-	until(t, "the job is over", func() bool { v, _ := s.node.View(); return v.Jobs.Left == 1 && v.InHand == 0 })
+	until(t, "the job is over", func() bool { v, _ := s.node.View(); return v.Dispatch.ClientsLeft == 1 && v.Requests == 0 })
 }
 
 // What a read found kept is set beside what the module expected to be kept there.
@@ -322,13 +322,13 @@
 		s.served(s.dial(), n)
 	}
 	v, _ := s.node.View()
-	k := v.Exit.Kept
+	k := v.Exit.PrefixCache
 	if k.Reads != 2 || k.Prompt != 2*5120 || k.Shared != 2*2048 || k.Expected != 5120 || k.Found != 2100 || k.Unforeseen != 100 || k.Missed != 3120 {
 		t.Errorf("%+v", k) // the second read's whole prompt was read there before
 	}
 }
 
-// The jobs that find no host are answered at once, with when to come back.
+// The requests that find no server are answered at once, with when to come back.
 func TestNack(t *testing.T) {
 	s := newStage(t)
 	s.host("reader", "prefill", read).Close()
@@ -339,7 +339,7 @@
 	}
 }
 
-// News of the list is heeded, also from another address after a change of the configuration.
+// TestListAndReload of the list is heeded, also from another address after a change of the configuration.
 func TestListAndReload(t *testing.T) {
 	s := newStage(t)
 	s.host("r1", "prefill", read)
@@ -350,13 +350,13 @@
 	w1 := s.hosts[1]
 	w1.State = "Terminating"
 	s.watch <- exit.List{Version: 42, Servers: []exit.Server{w1}}
-	until(t, "the news", func() bool { v, _ := s.node.View(); return v.Exit.News == 2 })
+	until(t, "the news", func() bool { v, _ := s.node.View(); return v.Exit.ListUpdates == 2 })
 	had := s.jobsAt("w1")
 	for n := 2; n < 8; n++ {
 		s.served(s.dial(), n)
 	}
 	if s.jobsAt("w1") != had {
-		t.Error("a host that drains got a job")
+		t.Error("a server that drains got a request")
 	}
 	old := s.watch
 	changed := *s.told
@@ -365,7 +365,7 @@
 	until(t, "a watch at the new address", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return len(s.froms) == 2 && s.froms[1] == "" })
 	w1.State = "Ready"
 	s.watch <- exit.List{Version: 43, Servers: []exit.Server{w1}}
-	until(t, "its news", func() bool { v, _ := s.node.View(); return v.Exit.News == 3 })
+	until(t, "its news", func() bool { v, _ := s.node.View(); return v.Exit.ListUpdates == 3 })
 	select {
 	case old <- exit.List{Version: 99}:
 		t.Error("the old address is still watched")
@@ -373,7 +373,7 @@
 	}
 }
 
-// Hosts that are replaced under new names leave nothing behind.
+// Servers that are replaced under new names leave nothing behind.
 func TestReplacedHosts(t *testing.T) {
 	s := newStage(t)
 	s.host("r", "prefill", read)
@@ -393,13 +393,13 @@
 		version++
 		list.Version = version
 		s.watch <- list
-		until(t, "the news", func() bool { v, _ := s.node.View(); return v.Exit.News == uint64(n+2) })
+		until(t, "the news", func() bool { v, _ := s.node.View(); return v.Exit.ListUpdates == uint64(n+2) })
 		if n%20 == 0 {
 			s.served(c, n)
 		}
 	}
-	if v, _ := s.node.View(); v.Hosts > 2 || v.ToHosts > 4 {
-		t.Errorf("%d hosts known, %d connections, want 2 and few", v.Hosts, v.ToHosts)
+	if v, _ := s.node.View(); v.Servers > 2 || v.ServerConns > 4 {
+		t.Errorf("%d servers known, %d connections, want 2 and few", v.Servers, v.ServerConns)
 	}
 }
 
@@ -429,7 +429,7 @@
 	}
 	close(let)
 	if got := <-first; got != answer {
-		t.Errorf("the job in hand: %q", got)
+		t.Errorf("the request in hand: %q", got)
 	}
 	for i, c := range waiting {
 		if res, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || res.StatusCode != 200 || !res.Close {
@@ -461,12 +461,12 @@
 		c := s.dial()
 		s.served(c, n)
 	}
-	if v, _ := s.node.View(); v.Clients > 64 || v.Door.Crowded == 0 {
-		t.Errorf("%d connections, %d times crowded", v.Clients, v.Door.Crowded)
+	if v, _ := s.node.View(); v.Clients > 64 || v.Front.Crowded == 0 {
+		t.Errorf("%d connections, %d times crowded", v.Clients, v.Front.Crowded)
 	}
 }
 
-// Hosts that drop kept connections without a word cost a launch, not their standing: a session stays at its reader.
+// Servers that drop kept connections without a word cost a attempt, not their standing: a session stays at its prefill server.
 func TestKeptConnectionsThatDied(t *testing.T) {
 	s := newStage(t)
 	s.terms = []string{`"connect_timeout_ns":250000000`, `"connect_timeout_ns":10000000000`} // a reset counts as come at once within a fiftieth
@@ -496,7 +496,7 @@
 		time.Sleep(15 * time.Millisecond)
 	}
 	v, _ := s.node.View()
-	if v.Exit.Lapsed == 0 {
+	if v.Exit.StaleConnections == 0 {
 		t.Error("no kept connection died")
 	}
 	readers := map[string]bool{}
@@ -504,11 +504,11 @@
 		readers[x.host] = true
 	}
 	if len(readers) != 1 {
-		t.Errorf("the session was read at %v, want one reader", readers)
+		t.Errorf("the session was read at %v, want one prefill", readers)
 	}
 }
 
-// What the module holds of hosts agrees with what crosses the sockets, with jobs in every stage and after some were lost.
+// What the module holds of servers agrees with what crosses the sockets, with requests in every stage and after some were lost.
 func TestBeliefs(t *testing.T) {
 	s := newStage(t)
 	hold := make(chan bool)
@@ -540,7 +540,7 @@
 	agree := func() (out int) {
 		v, _ := s.node.View()
 		if len(v.Beliefs) != 4 {
-			t.Fatalf("beliefs of %d hosts", len(v.Beliefs))
+			t.Fatalf("beliefs of %d servers", len(v.Beliefs))
 		}
 		for _, b := range v.Beliefs {
 			if b.Differs() {
@@ -561,7 +561,7 @@
 	until(t, "all ends", func() bool { return agree() == 0 })
 }
 
-// Header fields that are not the connection's own go on to hosts unchanged, such as the key by which repeats are known.
+// Header fields that are not the connection's own go on to servers unchanged, such as the key by which repeats are known.
 func TestFieldsPassOn(t *testing.T) {
 	s := newStage(t)
 	got := make(chan http.Header, 2)
@@ -577,7 +577,7 @@
 		h := <-got
 		if h.Get("Idempotency-Key") != "k-17" || len(h["X-Trace"]) != 2 || h["X-Trace"][1] != "b" || h["X-Hop"] != nil || h["Te"] != nil ||
 			len(h["X-Remaining"]) != 1 || len(h["X-Txn"]) != 1 || len(h["Connection"]) > 0 {
-			t.Errorf("the host got %v", h)
+			t.Errorf("the server got %v", h)
 		}
 	}
 }
--- a/internal/node/stage_test.go
+++ b/internal/node/stage_test.go
@@ -19,18 +19,18 @@
 	exit "docksail/internal/exit/platform"
 )
 
-// seen is one request that a scripted host got.
+// seen is one request that a scripted server got.
 type seen struct {
 	host, method, path, name string
 	conn                     int
 	at                       time.Time
 }
 
-// stage is a dispatcher in service between scripted hosts, a scripted discovery and the test as its client.
+// stage is a dispatcher in service between scripted servers, a scripted discovery and the test as its client.
 type stage struct {
 	t     *testing.T
 	node  *Node
-	told  *Told
+	told  *Config
 	hosts []exit.Server
 	mu    sync.Mutex
 	seen  []seen
@@ -65,7 +65,7 @@
 	return say(c, decodeAnswer)
 }
 
-// host adds a scripted host; it takes every release.
+// server adds a scripted server; it takes every release.
 func (s *stage) host(name, kind string, does script) net.Listener {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -110,7 +110,7 @@
 	return ln
 }
 
-// got gives what hosts have seen that fits.
+// got gives what servers have seen that fits.
 func (s *stage) got(fits func(seen) bool) []seen {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -174,7 +174,7 @@
 
 // start puts the dispatcher between them.
 func (s *stage) start(sockets int) {
-	s.told = &Told{Name: "n0", Listen: netip.MustParseAddrPort("127.0.0.1:0"), Discovery: s.discovery(), Seed: "8c1f30d27a5be964",
+	s.told = &Config{Name: "n0", Listen: netip.MustParseAddrPort("127.0.0.1:0"), Discovery: s.discovery(), Seed: "8c1f30d27a5be964",
 		Settings: json.RawMessage(strings.NewReplacer(s.terms...).Replace(settings))}
 	s.told.Limits.Sockets, s.told.Limits.Memory, s.told.Known = sockets, 96, exit.List{Version: 41, Full: true, Servers: s.hosts}
 	n, err := Run(s.told, slog.New(slog.DiscardHandler))
@@ -182,7 +182,7 @@
 		s.t.Fatal(err)
 	}
 	s.node = n
-	s.t.Cleanup(func() { n.l.Stop(); <-n.done })
+	s.t.Cleanup(func() { n.loop.Stop(); <-n.done })
 	ask(s.dial(), "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n") // it takes clients from then on
 }
 
@@ -191,7 +191,7 @@
 
 const body = `{"model":"chat","stream":true,"max_tokens":80,"messages":[{"role":"user","content":"abcd"}]}`
 
-// request makes the text of a job's request; change replaces pieces of it, pairwise.
+// request makes the text of a request's request; change replaces pieces of it, pairwise.
 func request(name string, change ...string) string {
 	text := "POST /v1/chat/completions?v=1 HTTP/1.1\r\nHost: api.internal\r\nX-Txn: " + name + "\r\nX-Lane: chat\r\n" +
 		"X-Entity: 7f3a9c21e0b4d655\r\nX-Remaining: 4.800\r\nX-Labels: prefix=5c0f6e1a2b3d4c59,prompt_len=5120,prefix_len=2048,max_out=800\r\n" +
@@ -226,12 +226,12 @@
 	return res.StatusCode, string(b), res.Header.Get("Retry-After"), err
 }
 
-// served asks for a job and wants it served.
+// served asks for a request and wants it served.
 func (s *stage) served(c net.Conn, n int) {
 	s.t.Helper()
 	status, got, _, err := ask(c, request(jobName(n)))
 	if status != 200 || got != answer || err != nil {
-		s.t.Fatalf("job %d: %d %q, %v", n, status, got, err)
+		s.t.Fatalf("request %d: %d %q, %v", n, status, got, err)
 	}
 }
 
--- a/internal/node/told.go
+++ b/internal/node/told.go
@@ -1,5 +1,5 @@
 // Package node is one dispatcher in service on the platform: what it is told at its start, its loop with the door, the
-// module and the way to the hosts, and the signals that it takes.
+// module and the way to the servers, and the signals that it takes.
 package node
 
 import (
@@ -14,8 +14,8 @@
 	exit "docksail/internal/exit/platform"
 )
 
-// Told is the platform's configuration of one dispatcher.
-type Told struct {
+// Config is the platform's configuration of one dispatcher.
+type Config struct {
 	Name      string         `json:"name"`
 	Listen    netip.AddrPort `json:"listen"`
 	Discovery netip.AddrPort `json:"discovery"`
@@ -30,7 +30,7 @@
 }
 
 // Load reads the file that RELAY_CONFIG names; the other variables stand in for what it leaves out.
-func Load(getenv func(string) string) (*Told, error) {
+func Load(getenv func(string) string) (*Config, error) {
 	name := getenv("RELAY_CONFIG")
 	if name == "" {
 		return nil, fmt.Errorf("RELAY_CONFIG names no file")
@@ -40,13 +40,13 @@
 		return nil, err
 	}
 	var file struct {
-		Told
+		Config
 		Known json.RawMessage `json:"known"`
 	}
 	if err := json.Unmarshal(text, &file); err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
-	t := file.Told
+	t := file.Config
 	if len(file.Known) > 0 {
 		if err := json.Unmarshal(file.Known, &t.Known); err != nil { // discovery is asked all the same
 			t.Known = exit.List{Unreadable: []error{fmt.Errorf("%s: known: %w", name, err)}}
@@ -79,7 +79,7 @@
 }
 
 // seed is the number that feeds all chance; a text that is no hexadecimal number stands for its hash.
-func (t *Told) seed() uint64 {
+func (t *Config) seed() uint64 {
 	n, err := strconv.ParseUint(t.Seed, 16, 64)
 	if err != nil {
 		return xxhash.Sum64String(t.Seed)
--- a/internal/state/jobs/jobs.go
+++ b/internal/state/jobs/jobs.go
@@ -1,5 +1,5 @@
-// Package jobs keeps the jobs that a dispatcher has in hand, in a slab with reused places, and with each the
-// account of what is owed for it: a final answer, once, and the end of the launch that is out, of which there
+// Package requests keeps the requests that a dispatcher has in hand, in a slab with reused places, and with each the
+// account of what is owed for it: a final answer, once, and the end of the attempt that is out, of which there
 // is at most one. What would break the account is refused with an error, whoever asks for it.
 package jobs
 
@@ -11,24 +11,24 @@
 
 // Errors of the account. Each is a fault of the program, never of a peer.
 var (
-	ErrAnswered = errors.New("the job has its final answer already")
-	ErrOut      = errors.New("a launch of the job is out already")
-	ErrNotOut   = errors.New("no launch of that number is out")
+	ErrAnswered = errors.New("the request has its final answer already")
+	ErrOut      = errors.New("an attempt of the request is out already")
+	ErrNotOut   = errors.New("no attempt of that number is out")
 )
 
-// Account is what is owed for one job.
-type Account struct {
-	ID       policy.RequestID
-	answered bool
-	out      bool
-	shot     policy.AttemptNumber
-	launches int32
-	holder   policy.ServerID
-	held     bool
+// Record is what is owed for one request.
+type Record struct {
+	ID          policy.RequestID
+	answered    bool
+	out         bool
+	current     policy.AttemptNumber
+	attempts    int32
+	stateServer policy.ServerID
+	stateHeld   bool
 }
 
 // Answer takes down the final answer.
-func (a *Account) Answer() error {
+func (a *Record) Answer() error {
 	if a.answered {
 		return ErrAnswered
 	}
@@ -37,83 +37,83 @@
 }
 
 // Answered tells that nothing more is owed to the client.
-func (a *Account) Answered() bool { return a.answered }
+func (a *Record) Answered() bool { return a.answered }
 
-// Launch takes down a launch and gives its number.
-func (a *Account) Launch() (policy.AttemptNumber, error) {
+// Attempt takes down a attempt and gives its number.
+func (a *Record) BeginAttempt() (policy.AttemptNumber, error) {
 	switch {
 	case a.out:
 		return 0, ErrOut
 	case a.answered:
 		return 0, ErrAnswered
 	}
-	a.out, a.shot = true, policy.AttemptNumber(a.launches)
-	a.launches++
-	return a.shot, nil
+	a.out, a.current = true, policy.AttemptNumber(a.attempts)
+	a.attempts++
+	return a.current, nil
 }
 
-// Out is the number of the launch that is out.
-func (a *Account) Out() (policy.AttemptNumber, bool) { return a.shot, a.out }
+// Outstanding is the number of the attempt that is out.
+func (a *Record) Outstanding() (policy.AttemptNumber, bool) { return a.current, a.out }
 
-// Launches counts the launches so far.
-func (a *Account) Launches() int32 { return a.launches }
+// Attempts counts the attempts so far.
+func (a *Record) Attempts() int32 { return a.attempts }
 
-// End takes down the end of a launch.
-func (a *Account) End(shot policy.AttemptNumber) error {
-	if !a.out || shot != a.shot {
+// EndAttempt takes down the end of a attempt.
+func (a *Record) EndAttempt(shot policy.AttemptNumber) error {
+	if !a.out || shot != a.current {
 		return ErrNotOut
 	}
 	a.out = false
 	return nil
 }
 
-// Hold takes down that a host holds the state of the job.
-func (a *Account) Hold(at policy.ServerID) { a.holder, a.held = at, true }
+// HoldState takes down that a server holds the state of the request.
+func (a *Record) HoldState(at policy.ServerID) { a.stateServer, a.stateHeld = at, true }
 
-// Held is the host that holds the state of the job.
-func (a *Account) Held() (policy.ServerID, bool) { return a.holder, a.held }
+// StateHeld is the server that holds the state of the request.
+func (a *Record) StateHeld() (policy.ServerID, bool) { return a.stateServer, a.stateHeld }
 
-// LetGo takes down that nothing is held any more.
-func (a *Account) LetGo() { a.held = false }
+// ReleaseState takes down that nothing is held any more.
+func (a *Record) ReleaseState() { a.stateHeld = false }
 
-// Done tells that nothing is owed, out or held: the job's place may be used again.
-func (a *Account) Done() bool { return a.answered && !a.out && !a.held }
+// Done tells that nothing is owed, out or held: the request's place may be used again.
+func (a *Record) Done() bool { return a.answered && !a.out && !a.stateHeld }
 
-// Table is a slab of jobs. An id names a place and its use, so that an old id finds nothing. Its zero value
+// Table is a slab of requests. An id names a place and its use, so that an old id finds nothing. Its zero value
 // is ready.
 type Table[T any] struct {
-	places []place[T]
-	free   []uint32
-	n      int
+	slots []slot[T]
+	free  []uint32
+	n     int
 }
 
-type place[T any] struct {
+type slot[T any] struct {
 	gen  uint32
 	used bool
 	job  *T // kept over uses: what points into it stays right while the slab grows
 }
 
-// Add takes a place. The job in it is as its last use left it: the caller sets it up anew.
+// Add takes a place. The request in it is as its last use left it: the caller sets it up anew.
 func (t *Table[T]) Add() (policy.RequestID, *T) {
 	var i uint32
 	if n := len(t.free); n > 0 {
 		i, t.free = t.free[n-1], t.free[:n-1]
 	} else {
-		i = uint32(len(t.places))
-		t.places = append(t.places, place[T]{job: new(T)})
+		i = uint32(len(t.slots))
+		t.slots = append(t.slots, slot[T]{job: new(T)})
 	}
-	p := &t.places[i]
+	p := &t.slots[i]
 	p.gen++
 	p.used = true
 	t.n++
 	return policy.RequestID(uint64(p.gen)<<32 | uint64(i)), p.job
 }
 
-// Find gives the job of an id; nil if it is over.
+// Find gives the request of an id; nil if it is over.
 func (t *Table[T]) Find(id policy.RequestID) *T {
 	i, gen := uint32(id), uint32(id>>32)
-	if int(i) < len(t.places) && t.places[i].used && t.places[i].gen == gen {
-		return t.places[i].job
+	if int(i) < len(t.slots) && t.slots[i].used && t.slots[i].gen == gen {
+		return t.slots[i].job
 	}
 	return nil
 }
@@ -121,19 +121,19 @@
 // Drop frees the place of an id.
 func (t *Table[T]) Drop(id policy.RequestID) {
 	if t.Find(id) != nil {
-		t.places[uint32(id)].used = false
+		t.slots[uint32(id)].used = false
 		t.free = append(t.free, uint32(id))
 		t.n--
 	}
 }
 
-// Len counts the jobs in hand.
+// Len counts the requests in hand.
 func (t *Table[T]) Len() int { return t.n }
 
-// Each calls f for every job in hand, in the order of their places; f may drop it.
+// Each calls f for every request in hand, in the order of their places; f may drop it.
 func (t *Table[T]) Each(f func(id policy.RequestID, job *T)) {
-	for i := range t.places {
-		if p := &t.places[i]; p.used {
+	for i := range t.slots {
+		if p := &t.slots[i]; p.used {
 			f(policy.RequestID(uint64(p.gen)<<32|uint64(i)), p.job)
 		}
 	}
--- a/internal/state/jobs/jobs_test.go
+++ b/internal/state/jobs/jobs_test.go
@@ -35,28 +35,28 @@
 		table.Each(func(id policy.RequestID, v *int) {
 			n++
 			if model[id] != *v {
-				t.Fatalf("job %d is %d, want %d", id, *v, model[id])
+				t.Fatalf("request %d is %d, want %d", id, *v, model[id])
 			}
 		})
 		if n != len(model) || table.Len() != len(model) {
-			t.Fatalf("%d jobs, %d by count, want %d", n, table.Len(), len(model))
+			t.Fatalf("%d requests, %d by count, want %d", n, table.Len(), len(model))
 		}
 		for _, id := range old {
 			if table.Find(id) != nil {
-				t.Fatalf("old id %d finds a job", id)
+				t.Fatalf("old id %d finds a request", id)
 			}
 			table.Drop(id) // does no harm
 		}
 		if table.Len() != len(model) {
-			t.Fatal("dropping an old id took another job")
+			t.Fatal("dropping an old id took another request")
 		}
 	})
 }
 
-// TestAccount: whatever is asked in whatever order, one final answer, one launch out, no launch after the answer.
+// TestAccount: whatever is asked in whatever order, one final answer, one attempt out, no attempt after the answer.
 func TestAccount(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a := Account{ID: 1}
+		a := Record{ID: 1}
 		answers, out := 0, false
 		next := policy.AttemptNumber(0)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -66,29 +66,29 @@
 					answers++
 				}
 			case 1:
-				shot, err := a.Launch()
+				shot, err := a.BeginAttempt()
 				if (err == nil) != (!out && answers == 0) {
-					t.Fatalf("launch: %v while out %v, %d answers", err, out, answers)
+					t.Fatalf("attempt: %v while out %v, %d answers", err, out, answers)
 				}
 				if err == nil {
 					if shot != next {
-						t.Fatalf("launch is number %d, want %d", shot, next)
+						t.Fatalf("attempt is number %d, want %d", shot, next)
 					}
 					out, next = true, next+1
 				}
 			case 2:
 				shot := policy.AttemptNumber(rapid.IntRange(0, int(next)+1).Draw(t, "shot"))
-				err := a.End(shot)
+				err := a.EndAttempt(shot)
 				if (err == nil) != (out && shot == next-1) {
 					t.Fatalf("end of %d: %v while out %v, last %d", shot, err, out, next-1)
 				}
 				out = out && err != nil
 			case 3:
-				a.Hold(3)
+				a.HoldState(3)
 			case 4:
-				a.LetGo()
+				a.ReleaseState()
 			}
-			_, held := a.Held()
+			_, held := a.StateHeld()
 			if a.Done() != (answers == 1 && !out && !held) {
 				t.Fatalf("done %v with %d answers, out %v, held %v", a.Done(), answers, out, held)
 			}
@@ -100,17 +100,17 @@
 }
 
 func TestAllocates(t *testing.T) {
-	var table Table[Account]
+	var table Table[Record]
 	use := func() {
 		id, a := table.Add()
-		*a = Account{ID: id}
-		a.Launch()
-		a.End(0)
+		*a = Record{ID: id}
+		a.BeginAttempt()
+		a.EndAttempt(0)
 		a.Answer()
 		table.Drop(id)
 	}
 	use()
 	if n := testing.AllocsPerRun(1000, use); n != 0 {
-		t.Errorf("%v allocations a job, want none", n)
+		t.Errorf("%v allocations a request, want none", n)
 	}
 }
--- a/policy/classes_test.go
+++ b/policy/classes_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// play gives a module with these tracks some thousand events drawn from a seed, jobs of track i being told as of place[i],
+// play gives a module with these classes some thousand events drawn from a seed, requests of class i being told as of place[i],
 // and gives all that it decides.
 func play(t *testing.T, seed uint64, tracks []Class, place []ClassID) (decided []Decision) {
 	t.Helper()
@@ -82,7 +82,7 @@
 	}
 }
 
-// A host that has not answered a class whose target is long is not taken for silent at the pace of a quicker one.
+// A server that has not answered a class whose target is long is not taken for silent at the pace of a quicker one.
 func TestSilenceByOwnTarget(t *testing.T) {
 	quick, slow := Class{Target: 1e9, Timeout: 20e9}, Class{Target: 6e9, Timeout: 20e9}
 	d, err := New(7, Identity{Count: 1}, []Class{quick, slow}, nil, []Role{Prefill, Decode}, ColdStart{}, AttemptLimits{Most: 4, Cancel: true},
--- a/policy/fair_test.go
+++ b/policy/fair_test.go
@@ -8,12 +8,12 @@
 	"testing"
 )
 
-// shop is a few modules before readers that work off what they get one after another, at a rate in prompt tokens.
+// shop is a few modules before prefill servers that work off what they get one after another, at a rate in prompt tokens.
 type shop struct {
 	modules []*Dispatcher
 	wakes   []Nanos
 	now     Nanos
-	free    map[ServerID]Nanos // when a reader is through with what it has
+	free    map[ServerID]Nanos // when a prefill server is through with what it has
 	ends    []shopEnd          // in the order in which they fall due
 	jobs    []shopJob          // by id, from 1
 }
@@ -28,13 +28,13 @@
 	session  SessionKey
 	class    ClassID
 	tenant   TenantID
-	sent     Nanos // the launch that is out
+	sent     Nanos // the attempt that is out
 	answered bool
 }
 
 const (
 	shopReaders  = 6
-	shopRate     = 15000  // prompt tokens a second and reader
+	shopRate     = 15000  // prompt tokens a second and prefill server
 	shopPrompt   = 2000.0 // mean tokens of a prompt
 	shopPatience = Nanos(6e9)
 )
@@ -90,7 +90,7 @@
 	}
 }
 
-// play has jobs come for so long, at a load that is a part of what the readers bear; whose draws a job's class and tenant.
+// play has requests come for so long, at a load that is a part of what the prefill servers bear; whose draws a request's class and tenant.
 func (s *shop) play(span Nanos, load float64, rng *rand.Rand, whose func() (ClassID, TenantID)) {
 	const tick = Nanos(4e6)
 	rate, owed := load*shopReaders*shopRate/shopPrompt, 0.0
@@ -121,7 +121,7 @@
 	}
 }
 
-// share is the answered part of the jobs that fit.
+// share is the answered part of the requests that fit.
 func (s *shop) share(fits func(shopJob) bool) float64 {
 	all, answered := 0, 0
 	for _, req := range s.jobs {
@@ -135,7 +135,7 @@
 }
 
 // Long prompts have their part of the answers: on a quiet day the longest tenth two thirds of what all have, beyond what the
-// readers bear half of it. And while there is room no session is refused throughout.
+// prefill servers bear half of it. And while there is room no session is refused throughout.
 func TestLongPromptsAndSessionsAreServed(t *testing.T) {
 	for _, c := range []struct{ load, least float64 }{{0.6, 2.0 / 3}, {0.9, 2.0 / 3}, {1.3, 1.0 / 2}} {
 		t.Run(fmt.Sprint(c.load), func(t *testing.T) {
@@ -168,7 +168,7 @@
 	}
 }
 
-// Beyond what the readers bear no class is left out, whatever its target, its worth and its place in the settings.
+// Beyond what the prefill servers bear no class is left out, whatever its target, its worth and its place in the settings.
 func TestNoClassIsLeftOut(t *testing.T) {
 	slow := Class{Target: 4e9, TargetPer1k: 40e6, Timeout: shopPatience, Value: 5}
 	for what, classes := range map[string][]Class{"quick first": {shopClass, slow}, "slow first": {slow, shopClass}} {
--- a/policy/homes_test.go
+++ b/policy/homes_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// homesOf gives how many readers of twenty a prefix's first jobs of forty sessions go to, each at a dispatcher of its own
-// that has seen so many other jobs, one in every so many of them with that prefix; 0 = none.
+// homesOf gives how many prefill servers of twenty a prefix's first requests of forty sessions go to, each at a dispatcher of its own
+// that has seen so many other requests, one in every so many of them with that prefix; 0 = none.
 func homesOf(t *testing.T, others, every int) int {
 	const prefix = PrefixKey(99)
 	at := map[ServerID]bool{}
@@ -40,14 +40,14 @@
 			}
 			job(RequestID(n+1), SessionKey(5000+100*session+n), p)
 		}
-		d.prefixes.marks = map[uint64][8]prefixMark{} // the marks of its own jobs are not what is asked about
+		d.prefixes.marks = map[uint64][8]prefixMark{} // the marks of its own requests are not what is asked about
 		at[job(1000, SessionKey(session+1), prefix)] = true
 	}
 	return len(at)
 }
 
 // What few others send goes to one home at every dispatcher, what many send to several; who has seen too little to tell
-// takes three, so that what is common does not jam one host while all are new.
+// takes three, so that what is common does not jam one server while all are new.
 func TestHomes(t *testing.T) {
 	for _, c := range []struct{ others, every, least, most int }{{24, 0, 1, 1}, {0, 0, 3, 3}, {6, 0, 3, 3}, {24, 4, 4, 12}, {12, 4, 4, 12}} {
 		if n := homesOf(t, c.others, c.every); n < c.least || n > c.most {
--- a/policy/ramp_test.go
+++ b/policy/ramp_test.go
@@ -7,14 +7,14 @@
 	"testing"
 )
 
-// ramp is a fleet of modules that share hosts of one role, of which the last has just started, with traffic spread
+// ramp is a fleet of modules that share servers of one role, of which the last has just started, with traffic spread
 // unevenly: the first modules get several times the mean.
 type ramp struct {
 	modules []*Dispatcher
 	wakes   []Nanos
 	now     Nanos
 	ends    []ending // in the order in which they fall due
-	cold    []Nanos  // launches at the host that has just started
+	cold    []Nanos  // attempts at the server that has just started
 	next    RequestID
 }
 
@@ -29,10 +29,10 @@
 	rampHosts   = 10
 	rampRate    = 600                       // requests a second, all modules together
 	rampTook    = Nanos(60e6)               // a read
-	rampStart   = Nanos(100e9)              // the last host starts
+	rampStart   = Nanos(100e9)              // the last server starts
 	rampColdID  = ServerID(rampHosts)       // which this is
 	rampTick    = Nanos(4e6)                // time between two rounds
-	rampCarried = rampRate / rampHosts * 3. // a warm host, over the window
+	rampCarried = rampRate / rampHosts * 3. // a warm server, over the window
 )
 
 var rampTerms = ColdStart{From: 0.3, Warm: 10e9, Multiple: 2.5, Window: 3e9}
@@ -100,7 +100,7 @@
 	}
 }
 
-// However many dispatchers share the traffic, however unevenly, and though a third of them start anew in the middle, a host
+// However many dispatchers share the traffic, however unevenly, and though a third of them start anew in the middle, a server
 // that has just started gets no more in any window than it bears and what is put down to chance.
 func TestColdRamp(t *testing.T) {
 	for _, count := range []int{1, 25, 300} {
--- a/policy/replace_test.go
+++ b/policy/replace_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Hosts that are replaced under new names, each in a cell of its own, leave nothing behind.
+// Servers that are replaced under new names, each in a cell of its own, leave nothing behind.
 func TestReplacedHostsLeaveNothing(t *testing.T) {
 	d, err := New(1, Identity{Count: 2}, []Class{{Target: 1e9, Timeout: 5e9, Value: 1}}, nil, []Role{Prefill, Decode},
 		ColdStart{From: 0.3, Warm: 1e9, Multiple: 2.5, Window: 1e9}, AttemptLimits{Most: 6, Cancel: true},
@@ -36,7 +36,7 @@
 		if reader == 0 {
 			t.Fatalf("job %d finds no reader", n)
 		}
-		d.ListBegin(false) // the reader goes while the job's state is there; its successor has another name and cell
+		d.ListBegin(false) // the prefill server goes while the request's state is there; its successor has another name and cell
 		d.ServerListed(reader, ZoneID(reader%3), 0, CellID(reader), Gone, 0)
 		for next%2 != 0 {
 			next++
--- a/policy/scenario_test.go
+++ b/policy/scenario_test.go
@@ -13,15 +13,15 @@
 // or several of these, set apart by semicolons; loop and end stand alone:
 //
 //	set NAME VALUE                     a setting, before anything else
-//	host ID ROLE [zone=Z cell=C health=H launched=T]   the list names a host
-//	full                               the hosts that follow are all there are
+//	server ID ROLE [zone=Z cell=C health=H sent=T]   the list names a server
+//	full                               the servers that follow are all there are
 //	restored-failed                    the list could not be had
 //	at T                               time goes on; wakes that fall due on the way are delivered
-//	job ID [prompt=N shared=N prefix=K session=K patience=T tenant=N]
+//	request ID [prompt=N shared=N prefix=K session=K timeout=T tenant=N]
 //	began ID | ended ID OUTCOME [after=T] [held=T] [over] | left ID
-//	                                   held: since then its state counts as held, 0 = it was let go of
+//	                                   held: since then its state counts as held, 0 = it was released
 //	expect VERB [ID] [on HOST[|HOST]] [for T] [before T]  the next decision, wakes and log lines left out
-//	tally HOST                         launches on HOST among the decisions now taken are counted
+//	tally HOST                         attempts on HOST among the decisions now taken are counted
 //	between A B                        the count is within these; it starts anew
 //	restart                            another dispatcher, with the next number, at the first time
 //	nothing                            no decision is left
--- a/policy/state.go
+++ b/policy/state.go
@@ -12,7 +12,7 @@
 	streaming
 )
 
-// noHost stands for no server at all.
+// noServer stands for no server at all.
 const noServer = int32(-1)
 
 type requestState struct {
