--- a/cmd/docksail/serve.go
+++ b/cmd/docksail/serve.go
@@ -15,7 +15,7 @@
 
 	"github.com/spf13/cobra"
 
-	"docksail/internal/decide/door"
+	"docksail/internal/decide/admission"
 	"docksail/internal/dispatch"
 	"docksail/internal/setup"
 )
@@ -180,14 +180,14 @@
 	for _, t := range v.Tenants {
 		n := t.Counts
 		mean := time.Duration(n.Waited / int64(max(n.Admitted, 1)))
-		fmt.Fprintf(w, "%s\t%g\t%d\t%d\t%d\t%d\t%.1f%%\t%v\t%v\t%d\t%d\t%d\t\n", cmp.Or(t.Name, "(all)"), t.Weight, t.Waiting, t.Running, n.Came, n.Admitted,
-			100*n.Cost/max(total, 1), mean.Round(time.Millisecond), time.Duration(n.Longest).Round(time.Millisecond), n.Booked, n.Returned, n.Kept)
+		fmt.Fprintf(w, "%s\t%g\t%d\t%d\t%d\t%d\t%.1f%%\t%v\t%v\t%d\t%d\t%d\t\n", cmp.Or(t.Name, "(all)"), t.Weight, t.Waiting, t.Running, n.Arrived, n.Admitted,
+			100*n.Cost/max(total, 1), mean.Round(time.Millisecond), time.Duration(n.Longest).Round(time.Millisecond), n.Booked, n.Returned, n.KeptBookings)
 	}
 	w.Flush()
 	for _, t := range v.Tenants {
 		for cause, n := range t.Counts.Refused {
 			if n > 0 {
-				fmt.Fprintf(out, "refused %s: %d, %v\n", cmp.Or(t.Name, "(all)"), n, door.Cause(cause))
+				fmt.Fprintf(out, "refused %s: %d, %v\n", cmp.Or(t.Name, "(all)"), n, admission.Cause(cause))
 			}
 		}
 	}
--- a/internal/decide/flood/flood.go
+++ b/internal/decide/abuse/abuse.go
@@ -1,7 +1,7 @@
-// Package flood decides when the peer of one HTTP/2 connection costs more than it asks for: resets in rapid
+// Package abuse decides when the peer of one HTTP/2 connection costs more than it asks for: resets in rapid
 // succession, pings, settings, empty frames. Each kind has an allowance that fills with time and with useful
 // work; a peer that overdraws one is to be sent away. It does no I/O and reads no clock.
-package flood
+package abuse
 
 // Act is something that a peer does that costs us and brings it nothing by itself.
 type Act uint8
--- a/internal/decide/flood/flood_test.go
+++ b/internal/decide/abuse/abuse_test.go
@@ -1,4 +1,4 @@
-package flood
+package abuse
 
 import "testing"
 
--- a/internal/decide/door/book.go
+++ b/internal/decide/admission/bookings.go
@@ -1,4 +1,4 @@
-package door
+package admission
 
 import (
 	"crypto/hmac"
@@ -9,23 +9,23 @@
 	"math"
 )
 
-// drain measures how much cost is taken a nanosecond while requests wait: only then is it the pace of what stands
+// serviceRate measures how much cost is taken a nanosecond while requests wait: only then is it the pace of what stands
 // behind the door.
-type drain struct {
+type serviceRate struct {
 	memory Nanos
 	since  Nanos // requests wait since then; 0 = none does
 	busy   float64
 	cost   float64
 }
 
-func (r *drain) begin(now Nanos, waits bool) {
+func (r *serviceRate) begin(now Nanos, waits bool) {
 	if !waits {
 		r.since = now
 	}
 }
 
 // pass takes the time in which requests waited into account; old time fades.
-func (r *drain) pass(now Nanos) {
+func (r *serviceRate) pass(now Nanos) {
 	if r.since == 0 || now <= r.since {
 		return
 	}
@@ -36,7 +36,7 @@
 	r.since = now
 }
 
-func (r *drain) taken(now Nanos, cost float64) {
+func (r *serviceRate) taken(now Nanos, cost float64) {
 	if r.since == 0 {
 		return
 	}
@@ -44,13 +44,13 @@
 	r.cost += cost
 }
 
-func (r *drain) end(now Nanos) {
+func (r *serviceRate) end(now Nanos) {
 	r.pass(now)
 	r.since = 0
 }
 
 // rate is the cost a nanosecond; 0 if requests have hardly had to wait yet.
-func (r *drain) rate() float64 {
+func (r *serviceRate) rate() float64 {
 	if r.busy < float64(r.memory)/64 {
 		return 0
 	}
@@ -59,10 +59,10 @@
 
 // wait is how long a request of some cost would wait in a flow, which may be none yet: no longer than for all that
 // waits to pass, and no longer than for its flow's part of the pace.
-func (d *Door) wait(now Nanos, t *tenant, f *flow, cost float64) Nanos {
-	d.drain.pass(now)
-	rate := d.drain.rate()
-	if rate <= 0 || len(d.jobs) == 0 {
+func (d *Queue) wait(now Nanos, t *tenant, f *flow, cost float64) Nanos {
+	d.rate.pass(now)
+	rate := d.rate.rate()
+	if rate <= 0 || len(d.requests) == 0 {
 		return 0
 	}
 	weights, flows := 0.0, 0.0
@@ -74,7 +74,7 @@
 	mine, own := 1.0, cost
 	if f != nil {
 		mine = f.weight
-		for _, w := range f.jobs.All() {
+		for _, w := range f.requests.All() {
 			own += w.cost
 		}
 	}
@@ -89,8 +89,8 @@
 
 // Advice says when to come back.
 type Advice struct {
-	After  Nanos
-	Ticket *Ticket // to be brought then; nil if none could be booked
+	RetryAfter Nanos
+	Ticket     *Ticket // to be brought then; nil if none could be booked
 }
 
 // Ticket is a booking: who may come back, and when.
@@ -153,15 +153,15 @@
 	serials = 4096
 	// hoardPart of a slot's room may be booked for one client, by its weight for the newcomers of one source, one ticket
 	// at least: who asks a thousand times for a place does not take the others' places.
-	hoardPart = 1.0 / 8
+	heaviestPart = 1.0 / 8
 	// hands count the tickets of a slot by the hash of who has them.
 	hands = 64
 	// without a pace a refused client stays away for so many expected times.
 	unknownWait = 1.0 / 2
 )
 
-// book is what is promised: for each slot of time the cost booked and the tickets given and used.
-type book struct {
+// bookings is what is promised: for each slot of time the cost booked and the tickets given and used.
+type bookings struct {
 	signer *Signer
 	len    Nanos // of a slot
 	slots  [slots]slot
@@ -175,7 +175,7 @@
 	by     [hands]float64 // cost booked, by the hash of who has it
 }
 
-func (b *book) init(s *Signer, expected Nanos) {
+func (b *bookings) init(s *Signer, expected Nanos) {
 	b.signer = s
 	b.len = max(Nanos(slotPart*float64(expected)), 1)
 	for i := range b.slots {
@@ -184,7 +184,7 @@
 }
 
 // at gives the slot of a number; what stood in its place before is over.
-func (b *book) at(n int64) *slot {
+func (b *bookings) at(n int64) *slot {
 	s := &b.slots[n%slots]
 	if s.number != n {
 		*s = slot{number: n}
@@ -193,7 +193,7 @@
 }
 
 // take books cost in the first slot from a time on that has room at a pace; false if none has.
-func (b *book) take(now, from Nanos, who uint64, weight, cost, rate float64) (int64, uint32, bool) {
+func (b *bookings) take(now, from Nanos, who uint64, weight, cost, rate float64) (int64, uint32, bool) {
 	room := bookedPart * rate * float64(b.len)
 	now, last := now/b.len+1, now/b.len+slots-graceAfter-2
 	held := 0.0 // by this hand, in all slots so far
@@ -201,7 +201,7 @@
 		s := b.at(n)
 		hand := &s.by[who%hands]
 		held += *hand
-		if n < from/b.len || held > 0 && held+cost > weight*hoardPart*room*float64(n-now+1) {
+		if n < from/b.len || held > 0 && held+cost > weight*heaviestPart*room*float64(n-now+1) {
 			continue
 		}
 		if s.given < serials && (s.cost+cost <= room || s.given == 0) { // a request larger than a slot takes one of its own
@@ -215,7 +215,7 @@
 }
 
 // redeem tells whether a ticket is good now, once.
-func (b *book) redeem(now Nanos, tenant int, client uint64, t *Ticket) bool {
+func (b *bookings) redeem(now Nanos, tenant int, client uint64, t *Ticket) bool {
 	if t.Tenant != tenant || t.Client != client || t.Serial >= serials {
 		return false
 	}
@@ -232,9 +232,9 @@
 
 // advise says when a refused client should come back, and books it in. Where a limit of the tenant's own was met,
 // not before that lets it in, nor before least from now.
-func (d *Door) advise(now Nanos, t *tenant, c Cause, j *Job, cost float64, least Nanos) Advice {
-	d.drain.pass(now)
-	rate := d.drain.rate()
+func (d *Queue) advise(now Nanos, t *tenant, c Cause, j *Request, cost float64, least Nanos) Advice {
+	d.rate.pass(now)
+	rate := d.rate.rate()
 	from := now + least
 	if rate <= 0 {
 		from = max(from, now+Nanos(unknownWait*float64(d.expected)))
@@ -247,7 +247,7 @@
 		}
 	}
 	if rate <= 0 || d.book.signer == nil {
-		return Advice{After: max(from-now, 1)}
+		return Advice{RetryAfter: max(from-now, 1)}
 	}
 	if c != OverRate { // what stands before it by its own share has to pass first, not all that waits
 		ahead := d.wait(now, t, d.flowOf(now, t, j, false), cost)
@@ -259,13 +259,13 @@
 	}
 	n, serial, ok := d.book.take(now, from, who^uint64(t.n)*0x9e3779b97f4a7c15, weight, cost, rate)
 	if !ok {
-		return Advice{After: slots * d.book.len}
+		return Advice{RetryAfter: slots * d.book.len}
 	}
 	// Within its slot they are spread by their serial, as evenly as the golden ratio does it.
 	const golden = 0.6180339887498949
 	_, part := math.Modf(float64(serial) * golden)
 	at := n*d.book.len + Nanos(part*float64(d.book.len))
-	return Advice{After: max(at-now, 1), Ticket: &Ticket{Tenant: t.n, Client: j.Client, Slot: n, Serial: serial}}
+	return Advice{RetryAfter: max(at-now, 1), Ticket: &Ticket{Tenant: t.n, Client: j.Client, Slot: n, Serial: serial}}
 }
 
 // known remembers, for a bounded number of clients, how many of their requests were served, in sets of a few: of a
--- a/internal/decide/door/heaps.go
+++ b/internal/decide/admission/heaps.go
@@ -1,23 +1,27 @@
-package door
+package admission
 
 import "docksail/internal/order"
 
 // A flow's requests stand by when they are due, all waiting requests by when it is too late for them, a tenant's flows and the
 // tenants by their start tags.
 
-func byDue(a, b *job) bool  { return a.due < b.due || a.due == b.due && a.order < b.order }
-func byLate(a, b *job) bool { return a.late < b.late || a.late == b.late && a.order < b.order }
+func byDue(a, b *queuedRequest) bool {
+	return a.startBy < b.startBy || a.startBy == b.startBy && a.order < b.order
+}
+func byLate(a, b *queuedRequest) bool {
+	return a.overdueIndex < b.overdueIndex || a.overdueIndex == b.overdueIndex && a.order < b.order
+}
 func byStart(a, b *flow) bool {
 	return a.start < b.start || a.start == b.start && a.order < b.order
 }
 func byTenant(a, b *tenant) bool { return a.start < b.start || a.start == b.start && a.n < b.n }
 
-func jobHeap() order.Heap[*job] {
-	return order.Heap[*job]{Less: byDue, Place: func(w *job) *int { return &w.at }}
+func requestHeap() order.Heap[*queuedRequest] {
+	return order.Heap[*queuedRequest]{Less: byDue, Place: func(w *queuedRequest) *int { return &w.at }}
 }
 
-func lateHeap() order.Heap[*job] {
-	return order.Heap[*job]{Less: byLate, Place: func(w *job) *int { return &w.lateAt }}
+func lateHeap() order.Heap[*queuedRequest] {
+	return order.Heap[*queuedRequest]{Less: byLate, Place: func(w *queuedRequest) *int { return &w.overdueAt }}
 }
 
 func flowHeap() order.Heap[*flow] {
@@ -29,7 +33,7 @@
 }
 
 // load is what a flow has waiting for its weight.
-func (f *flow) load() float64 { return float64(f.jobs.Len()) / f.weight }
+func (f *flow) load() float64 { return float64(f.requests.Len()) / f.weight }
 
 func byLoad(a, b *flow) bool {
 	x, y := a.load(), b.load()
@@ -41,8 +45,8 @@
 }
 
 // placeFlow puts a flow where it belongs among its tenant's that have requests.
-func (d *Door) placeFlow(f *flow) {
-	if f.jobs.Len() > 0 {
+func (d *Queue) placeFlow(f *flow) {
+	if f.requests.Len() > 0 {
 		f.tenant.active.Put(f)
 		f.tenant.heavy.Put(f)
 	} else {
@@ -52,7 +56,7 @@
 }
 
 // place puts a tenant where it belongs among those that may have a request let in.
-func (d *Door) place(t *tenant) {
+func (d *Queue) place(t *tenant) {
 	if t.active.Len() == 0 || t.Running > 0 && t.running >= t.Running {
 		d.active.Take(t)
 		return
--- a/internal/decide/door/door.go
+++ b/internal/decide/admission/queue.go
@@ -1,4 +1,4 @@
-// Package door decides in what order requests that wait in the admission queue go in, which are refused, and when those come back.
+// Package admission decides in what order requests that wait in the admission queue go in, which are refused, and when those come back.
 //
 // Requests wait in flows: a tenant, and within it a client. Service is shared by start-time fair queueing on both
 // levels: tenants by weight, a tenant's flows evenly, each request at its cost in what it takes of the fleet. Clients that
@@ -6,21 +6,21 @@
 // known once enough of its requests were served. Everything is bounded: requests waiting, flows, clients known.
 //
 // The package does no I/O and reads no clock. Equal calls give equal decisions.
-package door
+package admission
 
 import (
 	"fmt"
 	"slices"
 
-	"docksail/internal/decide/spare"
+	"docksail/internal/decide/background"
 	"docksail/internal/order"
 )
 
 // Nanos is a time or a span in nanoseconds.
 type Nanos = int64
 
-// JobID is a request's name at the server of this package.
-type JobID uint64
+// RequestID is a request's name at the server of this package.
+type RequestID uint64
 
 // Tenant is what a tenant may do.
 type Tenant struct {
@@ -32,8 +32,8 @@
 }
 
 // Request is what is known of a request that comes.
-type Job struct {
-	ID       JobID
+type Request struct {
+	ID       RequestID
 	Tenant   int
 	Client   uint64 // keyed hash of its client's name; 0 = none is named
 	Source   uint64 // keyed hash of where it comes from
@@ -103,7 +103,7 @@
 	// burstSeconds of its rate a tenant may ask at once.
 	burstSeconds = 1
 	// drainMemory is how fast the measured drain follows, in expected times: some, so that one gap says little.
-	drainMemory = 4
+	rateMemory = 4
 	// hopeless is the share of its expected time, or of what its client has left, within which a request has to be let
 	// in: the rest is for the work, and an answer that comes later is worth little.
 	hopeless = 0.5
@@ -114,29 +114,29 @@
 	return max(float64(prompt)+answerCost*expectedPart*float64(answer), 1)
 }
 
-type job struct {
-	Job
-	cost   float64
-	came   Nanos
-	flow   *flow
-	due    Nanos // what orders it within its flow
-	late   Nanos // from then on it is too late to let it in
-	order  uint64
-	at     int  // place in the flow's heap
-	lateAt int  // place among all by late
-	in     bool // it came back as advised
+type queuedRequest struct {
+	Request
+	cost         float64
+	arrivedAt    Nanos
+	flow         *flow
+	startBy      Nanos // what orders it within its flow
+	overdueIndex Nanos // from then on it is too late to let it in
+	order        uint64
+	at           int  // place in the flow's heap
+	overdueAt    int  // place among all by late
+	in           bool // it came back as advised
 }
 
 // flow is the waiting requests of one client, or of the newcomers from one source.
 type flow struct {
-	key    flowKey
-	tenant *tenant
-	weight float64
-	jobs   order.Heap[*job]
-	start  float64 // start tag of its next request
-	order  uint64
-	at     int // place in the tenant's heap
-	last   Nanos
+	key      flowKey
+	tenant   *tenant
+	weight   float64
+	requests order.Heap[*queuedRequest]
+	start    float64 // start tag of its next request
+	order    uint64
+	at       int // place in the tenant's heap
+	last     Nanos
 
 	heavyAt int // place among the tenant's by load
 }
@@ -165,70 +165,70 @@
 
 // Counts are what a door counted of a tenant.
 type Counts struct {
-	Came, Admitted, Cancelled        uint64
-	Refused                          [causes]uint64
-	Waited                           Nanos // in all, of those let in
-	Longest                          Nanos
-	Cost                             float64 // of those let in
-	Booked, Returned, Kept, Unbooked uint64  // advice given; returned with it; let in; tickets not served
+	Arrived, Admitted, Cancelled                   uint64
+	Refused                                        [causes]uint64
+	Waited                                         Nanos // in all, of those let in
+	Longest                                        Nanos
+	Cost                                           float64 // of those let in
+	Booked, Returned, KeptBookings, WithoutBooking uint64  // advice given; returned with it; let in; tickets not served
 }
 
 // Add adds up counts.
 func (c *Counts) Add(o Counts) {
-	c.Came, c.Admitted, c.Cancelled = c.Came+o.Came, c.Admitted+o.Admitted, c.Cancelled+o.Cancelled
+	c.Arrived, c.Admitted, c.Cancelled = c.Arrived+o.Arrived, c.Admitted+o.Admitted, c.Cancelled+o.Cancelled
 	for i := range c.Refused {
 		c.Refused[i] += o.Refused[i]
 	}
 	c.Waited, c.Longest, c.Cost = c.Waited+o.Waited, max(c.Longest, o.Longest), c.Cost+o.Cost
-	c.Booked, c.Returned, c.Kept, c.Unbooked = c.Booked+o.Booked, c.Returned+o.Returned, c.Kept+o.Kept, c.Unbooked+o.Unbooked
+	c.Booked, c.Returned, c.KeptBookings, c.WithoutBooking = c.Booked+o.Booked, c.Returned+o.Returned, c.KeptBookings+o.KeptBookings, c.WithoutBooking+o.WithoutBooking
 }
 
-// Door is the queue. Make it with New.
-type Door struct {
+// Queue is the queue. Make it with New.
+type Queue struct {
 	// FirstCome lets requests in as they came, whoever sent them: a baseline to measure against. It is set before the
 	// first request comes.
 	FirstCome bool
 
-	most     int
-	mostFlow int
-	tenants  []*tenant
-	active   order.Heap[*tenant]
-	virtual  float64
-	jobs     map[JobID]*job
-	out      []displaced
-	late     order.Heap[*job]
-	free     []*job
-	freeFlow []*flow
-	flows    int
-	known    known
-	orders   uint64
-	sweepAt  uint64
-	expected Nanos // shortest expected time
-	drain    drain
-	book     book
-	total    float64 // cost waiting
-	inside   float64 // so many may be let in and not sent
-	back     *Door   // where background requests wait; nil in that one itself
-	Spare    *spare.Spare
+	limit             int
+	limitPerFlow      int
+	tenants           []*tenant
+	active            order.Heap[*tenant]
+	virtual           float64
+	requests          map[RequestID]*queuedRequest
+	displacedRequests []displaced
+	overdue           order.Heap[*queuedRequest]
+	free              []*queuedRequest
+	freeFlow          []*flow
+	flows             int
+	known             known
+	orders            uint64
+	sweepAt           uint64
+	expected          Nanos // shortest expected time
+	rate              serviceRate
+	book              bookings
+	total             float64 // cost waiting
+	admitted          float64 // so many may be let in and not sent
+	retryLimit        *Queue  // where background requests wait; nil in that one itself
+	Background        *background.Limit
 }
 
 // New makes a door for so many waiting requests, with so many known clients remembered. expected is the shortest
 // expected time of the classes, by which spans are measured. tickets signs advice; nil gives none.
-func New(most, clients int, expected Nanos, tickets *Signer) (*Door, error) {
+func New(most, clients int, expected Nanos, tickets *Signer) (*Queue, error) {
 	if most < 1 || clients < 1 || expected < 1 {
 		return nil, fmt.Errorf("door for %d jobs, %d clients, expected time %d: want all above 0", most, clients, expected)
 	}
-	d := &Door{inside: unlaunchedMost, most: most, mostFlow: most + 1024, jobs: make(map[JobID]*job), expected: expected,
-		active: tenantHeap(), late: lateHeap()}
-	d.Spare = spare.New(expected)
+	d := &Queue{admitted: unlaunchedMost, limit: most, limitPerFlow: most + 1024, requests: make(map[RequestID]*queuedRequest), expected: expected,
+		active: tenantHeap(), overdue: lateHeap()}
+	d.Background = background.New(expected)
 	d.known.init(clients)
-	d.drain.memory = drainMemory * expected
+	d.rate.memory = rateMemory * expected
 	d.book.init(tickets, expected)
-	d.back = &Door{inside: unlaunchedMost, most: max(int(backRoom*float64(most)), 1), mostFlow: most + 1024, jobs: make(map[JobID]*job), expected: expected,
-		active: tenantHeap(), late: lateHeap()}
-	d.back.known.init(1)
-	d.back.drain.memory = d.drain.memory
-	d.back.book.init(tickets, expected)
+	d.retryLimit = &Queue{admitted: unlaunchedMost, limit: max(int(backRoom*float64(most)), 1), limitPerFlow: most + 1024, requests: make(map[RequestID]*queuedRequest), expected: expected,
+		active: tenantHeap(), overdue: lateHeap()}
+	d.retryLimit.known.init(1)
+	d.retryLimit.rate.memory = d.rate.memory
+	d.retryLimit.book.init(tickets, expected)
 	return d, nil
 }
 
@@ -242,7 +242,7 @@
 }
 
 // SetTenant adds tenant n, or changes what it may do; it holds for requests that wait too.
-func (d *Door) SetTenant(n int, t Tenant) error {
+func (d *Queue) SetTenant(n int, t Tenant) error {
 	if n < 0 || n > len(d.tenants) {
 		return fmt.Errorf("tenant %d: want 0 to %d", n, len(d.tenants))
 	}
@@ -256,87 +256,87 @@
 	tn := d.tenants[n]
 	tn.Tenant, tn.gone = t, false
 	d.place(tn)
-	if d.back != nil { // its limits hold for what somebody waits for; background work has the door's
-		return d.back.SetTenant(n, Tenant{Weight: t.Weight, PromptMax: t.PromptMax})
+	if d.retryLimit != nil { // its limits hold for what somebody waits for; background work has the door's
+		return d.retryLimit.SetTenant(n, Tenant{Weight: t.Weight, PromptMax: t.PromptMax})
 	}
 	return nil
 }
 
 // Waiting counts requests in the admission queue, Background those of them that yield to all others.
-func (d *Door) Waiting() int {
-	if d.back == nil {
-		return len(d.jobs)
+func (d *Queue) Waiting() int {
+	if d.retryLimit == nil {
+		return len(d.requests)
 	}
-	return len(d.jobs) + len(d.back.jobs)
+	return len(d.requests) + len(d.retryLimit.requests)
 }
 
-// Background counts the background requests in the admission queue.
-func (d *Door) Background() int { return len(d.back.jobs) }
+// BackgroundWaiting counts the background requests in the admission queue.
+func (d *Queue) BackgroundWaiting() int { return len(d.retryLimit.requests) }
 
 // of gives the door in which a request waits.
-func (d *Door) of(id JobID) *Door {
-	if d.back != nil && d.back.jobs[id] != nil {
-		return d.back
+func (d *Queue) of(id RequestID) *Queue {
+	if d.retryLimit != nil && d.retryLimit.requests[id] != nil {
+		return d.retryLimit
 	}
 	return d
 }
 
 // Flows counts flows that are remembered.
-func (d *Door) Flows() int { return d.flows }
+func (d *Queue) Flows() int { return d.flows }
 
 // Counts gives what was counted of a tenant.
-func (d *Door) Counts(n int) Counts { return d.tenants[n].Counts }
+func (d *Queue) Counts(n int) Counts { return d.tenants[n].Counts }
 
 // Tenant gives how many requests of a tenant wait and run.
-func (d *Door) Tenant(n int) (waiting, running int) {
+func (d *Queue) Tenant(n int) (waiting, running int) {
 	return d.tenants[n].waiting, d.tenants[n].running
 }
 
-// Open tells whether another request may be let in, by how long ago those were that the module has not sent yet. One
+// Admits tells whether another request may be let in, by how long ago those were that the module has not sent yet. One
 // is enough: the next follows within the same turn once it is sent, and the order stays the door's. Those that
 // wait for long are such as the module can't place, or it is slow; the others need not stand behind them.
-func (d *Door) Open(inside []Nanos) bool {
+func (d *Queue) Admits(inside []Nanos) bool {
 	fresh := 0
 	for _, t := range inside {
 		if t <= Nanos(unlaunchedWait*float64(d.expected)) {
 			fresh++
 		}
 	}
-	return fresh == 0 && len(inside) < int(d.inside)
+	return fresh == 0 && len(inside) < int(d.admitted)
 }
 
-// Unplaced tells that the module refused a request that was let in and never sent: fewer stand before it at once, so
+// NotSent tells that the module refused a request that was let in and never sent: fewer stand before it at once, so
 // that the next attempt is not fought over by requests that the door has put in order already.
-func (d *Door) Unplaced() { d.inside = max(d.inside/2, 1) }
+func (d *Queue) NotSent() { d.admitted = max(d.admitted/2, 1) }
 
-// Taken tells that the module has sent a request that was let in: this is the pace of what stands behind the door.
-func (d *Door) Taken(now Nanos, j Job) {
-	d.drain.taken(now, Cost(j.Prompt, j.Answer))
-	d.inside = min(d.inside+insideStep, unlaunchedMost)
+// Sent tells that the module has sent a request that was let in: this is the pace of what stands behind the door.
+func (d *Queue) Sent(now Nanos, j Request) {
+	d.rate.taken(now, Cost(j.Prompt, j.Answer))
+	d.admitted = min(d.admitted+insideStep, unlaunchedMost)
 }
 
 // lateAt is when it is too late to let a request in.
-func lateAt(now Nanos, j *Job) Nanos {
+func lateAt(now Nanos, j *Request) Nanos {
 	return now + Nanos(hopeless*float64(min(j.Expected, j.Deadline-now)))
 }
 
 // Arrive takes a request to wait, or refuses it with the time to stay away; a Ticket goes with advice if the door gives
 // any.
-func (d *Door) Arrive(now Nanos, j Job) (Cause, Advice) {
-	if j.Background && d.back != nil {
-		return d.back.Arrive(now, j)
+func (d *Queue) Arrive(now Nanos, j Request) (Cause, Advice) {
+	if j.Background && d.retryLimit != nil {
+		return d.retryLimit.Arrive(now, j)
 	}
 	if j.Tenant < 0 || j.Tenant >= len(d.tenants) || d.tenants[j.Tenant].gone {
 		return Unknown, Advice{}
 	}
 	t := d.tenants[j.Tenant]
-	t.Counts.Came++
+	t.Counts.Arrived++
 	booked := false
 	if j.Ticket != nil {
 		if booked = d.book.redeem(now, j.Tenant, j.Client, j.Ticket); booked {
 			t.Counts.Returned++
 		} else {
-			t.Counts.Unbooked++
+			t.Counts.WithoutBooking++
 		}
 	}
 	cost := Cost(j.Prompt, j.Answer)
@@ -362,18 +362,18 @@
 		return refuse(OverRate)
 	}
 	mine := d.flowOf(now, t, &j, false)
-	var gives *job // the request that makes room for this one
+	var gives *queuedRequest // the request that makes room for this one
 	if t.Waiting > 0 && t.waiting >= t.Waiting {
-		if gives = d.yields(now, t, t, mine, &j); gives == nil {
+		if gives = d.displaces(now, t, t, mine, &j); gives == nil {
 			return refuse(TenantFull)
 		}
 	}
-	room := d.most
+	room := d.limit
 	if !booked {
-		room -= int(bookedRoom * float64(d.most))
+		room -= int(bookedRoom * float64(d.limit))
 	}
-	if len(d.jobs) >= max(room, 1) && gives == nil {
-		if gives = d.yields(now, t, d.heaviest(), mine, &j); gives == nil {
+	if len(d.requests) >= max(room, 1) && gives == nil {
+		if gives = d.displaces(now, t, d.heaviest(), mine, &j); gives == nil {
 			return refuse(Full)
 		}
 	}
@@ -381,7 +381,7 @@
 		return refuse(TooLate)
 	}
 	if gives != nil {
-		d.out = append(d.out, displaced{gives.Job, gives.cost})
+		d.displacedRequests = append(d.displacedRequests, displaced{gives.Request, gives.cost})
 		gives.flow.tenant.Counts.Refused[Full]++
 		d.remove(now, gives)
 	}
@@ -389,27 +389,27 @@
 		t.tokens--
 	}
 	f := d.flowOf(now, t, &j, true)
-	w := d.newJob()
-	*w = job{Job: j, cost: cost, came: now, flow: f, due: now + j.Expected, order: d.nextOrder(), in: booked,
-		late: lateAt(now, &j)}
+	w := d.newRequest()
+	*w = queuedRequest{Request: j, cost: cost, arrivedAt: now, flow: f, startBy: now + j.Expected, order: d.nextOrder(), in: booked,
+		overdueIndex: lateAt(now, &j)}
 	w.Ticket = nil
 	if d.FirstCome {
-		w.due = now
+		w.startBy = now
 	} else if booked { // it has waited its time elsewhere
-		w.due = now
+		w.startBy = now
 	}
-	d.drain.begin(now, d.total > 0)
-	d.jobs[j.ID] = w
-	d.late.Put(w)
+	d.rate.begin(now, d.total > 0)
+	d.requests[j.ID] = w
+	d.overdue.Put(w)
 	d.total += cost
 	t.waiting++
-	if f.jobs.Len() == 0 {
+	if f.requests.Len() == 0 {
 		f.start = max(f.start, t.virtual)
 		if t.waiting == 1 {
 			t.start = max(t.start, d.virtual)
 		}
 	}
-	f.jobs.Put(w)
+	f.requests.Put(w)
 	d.placeFlow(f)
 	d.place(t)
 	return Admitted, Advice{}
@@ -417,20 +417,20 @@
 
 // displaced is a request that gave up its place and is not answered yet.
 type displaced struct {
-	Job
+	Request
 	cost float64
 }
 
-// yields gives the request that makes room for one of a flow of t (nil: it has none yet), among those of a tenant: the
+// displaces gives the request that makes room for one of a flow of t (nil: it has none yet), among those of a tenant: the
 // newest of its heaviest flow that is not back as advised, if that flow has more for its weight than the newcomer's
 // would have. Else a flood would keep out, by filling the door, those to whom the order inside it is fair.
-func (d *Door) yields(now Nanos, t, from *tenant, mine *flow, j *Job) *job {
+func (d *Queue) displaces(now Nanos, t, from *tenant, mine *flow, j *Request) *queuedRequest {
 	if from == nil || from.heavy.Len() == 0 {
 		return nil
 	}
 	worst, load := from.heavy.Min(), 1.0
 	if mine != nil {
-		load = float64(mine.jobs.Len()+1) / mine.weight
+		load = float64(mine.requests.Len()+1) / mine.weight
 	} else if !d.FirstCome && !(j.Client != 0 && d.known.is(now, t.n, j.Client)) {
 		load = 1.0 / newcomers
 	}
@@ -441,7 +441,7 @@
 }
 
 // heaviest gives the tenant whose heaviest flow has most waiting for its weight.
-func (d *Door) heaviest() *tenant {
+func (d *Queue) heaviest() *tenant {
 	var worst *tenant
 	most := 0.0
 	for _, t := range d.tenants {
@@ -455,9 +455,9 @@
 }
 
 // newest gives the request of a flow that came last; those that are back as advised count only if told so.
-func (f *flow) newest(booked bool) *job {
-	var newest *job
-	for _, w := range f.jobs.All() {
+func (f *flow) newest(booked bool) *queuedRequest {
+	var newest *queuedRequest
+	for _, w := range f.requests.All() {
 		if (booked || !w.in) && (newest == nil || w.order > newest.order) {
 			newest = w
 		}
@@ -467,17 +467,17 @@
 
 // Displaced gives a request that waited and made room for another, and how its client is to be answered; the server pulls
 // until there is none.
-func (d *Door) Displaced(now Nanos) (JobID, Advice, bool) {
-	if len(d.out) == 0 {
-		if d.back != nil {
-			return d.back.Displaced(now)
+func (d *Queue) Displaced(now Nanos) (RequestID, Advice, bool) {
+	if len(d.displacedRequests) == 0 {
+		if d.retryLimit != nil {
+			return d.retryLimit.Displaced(now)
 		}
 		return 0, Advice{}, false
 	}
-	w := d.out[0]
-	d.out = slices.Delete(d.out, 0, 1)
+	w := d.displacedRequests[0]
+	d.displacedRequests = slices.Delete(d.displacedRequests, 0, 1)
 	t := d.tenants[w.Tenant]
-	a := d.advise(now, t, Full, &w.Job, w.cost, 0)
+	a := d.advise(now, t, Full, &w.Request, w.cost, 0)
 	if a.Ticket != nil {
 		t.Counts.Booked++
 	}
@@ -487,24 +487,24 @@
 // Next gives the next request to let in, if there is one, while so many that were let in are not sent yet. A background
 // request comes when no other may, the module has nothing to place, and there is something to spare. It changes nothing:
 // Let does.
-func (d *Door) Next(now Nanos, inside int) (JobID, bool) {
+func (d *Queue) Next(now Nanos, inside int) (RequestID, bool) {
 	if d.active.Len() == 0 {
-		if d.back != nil && len(d.jobs) == 0 && inside == 0 && d.Spare.May(now) {
-			return d.back.Next(now, 0)
+		if d.retryLimit != nil && len(d.requests) == 0 && inside == 0 && d.Background.May(now) {
+			return d.retryLimit.Next(now, 0)
 		}
 		return 0, false
 	}
-	return d.active.Min().active.Min().jobs.Min().ID, true
+	return d.active.Min().active.Min().requests.Min().ID, true
 }
 
-// Let takes the request that Next gave out of the queue: it has been let in.
-func (d *Door) Let(now Nanos, id JobID) {
+// Admit takes the request that Next gave out of the queue: it has been let in.
+func (d *Queue) Admit(now Nanos, id RequestID) {
 	if b := d.of(id); b != d {
-		b.Let(now, id)
-		d.Spare.Let()
+		b.Admit(now, id)
+		d.Background.Admit()
 		return
 	}
-	w := d.jobs[id]
+	w := d.requests[id]
 	if w == nil {
 		return
 	}
@@ -513,27 +513,27 @@
 	t.virtual = max(t.virtual, f.start)
 	f.start += w.cost / f.weight
 	t.start += w.cost / t.Weight
-	waited := now - w.came
-	if d.Spare != nil {
-		d.Spare.Waited(now, waited)
+	waited := now - w.arrivedAt
+	if d.Background != nil {
+		d.Background.Waited(now, waited)
 	}
 	t.Counts.Admitted++
 	t.Counts.Waited += waited
 	t.Counts.Longest = max(t.Counts.Longest, waited)
 	t.Counts.Cost += w.cost
 	if w.in {
-		t.Counts.Kept++
+		t.Counts.KeptBookings++
 	}
 	t.running++
 	d.remove(now, w)
 }
 
-// Over tells that a request that was let in is over: tenant and what it was charged by, and what it truly took. The
+// Finished tells that a request that was let in is over: tenant and what it was charged by, and what it truly took. The
 // difference is charged to its flow.
-func (d *Door) Over(now Nanos, j Job, served bool, answered int64) {
-	if j.Background && d.back != nil {
-		d.back.Over(now, j, served, answered)
-		d.Spare.Over(now, answered > 0, served)
+func (d *Queue) Finished(now Nanos, j Request, served bool, answered int64) {
+	if j.Background && d.retryLimit != nil {
+		d.retryLimit.Finished(now, j, served, answered)
+		d.Background.Finished(now, answered > 0, served)
 		return
 	}
 	if j.Tenant < 0 || j.Tenant >= len(d.tenants) {
@@ -555,17 +555,17 @@
 }
 
 // Cancel takes back a request that waits, as its client left or its time is up; false if it does not wait.
-func (d *Door) Cancel(now Nanos, id JobID) bool {
+func (d *Queue) Cancel(now Nanos, id RequestID) bool {
 	if b := d.of(id); b != d {
 		return b.Cancel(now, id)
 	}
-	w := d.jobs[id]
+	w := d.requests[id]
 	if w == nil {
-		if d.back != nil {
-			d.back.Cancel(now, id) // it may have been displaced there
+		if d.retryLimit != nil {
+			d.retryLimit.Cancel(now, id) // it may have been displaced there
 		}
-		if i := slices.IndexFunc(d.out, func(o displaced) bool { return o.ID == id }); i >= 0 {
-			d.out = slices.Delete(d.out, i, i+1)
+		if i := slices.IndexFunc(d.displacedRequests, func(o displaced) bool { return o.ID == id }); i >= 0 {
+			d.displacedRequests = slices.Delete(d.displacedRequests, i, i+1)
 		}
 		return false
 	}
@@ -575,28 +575,28 @@
 }
 
 // Expired gives a waiting request for which it has become too late: the server refuses it, after Refuse has said how.
-func (d *Door) Expired(now Nanos) (JobID, bool) {
-	if d.late.Len() == 0 || now < d.late.Min().late {
-		if d.back != nil {
-			return d.back.Expired(now)
+func (d *Queue) Expired(now Nanos) (RequestID, bool) {
+	if d.overdue.Len() == 0 || now < d.overdue.Min().overdueIndex {
+		if d.retryLimit != nil {
+			return d.retryLimit.Expired(now)
 		}
 		return 0, false
 	}
-	return d.late.Min().ID, true
+	return d.overdue.Min().ID, true
 }
 
 // NextExpiry is when time alone changes something at the earliest: Expired has a request to give, or background work may go
 // on; false if nothing waits.
-func (d *Door) NextExpiry(now Nanos) (Nanos, bool) {
+func (d *Queue) NextExpiry(now Nanos) (Nanos, bool) {
 	at, some := Nanos(0), false
-	if d.late.Len() > 0 {
-		at, some = d.late.Min().late, true
+	if d.overdue.Len() > 0 {
+		at, some = d.overdue.Min().overdueIndex, true
 	}
-	if d.back != nil && len(d.back.jobs) > 0 {
-		if t, ok := d.back.NextExpiry(now); ok && (!some || t < at) {
+	if d.retryLimit != nil && len(d.retryLimit.requests) > 0 {
+		if t, ok := d.retryLimit.NextExpiry(now); ok && (!some || t < at) {
 			at, some = t, true
 		}
-		if t, ok := d.Spare.Until(now); ok && t < at {
+		if t, ok := d.Background.Until(now); ok && t < at {
 			at = t
 		}
 	}
@@ -604,16 +604,16 @@
 }
 
 // Refuse takes a waiting request out and says how its client is to be answered.
-func (d *Door) Refuse(now Nanos, id JobID, c Cause) Advice {
+func (d *Queue) Refuse(now Nanos, id RequestID, c Cause) Advice {
 	if b := d.of(id); b != d {
 		return b.Refuse(now, id, c)
 	}
-	w := d.jobs[id]
+	w := d.requests[id]
 	if w == nil {
 		return Advice{}
 	}
 	d.refused(now)
-	t, j, cost := w.flow.tenant, w.Job, w.cost
+	t, j, cost := w.flow.tenant, w.Request, w.cost
 	t.Counts.Refused[c]++
 	d.remove(now, w)
 	a := d.advise(now, t, c, &j, cost, 0)
@@ -623,14 +623,14 @@
 	return a
 }
 
-// Again says when a request should come back that was let in and then refused by the module, which asks for least from
+// RetryAfter says when a request should come back that was let in and then refused by the module, which asks for least from
 // now, and books it in.
-func (d *Door) Again(now Nanos, j Job, least Nanos) Advice {
+func (d *Queue) RetryAfter(now Nanos, j Request, least Nanos) Advice {
 	if j.Tenant < 0 || j.Tenant >= len(d.tenants) {
 		return Advice{}
 	}
-	if j.Background && d.back != nil {
-		return d.back.Again(now, j, least)
+	if j.Background && d.retryLimit != nil {
+		return d.retryLimit.RetryAfter(now, j, least)
 	}
 	d.refused(now)
 	t := d.tenants[j.Tenant]
@@ -642,25 +642,25 @@
 }
 
 // refused tells that a request that somebody waits for found no place.
-func (d *Door) refused(now Nanos) {
-	if d.Spare != nil {
-		d.Spare.Refused(now)
+func (d *Queue) refused(now Nanos) {
+	if d.Background != nil {
+		d.Background.Refused(now)
 	}
 }
 
-// First tells of a request's first token, so long after it came.
-func (d *Door) First(now Nanos, j Job, took Nanos) {
+// FirstToken tells of a request's first token, so long after it came.
+func (d *Queue) FirstToken(now Nanos, j Request, took Nanos) {
 	if j.Background {
-		d.Spare.Began()
+		d.Background.Began()
 	} else {
-		d.Spare.First(now, took, j.Expected)
+		d.Background.FirstToken(now, took, j.Expected)
 	}
 }
 
 // ToShed is how many waiting requests the server should refuse, the heaviest flow's first, after a turn of its loop worked
 // for so long: a loop that lags makes every request late, so what waits goes before what runs suffers.
 // The same holds while more memory is in use than there should be; most is 0 where that is not bounded.
-func (d *Door) ToShed(worked Nanos, memory, most uint64) int {
+func (d *Queue) ToShed(worked Nanos, memory, most uint64) int {
 	if worked < Nanos(shedLag*float64(d.expected)) && (most == 0 || memory <= most) || d.Waiting() == 0 {
 		return 0
 	}
@@ -668,9 +668,9 @@
 }
 
 // Heaviest gives the newest request of the flow that has most waiting for its weight, to be shed first.
-func (d *Door) Heaviest() (JobID, bool) {
-	if d.back != nil && len(d.back.jobs) > 0 { // what yields to all others goes first
-		return d.back.Heaviest()
+func (d *Queue) Heaviest() (RequestID, bool) {
+	if d.retryLimit != nil && len(d.retryLimit.requests) > 0 { // what yields to all others goes first
+		return d.retryLimit.Heaviest()
 	}
 	t := d.heaviest()
 	if t == nil {
@@ -680,42 +680,42 @@
 }
 
 // remove takes a request out of its flow.
-func (d *Door) remove(now Nanos, w *job) {
+func (d *Queue) remove(now Nanos, w *queuedRequest) {
 	f, t := w.flow, w.flow.tenant
-	f.jobs.Take(w)
-	d.late.Take(w)
+	f.requests.Take(w)
+	d.overdue.Take(w)
 	f.last = now
 	t.waiting--
 	d.total = max(d.total-w.cost, 0)
-	delete(d.jobs, w.ID)
-	if len(d.jobs) == 0 {
+	delete(d.requests, w.ID)
+	if len(d.requests) == 0 {
 		d.total = 0
-		d.drain.end(now)
+		d.rate.end(now)
 	}
 	d.free = append(d.free, w)
 	d.placeFlow(f)
 	d.place(t)
-	if f.jobs.Len() == 0 && f.start <= t.virtual {
+	if f.requests.Len() == 0 && f.start <= t.virtual {
 		d.forget(f)
 	}
 }
 
-func (d *Door) newJob() *job {
+func (d *Queue) newRequest() *queuedRequest {
 	if n := len(d.free); n > 0 {
 		w := d.free[n-1]
 		d.free = d.free[:n-1]
 		return w
 	}
-	return new(job)
+	return new(queuedRequest)
 }
 
-func (d *Door) nextOrder() uint64 {
+func (d *Queue) nextOrder() uint64 {
 	d.orders++
 	return d.orders
 }
 
 // flowOf gives the flow of a request; with create it is made if there is none.
-func (d *Door) flowOf(now Nanos, t *tenant, j *Job, create bool) *flow {
+func (d *Queue) flowOf(now Nanos, t *tenant, j *Request, create bool) *flow {
 	key := flowKey{known: j.Client != 0 && d.known.is(now, t.n, j.Client), key: j.Client}
 	weight := 1.0
 	if d.FirstCome {
@@ -727,7 +727,7 @@
 	if f != nil || !create {
 		return f
 	}
-	if d.flows >= d.mostFlow && !d.makeRoom() {
+	if d.flows >= d.limitPerFlow && !d.makeRoom() {
 		key = flowKey{key: ^uint64(0)} // what finds no room shares one flow
 		if f = t.flows[key]; f != nil {
 			return f
@@ -736,9 +736,9 @@
 	if n := len(d.freeFlow); n > 0 {
 		f, d.freeFlow = d.freeFlow[n-1], d.freeFlow[:n-1]
 	} else {
-		f = &flow{jobs: jobHeap()}
+		f = &flow{requests: requestHeap()}
 	}
-	*f = flow{key: key, tenant: t, weight: weight, jobs: f.jobs, start: t.virtual, order: d.nextOrder(), last: now}
+	*f = flow{key: key, tenant: t, weight: weight, requests: f.requests, start: t.virtual, order: d.nextOrder(), last: now}
 	t.flows[key] = f
 	d.flows++
 	return f
@@ -746,22 +746,22 @@
 
 // makeRoom forgets flows that owe nothing any more. It looks at all of them, so only after as many arrivals as
 // make that little for each.
-func (d *Door) makeRoom() bool {
+func (d *Queue) makeRoom() bool {
 	if d.orders < d.sweepAt {
 		return false
 	}
 	d.sweepAt = d.orders + uint64(d.flows/16)
 	for _, t := range d.tenants {
 		for _, f := range t.flows { // which go does not depend on the order
-			if f.jobs.Len() == 0 && f.start <= t.virtual {
+			if f.requests.Len() == 0 && f.start <= t.virtual {
 				d.forget(f)
 			}
 		}
 	}
-	return d.flows < d.mostFlow
+	return d.flows < d.limitPerFlow
 }
 
-func (d *Door) forget(f *flow) {
+func (d *Queue) forget(f *flow) {
 	delete(f.tenant.flows, f.key)
 	d.flows--
 	f.tenant = nil
--- a/internal/decide/door/door_test.go
+++ b/internal/decide/admission/queue_test.go
@@ -1,4 +1,4 @@
-package door
+package admission
 
 import (
 	"fmt"
@@ -15,7 +15,7 @@
 	sec = Nanos(1e9)
 )
 
-func newDoor(t testing.TB, most int, tenants ...Tenant) *Door {
+func newDoor(t testing.TB, most int, tenants ...Tenant) *Queue {
 	t.Helper()
 	d, err := New(most, 1024, sec, NewSigner([]byte("a key")))
 	if err != nil {
@@ -30,7 +30,7 @@
 }
 
 // meet makes a client known.
-func meet(d *Door, now Nanos, tenant int, clients ...uint64) {
+func meet(d *Queue, now Nanos, tenant int, clients ...uint64) {
 	for _, c := range clients {
 		for range knownAfter {
 			d.known.served(now, tenant, c, 1000*sec)
@@ -38,11 +38,11 @@
 	}
 }
 
-var orders JobID
+var orders RequestID
 
-func ask(tenant int, client uint64, prompt int64) Job {
+func ask(tenant int, client uint64, prompt int64) Request {
 	orders++
-	return Job{ID: orders, Tenant: tenant, Client: client, Source: 1, Prompt: prompt, Answer: 0, Expected: sec, Deadline: 1 << 60}
+	return Request{ID: orders, Tenant: tenant, Client: client, Source: 1, Prompt: prompt, Answer: 0, Expected: sec, Deadline: 1 << 60}
 }
 
 // TestFairAgainstFluid: over any stretch in which a flow has requests waiting, what it is let in lies within its own largest
@@ -60,7 +60,7 @@
 			ts = append(ts, Tenant{Weight: w})
 		}
 		d := newDoor(t, 100000, ts...)
-		owner, cost := map[JobID]int{}, map[JobID]float64{}
+		owner, cost := map[RequestID]int{}, map[RequestID]float64{}
 		largest := 0.0
 		for i := range n { // all have enough waiting for the whole stretch
 			for range 400 {
@@ -78,7 +78,7 @@
 			if !ok {
 				rt.Fatal("nothing to let in while jobs wait")
 			}
-			d.Let(2, id)
+			d.Admit(2, id)
 			got[owner[id]] += cost[id]
 			total += cost[id]
 			for i := range n {
@@ -104,7 +104,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		d := newDoor(t, 50, Tenant{Weight: 1}, Tenant{Weight: 3, Running: 4}, Tenant{Weight: 2, Waiting: 5, Rate: 50})
 		meet(d, 1, 0, 1, 2, 3)
-		waiting, running := map[JobID]Job{}, []Job{}
+		waiting, running := map[RequestID]Request{}, []Request{}
 		now := Nanos(1)
 		for range rapid.IntRange(1, 300).Draw(rt, "steps") {
 			now += Nanos(rapid.IntRange(0, 50).Draw(rt, "ms")) * ms
@@ -115,12 +115,12 @@
 				if c, a := d.Arrive(now, j); c == Admitted {
 					waiting[j.ID] = j
 					if id, a, ok := d.Displaced(now); ok {
-						if _, here := waiting[id]; !here || id == j.ID || a.After <= 0 {
-							rt.Fatalf("displaced %d, to come back after %d", id, a.After)
+						if _, here := waiting[id]; !here || id == j.ID || a.RetryAfter <= 0 {
+							rt.Fatalf("displaced %d, to come back after %d", id, a.RetryAfter)
 						}
 						delete(waiting, id)
 					}
-				} else if a.After <= 0 {
+				} else if a.RetryAfter <= 0 {
 					rt.Fatalf("refused for %v with no time to come back", c)
 				}
 			case 2:
@@ -138,13 +138,13 @@
 					if !here {
 						rt.Fatalf("job %d does not wait", id)
 					}
-					d.Let(now, id)
+					d.Admit(now, id)
 					delete(waiting, id)
 					running = append(running, j)
 				}
 			case 3:
 				if len(running) > 0 {
-					d.Over(now, running[0], rapid.Bool().Draw(rt, "served"), int64(rapid.IntRange(0, 100).Draw(rt, "answer")))
+					d.Finished(now, running[0], rapid.Bool().Draw(rt, "served"), int64(rapid.IntRange(0, 100).Draw(rt, "answer")))
 					running = running[1:]
 				}
 			case 4:
@@ -171,8 +171,8 @@
 					rt.Fatal(err)
 				}
 			}
-			if d.Waiting() != len(waiting) || d.late.Len() != len(waiting) {
-				rt.Fatalf("%d wait, %d by their time, want %d", d.Waiting(), d.late.Len(), len(waiting))
+			if d.Waiting() != len(waiting) || d.overdue.Len() != len(waiting) {
+				rt.Fatalf("%d wait, %d by their time, want %d", d.Waiting(), d.overdue.Len(), len(waiting))
 			}
 			sum := 0
 			for i := range 3 {
@@ -207,18 +207,18 @@
 			j := ask(rng.IntN(2), uint64(rng.IntN(40)), int64(1+rng.IntN(3000)))
 			j.Source, j.Deadline = uint64(rng.IntN(9)), now+sec
 			c, a := d.Arrive(now, j)
-			out += fmt.Sprint(c, a.After, " ")
+			out += fmt.Sprint(c, a.RetryAfter, " ")
 			for {
 				id, ok := d.Expired(now)
 				if !ok {
 					break
 				}
-				out += fmt.Sprint("x", id, d.Refuse(now, id, TooLate).After, " ")
+				out += fmt.Sprint("x", id, d.Refuse(now, id, TooLate).RetryAfter, " ")
 			}
 			if id, ok := d.Next(0, 0); ok && rng.IntN(3) > 0 {
-				d.Let(now, id)
+				d.Admit(now, id)
 				out += fmt.Sprint("l", id, " ")
-				d.Over(now, Job{Tenant: rng.IntN(2), Client: uint64(rng.IntN(40)), Prompt: 5}, true, 3)
+				d.Finished(now, Request{Tenant: rng.IntN(2), Client: uint64(rng.IntN(40)), Prompt: 5}, true, 3)
 			}
 		}
 		return out
@@ -229,7 +229,7 @@
 }
 
 // serve lets so much cost in for each millisecond and gives the wait of each request of a client, in milliseconds.
-func serve(d *Door, credit *float64, from, to Nanos, perMS float64, came map[JobID]Nanos, done func(id JobID, wait Nanos)) {
+func serve(d *Queue, credit *float64, from, to Nanos, perMS float64, came map[RequestID]Nanos, done func(id RequestID, wait Nanos)) {
 	for now := from; now < to; now += ms {
 		*credit = min(*credit+perMS, 10*perMS)
 		for *credit > 0 {
@@ -237,11 +237,11 @@
 			if !ok {
 				break
 			}
-			j := d.jobs[id].Job
+			j := d.requests[id].Request
 			*credit -= Cost(j.Prompt, j.Answer)
-			d.Taken(now, j)
-			d.Let(now, id)
-			d.Over(now, j, true, 0)
+			d.Sent(now, j)
+			d.Admit(now, id)
+			d.Finished(now, j, true, 0)
 			done(id, now-came[id])
 		}
 	}
@@ -257,11 +257,11 @@
 		t.Run(name, func(t *testing.T) {
 			d := newDoor(t, 20000, Tenant{Weight: 1})
 			meet(d, 1, 0, 1, 2, 3, 77)
-			came, small := map[JobID]Nanos{}, map[JobID]bool{}
+			came, small := map[RequestID]Nanos{}, map[RequestID]bool{}
 			var worst, worstFlood Nanos
 			credit := 0.0
 			n := 0
-			done := func(id JobID, wait Nanos) {
+			done := func(id RequestID, wait Nanos) {
 				if small[id] {
 					worst = max(worst, wait)
 				} else {
@@ -303,10 +303,10 @@
 		j := ask(0, 0, 100)
 		d.Arrive(1, j)
 		id, _ := d.Next(0, 0)
-		d.Let(1, id)
+		d.Admit(1, id)
 	}
 	now := 3600 * sec
-	owner := map[JobID]int{}
+	owner := map[RequestID]int{}
 	for range 50 {
 		for i := range 2 {
 			j := ask(i, 0, 100)
@@ -317,7 +317,7 @@
 	got := [2]int{}
 	for range 40 {
 		id, _ := d.Next(0, 0)
-		d.Let(now, id)
+		d.Admit(now, id)
 		got[owner[id]]++
 	}
 	if got[0] < 18 || got[1] < 18 {
@@ -338,10 +338,10 @@
 	}
 	for i := range 150 {
 		id, _ := d.Next(0, 0)
-		if d.jobs[id].Client == 2 {
+		if d.requests[id].Client == 2 {
 			small++
 		}
-		d.Let(1, id)
+		d.Admit(1, id)
 		_ = i
 	}
 	if small < 149 {
@@ -352,7 +352,7 @@
 // TestWeightsChange: from the change on, service follows the new weights.
 func TestWeightsChange(t *testing.T) {
 	d := newDoor(t, 10000, Tenant{Weight: 1}, Tenant{Weight: 1})
-	owner := map[JobID]int{}
+	owner := map[RequestID]int{}
 	for range 2000 {
 		for i := range 2 {
 			j := ask(i, 0, 100)
@@ -364,7 +364,7 @@
 		got := [2]int{}
 		for range n {
 			id, _ := d.Next(0, 0)
-			d.Let(2, id)
+			d.Admit(2, id)
 			got[owner[id]]++
 		}
 		return got
@@ -392,8 +392,8 @@
 			refused = append(refused, a.Ticket)
 		}
 		if id, ok := d.Next(0, 0); ok && i%4 == 0 {
-			d.Taken(now, d.jobs[id].Job)
-			d.Let(now, id)
+			d.Sent(now, d.requests[id].Request)
+			d.Admit(now, id)
 		}
 		now += 10 * ms
 	}
@@ -455,15 +455,15 @@
 		t.Run(c.name, func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(3, 3))
 			d := newDoor(t, 256, Tenant{Weight: 1})
-			came := map[JobID]Nanos{}
+			came := map[RequestID]Nanos{}
 			type back struct {
 				at Nanos
 				t  *Ticket
-				j  Job
+				j  Request
 			}
 			var backs []back
-			served := map[JobID]bool{}
-			done := func(id JobID, _ Nanos) { served[id] = true }
+			served := map[RequestID]bool{}
+			done := func(id RequestID, _ Nanos) { served[id] = true }
 			now, credit := sec, 0.0
 			turn := func(pace float64) {
 				for {
@@ -488,7 +488,7 @@
 						if c.off > 0 {
 							off = Nanos(rng.Int64N(2*c.off)) - c.off
 						}
-						backs = append(backs, back{now + a.After + off, a.Ticket, j})
+						backs = append(backs, back{now + a.RetryAfter + off, a.Ticket, j})
 					}
 					came[j.ID] = now
 				}
@@ -499,7 +499,7 @@
 			if len(backs) < 100 {
 				t.Fatalf("%d refused with a booking, %+v", len(backs), d.Counts(0))
 			}
-			tried, kept := 0, map[JobID]bool{}
+			tried, kept := 0, map[RequestID]bool{}
 			for end := now + 80*sec; now < end; {
 				for i := range backs {
 					if b := &backs[i]; b.t != nil && now >= b.at {
@@ -539,7 +539,7 @@
 		j.Source = uint64(i % 50000)
 		d.Arrive(now, j)
 		if id, ok := d.Next(0, 0); ok && i%3 == 0 {
-			d.Let(now, id)
+			d.Admit(now, id)
 		}
 		if d.Waiting() > 2000 || d.Flows() > 2000+1024+1 {
 			t.Fatalf("%d waiting in %d flows", d.Waiting(), d.Flows())
@@ -568,8 +568,8 @@
 	for range 2000 { // a pace is known, and the door is full
 		d.Arrive(now, ask(0, 7, 100))
 		if id, ok := d.Next(0, 0); ok && d.Waiting() > 50 {
-			d.Taken(now, d.jobs[id].Job)
-			d.Let(now, id)
+			d.Sent(now, d.requests[id].Request)
+			d.Admit(now, id)
 		}
 		now += ms
 	}
@@ -579,7 +579,7 @@
 		if c, a := d.Arrive(now, ask(0, 5, 100)); c != Admitted && a.Ticket != nil {
 			hoarded++
 			if first == 0 {
-				first = a.After
+				first = a.RetryAfter
 			}
 		}
 	}
@@ -594,8 +594,8 @@
 	if a.Ticket == nil {
 		t.Fatalf("%+v: want a booking", a)
 	}
-	if a.After > first+2*d.book.len {
-		t.Errorf("after %d bookings of another client one has to wait %d ms, the first of those %d ms", hoarded, a.After/ms, first/ms)
+	if a.RetryAfter > first+2*d.book.len {
+		t.Errorf("after %d bookings of another client one has to wait %d ms, the first of those %d ms", hoarded, a.RetryAfter/ms, first/ms)
 	}
 }
 
@@ -605,7 +605,7 @@
 	d := newDoor(t, 64, Tenant{Weight: 1})
 	meet(d, 1, 0, 6)
 	now := sec
-	var backs []Job
+	var backs []Request
 	for i := range 2000 {
 		j := ask(0, 7, 100)
 		if c, a := d.Arrive(now, j); c != Admitted && a.Ticket != nil && a.Ticket.Slot > (now+4*sec)/d.book.len {
@@ -613,8 +613,8 @@
 			backs = append(backs, j)
 		}
 		if id, ok := d.Next(0, 0); ok && i%2 == 0 {
-			d.Taken(now, d.jobs[id].Job)
-			d.Let(now, id)
+			d.Sent(now, d.requests[id].Request)
+			d.Admit(now, id)
 		}
 		now += ms
 	}
@@ -631,14 +631,14 @@
 	if after.Returned != before.Returned || d.Waiting() > 64 {
 		t.Errorf("%d tickets held before their time, %d wait", after.Returned-before.Returned, d.Waiting())
 	}
-	d.Let(now, func() JobID { id, _ := d.Next(0, 0); return id }())
+	d.Admit(now, func() RequestID { id, _ := d.Next(0, 0); return id }())
 	small := ask(0, 6, 100)
 	if c, _ := d.Arrive(now, small); c != Admitted {
 		t.Fatalf("a small client is refused: %v", c)
 	}
-	d.Let(now, func() JobID { id, _ := d.Next(0, 0); return id }())
+	d.Admit(now, func() RequestID { id, _ := d.Next(0, 0); return id }())
 	if id, _ := d.Next(0, 0); id != small.ID {
-		if _, waits := d.jobs[small.ID]; waits {
+		if _, waits := d.requests[small.ID]; waits {
 			t.Error("the small client is not among the next two")
 		}
 	}
@@ -650,18 +650,18 @@
 	old := []Nanos{sec, sec, sec, sec}
 	most := func() int {
 		n := 0
-		for n < len(old) && d.Open(old[:n]) {
+		for n < len(old) && d.Admits(old[:n]) {
 			n++
 		}
 		return n
 	}
 	got := []int{most()}
 	for range 3 {
-		d.Unplaced()
+		d.NotSent()
 		got = append(got, most())
 	}
 	for range 3 * 8 {
-		d.Taken(sec, Job{Prompt: 1})
+		d.Sent(sec, Request{Prompt: 1})
 	}
 	got = append(got, most())
 	if want := []int{4, 2, 1, 1, 4}; !slices.Equal(got, want) {
@@ -687,7 +687,7 @@
 	}
 	for range 79 {
 		id, _ := d.Heaviest()
-		if d.jobs[id].Tenant != 0 {
+		if d.requests[id].Tenant != 0 {
 			t.Fatal("shed from the lighter tenant")
 		}
 		d.Refuse(2, id, Shed)
@@ -715,9 +715,9 @@
 			for b.Loop() {
 				come()
 				id, _ := d.Next(0, 0)
-				j := d.jobs[id].Job
-				d.Let(Nanos(next), id)
-				d.Over(Nanos(next), j, true, 0)
+				j := d.requests[id].Request
+				d.Admit(Nanos(next), id)
+				d.Finished(Nanos(next), j, true, 0)
 			}
 		})
 	}
@@ -737,12 +737,12 @@
 	for range 20 {
 		now += 10 * ms
 		id, _ := d.Next(0, 0)
-		d.Let(now, id)
-		d.Taken(now, Job{Prompt: 1000})
+		d.Admit(now, id)
+		d.Sent(now, Request{Prompt: 1000})
 	}
-	small, large := d.Again(now, ask(0, 8, 1000), 0), d.Again(now, ask(0, 7, 1000), 0)
-	if small.Ticket == nil || large.Ticket == nil || small.After > large.After/2 || large.After < 500*ms {
-		t.Errorf("the small one is to stay away for %d ms, the flooding one for %d ms of the 800 ms that wait", small.After/ms, large.After/ms)
+	small, large := d.RetryAfter(now, ask(0, 8, 1000), 0), d.RetryAfter(now, ask(0, 7, 1000), 0)
+	if small.Ticket == nil || large.Ticket == nil || small.RetryAfter > large.RetryAfter/2 || large.RetryAfter < 500*ms {
+		t.Errorf("the small one is to stay away for %d ms, the flooding one for %d ms of the 800 ms that wait", small.RetryAfter/ms, large.RetryAfter/ms)
 	}
 }
 
@@ -752,7 +752,7 @@
 	d := newDoor(t, 64, Tenant{Weight: 1, Waiting: 100}, Tenant{Weight: 1, Waiting: 4})
 	meet(d, 0, 0, 5, 6, 7)
 	meet(d, 0, 1, 8, 9)
-	last := JobID(0)
+	last := RequestID(0)
 	for {
 		j := ask(0, 5, 100)
 		if c, _ := d.Arrive(0, j); c != Admitted {
@@ -768,8 +768,8 @@
 			t.Fatalf("job %d of the other client, of %d that fit: %v", i, full, c)
 		}
 		id, _, ok := d.Displaced(0)
-		if ok != (c == Admitted) || ok && id != last-JobID(i) {
-			t.Fatalf("job %d displaces %d, %v, want the newest, %d", i, id, ok, last-JobID(i))
+		if ok != (c == Admitted) || ok && id != last-RequestID(i) {
+			t.Fatalf("job %d displaces %d, %v, want the newest, %d", i, id, ok, last-RequestID(i))
 		}
 		if d.Waiting() != full {
 			t.Fatalf("%d wait, want %d", d.Waiting(), full)
@@ -782,15 +782,15 @@
 	if w, _ := d.Tenant(1); w != 4 {
 		t.Fatalf("%d of the second tenant wait, want its 4", w)
 	}
-	d.out = d.out[:0]
+	d.displacedRequests = d.displacedRequests[:0]
 	if c, _ := d.Arrive(0, ask(1, 9, 100)); c != Admitted {
 		t.Error(c)
 	}
-	if w, _ := d.Tenant(1); w != 4 || len(d.out) != 1 || d.out[0].Client != 8 {
-		t.Errorf("%d wait, %v displaced; want one of its heavier client", w, d.out)
+	if w, _ := d.Tenant(1); w != 4 || len(d.displacedRequests) != 1 || d.displacedRequests[0].Client != 8 {
+		t.Errorf("%d wait, %v displaced; want one of its heavier client", w, d.displacedRequests)
 	}
 	// One that leaves before it is answered is forgotten.
-	if gone := d.out[0].ID; d.Cancel(0, gone) || len(d.out) != 0 {
+	if gone := d.displacedRequests[0].ID; d.Cancel(0, gone) || len(d.displacedRequests) != 0 {
 		t.Error("a displaced job that left is still to be answered")
 	}
 }
@@ -799,18 +799,18 @@
 // who fill the door, is shed first, and comes back by bookings as any.
 func TestBackground(t *testing.T) {
 	d := newDoor(t, 40, Tenant{Weight: 1})
-	back := func() Job {
+	back := func() Request {
 		j := ask(0, 0, 100)
 		j.Background = true
 		return j
 	}
-	var first Job
+	var first Request
 	for i := range 12 {
 		j := back()
 		if i == 0 {
 			first = j
 		}
-		if c, a := d.Arrive(0, j); (c == Admitted) != (i < 9) || c != Admitted && a.After <= 0 { // a quarter of the room, but for the returners' eighth
+		if c, a := d.Arrive(0, j); (c == Admitted) != (i < 9) || c != Admitted && a.RetryAfter <= 0 { // a quarter of the room, but for the returners' eighth
 			t.Fatalf("background job %d: %v, %+v", i, c, a)
 		}
 	}
@@ -821,10 +821,10 @@
 	}
 	for range 35 {
 		id, ok := d.Next(1, 0)
-		if !ok || d.jobs[id] == nil {
+		if !ok || d.requests[id] == nil {
 			t.Fatal("background work goes before others")
 		}
-		d.Let(1, id)
+		d.Admit(1, id)
 	}
 	if _, ok := d.Next(1, 1); ok {
 		t.Error("background work goes in while the module has something to place")
@@ -833,17 +833,17 @@
 	if !ok || id != first.ID {
 		t.Fatalf("%d, %v: want the first background job", id, ok)
 	}
-	d.Let(1, id)
-	if _, ok := d.Next(1, 0); ok || d.Spare.Out() != 1 {
-		t.Errorf("a second one goes in while the first has not begun; %d out", d.Spare.Out())
+	d.Admit(1, id)
+	if _, ok := d.Next(1, 0); ok || d.Background.Out() != 1 {
+		t.Errorf("a second one goes in while the first has not begun; %d out", d.Background.Out())
 	}
-	d.First(2, first, 1)
-	d.Over(2, first, true, 10)
-	if d.Spare.Out() != 0 {
-		t.Errorf("%d out", d.Spare.Out())
+	d.FirstToken(2, first, 1)
+	d.Finished(2, first, true, 10)
+	if d.Background.Out() != 0 {
+		t.Errorf("%d out", d.Background.Out())
 	}
 	d.Arrive(3, ask(0, 0, 100))
-	if id, _ := d.Heaviest(); d.back.jobs[id] == nil {
+	if id, _ := d.Heaviest(); d.retryLimit.requests[id] == nil {
 		t.Error("what somebody waits for is shed before background work")
 	}
 	now := 2 * sec
@@ -853,7 +853,7 @@
 		if !ok {
 			break
 		}
-		if a := d.Refuse(now, id, TooLate); a.After <= 0 {
+		if a := d.Refuse(now, id, TooLate); a.RetryAfter <= 0 {
 			t.Errorf("refused with %+v", a)
 		}
 		n++
--- a/internal/decide/spare/spare.go
+++ b/internal/decide/background/background.go
@@ -1,20 +1,20 @@
-// Package spare decides how much background work may be at hand beside the work that somebody waits for: it fills
+// Package background decides how much background work may be at hand beside the work that somebody waits for: it fills
 // what the fleet has idle and yields at the first sign that others wait for it. It does no I/O and reads no clock.
-package spare
+package background
 
 // Nanos is a time or a span in nanoseconds.
 type Nanos = int64
 
-// Spare is the account of background requests that were let in. Make it with New.
-type Spare struct {
-	expected Nanos   // shortest expected time of the work that somebody waits for
-	allow    float64 // so many may be at hand
-	out      int     // so many are
-	starting int     // of them, those that no token has come of yet
-	until    Nanos   // none is let in before
-	cutAt    Nanos   // the last time that the allowance was cut
-	full     bool    // one more would have gone in since the allowance last grew
-	Counts   Counts
+// Limit is the account of background requests that were let in. Make it with New.
+type Limit struct {
+	target      Nanos   // shortest expected time of the work that somebody waits for
+	allow       float64 // so many may be at hand
+	outstanding int     // so many are
+	starting    int     // of them, those that no token has come of yet
+	until       Nanos   // none is let in before
+	cutAt       Nanos   // the last time that the allowance was cut
+	full        bool    // one more would have gone in since the allowance last grew
+	Counts      Counts
 }
 
 // Counts are what was counted.
@@ -39,40 +39,40 @@
 )
 
 // New makes an account; expected is the shortest expected time of the work that somebody waits for.
-func New(expected Nanos) *Spare { return &Spare{expected: max(expected, 1), allow: 1} }
+func New(expected Nanos) *Limit { return &Limit{target: max(expected, 1), allow: 1} }
 
 // May tells whether another background request, which waits, may be let in now.
-func (s *Spare) May(now Nanos) bool {
+func (s *Limit) May(now Nanos) bool {
 	if now < s.until {
 		return false
 	}
-	may := s.out < max(int(s.allow), 1) && s.starting < max(int(s.allow*startPart), 1)
+	may := s.outstanding < max(int(s.allow), 1) && s.starting < max(int(s.allow*startPart), 1)
 	s.full = s.full || !may
 	return may
 }
 
 // Until is when May can change by time alone; false if it does not.
-func (s *Spare) Until(now Nanos) (Nanos, bool) { return s.until, s.until > now }
+func (s *Limit) Until(now Nanos) (Nanos, bool) { return s.until, s.until > now }
 
 // Out counts the background requests at hand, Allowance how many there may be.
-func (s *Spare) Out() int { return s.out }
+func (s *Limit) Out() int { return s.outstanding }
 
 // Allowance is how many background requests may be at hand.
-func (s *Spare) Allowance() float64 { return s.allow }
+func (s *Limit) Allowance() float64 { return s.allow }
 
-// Let tells that a background request was let in.
-func (s *Spare) Let() {
-	s.out++
+// Admit tells that a background request was let in.
+func (s *Limit) Admit() {
+	s.outstanding++
 	s.starting++
 	s.Counts.Begun++
 }
 
 // Began tells of a background request's first token.
-func (s *Spare) Began() { s.starting = max(s.starting-1, 0) }
+func (s *Limit) Began() { s.starting = max(s.starting-1, 0) }
 
-// Over tells that a background request is over: whether its first token had come, and whether it was served.
-func (s *Spare) Over(now Nanos, began, served bool) {
-	s.out = max(s.out-1, 0)
+// Finished tells that a background request is over: whether its first token had come, and whether it was served.
+func (s *Limit) Finished(now Nanos, began, served bool) {
+	s.outstanding = max(s.outstanding-1, 0)
 	if !began {
 		s.starting = max(s.starting-1, 0)
 	}
@@ -88,31 +88,31 @@
 }
 
 // Waited tells how long a request that somebody waits for stood in the admission queue.
-func (s *Spare) Waited(now Nanos, by Nanos) {
-	if s.out > 0 && float64(by) > waitSign*float64(s.expected) {
+func (s *Limit) Waited(now Nanos, by Nanos) {
+	if s.outstanding > 0 && float64(by) > waitSign*float64(s.target) {
 		s.cut(now)
 	}
 }
 
-// First tells how long such a request took to its first token, of its expected time.
-func (s *Spare) First(now Nanos, took, expected Nanos) {
+// FirstToken tells how long such a request took to its first token, of its expected time.
+func (s *Limit) FirstToken(now Nanos, took, expected Nanos) {
 	switch part := float64(took) / float64(max(expected, 1)); {
 	case part > slowStop:
 		s.Refused(now)
-	case part > slowSign && s.out > 0:
+	case part > slowSign && s.outstanding > 0:
 		s.cut(now)
 	}
 }
 
 // Refused tells that such a request was refused, or came late: there is nothing to spare.
-func (s *Spare) Refused(now Nanos) {
+func (s *Limit) Refused(now Nanos) {
 	s.Counts.Stops++
-	s.until = max(s.until, now+rest*s.expected)
+	s.until = max(s.until, now+rest*s.target)
 	s.cut(now)
 }
 
-func (s *Spare) cut(now Nanos) {
-	if s.Counts.Cuts > 0 && now < s.cutAt+Nanos(cutEvery*float64(s.expected)) {
+func (s *Limit) cut(now Nanos) {
+	if s.Counts.Cuts > 0 && now < s.cutAt+Nanos(cutEvery*float64(s.target)) {
 		return
 	}
 	s.Counts.Cuts++
--- a/internal/decide/spare/spare_test.go
+++ b/internal/decide/background/background_test.go
@@ -1,4 +1,4 @@
-package spare
+package background
 
 import (
 	"math/rand/v2"
@@ -17,9 +17,9 @@
 	for range 4000 {
 		now += sec / 50
 		for s.May(now) {
-			s.Let()
+			s.Admit()
 			if running >= fits {
-				s.Over(now, false, false)
+				s.Finished(now, false, false)
 				refused++
 				break
 			}
@@ -27,7 +27,7 @@
 			running++
 		}
 		if running > 0 { // each runs for some time
-			s.Over(now, true, true)
+			s.Finished(now, true, true)
 			running--
 		}
 		if running >= fits*3/4 {
@@ -45,10 +45,10 @@
 	s := New(sec)
 	for range 100 {
 		for s.May(0) {
-			s.Let()
+			s.Admit()
 		}
 		for s.Out() > 0 {
-			s.Over(0, true, true)
+			s.Finished(0, true, true)
 			s.starting = min(s.starting, s.Out())
 		}
 	}
@@ -60,9 +60,9 @@
 		if !s.May(0) {
 			t.Fatal("one may not go in")
 		}
-		s.Let()
+		s.Admit()
 		s.Began()
-		s.Over(0, true, true)
+		s.Finished(0, true, true)
 	}
 	if s.Allowance() > was+1 {
 		t.Errorf("one at a time brought it from %v to %v", was, s.Allowance())
@@ -74,14 +74,14 @@
 func TestYields(t *testing.T) {
 	s := New(sec)
 	for range 200 {
-		s.Let()
+		s.Admit()
 		s.Began()
-		s.Over(0, true, true)
+		s.Finished(0, true, true)
 		s.allow = max(s.allow, 32)
 	}
 	was := s.Allowance()
 	for range 8 {
-		s.Let()
+		s.Admit()
 	}
 	now := 10 * sec
 	for range 10 {
@@ -91,11 +91,11 @@
 		t.Errorf("after ten signs at once %v of %v are allowed, want half", got, was)
 	}
 	s.Waited(now+sec, sec/100)
-	s.First(now+sec, sec/10, sec)
+	s.FirstToken(now+sec, sec/10, sec)
 	if got := s.Allowance(); got != was/2 {
 		t.Errorf("after no sign %v", got)
 	}
-	s.First(now+sec, sec*4/10, sec)
+	s.FirstToken(now+sec, sec*4/10, sec)
 	if got := s.Allowance(); got != was/4 {
 		t.Errorf("after a late first token %v are allowed", got)
 	}
@@ -119,7 +119,7 @@
 			switch rng.IntN(6) {
 			case 0, 1:
 				if s.May(now) {
-					s.Let()
+					s.Admit()
 					out++
 				}
 			case 2:
@@ -134,19 +134,19 @@
 						began--
 					}
 					out--
-					s.Over(now, wasBegun, rng.IntN(3) > 0)
+					s.Finished(now, wasBegun, rng.IntN(3) > 0)
 				}
 			case 4:
 				s.Waited(now, rng.Int64N(sec))
 			case 5:
-				s.First(now, rng.Int64N(sec), sec)
+				s.FirstToken(now, rng.Int64N(sec), sec)
 			}
 			if s.Out() != out || s.starting != out-began || s.Allowance() < 1 {
 				rt.Fatalf("%d out, %d starting, %v allowed; want %d and %d", s.Out(), s.starting, s.Allowance(), out, out-began)
 			}
 		}
 		for range out {
-			s.Over(now, began > 0, true)
+			s.Finished(now, began > 0, true)
 			began--
 		}
 		if !s.May(now + 10*sec) {
--- a/internal/decide/batch/batch.go
+++ b/internal/decide/batch/batch.go
@@ -75,7 +75,7 @@
 
 const (
 	Waiting At = iota
-	Out        // a attempt may be out
+	Out        // an attempt may be out
 	Done       // its result is kept
 	Lost       // it ended without one: the reason is kept
 )
--- a/internal/decide/peers/peers.go
+++ b/internal/decide/clientconn/clientconn.go
@@ -1,16 +1,16 @@
-// Package peers decides about the connections of clients that carry one request at a time: how long each may stand as
+// Package clientconn decides about the connections of clients that carry one request at a time: how long each may stand as
 // it is, which goes when descriptors are short, and how descriptors are shared out. It does no I/O and reads no clock.
-package peers
+package clientconn
 
 // Stage is what a connection is about.
 type Stage uint8
 
 const (
-	Silent  Stage = iota // nothing has come on it yet
-	Part                 // a request has come in part
-	Busy                 // a request of it is in hand
-	Resting              // between requests
-	Over                 // it has had its last answer: what still comes is thrown away
+	Silent   Stage = iota // nothing has come on it yet
+	Partial               // a request has come in part
+	Busy                  // a request of it is in hand
+	Resting               // between requests
+	Draining              // it has had its last answer: what still comes is thrown away
 )
 
 const (
@@ -37,24 +37,24 @@
 // Discard is how many bytes are thrown away on a connection that is over.
 const Discard = 80 << 20
 
-// Until tells when a connection that has stood as it is since then is to be ended; 0 = never.
-func Until(stage Stage, since int64) int64 {
+// StageEnds tells when a connection that has stood as it is since then is to be ended; 0 = never.
+func StageEnds(stage Stage, since int64) int64 {
 	switch stage {
 	case Silent:
 		return since + beginWithin
-	case Part:
+	case Partial:
 		return since + partWithin
 	case Resting:
 		return since + restWithin
-	case Over:
+	case Draining:
 		return since + discardWithin
 	}
 	return 0
 }
 
-// Lingers tells that a connection that is over stays beyond its time: so many bytes of its last answer still wait for the
+// LingersOn tells that a connection that is over stays beyond its time: so many bytes of its last answer still wait for the
 // client, which last took some at that time; over is since when the connection is.
-func Lingers(now, over, taken int64, waiting int) bool {
+func LingersOn(now, over, taken int64, waiting int) bool {
 	return waiting > 0 && now-taken < takeWithin && now-over < lingerMost
 }
 
@@ -101,8 +101,8 @@
 	hostShare = 1.0 / 3
 )
 
-// Shares tells how many connections clients and servers may have.
-func Shares(descriptors int) (clients, hosts int) {
+// DescriptorShares tells how many connections clients and servers may have.
+func DescriptorShares(descriptors int) (clients, hosts int) {
 	free := descriptors - ownLeast - int(ownShare*float64(descriptors))
 	hosts = max(int(hostShare*float64(descriptors)), 1)
 	return max(free-hosts, 1), hosts
@@ -111,8 +111,8 @@
 // bodyShare of the memory may be filled with requests that have come in part.
 const bodyShare = 1.0 / 16
 
-// Bodies is how many bytes of requests may be kept that have come in part.
-func Bodies(memory int64) int64 { return int64(bodyShare * float64(memory)) }
+// BodyMemory is how many bytes of requests may be kept that have come in part.
+func BodyMemory(memory int64) int64 { return int64(bodyShare * float64(memory)) }
 
 const (
 	// comeWithin is for how long after a signal to leave new connections are still dealt out to us.
@@ -128,13 +128,13 @@
 // RefuseAfter tells from when on requests are refused after the door has closed.
 func RefuseAfter(closed int64) int64 { return closed + servedWithin }
 
-// Next tells what a connection is about when its answer has ended, or at rest when the door closes. last: the client was
+// Victim tells what a connection is about when its answer has ended, or at rest when the door closes. last: the client was
 // told that the connection ends; closed: the door is; unread: something has come on it that is not read. Who closes a connection over unread bytes
 // resets it, and what was written last may be lost with it: the output ends first, and what comes is thrown away.
-func Next(last, closed, unread bool) Stage {
+func Victim(last, closed, unread bool) Stage {
 	switch {
 	case last, closed && !unread:
-		return Over
+		return Draining
 	case closed:
 		return Silent
 	}
--- a/internal/decide/peers/peers_test.go
+++ b/internal/decide/clientconn/clientconn_test.go
@@ -1,4 +1,4 @@
-package peers
+package clientconn
 
 import "testing"
 
@@ -26,8 +26,8 @@
 	for _, c := range []struct {
 		last, closed, unread bool
 		want                 Stage
-	}{{false, false, false, Resting}, {true, false, false, Over}, {false, true, false, Over}, {false, true, true, Silent}, {true, true, true, Over}} {
-		if got := Next(c.last, c.closed, c.unread); got != c.want {
+	}{{false, false, false, Resting}, {true, false, false, Draining}, {false, true, false, Draining}, {false, true, true, Silent}, {true, true, true, Draining}} {
+		if got := Victim(c.last, c.closed, c.unread); got != c.want {
 			t.Errorf("last %v, closed %v, unread %v: %d, want %d", c.last, c.closed, c.unread, got, c.want)
 		}
 	}
@@ -36,7 +36,7 @@
 // Whatever the limit, the shares fit into it and servers have as many as clients may hold for requests.
 func TestShares(t *testing.T) {
 	for n := 64; n <= 4096; n += 7 {
-		clients, hosts := Shares(n)
+		clients, hosts := DescriptorShares(n)
 		if clients+hosts+ownLeast > n || hosts < n/3 || clients < 1 || n >= 256 && clients < n/3 {
 			t.Fatalf("%d descriptors: %d for clients, %d for hosts", n, clients, hosts)
 		}
@@ -45,12 +45,12 @@
 
 // A first request is ended within 3 s of its client's connecting, as silence is.
 func TestUntil(t *testing.T) {
-	for _, stage := range []Stage{Silent, Part} {
-		if at := Until(stage, 5); at <= 5 || at > 5+3*second {
+	for _, stage := range []Stage{Silent, Partial} {
+		if at := StageEnds(stage, 5); at <= 5 || at > 5+3*second {
 			t.Errorf("stage %d ends at %d", stage, at)
 		}
 	}
-	if Until(Busy, 5) != 0 {
+	if StageEnds(Busy, 5) != 0 {
 		t.Error("a connection with a job in hand has an end")
 	}
 }
@@ -65,7 +65,7 @@
 		over    int64
 	}{{now - second, 1, true, now - 3*second}, {now - second, 0, false, now - 3*second}, {now - takeWithin, 1, false, now - 3*second},
 		{now - second, 1, false, now - lingerMost}} {
-		if got := Lingers(now, c.over, c.taken, c.waiting); got != c.want {
+		if got := LingersOn(now, c.over, c.taken, c.waiting); got != c.want {
 			t.Errorf("taken %d s ago, %d waiting: %v", (now-c.taken)/second, c.waiting, got)
 		}
 	}
--- a/internal/decide/crowd/crowd.go
+++ b/internal/decide/connlimit/connlimit.go
@@ -1,8 +1,8 @@
-// Package crowd decides which connections a door takes, by the address they come from, so that a flood of them ends
+// Package connlimit decides which connections a door takes, by the address they come from, so that a flood of them ends
 // where it is cheapest: at the accept. While there is room everybody is let in; as room gets short, an address may have
 // only so many as leaves some for others, and those that connect fastest wait. It does no I/O and reads no clock, and
 // remembers a bounded number of addresses.
-package crowd
+package connlimit
 
 import "fmt"
 
@@ -25,10 +25,10 @@
 type Cause uint8
 
 const (
-	Taken   Cause = iota
-	Full          // there are as many as there may be
-	TooMany       // this source has its part of what there may be
-	TooFast       // this source connects faster than it may while room is short
+	Accepted Cause = iota
+	Full           // there are as many as there may be
+	TooMany        // this source has its part of what there may be
+	TooFast        // this source connects faster than it may while room is short
 )
 
 func (c Cause) String() string {
@@ -54,9 +54,9 @@
 	at   int64
 }
 
-// Crowd is the connections of one door. Make it with New.
-type Crowd struct {
-	most    int
+// Limiter is the connections of one door. Make it with New.
+type Limiter struct {
+	limit   int
 	open    int
 	sources map[Source]*entry
 	free    []*entry
@@ -66,36 +66,36 @@
 
 // Counts are what was counted since the start.
 type Counts struct {
-	Taken, Full, TooMany, TooFast uint64
-	Sources                       int // remembered now
+	Accepted, Full, TooMany, TooFast uint64
+	Sources                          int // remembered now
 }
 
 // New makes a crowd of so many connections at most.
-func New(most int) (*Crowd, error) {
+func New(most int) (*Limiter, error) {
 	if most < 1 {
 		return nil, fmt.Errorf("%d connections: want 1 or more", most)
 	}
-	return &Crowd{most: most, sources: make(map[Source]*entry)}, nil
+	return &Limiter{limit: most, sources: make(map[Source]*entry)}, nil
 }
 
 // Open counts the connections that are open.
-func (c *Crowd) Open() int { return c.open }
+func (c *Limiter) Open() int { return c.open }
 
-// Come decides on a connection at a time in nanoseconds; Gone must follow for each that is taken.
-func (c *Crowd) Come(now int64, from Source) Cause {
-	if c.open >= c.most {
+// Opened decides on a connection at a time in nanoseconds; Gone must follow for each that is taken.
+func (c *Limiter) Opened(now int64, from Source) Cause {
+	if c.open >= c.limit {
 		c.Counts.Full++
 		return Full
 	}
 	e := c.sources[from]
-	short := float64(c.open) >= shortAt*float64(c.most)
+	short := float64(c.open) >= shortAt*float64(c.limit)
 	if e != nil {
 		if now > e.at {
 			e.used = max(0, e.used-float64(now-e.at)/1e9*perSecond)
 			e.at = now
 		}
 		if short {
-			if part := max(leastEach, int(sourcePart*float64(c.most-c.open))); e.open >= part {
+			if part := max(leastEach, int(sourcePart*float64(c.limit-c.open))); e.open >= part {
 				c.Counts.TooMany++
 				return TooMany
 			}
@@ -111,12 +111,12 @@
 	e.open++
 	e.used = min(e.used+1, burst)
 	c.open++
-	c.Counts.Taken++
-	return Taken
+	c.Counts.Accepted++
+	return Accepted
 }
 
-// Gone tells that a connection which was taken is over.
-func (c *Crowd) Gone(now int64, from Source) {
+// Closed tells that a connection which was taken is over.
+func (c *Limiter) Closed(now int64, from Source) {
 	e := c.sources[from]
 	if e == nil || e.open == 0 {
 		return
@@ -127,11 +127,11 @@
 
 // remember makes an entry. Sources without connections whose burst has filled again are forgotten once in a burst's
 // time, so there are at most as many as connections open and as may have come in that time.
-func (c *Crowd) remember(now int64, from Source) *entry {
-	if now >= c.sweepAt || len(c.sources) >= 2*c.most {
+func (c *Limiter) remember(now int64, from Source) *entry {
+	if now >= c.sweepAt || len(c.sources) >= 2*c.limit {
 		c.sweepAt = now + burst/perSecond*1e9
 		for s, e := range c.sources {
-			if e.open == 0 && (len(c.sources) >= 2*c.most || float64(now-e.at)/1e9*perSecond >= e.used) {
+			if e.open == 0 && (len(c.sources) >= 2*c.limit || float64(now-e.at)/1e9*perSecond >= e.used) {
 				delete(c.sources, s)
 				c.free = append(c.free, e)
 			}
--- a/internal/decide/crowd/crowd_test.go
+++ b/internal/decide/connlimit/connlimit_test.go
@@ -1,4 +1,4 @@
-package crowd
+package connlimit
 
 import (
 	"net/netip"
@@ -19,7 +19,7 @@
 	}
 	got := 0
 	for i := range 100000 {
-		if c.Come(int64(i)*1e5, source(1)) == Taken {
+		if c.Opened(int64(i)*1e5, source(1)) == Accepted {
 			got++
 		}
 	}
@@ -28,7 +28,7 @@
 	}
 	for i := range 50 {
 		for range leastEach {
-			if why := c.Come(1e10, source(2+i)); why != Taken {
+			if why := c.Opened(1e10, source(2+i)); why != Accepted {
 				t.Fatalf("address %d is refused: %v", i, why)
 			}
 		}
@@ -40,7 +40,7 @@
 	c, _ := New(1000)
 	for i := range 60 {
 		for range 1000 {
-			c.Come(1, source(i))
+			c.Opened(1, source(i))
 		}
 	}
 	if c.Open() > 1000 {
@@ -54,7 +54,7 @@
 func TestRoomIsFree(t *testing.T) {
 	c, _ := New(1000)
 	for i := range 500 {
-		if why := c.Come(1, source(1)); why != Taken {
+		if why := c.Opened(1, source(1)); why != Accepted {
 			t.Fatalf("connection %d of 500 refused while there is room: %v", i, why)
 		}
 	}
@@ -81,16 +81,16 @@
 			now += rapid.Int64Range(0, 2e9).Draw(t, "time")
 			if len(open) == 0 || rapid.IntRange(0, 2).Draw(t, "what") > 0 {
 				s := source(rapid.IntRange(0, 200).Draw(t, "source"))
-				why := c.Come(now, s)
-				if why == Taken {
+				why := c.Opened(now, s)
+				if why == Accepted {
 					open = append(open, s)
 				}
-				if (why == Full) != (len(open) >= most && why != Taken) {
+				if (why == Full) != (len(open) >= most && why != Accepted) {
 					t.Fatalf("%v with %d of %d open", why, len(open), most)
 				}
 			} else {
 				k := rapid.IntRange(0, len(open)-1).Draw(t, "which")
-				c.Gone(now, open[k])
+				c.Closed(now, open[k])
 				open = append(open[:k], open[k+1:]...)
 			}
 			if c.Open() != len(open) {
--- a/internal/decide/watch/watch.go
+++ b/internal/decide/discovery/discovery.go
@@ -1,39 +1,39 @@
-// Package watch decides about the watch on the list of servers: when one that says nothing is given up, when the next is begun, and
+// Package discovery decides about the watch on the list of servers: when one that says nothing is given up, when the next is begun, and
 // how long a new process waits for what its agent knows. It does no I/O and reads no clock.
 //
 // What discovery tells counts as told six seconds after it could be reached, heard or not. In that time a watch that
 // fell silent just after its last byte has to be noticed, one try to begin another may fail, and the next has to succeed.
-package watch
+package discovery
 
 const (
 	// beat is how often a watch on which nothing changes gives a sign of life.
-	beat = int64(2e9)
+	heartbeat = int64(2e9)
 	// Quiet is how long a watch may say nothing: a beat, and half of one for a busy machine.
-	Quiet = beat + beat/2
+	SilenceLimit = heartbeat + heartbeat/2
 	// Connect is how long a new watch may take to be connected, Answer how long then to begin its answer: the agent is on this
 	// machine. One that is silent as discovery is down answers the call that is open when it is back.
-	Connect = beat / 8
-	Answer  = 3 * beat / 8
+	ConnectTimeout = heartbeat / 8
+	AnswerTimeout  = 3 * heartbeat / 8
 	// First is how long a new process waits for the list before it takes clients; after that it goes by the list it was started with.
-	First = beat / 8
+	FirstListTimeout = heartbeat / 8
 
 	// retryMost is shorter than what a send may follow on news that a server drains: there is a call open, or soon is, at the
 	// moment in which discovery is back.
-	retryMost = beat / 8
+	maxRetry = heartbeat / 8
 	// answerMost is how long a discovery takes that answers by itself, and an eighth: one such call fits into the six seconds
 	// after silence was noticed, and the next begins.
-	answerMost = 9 * beat / 8
+	maxAnswer = 9 * heartbeat / 8
 	// refusedMost bounds how long a call that discovery refuses is put off: two more fit into the six seconds.
-	refusedMost = beat
+	maxRefusedRetry = heartbeat
 )
 
 // Retry tells how long after a watch was lost or not to be had another is begun: failures is how many in a row were
 // not to be had, and chance in [0, 1) spreads what all dispatchers do at once. An open call costs nothing while it waits.
 func Retry(failures int, chance float64) int64 {
 	if failures == 0 { // one that worked was cut: all of them, it may be
-		return int64(chance * float64(retryMost))
+		return int64(chance * float64(maxRetry))
 	}
-	return retryMost/2 + int64(chance*float64(retryMost/2))
+	return maxRetry/2 + int64(chance*float64(maxRetry/2))
 }
 
 // AnswerWithin tells how long a new watch may take to begin its answer, and then to tell something. Where lists are asked for,
@@ -41,9 +41,9 @@
 // and a call that is given up before counts against the next.
 func AnswerWithin(asked bool, refusals int) int64 {
 	if asked || refusals > 0 {
-		return answerMost
+		return maxAnswer
 	}
-	return Answer
+	return AnswerTimeout
 }
 
 // RetryAfter tells the same with regard to refusals, so many in a row.
@@ -58,9 +58,9 @@
 // has more calls than it takes, so each refusal doubles the wait. Whole fleets that asked again at once kept each other out
 // for as long as they did.
 func RetryRefused(refusals int, chance float64) int64 {
-	wait := int64(refusedMost)
+	wait := int64(maxRefusedRetry)
 	if refusals < 4 {
-		wait = retryMost << refusals
+		wait = maxRetry << refusals
 	}
 	return wait/2 + int64(chance*float64(wait/2))
 }
--- a/internal/decide/pool/pool.go
+++ b/internal/decide/serverconn/serverconn.go
@@ -1,6 +1,6 @@
-// Package pool decides about connections to servers that carry one request at a time: which may be used again, when an
+// Package serverconn decides about connections to servers that carry one request at a time: which may be used again, when an
 // unused one goes, and by which server a release is sent. It does no I/O and reads no clock.
-package pool
+package serverconn
 
 // Keeper judges connections by the time after which servers end those that stand idle, and by the time in which held
 // states must be released.
@@ -22,37 +22,37 @@
 	releaseMost = 2
 )
 
-// Fit tells whether a connection unused since then may carry another request. Servers that end unused connections sooner
+// Usable tells whether a connection unused since then may carry another request. Servers that end unused connections sooner
 // than is stated, some without a word, are not heeded: to lose one attempt in six at once costs less than to make half of
 // the connections anew, as was measured.
-func (k Keeper) Fit(now, since int64) bool { return now-since >= rest && now < k.Until(since) }
+func (k Keeper) Usable(now, since int64) bool { return now-since >= rest && now < k.IdleUntil(since) }
 
-// Until tells when a connection unused since then is closed.
-func (k Keeper) Until(since int64) int64 {
+// IdleUntil tells when a connection unused since then is closed.
+func (k Keeper) IdleUntil(since int64) int64 {
 	if k.Idle <= 0 {
 		return since + 10e9
 	}
 	return since + int64(idleShare*float64(k.Idle))
 }
 
-// lapseParts of the time for making a connection is what a reset takes to come back: it is a round trip, and nothing was
+// staleParts of the time for making a connection is what a reset takes to come back: it is a round trip, and nothing was
 // worked on.
-const lapseParts = 50
+const staleParts = 50
 
-// Lapsed tells that what was lost with a connection was lost because the connection had died before, unseen: it had
+// Stale tells that what was lost with a connection was lost because the connection had died before, unseen: it had
 // carried something else earlier, nothing came back, and its end came at once, or before all was written. The server is not to blame.
-func (k Keeper) Lapsed(used int, written, heard bool, after int64) bool {
-	return used > 1 && !heard && (!written || after < k.Connect/lapseParts)
+func (k Keeper) Stale(used int, written, heard bool, after int64) bool {
+	return used > 1 && !heard && (!written || after < k.Connect/staleParts)
 }
 
-// Try tells how long a release waits for its answer before another server is asked.
-func (k Keeper) Try() int64 { return k.Release / releaseParts }
+// ReleaseTimeout tells how long a release waits for its answer before another server is asked.
+func (k Keeper) ReleaseTimeout() int64 { return k.Release / releaseParts }
 
-// GiveUp tells when a release is no longer tried.
-func (k Keeper) GiveUp(begun int64) int64 { return begun + releaseMost*k.Release }
+// ReleaseDeadline tells when a release is no longer tried.
+func (k Keeper) ReleaseDeadline(begun int64) int64 { return begun + releaseMost*k.Release }
 
-// Way is what is known of a server by which a release might go.
-type Way struct {
+// Candidate is what is known of a server by which a release might go.
+type Candidate struct {
 	Heard int64 // last sign of life; 0 = none yet
 	Ready bool  // a connection to it is fit
 	Tried bool  // this release went there in vain
@@ -61,9 +61,9 @@
 
 // Choose picks the server by which a release goes: one that has not been tried, rather with a connection, heard last; -1 if there
 // is none.
-func Choose(ways []Way) int {
+func Choose(ways []Candidate) int {
 	best := -1
-	better := func(a, b Way) bool {
+	better := func(a, b Candidate) bool {
 		switch {
 		case a.Tried != b.Tried:
 			return !a.Tried
@@ -80,20 +80,22 @@
 	return best
 }
 
-// Distrust tells that the other connections to a server are not to be used again, as one that was given up had carried a
+// CloseIdle tells that the other connections to a server are not to be used again, as one that was given up had carried a
 // request since then and nothing at all was heard from the server after it.
-func Distrust(sent, heard int64) bool { return heard <= sent }
+func CloseIdle(sent, heard int64) bool { return heard <= sent }
 
 // Reached tells that a request written on a connection that is used for the so-many-th time has come to its server: the connection was
 // made for it, or the server was heard since.
 func Reached(used int, sent, heard int64) bool { return used <= 1 || heard > sent }
 
-// freeShare of the time for releasing a state waits for a attempt that may not have come to its server: while it has not,
+// earlyReleaseShare of the time for releasing a state waits for an attempt that may not have come to its server: while it has not,
 // the server counts the state as held for nobody.
-const freeShare = 0.6
+const earlyReleaseShare = 0.6
 
-// Free tells when a state read then is released beside such a attempt.
-func (k Keeper) Free(read int64) int64 { return read + int64(freeShare*float64(k.Release)) }
+// EarlyRelease tells when a state read then is released beside such an attempt.
+func (k Keeper) EarlyRelease(read int64) int64 {
+	return read + int64(earlyReleaseShare*float64(k.Release))
+}
 
 // mostReleases may be under way at once; more are left to the servers' own time.
 const mostReleases = 4096
--- a/internal/decide/pool/pool_test.go
+++ b/internal/decide/serverconn/serverconn_test.go
@@ -1,18 +1,18 @@
-package pool
+package serverconn
 
 import "testing"
 
 func TestChoose(t *testing.T) {
 	for what, c := range map[string]struct {
-		ways []Way
+		ways []Candidate
 		want int
 	}{
 		"nobody":                   {nil, -1},
-		"all gone":                 {[]Way{{Gone: true, Ready: true, Heard: 9}}, -1},
-		"heard last":               {[]Way{{Heard: 1, Ready: true}, {Heard: 9, Ready: true}, {Heard: 5, Ready: true}}, 1},
-		"rather with a connection": {[]Way{{Heard: 9}, {Heard: 1, Ready: true}}, 1},
-		"not again where in vain":  {[]Way{{Heard: 9, Ready: true, Tried: true}, {Heard: 1}}, 1},
-		"again if there is no other": {[]Way{{Heard: 3, Tried: true}, {Heard: 9, Tried: true},
+		"all gone":                 {[]Candidate{{Gone: true, Ready: true, Heard: 9}}, -1},
+		"heard last":               {[]Candidate{{Heard: 1, Ready: true}, {Heard: 9, Ready: true}, {Heard: 5, Ready: true}}, 1},
+		"rather with a connection": {[]Candidate{{Heard: 9}, {Heard: 1, Ready: true}}, 1},
+		"not again where in vain":  {[]Candidate{{Heard: 9, Ready: true, Tried: true}, {Heard: 1}}, 1},
+		"again if there is no other": {[]Candidate{{Heard: 3, Tried: true}, {Heard: 9, Tried: true},
 			{Heard: 99, Gone: true}}, 1},
 	} {
 		if got := Choose(c.ways); got != c.want {
@@ -24,12 +24,12 @@
 func TestFit(t *testing.T) {
 	k := Keeper{Idle: 15e9, Release: 1e9}
 	for since, want := range map[int64]bool{0: false, 1e6: false, 20e6: true, 5e9: true, 12e9: false, 20e9: false} {
-		if got := k.Fit(100e9, 100e9-since); got != want {
+		if got := k.Usable(100e9, 100e9-since); got != want {
 			t.Errorf("unused for %d: %v, want %v", since, got, want)
 		}
 	}
-	if k.GiveUp(0) <= 1e9 || k.Try() >= 1e9/4 {
-		t.Errorf("a release is tried for %d, each time %d: want several tries, and on after the time", k.GiveUp(0), k.Try())
+	if k.ReleaseDeadline(0) <= 1e9 || k.ReleaseTimeout() >= 1e9/4 {
+		t.Errorf("a release is tried for %d, each time %d: want several tries, and on after the time", k.ReleaseDeadline(0), k.ReleaseTimeout())
 	}
 }
 
@@ -50,7 +50,7 @@
 		"answered":          {2, true, true, 1e6, false},
 		"worked on":         {2, true, false, 20e6, false},
 	} {
-		if got := k.Lapsed(c.used, c.written, c.heard, c.after); got != c.want {
+		if got := k.Stale(c.used, c.written, c.heard, c.after); got != c.want {
 			t.Errorf("%s: %v, want %v", what, got, c.want)
 		}
 	}
--- a/internal/decide/pace/pace.go
+++ b/internal/decide/streamwatch/streamwatch.go
@@ -1,16 +1,16 @@
-// Package pace decides what becomes of an answer that has begun to stream: the module has handed it over by
+// Package streamwatch decides what becomes of an answer that has begun to stream: the module has handed it over by
 // then. It tells a decode server that has fallen silent from one that is only slow and from a client that does not
 // read, and keeps the end of the client's time. It does no I/O and reads no clock.
-package pace
+package streamwatch
 
 // Verdict is what to do with a stream.
 type Verdict uint8
 
 const (
-	GoesOn  Verdict = iota
-	Silent          // its writer gives no more tokens: end it, the client is told that it is failed
-	Unread          // its client takes nothing: end it
-	TimeOut         // the client's time is nearly up: the final answer has to leave now
+	Continue Verdict = iota
+	Silent           // its writer gives no more tokens: end it, the client is told that it is failed
+	Unread           // its client takes nothing: end it
+	TimeOut          // the client's time is nearly up: the final answer has to leave now
 )
 
 func (v Verdict) String() string {
@@ -25,41 +25,41 @@
 	// an answer anew after it ran out of memory needs about a first token's time.
 	silentLeast = 1
 	// hushMargin is the part of what a client may be left waiting that is kept for its end to arrive.
-	hushMargin = 10
+	silenceMargin = 10
 	// unreadTimes is how many silences a client may take nothing: it pays for its own time only.
 	unreadTimes = 4
 )
 
 // Stream is what is known of one. Times are nanoseconds on one clock.
 type Stream struct {
-	Begun    int64 // its first token came
-	Last     int64 // its last token came
-	Gap      int64 // wanted between tokens
-	Expected int64 // expected time of its first token
-	Ends     int64 // the client's time is up; 0 = it has set none
-	Ahead    int64 // the final answer leaves so long before that
-	Hush     int64 // a client may be left waiting so long after its last token; 0 = not told
-	Unread   bool  // what came is still waiting for the client, since Last at least
+	FirstAt      int64 // its first token came
+	LastAt       int64 // its last token came
+	TokenGap     int64 // wanted between tokens
+	Target       int64 // expected time of its first token
+	CallEnds     int64 // the client's time is up; 0 = it has set none
+	AnswerAhead  int64 // the final answer leaves so long before that
+	SilenceLimit int64 // a client may be left waiting so long after its last token; 0 = not told
+	Unread       bool  // what came is still waiting for the client, since Last at least
 }
 
 // Judge tells what to do now, and when to judge again at the latest.
 func Judge(now int64, s Stream) (Verdict, int64) {
-	if s.Ends > 0 && now >= s.Ends-s.Ahead {
+	if s.CallEnds > 0 && now >= s.CallEnds-s.AnswerAhead {
 		return TimeOut, 0
 	}
-	patience, verdict := max(silentGaps*s.Gap, silentLeast*s.Expected), Silent
-	if s.Hush > 0 { // as long as is allowed: a slow server must not be taken for a dead one
-		patience = s.Hush - s.Hush/hushMargin
+	patience, verdict := max(silentGaps*s.TokenGap, silentLeast*s.Target), Silent
+	if s.SilenceLimit > 0 { // as long as is allowed: a slow server must not be taken for a dead one
+		patience = s.SilenceLimit - s.SilenceLimit/silenceMargin
 	}
 	if s.Unread {
 		patience, verdict = unreadTimes*patience, Unread
 	}
-	again := max(s.Begun, s.Last) + patience
+	again := max(s.FirstAt, s.LastAt) + patience
 	if now >= again {
 		return verdict, 0
 	}
-	if s.Ends > 0 {
-		again = min(again, s.Ends-s.Ahead)
+	if s.CallEnds > 0 {
+		again = min(again, s.CallEnds-s.AnswerAhead)
 	}
-	return GoesOn, again
+	return Continue, again
 }
--- a/internal/decide/pace/pace_test.go
+++ b/internal/decide/streamwatch/streamwatch_test.go
@@ -1,4 +1,4 @@
-package pace
+package streamwatch
 
 import (
 	"testing"
@@ -9,7 +9,7 @@
 const ms = int64(1e6)
 
 func TestJudge(t *testing.T) {
-	s := Stream{Begun: 1000 * ms, Last: 2000 * ms, Gap: 50 * ms, Expected: 1000 * ms}
+	s := Stream{FirstAt: 1000 * ms, LastAt: 2000 * ms, TokenGap: 50 * ms, Target: 1000 * ms}
 	patience := silentGaps * 50 * ms
 	for _, c := range []struct {
 		name  string
@@ -18,15 +18,15 @@
 		want  Verdict
 		again int64
 	}{
-		{"runs", 2100 * ms, func(*Stream) {}, GoesOn, 2000*ms + patience},
-		{"slow, not silent", 2000*ms + patience - 1, func(*Stream) {}, GoesOn, 2000*ms + patience},
+		{"runs", 2100 * ms, func(*Stream) {}, Continue, 2000*ms + patience},
+		{"slow, not silent", 2000*ms + patience - 1, func(*Stream) {}, Continue, 2000*ms + patience},
 		{"silent", 2000*ms + patience, func(*Stream) {}, Silent, 0},
-		{"short gaps: an expected time at least", 2900 * ms, func(s *Stream) { s.Gap = ms }, GoesOn, 3000 * ms},
-		{"the client does not read: not the writer's fault", 2000*ms + patience, func(s *Stream) { s.Unread = true }, GoesOn, 2000*ms + unreadTimes*patience},
+		{"short gaps: an expected time at least", 2900 * ms, func(s *Stream) { s.TokenGap = ms }, Continue, 3000 * ms},
+		{"the client does not read: not the writer's fault", 2000*ms + patience, func(s *Stream) { s.Unread = true }, Continue, 2000*ms + unreadTimes*patience},
 		{"the client does not read for long", 2000*ms + unreadTimes*patience, func(s *Stream) { s.Unread = true }, Unread, 0},
-		{"time nearly up", 2500 * ms, func(s *Stream) { s.Ends, s.Ahead = 2510*ms, 20*ms }, TimeOut, 0},
-		{"looked at before time is up", 2100 * ms, func(s *Stream) { s.Ends, s.Ahead = 2510*ms, 20*ms }, GoesOn, 2490 * ms},
-		{"no token but the first", 1100 * ms, func(s *Stream) { s.Last = 0 }, GoesOn, 1000*ms + patience},
+		{"time nearly up", 2500 * ms, func(s *Stream) { s.CallEnds, s.AnswerAhead = 2510*ms, 20*ms }, TimeOut, 0},
+		{"looked at before time is up", 2100 * ms, func(s *Stream) { s.CallEnds, s.AnswerAhead = 2510*ms, 20*ms }, Continue, 2490 * ms},
+		{"no token but the first", 1100 * ms, func(s *Stream) { s.LastAt = 0 }, Continue, 1000*ms + patience},
 	} {
 		s := s
 		c.with(&s)
@@ -39,17 +39,17 @@
 // TestEnds: whoever judges when told to never waits beyond the client's time, and a silent stream ends.
 func TestEnds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := Stream{Begun: 1, Last: 1, Gap: rapid.Int64Range(1, 1e9).Draw(t, "gap"), Expected: rapid.Int64Range(1, 1e10).Draw(t, "expected"),
-			Ahead: 1000, Unread: rapid.Bool().Draw(t, "unread")}
+		s := Stream{FirstAt: 1, LastAt: 1, TokenGap: rapid.Int64Range(1, 1e9).Draw(t, "gap"), Target: rapid.Int64Range(1, 1e10).Draw(t, "expected"),
+			AnswerAhead: 1000, Unread: rapid.Bool().Draw(t, "unread")}
 		if rapid.Bool().Draw(t, "ends") {
-			s.Ends = rapid.Int64Range(1, 1e12).Draw(t, "at")
+			s.CallEnds = rapid.Int64Range(1, 1e12).Draw(t, "at")
 		}
 		now := int64(1)
 		for range 10 {
 			v, again := Judge(now, s)
-			if v != GoesOn {
-				if s.Ends > 0 && now > max(s.Ends-s.Ahead, 1) {
-					t.Fatalf("judged at %d, time was up at %d", now, s.Ends)
+			if v != Continue {
+				if s.CallEnds > 0 && now > max(s.CallEnds-s.AnswerAhead, 1) {
+					t.Fatalf("judged at %d, time was up at %d", now, s.CallEnds)
 				}
 				return
 			}
--- a/internal/dispatch/admission.go
+++ b/internal/dispatch/admission.go
@@ -1,7 +1,7 @@
 package dispatch
 
 import (
-	"docksail/internal/decide/door"
+	"docksail/internal/decide/admission"
 	"docksail/internal/front"
 	"docksail/internal/loop"
 	"docksail/policy"
@@ -26,12 +26,12 @@
 	for _, u := range d.unsent {
 		d.ages = append(d.ages, now-u.admittedAt)
 	}
-	return d.queue.Open(d.ages)
+	return d.queue.Admits(d.ages)
 }
 
 // admit hands a request that waited in the admission queue to the module.
 func (d *Dispatcher) admit(now loop.Nanos, id policy.RequestID) {
-	d.queue.Let(now, door.JobID(id))
+	d.queue.Admit(now, admission.RequestID(id))
 	req := d.requests.Find(id)
 	req.queued, req.admitted = false, true
 	d.unsent = append(d.unsent, unsentRequest{id: id, admittedAt: now})
@@ -39,21 +39,21 @@
 }
 
 // refuseQueued refuses a request that waits in the admission queue.
-func (d *Dispatcher) refuseQueued(now loop.Nanos, id policy.RequestID, why door.Cause) {
-	d.rejectQueued(id, why, d.queue.Refuse(now, door.JobID(id), why))
+func (d *Dispatcher) refuseQueued(now loop.Nanos, id policy.RequestID, why admission.Cause) {
+	d.rejectQueued(id, why, d.queue.Refuse(now, admission.RequestID(id), why))
 }
 
 // rejectQueued answers a request that the door has given up.
-func (d *Dispatcher) rejectQueued(id policy.RequestID, why door.Cause, a door.Advice) {
+func (d *Dispatcher) rejectQueued(id policy.RequestID, why admission.Cause, a admission.Advice) {
 	req := d.requests.Find(id)
 	req.queued = false
 	d.answer(req, func() { req.call.Reject(req.ID, d.refusal(why.String(), why.Own(), a)) }, &d.Counts.Rejected)
 	d.dropIfDone(req)
 }
 
-func (d *Dispatcher) refusal(why string, own bool, a door.Advice) front.Refusal {
-	no := front.Refusal{Reason: why, TenantLimit: own, RetryAfter: min(a.After, d.maxRetryAfter)}
-	if a.Ticket != nil && no.RetryAfter == a.After {
+func (d *Dispatcher) refusal(why string, own bool, a admission.Advice) front.Refusal {
+	no := front.Refusal{Reason: why, TenantLimit: own, RetryAfter: min(a.RetryAfter, d.maxRetryAfter)}
+	if a.Ticket != nil && no.RetryAfter == a.RetryAfter {
 		no.Ticket = d.signer.Encode(a.Ticket)
 	}
 	return no
--- a/internal/dispatch/attempts.go
+++ b/internal/dispatch/attempts.go
@@ -1,7 +1,7 @@
 package dispatch
 
 import (
-	"docksail/internal/decide/pace"
+	"docksail/internal/decide/streamwatch"
 	"docksail/internal/front"
 	"docksail/internal/loop"
 	"docksail/policy"
@@ -46,11 +46,11 @@
 	case policy.Reject:
 		no := front.Refusal{Reason: "no engine could take it in time"}
 		if d.unsentIndex(req.ID) >= 0 {
-			d.queue.Unplaced()
+			d.queue.NotSent()
 		}
 		no.RetryAfter = min(int64(decision.For), d.maxRetryAfter)
 		if decision.For > 0 && !d.direct { // that at least; the door books a place
-			no = d.refusal(no.Reason, false, d.queue.Again(now, req.queueRequest, loop.Nanos(decision.For)))
+			no = d.refusal(no.Reason, false, d.queue.RetryAfter(now, req.queueRequest, loop.Nanos(decision.For)))
 		}
 		d.answer(req, func() { req.call.Reject(req.ID, no) }, &d.Counts.Rejected)
 	case policy.Fail:
@@ -77,7 +77,7 @@
 	d.Counts.Attempts++
 	if i := d.unsentIndex(req.ID); i >= 0 {
 		d.unsent = slices.Delete(d.unsent, i, i+1)
-		d.queue.Taken(now, req.queueRequest)
+		d.queue.Sent(now, req.queueRequest)
 	}
 	req.Server, req.SentAt, req.Timeout, req.attempt = to, now, within, nil
 	known := false
@@ -115,9 +115,9 @@
 // checkStream has the pace of a running answer judged.
 func (d *Dispatcher) checkStream(now loop.Nanos, req *Request) {
 	t := &d.classTimes[req.class]
-	verdict, again := pace.Judge(now, pace.Stream{Begun: req.firstTokenAt, Last: req.lastTokenAt, Gap: t.tokenGap, Expected: t.target,
-		Ends: req.callEnds, Ahead: d.answerAhead, Hush: d.silenceLimit, Unread: req.unread > 0})
-	if verdict == pace.GoesOn {
+	verdict, again := streamwatch.Judge(now, streamwatch.Stream{FirstAt: req.firstTokenAt, LastAt: req.lastTokenAt, TokenGap: t.tokenGap, Target: t.target,
+		CallEnds: req.callEnds, AnswerAhead: d.answerAhead, SilenceLimit: d.silenceLimit, Unread: req.unread > 0})
+	if verdict == streamwatch.Continue {
 		d.loop.At(&req.timer, again, req.onTimer)
 		return
 	}
@@ -125,7 +125,7 @@
 		d.answer(req, func() { req.call.Fail(req.ID, verdict.String()) }, &d.Counts.Failed)
 	}
 	outcome := policy.Late
-	if verdict == pace.Unread {
+	if verdict == streamwatch.Unread {
 		outcome = policy.Canceled
 	}
 	d.attemptEnded(now, req, outcome, true, policy.NoLoad)
@@ -138,7 +138,7 @@
 	req.firstTokenAt, req.lastTokenAt = now, now
 	d.loop.Cancel(&req.overdueTimer)
 	if req.admitted {
-		d.queue.First(now, req.queueRequest, now-req.arrivedAt)
+		d.queue.FirstToken(now, req.queueRequest, now-req.arrivedAt)
 	}
 	req.ReleaseState()
 	d.module.StreamBegan(d.Time(now), req.ID, attempt, policy.Nanos(now-req.SentAt))
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -12,15 +12,15 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"docksail/internal/decide/door"
-	"docksail/internal/decide/gate"
-	"docksail/internal/decide/links"
+	"docksail/internal/decide/admission"
+	"docksail/internal/decide/intake"
+	"docksail/internal/decide/keepalive"
 	"docksail/internal/front/grpc"
 	"docksail/internal/h2"
 	"docksail/internal/loop"
 	"docksail/internal/setup"
 	"docksail/internal/state/fleet"
-	"docksail/internal/state/jobs"
+	"docksail/internal/state/requests"
 	"docksail/policy"
 )
 
@@ -53,11 +53,11 @@
 	grpcEntry     *grpc.Server // the door, where it is gRPC's
 	exit          Exit
 	direct        bool // requests go to the module as they come: no door holds them back
-	gate          gate.Gate
-	queue         *door.Door
-	signer        *door.Signer
+	gate          intake.Limits
+	queue         *admission.Queue
+	signer        *admission.Signer
 	memory        memory
-	tenantTerms   []door.Tenant // what tenants may do in the admission queue
+	tenantTerms   []admission.Tenant // what tenants may do in the admission queue
 	tenantNames   []string
 	secretKey     uint64 // keys the hashes of clients' names
 	expiryTimer   loop.Timer
@@ -68,7 +68,7 @@
 	incarnation   uint64 // this start of the dispatcher, in what engines are told
 	clockStart    int64  // module time at the loop's 0: Unix nanoseconds
 
-	requests jobs.Table[Request]
+	requests requests.Table[Request]
 
 	classes      map[string]policy.ClassID
 	tenants      map[string]policy.TenantID
@@ -111,18 +111,18 @@
 	for i, t := range s.Tenants {
 		d.tenants[t.Name] = policy.TenantID(i)
 	}
-	d.gate = gate.Gate{Most: s.Limits.Jobs, Prompt: int64(s.Limits.Prompt)}
+	d.gate = intake.Limits{Requests: s.Limits.Jobs, PromptTokens: int64(s.Limits.Prompt)}
 	lim := h2.Limits{Streams: uint32(s.Limits.Streams), StreamWindow: uint32(s.Limits.StreamWindow),
 		ConnWindow: h2.Usual.ConnWindow, HeaderBytes: uint32(s.Limits.Headers), MessageBytes: uint32(s.Limits.Message)}
 	var key [40]byte
 	if _, err := io.ReadFull(secrets, key[:]); err != nil {
 		return nil, fmt.Errorf("keys: %w", err)
 	}
-	d.signer, d.secretKey = door.NewSigner(key[:32]), binary.LittleEndian.Uint64(key[32:])
+	d.signer, d.secretKey = admission.NewSigner(key[:32]), binary.LittleEndian.Uint64(key[32:])
 	if !s.Answers.Advice {
 		d.signer = nil
 	}
-	if d.queue, err = door.New(s.Limits.Waiting, s.Limits.Clients, shortest, d.signer); err != nil {
+	if d.queue, err = admission.New(s.Limits.Waiting, s.Limits.Clients, shortest, d.signer); err != nil {
 		return nil, err
 	}
 	d.queue.FirstCome = s.FirstCome
@@ -143,7 +143,7 @@
 		return nil, err
 	}
 	d.entry = d.grpcEntry
-	x := &grpcExit{d: d, list: list, servers: make(map[policy.ServerID]*grpcServer), keeper: links.Keeper{Expected: shortest},
+	x := &grpcExit{d: d, list: list, servers: make(map[policy.ServerID]*grpcServer), keeper: keepalive.Keeper{Target: shortest},
 		connect: int64(s.Launches.Connect), lim: lim}
 	x.lister.init(x, s.Fleet)
 	d.exit = x
@@ -159,9 +159,9 @@
 	for i, name := range tenants {
 		d.tenants[name] = policy.TenantID(i)
 	}
-	d.gate = gate.Gate{Most: most, Prompt: prompt}
+	d.gate = intake.Limits{Requests: most, PromptTokens: prompt}
 	var err error
-	d.queue, err = door.New(1, 1, shortest, nil) // nothing ever waits there
+	d.queue, err = admission.New(1, 1, shortest, nil) // nothing ever waits there
 	return d, err
 }
 
@@ -202,7 +202,7 @@
 		if !ok {
 			break
 		}
-		d.refuseQueued(now, policy.RequestID(id), door.Shed)
+		d.refuseQueued(now, policy.RequestID(id), admission.Shed)
 	}
 	for let := 0; ; {
 		if decision, ok := d.module.Next(d.Time(now)); ok {
@@ -210,15 +210,15 @@
 			continue
 		}
 		if id, a, ok := d.queue.Displaced(now); ok {
-			d.rejectQueued(policy.RequestID(id), door.Full, a)
+			d.rejectQueued(policy.RequestID(id), admission.Full, a)
 			continue
 		}
 		if id, ok := d.queue.Expired(now); ok {
-			d.refuseQueued(now, policy.RequestID(id), door.TooLate)
+			d.refuseQueued(now, policy.RequestID(id), admission.TooLate)
 			continue
 		}
 		if id, ok := d.queue.Next(now, len(d.unsent)); ok && d.admits(now) {
-			if let++; let > door.PerTurn {
+			if let++; let > admission.PerTurn {
 				d.loop.Again()
 				break
 			}
--- a/internal/dispatch/seam.go
+++ b/internal/dispatch/exit.go
@@ -25,14 +25,14 @@
 	IsPrefill(host policy.ServerID) (reads, known bool)
 	// Attempt sends the request to its Host; nil: it was not sent and will not be.
 	Send(now loop.Nanos, j *Request, shot policy.AttemptNumber) Attempt
-	// Release has what a attempt of the request left at a server released. The request may be over after the call.
+	// Release has what an attempt of the request left at a server released. The request may be over after the call.
 	Release(now loop.Nanos, j *Request, at policy.ServerID, shot policy.AttemptNumber)
 	Flush()     // queues on the sockets what has come together in this turn
 	Idle() bool // nothing is on its way to a server that must still come there
 	Close()     // the loop has ended
 }
 
-// Attempt is a attempt that is out, as its exit holds it.
+// Attempt is an attempt that is out, as its exit holds it.
 type Attempt interface {
 	// End is called once, when the attempt is over, whoever ended it. What is left of it at the server is ended before
 	// End returns; true: there was something.
@@ -47,7 +47,7 @@
 	Reached() bool
 }
 
-// Stage is how far a attempt has come.
+// Stage is how far an attempt has come.
 type Stage uint8
 
 const (
@@ -61,7 +61,7 @@
 	d.module.ListBegin(full)
 	tell(d.module)
 	d.module.ListEnd(d.Time(now))
-	d.gate.Known = d.gate.Known || some
+	d.gate.ListKnown = d.gate.ListKnown || some
 }
 
 // ListFailed tells the module that the list can't be had.
@@ -126,7 +126,7 @@
 	}
 }
 
-// Reassigned tells that a attempt is from now on held as s; nil: it could not be sent after all.
+// Reassigned tells that an attempt is from now on held as s; nil: it could not be sent after all.
 func (d *Dispatcher) Reassigned(now loop.Nanos, req *Request, s Attempt) {
 	if req.attempt = s; s == nil {
 		d.attemptEnded(now, req, policy.NotSent, false, policy.NoLoad)
--- a/internal/dispatch/link.go
+++ b/internal/dispatch/grpcconn.go
@@ -12,7 +12,7 @@
 	"google.golang.org/protobuf/encoding/protowire"
 	"google.golang.org/protobuf/proto"
 
-	"docksail/internal/decide/links"
+	"docksail/internal/decide/keepalive"
 	"docksail/internal/h2"
 	"docksail/internal/loop"
 	"docksail/internal/state/fleet"
@@ -35,11 +35,11 @@
 	servers map[policy.ServerID]*grpcServer
 	list    *fleet.List
 	lister  listWatch
-	keeper  links.Keeper
+	keeper  keepalive.Keeper
 	connect int64
 	lim     h2.Limits
 	dirty   []*serverConn
-	facts   []links.Link
+	facts   []keepalive.Conn
 	scratch []byte
 }
 
@@ -99,7 +99,7 @@
 	return &req.grpcAttempt
 }
 
-// grpcAttempt is a attempt that is out to an engine.
+// grpcAttempt is an attempt that is out to an engine.
 type grpcAttempt struct {
 	request      *Request
 	conn         *serverConn // nil: none is out
@@ -109,7 +109,7 @@
 	queuedBehind bool        // one of the request's attempts has waited for an engine's trial
 }
 
-// wait has a attempt wait for its engine's trial: not for long, as what it is to fetch is held meanwhile.
+// wait has an attempt wait for its engine's trial: not for long, as what it is to fetch is held meanwhile.
 func (s *grpcAttempt) wait(now loop.Nanos) {
 	s.queuedBehind = true
 	s.request.d.loop.At(&s.request.timer, min(s.request.SentAt+s.request.Timeout, now+s.conn.server.exit.keeper.Hold()), s.request.onTimer)
@@ -168,7 +168,7 @@
 	role           policy.Role
 	links          []*serverConn
 	releases       []pendingRelease
-	trial          links.Trial
+	trial          keepalive.Probe
 	lostConnection bool // its last connection ended, or could not be made
 }
 
@@ -204,14 +204,14 @@
 	}
 }
 
-// linkFor gives the connection for a attempt; nil if there may be none.
+// linkFor gives the connection for an attempt; nil if there may be none.
 func (srv *grpcServer) linkFor(now loop.Nanos) *serverConn {
 	d := srv.d
 	srv.exit.facts = srv.exit.facts[:0]
 	for _, k := range srv.links {
 		srv.exit.facts = append(srv.exit.facts, k.facts())
 	}
-	i, dial, none := links.Pick(srv.exit.facts)
+	i, dial, none := keepalive.Pick(srv.exit.facts)
 	switch {
 	case none:
 		return nil
@@ -250,7 +250,7 @@
 	attempt policy.AttemptNumber
 }
 
-// release has what a attempt left at the engine released: now, or as soon as there is a connection.
+// release has what an attempt left at the engine released: now, or as soon as there is a connection.
 func (srv *grpcServer) release(now loop.Nanos, on *serverConn, id policy.RequestID, attempt policy.AttemptNumber) {
 	srv.d.Counts.Releases++
 	srv.releaseBy(now, on, id, attempt)
@@ -265,7 +265,7 @@
 		on.sendRelease(id, attempt)
 		return
 	}
-	if !links.MayOwe(len(srv.releases)) || srv.linkFor(now) == nil {
+	if !keepalive.MayRelease(len(srv.releases)) || srv.linkFor(now) == nil {
 		srv.d.Counts.ReleasesLost++
 		return
 	}
@@ -311,9 +311,9 @@
 	onKeep   func(loop.Nanos)
 }
 
-func (k *serverConn) facts() links.Link {
-	return links.Link{Ready: k.ready && !k.retired && k.http2.CanOpen(), Making: !k.ready && !k.gone && !k.retired, Out: k.streams, Heard: k.heardAt,
-		Asked: k.pingedAt, Asks: k.pings, Used: k.usedAt, Sent: k.sentAt}
+func (k *serverConn) facts() keepalive.Conn {
+	return keepalive.Conn{Ready: k.ready && !k.retired && k.http2.CanOpen(), Connecting: !k.ready && !k.gone && !k.retired, Streams: k.streams, HeardAt: k.heardAt,
+		PingedAt: k.pingedAt, Pings: k.pings, UsedAt: k.usedAt, SentAt: k.sentAt}
 }
 
 func (k *serverConn) touch() {
@@ -344,18 +344,18 @@
 	}
 	verdict, again := k.server.exit.keeper.Judge(now, k.facts())
 	switch verdict {
-	case links.Ask:
+	case keepalive.Ping:
 		k.d.Counts.Pings++
 		k.pingedAt = now
 		k.pings++
 		k.http2.Ping()
 		k.touch()
-	case links.Dead:
+	case keepalive.Dead:
 		k.d.Counts.DeadConnections++
 		k.d.log.Warn("engine does not answer a ping", "server", k.server.id, "attempts", k.streams)
 		k.conn.Close()
 		return
-	case links.Spare:
+	case keepalive.Spare:
 		k.spare = true
 		k.conn.Close()
 		return
@@ -380,7 +380,7 @@
 	}
 	k.server.releases = k.server.releases[:0]
 	k.touch()
-	k.d.loop.At(&k.timer, now+k.server.exit.keeper.Expected, k.onKeep)
+	k.d.loop.At(&k.timer, now+k.server.exit.keeper.Target, k.onKeep)
 }
 
 func (k *serverConn) Data(now loop.Nanos, p []byte) {
@@ -427,7 +427,7 @@
 
 // ---- What is sent.
 
-// send opens the stream of a attempt.
+// send opens the stream of an attempt.
 func (k *serverConn) send(now loop.Nanos, req *Request, attempt policy.AttemptNumber) {
 	d, x := k.d, k.server.exit
 	path, timeout := pathWrite, int64(0)
@@ -476,7 +476,7 @@
 // sendRelease releases what a server holds. If it is lost with its connection it is sent again by another, as long as
 // the engine can be reached.
 func (k *serverConn) sendRelease(id policy.RequestID, attempt policy.AttemptNumber) {
-	s := k.http2.OpenStream(pathRelease, k.server.name, k.server.exit.keeper.Expected)
+	s := k.http2.OpenStream(pathRelease, k.server.name, k.server.exit.keeper.Target)
 	b := k.server.exit.scratch[:0]
 	b = protowire.AppendTag(b, 1, protowire.VarintType)
 	b = protowire.AppendVarint(b, k.d.incarnation)
--- a/internal/dispatch/lister.go
+++ b/internal/dispatch/listwatch.go
@@ -11,7 +11,7 @@
 	"google.golang.org/protobuf/proto"
 
 	pb "docksail/api/docksail/v1"
-	"docksail/internal/decide/links"
+	"docksail/internal/decide/keepalive"
 	"docksail/internal/h2"
 	"docksail/internal/loop"
 	"docksail/internal/setup"
@@ -175,15 +175,15 @@
 	if w.conn == nil {
 		return
 	}
-	verdict, again := links.Keeper{Expected: w.every}.Judge(now, links.Link{Ready: true, Out: 1, Heard: w.heardAt,
-		Asked: w.pingedAt, Asks: w.pings})
+	verdict, again := keepalive.Keeper{Target: w.every}.Judge(now, keepalive.Conn{Ready: true, Streams: 1, HeardAt: w.heardAt,
+		PingedAt: w.pingedAt, Pings: w.pings})
 	switch verdict {
-	case links.Ask:
+	case keepalive.Ping:
 		w.pingedAt = now
 		w.pings++
 		w.http2.Ping()
 		w.conn.Write(w.http2.Take())
-	case links.Dead:
+	case keepalive.Dead:
 		w.d.log.Warn("lister does not answer a ping")
 		w.conn.Close()
 		return
--- a/internal/dispatch/overdue_test.go
+++ b/internal/dispatch/overdue_test.go
@@ -98,7 +98,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			d.gate.Known = true
+			d.gate.ListKnown = true
 			d.Attach(noEntry{}, out)
 			const left = 200e6
 			id, err := d.Arrive(l.Now(), told, &front.Request{Class: []byte("a"), Prompt: 10, WaitLimit: left})
@@ -144,7 +144,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.gate.Known = true
+	d.gate.ListKnown = true
 	for _, tenant := range []string{"south", "north", ""} {
 		r := front.Request{Class: []byte("a"), Tenant: []byte(tenant), Session: []byte("s"), Prefix: []byte("p"), Prompt: 10}
 		if _, err := d.Arrive(l.Now(), &answers{}, &r); err != nil {
--- a/internal/dispatch/requests.go
+++ b/internal/dispatch/requests.go
@@ -1,11 +1,11 @@
 package dispatch
 
 import (
-	"docksail/internal/decide/door"
-	"docksail/internal/decide/gate"
+	"docksail/internal/decide/admission"
+	"docksail/internal/decide/intake"
 	"docksail/internal/front"
 	"docksail/internal/loop"
-	"docksail/internal/state/jobs"
+	"docksail/internal/state/requests"
 	"docksail/policy"
 	"fmt"
 	"slices"
@@ -16,7 +16,7 @@
 
 // Request is one request in hand.
 type Request struct {
-	jobs.Record
+	requests.Record
 	call          front.Call // nil once it is answered
 	Raw           []byte     // the client's message
 	ClientID      []byte     // the client's name for it
@@ -26,16 +26,16 @@
 	Repeat        uint32
 	Trace         string
 	arrivedAt     loop.Nanos
-	callEnds      loop.Nanos     // the call's own time is up; 0 = never
-	firstTokenAt  loop.Nanos     // the answer's first token came; 0 = not yet
-	lastTokenAt   loop.Nanos     // its last token
-	unread        int            // bytes of the engine's window that wait for the client
-	policyRequest policy.Request // as the module is told of it
-	queueRequest  door.Job       // as the door is
+	callEnds      loop.Nanos        // the call's own time is up; 0 = never
+	firstTokenAt  loop.Nanos        // the answer's first token came; 0 = not yet
+	lastTokenAt   loop.Nanos        // its last token
+	unread        int               // bytes of the engine's window that wait for the client
+	policyRequest policy.Request    // as the module is told of it
+	queueRequest  admission.Request // as the door is
 	queued        bool
 	admitted      bool  // the door has let it in, and not been told of its end
 	messages      int64 // messages relayed
-	mayHaveRun    bool  // a attempt was sent to a server that answers
+	mayHaveRun    bool  // an attempt was sent to a server that answers
 
 	attempt        Attempt         // the attempt that is out; nil = it is none of the exit's
 	Server         policy.ServerID // where it goes
@@ -104,15 +104,15 @@
 		left = min(left, r.Timeout)
 	}
 	left -= d.answerAhead
-	cause, after := d.gate.Take(d.requests.Len(), r.Prompt, left, t.target+t.targetPer1k*r.Prompt/1000)
-	if cause != gate.Taken {
+	cause, after := d.gate.Check(d.requests.Len(), r.Prompt, left, t.target+t.targetPer1k*r.Prompt/1000)
+	if cause != intake.Accepted {
 		d.Counts.Refused++
 		if cause.Harmless() {
 			return 0, front.Refusal{Reason: cause.String(), RetryAfter: min(after, d.maxRetryAfter)}
 		}
-		return 0, fmt.Errorf("%s, %d tokens of at most %d: %w", cause, r.Prompt, d.gate.Prompt, front.ErrBad)
+		return 0, fmt.Errorf("%s, %d tokens of at most %d: %w", cause, r.Prompt, d.gate.PromptTokens, front.ErrBad)
 	}
-	ask := door.Job{Tenant: max(int(tenant), 0), Client: d.hashSecretly(tenant, r.Client), Source: d.hashSecretly(-1, r.Source[:]), Prompt: r.Prompt,
+	ask := admission.Request{Tenant: max(int(tenant), 0), Client: d.hashSecretly(tenant, r.Client), Source: d.hashSecretly(-1, r.Source[:]), Prompt: r.Prompt,
 		Background: r.Background, Answer: r.MaxTokens, Expected: t.target + t.targetPer1k*r.Prompt/1000, Deadline: now + left}
 	if r.Ticket != nil && d.signer != nil {
 		if ticket, err := d.signer.Decode(r.Ticket); err == nil {
@@ -120,12 +120,12 @@
 		}
 	}
 	id, req := d.requests.Add()
-	ask.ID = door.JobID(id)
+	ask.ID = admission.RequestID(id)
 	if !d.direct {
-		if cause, advice := d.queue.Arrive(now, ask); cause != door.Admitted {
+		if cause, advice := d.queue.Arrive(now, ask); cause != admission.Admitted {
 			d.requests.Drop(id)
 			d.Counts.Refused++
-			if cause == door.TooLong {
+			if cause == admission.TooLong {
 				return 0, fmt.Errorf("%s, %d tokens: %w", cause, r.Prompt, front.ErrBad)
 			}
 			return 0, d.refusal(cause.String(), cause.Own(), advice)
@@ -133,7 +133,7 @@
 	}
 	ask.Ticket = nil
 	d.Counts.Requests++
-	*req = Request{Record: jobs.Record{ID: id}, call: call, Raw: append(req.Raw[:0], r.Raw...), ClientID: append(req.ClientID[:0], r.ClientID...),
+	*req = Request{Record: requests.Record{ID: id}, call: call, Raw: append(req.Raw[:0], r.Raw...), ClientID: append(req.ClientID[:0], r.ClientID...),
 		Path: append(req.Path[:0], r.Path...), Header: append(req.Header[:0], r.Header...), class: class,
 		Repeat: uint32(r.Repeat), Trace: r.Trace, arrivedAt: now, timer: req.timer, onTimer: req.onTimer,
 		overdueTimer: req.overdueTimer, onOverdue: req.onOverdue, d: d, queueRequest: ask, queued: !d.direct}
@@ -141,7 +141,7 @@
 	if req.onTimer == nil {
 		req.onTimer, req.onOverdue = req.timerDue, req.deadlineMissed
 	}
-	d.loop.At(&req.overdueTimer, now+left+gate.OverdueAfter, req.onOverdue)
+	d.loop.At(&req.overdueTimer, now+left+intake.OverdueAfter, req.onOverdue)
 	if r.Timeout > 0 {
 		req.callEnds = now + r.Timeout
 	}
@@ -172,7 +172,7 @@
 func (d *Dispatcher) clientLeft(now loop.Nanos, req *Request) {
 	if req.queued {
 		req.queued = false
-		d.queue.Cancel(now, door.JobID(req.ID))
+		d.queue.Cancel(now, admission.RequestID(req.ID))
 		d.dropIfDone(req)
 		return
 	}
@@ -216,7 +216,7 @@
 func (d *Dispatcher) leaveQueue(req *Request, served bool) {
 	if req.admitted {
 		req.admitted = false
-		d.queue.Over(d.loop.Now(), req.queueRequest, served, req.messages)
+		d.queue.Finished(d.loop.Now(), req.queueRequest, served, req.messages)
 		if i := d.unsentIndex(req.ID); i >= 0 {
 			d.unsent = slices.Delete(d.unsent, i, i+1)
 		}
--- a/internal/dispatch/shutdown.go
+++ b/internal/dispatch/shutdown.go
@@ -1,7 +1,7 @@
 package dispatch
 
 import (
-	"docksail/internal/decide/gate"
+	"docksail/internal/decide/intake"
 	"docksail/internal/front"
 	"docksail/internal/loop"
 	"docksail/policy"
@@ -14,7 +14,7 @@
 	if d.draining {
 		return
 	}
-	d.draining, d.gate.Leaving = true, true
+	d.draining, d.gate.Draining = true, true
 	d.onDrained = func() {
 		d.loop.Cancel(&d.drainTimer)
 		d.onDrained = func() {}
@@ -36,7 +36,7 @@
 
 // abort gives a request its final answer whatever the module holds of it, and tells the module that nothing more is owed.
 func (d *Dispatcher) abort(now loop.Nanos, req *Request, why string) {
-	if gate.AtEnd(d.classTimes[req.class].idempotent && req.firstTokenAt == 0, req.mayHaveRun) == gate.Nacked {
+	if intake.AtDrainEnd(d.classTimes[req.class].idempotent && req.firstTokenAt == 0, req.mayHaveRun) == intake.Rejected {
 		d.answer(req, func() { req.call.Reject(req.ID, front.Refusal{Reason: why}) }, &d.Counts.Rejected)
 	} else {
 		d.answer(req, func() { req.call.Fail(req.ID, why) }, &d.Counts.Failed)
--- a/internal/dispatch/view.go
+++ b/internal/dispatch/view.go
@@ -1,7 +1,7 @@
 package dispatch
 
 import (
-	"docksail/internal/decide/door"
+	"docksail/internal/decide/admission"
 	"docksail/internal/front/grpc"
 	"docksail/internal/loop"
 	"docksail/internal/setup"
@@ -38,7 +38,7 @@
 }
 
 // Known tells that a list of engines is known.
-func (d *Dispatcher) Known() bool { return d.gate.Known }
+func (d *Dispatcher) Known() bool { return d.gate.ListKnown }
 
 // Add adds up counts.
 func (c *Counts) Add(o Counts) {
@@ -77,7 +77,7 @@
 	Name             string
 	Weight           float64
 	Waiting, Running int
-	Counts           door.Counts
+	Counts           admission.Counts
 }
 
 // View is a dispatcher's state as people see it.
@@ -93,7 +93,7 @@
 // View gives the state of now.
 func (d *Dispatcher) View() View {
 	v := View{InHand: d.requests.Len(), Clients: d.entry.Conns(), Waiting: d.queue.Waiting(), Flows: d.queue.Flows(), Counts: d.Counts,
-		Background: d.queue.Background(), BackgroundOut: d.queue.Spare.Out(), Spare: d.queue.Spare.Allowance(),
+		Background: d.queue.BackgroundWaiting(), BackgroundOut: d.queue.Background.Out(), Spare: d.queue.Background.Allowance(),
 		Door: d.Door()}
 	for i, t := range d.tenantTerms {
 		w, r := d.queue.Tenant(i)
--- a/internal/e2e/door_test.go
+++ b/internal/e2e/door_test.go
@@ -19,7 +19,7 @@
 	"google.golang.org/grpc/metadata"
 
 	pb "docksail/api/docksail/v1"
-	"docksail/internal/decide/door"
+	"docksail/internal/decide/admission"
 	"docksail/internal/dispatch"
 	"docksail/internal/lab/drill"
 	"docksail/policy"
@@ -490,7 +490,7 @@
 				t.Errorf("ended as %v, want honoured, nacked or abandoned", ends)
 			}
 			st.Dispatcher(0).Ask(func(d *dispatch.Dispatcher) {
-				if n := d.View().Tenants[0].Counts.Refused[door.Shed]; n == 0 {
+				if n := d.View().Tenants[0].Counts.Refused[admission.Shed]; n == 0 {
 					t.Errorf("nothing was shed; refused %v", d.View().Tenants[0].Counts.Refused)
 				}
 			})
--- a/internal/e2e/hard_test.go
+++ b/internal/e2e/hard_test.go
@@ -548,8 +548,8 @@
 		req  *pb.GenerateRequest
 		want string
 	}{
-		{"unknown track", &pb.GenerateRequest{Track: "nonsense", PromptTokens: 5}, `track "nonsense" is unknown`},
-		{"no track", &pb.GenerateRequest{PromptTokens: 5}, `track "" is unknown`},
+		{"unknown track", &pb.GenerateRequest{Track: "nonsense", PromptTokens: 5}, `class "nonsense" is unknown`},
+		{"no track", &pb.GenerateRequest{PromptTokens: 5}, `class "" is unknown`},
 		{"prompt too long", &pb.GenerateRequest{Track: "question", PromptTokens: 1 << 31}, "prompt too long"},
 		{"beginning longer than the prompt", &pb.GenerateRequest{Track: "question", PromptTokens: 5, BeginningTokens: 6}, "beginning_tokens"},
 	} {
--- a/internal/exit/platform/conn.go
+++ b/internal/exit/platform/conn.go
@@ -7,15 +7,15 @@
 	"slices"
 	"strconv"
 
-	"docksail/internal/decide/pool"
+	"docksail/internal/decide/serverconn"
 	"docksail/internal/dispatch"
-	"docksail/internal/enlist"
 	"docksail/internal/h1"
 	"docksail/internal/loop"
+	"docksail/internal/platformconfig"
 	"docksail/policy"
 )
 
-// conn is one connection to a server. It carries a attempt, a release, or nothing.
+// conn is one connection to a server. It carries an attempt, a release, or nothing.
 type conn struct {
 	exit      *Exit
 	server    *server
@@ -71,8 +71,8 @@
 	c.exit.forgetGone(c.server)
 }
 
-// due closes it when it has stood idle for long enough. If it carries a attempt that is to take a state, and no sign has
-// come that the server got it, the state is released meanwhile: a attempt that waits for it at its writer keeps it all the same.
+// due closes it when it has stood idle for long enough. If it carries an attempt that is to take a state, and no sign has
+// come that the server got it, the state is released meanwhile: an attempt that waits for it at its writer keeps it all the same.
 func (c *conn) due(now loop.Nanos) {
 	switch {
 	case c.idle:
@@ -111,7 +111,7 @@
 	c.exit.scratch = b
 	c.conn.Write(b)
 	if _, held := req.StateHeld(); held && !c.Reached() {
-		c.exit.loop.At(&c.timer, max(c.exit.keeper.Free(req.PrefilledAt), now+1), c.onTimer)
+		c.exit.loop.At(&c.timer, max(c.exit.keeper.EarlyRelease(req.PrefilledAt), now+1), c.onTimer)
 	}
 }
 
@@ -211,7 +211,7 @@
 	load := policy.NoLoad
 	for name, text := range figures { // each goes to a place of its own
 		if x, err := strconv.ParseFloat(string(text), 64); err == nil && x >= 0 && x < 1e12 {
-			enlist.Report(&load, name, x)
+			platformconfig.Report(&load, name, x)
 		}
 	}
 	c.load = load
@@ -222,7 +222,7 @@
 var loadLine = []byte(": X-Pressure: ")
 
 // event passes on a piece of a stream; the first is held until an event is whole, as a stream that is spoilt before is
-// a attempt that failed.
+// an attempt that failed.
 func (c *conn) event(now loop.Nanos, data []byte) {
 	if i := bytes.Index(data, loadLine); i == 0 || i > 0 && data[i-1] == '\n' {
 		line, _, _ := bytes.Cut(data[i+len(loadLine):], []byte{'\n'})
@@ -248,7 +248,7 @@
 	}
 }
 
-// invalidAnswer ends a attempt or release whose answer cannot be read.
+// invalidAnswer ends an attempt or release whose answer cannot be read.
 func (c *conn) invalidAnswer(now loop.Nanos, err error) {
 	c.exit.Counts.InvalidAnswers++
 	c.exit.log.Info("answer invalid", "server", c.server.name, "begun", c.request != nil && c.request.Streaming(), "after", now-c.sentAt, "events", c.events, "err", err)
@@ -266,7 +266,7 @@
 		outcome := policy.Broken
 		switch {
 		case spoilt:
-		case c.exit.keeper.Lapsed(c.uses, c.written, c.answered, now-c.sentAt):
+		case c.exit.keeper.Stale(c.uses, c.written, c.answered, now-c.sentAt):
 			outcome = policy.StaleConnection
 			c.exit.Counts.StaleConnections++
 			c.exit.Counts.StaleAfter[restedFor(c.sentAt-c.idleSince)]++
@@ -350,7 +350,7 @@
 	c.conn.Pause(false) // it may have been held back for its last client
 	c.idle, c.idleSince = true, now
 	c.exit.idle.Put(c)
-	c.exit.loop.At(&c.timer, c.exit.keeper.Until(now), c.onTimer)
+	c.exit.loop.At(&c.timer, c.exit.keeper.IdleUntil(now), c.onTimer)
 }
 
 func (c *conn) Closed(now loop.Nanos, err error) {
@@ -363,9 +363,9 @@
 	c.ended(now, false)
 }
 
-// ---- What the dispatcher asks of a attempt.
+// ---- What the dispatcher asks of an attempt.
 
-// End implements dispatch.Sent: closing the connection is how a server learns that a attempt is given up.
+// End implements dispatch.Sent: closing the connection is how a server learns that an attempt is given up.
 func (c *conn) End(loop.Nanos) bool {
 	if c.request == nil {
 		return false
@@ -375,7 +375,7 @@
 	wired := c.ready
 	srv, sent := c.server, c.sentAt
 	c.leave()
-	if wired && pool.Distrust(sent, srv.heardAt) {
+	if wired && serverconn.CloseIdle(sent, srv.heardAt) {
 		srv.closeIdle()
 	}
 	return wired
@@ -392,7 +392,9 @@
 }
 
 // Reached implements dispatch.Sent.
-func (c *conn) Reached() bool { return c.ready && pool.Reached(c.uses, c.sentAt, c.server.heardAt) }
+func (c *conn) Reached() bool {
+	return c.ready && serverconn.Reached(c.uses, c.sentAt, c.server.heardAt)
+}
 
 // Stage implements dispatch.Sent.
 func (c *conn) Stage() dispatch.Stage {
--- a/internal/exit/platform/discovery.go
+++ b/internal/exit/platform/discovery.go
@@ -7,7 +7,7 @@
 	"slices"
 	"strconv"
 
-	decide "docksail/internal/decide/watch"
+	decide "docksail/internal/decide/discovery"
 	"docksail/internal/dispatch"
 	"docksail/internal/h1"
 	"docksail/internal/loop"
@@ -85,7 +85,7 @@
 		return
 	}
 	w := &watch{discovery: s, addr: s.addr, decoder: h1.NewClient(h1.Limits{Head: headMost})}
-	lc, err := s.exit.loop.Dial(s.addr, decide.Connect, w)
+	lc, err := s.exit.loop.Dial(s.addr, decide.ConnectTimeout, w)
 	if err != nil {
 		s.exit.log.Warn("discovery", "at", s.addr, "err", err)
 		s.failures++
@@ -170,7 +170,7 @@
 				err = w.list.feed(data, func(text []byte) error { return w.update(now, text) })
 				if err == nil && !w.over && w.list.between() {
 					w.becomeCurrent()
-					w.expectWithin(now, decide.Quiet)
+					w.expectWithin(now, decide.SilenceLimit)
 				}
 			default:
 				w.refused = err == nil && piece == h1.Start
--- a/internal/exit/platform/exit.go
+++ b/internal/exit/platform/exit.go
@@ -13,11 +13,11 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"docksail/internal/decide/pool"
+	"docksail/internal/decide/serverconn"
 	"docksail/internal/dispatch"
-	"docksail/internal/enlist"
 	"docksail/internal/loop"
 	"docksail/internal/order"
+	"docksail/internal/platformconfig"
 	"docksail/policy"
 )
 
@@ -35,7 +35,7 @@
 	InvalidAnswers, ExtraBytes                 uint64 // answers that could not be read; bytes that belong to none
 	Releases, ReleaseTries, ReleasesLost       uint64
 	Reports, StaleConnections                  uint64
-	ReleasedEarly                              uint64     // states released beside a attempt that may not have come to its server
+	ReleasedEarly                              uint64     // states released beside an attempt that may not have come to its server
 	Rested                                     [12]uint64 // attempts on connections used before, by how long those had rested: under 16 ms, 32, ...
 	StaleAfter                                 [12]uint64 // of these, the ones that lapsed
 	ListUpdates, Watches                       uint64
@@ -73,7 +73,7 @@
 	zones      []string
 	kinds      []string
 	roles      []policy.Role
-	keeper     pool.Keeper
+	keeper     serverconn.Keeper
 	connect    int64
 	maxConns   int // connections
 	conns      int
@@ -85,14 +85,14 @@
 	discovery  discovery
 	rng        *rand.Rand
 	scratch    []byte
-	ways       []pool.Way
+	ways       []serverconn.Candidate
 	number     uint64
 }
 
 // New makes the way to the servers for a dispatcher: at most so many connections, discovery at an address.
-func New(l *loop.Loop, d *dispatch.Dispatcher, log *slog.Logger, m *enlist.Module, most int, discovery netip.AddrPort) *Exit {
-	x := &Exit{loop: l, dispatcher: d, log: log, debug: log.Enabled(context.Background(), slog.LevelDebug), zones: m.Zones, kinds: m.Kinds, roles: m.Roles, maxConns: most, connect: int64(m.Connect),
-		keeper: pool.Keeper{Idle: int64(m.Idle), Release: int64(m.Release)}, byName: make(map[string]*server),
+func New(l *loop.Loop, d *dispatch.Dispatcher, log *slog.Logger, m *platformconfig.Config, most int, discovery netip.AddrPort) *Exit {
+	x := &Exit{loop: l, dispatcher: d, log: log, debug: log.Enabled(context.Background(), slog.LevelDebug), zones: m.Zones, kinds: m.Kinds, roles: m.Roles, maxConns: most, connect: int64(m.ConnectTimeout),
+		keeper: serverconn.Keeper{Idle: int64(m.IdleTimeout), Release: int64(m.ReleaseTime)}, byName: make(map[string]*server),
 		byID: make(map[policy.ServerID]*server), releases: make(map[policy.RequestID]*release)}
 	if x.connect <= 0 {
 		x.connect = usualReach
@@ -103,7 +103,7 @@
 			return a.idleSince < b.idleSince || a.idleSince == b.idleSince && a.number < b.number
 		}}
 	x.rng = rand.New(rand.NewPCG(m.Seed, 0))
-	x.discovery.init(x, discovery, m.Asked)
+	x.discovery.init(x, discovery, m.ListOnRequest)
 	return x
 }
 
@@ -197,7 +197,7 @@
 	return srv != nil && srv.role == policy.Prefill, srv != nil
 }
 
-// Attempt implements dispatch.Exit. A read waits until what was to be released for the request before is gone: a release
+// Send implements dispatch.Exit. A read waits until what was to be released for the request before is gone: a release
 // that came after it would take its state away.
 func (x *Exit) Send(now loop.Nanos, req *dispatch.Request, attempt policy.AttemptNumber) dispatch.Attempt {
 	if r := x.releases[req.ID]; r != nil && req.Prefill {
@@ -265,7 +265,7 @@
 	for {
 		var best *conn
 		for _, c := range srv.conns {
-			if c.idle && srv.x.keeper.Fit(now, c.idleSince) && (best == nil || c.idleSince > best.idleSince) {
+			if c.idle && srv.x.keeper.Usable(now, c.idleSince) && (best == nil || c.idleSince > best.idleSince) {
 				best = c
 			}
 		}
@@ -329,7 +329,7 @@
 		return
 	}
 	x.Counts.Releases++
-	if !pool.MayRelease(len(x.releases)) {
+	if !serverconn.MayRelease(len(x.releases)) {
 		x.Counts.ReleasesLost++
 		return
 	}
@@ -354,11 +354,11 @@
 	x.ways = x.ways[:0]
 	for _, srv := range x.servers {
 		gone := srv.health == policy.Gone
-		x.ways = append(x.ways, pool.Way{Heard: srv.heardAt, Ready: !gone && srv.usableConn(now) != nil,
+		x.ways = append(x.ways, serverconn.Candidate{Heard: srv.heardAt, Ready: !gone && srv.usableConn(now) != nil,
 			Tried: slices.Contains(r.tried, srv.id), Gone: gone})
 	}
-	i := pool.Choose(x.ways)
-	if i < 0 || now >= x.keeper.GiveUp(r.beganAt) {
+	i := serverconn.Choose(x.ways)
+	if i < 0 || now >= x.keeper.ReleaseDeadline(r.beganAt) {
 		x.Counts.ReleasesLost++
 		r.done(now)
 		return
@@ -369,7 +369,7 @@
 	}
 	r.tried = append(r.tried, srv.id)
 	x.Counts.ReleaseTries++
-	x.loop.At(&r.timer, now+x.keeper.Try(), r.onTimer)
+	x.loop.At(&r.timer, now+x.keeper.ReleaseTimeout(), r.onTimer)
 	c := x.connTo(now, srv)
 	if c == nil {
 		return // again when the time is up
--- a/internal/exit/platform/exit_test.go
+++ b/internal/exit/platform/exit_test.go
@@ -11,9 +11,9 @@
 	"time"
 
 	"docksail/internal/dispatch"
-	"docksail/internal/enlist"
 	"docksail/internal/front"
 	"docksail/internal/loop"
+	"docksail/internal/platformconfig"
 	"docksail/policy"
 )
 
@@ -76,8 +76,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	x := New(l, d, log, &enlist.Module{Zones: []string{"z"}, Kinds: []string{"decode"}, Roles: []policy.Role{policy.Decode},
-		Idle: 15e9, Release: 1e9, Connect: 250e6}, 10, netip.AddrPort{})
+	x := New(l, d, log, &platformconfig.Config{Zones: []string{"z"}, Kinds: []string{"decode"}, Roles: []policy.Role{policy.Decode},
+		IdleTimeout: 15e9, ReleaseTime: 1e9, ConnectTimeout: 250e6}, 10, netip.AddrPort{})
 	d.Attach(noClients{}, x)
 	x.Known(0, List{Full: true, Servers: []Server{{ID: "w1", Addr: host.Addr().String(), Zone: "z", Kind: "decode", State: "Ready"}}})
 	done := make(chan error)
--- a/internal/front/grpc/grpc.go
+++ b/internal/front/grpc/grpc.go
@@ -20,7 +20,7 @@
 	"google.golang.org/protobuf/types/known/anypb"
 	"google.golang.org/protobuf/types/known/durationpb"
 
-	"docksail/internal/decide/crowd"
+	"docksail/internal/decide/connlimit"
 	"docksail/internal/front"
 	"docksail/internal/h2"
 	"docksail/internal/loop"
@@ -38,7 +38,7 @@
 	l       *loop.Loop
 	core    front.Core
 	lim     h2.Limits
-	crowd   *crowd.Crowd
+	crowd   *connlimit.Limiter
 	budget  *h2.Budget
 	output  int // bytes queued for one
 	conns   map[*conn]struct{}
@@ -52,14 +52,14 @@
 // Counts are what the door counted since its start.
 type Counts struct {
 	Calls, Bad, Overflows uint64
-	Connections           crowd.Counts
+	Connections           connlimit.Counts
 	PartialRefused        uint64 // messages refused because too much had come in part
 }
 
 // New makes a door; it opens with Listen. partial bounds the bytes of messages that have come in part, over all
 // connections.
 func New(l *loop.Loop, core front.Core, lim h2.Limits, connections, output, partial int) (*Server, error) {
-	c, err := crowd.New(connections)
+	c, err := connlimit.New(connections)
 	if err != nil {
 		return nil, err
 	}
@@ -125,8 +125,8 @@
 }
 
 func (s *Server) accept(lc *loop.Conn, from netip.AddrPort) loop.Handler {
-	source := crowd.Cut(from.Addr().As16())
-	if s.crowd.Come(s.l.Now(), source) != crowd.Taken {
+	source := connlimit.Cut(from.Addr().As16())
+	if s.crowd.Opened(s.l.Now(), source) != connlimit.Accepted {
 		return nil
 	}
 	c := &conn{s: s, lc: lc, from: source}
@@ -145,7 +145,7 @@
 	now   loop.Nanos
 	dirty bool
 	heard bool
-	from  crowd.Source
+	from  connlimit.Source
 	greet loop.Timer
 }
 
@@ -190,7 +190,7 @@
 	c.s.l.Cancel(&c.greet)
 	c.h.Lost()
 	delete(c.s.conns, c)
-	c.s.crowd.Gone(now, c.from)
+	c.s.crowd.Closed(now, c.from)
 }
 
 func (c *conn) flush() {
--- a/internal/front/platform/answer.go
+++ b/internal/front/platform/answer.go
@@ -5,7 +5,7 @@
 	"net/http"
 	"strconv"
 
-	"docksail/internal/decide/peers"
+	"docksail/internal/decide/clientconn"
 	"docksail/internal/front"
 	"docksail/internal/loop"
 	"docksail/policy"
@@ -64,7 +64,7 @@
 	}
 	c.dropBody()
 	c.headSent = false
-	if c.next(); c.stage == peers.Over {
+	if c.next(); c.stage == clientconn.Draining {
 		return
 	}
 	if !c.requestOpen { // what has come meanwhile
--- a/internal/front/platform/server.go
+++ b/internal/front/platform/server.go
@@ -7,7 +7,7 @@
 	"log/slog"
 	"net/netip"
 
-	"docksail/internal/decide/peers"
+	"docksail/internal/decide/clientconn"
 	"docksail/internal/front"
 	"docksail/internal/h1"
 	"docksail/internal/loop"
@@ -97,7 +97,7 @@
 func (s *Server) Leave() {
 	s.draining = true
 	var t loop.Timer
-	s.loop.At(&t, peers.LeaveAfter(s.loop.Now()), func(now loop.Nanos) {
+	s.loop.At(&t, clientconn.LeaveAfter(s.loop.Now()), func(now loop.Nanos) {
 		s.listener.Finish()
 		s.closed = true
 		resting := &s.byStage[1]
@@ -106,7 +106,7 @@
 			c.now = now
 			c.next()
 		}
-		s.loop.At(&t, peers.RefuseAfter(now), func(loop.Nanos) { s.refusing = true })
+		s.loop.At(&t, clientconn.RefuseAfter(now), func(loop.Nanos) { s.refusing = true })
 		s.loop.Again()
 	})
 }
@@ -121,9 +121,9 @@
 
 // next has the connection stand for what follows when no request of it is in hand.
 func (c *conn) next() {
-	stage := peers.Next(c.closeAfter, c.server.closed, c.server.closed && (c.waiting() > 0 || !c.conn.Quiet()))
+	stage := clientconn.Victim(c.closeAfter, c.server.closed, c.server.closed && (c.waiting() > 0 || !c.conn.Quiet()))
 	c.stand(stage)
-	if stage == peers.Over {
+	if stage == clientconn.Draining {
 		c.conn.EndOutput()
 		c.conn.Pause(false)
 	}
@@ -148,10 +148,10 @@
 	s.Counts.Crowded++
 	silent, resting := s.firstQuiet(&s.byStage[0]), s.firstQuiet(&s.byStage[1])
 	var c *conn
-	switch peers.Crowded(s.loop.Now(), silent.checkTimer(), resting.checkTimer()) {
-	case peers.FirstSilent:
+	switch clientconn.Crowded(s.loop.Now(), silent.checkTimer(), resting.checkTimer()) {
+	case clientconn.FirstSilent:
 		c = silent
-	case peers.FirstResting:
+	case clientconn.FirstResting:
 		c = resting
 	default:
 		return false
@@ -164,9 +164,9 @@
 // firstQuiet gives the connection of a kind that has stood longest, passing over those with bytes that are not read or an
 // answer that is not taken yet: to close one would reset it. nil if there is none among the first few.
 func (s *Server) firstQuiet(stage *order.Heap[*conn]) (found *conn) {
-	var passed [peers.CrowdTries]*conn
+	var passed [clientconn.CrowdTries]*conn
 	n := 0
-	for ; n < peers.CrowdTries && stage.Len() > 0 && found == nil; n++ {
+	for ; n < clientconn.CrowdTries && stage.Len() > 0 && found == nil; n++ {
 		c := stage.Min()
 		if c.conn.Quiet() && c.conn.Queued() == 0 {
 			found = c
@@ -196,7 +196,7 @@
 	decoder        h1.Decoder
 	feed           h1.Feeder
 	number         uint64
-	stage          peers.Stage
+	stage          clientconn.Stage
 	stageSince     loop.Nanos // it has stood so
 	requestSince   loop.Nanos // the first byte of the request under way, or of what waits behind the one in hand
 	unsent         int        // bytes of the last answer that waited when it was looked at last ...
@@ -218,25 +218,25 @@
 }
 
 // heap in which a connection of a stage stands; nil = none.
-func (s *Server) heap(stage peers.Stage) *order.Heap[*conn] {
+func (s *Server) heap(stage clientconn.Stage) *order.Heap[*conn] {
 	switch stage {
-	case peers.Silent, peers.Part:
+	case clientconn.Silent, clientconn.Partial:
 		return &s.byStage[0]
-	case peers.Resting:
+	case clientconn.Resting:
 		return &s.byStage[1]
-	case peers.Over:
+	case clientconn.Draining:
 		return &s.byStage[2]
 	}
 	return nil
 }
 
 // stand takes down what the connection is about from now on: the turn's time, as it may be a server that brought it about.
-func (c *conn) stand(stage peers.Stage) {
+func (c *conn) stand(stage clientconn.Stage) {
 	c.now = c.server.loop.Now()
 	if h := c.server.heap(c.stage); h != nil && c.heapIndex > 0 {
 		h.Take(c)
 	}
-	if c.stage != peers.Silent || stage != peers.Part { // a first request counts from when its client connected
+	if c.stage != clientconn.Silent || stage != clientconn.Partial { // a first request counts from when its client connected
 		c.stageSince = c.now
 	}
 	c.stage = stage
@@ -244,7 +244,7 @@
 	if h := c.server.heap(stage); h != nil {
 		h.Put(c)
 	}
-	if at := peers.Until(stage, c.stageSince); at > 0 {
+	if at := clientconn.StageEnds(stage, c.stageSince); at > 0 {
 		c.server.loop.At(&c.timer, max(at, c.now+1), c.onTimer)
 	} else {
 		c.server.loop.Cancel(&c.timer)
@@ -255,15 +255,15 @@
 func (c *conn) due(now loop.Nanos) {
 	c.now = now
 	switch {
-	case c.stage == peers.Part:
+	case c.stage == clientconn.Partial:
 		c.refuse(408, "the request did not come in time")
-	case c.stage == peers.Resting:
+	case c.stage == clientconn.Resting:
 		c.closeAfter = true
 		c.next()
-	case c.stage == peers.Silent && !c.conn.Quiet():
-		c.server.loop.At(&c.timer, now+peers.UnreadAgain, c.onTimer)
-	case c.stage == peers.Over && c.lingers():
-		c.server.loop.At(&c.timer, peers.Until(peers.Over, now), c.onTimer)
+	case c.stage == clientconn.Silent && !c.conn.Quiet():
+		c.server.loop.At(&c.timer, now+clientconn.UnreadAgain, c.onTimer)
+	case c.stage == clientconn.Draining && c.lingers():
+		c.server.loop.At(&c.timer, clientconn.StageEnds(clientconn.Draining, now), c.onTimer)
 	default:
 		c.conn.Close()
 	}
@@ -275,26 +275,26 @@
 	if waiting < c.unsent {
 		c.unsent, c.taken = waiting, c.now
 	}
-	return peers.Lingers(c.now, c.stageSince, c.taken, waiting)
+	return clientconn.LingersOn(c.now, c.stageSince, c.taken, waiting)
 }
 
 func (c *conn) Opened(now loop.Nanos) {
 	c.now = now
-	c.stand(peers.Silent)
+	c.stand(clientconn.Silent)
 }
 
 func (c *conn) Data(now loop.Nanos, p []byte) {
 	c.now = now
-	if c.stage == peers.Over {
-		if c.discarded += int64(len(p)); c.discarded > peers.Discard {
+	if c.stage == clientconn.Draining {
+		if c.discarded += int64(len(p)); c.discarded > clientconn.Discard {
 			c.conn.Close()
 		}
 		return
 	}
-	if c.stage != peers.Part && c.feed.Waiting() == 0 {
+	if c.stage != clientconn.Partial && c.feed.Waiting() == 0 {
 		c.requestSince = now
 	}
-	if c.stage == peers.Busy && c.feed.Waiting()+len(p) > pipelined {
+	if c.stage == clientconn.Busy && c.feed.Waiting()+len(p) > pipelined {
 		c.conn.Pause(true)
 	}
 	c.pull(p)
@@ -308,12 +308,12 @@
 
 // take takes requests from the front of p as long as none is in hand.
 func (c *conn) take(p []byte) (n int) {
-	for !c.gone && c.stage != peers.Busy {
-		if c.stage == peers.Over {
+	for !c.gone && c.stage != clientconn.Busy {
+		if c.stage == clientconn.Draining {
 			return len(p)
 		}
-		if n < len(p) && c.decoder.Between() && c.stage != peers.Part {
-			c.stand(peers.Part)
+		if n < len(p) && c.decoder.Between() && c.stage != clientconn.Partial {
+			c.stand(clientconn.Partial)
 		}
 		piece, data, k, err := c.decoder.Next(p[n:])
 		n += k
@@ -416,7 +416,7 @@
 		return
 	}
 	c.server.Counts.Requests++
-	c.stand(peers.Busy)
+	c.stand(clientconn.Busy)
 	if c.server.refusing {
 		c.dropBody()
 		c.Reject(0, front.Refusal{Reason: "the dispatcher leaves"})
--- a/internal/front/platform/server_test.go
+++ b/internal/front/platform/server_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"docksail/internal/decide/peers"
+	"docksail/internal/decide/clientconn"
 	"docksail/internal/front"
 	"docksail/internal/loop"
 	"docksail/policy"
@@ -131,7 +131,9 @@
 	c := v.client()
 	length := v.stuffed(c, "Connection: close\r\n")
 	call := v.core.calls[0].(*conn)
-	v.until("the connection's time is up", func() bool { return call.gone || v.l.Now() > peers.Until(peers.Over, call.stageSince)+100e6 })
+	v.until("the connection's time is up", func() bool {
+		return call.gone || v.l.Now() > clientconn.StageEnds(clientconn.Draining, call.stageSince)+100e6
+	})
 	if got := wholeAnswer(t, c); got != length {
 		t.Errorf("%d bytes, want %d", got, length)
 	}
@@ -161,7 +163,7 @@
 	v.on(func() {
 		var first loop.Timer // fires in the same turn, before the connection's own
 		silent := v.s.byStage[0].Min()
-		v.l.At(&first, peers.Until(peers.Silent, silent.stageSince)-1, func(loop.Nanos) { io.WriteString(c, request("")) })
+		v.l.At(&first, clientconn.StageEnds(clientconn.Silent, silent.stageSince)-1, func(loop.Nanos) { io.WriteString(c, request("")) })
 	})
 	v.until("the request", func() bool { return len(v.core.calls) == 1 || v.s.Conns() == 0 })
 	if len(v.core.calls) != 1 {
--- a/internal/h2/frames.go
+++ b/internal/h2/frames.go
@@ -10,14 +10,14 @@
 	"golang.org/x/net/http2/hpack"
 	"google.golang.org/grpc/codes"
 
-	"docksail/internal/decide/flood"
+	"docksail/internal/decide/abuse"
 )
 
 func sortStreams(list []*Stream) {
 	slices.SortFunc(list, func(a, b *Stream) int { return cmp.Compare(a.id, b.id) })
 }
 
-var calm = func(a flood.Act) error {
+var calm = func(a abuse.Act) error {
 	return connError{http2.ErrCodeEnhanceYourCalm, "too many " + a.String()}
 }
 
@@ -42,8 +42,8 @@
 		c.headID, c.headEnd = f.StreamID, f.StreamEnded()
 		return c.fragment(f.HeaderBlockFragment(), f.HeadersEnded())
 	case *http2.ContinuationFrame:
-		if len(f.HeaderBlockFragment()) == 0 && !c.guard.Allow(c.now, flood.Empty) {
-			return calm(flood.Empty)
+		if len(f.HeaderBlockFragment()) == 0 && !c.guard.Allow(c.now, abuse.Empty) {
+			return calm(abuse.Empty)
 		}
 		return c.fragment(f.HeaderBlockFragment(), f.HeadersEnded())
 	case *http2.SettingsFrame:
@@ -69,8 +69,8 @@
 	case *http2.PushPromiseFrame:
 		return connError{http2.ErrCodeProtocol, "push is not allowed"}
 	default: // PRIORITY, unknown kinds
-		if !c.guard.Allow(c.now, flood.Empty) {
-			return calm(flood.Empty)
+		if !c.guard.Allow(c.now, abuse.Empty) {
+			return calm(abuse.Empty)
 		}
 		return nil
 	}
@@ -86,8 +86,8 @@
 		}
 		return nil
 	}
-	if c.settled && !c.guard.Allow(c.now, flood.Settings) {
-		return calm(flood.Settings)
+	if c.settled && !c.guard.Allow(c.now, abuse.Settings) {
+		return calm(abuse.Settings)
 	}
 	c.settled = true
 	err := f.ForeachSetting(func(s http2.Setting) error {
@@ -126,8 +126,8 @@
 }
 
 func (c *Conn) update(f *http2.WindowUpdateFrame) error {
-	if !c.guard.Allow(c.now, flood.Update) {
-		return calm(flood.Update)
+	if !c.guard.Allow(c.now, abuse.Update) {
+		return calm(abuse.Update)
 	}
 	if f.StreamID == 0 {
 		if c.sendWin += int64(f.Increment); c.sendWin > 1<<31-1 {
@@ -161,8 +161,8 @@
 		if c.idle(f.StreamID) {
 			return connError{http2.ErrCodeProtocol, "reset of an idle stream"}
 		}
-		if !c.guard.Allow(c.now, flood.Crossed) {
-			return calm(flood.Crossed)
+		if !c.guard.Allow(c.now, abuse.Crossed) {
+			return calm(abuse.Crossed)
 		}
 		return nil
 	}
@@ -172,16 +172,16 @@
 	if !ending {
 		c.app.Reset(s, f.ErrCode, f.ErrCode == http2.ErrCodeRefusedStream)
 	}
-	if c.server && !c.guard.Allow(c.now, flood.Reset) {
-		return calm(flood.Reset)
+	if c.server && !c.guard.Allow(c.now, abuse.Reset) {
+		return calm(abuse.Reset)
 	}
 	return nil
 }
 
 func (c *Conn) ping(f *http2.PingFrame) error {
 	if !f.IsAck() {
-		if !c.guard.Allow(c.now, flood.Ping) {
-			return calm(flood.Ping)
+		if !c.guard.Allow(c.now, abuse.Ping) {
+			return calm(abuse.Ping)
 		}
 		return c.fr.WritePing(true, f.Data)
 	}
@@ -194,8 +194,8 @@
 	case alivePing:
 		c.app.Pong()
 	default:
-		if !c.guard.Allow(c.now, flood.Ping) {
-			return calm(flood.Ping)
+		if !c.guard.Allow(c.now, abuse.Ping) {
+			return calm(abuse.Ping)
 		}
 	}
 	return nil
@@ -232,8 +232,8 @@
 	p := f.Data()
 	if len(p) > 0 {
 		c.guard.Used()
-	} else if !f.StreamEnded() && !c.guard.Allow(c.now, flood.Empty) {
-		return calm(flood.Empty)
+	} else if !f.StreamEnded() && !c.guard.Allow(c.now, abuse.Empty) {
+		return calm(abuse.Empty)
 	}
 	s.credit(n - int64(len(p))) // padding
 	if s.got += int64(len(p)); s.length >= 0 && (s.got > s.length || f.StreamEnded() && s.got != s.length) {
@@ -426,8 +426,8 @@
 		return nil
 	}
 	if uint32(len(c.streams)) >= c.lim.Streams {
-		if !c.guard.Allow(c.now, flood.Fault) {
-			return calm(flood.Fault)
+		if !c.guard.Allow(c.now, abuse.Fault) {
+			return calm(abuse.Fault)
 		}
 		c.fr.WriteRSTStream(id, http2.ErrCodeRefusedStream)
 		return nil
--- a/internal/h2/h2.go
+++ b/internal/h2/h2.go
@@ -18,7 +18,7 @@
 	"golang.org/x/net/http2/hpack"
 	"google.golang.org/grpc/codes"
 
-	"docksail/internal/decide/flood"
+	"docksail/internal/decide/abuse"
 )
 
 // Limits bound what one connection may hold.
@@ -121,7 +121,7 @@
 	dec       *hpack.Decoder
 	enc       *hpack.Encoder
 	encBuf    bytes.Buffer
-	guard     flood.Guard
+	guard     abuse.Guard
 	streams   map[uint32]*Stream
 	free      []*Stream
 	line      []*Stream // streams with output that waits for a window or for the socket, in turn
@@ -327,7 +327,7 @@
 	var mine connError
 	switch {
 	case errors.As(err, &se):
-		if !c.guard.Allow(c.now, flood.Fault) {
+		if !c.guard.Allow(c.now, abuse.Fault) {
 			c.fail(connError{http2.ErrCodeEnhanceYourCalm, "too many stream errors"})
 			return
 		}
--- a/internal/lab/drill/stage.go
+++ b/internal/lab/drill/stage.go
@@ -14,7 +14,7 @@
 	"time"
 
 	pb "docksail/api/docksail/v1"
-	"docksail/internal/decide/door"
+	"docksail/internal/decide/admission"
 	"docksail/internal/dispatch"
 	"docksail/internal/lab/book"
 	"docksail/internal/lab/client"
@@ -312,7 +312,7 @@
 	Entries    []book.Entry
 	Counts     dispatch.Counts
 	Launches   int
-	Doors      []door.Counts // by dispatcher, by tenant
+	Doors      []admission.Counts // by dispatcher, by tenant
 	Took       time.Duration
 }
 
@@ -365,7 +365,7 @@
 	}
 	wg.Wait()
 	time.Sleep(s.Release + 300*time.Millisecond) // what is held has to have gone by then
-	var doors []door.Counts
+	var doors []admission.Counts
 	for n := range st.disp {
 		if r := st.Dispatcher(n); r != nil {
 			r.Ask(func(d *dispatch.Dispatcher) {
@@ -576,16 +576,16 @@
 		"%d guarded\n", c.Attempts, c.Cancels, c.TimedOut, c.Broken, c.Releases, c.Reports, c.LateReports, c.Refused, c.InvalidDecisions)
 	doors := r.Doors
 	if len(doors) > 8 { // their sum tells more than a page of them
-		var sum door.Counts
+		var sum admission.Counts
 		for _, c := range doors {
 			sum.Add(c)
 		}
-		doors = []door.Counts{sum}
+		doors = []admission.Counts{sum}
 	}
 	for i, c := range doors {
-		if c.Came > 0 {
+		if c.Arrived > 0 {
 			fmt.Fprintf(w, "door %d: %d came, %d admitted, %d cancelled, refused %v, mean wait %d ms, longest %d ms, booked %d, returned %d, kept %d, not honoured %d\n",
-				i, c.Came, c.Admitted, c.Cancelled, c.Refused, c.Waited/int64(max(c.Admitted, 1))/1e6, c.Longest/1e6, c.Booked, c.Returned, c.Kept, c.Unbooked)
+				i, c.Arrived, c.Admitted, c.Cancelled, c.Refused, c.Waited/int64(max(c.Admitted, 1))/1e6, c.Longest/1e6, c.Booked, c.Returned, c.KeptBookings, c.WithoutBooking)
 		}
 	}
 	back, kept := 0, 0
--- a/internal/node/crossing_test.go
+++ b/internal/node/crossing_test.go
@@ -191,7 +191,7 @@
 	})
 }
 
-// Idle clients that fill the descriptors while discovery is away leave one for the watch, and for those that ask. It is the
+// TestIdleClientsWhileDiscoveryIsAway clients that fill the descriptors while discovery is away leave one for the watch, and for those that ask. It is the
 // system's limits that matter here: sockets, not simulated ones.
 func TestIdleClientsWhileDiscoveryIsAway(t *testing.T) {
 	s := newStage(t)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -9,13 +9,13 @@
 	"runtime/metrics"
 	"time"
 
-	"docksail/internal/decide/peers"
-	"docksail/internal/decide/watch"
+	"docksail/internal/decide/clientconn"
+	"docksail/internal/decide/discovery"
 	"docksail/internal/dispatch"
-	"docksail/internal/enlist"
 	exit "docksail/internal/exit/platform"
 	front "docksail/internal/front/platform"
 	"docksail/internal/loop"
+	"docksail/internal/platformconfig"
 	"docksail/policy"
 )
 
@@ -50,18 +50,18 @@
 
 // New makes a dispatcher on a loop by what it was told.
 func New(l *loop.Loop, t *Config, life uint64, log *slog.Logger) (*Node, error) {
-	m, err := enlist.New(t.seed(), t.Settings)
+	m, err := platformconfig.New(t.seed(), t.Settings)
 	if err != nil {
 		return nil, err
 	}
-	clients, hosts := peers.Shares(t.Limits.Sockets)
+	clients, hosts := clientconn.DescriptorShares(t.Limits.Sockets)
 	memory := t.Limits.Memory << 20
 	most := max(int(heapShare*float64(memory)/2/requestBytes), 16)
-	n := &Node{loop: l, log: log, module: m.Module, done: make(chan struct{})}
-	if n.dispatcher, err = dispatch.Direct(l, log, m.Module, m.Tracks, m.Terms, m.Tenant, most, maxPromptTokens, int64(m.Advice), silenceLimit, life); err != nil {
+	n := &Node{loop: l, log: log, module: m.Policy, done: make(chan struct{})}
+	if n.dispatcher, err = dispatch.Direct(l, log, m.Policy, m.ClassNames, m.Classes, m.Tenant, most, maxPromptTokens, int64(m.MaxRetryAfter), silenceLimit, life); err != nil {
 		return nil, err
 	}
-	n.front = front.New(l, n.dispatcher, log, clients, peers.Bodies(memory), n.dispatcher.Known)
+	n.front = front.New(l, n.dispatcher, log, clients, clientconn.BodyMemory(memory), n.dispatcher.Known)
 	n.exit = exit.New(l, n.dispatcher, log, m, hosts, t.Discovery)
 	n.dispatcher.Attach(n.front, n.exit)
 	n.exit.Known(l.Now(), t.Known)
@@ -72,7 +72,7 @@
 	open := func() { n.front.Hold(false) }
 	n.exit.OnNews(open)
 	var late loop.Timer
-	l.At(&late, l.Now()+watch.First, func(loop.Nanos) { open() })
+	l.At(&late, l.Now()+discovery.FirstListTimeout, func(loop.Nanos) { open() })
 	return n, nil
 }
 
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -139,7 +139,7 @@
 	}
 }
 
-// A stream spoilt before its first event is a attempt that failed; one spoilt later ends the client's connection without
+// A stream spoilt before its first event is an attempt that failed; one spoilt later ends the client's connection without
 // the last chunk; one with more than belongs to it serves, and its connection is not used again.
 func TestSpoiltStreams(t *testing.T) {
 	for what, c := range map[string]struct {
@@ -466,7 +466,7 @@
 	}
 }
 
-// Servers that drop kept connections without a word cost a attempt, not their standing: a session stays at its prefill server.
+// Servers that drop kept connections without a word cost an attempt, not their standing: a session stays at its prefill server.
 func TestKeptConnectionsThatDied(t *testing.T) {
 	s := newStage(t)
 	s.terms = []string{`"connect_timeout_ns":250000000`, `"connect_timeout_ns":10000000000`} // a reset counts as come at once within a fiftieth
--- a/internal/enlist/enlist.go
+++ b/internal/platformconfig/platformconfig.go
@@ -1,6 +1,6 @@
-// Package enlist makes a decision module from the settings object that the platform gives a dispatcher, in the simulator's
+// Package platformconfig makes a decision module from the settings object that the platform gives a dispatcher, in the simulator's
 // first message and in the configuration of a real one alike.
-package enlist
+package platformconfig
 
 import (
 	"encoding/json"
@@ -10,8 +10,8 @@
 	"docksail/policy"
 )
 
-// told is the part of the object that the decisions need; unknown keys are passed over.
-type told struct {
+// settings is the part of the object that the decisions need; unknown keys are passed over.
+type settings struct {
 	Family struct {
 		AimPer1k []float64 `json:"aim_us_per_1000_prompt_tokens"`
 		Release  *int64    `json:"release_ns"`
@@ -66,27 +66,27 @@
 		"cell": policy.GroupCell}
 )
 
-// Module is a decision module and what the server that drives it has to know beside.
-type Module struct {
-	Module *policy.Dispatcher
-	Zones  []string // names by number
-	Kinds  []string
-	Roles  []policy.Role // of the kinds
-	Tracks []string
-	Terms  []policy.Class // of the classes
-	Tenant []string
+// Config is a decision module and what the server that drives it has to know beside.
+type Config struct {
+	Policy     *policy.Dispatcher
+	Zones      []string // names by number
+	Kinds      []string
+	Roles      []policy.Role // of the kinds
+	ClassNames []string
+	Classes    []policy.Class // of the classes
+	Tenant     []string
 
-	Seed    uint64       // of all chance
-	Release policy.Nanos // nothing is held longer for a request that is over
-	Advice  policy.Nanos // longest
-	Idle    policy.Nanos // a server ends a connection that stood idle so long; 0 = not told
-	Connect policy.Nanos // a connection is made in that time or not at all; 0 = not told
-	Asked   bool         // lists of servers are asked for, not pushed
+	Seed           uint64       // of all chance
+	ReleaseTime    policy.Nanos // nothing is held longer for a request that is over
+	MaxRetryAfter  policy.Nanos // longest
+	IdleTimeout    policy.Nanos // a server ends a connection that stood idle so long; 0 = not told
+	ConnectTimeout policy.Nanos // a connection is made in that time or not at all; 0 = not told
+	ListOnRequest  bool         // lists of servers are asked for, not pushed
 }
 
 // New makes a module from the object.
-func New(seed uint64, text []byte) (*Module, error) {
-	var s told
+func New(seed uint64, text []byte) (*Config, error) {
+	var s settings
 	if err := json.Unmarshal(text, &s); err != nil {
 		return nil, fmt.Errorf("setup: %w", err)
 	}
@@ -96,7 +96,7 @@
 	if s.Family.Release == nil {
 		return nil, fmt.Errorf("setup: family_info.release_ns is missing")
 	}
-	m := &Module{Zones: s.Zones, Kinds: s.Kinds}
+	m := &Config{Zones: s.Zones, Kinds: s.Kinds}
 	for _, name := range s.Family.Roles {
 		role, ok := roles[name]
 		if !ok {
@@ -121,8 +121,8 @@
 		if i < len(s.Family.TokenGap) {
 			t.TokenGap = policy.Nanos(s.Family.TokenGap[i])
 		}
-		m.Terms = append(m.Terms, t)
-		m.Tracks = append(m.Tracks, c.Name)
+		m.Classes = append(m.Classes, t)
+		m.ClassNames = append(m.ClassNames, c.Name)
 	}
 	var tenants []policy.Tenant
 	for _, t := range s.Tenants {
@@ -131,7 +131,7 @@
 	}
 	d, err := policy.New(seed,
 		policy.Identity{Number: s.Me, Count: s.Siblings, Zone: policy.ZoneID(slices.Index(s.Zones, s.Zone))},
-		m.Terms, tenants, m.Roles,
+		m.Classes, tenants, m.Roles,
 		policy.ColdStart{From: s.Rules.ColdFrom, Warm: policy.Nanos(s.Rules.Cold), Multiple: s.Rules.Multiple,
 			Window: policy.Nanos(s.Rules.Fall)},
 		policy.AttemptLimits{Most: s.Limits.Most, Cancel: s.Limits.Cancel, DecodeReads: s.Family.PensRead},
@@ -142,8 +142,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("setup: %w", err)
 	}
-	m.Module, m.Seed, m.Release, m.Advice = d, seed, policy.Nanos(*s.Family.Release), policy.Nanos(s.Limits.MaxAdvice)
-	m.Idle, m.Connect, m.Asked = policy.Nanos(s.Limits.Idle), policy.Nanos(s.Limits.Connect), s.Mode == "on_request"
+	m.Policy, m.Seed, m.ReleaseTime, m.MaxRetryAfter = d, seed, policy.Nanos(*s.Family.Release), policy.Nanos(s.Limits.MaxAdvice)
+	m.IdleTimeout, m.ConnectTimeout, m.ListOnRequest = policy.Nanos(s.Limits.Idle), policy.Nanos(s.Limits.Connect), s.Mode == "on_request"
 	return m, nil
 }
 
--- a/internal/setup/setup.go
+++ b/internal/setup/setup.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"docksail/internal/decide/door"
+	"docksail/internal/decide/admission"
 	"docksail/internal/state/fleet"
 	"docksail/policy"
 )
@@ -292,17 +292,17 @@
 }
 
 // Door gives what tenants may do at the door; where the settings name none, all jobs are one tenant's.
-func (s *Dispatcher) Door() []door.Tenant {
+func (s *Dispatcher) Door() []admission.Tenant {
 	if len(s.Tenants) == 0 {
-		return []door.Tenant{{Weight: 1}}
+		return []admission.Tenant{{Weight: 1}}
 	}
-	var ts []door.Tenant
+	var ts []admission.Tenant
 	for _, t := range s.Tenants {
 		w := t.Weight
 		if w == 0 {
 			w = t.PerSecond
 		}
-		ts = append(ts, door.Tenant{Weight: w, Rate: t.Rate, Waiting: t.Waiting, Running: t.Running, PromptMax: t.Prompt})
+		ts = append(ts, admission.Tenant{Weight: w, Rate: t.Rate, Waiting: t.Waiting, Running: t.Running, PromptMax: t.Prompt})
 	}
 	return ts
 }
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -11,7 +11,7 @@
 	"slices"
 	"strconv"
 
-	"docksail/internal/enlist"
+	"docksail/internal/platformconfig"
 	"docksail/policy"
 )
 
@@ -19,7 +19,7 @@
 
 // instance is one dispatcher and the names it was given, by their numbers.
 type instance struct {
-	*enlist.Module
+	*platformconfig.Config
 	d       *policy.Dispatcher
 	touched bool
 	failed  string
@@ -270,7 +270,7 @@
 			f.bad("gauge", pair)
 			return load
 		}
-		enlist.Report(&load, string(key), x)
+		platformconfig.Report(&load, string(key), x)
 	}
 	return load
 }
@@ -293,11 +293,11 @@
 		if err != nil {
 			return fmt.Errorf("ENLIST: entropy: %w", err)
 		}
-		m, err := enlist.New(seed, h.rest)
+		m, err := platformconfig.New(seed, h.rest)
 		if err != nil {
 			return fmt.Errorf("ENLIST: %w", err)
 		}
-		fresh := &instance{Module: m, d: m.Module, touched: true}
+		fresh := &instance{Config: m, d: m.Policy, touched: true}
 		if in == nil {
 			h.touched = append(h.touched, n)
 		}
@@ -366,7 +366,7 @@
 	if in == nil {
 		return f.err
 	}
-	job.Class = policy.ClassID(f.named("tier_class", in.Tracks, h.rest))
+	job.Class = policy.ClassID(f.named("tier_class", in.ClassNames, h.rest))
 	job.Tenant = -1
 	if s := string(project); s != "-" && s != "0" && len(in.Tenant) > 0 {
 		job.Tenant = policy.TenantID(f.named("project", in.Tenant, project))
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -47,7 +47,7 @@
 		begin + "SYNC 2\nVERDICT 3 9 0 11 Fine 1 0 0 -\nEOB\n":                            `rc cannot be "Fine"`,
 		begin + "SYNC 2\nFLEET 3 update 2 1\nENTRY 11 b r 0 IN 1 -\nEOB\n":                `site cannot be "b"`,
 		strings.Replace(begin, `"release_ns":500000000,`, "", 1):                          "release_ns is missing",
-		strings.Replace(begin, `"on_time_ns":1000000000`, `"on_time_ns":0`, 1):            "expected time 0",
+		strings.Replace(begin, `"on_time_ns":1000000000`, `"on_time_ns":0`, 1):            "target 0",
 		strings.Replace(begin, `"role_by_kind":["read","write"]`, `"role_by_kind":[]`, 1): "role_by_kind has 0 entries",
 	} {
 		var out strings.Builder
--- a/internal/state/jobs/jobs.go
+++ b/internal/state/requests/requests.go
@@ -1,7 +1,7 @@
 // Package requests keeps the requests that a dispatcher has in hand, in a slab with reused places, and with each the
 // account of what is owed for it: a final answer, once, and the end of the attempt that is out, of which there
 // is at most one. What would break the account is refused with an error, whoever asks for it.
-package jobs
+package requests
 
 import (
 	"errors"
@@ -39,7 +39,7 @@
 // Answered tells that nothing more is owed to the client.
 func (a *Record) Answered() bool { return a.answered }
 
-// Attempt takes down a attempt and gives its number.
+// BeginAttempt records that an attempt is sent and gives its number.
 func (a *Record) BeginAttempt() (policy.AttemptNumber, error) {
 	switch {
 	case a.out:
@@ -58,7 +58,7 @@
 // Attempts counts the attempts so far.
 func (a *Record) Attempts() int32 { return a.attempts }
 
-// EndAttempt takes down the end of a attempt.
+// EndAttempt takes down the end of an attempt.
 func (a *Record) EndAttempt(shot policy.AttemptNumber) error {
 	if !a.out || shot != a.current {
 		return ErrNotOut
--- a/internal/state/jobs/jobs_test.go
+++ b/internal/state/requests/requests_test.go
@@ -1,4 +1,4 @@
-package jobs
+package requests
 
 import (
 	"testing"
