--- a/policy/policy.go
+++ b/policy/policy.go
@@ -27,8 +27,9 @@
 	comparableStreams = 4
 	// replicaSpread is the number of replicas of a prefix, per server that its requests would keep busy.
 	replicaSpread = 1.5
-	// extraReplicas are added while little is known: where prefixes are few, one replica becomes a hot spot.
-	extraReplicas = 2
+	// extraReplicas are added while fewer requests than servers were seen. It guards against hot spots where a
+	// few prefixes make most of the load and each dispatcher has seen too little of it to tell.
+	extraReplicas = 4
 	// loadReportTargets is the time, in shortest targets, over which a server's report loses its weight.
 	loadReportTargets = 8
 )
