--- a/cmd/docksail/node.go
+++ b/cmd/docksail/node.go
@@ -56,7 +56,7 @@
 				case s := <-signals:
 					if s != syscall.SIGHUP {
 						log.Info("leaving", "signal", s.String())
-						n.Leave()
+						n.Drain()
 						continue
 					}
 					changed, err := node.Load(os.Getenv)
--- a/internal/decide/clientconn/clientconn.go
+++ b/internal/decide/clientconn/clientconn.go
@@ -6,32 +6,32 @@
 type Stage uint8
 
 const (
-	Silent   Stage = iota // nothing has come on it yet
-	Partial               // a request has come in part
-	Busy                  // a request of it is in hand
-	Resting               // between requests
-	Draining              // it has had its last answer: what still comes is thrown away
+	Silent    Stage = iota // nothing has come on it yet
+	Partial                // a request has come in part
+	Busy                   // a request of it is in hand
+	Resting                // between requests
+	Lingering              // it has had its last answer: what still comes is thrown away
 )
 
 const (
 	second = int64(1e9)
 	// A client that means it sends its request with its connection; others hold a descriptor for nothing. They are to
 	// hear within 3 s of connecting.
-	beginWithin = 2 * second
+	firstByteTimeout = 2 * second
 	// A request whose bytes stop coming is answered for, also within 3 s of connecting if it is the first.
-	partWithin = 5 * second / 2
+	requestTimeout = 5 * second / 2
 	// Large bodies that nobody wants may still come for so long after the answer, so that it is not lost to a reset.
-	discardWithin = 3 * second
+	lingerTimeout = 3 * second
 	// Clients keep connections for their next request; one that asked once and never again goes after some time.
-	restWithin = 30 * second
+	idleTimeout = 30 * second
 	// A connection between requests may be closed after this; before, its client may be about to ask.
-	restLeast = 2 * second
+	minIdle = 2 * second
 	// A client may be slow to take its last answer; one that takes nothing of it for so long is gone.
-	takeWithin = 15 * second
+	unreadTimeout = 15 * second
 	// However slowly it takes it, a last answer has so long in all: some would hold a descriptor for ever by a byte now and then.
-	lingerMost = 60 * second
+	maxLinger = 60 * second
 	// In a crowd a client that has said nothing for so long is taken for one that never will.
-	silentLeast = second / 4
+	minSilent = second / 4
 )
 
 // Discard is how many bytes are thrown away on a connection that is over.
@@ -41,21 +41,21 @@
 func StageEnds(stage Stage, since int64) int64 {
 	switch stage {
 	case Silent:
-		return since + beginWithin
+		return since + firstByteTimeout
 	case Partial:
-		return since + partWithin
+		return since + requestTimeout
 	case Resting:
-		return since + restWithin
-	case Draining:
-		return since + discardWithin
+		return since + idleTimeout
+	case Lingering:
+		return since + lingerTimeout
 	}
 	return 0
 }
 
-// LingersOn tells that a connection that is over stays beyond its time: so many bytes of its last answer still wait for the
+// KeepLingering tells that a connection that is over stays beyond its time: so many bytes of its last answer still wait for the
 // client, which last took some at that time; over is since when the connection is.
-func LingersOn(now, over, taken int64, waiting int) bool {
-	return waiting > 0 && now-taken < takeWithin && now-over < lingerMost
+func KeepLingering(now, over, taken int64, waiting int) bool {
+	return waiting > 0 && now-taken < unreadTimeout && now-over < maxLinger
 }
 
 // UnreadAgain is how long after its time a connection is looked at again on which something came in that moment: by then it
@@ -79,9 +79,9 @@
 // whose first request has not been read yet fails. It guards against crowds that would have usual clients shut out.
 func Crowded(now, silent, resting int64) Choice {
 	switch {
-	case silent > 0 && now-silent >= silentLeast:
+	case silent > 0 && now-silent >= minSilent:
 		return FirstSilent
-	case resting > 0 && now-resting >= restLeast:
+	case resting > 0 && now-resting >= minIdle:
 		return FirstResting
 	case silent > 0 && resting == 0:
 		return FirstSilent
@@ -98,14 +98,14 @@
 	ownLeast = 24
 	// hostShare of all is the servers': clients hold as many for requests, each of which has one attempt out at most. The
 	// rest is the clients', as more knock than ask.
-	hostShare = 1.0 / 3
+	serverShare = 1.0 / 3
 )
 
 // DescriptorShares tells how many connections clients and servers may have.
-func DescriptorShares(descriptors int) (clients, hosts int) {
+func DescriptorShares(descriptors int) (clients, servers int) {
 	free := descriptors - ownLeast - int(ownShare*float64(descriptors))
-	hosts = max(int(hostShare*float64(descriptors)), 1)
-	return max(free-hosts, 1), hosts
+	servers = max(int(serverShare*float64(descriptors)), 1)
+	return max(free-servers, 1), servers
 }
 
 // bodyShare of the memory may be filled with requests that have come in part.
@@ -115,26 +115,26 @@
 func BodyMemory(memory int64) int64 { return int64(bodyShare * float64(memory)) }
 
 const (
-	// comeWithin is for how long after a signal to leave new connections are still dealt out to us.
-	comeWithin = second / 2
-	// servedWithin is for how long after the door has closed a request is still served: what came later than 0.7 s after
+	// listenFor is how long after a signal to leave new connections are still dealt out to us.
+	listenFor = second / 2
+	// serveFor is how long after the listener has closed a request is still served: what came later than 0.7 s after
 	// the signal may find the process killed before its answer, so it is refused at once.
-	servedWithin = comeWithin / 4
+	serveFor = listenFor / 4
 )
 
-// LeaveAfter tells when the door closes after the signal to leave.
-func LeaveAfter(now int64) int64 { return now + comeWithin }
+// CloseListenerAfter tells when the listener closes after the signal to leave.
+func CloseListenerAfter(now int64) int64 { return now + listenFor }
 
-// RefuseAfter tells from when on requests are refused after the door has closed.
-func RefuseAfter(closed int64) int64 { return closed + servedWithin }
+// RefuseAfter tells from when on requests are refused after the listener has closed.
+func RefuseAfter(closed int64) int64 { return closed + serveFor }
 
-// Victim tells what a connection is about when its answer has ended, or at rest when the door closes. last: the client was
-// told that the connection ends; closed: the door is; unread: something has come on it that is not read. Who closes a connection over unread bytes
+// NextStage tells what a connection is about when its answer has ended, or at rest when the listener closes. last: the client was
+// told that the connection ends; closed: the listener is; unread: something has come on it that is not read. Who closes a connection over unread bytes
 // resets it, and what was written last may be lost with it: the output ends first, and what comes is thrown away.
-func Victim(last, closed, unread bool) Stage {
+func NextStage(last, closed, unread bool) Stage {
 	switch {
 	case last, closed && !unread:
-		return Draining
+		return Lingering
 	case closed:
 		return Silent
 	}
--- a/internal/decide/clientconn/clientconn_test.go
+++ b/internal/decide/clientconn/clientconn_test.go
@@ -26,8 +26,8 @@
 	for _, c := range []struct {
 		last, closed, unread bool
 		want                 Stage
-	}{{false, false, false, Resting}, {true, false, false, Draining}, {false, true, false, Draining}, {false, true, true, Silent}, {true, true, true, Draining}} {
-		if got := Victim(c.last, c.closed, c.unread); got != c.want {
+	}{{false, false, false, Resting}, {true, false, false, Lingering}, {false, true, false, Lingering}, {false, true, true, Silent}, {true, true, true, Lingering}} {
+		if got := NextStage(c.last, c.closed, c.unread); got != c.want {
 			t.Errorf("last %v, closed %v, unread %v: %d, want %d", c.last, c.closed, c.unread, got, c.want)
 		}
 	}
@@ -63,9 +63,9 @@
 		waiting int
 		want    bool
 		over    int64
-	}{{now - second, 1, true, now - 3*second}, {now - second, 0, false, now - 3*second}, {now - takeWithin, 1, false, now - 3*second},
-		{now - second, 1, false, now - lingerMost}} {
-		if got := LingersOn(now, c.over, c.taken, c.waiting); got != c.want {
+	}{{now - second, 1, true, now - 3*second}, {now - second, 0, false, now - 3*second}, {now - unreadTimeout, 1, false, now - 3*second},
+		{now - second, 1, false, now - maxLinger}} {
+		if got := KeepLingering(now, c.over, c.taken, c.waiting); got != c.want {
 			t.Errorf("taken %d s ago, %d waiting: %v", (now-c.taken)/second, c.waiting, got)
 		}
 	}
--- a/internal/decide/keepalive/keepalive.go
+++ b/internal/decide/keepalive/keepalive.go
@@ -108,8 +108,8 @@
 // MayRelease tells whether one more may be remembered beside n.
 func MayRelease(n int) bool { return n < maxReleases }
 
-// Judge tells what to do with a connection now, and when to judge it again.
-func (k Keeper) Judge(now int64, l Conn) (Verdict, int64) {
+// Check tells what to do with a connection now, and when to judge it again.
+func (k Keeper) Check(now int64, l Conn) (Verdict, int64) {
 	if l.PingedAt > 0 && l.HeardAt < l.PingedAt {
 		if at := l.PingedAt + deadAfter*k.Target; now < at {
 			return Keep, at
--- a/internal/decide/keepalive/keepalive_test.go
+++ b/internal/decide/keepalive/keepalive_test.go
@@ -45,7 +45,7 @@
 		{"nothing out, and nothing heard since the last launch", 30 * s, Conn{HeardAt: 10 * s, SentAt: 29 * s, UsedAt: 29*s + 1}, Ping},
 		{"unused for long", 70 * s, Conn{HeardAt: 10 * s, UsedAt: 10 * s}, Spare},
 	} {
-		got, again := k.Judge(c.now, c.l)
+		got, again := k.Check(c.now, c.l)
 		if got != c.want {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
 		}
@@ -73,7 +73,7 @@
 		l := Conn{Streams: out, HeardAt: 10 * s, SentAt: 100 * s, UsedAt: 100 * s}
 		now := k.Begin(100 * s)
 		for {
-			verdict, again := k.Judge(now, l)
+			verdict, again := k.Check(now, l)
 			if verdict == Dead {
 				break
 			}
--- a/internal/decide/streamwatch/streamwatch.go
+++ b/internal/decide/streamwatch/streamwatch.go
@@ -42,8 +42,8 @@
 	Unread       bool  // what came is still waiting for the client, since Last at least
 }
 
-// Judge tells what to do now, and when to judge again at the latest.
-func Judge(now int64, s Stream) (Verdict, int64) {
+// Check tells what to do now, and when to judge again at the latest.
+func Check(now int64, s Stream) (Verdict, int64) {
 	if s.CallEnds > 0 && now >= s.CallEnds-s.AnswerAhead {
 		return TimeOut, 0
 	}
--- a/internal/decide/streamwatch/streamwatch_test.go
+++ b/internal/decide/streamwatch/streamwatch_test.go
@@ -30,7 +30,7 @@
 	} {
 		s := s
 		c.with(&s)
-		if got, again := Judge(c.now, s); got != c.want || again != c.again {
+		if got, again := Check(c.now, s); got != c.want || again != c.again {
 			t.Errorf("%s: %v, again at %d ms, want %v at %d ms", c.name, got, again/ms, c.want, c.again/ms)
 		}
 	}
@@ -46,7 +46,7 @@
 		}
 		now := int64(1)
 		for range 10 {
-			v, again := Judge(now, s)
+			v, again := Check(now, s)
 			if v != Continue {
 				if s.CallEnds > 0 && now > max(s.CallEnds-s.AnswerAhead, 1) {
 					t.Fatalf("judged at %d, time was up at %d", now, s.CallEnds)
--- a/internal/dispatch/attempts.go
+++ b/internal/dispatch/attempts.go
@@ -115,7 +115,7 @@
 // checkStream has the pace of a running answer judged.
 func (d *Dispatcher) checkStream(now loop.Nanos, req *Request) {
 	t := &d.classTimes[req.class]
-	verdict, again := streamwatch.Judge(now, streamwatch.Stream{FirstAt: req.firstTokenAt, LastAt: req.lastTokenAt, TokenGap: t.tokenGap, Target: t.target,
+	verdict, again := streamwatch.Check(now, streamwatch.Stream{FirstAt: req.firstTokenAt, LastAt: req.lastTokenAt, TokenGap: t.tokenGap, Target: t.target,
 		CallEnds: req.callEnds, AnswerAhead: d.answerAhead, SilenceLimit: d.silenceLimit, Unread: req.unread > 0})
 	if verdict == streamwatch.Continue {
 		d.loop.At(&req.timer, again, req.onTimer)
--- a/internal/dispatch/exit.go
+++ b/internal/dispatch/exit.go
@@ -13,7 +13,7 @@
 	Flush()     // queues on the sockets what has come together in this turn
 	Conns() int // open connections
 	Idle() bool // none of them has anything under way or output waiting
-	Leave()     // no new connections, no new requests
+	Drain()     // no new connections, no new requests
 }
 
 // Exit is the way to the servers and to their list. It tells the dispatcher what becomes of attempts by Heard,
--- a/internal/dispatch/grpcconn.go
+++ b/internal/dispatch/grpcconn.go
@@ -342,7 +342,7 @@
 	if k.gone {
 		return
 	}
-	verdict, again := k.server.exit.keeper.Judge(now, k.facts())
+	verdict, again := k.server.exit.keeper.Check(now, k.facts())
 	switch verdict {
 	case keepalive.Ping:
 		k.d.Counts.Pings++
--- a/internal/dispatch/listwatch.go
+++ b/internal/dispatch/listwatch.go
@@ -175,7 +175,7 @@
 	if w.conn == nil {
 		return
 	}
-	verdict, again := keepalive.Keeper{Target: w.every}.Judge(now, keepalive.Conn{Ready: true, Streams: 1, HeardAt: w.heardAt,
+	verdict, again := keepalive.Keeper{Target: w.every}.Check(now, keepalive.Conn{Ready: true, Streams: 1, HeardAt: w.heardAt,
 		PingedAt: w.pingedAt, Pings: w.pings})
 	switch verdict {
 	case keepalive.Ping:
--- a/internal/dispatch/overdue_test.go
+++ b/internal/dispatch/overdue_test.go
@@ -45,7 +45,7 @@
 func (noEntry) Flush()                                                   {}
 func (noEntry) Conns() int                                               { return 0 }
 func (noEntry) Idle() bool                                               { return true }
-func (noEntry) Leave()                                                   {}
+func (noEntry) Drain()                                                   {}
 
 type silentExit struct{ closed int }
 
--- a/internal/dispatch/shutdown.go
+++ b/internal/dispatch/shutdown.go
@@ -21,7 +21,7 @@
 		done()
 	}
 	d.log.Info("draining", "requests", d.requests.Len(), "within_ms", within/1e6)
-	d.entry.Leave()
+	d.entry.Drain()
 	d.loop.At(&d.drainTimer, d.loop.Now()+within, func(now loop.Nanos) {
 		d.log.Warn("drain time is up", "requests", d.requests.Len())
 		d.requests.Each(func(_ policy.RequestID, req *Request) {
@@ -51,5 +51,5 @@
 	}
 	d.draining = true
 	d.onDrained = func() { d.onDrained = func() {}; done() }
-	d.entry.Leave()
+	d.entry.Drain()
 }
--- a/internal/exit/platform/exit_test.go
+++ b/internal/exit/platform/exit_test.go
@@ -49,7 +49,7 @@
 func (noClients) Flush()                                                   {}
 func (noClients) Conns() int                                               { return 0 }
 func (noClients) Idle() bool                                               { return true }
-func (noClients) Leave()                                                   {}
+func (noClients) Drain()                                                   {}
 
 // slowCall is a client that has never room: whatever is relayed to it waits.
 type slowCall struct{ served int }
--- a/internal/front/grpc/grpc.go
+++ b/internal/front/grpc/grpc.go
@@ -87,8 +87,8 @@
 // Conns counts open connections.
 func (s *Server) Conns() int { return len(s.conns) }
 
-// Leave closes the door: no new connections, no new streams on those there are.
-func (s *Server) Leave() {
+// Drain closes the door: no new connections, no new streams on those there are.
+func (s *Server) Drain() {
 	s.leaving = true
 	s.ln.Close()
 	for c := range s.conns {
--- a/internal/front/platform/answer.go
+++ b/internal/front/platform/answer.go
@@ -21,7 +21,7 @@
 // answer gives an answer that is no stream; after is when to come back, 0 = not told.
 func (c *conn) answer(status int, after loop.Nanos, why string) {
 	c.server.Counts.Answers[status/100]++
-	c.closeAfter = c.closeAfter || c.ends()
+	c.closeAfter = c.closeAfter || c.isLastAnswer()
 	b := append(c.server.scratch[:0], "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(status), 10)
 	b = append(append(append(b, ' '), http.StatusText(status)...), "\r\nContent-Type: application/json\r\n"...)
@@ -44,11 +44,11 @@
 	b = append(append(b, "\r\n\r\n"...), text...)
 	c.server.scratch = b
 	c.conn.Write(b)
-	c.done()
+	c.endAnswer()
 }
 
-// ends tells that the answer under way is the connection's last: the dispatcher leaves, and no request stands behind it.
-func (c *conn) ends() bool { return c.server.draining && c.waiting() == 0 }
+// isLastAnswer tells that the answer under way is the connection's last: the dispatcher leaves, and no request stands behind it.
+func (c *conn) isLastAnswer() bool { return c.server.phase >= draining && c.pipelinedWaiting() == 0 }
 
 // appendSeconds writes a span in seconds with three decimals, rounded up.
 func appendSeconds(b []byte, span loop.Nanos) []byte {
@@ -57,19 +57,19 @@
 	return append(b, '.', byte('0'+ms/100%10), byte('0'+ms/10%10), byte('0'+ms%10))
 }
 
-// done follows the end of an answer: the connection stands for its next request, or ends once what was written is read.
-func (c *conn) done() {
+// endAnswer follows the end of an answer: the connection stands for its next request, or ends once what was written is read.
+func (c *conn) endAnswer() {
 	if c.id != 0 {
-		c.forget()
+		c.forgetRequest()
 	}
 	c.dropBody()
 	c.headSent = false
-	if c.next(); c.stage == clientconn.Draining {
+	if c.answerDone(); c.stage == clientconn.Lingering {
 		return
 	}
 	if !c.requestOpen { // what has come meanwhile
 		c.conn.Pause(false)
-		c.pull(nil)
+		c.parse(nil)
 	}
 }
 
@@ -81,7 +81,7 @@
 	if !c.headSent {
 		c.headSent = true
 		c.server.Counts.Answers[2]++
-		c.closeAfter = c.closeAfter || c.ends()
+		c.closeAfter = c.closeAfter || c.isLastAnswer()
 		c.conn.Write([]byte("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nCache-Control: no-cache\r\n"))
 		if c.closeAfter {
 			c.conn.Write([]byte("Connection: close\r\n"))
@@ -101,7 +101,7 @@
 		return
 	}
 	c.conn.Write([]byte("0\r\n\r\n"))
-	c.done()
+	c.endAnswer()
 }
 
 // Fail implements front.Call. A stream that has begun ends without its last chunk.
@@ -111,7 +111,7 @@
 	case c.headSent:
 		c.server.Counts.CutOff++
 		c.closeAfter = true
-		c.done()
+		c.endAnswer()
 	default:
 		c.answer(504, 0, why)
 	}
--- a/internal/front/platform/request.go
+++ b/internal/front/platform/request.go
@@ -50,12 +50,12 @@
 		v := f.Value
 		var err error
 		switch i {
-		case fieldName:
+		case fieldID:
 			if !hexName(v) {
 				err = errors.New("want 16 hexadecimal digits")
 			}
 			a.id = append(a.id, v...)
-		case fieldTrack:
+		case fieldClass:
 			if len(v) == 0 || len(v) > trackMost {
 				err = errors.New("want the name of a class")
 			}
@@ -65,7 +65,7 @@
 				err = errors.New("too long")
 			}
 			a.session = append(a.session, v...)
-		case fieldPatience:
+		case fieldRemaining:
 			a.remaining, err = seconds(v)
 		case fieldLabels:
 			err = a.labels(v)
@@ -74,7 +74,7 @@
 			if us, err = whole(v, wholeDay/1000); err == nil {
 				a.hint = us * 1000
 			}
-		case fieldAgain:
+		case fieldResent:
 			a.resent = string(v) == "1"
 		case fieldTenant:
 			if len(v) == 0 || len(v) > nameMost {
@@ -87,24 +87,24 @@
 		}
 	}
 	switch {
-	case !seen[fieldName]:
+	case !seen[fieldID]:
 		return errors.New("no X-Txn")
-	case !seen[fieldTrack]:
+	case !seen[fieldClass]:
 		return errors.New("no X-Lane")
-	case !seen[fieldPatience]:
+	case !seen[fieldRemaining]:
 		return errors.New("no X-Remaining")
 	}
 	return nil
 }
 
 const (
-	fieldName = iota
-	fieldTrack
+	fieldID = iota
+	fieldClass
 	fieldSession
-	fieldPatience
+	fieldRemaining
 	fieldLabels
 	fieldHint
-	fieldAgain
+	fieldResent
 	fieldTenant
 )
 
--- a/internal/front/platform/server.go
+++ b/internal/front/platform/server.go
@@ -16,16 +16,16 @@
 )
 
 const (
-	headMost    = 16 << 10
-	bodyMost    = 256 << 10
-	outputMost  = 1 << 20   // queued for one client, at which its connection ends
-	outputBusy  = 128 << 10 // from which on the server is held back
-	pipelined   = 64 << 10  // bytes that may come behind a request that is in hand
-	spareMost   = 64 << 10  // a body's room larger than this is not kept
-	spareCount  = 16        // nor more of them
-	pathJobs    = "/v1/chat/completions"
-	pathReady   = "/health/ready"
-	pathHealthy = "/health/live"
+	headMost        = 16 << 10
+	bodyMost        = 256 << 10
+	outputMost      = 1 << 20   // queued for one client, at which its connection ends
+	outputBusy      = 128 << 10 // from which on the server is held back
+	pipelined       = 64 << 10  // bytes that may come behind a request that is in hand
+	maxPooledBody   = 64 << 10  // a body's room larger than this is not kept
+	maxPooledBodies = 16        // nor more of them
+	pathRequests    = "/v1/chat/completions"
+	pathReady       = "/health/ready"
+	pathHealthy     = "/health/live"
 )
 
 // Counts are what the door counted since its start.
@@ -46,9 +46,8 @@
 	partial   int64
 	ready     func() bool
 	listener  *loop.Listener
-	draining  bool
-	closed    bool
-	refusing  bool // what comes is refused: the process may be killed before it could be answered
+	phase     phase
+	phaseEnds loop.Timer
 	conns     int
 	number    uint64               // of the last connection
 	byStage   [3]order.Heap[*conn] // silent or in part, resting, over: by since when
@@ -90,40 +89,21 @@
 // Conns counts open connections.
 func (s *Server) Conns() int { return s.conns }
 
-// Idle tells that nobody is connected any more.
-func (s *Server) Idle() bool { return s.conns == 0 && s.closed }
-
-// Leave has clients told to go elsewhere; after the time in which new ones still come, the door closes.
-func (s *Server) Leave() {
-	s.draining = true
-	var t loop.Timer
-	s.loop.At(&t, clientconn.LeaveAfter(s.loop.Now()), func(now loop.Nanos) {
-		s.listener.Finish()
-		s.closed = true
-		resting := &s.byStage[1]
-		for n := resting.Len(); n > 0; n-- { // one whose next request has come already has an answer first
-			c := resting.Min()
-			c.now = now
-			c.next()
-		}
-		s.loop.At(&t, clientconn.RefuseAfter(now), func(loop.Nanos) { s.refusing = true })
-		s.loop.Again()
-	})
-}
-
-// waiting is how many bytes have come behind the request that is or was in hand.
-func (c *conn) waiting() int {
+// pipelinedWaiting is how many bytes have come behind the request that is or was in hand.
+func (c *conn) pipelinedWaiting() int {
 	if c.requestOpen {
 		return c.pipelinedBytes
 	}
 	return c.feed.Waiting()
 }
 
-// next has the connection stand for what follows when no request of it is in hand.
-func (c *conn) next() {
-	stage := clientconn.Victim(c.closeAfter, c.server.closed, c.server.closed && (c.waiting() > 0 || !c.conn.Quiet()))
-	c.stand(stage)
-	if stage == clientconn.Draining {
+// answerDone has the connection stand for what follows when no request of it is in hand.
+func (c *conn) answerDone() {
+	closed := c.server.phase >= closed
+	unread := closed && (c.pipelinedWaiting() > 0 || !c.conn.Quiet())
+	stage := clientconn.NextStage(c.closeAfter, closed, unread)
+	c.setStage(stage)
+	if stage == clientconn.Lingering {
 		c.conn.EndOutput()
 		c.conn.Pause(false)
 	}
@@ -137,7 +117,7 @@
 	s.conns++
 	s.number++
 	c := &conn{server: s, conn: lc, decoder: h1.NewServer(h1.Limits{Head: headMost, Body: bodyMost}), number: s.number}
-	c.onTimer = c.due
+	c.onTimer = c.timerDue
 	lc.Bound(outputMost)
 	lc.EndFirst()
 	return c
@@ -148,7 +128,7 @@
 	s.Counts.Crowded++
 	silent, resting := s.firstQuiet(&s.byStage[0]), s.firstQuiet(&s.byStage[1])
 	var c *conn
-	switch clientconn.Crowded(s.loop.Now(), silent.checkTimer(), resting.checkTimer()) {
+	switch clientconn.Crowded(s.loop.Now(), silent.inStageSince(), resting.inStageSince()) {
 	case clientconn.FirstSilent:
 		c = silent
 	case clientconn.FirstResting:
@@ -181,8 +161,8 @@
 	return found
 }
 
-// checkTimer tells since when the connection has stood as it is; 0 = there is none.
-func (c *conn) checkTimer() loop.Nanos {
+// inStageSince tells since when the connection has stood as it is; 0 = there is none.
+func (c *conn) inStageSince() loop.Nanos {
 	if c == nil {
 		return 0
 	}
@@ -200,14 +180,14 @@
 	stageSince     loop.Nanos // it has stood so
 	requestSince   loop.Nanos // the first byte of the request under way, or of what waits behind the one in hand
 	unsent         int        // bytes of the last answer that waited when it was looked at last ...
-	taken          loop.Nanos // ... and when the client was last seen to have taken some
+	readAt         loop.Nanos // ... and when the client was last seen to have taken some
 	heapIndex      int
 	timer          loop.Timer
 	onTimer        func(loop.Nanos)
 	now            loop.Nanos
 	body           []byte
 	parsed         parsedRequest
-	aside          string // path of a request that is no request
+	healthPath     string // path of a request that is no request
 	id             policy.RequestID
 	headSent       bool // the head of an answer has been sent
 	closeAfter     bool // the connection ends with this answer
@@ -224,14 +204,14 @@
 		return &s.byStage[0]
 	case clientconn.Resting:
 		return &s.byStage[1]
-	case clientconn.Draining:
+	case clientconn.Lingering:
 		return &s.byStage[2]
 	}
 	return nil
 }
 
-// stand takes down what the connection is about from now on: the turn's time, as it may be a server that brought it about.
-func (c *conn) stand(stage clientconn.Stage) {
+// setStage takes down what the connection is about from now on: the turn's time, as it may be a server that brought it about.
+func (c *conn) setStage(stage clientconn.Stage) {
 	c.now = c.server.loop.Now()
 	if h := c.server.heap(c.stage); h != nil && c.heapIndex > 0 {
 		h.Take(c)
@@ -240,7 +220,7 @@
 		c.stageSince = c.now
 	}
 	c.stage = stage
-	c.unsent, c.taken = c.conn.Queued(), c.now
+	c.unsent, c.readAt = c.conn.Queued(), c.now
 	if h := c.server.heap(stage); h != nil {
 		h.Put(c)
 	}
@@ -251,19 +231,19 @@
 	}
 }
 
-// due ends a connection that has stood as it is for too long.
-func (c *conn) due(now loop.Nanos) {
+// timerDue ends a connection that has stood as it is for too long.
+func (c *conn) timerDue(now loop.Nanos) {
 	c.now = now
 	switch {
 	case c.stage == clientconn.Partial:
 		c.refuse(408, "the request did not come in time")
 	case c.stage == clientconn.Resting:
 		c.closeAfter = true
-		c.next()
+		c.answerDone()
 	case c.stage == clientconn.Silent && !c.conn.Quiet():
 		c.server.loop.At(&c.timer, now+clientconn.UnreadAgain, c.onTimer)
-	case c.stage == clientconn.Draining && c.lingers():
-		c.server.loop.At(&c.timer, clientconn.StageEnds(clientconn.Draining, now), c.onTimer)
+	case c.stage == clientconn.Lingering && c.lingers():
+		c.server.loop.At(&c.timer, clientconn.StageEnds(clientconn.Lingering, now), c.onTimer)
 	default:
 		c.conn.Close()
 	}
@@ -273,19 +253,19 @@
 func (c *conn) lingers() bool {
 	waiting := c.conn.Queued()
 	if waiting < c.unsent {
-		c.unsent, c.taken = waiting, c.now
+		c.unsent, c.readAt = waiting, c.now
 	}
-	return clientconn.LingersOn(c.now, c.stageSince, c.taken, waiting)
+	return clientconn.KeepLingering(c.now, c.stageSince, c.readAt, waiting)
 }
 
 func (c *conn) Opened(now loop.Nanos) {
 	c.now = now
-	c.stand(clientconn.Silent)
+	c.setStage(clientconn.Silent)
 }
 
 func (c *conn) Data(now loop.Nanos, p []byte) {
 	c.now = now
-	if c.stage == clientconn.Draining {
+	if c.stage == clientconn.Lingering {
 		if c.discarded += int64(len(p)); c.discarded > clientconn.Discard {
 			c.conn.Close()
 		}
@@ -297,23 +277,23 @@
 	if c.stage == clientconn.Busy && c.feed.Waiting()+len(p) > pipelined {
 		c.conn.Pause(true)
 	}
-	c.pull(p)
+	c.parse(p)
 }
 
-func (c *conn) pull(p []byte) {
+func (c *conn) parse(p []byte) {
 	c.requestOpen = true
-	c.feed.Feed(p, c.take)
+	c.feed.Feed(p, c.takeRequests)
 	c.requestOpen = false
 }
 
-// take takes requests from the front of p as long as none is in hand.
-func (c *conn) take(p []byte) (n int) {
+// takeRequests takes requests from the front of p as long as none is in hand.
+func (c *conn) takeRequests(p []byte) (n int) {
 	for !c.gone && c.stage != clientconn.Busy {
-		if c.stage == clientconn.Draining {
+		if c.stage == clientconn.Lingering {
 			return len(p)
 		}
 		if n < len(p) && c.decoder.Between() && c.stage != clientconn.Partial {
-			c.stand(clientconn.Partial)
+			c.setStage(clientconn.Partial)
 		}
 		piece, data, k, err := c.decoder.Next(p[n:])
 		n += k
@@ -327,19 +307,19 @@
 		case piece == h1.None:
 			return n
 		case piece == h1.Start:
-			c.start()
+			c.requestHead()
 		case piece == h1.Data:
-			c.keep(data)
+			c.addBody(data)
 		case piece == h1.Whole:
 			c.pipelinedBytes = len(p) - n
-			c.whole()
+			c.requestComplete()
 		}
 	}
 	return n
 }
 
-// keep adds to the body of the request under way.
-func (c *conn) keep(data []byte) {
+// addBody adds to the body of the request under way.
+func (c *conn) addBody(data []byte) {
 	if c.server.partial += int64(len(data)); c.server.partial > c.server.bodies {
 		c.server.partial -= int64(len(data))
 		c.refuse(503, "too much has come in part")
@@ -354,17 +334,17 @@
 // dropBody forgets the body of the request under way. Its room is for the next one on whatever connection: most rest.
 func (c *conn) dropBody() {
 	c.server.partial -= int64(len(c.body))
-	if cap(c.body) > 0 && cap(c.body) <= spareMost && len(c.server.bodyPool) < spareCount {
+	if cap(c.body) > 0 && cap(c.body) <= maxPooledBody && len(c.server.bodyPool) < maxPooledBodies {
 		c.server.bodyPool = append(c.server.bodyPool, c.body[:0])
 	}
 	c.body = nil
 }
 
-// start reads the head of a request.
-func (c *conn) start() {
+// requestHead reads the head of a request.
+func (c *conn) requestHead() {
 	h := &c.decoder.Head
 	c.closeAfter = h.Close
-	c.aside = ""
+	c.healthPath = ""
 	target, _, _ := cut(h.Target, '?')
 	switch {
 	case string(target) == pathReady || string(target) == pathHealthy:
@@ -372,11 +352,11 @@
 			c.refuse(405, "want GET without a body")
 			return
 		}
-		c.aside = pathHealthy
+		c.healthPath = pathHealthy
 		if string(target) == pathReady {
-			c.aside = pathReady
+			c.healthPath = pathReady
 		}
-	case string(target) != pathJobs:
+	case string(target) != pathRequests:
 		c.refuse(404, "no such path")
 	case string(h.Method) != "POST":
 		c.refuse(405, "want POST")
@@ -395,11 +375,11 @@
 	}
 }
 
-// whole deals with a request that has all come.
-func (c *conn) whole() {
-	if c.aside != "" {
+// requestComplete deals with a request that has all come.
+func (c *conn) requestComplete() {
+	if c.healthPath != "" {
 		status := 200
-		if c.aside == pathReady && (c.server.draining || !c.server.ready()) {
+		if c.healthPath == pathReady && (c.server.phase >= draining || !c.server.ready()) {
 			status = 503
 		}
 		c.answer(status, 0, "")
@@ -416,8 +396,8 @@
 		return
 	}
 	c.server.Counts.Requests++
-	c.stand(clientconn.Busy)
-	if c.server.refusing {
+	c.setStage(clientconn.Busy)
+	if c.server.phase == refusing {
 		c.dropBody()
 		c.Reject(0, front.Refusal{Reason: "the dispatcher leaves"})
 		return
@@ -460,16 +440,16 @@
 	c.dropBody()
 	c.server.conns--
 	if id := c.id; id != 0 {
-		c.forget()
+		c.forgetRequest()
 		c.server.core.ClientLeft(now, id)
 	}
-	if c.server.draining {
+	if c.server.phase >= draining {
 		c.server.loop.Again()
 	}
 }
 
-// forget has the connection stand for no request.
-func (c *conn) forget() {
+// forgetRequest has the connection stand for no request.
+func (c *conn) forgetRequest() {
 	c.id = 0
 	delete(c.server.byRequest, string(c.parsed.id))
 }
--- a/internal/front/platform/server_test.go
+++ b/internal/front/platform/server_test.go
@@ -132,7 +132,7 @@
 	length := v.stuffed(c, "Connection: close\r\n")
 	call := v.core.calls[0].(*conn)
 	v.until("the connection's time is up", func() bool {
-		return call.gone || v.l.Now() > clientconn.StageEnds(clientconn.Draining, call.stageSince)+100e6
+		return call.gone || v.l.Now() > clientconn.StageEnds(clientconn.Lingering, call.stageSince)+100e6
 	})
 	if got := wholeAnswer(t, c); got != length {
 		t.Errorf("%d bytes, want %d", got, length)
@@ -179,7 +179,7 @@
 	v.until("the first", func() bool { return len(v.core.calls) == 1 })
 	io.WriteString(c, strings.Replace(request(""), "00aa", "00bb", 1))
 	first := v.core.calls[0].(*conn)
-	v.until("the second is read", func() bool { return first.waiting() > 0 })
+	v.until("the second is read", func() bool { return first.pipelinedWaiting() > 0 })
 	var came, now loop.Nanos
 	v.on(func() { came = v.l.Now() })
 	v.until("some time", func() bool { now = v.l.Now(); return now > came+50e6 })
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -100,8 +100,8 @@
 	n.loop.Post(func() { n.exit.Discovery(n.loop.Now(), t.Discovery) })
 }
 
-// Leave has clients go elsewhere and the dispatcher end when nobody is left.
-func (n *Node) Leave() { n.loop.Post(func() { n.dispatcher.DrainIdle(n.loop.Stop) }) }
+// Drain has clients go elsewhere and the dispatcher end when nobody is left.
+func (n *Node) Drain() { n.loop.Post(func() { n.dispatcher.DrainIdle(n.loop.Stop) }) }
 
 // Done is closed at the end.
 func (n *Node) Done() <-chan struct{} { return n.done }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -417,7 +417,7 @@
 	first := make(chan string, 1)
 	go func() { _, got, _, _ := ask(busy, request(jobName(1))); first <- got }()
 	until(t, "the job is out", func() bool { return s.jobsAt("writer") == 1 })
-	s.node.Leave()
+	s.node.Drain()
 	until(t, "it is not ready any more", func() bool {
 		status, _, _, _ := ask(s.dial(), "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
 		return status == 503
--- a/internal/node/slow_test.go
+++ b/internal/node/slow_test.go
@@ -86,7 +86,7 @@
 	client := h.client()
 	client.send(request(jobName(1)))
 	reader.accept().request()
-	h.node.Leave()
+	h.node.Drain()
 	h.run(600 * time.Millisecond) // the listener is closed
 	client.close()
 	release := writer.accept()
@@ -117,7 +117,7 @@
 	}
 	text := request(jobName(2))
 	slow.send(text[:20])
-	h.node.Leave()
+	h.node.Drain()
 	h.run(700 * time.Millisecond) // past the time in which requests are still served
 	slow.send(text[20:])
 	if got := slow.expect("\r\n\r\n"); !strings.Contains(got, " 503 ") || !strings.Contains(got, "Connection: close") {
--- a/internal/node/watch_test.go
+++ b/internal/node/watch_test.go
@@ -204,8 +204,8 @@
 	client := h.dial()
 	client.send(request(jobName(1)))
 	h.run(transitTime)
-	h.node.Leave()
-	h.node.Leave()
+	h.node.Drain()
+	h.node.Drain()
 	if got := client.expect("0\r\n\r\n"); !strings.Contains(got, " 200 ") || !strings.Contains(got, "Connection: close") {
 		t.Errorf("the client got %q", got)
 	}
