--- a/internal/dispatch/admission.go
+++ b/internal/dispatch/admission.go
@@ -1,11 +1,12 @@
 package dispatch
 
 import (
+	"slices"
+
 	"docksail/internal/decide/admission"
 	"docksail/internal/front"
 	"docksail/internal/loop"
 	"docksail/policy"
-	"slices"
 )
 
 // Requests that wait in the admission queue, until the module takes them or they are refused.
--- a/internal/dispatch/attempts.go
+++ b/internal/dispatch/attempts.go
@@ -1,13 +1,14 @@
 package dispatch
 
 import (
+	"fmt"
+	"math"
+	"slices"
+
 	"docksail/internal/decide/streamwatch"
 	"docksail/internal/front"
 	"docksail/internal/loop"
 	"docksail/policy"
-	"fmt"
-	"math"
-	"slices"
 )
 
 // What the module decides about requests, and how its attempts go.
--- /dev/null
+++ b/internal/dispatch/grpcexit.go
@@ -0,0 +1,150 @@
+package dispatch
+
+import (
+	"golang.org/x/net/http2"
+
+	"docksail/internal/decide/keepalive"
+	"docksail/internal/h2"
+	"docksail/internal/loop"
+	"docksail/internal/state/fleet"
+	"docksail/policy"
+)
+
+const (
+	pathRead    = "/docksail.v1.Engine/Read"
+	pathWrite   = "/docksail.v1.Engine/Write"
+	pathRelease = "/docksail.v1.Engine/Release"
+	pathWatch   = "/docksail.v1.Fleet/Watch"
+
+	busyOutput = 256 << 10 // bytes queued for a socket from which on messages wait in their streams
+	linkOutput = 32 << 20  // at which a connection to an engine that takes nothing is given up
+)
+
+// grpcExit is the way out to engines that speak gRPC.
+type grpcExit struct {
+	d       *Dispatcher
+	servers map[policy.ServerID]*grpcServer
+	list    *fleet.List
+	lister  listWatch
+	keeper  keepalive.Keeper
+	connect int64
+	lim     h2.Limits
+	dirty   []*serverConn
+	facts   []keepalive.Conn
+	scratch []byte
+}
+
+func (x *grpcExit) Start(loop.Nanos)     { x.lister.start() }
+func (x *grpcExit) Watch(now loop.Nanos) { x.lister.watch(now) }
+func (x *grpcExit) Close()               { x.lister.close() }
+
+// Idle implements Exit: releases that wait for a connection are left to the engines' own time.
+func (x *grpcExit) Idle() bool { return true }
+
+func (x *grpcExit) IsPrefill(host policy.ServerID) (reads, known bool) {
+	srv := x.servers[host]
+	return srv != nil && srv.role == policy.Prefill, srv != nil
+}
+
+func (x *grpcExit) Flush() {
+	for _, k := range x.dirty {
+		k.dirty = false
+		k.flush()
+	}
+	x.dirty = x.dirty[:0]
+}
+
+func (x *grpcExit) Release(now loop.Nanos, req *Request, at policy.ServerID, attempt policy.AttemptNumber) {
+	if srv := x.servers[at]; srv != nil {
+		on := req.grpcAttempt.last // the attempt's own keeps the order
+		if on != nil && on.server != srv {
+			on = nil
+		}
+		srv.release(now, on, req.ID, attempt)
+	}
+}
+
+func (x *grpcExit) Send(now loop.Nanos, req *Request, attempt policy.AttemptNumber) Attempt {
+	srv := x.servers[req.Server]
+	k := srv.linkFor(now)
+	if k != nil && k.ready && req.grpcAttempt.queuedBehind && !srv.trial.May(srv.onWire()) { // once is enough: its time is the client's
+		k = nil
+	}
+	if k == nil {
+		return nil
+	}
+	req.grpcAttempt.conn, req.grpcAttempt.last = k, nil
+	k.streams++
+	k.usedAt, k.sentAt = now, now
+	if k.streams == 1 && k.ready && k.pingedAt <= k.heardAt {
+		x.d.loop.At(&k.timer, x.keeper.Begin(now), k.onKeep)
+	}
+	if k.ready && srv.trial.May(srv.onWire()) {
+		k.send(now, req, attempt)
+		return &req.grpcAttempt
+	}
+	k.queue = append(k.queue, req.ID)
+	if k.ready {
+		req.grpcAttempt.wait(now)
+	}
+	return &req.grpcAttempt
+}
+
+// grpcAttempt is an attempt that is out to an engine.
+type grpcAttempt struct {
+	request      *Request
+	conn         *serverConn // nil: none is out
+	last         *serverConn // where the last one was
+	stream       *h2.Stream  // nil while its connection is under way
+	onWire       bool        // it was sent
+	queuedBehind bool        // one of the request's attempts has waited for an engine's trial
+}
+
+// wait has an attempt wait for its engine's trial: not for long, as what it is to fetch is held meanwhile.
+func (s *grpcAttempt) wait(now loop.Nanos) {
+	s.queuedBehind = true
+	s.request.d.loop.At(&s.request.timer, min(s.request.SentAt+s.request.Timeout, now+s.conn.server.exit.keeper.Hold()), s.request.onTimer)
+}
+
+func (s *grpcAttempt) End(now loop.Nanos) bool {
+	k, cut := s.conn, s.stream != nil
+	if cut {
+		s.stream.Ref = 0
+		s.stream.Reset(http2.ErrCodeCancel)
+	}
+	k.streams--
+	if s.onWire {
+		k.wired--
+	}
+	k.usedAt = now
+	k.touch()
+	s.conn, s.last, s.stream, s.onWire = nil, k, nil, false
+	return cut
+}
+
+func (s *grpcAttempt) Ended(now loop.Nanos) {
+	if k := s.last; k != nil && len(k.queue) > 0 {
+		k.server.sendQueued(now)
+	}
+}
+
+func (s *grpcAttempt) Credit(n int) {
+	if s.stream != nil {
+		s.stream.Credit(n)
+		s.conn.touch()
+	}
+}
+
+// Reached implements Sent: on a connection that is asked for signs of life, what was written is taken to have come.
+func (s *grpcAttempt) Reached() bool { return s.Stage() == OnWire }
+
+// Stage implements Sent.
+func (s *grpcAttempt) Stage() Stage {
+	switch {
+	case s.stream != nil:
+		return OnWire
+	case s.conn.ready:
+		return Queued
+	}
+	return Connecting
+}
--- /dev/null
+++ b/internal/dispatch/grpcload.go
@@ -0,0 +1,50 @@
+package dispatch
+
+import (
+	"encoding/base64"
+
+	orca "github.com/cncf/xds/go/xds/data/orca/v3"
+	"google.golang.org/protobuf/proto"
+
+	"docksail/internal/h2"
+	"docksail/policy"
+)
+
+// load reads an ORCA report from a trailer; one that is too old counts as none.
+func (x *grpcExit) load(trailer *h2.Header) policy.Load {
+	text := trailer.Get("endpoint-load-metrics-bin")
+	if text == "" {
+		return policy.NoLoad
+	}
+	b, err := base64.RawStdEncoding.DecodeString(trimPadding(text))
+	if err != nil {
+		return policy.NoLoad
+	}
+	var r orca.OrcaLoadReport
+	if proto.Unmarshal(b, &r) != nil {
+		return policy.NoLoad
+	}
+	x.d.Counts.Reports++
+	load := policy.NoLoad
+	if r.MemUtilization > 0 {
+		load.Memory = r.MemUtilization
+	}
+	if v, ok := r.NamedMetrics["requests"]; ok {
+		load.Requests = v
+	}
+	if v, ok := r.NamedMetrics["unread_tokens"]; ok {
+		load.Unread = v
+	}
+	if age, ok := r.NamedMetrics["age_ms"]; ok && !x.keeper.Fresh(int64(age*1e6)) {
+		x.d.Counts.LateReports++
+		return policy.NoLoad
+	}
+	return load
+}
+
+func trimPadding(s string) string {
+	for len(s) > 0 && s[len(s)-1] == '=' {
+		s = s[:len(s)-1]
+	}
+	return s
+}
--- a/internal/dispatch/requests.go
+++ b/internal/dispatch/requests.go
@@ -1,15 +1,16 @@
 package dispatch
 
 import (
+	"fmt"
+	"slices"
+	"strconv"
+
 	"docksail/internal/decide/admission"
 	"docksail/internal/decide/intake"
 	"docksail/internal/front"
 	"docksail/internal/loop"
 	"docksail/internal/state/requests"
 	"docksail/policy"
-	"fmt"
-	"slices"
-	"strconv"
 )
 
 // What clients do, and the answers that they get.
--- a/internal/dispatch/view.go
+++ b/internal/dispatch/view.go
@@ -1,12 +1,13 @@
 package dispatch
 
 import (
+	"fmt"
+	"runtime/metrics"
+
 	"docksail/internal/decide/admission"
 	"docksail/internal/front/grpc"
 	"docksail/internal/loop"
 	"docksail/internal/setup"
-	"fmt"
-	"runtime/metrics"
 )
 
 // What people see of a dispatcher, and what they may change while it runs.
