--- a/internal/decide/admission/bookings.go
+++ b/internal/decide/admission/bookings.go
@@ -10,7 +10,7 @@
 )
 
 // serviceRate measures how much cost is taken a nanosecond while requests wait: only then is it the pace of what stands
-// behind the door.
+// behind the queue.
 type serviceRate struct {
 	memory Nanos
 	since  Nanos // requests wait since then; 0 = none does
@@ -106,7 +106,7 @@
 // ErrTicket says that a ticket is none of ours.
 var ErrTicket = errors.New("ticket is not ours or was changed")
 
-// Signer signs tickets with a key that lives as long as its door.
+// Signer signs tickets with a key that lives as long as its queue.
 type Signer struct {
 	mac hash.Hash
 	sum []byte
--- a/internal/decide/admission/queue.go
+++ b/internal/decide/admission/queue.go
@@ -51,7 +51,7 @@
 
 const (
 	Admitted   Cause = iota
-	Full             // the door holds all the requests it may
+	Full             // the queue holds all the requests it may
 	TenantFull       // this tenant's requests waiting are at their limit
 	OverRate         // the tenant asks faster than it may
 	TooLong          // the prompt is longer than the tenant's may be
@@ -62,7 +62,7 @@
 )
 
 func (c Cause) String() string {
-	return [...]string{"admitted", "too many jobs waiting", "too many jobs of the tenant waiting", "faster than the tenant may ask",
+	return [...]string{"admitted", "too many requests waiting", "too many requests of the tenant waiting", "faster than the tenant may ask",
 		"prompt longer than the tenant's may be", "no chance to be in time", "unknown tenant", "dispatcher overloaded"}[c]
 }
 
@@ -89,7 +89,7 @@
 	// request takes several turns; shedPart of what waits goes then, at each such turn.
 	shedLag  = 1.0 / 8
 	shedPart = 1.0 / 8
-	// bookedRoom is the part of the door that is kept for those who come back as advised.
+	// bookedRoom is the part of the queue that is kept for those who come back as advised.
 	bookedRoom = 1.0 / 8
 	// unlaunchedWait of the shortest expected time after a request was let in, and not sent, another may follow it: half
 	// of the time for which the module itself lets a request wait.
@@ -98,7 +98,7 @@
 	// at least, and insideStep more with each attempt: a refusal weighs as many attempts as make it rare.
 	unlaunchedMost = 4
 	insideStep     = 1.0 / 8
-	// backRoom of the door's room is there for background requests besides: they bring their own timeout.
+	// backRoom of the queue's room is there for background requests besides: they bring their own timeout.
 	backRoom = 1.0 / 4
 	// burstSeconds of its rate a tenant may ask at once.
 	burstSeconds = 1
@@ -154,7 +154,7 @@
 	heavy   order.Heap[*flow] // the same, the heaviest first
 	virtual float64           // virtual time of its flows
 	start   float64           // start tag of its next request among tenants
-	at      int               // place in the door's heap
+	at      int               // place in the queue's heap
 	waiting int
 	running int
 	tokens  float64 // of its rate
@@ -163,7 +163,7 @@
 	Counts  Counts
 }
 
-// Counts are what a door counted of a tenant.
+// Counts are what a queue counted of a tenant.
 type Counts struct {
 	Arrived, Admitted, Cancelled                   uint64
 	Refused                                        [causes]uint64
@@ -212,11 +212,11 @@
 	Background        *background.Limit
 }
 
-// New makes a door for so many waiting requests, with so many known clients remembered. expected is the shortest
+// New makes a queue for so many waiting requests, with so many known clients remembered. expected is the shortest
 // expected time of the classes, by which spans are measured. tickets signs advice; nil gives none.
 func New(most, clients int, expected Nanos, tickets *Signer) (*Queue, error) {
 	if most < 1 || clients < 1 || expected < 1 {
-		return nil, fmt.Errorf("door for %d jobs, %d clients, expected time %d: want all above 0", most, clients, expected)
+		return nil, fmt.Errorf("admission queue for %d requests, %d clients, target %d: want all above 0", most, clients, expected)
 	}
 	d := &Queue{admitted: unlaunchedMost, limit: most, limitPerFlow: most + 1024, requests: make(map[RequestID]*queuedRequest), expected: expected,
 		active: tenantHeap(), overdue: lateHeap()}
@@ -256,7 +256,7 @@
 	tn := d.tenants[n]
 	tn.Tenant, tn.gone = t, false
 	d.place(tn)
-	if d.retryLimit != nil { // its limits hold for what somebody waits for; background work has the door's
+	if d.retryLimit != nil { // its limits hold for what somebody waits for; background work has the queue's
 		return d.retryLimit.SetTenant(n, Tenant{Weight: t.Weight, PromptMax: t.PromptMax})
 	}
 	return nil
@@ -273,7 +273,7 @@
 // BackgroundWaiting counts the background requests in the admission queue.
 func (d *Queue) BackgroundWaiting() int { return len(d.retryLimit.requests) }
 
-// of gives the door in which a request waits.
+// of gives the queue in which a request waits.
 func (d *Queue) of(id RequestID) *Queue {
 	if d.retryLimit != nil && d.retryLimit.requests[id] != nil {
 		return d.retryLimit
@@ -293,7 +293,7 @@
 }
 
 // Admits tells whether another request may be let in, by how long ago those were that the module has not sent yet. One
-// is enough: the next follows within the same turn once it is sent, and the order stays the door's. Those that
+// is enough: the next follows within the same turn once it is sent, and the order stays the queue's. Those that
 // wait for long are such as the module can't place, or it is slow; the others need not stand behind them.
 func (d *Queue) Admits(inside []Nanos) bool {
 	fresh := 0
@@ -306,10 +306,10 @@
 }
 
 // NotSent tells that the module refused a request that was let in and never sent: fewer stand before it at once, so
-// that the next attempt is not fought over by requests that the door has put in order already.
+// that the next attempt is not fought over by requests that the queue has put in order already.
 func (d *Queue) NotSent() { d.admitted = max(d.admitted/2, 1) }
 
-// Sent tells that the module has sent a request that was let in: this is the pace of what stands behind the door.
+// Sent tells that the module has sent a request that was let in: this is the pace of what stands behind the queue.
 func (d *Queue) Sent(now Nanos, j Request) {
 	d.rate.taken(now, Cost(j.Prompt, j.Answer))
 	d.admitted = min(d.admitted+insideStep, unlaunchedMost)
@@ -320,7 +320,7 @@
 	return now + Nanos(hopeless*float64(min(j.Expected, j.Deadline-now)))
 }
 
-// Arrive takes a request to wait, or refuses it with the time to stay away; a Ticket goes with advice if the door gives
+// Arrive takes a request to wait, or refuses it with the time to stay away; a Ticket goes with advice if the queue gives
 // any.
 func (d *Queue) Arrive(now Nanos, j Request) (Cause, Advice) {
 	if j.Background && d.retryLimit != nil {
@@ -423,7 +423,7 @@
 
 // displaces gives the request that makes room for one of a flow of t (nil: it has none yet), among those of a tenant: the
 // newest of its heaviest flow that is not back as advised, if that flow has more for its weight than the newcomer's
-// would have. Else a flood would keep out, by filling the door, those to whom the order inside it is fair.
+// would have. Else a flood would keep out, by filling the queue, those to whom the order inside it is fair.
 func (d *Queue) displaces(now Nanos, t, from *tenant, mine *flow, j *Request) *queuedRequest {
 	if from == nil || from.heavy.Len() == 0 {
 		return nil
--- a/internal/decide/admission/queue_test.go
+++ b/internal/decide/admission/queue_test.go
@@ -448,7 +448,7 @@
 func TestComingBack(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		pace  float64 // of the door after the burst
+		pace  float64 // of the queue after the burst
 		off   Nanos   // clocks run off by up to so much
 		least float64
 	}{{"as advised", 1, 0, 0.95}, {"clocks off", 1, 150 * ms, 0.95}, {"half the pace", 0.5, 0, 0.95}} {
@@ -565,7 +565,7 @@
 	d := newDoor(t, 64, Tenant{Weight: 1})
 	meet(d, 1, 0, 5, 6)
 	now := sec
-	for range 2000 { // a pace is known, and the door is full
+	for range 2000 { // a pace is known, and the queue is full
 		d.Arrive(now, ask(0, 7, 100))
 		if id, ok := d.Next(0, 0); ok && d.Waiting() > 50 {
 			d.Sent(now, d.requests[id].Request)
@@ -746,7 +746,7 @@
 	}
 }
 
-// TestDisplace: a door full of one flood takes the requests of others in its stead, the newest first, down to an even
+// TestDisplace: a queue full of one flood takes the requests of others in its stead, the newest first, down to an even
 // share and no further; those back as advised stay.
 func TestDisplace(t *testing.T) {
 	d := newDoor(t, 64, Tenant{Weight: 1, Waiting: 100}, Tenant{Weight: 1, Waiting: 4})
@@ -796,7 +796,7 @@
 }
 
 // TestBackground: background work goes in when nobody else waits and nothing is unlaunched, is not counted among those
-// who fill the door, is shed first, and comes back by bookings as any.
+// who fill the queue, is shed first, and comes back by bookings as any.
 func TestBackground(t *testing.T) {
 	d := newDoor(t, 40, Tenant{Weight: 1})
 	back := func() Request {
--- a/internal/decide/connlimit/connlimit.go
+++ b/internal/decide/connlimit/connlimit.go
@@ -1,4 +1,4 @@
-// Package connlimit decides which connections a door takes, by the address they come from, so that a flood of them ends
+// Package connlimit decides which connections a front takes, by the address they come from, so that a flood of them ends
 // where it is cheapest: at the accept. While there is room everybody is let in; as room gets short, an address may have
 // only so many as leaves some for others, and those that connect fastest wait. It does no I/O and reads no clock, and
 // remembers a bounded number of addresses.
@@ -54,7 +54,7 @@
 	at   int64
 }
 
-// Limiter is the connections of one door. Make it with New.
+// Limiter is the connections of one front. Make it with New.
 type Limiter struct {
 	limit   int
 	open    int
--- a/internal/decide/intake/intake.go
+++ b/internal/decide/intake/intake.go
@@ -15,11 +15,11 @@
 )
 
 func (c Cause) String() string {
-	return [...]string{"taken", "dispatcher drains", "too many jobs in hand", "prompt too long", "no time left",
+	return [...]string{"taken", "dispatcher drains", "too many requests in hand", "prompt too long", "no time left",
 		"no engines known"}[c]
 }
 
-// Harmless tells that the request may be tried again as it is: the refusal is a nack with advice.
+// Harmless tells that the request may be tried again as it is: the request is rejected, with advice when to come back.
 func (c Cause) Harmless() bool { return c != TooLong }
 
 // Limits is the state of the dispatcher that counts here.
--- a/internal/decide/streamwatch/streamwatch.go
+++ b/internal/decide/streamwatch/streamwatch.go
@@ -8,13 +8,13 @@
 
 const (
 	Continue Verdict = iota
-	Silent           // its writer gives no more tokens: end it, the client is told that it is failed
+	Silent           // its decode server gives no more tokens: end it, the client is told that it is failed
 	Unread           // its client takes nothing: end it
 	TimeOut          // the client's time is nearly up: the final answer has to leave now
 )
 
 func (v Verdict) String() string {
-	return [...]string{"goes on", "writer silent", "client does not read", "time is up"}[v]
+	return [...]string{"goes on", "decode server silent", "client does not read", "time is up"}[v]
 }
 
 const (
@@ -47,14 +47,14 @@
 	if s.CallEnds > 0 && now >= s.CallEnds-s.AnswerAhead {
 		return TimeOut, 0
 	}
-	patience, verdict := max(silentGaps*s.TokenGap, silentLeast*s.Target), Silent
+	limit, verdict := max(silentGaps*s.TokenGap, silentLeast*s.Target), Silent
 	if s.SilenceLimit > 0 { // as long as is allowed: a slow server must not be taken for a dead one
-		patience = s.SilenceLimit - s.SilenceLimit/silenceMargin
+		limit = s.SilenceLimit - s.SilenceLimit/silenceMargin
 	}
 	if s.Unread {
-		patience, verdict = unreadTimes*patience, Unread
+		limit, verdict = unreadTimes*limit, Unread
 	}
-	again := max(s.FirstAt, s.LastAt) + patience
+	again := max(s.FirstAt, s.LastAt) + limit
 	if now >= again {
 		return verdict, 0
 	}
--- a/internal/decide/streamwatch/streamwatch_test.go
+++ b/internal/decide/streamwatch/streamwatch_test.go
@@ -10,7 +10,7 @@
 
 func TestJudge(t *testing.T) {
 	s := Stream{FirstAt: 1000 * ms, LastAt: 2000 * ms, TokenGap: 50 * ms, Target: 1000 * ms}
-	patience := silentGaps * 50 * ms
+	limit := silentGaps * 50 * ms
 	for _, c := range []struct {
 		name  string
 		now   int64
@@ -18,15 +18,15 @@
 		want  Verdict
 		again int64
 	}{
-		{"runs", 2100 * ms, func(*Stream) {}, Continue, 2000*ms + patience},
-		{"slow, not silent", 2000*ms + patience - 1, func(*Stream) {}, Continue, 2000*ms + patience},
-		{"silent", 2000*ms + patience, func(*Stream) {}, Silent, 0},
+		{"runs", 2100 * ms, func(*Stream) {}, Continue, 2000*ms + limit},
+		{"slow, not silent", 2000*ms + limit - 1, func(*Stream) {}, Continue, 2000*ms + limit},
+		{"silent", 2000*ms + limit, func(*Stream) {}, Silent, 0},
 		{"short gaps: an expected time at least", 2900 * ms, func(s *Stream) { s.TokenGap = ms }, Continue, 3000 * ms},
-		{"the client does not read: not the writer's fault", 2000*ms + patience, func(s *Stream) { s.Unread = true }, Continue, 2000*ms + unreadTimes*patience},
-		{"the client does not read for long", 2000*ms + unreadTimes*patience, func(s *Stream) { s.Unread = true }, Unread, 0},
+		{"the client does not read: not the writer's fault", 2000*ms + limit, func(s *Stream) { s.Unread = true }, Continue, 2000*ms + unreadTimes*limit},
+		{"the client does not read for long", 2000*ms + unreadTimes*limit, func(s *Stream) { s.Unread = true }, Unread, 0},
 		{"time nearly up", 2500 * ms, func(s *Stream) { s.CallEnds, s.AnswerAhead = 2510*ms, 20*ms }, TimeOut, 0},
 		{"looked at before time is up", 2100 * ms, func(s *Stream) { s.CallEnds, s.AnswerAhead = 2510*ms, 20*ms }, Continue, 2490 * ms},
-		{"no token but the first", 1100 * ms, func(s *Stream) { s.LastAt = 0 }, Continue, 1000*ms + patience},
+		{"no token but the first", 1100 * ms, func(s *Stream) { s.LastAt = 0 }, Continue, 1000*ms + limit},
 	} {
 		s := s
 		c.with(&s)
--- a/internal/dispatch/admission.go
+++ b/internal/dispatch/admission.go
@@ -21,7 +21,7 @@
 	return slices.IndexFunc(d.unsent, func(u unsentRequest) bool { return u.id == id })
 }
 
-// admits tells whether the door lets in another.
+// admits tells whether the admission queue lets in another.
 func (d *Dispatcher) admits(now loop.Nanos) bool {
 	d.ages = d.ages[:0]
 	for _, u := range d.unsent {
@@ -44,7 +44,7 @@
 	d.rejectQueued(id, why, d.queue.Refuse(now, admission.RequestID(id), why))
 }
 
-// rejectQueued answers a request that the door has given up.
+// rejectQueued answers a request that the admission queue has given up.
 func (d *Dispatcher) rejectQueued(id policy.RequestID, why admission.Cause, a admission.Advice) {
 	req := d.requests.Find(id)
 	req.queued = false
--- a/internal/dispatch/attempts.go
+++ b/internal/dispatch/attempts.go
@@ -50,7 +50,7 @@
 			d.queue.NotSent()
 		}
 		no.RetryAfter = min(int64(decision.For), d.maxRetryAfter)
-		if decision.For > 0 && !d.direct { // that at least; the door books a place
+		if decision.For > 0 && !d.direct { // that at least; the admission queue books a place
 			no = d.refusal(no.Reason, false, d.queue.RetryAfter(now, req.queueRequest, loop.Nanos(decision.For)))
 		}
 		d.answer(req, func() { req.call.Reject(req.ID, no) }, &d.Counts.Rejected)
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -50,9 +50,9 @@
 	debug         bool // the log takes lines of single requests
 	module        Module
 	entry         Entry
-	grpcEntry     *grpc.Server // the door, where it is gRPC's
+	grpcEntry     *grpc.Server // the admission queue, where it is gRPC's
 	exit          Exit
-	direct        bool // requests go to the module as they come: no door holds them back
+	direct        bool // requests go to the module as they come: no admission queue holds them back
 	gate          intake.Limits
 	queue         *admission.Queue
 	signer        *admission.Signer
@@ -93,7 +93,7 @@
 // New makes a dispatcher on a loop, whose clients and engines speak gRPC; Start sets it going. life must differ from
 // one start to the next; secrets is where it draws keys from that nobody may guess, crypto/rand's Reader but for
 // simulations.
-func New(l *loop.Loop, s *setup.Dispatcher, log *slog.Logger, seed, life uint64, secrets io.Reader, wrap func(Module) Module) (*Dispatcher, error) {
+func New(l *loop.Loop, s *setup.Dispatcher, log *slog.Logger, seed, incarnation uint64, secrets io.Reader, wrap func(Module) Module) (*Dispatcher, error) {
 	list := fleet.New()
 	module, err := s.Module(seed, list.Zone(s.Zone))
 	if err != nil {
@@ -103,7 +103,7 @@
 	for _, t := range s.Tracks {
 		names = append(names, t.Name)
 	}
-	d, shortest := newDispatcher(l, log, module, names, s.PolicyTracks(), life)
+	d, shortest := newDispatcher(l, log, module, names, s.PolicyTracks(), incarnation)
 	if wrap != nil {
 		d.module = wrap(module)
 	}
@@ -153,13 +153,13 @@
 // Direct makes a dispatcher whose requests go to the module as they come, at most so many in hand, with the classes and tenants
 // that the module was made with; a request without a tenant is nobody's. Ends gives it its entry and exit, Start sets it going. advises is the longest advice;
 // hush, how long a client may be left waiting after a token.
-func Direct(l *loop.Loop, log *slog.Logger, module Module, names []string, tracks []policy.Class, tenants []string, most int, prompt, advises, hush int64, life uint64) (*Dispatcher, error) {
-	d, shortest := newDispatcher(l, log, module, names, tracks, life)
-	d.direct, d.maxRetryAfter, d.silenceLimit = true, advises, hush
+func Direct(l *loop.Loop, log *slog.Logger, module Module, names []string, classes []policy.Class, tenants []string, maxRequests int, maxPrompt, maxRetryAfter, silenceLimit int64, incarnation uint64) (*Dispatcher, error) {
+	d, shortest := newDispatcher(l, log, module, names, classes, incarnation)
+	d.direct, d.maxRetryAfter, d.silenceLimit = true, maxRetryAfter, silenceLimit
 	for i, name := range tenants {
 		d.tenants[name] = policy.TenantID(i)
 	}
-	d.gate = intake.Limits{Requests: most, PromptTokens: prompt}
+	d.gate = intake.Limits{Requests: maxRequests, PromptTokens: maxPrompt}
 	var err error
 	d.queue, err = admission.New(1, 1, shortest, nil) // nothing ever waits there
 	return d, err
@@ -169,11 +169,11 @@
 func (d *Dispatcher) Attach(in Entry, out Exit) { d.entry, d.exit = in, out }
 
 // newDispatcher makes what all dispatchers have, and gives the shortest expected time.
-func newDispatcher(l *loop.Loop, log *slog.Logger, module Module, names []string, tracks []policy.Class, life uint64) (*Dispatcher, int64) {
-	d := &Dispatcher{loop: l, log: log, debug: log.Enabled(context.Background(), slog.LevelDebug), module: module, incarnation: life, clockStart: l.Wall(), classes: make(map[string]policy.ClassID),
+func newDispatcher(l *loop.Loop, log *slog.Logger, module Module, names []string, classes []policy.Class, incarnation uint64) (*Dispatcher, int64) {
+	d := &Dispatcher{loop: l, log: log, debug: log.Enabled(context.Background(), slog.LevelDebug), module: module, incarnation: incarnation, clockStart: l.Wall(), classes: make(map[string]policy.ClassID),
 		tenants: make(map[string]policy.TenantID)}
-	shortest := int64(tracks[0].Target)
-	for i, t := range tracks {
+	shortest := int64(classes[0].Target)
+	for i, t := range classes {
 		d.classes[names[i]] = policy.ClassID(i)
 		d.classTimes = append(d.classTimes, classTimes{int64(t.Target), int64(t.TargetPer1k), int64(t.Timeout),
 			int64(t.TokenGap), t.Effect == policy.Idempotent})
--- a/internal/dispatch/exit.go
+++ b/internal/dispatch/exit.go
@@ -7,7 +7,7 @@
 	"docksail/policy"
 )
 
-// Entry is a door by which clients come in; it hands requests over by Arrive and answers them by their front.Call.
+// Entry is a front by which clients come in; it hands requests over by Arrive and answers them by their front.Call.
 type Entry interface {
 	Listen(at netip.AddrPort, share bool) (netip.AddrPort, error)
 	Flush()     // queues on the sockets what has come together in this turn
--- a/internal/dispatch/grpcconn.go
+++ b/internal/dispatch/grpcconn.go
@@ -220,7 +220,7 @@
 // ---- What HTTP/2 tells.
 
 // request of a stream, if the stream is still its attempt.
-func (k *serverConn) job(s *h2.Stream) *Request {
+func (k *serverConn) request(s *h2.Stream) *Request {
 	if s.Ref == 0 {
 		return nil
 	}
@@ -234,7 +234,7 @@
 
 func (k *serverConn) Message(s *h2.Stream, p []byte) bool {
 	k.pings = 0
-	req := k.job(s)
+	req := k.request(s)
 	if req == nil || req.Prefill {
 		return false
 	}
@@ -249,7 +249,7 @@
 
 func (k *serverConn) Finished(s *h2.Stream, code codes.Code, _ string, trailer *h2.Header) {
 	k.pings = 0
-	req := k.job(s)
+	req := k.request(s)
 	if req == nil {
 		return
 	}
@@ -282,7 +282,7 @@
 		k.server.releaseBy(k.now, nil, o.request, o.attempt)
 		return
 	}
-	req := k.job(s)
+	req := k.request(s)
 	if req == nil {
 		return
 	}
--- a/internal/dispatch/grpcexit.go
+++ b/internal/dispatch/grpcexit.go
@@ -41,8 +41,8 @@
 // Idle implements Exit: releases that wait for a connection are left to the engines' own time.
 func (x *grpcExit) Idle() bool { return true }
 
-func (x *grpcExit) IsPrefill(host policy.ServerID) (reads, known bool) {
-	srv := x.servers[host]
+func (x *grpcExit) IsPrefill(server policy.ServerID) (reads, known bool) {
+	srv := x.servers[server]
 	return srv != nil && srv.role == policy.Prefill, srv != nil
 }
 
--- a/internal/dispatch/listwatch.go
+++ b/internal/dispatch/listwatch.go
@@ -128,8 +128,8 @@
 	}
 }
 
-func (w *listWatch) take(now loop.Nanos, version uint64, full bool, hosts []fleet.Host) error {
-	told, err := w.exit.list.Take(version, full, hosts)
+func (w *listWatch) take(now loop.Nanos, version uint64, full bool, servers []fleet.Host) error {
+	told, err := w.exit.list.Take(version, full, servers)
 	if err != nil {
 		return err
 	}
@@ -219,9 +219,9 @@
 	var news pb.FleetNews
 	err := proto.Unmarshal(p, &news)
 	if err == nil {
-		var hosts []fleet.Host
-		if hosts, err = fromNews(&news); err == nil {
-			err = w.take(w.now, news.Version, news.Full, hosts)
+		var servers []fleet.Host
+		if servers, err = fromNews(&news); err == nil {
+			err = w.take(w.now, news.Version, news.Full, servers)
 		}
 	}
 	if err != nil { // a new watch begins with the whole list
@@ -238,7 +238,7 @@
 	pb.Role_ROLE_MIXED: policy.Mixed}
 
 func fromNews(news *pb.FleetNews) ([]fleet.Host, error) {
-	var hosts []fleet.Host
+	var servers []fleet.Host
 	for _, h := range news.Hosts {
 		role, ok := roles[h.Role]
 		health, ok2 := healths[h.Health]
@@ -251,10 +251,10 @@
 		case err != nil:
 			return nil, err
 		}
-		hosts = append(hosts, fleet.Host{ID: policy.ServerID(h.Id), Address: addr, Role: role, Zone: h.Zone,
+		servers = append(servers, fleet.Host{ID: policy.ServerID(h.Id), Address: addr, Role: role, Zone: h.Zone,
 			Cell: h.Cell, Health: health, Started: h.StartedUnixNs})
 	}
-	return hosts, nil
+	return servers, nil
 }
 
 func (w *listWatch) HalfClosed(*h2.Stream) {}
@@ -275,14 +275,14 @@
 func (w *listWatch) poll(now loop.Nanos) {
 	name, stamp := w.file, w.stamp
 	go func() {
-		hosts, at, err := readHosts(name, stamp)
+		servers, at, err := readHosts(name, stamp)
 		w.d.loop.Post(func() {
 			switch {
 			case err != nil:
 				w.d.log.Warn("list of engines not read", "err", err)
 			case at != w.stamp:
 				w.stamp = at
-				if err := w.take(w.d.loop.Now(), w.exit.list.Version()+1, true, hosts); err != nil {
+				if err := w.take(w.d.loop.Now(), w.exit.list.Version()+1, true, servers); err != nil {
 					w.d.log.Warn("list of engines not taken", "file", name, "err", err)
 				}
 			}
@@ -301,11 +301,11 @@
 	if err != nil {
 		return nil, stamp, err
 	}
-	var hosts []fleet.Host
-	if hosts, err = setup.Hosts(name, text); err != nil {
+	var servers []fleet.Host
+	if servers, err = setup.Hosts(name, text); err != nil {
 		return nil, stamp, err
 	}
-	return hosts, info.ModTime(), nil
+	return servers, info.ModTime(), nil
 }
 
 // close ends the decode server of kept lists; the loop must have ended.
--- a/internal/dispatch/requests.go
+++ b/internal/dispatch/requests.go
@@ -32,9 +32,9 @@
 	lastTokenAt   loop.Nanos        // its last token
 	unread        int               // bytes of the engine's window that wait for the client
 	policyRequest policy.Request    // as the module is told of it
-	queueRequest  admission.Request // as the door is
+	queueRequest  admission.Request // as the admission queue is
 	queued        bool
-	admitted      bool  // the door has let it in, and not been told of its end
+	admitted      bool  // the admission queue has let it in, and not been told of its end
 	messages      int64 // messages relayed
 	mayHaveRun    bool  // an attempt was sent to a server that answers
 
@@ -71,7 +71,7 @@
 	return string(strconv.AppendUint(append(strconv.AppendUint(b[:0], d.incarnation, 16), '.'), uint64(id), 16))
 }
 
-// Name implements the door's core.
+// Name implements the admission queue's core.
 func (d *Dispatcher) Name(id policy.RequestID) string { return d.requestName(id) }
 
 // hashSecretly hashes a name that strangers choose, under a key of this life's own; 0 stands for no name.
@@ -84,7 +84,7 @@
 	return max(d.hash.Sum64(), 1)
 }
 
-// Arrive takes a request from the door.
+// Arrive takes a request from the admission queue.
 func (d *Dispatcher) Arrive(now loop.Nanos, call front.Call, r *front.Request) (policy.RequestID, error) {
 	class, ok := d.classes[string(r.Class)]
 	if !ok {
@@ -213,7 +213,7 @@
 	d.leaveQueue(req, count == &d.Counts.Served)
 }
 
-// leaveQueue tells the door that a request which it let in has its answer.
+// leaveQueue tells the admission queue that a request which it let in has its answer.
 func (d *Dispatcher) leaveQueue(req *Request, served bool) {
 	if req.admitted {
 		req.admitted = false
--- a/internal/dispatch/serve.go
+++ b/internal/dispatch/serve.go
@@ -29,12 +29,12 @@
 	if err != nil {
 		return nil, err
 	}
-	life := uint64(time.Now().UnixNano())
+	incarnation := uint64(time.Now().UnixNano())
 	seed := s.Seed
 	if seed == 0 {
-		seed = life
+		seed = incarnation
 	}
-	d, err := New(l, s, log, seed, life, rand.Reader, wrap)
+	d, err := New(l, s, log, seed, incarnation, rand.Reader, wrap)
 	if err != nil {
 		l.Close()
 		return nil, err
--- a/internal/dispatch/view.go
+++ b/internal/dispatch/view.go
@@ -30,8 +30,8 @@
 // Clients counts open connections of clients.
 func (d *Dispatcher) Clients() int { return d.entry.Conns() }
 
-// Door gives what the clients' door counted.
-func (d *Dispatcher) Door() grpc.Counts {
+// Front gives what the front counted.
+func (d *Dispatcher) Front() grpc.Counts {
 	if d.grpcEntry == nil {
 		return grpc.Counts{}
 	}
@@ -87,7 +87,7 @@
 	Background, BackgroundOut       int     // waiting and at hand
 	Spare                           float64 // so many may be at hand
 	Counts                          Counts
-	Door                            grpc.Counts
+	Front                           grpc.Counts
 	Tenants                         []TenantView // in the settings' order; one without a name where they name none
 }
 
@@ -95,7 +95,7 @@
 func (d *Dispatcher) View() View {
 	v := View{InHand: d.requests.Len(), Clients: d.entry.Conns(), Waiting: d.queue.Waiting(), Flows: d.queue.Flows(), Counts: d.Counts,
 		Background: d.queue.BackgroundWaiting(), BackgroundOut: d.queue.Background.Out(), Spare: d.queue.Background.Allowance(),
-		Door: d.Door()}
+		Front: d.Front()}
 	for i, t := range d.tenantTerms {
 		w, r := d.queue.Tenant(i)
 		v.Tenants = append(v.Tenants, TenantView{Name: d.tenantNames[i], Weight: t.Weight, Waiting: w, Running: r, Counts: d.queue.Counts(i)})
--- a/internal/e2e/door_test.go
+++ b/internal/e2e/door_test.go
@@ -359,7 +359,7 @@
 		}
 	}
 	st.Dispatcher(0).Ask(func(d *dispatch.Dispatcher) {
-		c := d.Door().Connections
+		c := d.Front().Connections
 		t.Logf("%+v, %d open", c, d.Clients())
 		if d.Clients() > 200 || c.TooMany == 0 {
 			t.Errorf("%d connections open of 200, %d refused for their address", d.Clients(), c.TooMany)
--- a/internal/front/batch/batch.go
+++ b/internal/front/batch/batch.go
@@ -1,4 +1,4 @@
-// Package batch is the door for files of jobs, over HTTP/1.1 and HTTP/2: files are handed in and fetched, batches made,
+// Package batch is the front for files of jobs, over HTTP/1.1 and HTTP/2: files are handed in and fetched, batches made,
 // looked at and cancelled, as the public description of the batch API has it. It knows its callers by their keys, streams
 // contents, and decides nothing.
 package batch
@@ -30,7 +30,7 @@
 	Headers int
 }
 
-// Server is the door.
+// Server is the front.
 type Server struct {
 	s    *batches.Store
 	r    *runner.Runner
@@ -40,7 +40,7 @@
 	ctx  context.Context // of batches under way
 }
 
-// New makes a door; keys are the hex SHA-256 of each key, by which its tenant is known. Batches run until ctx ends.
+// New makes a front; keys are the hex SHA-256 of each key, by which its tenant is known. Batches run until ctx ends.
 func New(ctx context.Context, s *batches.Store, r *runner.Runner, lim Limits, keys map[string]string, log *slog.Logger) (*Server, error) {
 	x := &Server{s: s, r: r, lim: lim, keys: map[[sha256.Size]byte]string{}, log: log, ctx: ctx}
 	for hash, tenant := range keys {
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -1,4 +1,4 @@
-// Package front is what every door of the dispatcher has in common: the requests that come in by it, the ends that they
+// Package front is what every front of the dispatcher has in common: the requests that come in by it, the ends that they
 // come to, and what stands behind it. The doors themselves are packages below.
 package front
 
@@ -12,10 +12,10 @@
 // ErrBad is wrapped by the core's errors about a request that can never be taken as it is.
 var ErrBad = errors.New("request cannot be taken")
 
-// Core is what stands behind a door.
+// Core is what stands behind a front.
 type Core interface {
 	// Arrive hands over a request. The request's slices are valid during the call only. An error that wraps ErrBad
-	// is the caller's fault; a Refusal is a nack.
+	// is the caller's fault; a Refusal rejects the request.
 	Arrive(now loop.Nanos, call Call, r *Request) (policy.RequestID, error)
 	// ClientLeft tells that the client of a request is gone.
 	ClientLeft(now loop.Nanos, id policy.RequestID)
--- a/internal/front/grpc/grpc.go
+++ b/internal/front/grpc/grpc.go
@@ -1,4 +1,4 @@
-// Package grpc is the door for clients that speak gRPC: it decodes a call, asks the core and gives the answer
+// Package grpc is the front for clients that speak gRPC: it decodes a call, asks the core and gives the answer
 // in gRPC's words. It reaches no engine and decides nothing.
 package grpc
 
@@ -49,14 +49,14 @@
 	Counts  Counts
 }
 
-// Counts are what the door counted since its start.
+// Counts are what the front counted since its start.
 type Counts struct {
 	Calls, Bad, Overflows uint64
 	Connections           connlimit.Counts
 	PartialRefused        uint64 // messages refused because too much had come in part
 }
 
-// New makes a door; it opens with Listen. partial bounds the bytes of messages that have come in part, over all
+// New makes a front; it opens with Listen. partial bounds the bytes of messages that have come in part, over all
 // connections.
 func New(l *loop.Loop, core front.Core, lim h2.Limits, connections, output, partial int) (*Server, error) {
 	c, err := connlimit.New(connections)
@@ -67,7 +67,7 @@
 		conns: make(map[*conn]struct{})}, nil
 }
 
-// Listen opens the door.
+// Listen opens the listener.
 func (s *Server) Listen(at netip.AddrPort, share bool) (netip.AddrPort, error) {
 	ln, err := s.l.Listen(at, share, s.accept)
 	if err != nil {
@@ -87,7 +87,7 @@
 // Conns counts open connections.
 func (s *Server) Conns() int { return len(s.conns) }
 
-// Drain closes the door: no new connections, no new streams on those there are.
+// Drain closes the listener: no new connections, no new streams on those there are.
 func (s *Server) Drain() {
 	s.leaving = true
 	s.ln.Close()
--- a/internal/front/platform/server.go
+++ b/internal/front/platform/server.go
@@ -1,4 +1,4 @@
-// Package platform is the door for clients that speak the platform's protocol over HTTP/1.1: it checks a request, asks
+// Package platform is the front for clients that speak the platform's protocol over HTTP/1.1: it checks a request, asks
 // the core and gives the answer in the platform's words. It reaches no server and decides nothing.
 package platform
 
@@ -28,7 +28,7 @@
 	pathHealthy     = "/health/live"
 )
 
-// Counts are what the door counted since its start.
+// Counts are what the front counted since its start.
 type Counts struct {
 	Requests, Bad, DuplicateIDs, Crowded, ClosedUnread, Overflows, CutOff uint64
 	Answers                                                               [6]uint64 // by the first digit of their status
@@ -57,7 +57,7 @@
 	scratch   []byte
 }
 
-// New makes a door for at most so many connections and bytes of requests in part; it opens with Listen. ready tells
+// New makes a front for at most so many connections and bytes of requests in part; it opens with Listen. ready tells
 // whether the dispatcher can take requests.
 func New(l *loop.Loop, core front.Core, log *slog.Logger, most int, bodies int64, ready func() bool) *Server {
 	s := &Server{loop: l, core: core, log: log, maxConns: most, bodies: bodies, ready: ready, byRequest: make(map[string]struct{})}
@@ -70,7 +70,7 @@
 	return s
 }
 
-// Listen opens the door.
+// Listen opens the listener.
 func (s *Server) Listen(at netip.AddrPort, share bool) (netip.AddrPort, error) {
 	ln, err := s.loop.Listen(at, share, s.accept)
 	if err != nil {
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -1,4 +1,4 @@
-// Package node is one dispatcher in service on the platform: what it is told at its start, its loop with the door, the
+// Package node is one dispatcher in service on the platform: what it is told at its start, its loop with the front, the
 // module and the way to the servers, and the signals that it takes.
 package node
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -54,7 +54,7 @@
 	if err != nil {
 		return nil, err
 	}
-	clients, hosts := clientconn.DescriptorShares(t.Limits.Sockets)
+	clients, servers := clientconn.DescriptorShares(t.Limits.Sockets)
 	memory := t.Limits.Memory << 20
 	most := max(int(heapShare*float64(memory)/2/requestBytes), 16)
 	n := &Node{loop: l, log: log, module: m.Policy, done: make(chan struct{})}
@@ -62,7 +62,7 @@
 		return nil, err
 	}
 	n.front = front.New(l, n.dispatcher, log, clients, clientconn.BodyMemory(memory), n.dispatcher.Known)
-	n.exit = exit.New(l, n.dispatcher, log, m, hosts, t.Discovery)
+	n.exit = exit.New(l, n.dispatcher, log, m, servers, t.Discovery)
 	n.dispatcher.Attach(n.front, n.exit)
 	n.exit.Known(l.Now(), t.Known)
 	if n.addr, err = n.dispatcher.Start(t.Listen, false); err != nil {
--- a/internal/state/requests/requests.go
+++ b/internal/state/requests/requests.go
@@ -88,9 +88,9 @@
 }
 
 type slot[T any] struct {
-	gen  uint32
-	used bool
-	job  *T // kept over uses: what points into it stays right while the slab grows
+	gen   uint32
+	used  bool
+	value *T // kept over uses: what points into it stays right while the slab grows
 }
 
 // Add takes a place. The request in it is as its last use left it: the caller sets it up anew.
@@ -100,20 +100,20 @@
 		i, t.free = t.free[n-1], t.free[:n-1]
 	} else {
 		i = uint32(len(t.slots))
-		t.slots = append(t.slots, slot[T]{job: new(T)})
+		t.slots = append(t.slots, slot[T]{value: new(T)})
 	}
 	p := &t.slots[i]
 	p.gen++
 	p.used = true
 	t.n++
-	return policy.RequestID(uint64(p.gen)<<32 | uint64(i)), p.job
+	return policy.RequestID(uint64(p.gen)<<32 | uint64(i)), p.value
 }
 
 // Find gives the request of an id; nil if it is over.
 func (t *Table[T]) Find(id policy.RequestID) *T {
 	i, gen := uint32(id), uint32(id>>32)
 	if int(i) < len(t.slots) && t.slots[i].used && t.slots[i].gen == gen {
-		return t.slots[i].job
+		return t.slots[i].value
 	}
 	return nil
 }
@@ -131,10 +131,10 @@
 func (t *Table[T]) Len() int { return t.n }
 
 // Each calls f for every request in hand, in the order of their places; f may drop it.
-func (t *Table[T]) Each(f func(id policy.RequestID, job *T)) {
+func (t *Table[T]) Each(f func(id policy.RequestID, value *T)) {
 	for i := range t.slots {
 		if p := &t.slots[i]; p.used {
-			f(policy.RequestID(uint64(p.gen)<<32|uint64(i)), p.job)
+			f(policy.RequestID(uint64(p.gen)<<32|uint64(i)), p.value)
 		}
 	}
 }
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -1,6 +1,6 @@
 package policy
 
-// All routing decisions are made in this file. types.go is the interface, told.go records events that need no
+// All routing decisions are made in this file. types.go is the interface, events.go records events that need no
 // judgement, state.go holds the state.
 //
 // A caller makes a Dispatcher with New and reports events to it: ListBegin, ServerListed, ListEnd,
