--- a/internal/decide/admission/bookings.go
+++ b/internal/decide/admission/bookings.go
@@ -59,14 +59,14 @@
 
 // wait is how long a request of some cost would wait in a flow, which may be none yet: no longer than for all that
 // waits to pass, and no longer than for its flow's part of the pace.
-func (d *Queue) wait(now Nanos, t *tenant, f *flow, cost float64) Nanos {
-	d.rate.pass(now)
-	rate := d.rate.rate()
-	if rate <= 0 || len(d.requests) == 0 {
+func (q *Queue) wait(now Nanos, t *tenant, f *flow, cost float64) Nanos {
+	q.rate.pass(now)
+	rate := q.rate.rate()
+	if rate <= 0 || len(q.requests) == 0 {
 		return 0
 	}
 	weights, flows := 0.0, 0.0
-	for _, o := range d.tenants {
+	for _, o := range q.tenants {
 		if o.waiting > 0 || o == t {
 			weights += o.Weight
 		}
@@ -84,7 +84,7 @@
 		}
 	}
 	share := t.Weight / weights * mine / (flows + mine)
-	return Nanos(min(d.total+cost, own/share) / rate)
+	return Nanos(min(q.total+cost, own/share) / rate)
 }
 
 // Advice says when to come back.
@@ -155,7 +155,7 @@
 	// at least: who asks a thousand times for a place does not take the others' places.
 	heaviestPart = 1.0 / 8
 	// hands count the tickets of a slot by the hash of who has them.
-	hands = 64
+	handReserve = 64
 	// without a pace a refused client stays away for so many expected times.
 	unknownWait = 1.0 / 2
 )
@@ -172,7 +172,7 @@
 	cost   float64
 	given  uint32
 	used   [serials / 64]uint64
-	by     [hands]float64 // cost booked, by the hash of who has it
+	by     [handReserve]float64 // cost booked, by the hash of who has it
 }
 
 func (b *bookings) init(s *Signer, expected Nanos) {
@@ -199,7 +199,7 @@
 	held := 0.0 // by this hand, in all slots so far
 	for n := now; n <= last; n++ {
 		s := b.at(n)
-		hand := &s.by[who%hands]
+		hand := &s.by[who%handReserve]
 		held += *hand
 		if n < from/b.len || held > 0 && held+cost > weight*heaviestPart*room*float64(n-now+1) {
 			continue
@@ -232,12 +232,12 @@
 
 // advise says when a refused client should come back, and books it in. Where a limit of the tenant's own was met,
 // not before that lets it in, nor before least from now.
-func (d *Queue) advise(now Nanos, t *tenant, c Cause, j *Request, cost float64, least Nanos) Advice {
-	d.rate.pass(now)
-	rate := d.rate.rate()
+func (q *Queue) advise(now Nanos, t *tenant, c Cause, request *Request, cost float64, least Nanos) Advice {
+	q.rate.pass(now)
+	rate := q.rate.rate()
 	from := now + least
 	if rate <= 0 {
-		from = max(from, now+Nanos(unknownWait*float64(d.expected)))
+		from = max(from, now+Nanos(unknownWait*float64(q.target)))
 	}
 	if c == OverRate && t.Rate > 0 {
 		from = max(from, now+Nanos((1-t.tokens)/t.Rate*1e9))
@@ -246,26 +246,26 @@
 			rate = t.Rate / 1e9 * cost
 		}
 	}
-	if rate <= 0 || d.book.signer == nil {
+	if rate <= 0 || q.book.signer == nil {
 		return Advice{RetryAfter: max(from-now, 1)}
 	}
 	if c != OverRate { // what stands before it by its own share has to pass first, not all that waits
-		ahead := d.wait(now, t, d.flowOf(now, t, j, false), cost)
-		from = max(from, now+min(ahead, Nanos(slots/2)*d.book.len))
+		ahead := q.wait(now, t, q.flowOf(now, t, request, false), cost)
+		from = max(from, now+min(ahead, Nanos(slots/2)*q.book.len))
 	}
-	who, weight := j.Client, 1.0
-	if who == 0 || !d.known.is(now, t.n, who) {
-		who, weight = j.Source, newcomers
+	who, weight := request.Client, 1.0
+	if who == 0 || !q.known.is(now, t.n, who) {
+		who, weight = request.Source, newcomers
 	}
-	n, serial, ok := d.book.take(now, from, who^uint64(t.n)*0x9e3779b97f4a7c15, weight, cost, rate)
+	n, serial, ok := q.book.take(now, from, who^uint64(t.n)*0x9e3779b97f4a7c15, weight, cost, rate)
 	if !ok {
-		return Advice{RetryAfter: slots * d.book.len}
+		return Advice{RetryAfter: slots * q.book.len}
 	}
 	// Within its slot they are spread by their serial, as evenly as the golden ratio does it.
 	const golden = 0.6180339887498949
 	_, part := math.Modf(float64(serial) * golden)
-	at := n*d.book.len + Nanos(part*float64(d.book.len))
-	return Advice{RetryAfter: max(at-now, 1), Ticket: &Ticket{Tenant: t.n, Client: j.Client, Slot: n, Serial: serial}}
+	at := n*q.book.len + Nanos(part*float64(q.book.len))
+	return Advice{RetryAfter: max(at-now, 1), Ticket: &Ticket{Tenant: t.n, Client: request.Client, Slot: n, Serial: serial}}
 }
 
 // known remembers, for a bounded number of clients, how many of their requests were served, in sets of a few: of a
--- a/internal/decide/admission/heaps.go
+++ b/internal/decide/admission/heaps.go
@@ -9,7 +9,7 @@
 	return a.startBy < b.startBy || a.startBy == b.startBy && a.order < b.order
 }
 func byLate(a, b *queuedRequest) bool {
-	return a.overdueIndex < b.overdueIndex || a.overdueIndex == b.overdueIndex && a.order < b.order
+	return a.tooLateAt < b.tooLateAt || a.tooLateAt == b.tooLateAt && a.order < b.order
 }
 func byStart(a, b *flow) bool {
 	return a.start < b.start || a.start == b.start && a.order < b.order
@@ -21,7 +21,7 @@
 }
 
 func lateHeap() order.Heap[*queuedRequest] {
-	return order.Heap[*queuedRequest]{Less: byLate, Place: func(w *queuedRequest) *int { return &w.overdueAt }}
+	return order.Heap[*queuedRequest]{Less: byLate, Place: func(w *queuedRequest) *int { return &w.overdueIndex }}
 }
 
 func flowHeap() order.Heap[*flow] {
@@ -45,7 +45,7 @@
 }
 
 // placeFlow puts a flow where it belongs among its tenant's that have requests.
-func (d *Queue) placeFlow(f *flow) {
+func (q *Queue) placeFlow(f *flow) {
 	if f.requests.Len() > 0 {
 		f.tenant.active.Put(f)
 		f.tenant.heavy.Put(f)
@@ -56,13 +56,13 @@
 }
 
 // place puts a tenant where it belongs among those that may have a request let in.
-func (d *Queue) place(t *tenant) {
+func (q *Queue) place(t *tenant) {
 	if t.active.Len() == 0 || t.Running > 0 && t.running >= t.Running {
-		d.active.Take(t)
+		q.active.Take(t)
 		return
 	}
 	if t.at == 0 {
-		t.start = max(t.start, d.virtual) // what it could not use is not saved up
+		t.start = max(t.start, q.virtual) // what it could not use is not saved up
 	}
-	d.active.Put(t)
+	q.active.Put(t)
 }
--- a/internal/decide/admission/queue_test.go
+++ b/internal/decide/admission/queue_test.go
@@ -17,23 +17,23 @@
 
 func newDoor(t testing.TB, most int, tenants ...Tenant) *Queue {
 	t.Helper()
-	d, err := New(most, 1024, sec, NewSigner([]byte("a key")))
+	q, err := New(most, 1024, sec, NewSigner([]byte("a key")))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i, x := range tenants {
-		if err := d.SetTenant(i, x); err != nil {
+		if err := q.SetTenant(i, x); err != nil {
 			t.Fatal(err)
 		}
 	}
-	return d
+	return q
 }
 
 // meet makes a client known.
-func meet(d *Queue, now Nanos, tenant int, clients ...uint64) {
+func meet(q *Queue, now Nanos, tenant int, clients ...uint64) {
 	for _, c := range clients {
 		for range knownAfter {
-			d.known.served(now, tenant, c, 1000*sec)
+			q.known.served(now, tenant, c, 1000*sec)
 		}
 	}
 }
@@ -42,7 +42,7 @@
 
 func ask(tenant int, client uint64, prompt int64) Request {
 	orders++
-	return Request{ID: orders, Tenant: tenant, Client: client, Source: 1, Prompt: prompt, Answer: 0, Expected: sec, Deadline: 1 << 60}
+	return Request{ID: orders, Tenant: tenant, Client: client, Source: 1, Prompt: prompt, Answer: 0, Target: sec, Deadline: 1 << 60}
 }
 
 // TestFairAgainstFluid: over any stretch in which a flow has requests waiting, what it is let in lies within its own largest
@@ -59,26 +59,26 @@
 			sum += w
 			ts = append(ts, Tenant{Weight: w})
 		}
-		d := newDoor(t, 100000, ts...)
+		q := newDoor(t, 100000, ts...)
 		owner, cost := map[RequestID]int{}, map[RequestID]float64{}
 		largest := 0.0
 		for i := range n { // all have enough waiting for the whole stretch
 			for range 400 {
-				j := ask(i, 0, int64(1+rng.IntN(1000)))
-				if c, _ := d.Arrive(1, j); c != Admitted {
+				request := ask(i, 0, int64(1+rng.IntN(1000)))
+				if c, _ := q.Arrive(1, request); c != Admitted {
 					rt.Fatalf("refused: %v", c)
 				}
-				owner[j.ID], cost[j.ID] = i, Cost(j.Prompt, 0)
-				largest = max(largest, cost[j.ID])
+				owner[request.ID], cost[request.ID] = i, Cost(request.Prompt, 0)
+				largest = max(largest, cost[request.ID])
 			}
 		}
 		got, total := make([]float64, n), 0.0
 		for range 300 {
-			id, ok := d.Next(0, 0)
+			id, ok := q.Next(0, 0)
 			if !ok {
 				rt.Fatal("nothing to let in while jobs wait")
 			}
-			d.Admit(2, id)
+			q.Admit(2, id)
 			got[owner[id]] += cost[id]
 			total += cost[id]
 			for i := range n {
@@ -102,20 +102,20 @@
 // request leaves exactly once, and nothing is left behind.
 func TestWorkConserving(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		d := newDoor(t, 50, Tenant{Weight: 1}, Tenant{Weight: 3, Running: 4}, Tenant{Weight: 2, Waiting: 5, Rate: 50})
-		meet(d, 1, 0, 1, 2, 3)
+		q := newDoor(t, 50, Tenant{Weight: 1}, Tenant{Weight: 3, Running: 4}, Tenant{Weight: 2, Waiting: 5, Rate: 50})
+		meet(q, 1, 0, 1, 2, 3)
 		waiting, running := map[RequestID]Request{}, []Request{}
 		now := Nanos(1)
 		for range rapid.IntRange(1, 300).Draw(rt, "steps") {
 			now += Nanos(rapid.IntRange(0, 50).Draw(rt, "ms")) * ms
 			switch rapid.IntRange(0, 5).Draw(rt, "what") {
 			case 0, 1:
-				j := ask(rapid.IntRange(0, 2).Draw(rt, "tenant"), uint64(rapid.IntRange(0, 5).Draw(rt, "client")), int64(rapid.IntRange(1, 5000).Draw(rt, "prompt")))
-				j.Deadline = now + 2*sec
-				if c, a := d.Arrive(now, j); c == Admitted {
-					waiting[j.ID] = j
-					if id, a, ok := d.Displaced(now); ok {
-						if _, here := waiting[id]; !here || id == j.ID || a.RetryAfter <= 0 {
+				request := ask(rapid.IntRange(0, 2).Draw(rt, "tenant"), uint64(rapid.IntRange(0, 5).Draw(rt, "client")), int64(rapid.IntRange(1, 5000).Draw(rt, "prompt")))
+				request.Deadline = now + 2*sec
+				if c, a := q.Arrive(now, request); c == Admitted {
+					waiting[request.ID] = request
+					if id, a, ok := q.Displaced(now); ok {
+						if _, here := waiting[id]; !here || id == request.ID || a.RetryAfter <= 0 {
 							rt.Fatalf("displaced %d, to come back after %d", id, a.RetryAfter)
 						}
 						delete(waiting, id)
@@ -124,32 +124,32 @@
 					rt.Fatalf("refused for %v with no time to come back", c)
 				}
 			case 2:
-				id, ok := d.Next(0, 0)
+				id, ok := q.Next(0, 0)
 				may := false
-				for _, j := range waiting {
-					_, r := d.Tenant(j.Tenant)
-					may = may || j.Tenant != 1 || r < 4
+				for _, request := range waiting {
+					_, r := q.Tenant(request.Tenant)
+					may = may || request.Tenant != 1 || r < 4
 				}
 				if ok != may {
 					rt.Fatalf("next: %v, though a job may be let in: %v", ok, may)
 				}
 				if ok {
-					j, here := waiting[id]
+					request, here := waiting[id]
 					if !here {
 						rt.Fatalf("job %d does not wait", id)
 					}
-					d.Admit(now, id)
+					q.Admit(now, id)
 					delete(waiting, id)
-					running = append(running, j)
+					running = append(running, request)
 				}
 			case 3:
 				if len(running) > 0 {
-					d.Finished(now, running[0], rapid.Bool().Draw(rt, "served"), int64(rapid.IntRange(0, 100).Draw(rt, "answer")))
+					q.Finished(now, running[0], rapid.Bool().Draw(rt, "served"), int64(rapid.IntRange(0, 100).Draw(rt, "answer")))
 					running = running[1:]
 				}
 			case 4:
 				for id := range waiting {
-					if !d.Cancel(now, id) || d.Cancel(now, id) {
+					if !q.Cancel(now, id) || q.Cancel(now, id) {
 						rt.Fatal("a job that waits can be cancelled once")
 					}
 					delete(waiting, id)
@@ -157,26 +157,26 @@
 				}
 			case 5:
 				for {
-					id, ok := d.Expired(now)
+					id, ok := q.Expired(now)
 					if !ok {
 						break
 					}
 					if _, here := waiting[id]; !here {
 						rt.Fatalf("expired job %d does not wait", id)
 					}
-					d.Refuse(now, id, TooLate)
+					q.Refuse(now, id, TooLate)
 					delete(waiting, id)
 				}
-				if err := d.SetTenant(0, Tenant{Weight: rapid.Float64Range(0.1, 10).Draw(rt, "weight")}); err != nil {
+				if err := q.SetTenant(0, Tenant{Weight: rapid.Float64Range(0.1, 10).Draw(rt, "weight")}); err != nil {
 					rt.Fatal(err)
 				}
 			}
-			if d.Waiting() != len(waiting) || d.overdue.Len() != len(waiting) {
-				rt.Fatalf("%d wait, %d by their time, want %d", d.Waiting(), d.overdue.Len(), len(waiting))
+			if q.Waiting() != len(waiting) || q.overdue.Len() != len(waiting) {
+				rt.Fatalf("%d wait, %d by their time, want %d", q.Waiting(), q.overdue.Len(), len(waiting))
 			}
 			sum := 0
 			for i := range 3 {
-				w, r := d.Tenant(i)
+				w, r := q.Tenant(i)
 				if r < 0 || w < 0 {
 					rt.Fatalf("tenant %d: %d waiting, %d running", i, w, r)
 				}
@@ -187,10 +187,10 @@
 			}
 		}
 		for id := range waiting {
-			d.Cancel(now, id)
+			q.Cancel(now, id)
 		}
-		if d.Waiting() != 0 || d.total != 0 {
-			rt.Fatalf("%d wait with cost %v when all are gone", d.Waiting(), d.total)
+		if q.Waiting() != 0 || q.total != 0 {
+			rt.Fatalf("%d wait with cost %v when all are gone", q.Waiting(), q.total)
 		}
 	})
 }
@@ -200,25 +200,25 @@
 	run := func() string {
 		orders = 1000000
 		rng := rand.New(rand.NewPCG(7, 7))
-		d := newDoor(t, 200, Tenant{Weight: 1}, Tenant{Weight: 2, Rate: 300})
+		q := newDoor(t, 200, Tenant{Weight: 1}, Tenant{Weight: 2, Rate: 300})
 		out := ""
 		for i := range 5000 {
 			now := Nanos(i) * ms
-			j := ask(rng.IntN(2), uint64(rng.IntN(40)), int64(1+rng.IntN(3000)))
-			j.Source, j.Deadline = uint64(rng.IntN(9)), now+sec
-			c, a := d.Arrive(now, j)
+			request := ask(rng.IntN(2), uint64(rng.IntN(40)), int64(1+rng.IntN(3000)))
+			request.Source, request.Deadline = uint64(rng.IntN(9)), now+sec
+			c, a := q.Arrive(now, request)
 			out += fmt.Sprint(c, a.RetryAfter, " ")
 			for {
-				id, ok := d.Expired(now)
+				id, ok := q.Expired(now)
 				if !ok {
 					break
 				}
-				out += fmt.Sprint("x", id, d.Refuse(now, id, TooLate).RetryAfter, " ")
+				out += fmt.Sprint("x", id, q.Refuse(now, id, TooLate).RetryAfter, " ")
 			}
-			if id, ok := d.Next(0, 0); ok && rng.IntN(3) > 0 {
-				d.Admit(now, id)
+			if id, ok := q.Next(0, 0); ok && rng.IntN(3) > 0 {
+				q.Admit(now, id)
 				out += fmt.Sprint("l", id, " ")
-				d.Finished(now, Request{Tenant: rng.IntN(2), Client: uint64(rng.IntN(40)), Prompt: 5}, true, 3)
+				q.Finished(now, Request{Tenant: rng.IntN(2), Client: uint64(rng.IntN(40)), Prompt: 5}, true, 3)
 			}
 		}
 		return out
@@ -229,19 +229,19 @@
 }
 
 // serve lets so much cost in for each millisecond and gives the wait of each request of a client, in milliseconds.
-func serve(d *Queue, credit *float64, from, to Nanos, perMS float64, came map[RequestID]Nanos, done func(id RequestID, wait Nanos)) {
+func serve(q *Queue, credit *float64, from, to Nanos, perMS float64, came map[RequestID]Nanos, done func(id RequestID, wait Nanos)) {
 	for now := from; now < to; now += ms {
 		*credit = min(*credit+perMS, 10*perMS)
 		for *credit > 0 {
-			id, ok := d.Next(0, 0)
+			id, ok := q.Next(0, 0)
 			if !ok {
 				break
 			}
-			j := d.requests[id].Request
-			*credit -= Cost(j.Prompt, j.Answer)
-			d.Sent(now, j)
-			d.Admit(now, id)
-			d.Finished(now, j, true, 0)
+			request := q.requests[id].Request
+			*credit -= Cost(request.Prompt, request.Answer)
+			q.Sent(now, request)
+			q.Admit(now, id)
+			q.Finished(now, request, true, 0)
 			done(id, now-came[id])
 		}
 	}
@@ -255,8 +255,8 @@
 		"many names": func(i int) uint64 { return 1000 + uint64(i) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			d := newDoor(t, 20000, Tenant{Weight: 1})
-			meet(d, 1, 0, 1, 2, 3, 77)
+			q := newDoor(t, 20000, Tenant{Weight: 1})
+			meet(q, 1, 0, 1, 2, 3, 77)
 			came, small := map[RequestID]Nanos{}, map[RequestID]bool{}
 			var worst, worstFlood Nanos
 			credit := 0.0
@@ -271,20 +271,20 @@
 			for now := Nanos(0); now < 4*sec; now += 10 * ms {
 				for range 30 { // fifteen times what is served
 					n++
-					j := ask(0, flooder(n), 100)
-					j.Source = 9
-					if c, _ := d.Arrive(now, j); c == Admitted {
-						came[j.ID] = now
+					request := ask(0, flooder(n), 100)
+					request.Source = 9
+					if c, _ := q.Arrive(now, request); c == Admitted {
+						came[request.ID] = now
 					}
 				}
 				if now%(50*ms) == 0 {
-					j := ask(0, 1+uint64(now/(50*ms))%3, 100)
-					if c, _ := d.Arrive(now, j); c != Admitted {
+					request := ask(0, 1+uint64(now/(50*ms))%3, 100)
+					if c, _ := q.Arrive(now, request); c != Admitted {
 						t.Fatalf("a small client was refused: %v", c)
 					}
-					came[j.ID], small[j.ID] = now, true
+					came[request.ID], small[request.ID] = now, true
 				}
-				serve(d, &credit, now, now+10*ms, 20, came, done)
+				serve(q, &credit, now, now+10*ms, 20, came, done)
 			}
 			if worst > 50*ms {
 				t.Errorf("a small client waited %d ms, want at most 50: five jobs take 25", worst/ms)
@@ -298,26 +298,26 @@
 
 // TestIdleTenant: an hour without a request saves nothing up.
 func TestIdleTenant(t *testing.T) {
-	d := newDoor(t, 1000, Tenant{Weight: 1}, Tenant{Weight: 1})
+	q := newDoor(t, 1000, Tenant{Weight: 1}, Tenant{Weight: 1})
 	for range 100 {
-		j := ask(0, 0, 100)
-		d.Arrive(1, j)
-		id, _ := d.Next(0, 0)
-		d.Admit(1, id)
+		request := ask(0, 0, 100)
+		q.Arrive(1, request)
+		id, _ := q.Next(0, 0)
+		q.Admit(1, id)
 	}
 	now := 3600 * sec
 	owner := map[RequestID]int{}
 	for range 50 {
 		for i := range 2 {
-			j := ask(i, 0, 100)
-			d.Arrive(now, j)
-			owner[j.ID] = i
+			request := ask(i, 0, 100)
+			q.Arrive(now, request)
+			owner[request.ID] = i
 		}
 	}
 	got := [2]int{}
 	for range 40 {
-		id, _ := d.Next(0, 0)
-		d.Admit(now, id)
+		id, _ := q.Next(0, 0)
+		q.Admit(now, id)
 		got[owner[id]]++
 	}
 	if got[0] < 18 || got[1] < 18 {
@@ -327,21 +327,21 @@
 
 // TestHugeJob: one huge request between many small ones of another client delays them by itself at most once.
 func TestHugeJob(t *testing.T) {
-	d := newDoor(t, 1000, Tenant{Weight: 1})
-	meet(d, 1, 0, 1, 2)
+	q := newDoor(t, 1000, Tenant{Weight: 1})
+	meet(q, 1, 0, 1, 2)
 	huge := ask(0, 1, 100000)
-	d.Arrive(1, huge)
-	d.Arrive(1, ask(0, 1, 100000))
+	q.Arrive(1, huge)
+	q.Arrive(1, ask(0, 1, 100000))
 	small := 0
 	for range 200 {
-		d.Arrive(1, ask(0, 2, 100))
+		q.Arrive(1, ask(0, 2, 100))
 	}
 	for i := range 150 {
-		id, _ := d.Next(0, 0)
-		if d.requests[id].Client == 2 {
+		id, _ := q.Next(0, 0)
+		if q.requests[id].Client == 2 {
 			small++
 		}
-		d.Admit(1, id)
+		q.Admit(1, id)
 		_ = i
 	}
 	if small < 149 {
@@ -351,20 +351,20 @@
 
 // TestWeightsChange: from the change on, service follows the new weights.
 func TestWeightsChange(t *testing.T) {
-	d := newDoor(t, 10000, Tenant{Weight: 1}, Tenant{Weight: 1})
+	q := newDoor(t, 10000, Tenant{Weight: 1}, Tenant{Weight: 1})
 	owner := map[RequestID]int{}
 	for range 2000 {
 		for i := range 2 {
-			j := ask(i, 0, 100)
-			d.Arrive(1, j)
-			owner[j.ID] = i
+			request := ask(i, 0, 100)
+			q.Arrive(1, request)
+			owner[request.ID] = i
 		}
 	}
 	count := func(n int) [2]int {
 		got := [2]int{}
 		for range n {
-			id, _ := d.Next(0, 0)
-			d.Admit(2, id)
+			id, _ := q.Next(0, 0)
+			q.Admit(2, id)
 			got[owner[id]]++
 		}
 		return got
@@ -372,7 +372,7 @@
 	if got := count(200); got[0] < 99 || got[1] < 99 {
 		t.Errorf("evenly weighted: %v", got)
 	}
-	if err := d.SetTenant(1, Tenant{Weight: 4}); err != nil {
+	if err := q.SetTenant(1, Tenant{Weight: 4}); err != nil {
 		t.Fatal(err)
 	}
 	if got := count(500); got[1] < 396 || got[1] > 404 {
@@ -382,25 +382,25 @@
 
 // TestTickets: what is booked holds once, for its owner, at its time; nothing else does.
 func TestTickets(t *testing.T) {
-	d := newDoor(t, 16, Tenant{Weight: 1}, Tenant{Weight: 1})
+	q := newDoor(t, 16, Tenant{Weight: 1}, Tenant{Weight: 1})
 	now := sec
 	var refused []*Ticket
 	for i := range 200 {
-		j := ask(0, 5, 100)
-		c, a := d.Arrive(now, j)
+		request := ask(0, 5, 100)
+		c, a := q.Arrive(now, request)
 		if c != Admitted && a.Ticket != nil {
 			refused = append(refused, a.Ticket)
 		}
-		if id, ok := d.Next(0, 0); ok && i%4 == 0 {
-			d.Sent(now, d.requests[id].Request)
-			d.Admit(now, id)
+		if id, ok := q.Next(0, 0); ok && i%4 == 0 {
+			q.Sent(now, q.requests[id].Request)
+			q.Admit(now, id)
 		}
 		now += 10 * ms
 	}
 	if len(refused) < 50 {
 		t.Fatalf("%d booked", len(refused))
 	}
-	s := d.book.signer
+	s := q.book.signer
 	for i := range refused {
 		b := s.Encode(refused[i])
 		if got, err := s.Decode(b); err != nil || *got != *refused[i] {
@@ -418,7 +418,7 @@
 		t.Error("a ticket of another key was taken")
 	}
 	tk := refused[len(refused)-1]
-	at := tk.Slot * d.book.len
+	at := tk.Slot * q.book.len
 	for _, c := range []struct {
 		name   string
 		now    Nanos
@@ -426,18 +426,18 @@
 		client uint64
 		want   bool
 	}{
-		{"far too early", at - 3*d.book.len, 0, 5, false},
+		{"far too early", at - 3*q.book.len, 0, 5, false},
 		{"another tenant", at, 1, 5, false},
 		{"another client", at, 0, 6, false},
-		{"far too late", at + 6*d.book.len, 0, 5, false},
-		{"a little early", at - d.book.len/2, 0, 5, true},
+		{"far too late", at + 6*q.book.len, 0, 5, false},
+		{"a little early", at - q.book.len/2, 0, 5, true},
 		{"twice", at, 0, 5, false},
 	} {
-		if got := d.book.redeem(c.now, c.tenant, c.client, tk); got != c.want {
+		if got := q.book.redeem(c.now, c.tenant, c.client, tk); got != c.want {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
 		}
 	}
-	if d.book.redeem(at, 0, 5, &Ticket{Tenant: 0, Client: 5, Slot: tk.Slot, Serial: tk.Serial + 4000}) {
+	if q.book.redeem(at, 0, 5, &Ticket{Tenant: 0, Client: 5, Slot: tk.Slot, Serial: tk.Serial + 4000}) {
 		t.Error("a serial that was never given was taken")
 	}
 }
@@ -454,7 +454,7 @@
 	}{{"as advised", 1, 0, 0.95}, {"clocks off", 1, 150 * ms, 0.95}, {"half the pace", 0.5, 0, 0.95}} {
 		t.Run(c.name, func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(3, 3))
-			d := newDoor(t, 256, Tenant{Weight: 1})
+			q := newDoor(t, 256, Tenant{Weight: 1})
 			came := map[RequestID]Nanos{}
 			type back struct {
 				at Nanos
@@ -467,20 +467,20 @@
 			now, credit := sec, 0.0
 			turn := func(pace float64) {
 				for {
-					id, ok := d.Expired(now)
+					id, ok := q.Expired(now)
 					if !ok {
 						break
 					}
-					d.Refuse(now, id, TooLate)
+					q.Refuse(now, id, TooLate)
 				}
-				serve(d, &credit, now, now+ms, pace, came, done)
+				serve(q, &credit, now, now+ms, pace, came, done)
 				now += ms
 			}
 			for range 300 { // a second and more of five times the pace
 				for range 5 {
-					j := ask(0, uint64(1+rng.IntN(500)), 100)
-					j.Deadline = now + 2*sec
-					if cause, a := d.Arrive(now, j); cause != Admitted {
+					request := ask(0, uint64(1+rng.IntN(500)), 100)
+					request.Deadline = now + 2*sec
+					if cause, a := q.Arrive(now, request); cause != Admitted {
 						if a.Ticket == nil {
 							continue
 						}
@@ -488,28 +488,28 @@
 						if c.off > 0 {
 							off = Nanos(rng.Int64N(2*c.off)) - c.off
 						}
-						backs = append(backs, back{now + a.RetryAfter + off, a.Ticket, j})
+						backs = append(backs, back{now + a.RetryAfter + off, a.Ticket, request})
 					}
-					came[j.ID] = now
+					came[request.ID] = now
 				}
 				for range 4 {
 					turn(25)
 				}
 			}
 			if len(backs) < 100 {
-				t.Fatalf("%d refused with a booking, %+v", len(backs), d.Counts(0))
+				t.Fatalf("%d refused with a booking, %+v", len(backs), q.Counts(0))
 			}
 			tried, kept := 0, map[RequestID]bool{}
 			for end := now + 80*sec; now < end; {
 				for i := range backs {
 					if b := &backs[i]; b.t != nil && now >= b.at {
-						j := b.j
+						request := b.j
 						orders++
-						j.ID, j.Deadline, j.Ticket = orders, now+2*sec, b.t
+						request.ID, request.Deadline, request.Ticket = orders, now+2*sec, b.t
 						b.t = nil
 						tried++
-						if cause, _ := d.Arrive(now, j); cause == Admitted {
-							came[j.ID], kept[j.ID] = now, true
+						if cause, _ := q.Arrive(now, request); cause == Admitted {
+							came[request.ID], kept[request.ID] = now, true
 						}
 					}
 				}
@@ -532,51 +532,51 @@
 
 // TestMemoryBound: ten thousand clients with one request each, then a flood of names: flows and requests stay bounded.
 func TestMemoryBound(t *testing.T) {
-	d := newDoor(t, 2000, Tenant{Weight: 1})
+	q := newDoor(t, 2000, Tenant{Weight: 1})
 	for i := range 200000 {
 		now := Nanos(i) * ms / 10
-		j := ask(0, uint64(i+1), 100)
-		j.Source = uint64(i % 50000)
-		d.Arrive(now, j)
-		if id, ok := d.Next(0, 0); ok && i%3 == 0 {
-			d.Admit(now, id)
+		request := ask(0, uint64(i+1), 100)
+		request.Source = uint64(i % 50000)
+		q.Arrive(now, request)
+		if id, ok := q.Next(0, 0); ok && i%3 == 0 {
+			q.Admit(now, id)
 		}
-		if d.Waiting() > 2000 || d.Flows() > 2000+1024+1 {
-			t.Fatalf("%d waiting in %d flows", d.Waiting(), d.Flows())
+		if q.Waiting() > 2000 || q.Flows() > 2000+1024+1 {
+			t.Fatalf("%d waiting in %d flows", q.Waiting(), q.Flows())
 		}
 	}
 }
 
 // TestQuickTracksFirst: within a client the request goes first whose expected time is up first.
 func TestQuickTracksFirst(t *testing.T) {
-	d := newDoor(t, 100, Tenant{Weight: 1})
-	meet(d, 1, 0, 5)
+	q := newDoor(t, 100, Tenant{Weight: 1})
+	meet(q, 1, 0, 5)
 	slow, quick := ask(0, 5, 100), ask(0, 5, 100)
-	slow.Expected, quick.Expected = 10*sec, sec
-	d.Arrive(1, slow)
-	d.Arrive(2, quick)
-	if id, _ := d.Next(0, 0); id != quick.ID {
+	slow.Target, quick.Target = 10*sec, sec
+	q.Arrive(1, slow)
+	q.Arrive(2, quick)
+	if id, _ := q.Next(0, 0); id != quick.ID {
 		t.Error("the draft goes before the question that came after it")
 	}
 }
 
 // TestHoarding: a client that asks a thousand times for a place leaves others places in each slot.
 func TestHoarding(t *testing.T) {
-	d := newDoor(t, 64, Tenant{Weight: 1})
-	meet(d, 1, 0, 5, 6)
+	q := newDoor(t, 64, Tenant{Weight: 1})
+	meet(q, 1, 0, 5, 6)
 	now := sec
 	for range 2000 { // a pace is known, and the queue is full
-		d.Arrive(now, ask(0, 7, 100))
-		if id, ok := d.Next(0, 0); ok && d.Waiting() > 50 {
-			d.Sent(now, d.requests[id].Request)
-			d.Admit(now, id)
+		q.Arrive(now, ask(0, 7, 100))
+		if id, ok := q.Next(0, 0); ok && q.Waiting() > 50 {
+			q.Sent(now, q.requests[id].Request)
+			q.Admit(now, id)
 		}
 		now += ms
 	}
 	var first Nanos
 	hoarded := 0
 	for range 1000 {
-		if c, a := d.Arrive(now, ask(0, 5, 100)); c != Admitted && a.Ticket != nil {
+		if c, a := q.Arrive(now, ask(0, 5, 100)); c != Admitted && a.Ticket != nil {
 			hoarded++
 			if first == 0 {
 				first = a.RetryAfter
@@ -587,14 +587,14 @@
 		t.Fatalf("%d booked", hoarded)
 	}
 	other := ask(0, 6, 100)
-	if c, _ := d.Arrive(now, other); c != Admitted {
+	if c, _ := q.Arrive(now, other); c != Admitted {
 		t.Fatal(c)
 	}
-	a := d.Refuse(now, other.ID, Shed)
+	a := q.Refuse(now, other.ID, Shed)
 	if a.Ticket == nil {
 		t.Fatalf("%+v: want a booking", a)
 	}
-	if a.RetryAfter > first+2*d.book.len {
+	if a.RetryAfter > first+2*q.book.len {
 		t.Errorf("after %d bookings of another client one has to wait %d ms, the first of those %d ms", hoarded, a.RetryAfter/ms, first/ms)
 	}
 }
@@ -602,43 +602,43 @@
 // TestAllAtOnce: the refused come back together, too early for their tickets: they are refused as any others, what
 // waits stays bounded, and a small known client goes in at once.
 func TestAllAtOnce(t *testing.T) {
-	d := newDoor(t, 64, Tenant{Weight: 1})
-	meet(d, 1, 0, 6)
+	q := newDoor(t, 64, Tenant{Weight: 1})
+	meet(q, 1, 0, 6)
 	now := sec
 	var backs []Request
 	for i := range 2000 {
-		j := ask(0, 7, 100)
-		if c, a := d.Arrive(now, j); c != Admitted && a.Ticket != nil && a.Ticket.Slot > (now+4*sec)/d.book.len {
-			j.Ticket = a.Ticket
-			backs = append(backs, j)
+		request := ask(0, 7, 100)
+		if c, a := q.Arrive(now, request); c != Admitted && a.Ticket != nil && a.Ticket.Slot > (now+4*sec)/q.book.len {
+			request.Ticket = a.Ticket
+			backs = append(backs, request)
 		}
-		if id, ok := d.Next(0, 0); ok && i%2 == 0 {
-			d.Sent(now, d.requests[id].Request)
-			d.Admit(now, id)
+		if id, ok := q.Next(0, 0); ok && i%2 == 0 {
+			q.Sent(now, q.requests[id].Request)
+			q.Admit(now, id)
 		}
 		now += ms
 	}
 	if len(backs) < 50 {
 		t.Fatalf("%d to come back", len(backs))
 	}
-	before := d.Counts(0)
-	for _, j := range backs {
+	before := q.Counts(0)
+	for _, request := range backs {
 		orders++
-		j.ID = orders
-		d.Arrive(now, j)
+		request.ID = orders
+		q.Arrive(now, request)
 	}
-	after := d.Counts(0)
-	if after.Returned != before.Returned || d.Waiting() > 64 {
-		t.Errorf("%d tickets held before their time, %d wait", after.Returned-before.Returned, d.Waiting())
+	after := q.Counts(0)
+	if after.Returned != before.Returned || q.Waiting() > 64 {
+		t.Errorf("%d tickets held before their time, %d wait", after.Returned-before.Returned, q.Waiting())
 	}
-	d.Admit(now, func() RequestID { id, _ := d.Next(0, 0); return id }())
+	q.Admit(now, func() RequestID { id, _ := q.Next(0, 0); return id }())
 	small := ask(0, 6, 100)
-	if c, _ := d.Arrive(now, small); c != Admitted {
+	if c, _ := q.Arrive(now, small); c != Admitted {
 		t.Fatalf("a small client is refused: %v", c)
 	}
-	d.Admit(now, func() RequestID { id, _ := d.Next(0, 0); return id }())
-	if id, _ := d.Next(0, 0); id != small.ID {
-		if _, waits := d.requests[small.ID]; waits {
+	q.Admit(now, func() RequestID { id, _ := q.Next(0, 0); return id }())
+	if id, _ := q.Next(0, 0); id != small.ID {
+		if _, waits := q.requests[small.ID]; waits {
 			t.Error("the small client is not among the next two")
 		}
 	}
@@ -646,22 +646,22 @@
 
 // TestUnplaced: after requests that the module could not place, fewer stand before it; attempts bring them back.
 func TestUnplaced(t *testing.T) {
-	d := newDoor(t, 10, Tenant{Weight: 1})
+	q := newDoor(t, 10, Tenant{Weight: 1})
 	old := []Nanos{sec, sec, sec, sec}
 	most := func() int {
 		n := 0
-		for n < len(old) && d.Admits(old[:n]) {
+		for n < len(old) && q.Admits(old[:n]) {
 			n++
 		}
 		return n
 	}
 	got := []int{most()}
 	for range 3 {
-		d.NotSent()
+		q.NotSent()
 		got = append(got, most())
 	}
 	for range 3 * 8 {
-		d.Sent(sec, Request{Prompt: 1})
+		q.Sent(sec, Request{Prompt: 1})
 	}
 	got = append(got, most())
 	if want := []int{4, 2, 1, 1, 4}; !slices.Equal(got, want) {
@@ -671,42 +671,42 @@
 
 // TestToShed: an overloaded dispatcher sheds an eighth of what waits, from the heaviest flow.
 func TestToShed(t *testing.T) {
-	d := newDoor(t, 1000, Tenant{Weight: 1}, Tenant{Weight: 1})
+	q := newDoor(t, 1000, Tenant{Weight: 1}, Tenant{Weight: 1})
 	for range 80 {
-		d.Arrive(1, ask(0, 0, 100))
+		q.Arrive(1, ask(0, 0, 100))
 	}
-	d.Arrive(1, ask(1, 0, 100))
+	q.Arrive(1, ask(1, 0, 100))
 	for _, c := range []struct {
 		worked       Nanos
 		memory, most uint64
 		want         int
 	}{{10 * ms, 0, 0, 0}, {200 * ms, 0, 0, 10}, {0, 100, 0, 0}, {0, 100, 100, 0}, {0, 101, 100, 10}} {
-		if got := d.ToShed(c.worked, c.memory, c.most); got != c.want {
+		if got := q.ToShed(c.worked, c.memory, c.most); got != c.want {
 			t.Errorf("after %d ms with %d of %d bytes: %d to shed, want %d", c.worked/ms, c.memory, c.most, got, c.want)
 		}
 	}
 	for range 79 {
-		id, _ := d.Heaviest()
-		if d.requests[id].Tenant != 0 {
+		id, _ := q.Heaviest()
+		if q.requests[id].Tenant != 0 {
 			t.Fatal("shed from the lighter tenant")
 		}
-		d.Refuse(2, id, Shed)
+		q.Refuse(2, id, Shed)
 	}
 }
 
 func BenchmarkDoor(b *testing.B) {
 	for _, flows := range []int{10, 1000, 100000} {
 		b.Run(fmt.Sprint(flows), func(b *testing.B) {
-			d := newDoor(b, flows*3, Tenant{Weight: 1})
-			d.known.init(flows * 8)
+			q := newDoor(b, flows*3, Tenant{Weight: 1})
+			q.known.init(flows * 8)
 			for i := range flows {
-				meet(d, 1, 0, uint64(i+1))
+				meet(q, 1, 0, uint64(i+1))
 			}
 			next := uint64(0)
 			come := func() {
 				next++
-				j := ask(0, 1+next%uint64(flows), 100)
-				d.Arrive(Nanos(next), j)
+				request := ask(0, 1+next%uint64(flows), 100)
+				q.Arrive(Nanos(next), request)
 			}
 			for range 2 * flows {
 				come()
@@ -714,10 +714,10 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				come()
-				id, _ := d.Next(0, 0)
-				j := d.requests[id].Request
-				d.Admit(Nanos(next), id)
-				d.Finished(Nanos(next), j, true, 0)
+				id, _ := q.Next(0, 0)
+				request := q.requests[id].Request
+				q.Admit(Nanos(next), id)
+				q.Finished(Nanos(next), request, true, 0)
 			}
 		})
 	}
@@ -726,21 +726,21 @@
 // TestSmallComeBackSoon: one who is refused while another's flood waits is told to stay away for what stands before
 // it by its own share, not until the flood has passed.
 func TestSmallComeBackSoon(t *testing.T) {
-	d := newDoor(t, 1000, Tenant{Weight: 1})
-	meet(d, 0, 0, 7, 8)
+	q := newDoor(t, 1000, Tenant{Weight: 1})
+	meet(q, 0, 0, 7, 8)
 	for range 100 {
-		if c, _ := d.Arrive(sec, ask(0, 7, 1000)); c != Admitted {
+		if c, _ := q.Arrive(sec, ask(0, 7, 1000)); c != Admitted {
 			t.Fatal(c)
 		}
 	}
 	now := sec
 	for range 20 {
 		now += 10 * ms
-		id, _ := d.Next(0, 0)
-		d.Admit(now, id)
-		d.Sent(now, Request{Prompt: 1000})
+		id, _ := q.Next(0, 0)
+		q.Admit(now, id)
+		q.Sent(now, Request{Prompt: 1000})
 	}
-	small, large := d.RetryAfter(now, ask(0, 8, 1000), 0), d.RetryAfter(now, ask(0, 7, 1000), 0)
+	small, large := q.RetryAfter(now, ask(0, 8, 1000), 0), q.RetryAfter(now, ask(0, 7, 1000), 0)
 	if small.Ticket == nil || large.Ticket == nil || small.RetryAfter > large.RetryAfter/2 || large.RetryAfter < 500*ms {
 		t.Errorf("the small one is to stay away for %d ms, the flooding one for %d ms of the 800 ms that wait", small.RetryAfter/ms, large.RetryAfter/ms)
 	}
@@ -749,48 +749,48 @@
 // TestDisplace: a queue full of one flood takes the requests of others in its stead, the newest first, down to an even
 // share and no further; those back as advised stay.
 func TestDisplace(t *testing.T) {
-	d := newDoor(t, 64, Tenant{Weight: 1, Waiting: 100}, Tenant{Weight: 1, Waiting: 4})
-	meet(d, 0, 0, 5, 6, 7)
-	meet(d, 0, 1, 8, 9)
+	q := newDoor(t, 64, Tenant{Weight: 1, Waiting: 100}, Tenant{Weight: 1, Waiting: 4})
+	meet(q, 0, 0, 5, 6, 7)
+	meet(q, 0, 1, 8, 9)
 	last := RequestID(0)
 	for {
-		j := ask(0, 5, 100)
-		if c, _ := d.Arrive(0, j); c != Admitted {
+		request := ask(0, 5, 100)
+		if c, _ := q.Arrive(0, request); c != Admitted {
 			break
 		}
-		last = j.ID
+		last = request.ID
 	}
-	full := d.Waiting()
+	full := q.Waiting()
 	for i := range full {
-		j := ask(0, 6, 100)
-		c, _ := d.Arrive(0, j)
+		request := ask(0, 6, 100)
+		c, _ := q.Arrive(0, request)
 		if fair := i < full/2; fair != (c == Admitted) {
 			t.Fatalf("job %d of the other client, of %d that fit: %v", i, full, c)
 		}
-		id, _, ok := d.Displaced(0)
+		id, _, ok := q.Displaced(0)
 		if ok != (c == Admitted) || ok && id != last-RequestID(i) {
 			t.Fatalf("job %d displaces %d, %v, want the newest, %d", i, id, ok, last-RequestID(i))
 		}
-		if d.Waiting() != full {
-			t.Fatalf("%d wait, want %d", d.Waiting(), full)
+		if q.Waiting() != full {
+			t.Fatalf("%d wait, want %d", q.Waiting(), full)
 		}
 	}
 	// Within a tenant's own limit as well, but not beyond it.
 	for range 5 {
-		d.Arrive(0, ask(1, 8, 100))
+		q.Arrive(0, ask(1, 8, 100))
 	}
-	if w, _ := d.Tenant(1); w != 4 {
+	if w, _ := q.Tenant(1); w != 4 {
 		t.Fatalf("%d of the second tenant wait, want its 4", w)
 	}
-	d.displacedRequests = d.displacedRequests[:0]
-	if c, _ := d.Arrive(0, ask(1, 9, 100)); c != Admitted {
+	q.displacedRequests = q.displacedRequests[:0]
+	if c, _ := q.Arrive(0, ask(1, 9, 100)); c != Admitted {
 		t.Error(c)
 	}
-	if w, _ := d.Tenant(1); w != 4 || len(d.displacedRequests) != 1 || d.displacedRequests[0].Client != 8 {
-		t.Errorf("%d wait, %v displaced; want one of its heavier client", w, d.displacedRequests)
+	if w, _ := q.Tenant(1); w != 4 || len(q.displacedRequests) != 1 || q.displacedRequests[0].Client != 8 {
+		t.Errorf("%d wait, %v displaced; want one of its heavier client", w, q.displacedRequests)
 	}
 	// One that leaves before it is answered is forgotten.
-	if gone := d.displacedRequests[0].ID; d.Cancel(0, gone) || len(d.displacedRequests) != 0 {
+	if gone := q.displacedRequests[0].ID; q.Cancel(0, gone) || len(q.displacedRequests) != 0 {
 		t.Error("a displaced job that left is still to be answered")
 	}
 }
@@ -798,67 +798,67 @@
 // TestBackground: background work goes in when nobody else waits and nothing is unlaunched, is not counted among those
 // who fill the queue, is shed first, and comes back by bookings as any.
 func TestBackground(t *testing.T) {
-	d := newDoor(t, 40, Tenant{Weight: 1})
+	q := newDoor(t, 40, Tenant{Weight: 1})
 	back := func() Request {
-		j := ask(0, 0, 100)
-		j.Background = true
-		return j
+		request := ask(0, 0, 100)
+		request.Background = true
+		return request
 	}
 	var first Request
 	for i := range 12 {
-		j := back()
+		request := back()
 		if i == 0 {
-			first = j
+			first = request
 		}
-		if c, a := d.Arrive(0, j); (c == Admitted) != (i < 9) || c != Admitted && a.RetryAfter <= 0 { // a quarter of the room, but for the returners' eighth
+		if c, a := q.Arrive(0, request); (c == Admitted) != (i < 9) || c != Admitted && a.RetryAfter <= 0 { // a quarter of the room, but for the returners' eighth
 			t.Fatalf("background job %d: %v, %+v", i, c, a)
 		}
 	}
 	for range 35 {
-		if c, _ := d.Arrive(0, ask(0, 0, 100)); c != Admitted {
+		if c, _ := q.Arrive(0, ask(0, 0, 100)); c != Admitted {
 			t.Fatal("background work takes others' room")
 		}
 	}
 	for range 35 {
-		id, ok := d.Next(1, 0)
-		if !ok || d.requests[id] == nil {
+		id, ok := q.Next(1, 0)
+		if !ok || q.requests[id] == nil {
 			t.Fatal("background work goes before others")
 		}
-		d.Admit(1, id)
+		q.Admit(1, id)
 	}
-	if _, ok := d.Next(1, 1); ok {
+	if _, ok := q.Next(1, 1); ok {
 		t.Error("background work goes in while the module has something to place")
 	}
-	id, ok := d.Next(1, 0)
+	id, ok := q.Next(1, 0)
 	if !ok || id != first.ID {
 		t.Fatalf("%d, %v: want the first background job", id, ok)
 	}
-	d.Admit(1, id)
-	if _, ok := d.Next(1, 0); ok || d.Background.Out() != 1 {
-		t.Errorf("a second one goes in while the first has not begun; %d out", d.Background.Out())
+	q.Admit(1, id)
+	if _, ok := q.Next(1, 0); ok || q.BackgroundLimit.Out() != 1 {
+		t.Errorf("a second one goes in while the first has not begun; %d out", q.BackgroundLimit.Out())
 	}
-	d.FirstToken(2, first, 1)
-	d.Finished(2, first, true, 10)
-	if d.Background.Out() != 0 {
-		t.Errorf("%d out", d.Background.Out())
+	q.FirstToken(2, first, 1)
+	q.Finished(2, first, true, 10)
+	if q.BackgroundLimit.Out() != 0 {
+		t.Errorf("%d out", q.BackgroundLimit.Out())
 	}
-	d.Arrive(3, ask(0, 0, 100))
-	if id, _ := d.Heaviest(); d.retryLimit.requests[id] == nil {
+	q.Arrive(3, ask(0, 0, 100))
+	if id, _ := q.Heaviest(); q.backgroundQueue.requests[id] == nil {
 		t.Error("what somebody waits for is shed before background work")
 	}
 	now := 2 * sec
 	n := 0
 	for {
-		id, ok := d.Expired(now)
+		id, ok := q.Expired(now)
 		if !ok {
 			break
 		}
-		if a := d.Refuse(now, id, TooLate); a.RetryAfter <= 0 {
+		if a := q.Refuse(now, id, TooLate); a.RetryAfter <= 0 {
 			t.Errorf("refused with %+v", a)
 		}
 		n++
 	}
-	if n != 9 || d.Waiting() != 0 {
-		t.Errorf("%d expired, %d wait", n, d.Waiting())
+	if n != 9 || q.Waiting() != 0 {
+		t.Errorf("%d expired, %d wait", n, q.Waiting())
 	}
 }
--- a/internal/dispatch/requests.go
+++ b/internal/dispatch/requests.go
@@ -84,19 +84,57 @@
 	return max(d.hash.Sum64(), 1)
 }
 
-// Arrive takes a request from the admission queue.
+// Arrive implements the fronts' core: it takes a request in, or tells why not.
 func (d *Dispatcher) Arrive(now loop.Nanos, call front.Call, r *front.Request) (policy.RequestID, error) {
+	class, tenant, err := d.classAndTenant(r)
+	if err != nil {
+		return 0, err
+	}
+	times := &d.classTimes[class]
+	left := times.timeLeft(r) - d.answerAhead
+	target := times.target + times.targetPer1k*r.Prompt/1000
+	if err := d.checkIntake(r, left, target); err != nil {
+		return 0, err
+	}
+	id, req := d.requests.Add()
+	waiting := d.admissionRequest(r, tenant, now+left, target)
+	waiting.ID = admission.RequestID(id)
+	if !d.direct {
+		if err := d.enqueue(now, waiting); err != nil {
+			d.requests.Drop(id)
+			return 0, err
+		}
+	}
+	waiting.Ticket = nil
+	d.Counts.Requests++
+	req.begin(d, id, class, call, r, now)
+	req.queueRequest, req.queued = waiting, !d.direct
+	req.policyRequest = d.policyRequest(id, class, tenant, r, d.Time(now+left))
+	d.loop.At(&req.overdueTimer, now+left+intake.OverdueAfter, req.onOverdue)
+	if d.direct {
+		d.module.RequestArrived(d.Time(now), req.policyRequest)
+	}
+	return id, nil
+}
+
+// classAndTenant looks up what a request names; the tenant is -1 where there are none.
+func (d *Dispatcher) classAndTenant(r *front.Request) (policy.ClassID, policy.TenantID, error) {
 	class, ok := d.classes[string(r.Class)]
 	if !ok {
-		return 0, fmt.Errorf("class %q is unknown: %w", r.Class, front.ErrBad)
+		return 0, -1, fmt.Errorf("class %q is unknown: %w", r.Class, front.ErrBad)
 	}
-	tenant := policy.TenantID(-1)
-	if len(d.tenants) > 0 && !(d.direct && len(r.Tenant) == 0) {
-		if tenant, ok = d.tenants[string(r.Tenant)]; !ok {
-			return 0, fmt.Errorf("tenant %q is unknown: %w", r.Tenant, front.ErrBad)
-		}
+	if len(d.tenants) == 0 || d.direct && len(r.Tenant) == 0 {
+		return class, -1, nil
 	}
-	t := &d.classTimes[class]
+	tenant, ok := d.tenants[string(r.Tenant)]
+	if !ok {
+		return 0, -1, fmt.Errorf("tenant %q is unknown: %w", r.Tenant, front.ErrBad)
+	}
+	return class, tenant, nil
+}
+
+// timeLeft is how long a request's client waits: its class's time, or less if it says so.
+func (t *classTimes) timeLeft(r *front.Request) int64 {
 	left := t.timeout
 	if r.WaitLimit > 0 {
 		left = min(left, r.WaitLimit)
@@ -104,61 +142,76 @@
 	if r.Timeout > 0 {
 		left = min(left, r.Timeout)
 	}
-	left -= d.answerAhead
-	cause, after := d.gate.Check(d.requests.Len(), r.Prompt, left, t.target+t.targetPer1k*r.Prompt/1000)
-	if cause != intake.Accepted {
-		d.Counts.Refused++
-		if cause.Harmless() {
-			return 0, front.Refusal{Reason: cause.String(), RetryAfter: min(after, d.maxRetryAfter)}
-		}
-		return 0, fmt.Errorf("%s, %d tokens of at most %d: %w", cause, r.Prompt, d.gate.PromptTokens, front.ErrBad)
+	return left
+}
+
+// checkIntake tells why a request is not taken at all; nil if it is.
+func (d *Dispatcher) checkIntake(r *front.Request, left, target int64) error {
+	cause, after := d.gate.Check(d.requests.Len(), r.Prompt, left, target)
+	if cause == intake.Accepted {
+		return nil
+	}
+	d.Counts.Refused++
+	if cause.Harmless() {
+		return front.Refusal{Reason: cause.String(), RetryAfter: min(after, d.maxRetryAfter)}
 	}
-	ask := admission.Request{Tenant: max(int(tenant), 0), Client: d.hashSecretly(tenant, r.Client), Source: d.hashSecretly(-1, r.Source[:]), Prompt: r.Prompt,
-		Background: r.Background, Answer: r.MaxTokens, Expected: t.target + t.targetPer1k*r.Prompt/1000, Deadline: now + left}
+	return fmt.Errorf("%s, %d tokens of at most %d: %w", cause, r.Prompt, d.gate.PromptTokens, front.ErrBad)
+}
+
+// admissionRequest is a request as the admission queue is told of it.
+func (d *Dispatcher) admissionRequest(r *front.Request, tenant policy.TenantID, deadline loop.Nanos, target int64) admission.Request {
+	waiting := admission.Request{Tenant: max(int(tenant), 0), Client: d.hashSecretly(tenant, r.Client),
+		Source: d.hashSecretly(-1, r.Source[:]), Prompt: r.Prompt, Background: r.Background, Answer: r.MaxTokens,
+		Target: target, Deadline: deadline}
 	if r.Ticket != nil && d.signer != nil {
 		if ticket, err := d.signer.Decode(r.Ticket); err == nil {
-			ask.Ticket = ticket
+			waiting.Ticket = ticket
 		}
 	}
-	id, req := d.requests.Add()
-	ask.ID = admission.RequestID(id)
-	if !d.direct {
-		if cause, advice := d.queue.Arrive(now, ask); cause != admission.Admitted {
-			d.requests.Drop(id)
-			d.Counts.Refused++
-			if cause == admission.TooLong {
-				return 0, fmt.Errorf("%s, %d tokens: %w", cause, r.Prompt, front.ErrBad)
-			}
-			return 0, d.refusal(cause.String(), cause.Own(), advice)
-		}
+	return waiting
+}
+
+// enqueue has a request wait in the admission queue, or tells why it may not.
+func (d *Dispatcher) enqueue(now loop.Nanos, waiting admission.Request) error {
+	cause, advice := d.queue.Arrive(now, waiting)
+	if cause == admission.Admitted {
+		return nil
 	}
-	ask.Ticket = nil
-	d.Counts.Requests++
-	*req = Request{Record: requests.Record{ID: id}, call: call, Raw: append(req.Raw[:0], r.Raw...), ClientID: append(req.ClientID[:0], r.ClientID...),
-		Path: append(req.Path[:0], r.Path...), Header: append(req.Header[:0], r.Header...), class: class,
-		Repeat: uint32(r.Repeat), Trace: r.Trace, arrivedAt: now, timer: req.timer, onTimer: req.onTimer,
-		overdueTimer: req.overdueTimer, onOverdue: req.onOverdue, d: d, queueRequest: ask, queued: !d.direct}
+	d.Counts.Refused++
+	if cause == admission.TooLong {
+		return fmt.Errorf("%s, %d tokens: %w", cause, waiting.Prompt, front.ErrBad)
+	}
+	return d.refusal(cause.String(), cause.Own(), advice)
+}
+
+// begin makes a record that may have been used before that of a new request; its buffers and timers stay.
+func (req *Request) begin(d *Dispatcher, id policy.RequestID, class policy.ClassID, call front.Call, r *front.Request, now loop.Nanos) {
+	*req = Request{Record: requests.Record{ID: id}, call: call, class: class, d: d,
+		Raw: append(req.Raw[:0], r.Raw...), ClientID: append(req.ClientID[:0], r.ClientID...),
+		Path: append(req.Path[:0], r.Path...), Header: append(req.Header[:0], r.Header...),
+		Repeat: uint32(r.Repeat), Trace: r.Trace, arrivedAt: now,
+		timer: req.timer, onTimer: req.onTimer, overdueTimer: req.overdueTimer, onOverdue: req.onOverdue}
 	req.grpcAttempt.request = req
 	if req.onTimer == nil {
 		req.onTimer, req.onOverdue = req.timerDue, req.deadlineMissed
 	}
-	d.loop.At(&req.overdueTimer, now+left+intake.OverdueAfter, req.onOverdue)
 	if r.Timeout > 0 {
 		req.callEnds = now + r.Timeout
 	}
+}
+
+// policyRequest is a request as the decision module is told of it.
+func (d *Dispatcher) policyRequest(id policy.RequestID, class policy.ClassID, tenant policy.TenantID, r *front.Request,
+	deadline policy.Nanos) policy.Request {
 	owner := tenant
 	if d.direct { // as in the simulator: equal names stand for equal text, whoever asks
 		owner = -1
 	}
-	req.policyRequest = policy.Request{ID: id, Class: class, Tenant: tenant,
+	return policy.Request{ID: id, Class: class, Tenant: tenant,
 		Session: policy.SessionKey(d.hashName('s', owner, r.Session)),
 		Prefix:  policy.PrefixKey(d.hashName('b', owner, r.Prefix)),
-		Prompt:  r.Prompt, Shared: r.Shared, Cap: r.MaxTokens, Deadline: d.Time(now + left), Hint: policy.Nanos(r.Hint),
+		Prompt:  r.Prompt, Shared: r.Shared, Cap: r.MaxTokens, Deadline: deadline, Hint: policy.Nanos(r.Hint),
 		Repeat: r.Repeat > 0}
-	if d.direct {
-		d.module.RequestArrived(d.Time(now), req.policyRequest)
-	}
-	return id, nil
 }
 
 // ClientLeft tells that a client is gone.
--- a/internal/dispatch/view.go
+++ b/internal/dispatch/view.go
@@ -94,7 +94,7 @@
 // View gives the state of now.
 func (d *Dispatcher) View() View {
 	v := View{InHand: d.requests.Len(), Clients: d.entry.Conns(), Waiting: d.queue.Waiting(), Flows: d.queue.Flows(), Counts: d.Counts,
-		Background: d.queue.BackgroundWaiting(), BackgroundOut: d.queue.Background.Out(), Spare: d.queue.Background.Allowance(),
+		Background: d.queue.BackgroundWaiting(), BackgroundOut: d.queue.BackgroundLimit.Out(), Spare: d.queue.BackgroundLimit.Allowance(),
 		Front: d.Front()}
 	for i, t := range d.tenantTerms {
 		w, r := d.queue.Tenant(i)
