--- a/internal/decide/admission/bookings.go
+++ b/internal/decide/admission/bookings.go
@@ -151,11 +151,11 @@
 	graceBefore, graceAfter = 1, 4
 	// serials of a slot, at most.
 	serials = 4096
-	// hoardPart of a slot's room may be booked for one client, by its weight for the newcomers of one source, one ticket
+	// heaviestPart of a slot's room may be booked for one client, by its weight for the newcomers of one source, one ticket
 	// at least: who asks a thousand times for a place does not take the others' places.
 	heaviestPart = 1.0 / 8
 	// hands count the tickets of a slot by the hash of who has them.
-	handReserve = 64
+	holderBuckets = 64
 	// without a pace a refused client stays away for so many expected times.
 	unknownWait = 1.0 / 2
 )
@@ -172,7 +172,7 @@
 	cost   float64
 	given  uint32
 	used   [serials / 64]uint64
-	by     [handReserve]float64 // cost booked, by the hash of who has it
+	by     [holderBuckets]float64 // cost booked, by the hash of who has it
 }
 
 func (b *bookings) init(s *Signer, expected Nanos) {
@@ -199,7 +199,7 @@
 	held := 0.0 // by this hand, in all slots so far
 	for n := now; n <= last; n++ {
 		s := b.at(n)
-		hand := &s.by[who%handReserve]
+		hand := &s.by[who%holderBuckets]
 		held += *hand
 		if n < from/b.len || held > 0 && held+cost > weight*heaviestPart*room*float64(n-now+1) {
 			continue
--- a/internal/decide/admission/queue.go
+++ b/internal/decide/admission/queue.go
@@ -68,8 +68,8 @@
 	// answerCost is what a token of an answer costs, in tokens read: a token written takes a step of its own, a token
 	// read a share of one with some hundred others; slots and memory level it to this.
 	answerCost = 8
-	// expectedPart of the most tokens of an answer is what is charged before its length is known.
-	targetPart = 0.5
+	// expectedAnswerPart of the most tokens of an answer is what is charged before its length is known.
+	expectedAnswerPart = 0.5
 	// knownAfter requests served, a client has a flow of its own: a made-up name would have to be used as often.
 	knownAfter = 3
 	// forgetAfter so many expected times without a request, a client is not known any more.
@@ -82,18 +82,18 @@
 	shedPart = 1.0 / 8
 	// bookedRoom is the part of the queue that is kept for those who come back as advised.
 	bookedRoom = 1.0 / 8
-	// unlaunchedWait of the shortest expected time after a request was let in, and not sent, another may follow it: half
+	// unsentWait of the shortest expected time after a request was let in, and not sent, another may follow it: half
 	// of the time for which the module itself lets a request wait.
 	unsentWait = 1.0 / 16
-	// unlaunchedMost requests may be let in and not sent; half as many after each that the module could not place, one
-	// at least, and insideStep more with each attempt: a refusal weighs as many attempts as make it rare.
+	// maxUnsent requests may be let in and not sent; half as many after each that the module could not place, one
+	// at least, and admittedStep more with each attempt: a refusal weighs as many attempts as make it rare.
 	maxUnsent    = 4
 	admittedStep = 1.0 / 8
-	// backRoom of the queue's room is there for background requests besides: they bring their own timeout.
+	// backgroundRoom of the queue's room is there for background requests besides: they bring their own timeout.
 	backgroundRoom = 1.0 / 4
 	// burstSeconds of its rate a tenant may ask at once.
 	burstSeconds = 1
-	// drainMemory is how fast the measured drain follows, in expected times: some, so that one gap says little.
+	// rateMemory is how fast the measured drain follows, in expected times: some, so that one gap says little.
 	rateMemory = 4
 	// hopeless is the share of its expected time, or of what its client has left, within which a request has to be let
 	// in: the rest is for the work, and an answer that comes later is worth little.
@@ -102,7 +102,7 @@
 
 // Cost of a request in tokens read, as charged before its answer is known.
 func Cost(prompt, answer int64) float64 {
-	return max(float64(prompt)+answerCost*targetPart*float64(answer), 1)
+	return max(float64(prompt)+answerCost*expectedAnswerPart*float64(answer), 1)
 }
 
 // Queue is the queue. Make it with New.
@@ -199,7 +199,7 @@
 	q.admitted = min(q.admitted+admittedStep, maxUnsent)
 }
 
-// lateAt is when it is too late to let a request in.
+// tooLateAt is when it is too late to let a request in.
 func tooLateAt(now Nanos, request *Request) Nanos {
 	return now + Nanos(hopeless*float64(min(request.Target, request.Deadline-now)))
 }
--- a/internal/decide/clientconn/clientconn.go
+++ b/internal/decide/clientconn/clientconn.go
@@ -96,7 +96,7 @@
 	// descriptor is between two owners.
 	ownShare = 1.0 / 32
 	ownLeast = 24
-	// hostShare of all is the servers': clients hold as many for requests, each of which has one attempt out at most. The
+	// serverShare of all is the servers': clients hold as many for requests, each of which has one attempt out at most. The
 	// rest is the clients', as more knock than ask.
 	serverShare = 1.0 / 3
 )
--- a/internal/decide/discovery/discovery.go
+++ b/internal/decide/discovery/discovery.go
@@ -17,13 +17,13 @@
 	// First is how long a new process waits for the list before it takes clients; after that it goes by the list it was started with.
 	FirstListTimeout = heartbeat / 8
 
-	// retryMost is shorter than what a send may follow on news that a server drains: there is a call open, or soon is, at the
+	// maxRetry is shorter than what a send may follow on news that a server drains: there is a call open, or soon is, at the
 	// moment in which discovery is back.
 	maxRetry = heartbeat / 8
-	// answerMost is how long a discovery takes that answers by itself, and an eighth: one such call fits into the six seconds
+	// maxAnswer is how long a discovery takes that answers by itself, and an eighth: one such call fits into the six seconds
 	// after silence was noticed, and the next begins.
 	maxAnswer = 9 * heartbeat / 8
-	// refusedMost bounds how long a call that discovery refuses is put off: two more fit into the six seconds.
+	// maxRefusedRetry bounds how long a call that discovery refuses is put off: two more fit into the six seconds.
 	maxRefusedRetry = heartbeat
 )
 
--- a/internal/decide/keepalive/keepalive.go
+++ b/internal/decide/keepalive/keepalive.go
@@ -59,7 +59,7 @@
 
 const (
 	pingAfter = 4 // of an expected time is a quarter: unheard for so long with attempts out, it is asked
-	// asksMost pings may go unanswered by anything but their like, and then one in askRest: servers commonly end
+	// maxPings pings may go unanswered by anything but their like, and then one in pingAgainAfter: servers commonly end
 	// a connection at the fourth ping within five minutes in which they sent nothing.
 	maxPings       = 2
 	pingAgainAfter = 305 * 1e9
--- a/internal/decide/streamwatch/streamwatch.go
+++ b/internal/decide/streamwatch/streamwatch.go
@@ -24,7 +24,7 @@
 	// silentLeast is the same as a part of the request's expected time, where gaps are short: a decode server that reads
 	// an answer anew after it ran out of memory needs about a first token's time.
 	silentLeast = 1
-	// hushMargin is the part of what a client may be left waiting that is kept for its end to arrive.
+	// silenceMargin is the part of what a client may be left waiting that is kept for its end to arrive.
 	silenceMargin = 10
 	// unreadTimes is how many silences a client may take nothing: it pays for its own time only.
 	unreadTimes = 4
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -23,7 +23,7 @@
 	// heapShare of the memory limit is the collector's: the rest is for the program's text, stacks and what the kernel
 	// counts as ours.
 	heapShare = 0.6
-	// jobBytes is what a request in hand may take: most are a tenth of it.
+	// requestBytes is what a request in hand may take: most are a tenth of it.
 	requestBytes    = 64 << 10
 	maxPromptTokens = 1 << 20
 	silenceLimit    = 5 * int64(time.Second) // a client is lost that waits longer after a running server's last event
