--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -1,7 +1,6 @@
 package node
 
 import (
-	"bytes"
 	"encoding/json"
 	"log/slog"
 	"net/netip"
@@ -130,13 +129,14 @@
 		listener, err := p.loop.Listen(at, false, func(c *loop.Conn, _ netip.AddrPort) loop.Handler {
 			conn := &scriptedConn{h: h, server: p, loop: p.loop, conn: c}
 			p.conns = append(p.conns, conn)
+			p.accepted++
 			return conn
 		})
 		if err != nil {
 			h.t.Error(err)
 			return
 		}
-		p.addr = listener.Addr()
+		p.listener, p.addr = listener, listener.Addr()
 	})
 	return p
 }
@@ -303,174 +303,8 @@
 	}
 }
 
-// scriptedServer is a scripted server in simulated time.
-type scriptedServer struct {
-	h     *harness
-	addr  netip.AddrPort
-	loop  *loop.Loop
-	conns []*scriptedConn // that nobody has taken yet
-	reply string          // to every request; empty = the test answers
-	lines []string        // the request lines that were replied to
-}
-
-// accept gives the next connection.
-func (p *scriptedServer) accept() (c *scriptedConn) {
-	p.h.t.Helper()
-	p.h.until("a connection comes", func() bool {
-		if len(p.conns) == 0 {
-			return false
-		}
-		c, p.conns = p.conns[0], p.conns[1:]
-		return true
-	})
-	return c
-}
-
-// idle tells that no connection waits to be taken.
-func (p *scriptedServer) idle() (none bool) {
-	p.h.do(func() { none = len(p.conns) == 0 })
-	return none
-}
-
-// wantNoRequest looks for requests, of which none may come; on the simulated network it waits for them.
-func (p *scriptedServer) wantNoRequest() {
-	p.h.t.Helper()
-	if p.h.world != nil {
-		p.h.run(2 * time.Second)
-	}
-	p.h.do(func() {
-		for _, c := range p.conns {
-			if len(c.in) > 0 {
-				p.h.t.Errorf("%v got %q", p.addr, c.in)
-			}
-		}
-	})
-}
-
-// cut stops, or lets pass again, all that is under way between the dispatcher and this peer.
-func (p *scriptedServer) cut(yes bool) { p.h.world.Cut(p.h.loop, p.loop, yes) }
-
-// scriptedConn is one connection of a scripted peer in simulated time.
-type scriptedConn struct {
-	h      *harness
-	server *scriptedServer // nil for a client
-	loop   *loop.Loop
-	conn   *loop.Conn
-	in     []byte // that came and was not taken yet
-	opened bool
-	ended  bool // the dispatcher sends no more
-}
-
-func (c *scriptedConn) Opened(loop.Nanos) { c.opened = true }
-func (c *scriptedConn) Data(_ loop.Nanos, p []byte) {
-	c.in = append(c.in, p...)
-	if c.server != nil && c.server.reply != "" {
-		c.reply()
-	}
-}
-func (c *scriptedConn) PeerDone(loop.Nanos)      { c.ended = true }
-func (c *scriptedConn) Drained(loop.Nanos)       {}
-func (c *scriptedConn) Closed(loop.Nanos, error) { c.ended = true }
-
-// reply answers the requests that have come whole as its peer does.
-func (c *scriptedConn) reply() {
-	for {
-		head, rest, whole := bytes.Cut(c.in, []byte("\r\n\r\n"))
-		withBody := bytes.Contains(head, []byte("Content-Length: "))
-		if !whole || withBody && len(rest) < len(body) {
-			return
-		}
-		if withBody {
-			rest = rest[len(body):]
-		}
-		line, _, _ := strings.Cut(string(head), "\r\n")
-		c.server.lines = append(c.server.lines, line)
-		answer := c.server.reply
-		if bytes.HasPrefix(head, []byte("DELETE ")) {
-			answer = noContent
-		}
-		c.conn.Write([]byte(answer))
-		c.in = rest
-	}
-}
-
-// expect takes what came up to the end of a text, which has to come.
-func (c *scriptedConn) expect(text string) (got string) {
-	c.h.t.Helper()
-	ended := false
-	c.h.until("want "+text, func() bool {
-		before, after, found := bytes.Cut(c.in, []byte(text))
-		if found {
-			got, c.in = string(before)+text, after
-		}
-		ended = c.ended
-		return found || ended
-	})
-	if !strings.HasSuffix(got, text) {
-		c.h.t.Fatalf("the connection ended, want %q", text)
-	}
-	return got
-}
-
-// wantNothing looks for bytes that nobody took, of which there may be none.
-func (c *scriptedConn) wantNothing() {
-	c.h.t.Helper()
-	c.h.do(func() {
-		if len(c.in) > 0 {
-			c.h.t.Errorf("there came %q", c.in)
-		}
-	})
-}
-
-// stands tells that the dispatcher has not ended the connection.
-func (c *scriptedConn) stands() (so bool) {
-	c.h.do(func() { so = !c.ended })
-	return so
-}
-
-// request takes one request with its body and gives its request line.
-func (c *scriptedConn) request() string {
-	c.h.t.Helper()
-	head := c.expect("\r\n\r\n")
-	if strings.Contains(head, "Content-Length: ") {
-		c.expect(body)
-	}
-	line, _, _ := strings.Cut(head, "\r\n")
-	return line
-}
-
-// expectSoon is expect for what has been sent already: on the simulated network no time passes but that on the way.
-func (c *scriptedConn) expectSoon(text string) {
-	c.h.t.Helper()
-	began := c.h.now()
-	c.expect(text)
-	if took := c.h.since(began); c.h.world != nil && took > 4*transitTime {
-		c.h.t.Errorf("%q came after %v", text, took)
-	}
-}
-
-// untilEnd waits until the dispatcher has ended the connection.
-func (c *scriptedConn) untilEnd() {
-	c.h.t.Helper()
-	c.h.until("the connection ends", func() bool { return c.ended })
-}
-
-func (c *scriptedConn) send(text string) {
-	c.loop.Post(func() { c.conn.Write([]byte(text)) })
-}
-
-func (c *scriptedConn) close() { c.loop.Post(func() { c.conn.Close() }) }
-
-// sendSlowly sends pieces, one each interval, for as long as the connection stands.
-func (c *scriptedConn) sendSlowly(pieces []string, interval time.Duration) {
-	for _, piece := range pieces {
-		if !c.stands() {
-			return
-		}
-		c.send(piece)
-		c.h.run(interval)
-	}
-}
+// rest has time pass in which a connection becomes one that may be used again.
+func (h *harness) rest() { h.run(15 * time.Millisecond) }
 
 // listText is the text of a list as discovery writes it.
 func listText(list exit.List) string {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -137,14 +137,7 @@
 func (n *Node) View() (View, bool) {
 	got := make(chan View, 1)
 	posted := n.loop.Post(func() {
-		now := n.loop.Now()
-		var beliefs []Belief
-		n.exit.Each(now, func(h exit.ServerView) {
-			if held, ok := n.module.Believes(n.dispatcher.Time(now), h.ID); ok {
-				beliefs = append(beliefs, Belief{held, h})
-			}
-		})
-		got <- View{Beliefs: beliefs, Requests: n.dispatcher.InHand(), Clients: n.front.Conns(), Servers: n.exit.Servers(), ServerConns: n.exit.Conns(),
+		got <- View{Beliefs: n.beliefs(), Requests: n.dispatcher.InHand(), Clients: n.front.Conns(), Servers: n.exit.Servers(), ServerConns: n.exit.Conns(),
 			Dispatch: n.dispatcher.Counts, Front: n.front.Counts, Exit: n.exit.Counts}
 	})
 	if !posted {
@@ -159,6 +152,17 @@
 	}
 }
 
+// beliefs compares what the module assumes of each server with what crosses the sockets to it. It belongs to the loop.
+func (n *Node) beliefs() (all []Belief) {
+	now := n.loop.Now()
+	n.exit.Each(now, func(server exit.ServerView) {
+		if held, ok := n.module.Believes(n.dispatcher.Time(now), server.ID); ok {
+			all = append(all, Belief{held, server})
+		}
+	})
+	return all
+}
+
 // heapBytes reads how much memory objects take, without stopping the program for it as runtime.ReadMemStats does.
 func heapBytes() uint64 {
 	sample := []metrics.Sample{{Name: "/memory/classes/heap/objects:bytes"}}
--- a/internal/node/slow_test.go
+++ b/internal/node/slow_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -51,7 +50,8 @@
 	began := h.now()
 	writing.request() // it says nothing to that
 	h.until("a release", func() bool {
-		return slices.Contains(reader.lines, "DELETE /state/"+jobName(2)+" HTTP/1.1")
+		last := reader.requests[len(reader.requests)-1]
+		return last.line == "DELETE /state/"+jobName(2)+" HTTP/1.1"
 	})
 	if took := h.since(began); took > 1300*time.Millisecond {
 		t.Errorf("released after %v, want 1 s and what the rule allows", took)
