--- a/internal/node/serve_test.go
+++ b/internal/node/serve_test.go
@@ -329,7 +329,7 @@
 }
 
 // A server that begins to drain gets no new request; the list is heeded also from another address after a change of the
-// configuration, and the old one is let go.
+// configuration, and the old one is released.
 func TestListAndReload(t *testing.T) {
 	onEachNetwork(t, func(t *testing.T, on network) {
 		h := newHarness(t, on)
--- a/policy/scenario_test.go
+++ b/policy/scenario_test.go
@@ -33,17 +33,17 @@
 const ms = Nanos(1e6)
 
 type player struct {
-	t       *testing.T
-	at      string
-	set     map[string]int
-	d       *Dispatcher
-	now     Nanos
-	wake    Nanos
-	queue   []Decision
-	log     []string
-	shots   map[int]AttemptNumber
-	listing bool
-	count   int
+	t        *testing.T
+	at       string
+	set      map[string]int
+	d        *Dispatcher
+	now      Nanos
+	wake     Nanos
+	queue    []Decision
+	log      []string
+	attempts map[int]AttemptNumber
+	listing  bool
+	count    int
 }
 
 func TestScenarios(t *testing.T) {
@@ -59,8 +59,8 @@
 		for _, part := range strings.Split(string(text), "\n== ")[1:] {
 			name, body, _ := strings.Cut(part, "\n")
 			t.Run(strings.TrimSuffix(filepath.Base(file), ".txt")+"/"+name, func(t *testing.T) {
-				p := &player{t: t, now: 1000 * ms, wake: Never, shots: map[int]AttemptNumber{}, set: map[string]int{"expected": 1000,
-					"per1k": 60, "patience": 5000, "most": 6, "recall": 1, "slack": 16, "round": 4, "release": 500,
+				p := &player{t: t, now: 1000 * ms, wake: Never, attempts: map[int]AttemptNumber{}, set: map[string]int{"target": 1000,
+					"per1k": 60, "timeout": 5000, "most": 6, "cancel": 1, "slack": 16, "round": 4, "release": 500,
 					"from": 30, "warm": 10000, "multiple": 250, "window": 2000, "advice": 1, "maxadvice": 1000, "count": 2}}
 				p.play(strings.Split(body, "\n"))
 				p.queueEmpty("the end")
@@ -102,12 +102,12 @@
 func (p *player) start() {
 	s := func(name string) Nanos { return Nanos(p.set[name]) * ms }
 	var err error
-	p.d, err = New(1, Identity{Number: int32(p.set["number"]), Count: int32(p.set["count"])}, []Class{{Target: s("expected"), TargetPer1k: s("per1k"),
-		Timeout: s("patience"), Value: 1, TokenGap: 50 * ms, Effect: Effect(p.set["effect"]), Group: Group(p.set["group"]),
+	p.d, err = New(1, Identity{Number: int32(p.set["number"]), Count: int32(p.set["count"])}, []Class{{Target: s("target"), TargetPer1k: s("per1k"),
+		Timeout: s("timeout"), Value: 1, TokenGap: 50 * ms, Effect: Effect(p.set["effect"]), Group: Group(p.set["group"]),
 		Window: s("memory")}}, []Tenant{{PerSecond: float64(p.set["share"])}}, []Role{Prefill, Decode, Mixed},
 		ColdStart{From: float64(p.set["from"]) / 100, Warm: s("warm"), Multiple: float64(p.set["multiple"]) / 100,
 			Window: s("window")},
-		AttemptLimits{Most: int32(p.set["most"]), Cancel: p.set["recall"] == 1, DecodeReads: p.set["pens"] == 1},
+		AttemptLimits{Most: int32(p.set["most"]), Cancel: p.set["cancel"] == 1, DecodeReads: p.set["pens"] == 1},
 		Answering{Slack: s("slack"), Round: s("round"), Advice: p.set["advice"] == 1, MaxAdvice: s("maxadvice")},
 		Listing{Asked: p.set["asked"] == 1, Within: 10000 * ms}, s("release"))
 	if err != nil {
@@ -128,10 +128,10 @@
 		case Log:
 			p.log = append(p.log, what.Text)
 		case Attempt:
-			if _, again := p.shots[int(what.Request)]; again {
-				p.shots[int(what.Request)]++
+			if _, again := p.attempts[int(what.Request)]; again {
+				p.attempts[int(what.Request)]++
 			} else {
-				p.shots[int(what.Request)] = 0
+				p.attempts[int(what.Request)] = 0
 			}
 			fallthrough
 		default:
@@ -144,8 +144,8 @@
 	if p.d == nil && w[0] != "set" {
 		p.start()
 	}
-	opts := map[string]int{"zone": 0, "cell": 0, "launched": 0, "prompt": 500, "shared": 0, "prefix": 0, "session": 0,
-		"patience": p.set["patience"], "tenant": -1, "after": 50, "health": 0, "held": -1}
+	opts := map[string]int{"zone": 0, "cell": 0, "started": 0, "prompt": 500, "shared": 0, "prefix": 0, "session": 0,
+		"timeout": p.set["timeout"], "tenant": -1, "after": 50, "health": 0, "held": -1}
 	for _, o := range w {
 		if k, v, ok := strings.Cut(o, "="); ok {
 			if _, known := opts[k]; !known {
@@ -166,13 +166,13 @@
 		}
 		p.set[w[1]] = p.whole(w[2])
 		return
-	case "host", "full":
+	case "server", "full":
 		if !p.listing || w[0] == "full" {
 			p.d.ListBegin(w[0] == "full")
 		}
-		if p.listing = true; w[0] == "host" {
-			role := map[string]KindID{"reader": 0, "writer": 1, "mixed": 2}[w[2]]
-			launched := Nanos(opts["launched"]) * ms
+		if p.listing = true; w[0] == "server" {
+			role := map[string]KindID{"prefill": 0, "decode": 1, "mixed": 2}[w[2]]
+			launched := Nanos(opts["started"]) * ms
 			p.d.ServerListed(ServerID(id), ZoneID(opts["zone"]), role, CellID(opts["cell"]), Health(opts["health"]), launched)
 		}
 		return
@@ -186,21 +186,21 @@
 			p.settle()
 		}
 		p.now = Nanos(id) * ms
-	case "job":
+	case "request":
 		p.settle()
 		p.d.RequestArrived(p.now, Request{ID: RequestID(id), Tenant: TenantID(opts["tenant"]), Session: SessionKey(opts["session"]),
 			Prefix: PrefixKey(opts["prefix"]), Prompt: int64(opts["prompt"]), Shared: int64(opts["shared"]), Cap: 200,
-			Deadline: p.now + Nanos(opts["patience"])*ms})
+			Deadline: p.now + Nanos(opts["timeout"])*ms})
 	case "began":
-		p.d.StreamBegan(p.now, RequestID(id), p.shots[id], Nanos(opts["after"])*ms)
+		p.d.StreamBegan(p.now, RequestID(id), p.attempts[id], Nanos(opts["after"])*ms)
 	case "ended":
-		outcome, ok := map[string]Outcome{"honoured": Served, "read": Read, "turned": Rejected, "stateless": Stateless,
+		outcome, ok := map[string]Outcome{"served": Served, "read": Read, "rejected": Rejected, "stateless": Stateless,
 			"unreachable": Unreachable, "notsent": NotSent, "failed": Failed, "late": Late, "broken": Broken,
-			"recalled": Canceled, "lapsed": StaleConnection}[w[2]]
+			"canceled": Canceled, "stale": StaleConnection}[w[2]]
 		if !ok {
 			p.t.Fatalf("%s: unknown outcome", p.at)
 		}
-		p.d.AttemptEnded(p.now, RequestID(id), p.shots[id], outcome, Nanos(opts["after"])*ms, over, NoLoad)
+		p.d.AttemptEnded(p.now, RequestID(id), p.attempts[id], outcome, Nanos(opts["after"])*ms, over, NoLoad)
 		if held := opts["held"]; held == 0 {
 			p.d.HeldSince(p.now, RequestID(id), Never)
 		} else if held > 0 {
@@ -224,7 +224,7 @@
 		}
 		p.count = 0
 	case "restart":
-		p.now, p.wake, p.shots = 1000*ms, Never, map[int]AttemptNumber{}
+		p.now, p.wake, p.attempts = 1000*ms, Never, map[int]AttemptNumber{}
 		p.set["number"]++
 		p.start()
 	case "nothing":
@@ -247,7 +247,7 @@
 	}
 	got := p.queue[0]
 	p.queue = p.queue[1:]
-	name := map[Verb]string{Attempt: "launch", Cancel: "recall", Reject: "nack", Fail: "abandon", Release: "letgo",
+	name := map[Verb]string{Attempt: "attempt", Cancel: "cancel", Reject: "reject", Fail: "fail", Release: "release",
 		Watch: "watch"}[got.Verb]
 	ok := name == w[0] && (len(w) < 2 || fmt.Sprint(got.Request) == w[1])
 	if n := len(w) - 2; n > 0 && w[n] == "before" {
@@ -280,7 +280,7 @@
 }
 
 func TestOrdinaryPathAllocatesNothing(t *testing.T) {
-	p := &player{t: t, set: map[string]int{"expected": 1000, "patience": 5000, "most": 6, "release": 500, "count": 1}}
+	p := &player{t: t, set: map[string]int{"target": 1000, "timeout": 5000, "most": 6, "release": 500, "count": 1}}
 	p.start()
 	p.d.ListBegin(true)
 	p.d.ServerListed(1, 0, 0, 0, Serving, 0)
