--- a/policy/policy.go
+++ b/policy/policy.go
@@ -29,7 +29,7 @@
 	replicaSpread = 1.5
 	// extraReplicas are added while fewer requests than servers were seen. It guards against hot spots where a
 	// few prefixes make most of the load and each dispatcher has seen too little of it to tell.
-	extraReplicas = 4
+	extraReplicas = 3
 	// loadReportTargets is the time, in shortest targets, over which a server's report loses its weight.
 	loadReportTargets = 8
 )
