--- a/internal/lab/engine/engine.go
+++ b/internal/lab/engine/engine.go
@@ -111,6 +111,7 @@
 	mu       sync.Mutex
 	addr     string
 	srv      *grpc.Server
+	listener net.Listener
 	started  time.Time
 	faults   Faults
 	changed  chan struct{} // closed when faults change
@@ -168,6 +169,7 @@
 		return fmt.Errorf("engine %d: %w", e.Spec.ID, err)
 	}
 	e.addr = ln.Addr().String()
+	e.listener = ln
 	e.srv = grpc.NewServer(grpc.MaxConcurrentStreams(10000))
 	pb.RegisterEngineServer(e.srv, e)
 	e.started, e.toppled, e.arrived = time.Now(), false, nil
@@ -205,7 +207,7 @@
 // Crash ends its process at once: connections are reset, all that it held is gone.
 func (e *Engine) Crash() {
 	e.mu.Lock()
-	srv, end, peers := e.srv, e.end, e.peers
+	srv, listener, end, peers := e.srv, e.listener, e.end, e.peers
 	e.srv = nil
 	for job := range e.states {
 		e.book.Add(book.Entry{Kind: book.LetGo, Host: e.Spec.ID, Job: job, Note: "crash"})
@@ -215,6 +217,7 @@
 	if srv != nil {
 		end()
 		srv.Stop()
+		listener.Close() // srv may not have begun to serve it
 		for _, p := range peers {
 			p.Close()
 		}
@@ -371,7 +374,7 @@
 	defer cancel()
 	req, name := l.GetRequest(), jobName(l.Dispatcher, l.Job)
 	e.mu.Lock()
-	drv := e.drv
+	drv, process := e.drv, e.life
 	before := e.reads[name]
 	e.reads[name] = func(shot uint32) {
 		if before != nil {
@@ -398,25 +401,9 @@
 	} else if unread, keptTokens, err = e.read(ctx, req); err != nil {
 		return nil, status.FromContextError(err).Err()
 	}
-	e.mu.Lock()
-	if ctx.Err() != nil { // released as it was done
-		if drv != nil {
-			drv.drop(st.id)
-		}
-		e.mu.Unlock()
-		return nil, status.FromContextError(ctx.Err()).Err()
-	}
-	if drv == nil && e.used+st.tokens > e.Spec.Memory {
-		e.mu.Unlock()
-		return nil, status.Error(codes.ResourceExhausted, "no memory for the read state")
-	}
-	if old := e.states[name]; old != nil {
-		e.drop(name, "read anew")
+	if err := e.holdState(ctx, process, name, st); err != nil {
+		return nil, err
 	}
-	e.states[name] = st
-	e.used += st.tokens
-	e.book.Add(book.Entry{Kind: book.Held, Host: e.Spec.ID, Job: name, Shot: int(l.Shot), N: st.tokens})
-	e.mu.Unlock()
 	time.AfterFunc(e.Spec.Hold, func() {
 		e.mu.Lock()
 		if e.states[name] == st {
@@ -427,6 +414,30 @@
 	return &pb.ReadDone{ReadTokens: uint32(unread), KeptTokens: uint32(keptTokens)}, nil
 }
 
+// holdState records the state of a read that is done. A read that was released meanwhile leaves none, nor does one
+// whose process has ended: its context may be cancelled later than Crash swept the states.
+func (e *Engine) holdState(ctx, process context.Context, name string, st *state) error {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if e.srv == nil || e.life != process {
+		return status.Error(codes.Unavailable, "the process has ended")
+	}
+	if ctx.Err() != nil {
+		if st.drv != nil {
+			st.drv.drop(st.id)
+		}
+		return status.FromContextError(ctx.Err()).Err()
+	}
+	if st.drv == nil && e.used+st.tokens > e.Spec.Memory {
+		return status.Error(codes.ResourceExhausted, "no memory for the read state")
+	}
+	e.drop(name, "read anew")
+	e.states[name] = st
+	e.used += st.tokens
+	e.book.Add(book.Entry{Kind: book.Held, Host: e.Spec.ID, Job: name, Shot: int(st.shot), N: st.tokens})
+	return nil
+}
+
 // drop lets go of a state. The lock is held.
 func (e *Engine) drop(name, why string) {
 	st := e.states[name]
--- a/internal/lab/engine/engine_test.go
+++ b/internal/lab/engine/engine_test.go
@@ -17,6 +17,7 @@
 	"google.golang.org/protobuf/proto"
 
 	pb "docksail/api/docksail/v1"
+	"docksail/internal/lab/book"
 )
 
 func startOne(t *testing.T, s Spec) (*Engine, pb.EngineClient) {
@@ -146,3 +147,37 @@
 		t.Error("a report is known an hour early")
 	}
 }
+
+// TestReadEndsInCrashedProcess: a read that is done as its process ends leaves no state, neither while the server is
+// down nor in the process that is started after it.
+func TestReadEndsInCrashedProcess(t *testing.T) {
+	entries := &book.Book{}
+	e := New(Spec{ID: 1, Role: pb.Role_ROLE_READER, Slots: 8, Queue: 8, Memory: 1 << 17, ReadRate: 20000, Hold: time.Second}, Simple{}, entries)
+	if err := e.Start("127.0.0.1:0"); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(e.Crash)
+	first := e.life
+	e.Crash()
+	if err := e.holdState(context.Background(), first, "1.1", &state{tokens: 10, gone: make(chan struct{})}); status.Code(err) != codes.Unavailable {
+		t.Errorf("a state was recorded while the server was down: %v", err)
+	}
+	if err := e.Start(""); err != nil {
+		t.Fatal(err)
+	}
+	if err := e.holdState(context.Background(), first, "1.1", &state{tokens: 10, gone: make(chan struct{})}); status.Code(err) != codes.Unavailable {
+		t.Errorf("a state of the process before was recorded: %v", err)
+	}
+	if err := e.holdState(context.Background(), e.life, "1.2", &state{tokens: 10, gone: make(chan struct{})}); err != nil {
+		t.Errorf("a state of the running process was refused: %v", err)
+	}
+	held := 0
+	for _, entry := range entries.Entries() {
+		if entry.Kind == book.Held {
+			held++
+		}
+	}
+	if held != 1 || e.Held() != 1 {
+		t.Errorf("%d states recorded, %d held, want the one of the running process", held, e.Held())
+	}
+}
