--- a/policy/events.go
+++ b/policy/events.go
@@ -34,7 +34,7 @@
 		requestPart: requestPart{classes: classes, shortestTarget: shortestTarget, tenants: tenants,
 			answering: answering, requests: newRequestTable(), shares: make([]tokenBucket, len(tenants))},
 		serverPart: serverPart{self: self, roles: roles, byID: make(map[ServerID]int32),
-			prefixes: newPrefixIndex()},
+			cellIndex: make(map[cellKey]int32), prefixes: newPrefixIndex()},
 		limitPart: limitPart{coldStart: coldStart, attemptLimits: limits, releaseTime: releaseTime},
 		loadPart:  loadPart{requestLimit: math.MaxInt32},
 		schedulePart: schedulePart{listing: listing, watching: !listing.Asked, wakeAt: Never, reviewAt: Never,
@@ -48,6 +48,7 @@
 // ListBegin begins an update of the list; a full one names every server that there is.
 func (d *Dispatcher) ListBegin(full bool) {
 	d.listUpdates++
+	d.countsStale = true
 	if full {
 		for i := range d.servers {
 			if srv := &d.servers[i]; srv.health != Gone {
@@ -67,7 +68,7 @@
 		}
 		i = d.freeServerSlot()
 		d.byID[id] = i
-		d.servers[i] = server{id: id, load: NoLoad, byClass: make([]serverClass, len(d.classes))}
+		d.servers[i] = server{id: id, cellIndex: noCell, load: NoLoad, byClass: make([]serverClass, len(d.classes))}
 	}
 	srv := &d.servers[i]
 	if health == Gone && srv.health != Gone {
@@ -77,9 +78,8 @@
 		d.prefixes.dropServer(i)
 		srv.resetHistory()
 	}
-	srv.zone, srv.cell, srv.health, srv.startedAt = zone, cell, health, max(startedAt, srv.startedAt)
-	srv.cellIndex = noServer
-	srv.cellIndex = d.cellIndexOf(zone, cell)
+	srv.health, srv.startedAt = health, max(startedAt, srv.startedAt)
+	d.joinCell(srv, cellKey{zone, cell})
 	if int(kind) < len(d.roles) {
 		srv.role = d.roles[kind]
 	}
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -1,13 +1,14 @@
 package policy
 
-// All routing decisions are made in this file. types.go is the interface, events.go records events that need no
-// judgement, state.go holds the state.
+// All routing decisions are made in this file. types.go is the interface, events.go records events without
+// judging them, state.go holds the state.
 //
 // A caller makes a Dispatcher with New and reports events to it: ListBegin, ServerListed, ListEnd,
 // ListFailed, RequestArrived, StreamBegan, AttemptEnded, HeldSince, ClientLeft, Woken. These only update
 // state. After them it calls Next until that has no further decision. The package reads no clock.
 
 import (
+	"cmp"
 	"fmt"
 	"math"
 	"slices"
@@ -36,6 +37,8 @@
 
 // Ejection of slow and failing servers.
 const (
+	// latencyTargets is the time, in shortest targets, over which latencies are judged.
+	latencyTargets = 8
 	// highQuantile of the latencies judges a server: one slow request in ten is no verdict.
 	highQuantile = 0.9
 	// slowFactor times its peers' median makes a server slow: uneven load makes 2, sickness 4 and more.
@@ -130,29 +133,23 @@
 			d.reviewAt = min(d.reviewAt, req.reviewAt, now+d.reviewInterval)
 		}
 	}
-	for i := range d.servers {
-		srv := &d.servers[i]
-		srv.highLatency = srv.latencies.quantile(now-8*d.shortestTarget, highQuantile)
-	}
 	before := d.reviewedAt
 	d.reviewedAt = now
-	for role := Prefill; role < roleCount; role++ {
-		d.highLatency[role] = d.latencies[role].quantile(now-8*d.shortestTarget, highQuantile)
-		d.medianHighLatency[role] = d.median(role, func(srv *server) float64 { return srv.highLatency })
-		d.medianLatency[role] = d.latencies[role].quantile(now-8*d.shortestTarget, 0.5)
-	}
+	measured := d.summarizeLatencies(now - latencyTargets*d.shortestTarget)
+	recounted := d.countServers(now)
 	d.measureThroughput(now, before, 2*d.coldStart.Warm) // outlasts any warm-up
-	for i := range d.servers {
+	for i := range measured {
 		srv := &d.servers[i]
-		if srv.health != Serving || now < srv.ejectedUntil || d.inSlowStart(now, srv) {
+		if srv.highLatency <= max(slowFloor, slowFactor*d.medianHighLatency[srv.role]) {
 			continue
 		}
-		if srv.highLatency > slowFloor && srv.highLatency > slowFactor*d.medianHighLatency[srv.role] {
+		if srv.health == Serving && now >= srv.ejectedUntil && !d.inSlowStart(now, srv) {
 			d.eject(now, srv, "slow to answer", true)
 		}
 	}
-	d.countServers(now)
-	d.shareCapacity()
+	if d.countServers(now) || recounted { // some were ejected just now, or the fleet has changed before
+		d.shareCapacity()
+	}
 	d.adjustRequestLimit(now)
 	d.prefixes.dropExpired(now)
 	d.prefixes.decay(max(0, 1-float64(now-before)/markLifetime))
@@ -230,7 +227,7 @@
 	if d.transferSlow(now, req) {
 		return
 	}
-	srv.latencies.add(now, latency)
+	srv.addLatency(now, latency)
 	d.recordLateness(latency > lateStage)
 }
 
@@ -265,12 +262,12 @@
 	default:
 		srv.halfOpen = false
 		if srv.unreachable { // it is back, since an unknown time: treated as just started
-			srv.unreachable, srv.startedAt = false, now
+			srv.unreachable, srv.startedAt, d.countsStale = false, now, true
 		}
 	}
 	srv.failureShare = srv.failureShare*failureDecay + failure*(1-failureDecay)
-	alone := outcome == Unreachable || d.failsMoreThanPeers(srv)
-	if failure > 0 && srv.failureShare > failureLimit && alone && now >= srv.ejectedUntil {
+	suspect := failure > 0 && srv.failureShare > failureLimit && now >= srv.ejectedUntil
+	if suspect && (outcome == Unreachable || d.failsMoreThanPeers(srv)) {
 		d.eject(now, srv, reason, outcome == Failed || outcome == Broken)
 	}
 }
@@ -294,8 +291,8 @@
 		srv.ejectionTime = 0
 	}
 	srv.ejectionTime = min(max(2*srv.ejectionTime, d.shortestTarget/2), max(d.coldStart.Warm, d.shortestTarget))
-	srv.ejectedUntil, srv.halfOpen = now+srv.ejectionTime, true
-	srv.latencies = sampleRing{}
+	srv.ejectedUntil, srv.halfOpen, d.countsStale = now+srv.ejectionTime, true, true
+	srv.forgetLatencies()
 	d.logLines = append(d.logLines,
 		fmt.Sprintf("server %d ejected for %d ms: %s", srv.id, srv.ejectionTime/1e6, reason))
 }
@@ -327,7 +324,7 @@
 	b.ejectionTime = min(b.ejectionTime, max(d.coldStart.Warm, d.shortestTarget))
 	b.ejectedUntil, srv.halfOpen = now+b.ejectionTime, true
 	if srv.lastAnswerAt <= req.sentAt {
-		srv.ejectedUntil = max(srv.ejectedUntil, now+d.shortestTarget/2)
+		srv.ejectedUntil, d.countsStale = max(srv.ejectedUntil, now+d.shortestTarget/2), true
 	}
 	d.logLines = append(d.logLines,
 		fmt.Sprintf("server %d silent to class %d, left alone for %d ms", srv.id, req.Class, b.ejectionTime/1e6))
@@ -720,6 +717,9 @@
 	})
 	d.findReplicas(now, req, Prefill, pass, affinityYield*(lowest+req.Prompt))
 	return d.pickLowestRank(func(i int32, srv *server) (rank, bool) {
+		if srv.role != Prefill || !d.eligible(now, req, i, pass) {
+			return rank{}, false
+		}
 		queue, cached := d.backlog(now, srv), d.expectedCached(now, req, i)
 		distance, remote := int64(2), int64(1)
 		if queue < affinityYield*(lowest+req.Prompt) {
@@ -736,8 +736,7 @@
 		if d.inSlowStart(now, srv) && d.warming[Prefill] > manyWarming*d.serving[Prefill] {
 			distance = -1 // see slowStartAllows
 		}
-		admitted := srv.role == Prefill && d.eligible(now, req, i, pass)
-		return rank{distance, queue + req.Prompt - cached, remote}, admitted
+		return rank{distance, queue + req.Prompt - cached, remote}, true
 	})
 }
 
@@ -748,43 +747,45 @@
 // takes over at every dispatcher that knows.
 func (d *Dispatcher) findReplicas(now Nanos, req *requestState, role Role, pass int, fullQueue int64) {
 	d.replicas, d.sessionReplica = d.replicas[:0], noServer
+	d.replicaPick++
+	d.loadMarks(req)
 	if req.Prefix == 0 && req.Session == 0 {
 		return
 	}
-	most := 1 + int(replicaSpread*d.prefixes.share(uint64(req.Prefix))*float64(len(d.servers)))
-	if d.prefixes.total < float64(len(d.servers)) { // too few to tell a rare one from one that all others send
-		most += extraReplicas
+	for i := range d.servers {
+		srv := &d.servers[i]
+		if srv.role == role && d.backlog(now, srv) < fullQueue && d.eligible(now, req, int32(i), pass) {
+			d.replicas = append(d.replicas, replica{mixBits(uint64(req.Prefix) ^ mixBits(uint64(srv.id))), int32(i)})
+		}
 	}
-	if req.Prefix == 0 {
-		most = len(d.servers)
-	}
-	for last := uint64(math.MaxUint64); len(d.replicas) < most; {
-		best, highest := noServer, uint64(0)
-		for i := range d.servers {
-			srv := &d.servers[i]
-			hash := mixBits(uint64(req.Prefix) ^ mixBits(uint64(srv.id)))
-			next := srv.role == role && hash < last && hash > highest
-			if next && d.backlog(now, srv) < fullQueue && d.eligible(now, req, int32(i), pass) {
-				best, highest = int32(i), hash
-			}
+	if most := d.replicaCount(req); len(d.replicas) > most {
+		slices.SortFunc(d.replicas, func(a, b replica) int { return cmp.Compare(b.hash, a.hash) })
+		d.replicas = d.replicas[:most]
+	}
+	highest := uint64(0)
+	for _, r := range d.replicas {
+		srv := &d.servers[r.server]
+		srv.replicaPick = d.replicaPick
+		hash := mixBits(uint64(req.Session)^mixBits(uint64(srv.id))) >> 1
+		if srv.zone == d.self.Zone {
+			hash += 1 << 63
 		}
-		if best == noServer {
-			break
+		if req.Session != 0 && hash >= highest {
+			d.sessionReplica, highest = r.server, hash
 		}
-		d.replicas, last = append(d.replicas, best), highest
 	}
-	if req.Session != 0 {
-		highest := uint64(0)
-		for _, i := range d.replicas {
-			hash := mixBits(uint64(req.Session)^mixBits(uint64(d.servers[i].id))) >> 1
-			if d.servers[i].zone == d.self.Zone {
-				hash += 1 << 63
-			}
-			if hash >= highest {
-				d.sessionReplica, highest = i, hash
-			}
-		}
+}
+
+// replicaCount is how many replicas a request's prefix has; without a prefix any server is one.
+func (d *Dispatcher) replicaCount(req *requestState) int {
+	if req.Prefix == 0 {
+		return len(d.servers)
+	}
+	count := 1 + int(replicaSpread*d.prefixes.share(uint64(req.Prefix))*float64(len(d.servers)))
+	if d.prefixes.total < float64(len(d.servers)) { // too few to tell a rare one from one that all others send
+		count += extraReplicas
 	}
+	return count
 }
 
 // prefixDistance tells how much of a request's prefix a server holds: 0, that of its session; 1, what it
@@ -794,7 +795,7 @@
 	switch {
 	case i == d.sessionReplica || held > req.Shared:
 		return 0
-	case held > 0 || slices.Contains(d.replicas, i):
+	case held > 0 || d.servers[i].replicaPick == d.replicaPick:
 		return 1
 	}
 	return 2
--- a/policy/replicas_test.go
+++ b/policy/replicas_test.go
@@ -40,7 +40,7 @@
 			}
 			send(RequestID(n+1), SessionKey(5000+100*session+n), p)
 		}
-		d.prefixes.marks = map[uint64][8]prefixMark{} // the marks of its own requests are not what is asked about
+		d.prefixes.marks = map[uint64]prefixMarks{} // the marks of its own requests are not what is asked about
 		at[send(1000, SessionKey(session+1), prefix)] = true
 	}
 	return len(at)
--- a/policy/state.go
+++ b/policy/state.go
@@ -116,35 +116,38 @@
 }
 
 type server struct {
+	// What every review and every pick reads comes first: it fits one cache line.
+	latencies    *sampleRing // first answers, as shares of the request's target; nil = none yet
+	highLatency  float64     // high quantile of them
+	ejectedUntil Nanos       // ejected until then
+	startedAt    Nanos       // last known start; 0 = long ago
+	fullUntil    Nanos
+	outstanding  int32 // own attempts there that have not answered
+	cellIndex    int32 // its place among the cells; noCell = it has none yet
+	role         Role
+	health       Health
+	halfOpen     bool // ejection over, to be probed by one request at a time
+	unreachable  bool // has not answered since it could not be reached
+
 	id               ServerID
 	zone             ZoneID
 	cell             CellID
-	cellIndex        int32 // its place among the cells
-	role             Role
-	health           Health
-	goneInUpdate     uint64     // the news that said it is gone
-	startedAt        Nanos      // last known start; 0 = long ago
-	queuedTokens     int64      // own prompt tokens sent there and not yet read
-	outstanding      int32      // own attempts there that have not answered
-	streams          int32      // own requests there as a decode server, begun or not
-	lastAnswerAt     Nanos      // last answer, or first attempt since it stood idle
-	longestAllowance Nanos      // longest allowance for prompt length among the attempts out
-	latencies        sampleRing // first answers, as shares of the request's target
-	highLatency      float64    // high quantile of them
-	lastLatency      float64    // the last of them
-	failureShare     float64    // share of recent attempts that failed
-	ejectedUntil     Nanos      // ejected until then
+	goneInUpdate     uint64  // the news that said it is gone
+	queuedTokens     int64   // own prompt tokens sent there and not yet read
+	streams          int32   // own requests there as a decode server, begun or not
+	lastAnswerAt     Nanos   // last answer, or first attempt since it stood idle
+	longestAllowance Nanos   // longest allowance for prompt length among the attempts out
+	lastLatency      float64 // the last of the latencies
+	failureShare     float64 // share of recent attempts that failed
 	byClass          []serverClass
 	ejectionTime     Nanos // length of the last ejection
-	halfOpen         bool  // ejection over, to be probed by one request at a time
-	unreachable      bool  // has not answered since it could not be reached
-	fullUntil        Nanos
 	load             Load
 	loadAt           Nanos
 	creditStart      Nanos   // start that the slow-start grants are for
 	creditedAt       Nanos   // granted up to then
 	credit           float64 // attempts granted since it started
 	creditSpent      float64 // of those, the ones made or lapsed
+	replicaPick      uint64  // the last pick for which it was a replica of the request's prefix
 }
 
 // serverClass is how one class does at a server.
@@ -179,12 +182,27 @@
 	srv.failureShare, srv.halfOpen, srv.unreachable = 0, false, false
 	srv.ejectedUntil, srv.ejectionTime = 0, 0
 	srv.load = NoLoad
-	srv.latencies = sampleRing{}
+	srv.forgetLatencies()
 	for t := range srv.byClass {
 		srv.byClass[t].ejectedUntil, srv.byClass[t].ejectionTime = 0, 0
 	}
 }
 
+// addLatency records the latency of a first answer.
+func (srv *server) addLatency(now Nanos, latency float64) {
+	if srv.latencies == nil {
+		srv.latencies = new(sampleRing)
+	}
+	srv.latencies.add(now, latency)
+}
+
+// forgetLatencies forgets the latencies so far; the next review finds none.
+func (srv *server) forgetLatencies() {
+	if srv.latencies != nil {
+		*srv.latencies = sampleRing{}
+	}
+}
+
 // freeServerSlot gives the slot for a new server: that of one which earlier news said is gone and to which
 // nothing in hand refers, else another. It guards against fleets that are replaced again and again under
 // new names.
@@ -198,6 +216,7 @@
 		d.prefixes.dropServer(at)
 		d.clearAvoided(at)
 		delete(d.byID, srv.id)
+		d.leaveCell(srv)
 		return at
 	}
 	d.servers = append(d.servers, server{})
@@ -223,33 +242,49 @@
 	}
 }
 
-// cellIndexOf gives the index of a cell; a new one takes that of a cell without any server.
-func (d *Dispatcher) cellIndexOf(zone ZoneID, cell CellID) int32 {
-	free := noServer
-	for i := range d.cells {
-		if d.cells[i].id == cell && d.cells[i].zone == zone {
-			return int32(i)
-		}
-		empty := func(srv server) bool { return srv.cellIndex == int32(i) }
-		if free == noServer && !slices.ContainsFunc(d.servers, empty) {
-			free = int32(i)
+// cellKey names a cell: its number counts within its zone.
+type cellKey struct {
+	zone ZoneID
+	cell CellID
+}
+
+// noCell stands for no cell at all.
+const noCell = int32(-1)
+
+// joinCell has a server belong to a cell. A new cell takes the place of one without any server.
+func (d *Dispatcher) joinCell(srv *server, key cellKey) {
+	d.leaveCell(srv)
+	at, known := d.cellIndex[key]
+	if !known {
+		at = int32(slices.IndexFunc(d.cells, func(c cellShare) bool { return c.servers == 0 }))
+		if at == noCell {
+			at = int32(len(d.cells))
+			d.cells = append(d.cells, cellShare{})
+		} else {
+			delete(d.cellIndex, d.cells[at].key())
 		}
+		d.cells[at] = cellShare{id: key.cell, zone: key.zone}
+		d.cellIndex[key] = at
 	}
-	if free == noServer {
-		free = int32(len(d.cells))
-		d.cells = append(d.cells, cellShare{})
+	d.cells[at].servers++
+	srv.zone, srv.cell, srv.cellIndex = key.zone, key.cell, at
+}
+
+// leaveCell has a server belong to no cell.
+func (d *Dispatcher) leaveCell(srv *server) {
+	if srv.cellIndex != noCell {
+		d.cells[srv.cellIndex].servers--
+		srv.cellIndex = noCell
 	}
-	d.cells[free] = cellShare{id: cell, zone: zone}
-	return free
 }
 
 const ringSize = 32
 
 // sampleRing keeps the last few samples and when they came.
 type sampleRing struct {
-	values [ringSize]float64
-	times  [ringSize]Nanos
 	count  int
+	times  [ringSize]Nanos
+	values [ringSize]float64
 }
 
 func (r *sampleRing) add(now Nanos, x float64) {
@@ -257,8 +292,14 @@
 	r.count++
 }
 
+// leastSamples are needed to tell a quantile.
+const leastSamples = 3
+
 // quantile of the figures that came since a time; 0 if they are too few to tell.
 func (r *sampleRing) quantile(since Nanos, q float64) float64 {
+	if r.count < leastSamples || r.times[(r.count-leastSamples)%ringSize] < since {
+		return 0
+	}
 	var fresh [ringSize]float64
 	n := 0
 	for i := 0; i < min(r.count, ringSize); i++ {
@@ -267,13 +308,32 @@
 			n++
 		}
 	}
-	if n < 3 {
-		return 0
-	}
 	slices.Sort(fresh[:n])
 	return fresh[int(q*float64(n-1))]
 }
 
+// summarizeLatencies takes the quantiles of the latencies since a time, of each server and of all of a role. It
+// gives the servers up to the last that has enough of them: in a large fleet, hardly any has.
+func (d *Dispatcher) summarizeLatencies(since Nanos) (measured []server) {
+	last := 0
+	for i := range d.servers {
+		if srv := &d.servers[i]; srv.latencies != nil {
+			if srv.highLatency = srv.latencies.quantile(since, highQuantile); srv.highLatency > 0 {
+				last = i + 1
+			}
+		}
+	}
+	for role := Prefill; role < roleCount; role++ {
+		d.highLatency[role] = d.latencies[role].quantile(since, highQuantile)
+		d.medianLatency[role] = d.latencies[role].quantile(since, 0.5)
+		d.medianHighLatency[role] = 0
+		if last > 0 {
+			d.medianHighLatency[role] = d.median(role, func(srv *server) float64 { return srv.highLatency })
+		}
+	}
+	return d.servers[:last]
+}
+
 // prefixMark marks a server as holding a prefix of some length, until a time.
 type prefixMark struct {
 	until  Nanos
@@ -281,20 +341,26 @@
 	tokens int32
 }
 
+// prefixMarks are the servers marked as holding one prefix.
+type prefixMarks [8]prefixMark
+
+var noMarks prefixMarks
+
 const priorRequests = 4 // weight of what is usual against what was counted for one prefix
 
 // prefixIndex remembers which servers hold which prefix; of more than fit, the oldest mark goes. It also
 // counts, over a time, how many of the requests share one.
 type prefixIndex struct {
-	marks        map[uint64][8]prefixMark
+	marks        map[uint64]prefixMarks
 	requests     map[uint64]float64
 	total        float64
 	sharingPairs float64 // pairs of requests that share one ...
 	pairs        float64 // ... among all pairs
+	sweptAt      Nanos   // marks that have expired were dropped last
 }
 
 func newPrefixIndex() prefixIndex {
-	return prefixIndex{marks: make(map[uint64][8]prefixMark), requests: make(map[uint64]float64)}
+	return prefixIndex{marks: make(map[uint64]prefixMarks), requests: make(map[uint64]float64)}
 }
 
 // count records that a request has a prefix.
@@ -338,10 +404,11 @@
 	b.marks[key] = list
 }
 
-func (b *prefixIndex) tokensAt(now Nanos, key uint64, server int32) int64 {
-	for _, e := range b.marks[key] {
-		if e.until > now && e.server == server {
-			return int64(e.tokens)
+// tokensAt is how many tokens a server is marked as holding.
+func (marks *prefixMarks) tokensAt(now Nanos, server int32) int64 {
+	for i := range marks {
+		if mark := &marks[i]; mark.server == server && mark.until > now {
+			return int64(mark.tokens)
 		}
 	}
 	return 0
@@ -359,8 +426,15 @@
 	}
 }
 
+// sweepInterval is how long after another marks are swept: what has expired counts for nothing meanwhile.
+const sweepInterval = markLifetime / 16
+
 // dropExpired forgets prefixes that no server holds any more.
 func (b *prefixIndex) dropExpired(now Nanos) {
+	if now < b.sweptAt+sweepInterval {
+		return
+	}
+	b.sweptAt = now
 	for key, list := range b.marks {
 		live := false
 		for _, e := range list {
@@ -425,6 +499,7 @@
 type cellShare struct {
 	id            CellID
 	zone          ZoneID
+	servers       int32 // that belong to it, gone or not
 	share         [roleCount]float64
 	decodeShare   float64          // its part of the servers that answer
 	localCapacity float64          // how much of what its prefill servers read its own decode servers can take
@@ -433,6 +508,8 @@
 	spareCapacity [2]float64       // share of its decode servers left for others: of its zone, of other zones
 }
 
+func (c *cellShare) key() cellKey { return cellKey{c.zone, c.id} }
+
 // zoneShare is the decode capacity that cells of a zone miss, and that cells of it have to spare.
 type zoneShare struct {
 	missing, spare float64
@@ -464,11 +541,18 @@
 	warmAnswers       [roleCount]float64    // answers of warm servers of late ...
 	warmWindows       [roleCount]float64    // ... and how many windows warm servers served in that time
 	cells             []cellShare
+	cellIndex         map[cellKey]int32 // their places
 	zones             []zoneShare
 	serving           [roleCount]float64 // servers in service ...
 	warming           [roleCount]float64 // ... and those of them that warm up
-	replicas          []int32            // servers likely to hold the prefix of the request in hand
+	warm              [roleCount]float64 // servers that are listed as serving and don't warm up, ejected or not
+	countsStale       bool               // a server has changed since these were counted
+	countsUntil       Nanos              // the first ejection or slow start among them ends
+	replicas          []replica          // servers likely to hold the prefix of the request in hand
+	replicaPick       uint64             // the pick that they are for
 	sessionReplica    int32              // the one of them that its session gives
+	prefixMarks       prefixMarks        // marks of that request's prefix ...
+	sessionMarks      prefixMarks        // ... and of its session
 	transferLatencies [2]sampleRing      // first answers of decode servers, as shares of expected: near, far
 }
 
@@ -536,24 +620,50 @@
 	return false
 }
 
-// countServers counts the servers in service: of all, by role; by cell and zone, as parts of all.
-func (d *Dispatcher) countServers(now Nanos) {
-	d.serving, d.warming = [roleCount]float64{}, [roleCount]float64{}
+// countServers counts the servers in service: of all, by role; by cell and zone, as parts of all. It tells
+// whether there was anything to count anew: reviews are many, fleets large and changes rare.
+func (d *Dispatcher) countServers(now Nanos) bool {
+	if !d.countsStale && now < d.countsUntil {
+		return false
+	}
+	d.countsStale, d.countsUntil = false, Never
+	d.serving, d.warming, d.warm = [roleCount]float64{}, [roleCount]float64{}, [roleCount]float64{}
 	for i := range d.cells {
 		d.cells[i].share = [roleCount]float64{}
 	}
-	for i := range d.zones {
-		d.zones[i] = zoneShare{}
-	}
 	for i := range d.servers {
-		if srv := &d.servers[i]; srv.health == Serving && now >= srv.ejectedUntil {
-			d.serving[srv.role]++
-			if d.inSlowStart(now, srv) {
-				d.warming[srv.role]++
-			}
-			d.cells[srv.cellIndex].share[srv.role]++
+		if srv := &d.servers[i]; srv.health == Serving {
+			d.countServer(now, srv)
 		}
 	}
+	d.countCells()
+	return true
+}
+
+// countServer counts a server that is listed as serving.
+func (d *Dispatcher) countServer(now Nanos, srv *server) {
+	warming := d.inSlowStart(now, srv)
+	if warming {
+		d.countsUntil = min(d.countsUntil, srv.startedAt+d.coldStart.Warm)
+	} else {
+		d.warm[srv.role]++
+	}
+	if now < srv.ejectedUntil {
+		d.countsUntil = min(d.countsUntil, srv.ejectedUntil)
+		return
+	}
+	d.serving[srv.role]++
+	if warming {
+		d.warming[srv.role]++
+	}
+	d.cells[srv.cellIndex].share[srv.role]++
+}
+
+// countCells makes the counts of the cells parts of all, and adds up what the cells of a zone miss and spare.
+func (d *Dispatcher) countCells() {
+	for i := range d.zones {
+		d.zones[i] = zoneShare{}
+	}
 	for i := range d.cells {
 		c := &d.cells[i]
 		c.decodeShare = (c.share[Decode] + c.share[Mixed]) / max(d.serving[Decode]+d.serving[Mixed], 1)
@@ -573,12 +683,8 @@
 		return
 	}
 	keep := max(0, 1-float64(now-before)/float64(memory))
-	for i := range d.servers {
-		if srv := &d.servers[i]; srv.health == Serving && !d.inSlowStart(now, srv) {
-			d.warmWindows[srv.role] += float64(now-before) / float64(d.coldStart.Window)
-		}
-	}
 	for role := range d.answersPerWindow {
+		d.warmWindows[role] += d.warm[role] * (float64(now-before) / float64(d.coldStart.Window))
 		if d.warmWindows[role] > 0 {
 			d.answersPerWindow[role] = d.warmAnswers[role] / d.warmWindows[role]
 		}
@@ -586,16 +692,28 @@
 	}
 }
 
-// expectedCached is how many tokens of a request's prompt a server is expected to have cached.
-func (d *Dispatcher) expectedCached(now Nanos, req *requestState, server int32) int64 {
-	kept := int64(0)
+// loadMarks looks up who holds what of a request's prompt, for expectedCached.
+func (d *Dispatcher) loadMarks(req *requestState) {
+	d.prefixMarks, d.sessionMarks = noMarks, noMarks
 	if req.Prefix != 0 {
-		kept = min(d.prefixes.tokensAt(now, uint64(req.Prefix), server), req.Shared)
+		d.prefixMarks = d.prefixes.marks[uint64(req.Prefix)]
 	}
 	if req.Session != 0 {
-		kept = max(kept, d.prefixes.tokensAt(now, ^uint64(req.Session), server))
+		d.sessionMarks = d.prefixes.marks[^uint64(req.Session)]
 	}
-	return min(kept, req.Prompt)
+}
+
+// expectedCached is how many tokens of a request's prompt a server is expected to have cached. It goes by the
+// marks that were loaded for the request.
+func (d *Dispatcher) expectedCached(now Nanos, req *requestState, server int32) int64 {
+	shared := min(d.prefixMarks.tokensAt(now, server), req.Shared)
+	return min(max(shared, d.sessionMarks.tokensAt(now, server)), req.Prompt)
+}
+
+// replica is a server in the order in which the replicas of a prefix are taken: the highest hash first.
+type replica struct {
+	hash   uint64
+	server int32
 }
 
 // rank orders servers for a pick: the least wins, the first figure counting most.
