--- a/internal/exit/platform/discovery.go
+++ b/internal/exit/platform/discovery.go
@@ -4,62 +4,13 @@
 	"encoding/json"
 	"fmt"
 	"net/netip"
-	"slices"
 	"strconv"
 
 	decide "docksail/internal/decide/discovery"
-	"docksail/internal/dispatch"
 	"docksail/internal/h1"
 	"docksail/internal/loop"
-	"docksail/policy"
 )
 
-// List is the platform's list of servers, or changes of it.
-type List struct {
-	Version    int64    `json:"version"`
-	Full       bool     `json:"full"`
-	Servers    []Server `json:"servers"`
-	Unreadable []error  `json:"-"` // entries that are no Server; the others are taken without them
-}
-
-// Server is one entry of it.
-type Server struct {
-	ID      string  `json:"id"`
-	Addr    string  `json:"addr"`
-	Zone    string  `json:"zone"`
-	Kind    string  `json:"kind"`
-	Cell    int64   `json:"cell"`
-	State   string  `json:"state"`
-	Started float64 `json:"started_ms"`
-}
-
-// UnmarshalJSON reads a list entry by entry, so that one that cannot be read does not cost the others.
-func (l *List) UnmarshalJSON(text []byte) error {
-	var raw struct {
-		Version int64             `json:"version"`
-		Full    bool              `json:"full"`
-		Servers []json.RawMessage `json:"servers"`
-	}
-	if err := json.Unmarshal(text, &raw); err != nil {
-		return err
-	}
-	*l = List{Version: raw.Version, Full: raw.Full, Servers: make([]Server, 0, len(raw.Servers))}
-	for _, entry := range raw.Servers {
-		var server Server
-		if err := json.Unmarshal(entry, &server); err != nil {
-			l.Unreadable = append(l.Unreadable, fmt.Errorf("entry %.80q: %w", entry, err))
-			if server.ID == "" {
-				continue
-			}
-			server.State = "" // no state: a server that is known stays as it was
-		}
-		l.Servers = append(l.Servers, server)
-	}
-	return nil
-}
-
-var states = map[string]policy.Health{"Ready": policy.Serving, "Terminating": policy.Draining, "Gone": policy.Gone}
-
 // discovery follows the list.
 type discovery struct {
 	exit      *Exit
@@ -255,93 +206,3 @@
 	}
 	s.retryLater(now)
 }
-
-// Known takes the list that the process was started with.
-func (x *Exit) Known(now loop.Nanos, list List) {
-	x.discovery.version = list.Version
-	x.Take(now, list)
-}
-
-// Take hands news of the list on.
-func (x *Exit) Take(now loop.Nanos, list List) {
-	x.Counts.ListUpdates++
-	for _, err := range list.Unreadable {
-		x.log.Warn("line of the list not taken", "err", err)
-	}
-	if len(list.Servers) == 0 && !list.Full {
-		return
-	}
-	named := make(map[string]bool, len(list.Servers))
-	x.dispatcher.ListUpdated(now, list.Full, len(list.Servers) > 0, func(mod dispatch.Module) {
-		for _, e := range list.Servers {
-			named[e.ID] = true
-			if err := x.entry(now, mod, e); err != nil {
-				x.log.Warn("line of the list not taken", "err", err)
-				if srv := x.byName[e.ID]; list.Full && srv != nil && srv.health != policy.Gone {
-					x.entry(now, mod, srv.entry) // it stays as it was
-				}
-			}
-		}
-	})
-	for _, srv := range slices.Clone(x.servers) {
-		if list.Full && !named[srv.name] {
-			srv.health = policy.Gone
-		}
-		if srv.health != policy.Serving {
-			srv.endUnsent(now)
-		}
-		if srv.health == policy.Gone {
-			srv.closeIdle()
-			x.forgetGone(srv)
-		}
-	}
-}
-
-// entry takes one line.
-func (x *Exit) entry(now loop.Nanos, mod dispatch.Module, e Server) error {
-	health, ok := states[e.State]
-	zone, kind := slices.Index(x.zones, e.Zone), slices.Index(x.kinds, e.Kind)
-	srv := x.byName[e.ID]
-	if health == policy.Gone {
-		if srv != nil {
-			srv.health = health
-			mod.ServerListed(srv.id, policy.ZoneID(max(zone, 0)), policy.KindID(max(kind, 0)), policy.CellID(e.Cell), health, 0)
-		}
-		return nil
-	}
-	addr, err := netip.ParseAddrPort(e.Addr)
-	switch {
-	case e.ID == "" || !ok:
-		return fmt.Errorf("server %q: state %q", e.ID, e.State)
-	case err != nil:
-		return fmt.Errorf("server %q: %w", e.ID, err)
-	case zone < 0 || kind < 0:
-		return fmt.Errorf("server %q: zone %q and kind %q: want ones of the settings", e.ID, e.Zone, e.Kind)
-	}
-	if srv == nil {
-		srv = &server{x: x, id: x.idOf(e.ID), name: e.ID, load: policy.NoLoad}
-		x.servers = append(x.servers, srv)
-		x.byName[e.ID], x.byID[srv.id] = srv, srv
-	}
-	started := int64(e.Started * 1e6)
-	if srv.addr != addr || srv.startedAt < started { // another process: nothing unused to the old one is of use
-		srv.closeIdle()
-	}
-	srv.entry = e
-	srv.addr, srv.startedAt, srv.role, srv.health = addr, max(started, srv.startedAt), x.roles[kind], health
-	mod.ServerListed(srv.id, policy.ZoneID(zone), policy.KindID(kind), policy.CellID(e.Cell), health,
-		min(policy.Nanos(started), x.dispatcher.Time(now)))
-	return nil
-}
-
-// forgetGone drops a server that has gone once nothing runs to it.
-func (x *Exit) forgetGone(srv *server) {
-	if srv.health != policy.Gone || len(srv.conns) > 0 || x.byID[srv.id] != srv {
-		return
-	}
-	delete(x.byID, srv.id)
-	delete(x.byName, srv.name)
-	if i := slices.Index(x.servers, srv); i >= 0 {
-		x.servers = slices.Delete(x.servers, i, i+1)
-	}
-}
--- /dev/null
+++ b/internal/exit/platform/list_test.go
@@ -0,0 +1,68 @@
+package platform
+
+import (
+	"fmt"
+	"log/slog"
+	"net/netip"
+	"testing"
+
+	"docksail/internal/dispatch"
+	"docksail/internal/loop"
+	"docksail/internal/platformconfig"
+	"docksail/policy"
+)
+
+// largeExit is the way to a fleet of so many servers.
+func largeExit(tb testing.TB, servers int) (*Exit, []Server) {
+	tb.Helper()
+	l, err := loop.New()
+	if err != nil {
+		tb.Fatal(err)
+	}
+	tb.Cleanup(l.Close)
+	log := slog.New(slog.DiscardHandler)
+	d, err := dispatch.Direct(l, log, &scriptedModule{}, []string{"a"}, []policy.Class{{Target: 1e9, Timeout: 9e9}}, nil, 10, 1000, 0, 0, 1)
+	if err != nil {
+		tb.Fatal(err)
+	}
+	x := New(l, d, log, &platformconfig.Config{Zones: []string{"z"}, Kinds: []string{"decode"}, Roles: []policy.Role{policy.Decode}, ReleaseTime: 1e9},
+		10, netip.AddrPort{})
+	d.Attach(noClients{}, x)
+	list := make([]Server, servers)
+	for i := range list {
+		list[i] = Server{ID: fmt.Sprintf("s%d", i), Addr: "127.0.0.1:80", Zone: "z", Kind: "decode", State: "Ready"}
+	}
+	x.Take(0, List{Full: true, Servers: list})
+	return x, list
+}
+
+// A change costs what it names, not what the fleet is: the allocations are the same before a large one.
+func TestChangeCostsWhatItNames(t *testing.T) {
+	cost := func(servers int) float64 {
+		x, list := largeExit(t, servers)
+		n := 0
+		return testing.AllocsPerRun(100, func() {
+			entry := list[n%len(list)]
+			if n++; n%2 == 0 {
+				entry.State = "Terminating"
+			}
+			x.Take(0, List{Servers: []Server{entry}})
+		})
+	}
+	if small, large := cost(20), cost(2000); large > small {
+		t.Errorf("%v allocations for a change before 2,000 servers, %v before 20", large, small)
+	}
+}
+
+// BenchmarkChange is what one changed server costs, by the size of the fleet.
+func BenchmarkChange(b *testing.B) {
+	for _, servers := range []int{200, 3200} {
+		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
+			x, list := largeExit(b, servers)
+			entry := list[:1]
+			for b.Loop() {
+				x.Take(0, List{Servers: entry})
+			}
+		})
+	}
+}
--- a/internal/node/crossing_test.go
+++ b/internal/node/crossing_test.go
@@ -63,6 +63,45 @@
 	})
 }
 
+// A whole list of which nothing can be read leaves the servers that there are, and is asked for again; one that says that
+// there are none is taken as it is said.
+func TestUnreadableWholeList(t *testing.T) {
+	for name, c := range map[string]struct {
+		list string
+		kept bool
+	}{
+		"no servers named":   {`{"version":43,"full":true}`, true},
+		"null":               {`{"version":43,"full":true,"servers":null}`, true},
+		"no entry readable":  {`{"version":43,"full":true,"servers":[{"id":5},7]}`, true},
+		"an empty fleet":     {`{"version":43,"full":true,"servers":[]}`, false},
+		"no changes, a name": {`{"version":43,"full":false}`, true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			onEachNetwork(t, func(t *testing.T, on network) {
+				h := newHarness(t, on)
+				h.server("r1", "prefill").reply = prefillAnswer
+				h.server("w1", "decode").reply = decodeAnswer
+				watch := h.startInService()
+				taken := h.news()
+				watch.send(chunk(c.list))
+				if !c.kept {
+					h.untilNews(taken)
+					h.wantRefused()
+					return
+				}
+				if strings.Contains(c.list, "true") {
+					if line := h.discovery.accept().request(); !strings.Contains(line, "from=42") {
+						t.Errorf("%q, want what came after version 42", line)
+					}
+				}
+				client := h.client()
+				client.send(request(jobName(1)))
+				client.expect("[DONE]")
+			})
+		})
+	}
+}
+
 // A repeat whose connection comes up when its group may no longer remember the first run is not written.
 func TestRepeatAfterWindow(t *testing.T) {
 	h := newHarness(t, simulated, `"effect":"idempotent"`, `"effect":"deduplicated"`, `"window_ns":5000000000`, `"window_ns":700000000`,
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -306,8 +306,11 @@
 // rest has time pass in which a connection becomes one that may be used again.
 func (h *harness) rest() { h.run(15 * time.Millisecond) }
 
-// listText is the text of a list as discovery writes it.
+// listText is the text of a list as discovery writes it: an empty fleet is an empty array.
 func listText(list exit.List) string {
+	if list.Servers == nil {
+		list.Servers = []exit.Server{}
+	}
 	text, err := json.Marshal(list)
 	if err != nil {
 		panic(err)
