--- a/cmd/docksail/main_test.go
+++ b/cmd/docksail/main_test.go
@@ -6,6 +6,7 @@
 	"errors"
 	"fmt"
 	"io"
+	"log/slog"
 	"net"
 	"os"
 	"os/exec"
@@ -19,7 +20,10 @@
 	"google.golang.org/grpc/credentials/insecure"
 
 	pb "docksail/api/docksail/v1"
+	exit "docksail/internal/exit/platform"
 	"docksail/internal/lab/engine"
+	"docksail/internal/node"
+	"docksail/policy"
 )
 
 // The test binary is the program when it is asked to be.
@@ -202,3 +206,22 @@
 		t.Errorf("another format: %v, %s", err, out)
 	}
 }
+
+// Servers of which a dispatcher has nothing have no line at the usual level: a large fleet has thousands of them.
+func TestBeliefLevel(t *testing.T) {
+	for name, c := range map[string]struct {
+		belief node.Belief
+		want   slog.Level
+	}{
+		"nothing":         {node.Belief{}, slog.LevelDebug},
+		"an attempt out":  {node.Belief{ServerView: exit.ServerView{Out: 1}, Belief: policy.Belief{Writing: 1}}, slog.LevelInfo},
+		"a kept conn":     {node.Belief{ServerView: exit.ServerView{Idle: 1}}, slog.LevelInfo},
+		"ejected":         {node.Belief{Belief: policy.Belief{Aside: true}}, slog.LevelInfo},
+		"no agreement":    {node.Belief{Belief: policy.Belief{Writing: 1}}, slog.LevelInfo},
+		"a report, alone": {node.Belief{ServerView: exit.ServerView{LoadAge: 5}}, slog.LevelDebug},
+	} {
+		if got := beliefLevel(&c.belief); got != c.want {
+			t.Errorf("%s: level %v, want %v", name, got, c.want)
+		}
+	}
+}
--- a/cmd/docksail/node.go
+++ b/cmd/docksail/node.go
@@ -44,15 +44,7 @@
 			for {
 				select {
 				case <-tick.C:
-					if v, ok := n.View(); ok {
-						beliefs := v.Beliefs
-						v.Beliefs = nil
-						log.Info("counts", "view", v)
-						for _, b := range beliefs {
-							log.Info("belief", "server", b.Name, "prefill", b.Prefill, "unread", b.Unread, "reported", b.Load.Unread, "age_ms", b.LoadAge/1e6,
-								"waiting", b.Waiting, "writing", b.Writing, "out", b.Out, "idle", b.Idle, "aside", b.Aside, "differs", b.Differs())
-						}
-					}
+					logView(log, n)
 				case s := <-signals:
 					if s != syscall.SIGHUP {
 						log.Info("leaving", "signal", s.String())
@@ -77,3 +69,26 @@
 	c.Flags().DurationVar(&every, "counts-every", 10*time.Second, "how often counts are logged")
 	return c
 }
+
+// logView logs how a dispatcher does, with a line for each server that has something of it: in a large fleet these are few.
+func logView(log *slog.Logger, n *node.Node) {
+	view, ok := n.View()
+	if !ok {
+		return
+	}
+	beliefs := view.Beliefs
+	view.Beliefs = nil
+	log.Info("counts", "view", view)
+	for _, b := range beliefs {
+		log.Log(context.Background(), beliefLevel(&b), "belief", "server", b.Name, "prefill", b.Prefill, "unread", b.Unread, "reported", b.Load.Unread,
+			"age_ms", b.LoadAge/1e6, "waiting", b.Waiting, "writing", b.Writing, "out", b.Out, "idle", b.Idle, "aside", b.Aside, "differs", b.Differs())
+	}
+}
+
+// beliefLevel is the level of a server's line: those of which the dispatcher has nothing are for who asks for all.
+func beliefLevel(b *node.Belief) slog.Level {
+	if b.InUse() {
+		return slog.LevelInfo
+	}
+	return slog.LevelDebug
+}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -133,6 +133,11 @@
 	return int(b.Writing) != b.Out
 }
 
+// InUse tells that the dispatcher has something at the server, or keeps requests from it.
+func (b *Belief) InUse() bool {
+	return b.Waiting > 0 || b.Writing > 0 || b.Out > 0 || b.Idle > 0 || b.Aside || b.Differs()
+}
+
 // View gives the state of now, by way of the loop; false if the loop has ended or takes no call.
 func (n *Node) View() (View, bool) {
 	got := make(chan View, 1)
