--- a/internal/loop/conn.go
+++ b/internal/loop/conn.go
@@ -47,7 +47,8 @@
 }
 
 // Dial begins a connection; the handler's Opened or Closed tells what became of it, the latter with
-// os.ErrDeadlineExceeded if it was not made within the time. An error is returned if it could not even begin.
+// os.ErrDeadlineExceeded if it was not made within the time. An error is returned if it could not even begin for want of
+// something of this machine's own.
 func (l *Loop) Dial(to netip.AddrPort, within Nanos, h Handler) (*Conn, error) {
 	if l.world != nil {
 		return l.simDial(to, within, h)
@@ -57,12 +58,17 @@
 		return nil, fmt.Errorf("connect to %s: %w", to, err)
 	}
 	err = unix.Connect(fd, sockaddr(to))
-	if err != nil && err != unix.EINPROGRESS {
+	c := newConn(l, fd)
+	c.handler, c.connecting, c.interest = h, true, unix.EPOLLOUT
+	switch err {
+	case nil, unix.EINPROGRESS:
+	case unix.ECONNREFUSED, unix.ECONNRESET, unix.ENETUNREACH, unix.EHOSTUNREACH, unix.ETIMEDOUT: // the peer's answer, at once
+		c.die(os.NewSyscallError("connect", err))
+		return c, nil
+	default: // a want of ours, as of ports
 		unix.Close(fd)
 		return nil, fmt.Errorf("connect to %s: %w", to, os.NewSyscallError("connect", err))
 	}
-	c := newConn(l, fd)
-	c.handler, c.connecting, c.interest = h, true, unix.EPOLLOUT
 	if err := l.watch(fd, c.interest, c); err != nil {
 		unix.Close(fd)
 		return nil, err
--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -229,7 +229,7 @@
 	p := &peer{}
 	on(func() {
 		if _, err := l.Dial(to, int64(time.Second), p); err != nil {
-			p.closed, p.err = 1, err
+			t.Error(err)
 		}
 	})
 	until(t, on, "told of the refusal", func() bool { return p.closed == 1 })
@@ -240,6 +240,29 @@
 	})
 }
 
+// What the system says of a peer at once, before any packet, ends the connection as what it says later does: the caller
+// learns from Closed that the peer can't be reached, and takes it for no fault of its own.
+func TestUnreachableAtOnce(t *testing.T) {
+	l, on := running(t)
+	p := &peer{}
+	on(func() {
+		c, err := l.Dial(netip.MustParseAddrPort("127.255.255.255:9"), int64(time.Second), p) // a broadcast address: the call itself fails
+		if err != nil {
+			t.Error(err)
+			return
+		}
+		if c.Open() || p.closed != 0 {
+			t.Errorf("open %v, told %d times within the call", c.Open(), p.closed)
+		}
+	})
+	until(t, on, "told", func() bool { return p.closed == 1 })
+	on(func() {
+		if !errors.Is(p.err, unix.ENETUNREACH) || p.opened != 0 {
+			t.Errorf("opened %d times, closed with %v, want ENETUNREACH", p.opened, p.err)
+		}
+	})
+}
+
 // TestConnectThatNeverFinishes: a listener whose queue is full answers no more connects.
 func TestConnectThatNeverFinishes(t *testing.T) {
 	l, on := running(t)
