--- a/cmd/docksail/batch.go
+++ b/cmd/docksail/batch.go
@@ -42,9 +42,9 @@
 	if at.Addr().IsUnspecified() {
 		plan.Target = net.JoinHostPort("localhost", fmt.Sprint(at.Port()))
 	}
-	for _, t := range s.Tracks {
+	for _, t := range s.Classes {
 		plan.Tracks[t.Name] = runner.Track{Effect: map[policy.Effect]batch.Effect{policy.Idempotent: batch.Redoable, policy.Deduplicated: batch.Labelled,
-			policy.NonIdempotent: batch.Irreversible}[policy.Effect(t.Effect)], Window: t.Window, Patience: t.Patience}
+			policy.NonIdempotent: batch.Irreversible}[policy.Effect(t.Effect)], Window: t.Window, Patience: t.Timeout}
 	}
 	for _, t := range s.Tenants {
 		w := t.Weight
--- a/cmd/docksail/main_test.go
+++ b/cmd/docksail/main_test.go
@@ -68,7 +68,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(e.Crash)
-		hosts = append(hosts, fmt.Sprintf(`{"id": %d, "address": "%s", "role": "%s"}`, i+1, e.Addr(), []string{"reader", "writer"}[i]))
+		hosts = append(hosts, fmt.Sprintf(`{"id": %d, "address": "%s", "role": "%s"}`, i+1, e.Addr(), []string{"prefill", "decode"}[i]))
 	}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -83,11 +83,11 @@
 			t.Fatal(err)
 		}
 	}
-	write(fleet, `{"hosts": [`+hosts[0]+`]}`)
+	write(fleet, `{"servers": [`+hosts[0]+`]}`)
 	write(settings, fmt.Sprintf(`{"listen": "%s", "fleet": {"file": "%s", "ask_within": "400ms"}, "drain_within": "5s",
-		"status_file": "%s/status", "tenants": [{"name": "ours", "jobs_per_second": 50}],
-		"tracks": [{"name": "question", "expected": "1s", "patience": "5s", "token_gap": "50ms", "effect": "redoable"}],
-		"cold_start": {"from": 1, "warm_after": "1s", "topples_at": 2, "topples_over": "1s"}, "rules": {"release_within": "500ms"}}`, addr, fleet, dir))
+		"status_file": "%s/status", "tenants": [{"name": "ours", "requests_per_second": 50}],
+		"classes": [{"name": "question", "target": "1s", "timeout": "5s", "token_gap": "50ms", "effect": "idempotent"}],
+		"cold_start": {"from": 1, "warm_after": "1s", "overload_factor": 2, "overload_window": "1s"}, "rules": {"release_within": "500ms"}}`, addr, fleet, dir))
 	cmd := program("serve", settings)
 	var log bytes.Buffer
 	cmd.Stderr = &log
@@ -96,7 +96,7 @@
 	}
 	t.Cleanup(func() { cmd.Process.Kill() })
 	time.Sleep(200 * time.Millisecond)
-	write(fleet, `{"hosts": [`+strings.Join(hosts, ", ")+`]}`)
+	write(fleet, `{"servers": [`+strings.Join(hosts, ", ")+`]}`)
 	conn, err := grpc.NewClient(addr, grpc.WithTransportCredentials(insecure.NewCredentials()))
 	if err != nil {
 		t.Fatal(err)
@@ -173,7 +173,7 @@
 		t.Fatal(err)
 	}
 	change := func(terms string) {
-		if err := os.WriteFile(settings, bytes.Replace(text, []byte(`"jobs_per_second": 50`), []byte(terms), 1), 0o600); err != nil {
+		if err := os.WriteFile(settings, bytes.Replace(text, []byte(`"requests_per_second": 50`), []byte(terms), 1), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		cmd.Process.Signal(syscall.SIGHUP)
@@ -190,13 +190,13 @@
 		t.Errorf("%s: view shows %s, want %q", what, out, want)
 	}
 	until("at the start", "ours 50 0 0")
-	change(`"jobs_per_second": 50, "weight": 7, "prompt_tokens": 10`)
+	change(`"requests_per_second": 50, "weight": 7, "prompt_tokens": 10`)
 	until("after the change", "ours 7 0 0")
 	if _, err := answer(client, 1); err == nil {
 		t.Error("a prompt over the new limit was taken")
 	}
 	until("after a refusal", "refused ours: 1, prompt longer")
-	change(`"jobs_per_second": 50, "weight": -1`)
+	change(`"requests_per_second": 50, "weight": -1`)
 	time.Sleep(1500 * time.Millisecond)
 	until("after wrong terms", "ours 7 0 0")
 	if err := os.WriteFile(filepath.Join(filepath.Dir(settings), "other"), []byte(`{"format": 9}`), 0o600); err != nil {
--- a/cmd/docksail/serve.go
+++ b/cmd/docksail/serve.go
@@ -39,6 +39,9 @@
 			defer cancel()
 			beside := dispatch.LogBeside(ctx, slog.NewJSONHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
 			log := slog.New(beside)
+			for _, warning := range s.Warnings {
+				log.Warn("settings", "former_name", warning)
+			}
 			r, err := dispatch.Run(s, log, nil)
 			if err != nil {
 				return err
@@ -209,6 +212,9 @@
 			if _, err := s.Module(1, 0); err != nil {
 				return fmt.Errorf("%s: %w", args[0], err)
 			}
+			for _, warning := range s.Warnings {
+				fmt.Fprintln(c.ErrOrStderr(), "warning:", warning)
+			}
 			out, err := s.Print()
 			if err != nil {
 				return err
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -100,10 +100,10 @@
 		return nil, fmt.Errorf("decision module: %w", err)
 	}
 	var names []string
-	for _, t := range s.Tracks {
+	for _, t := range s.Classes {
 		names = append(names, t.Name)
 	}
-	d, shortest := newDispatcher(l, log, module, names, s.PolicyTracks(), incarnation)
+	d, shortest := newDispatcher(l, log, module, names, s.PolicyClasses(), incarnation)
 	if wrap != nil {
 		d.module = wrap(module)
 	}
@@ -111,7 +111,7 @@
 	for i, t := range s.Tenants {
 		d.tenants[t.Name] = policy.TenantID(i)
 	}
-	d.gate = intake.Limits{Requests: s.Limits.Jobs, PromptTokens: int64(s.Limits.Prompt)}
+	d.gate = intake.Limits{Requests: s.Limits.Requests, PromptTokens: int64(s.Limits.Prompt)}
 	lim := h2.Limits{Streams: uint32(s.Limits.Streams), StreamWindow: uint32(s.Limits.StreamWindow),
 		ConnWindow: h2.Usual.ConnWindow, HeaderBytes: uint32(s.Limits.Headers), MessageBytes: uint32(s.Limits.Message)}
 	var key [40]byte
@@ -127,7 +127,7 @@
 	}
 	d.queue.FirstCome = s.FirstCome
 	d.memory.most = uint64(s.Limits.Memory)
-	d.tenantTerms, d.tenantNames = s.Door(), []string{""}
+	d.tenantTerms, d.tenantNames = s.TenantTerms(), []string{""}
 	for i, t := range d.tenantTerms {
 		if err := d.queue.SetTenant(i, t); err != nil {
 			return nil, err
@@ -144,7 +144,7 @@
 	}
 	d.entry = d.grpcEntry
 	x := &grpcExit{d: d, list: list, servers: make(map[policy.ServerID]*grpcServer), keeper: keepalive.Keeper{Target: shortest},
-		connect: int64(s.Launches.Connect), lim: lim}
+		connect: int64(s.Attempts.Connect), lim: lim}
 	x.lister.init(x, s.Fleet)
 	d.exit = x
 	return d, nil
--- a/internal/dispatch/listwatch.go
+++ b/internal/dispatch/listwatch.go
@@ -302,7 +302,7 @@
 		return nil, stamp, err
 	}
 	var servers []fleet.Host
-	if servers, err = setup.Hosts(name, text); err != nil {
+	if servers, err = setup.Servers(name, text); err != nil {
 		return nil, stamp, err
 	}
 	return servers, info.ModTime(), nil
--- a/internal/dispatch/view.go
+++ b/internal/dispatch/view.go
@@ -114,7 +114,7 @@
 			return fmt.Errorf("tenant %q is new or in another place, want the tenants of the start", t.Name)
 		}
 	}
-	terms := s.Door()
+	terms := s.TenantTerms()
 	for _, t := range terms {
 		if err := t.Check(); err != nil {
 			return err
--- a/internal/e2e/batch_test.go
+++ b/internal/e2e/batch_test.go
@@ -15,8 +15,8 @@
 // TestBatchingHosts: a day with troubles against hosts that batch keeps the rules and gives whole answers; memory that
 // is short preempts answers, which come whole all the same.
 func TestBatchingHosts(t *testing.T) {
-	s, err := drill.Parse("day", []byte(strings.Replace(day, "TROUBLES", `{"kind": "crash", "at": "1s", "for": "1s", "hosts": [1]},
-		{"kind": "hang", "at": "2s", "for": "1s", "hosts": [4]}, {"kind": "slow", "at": "3s", "for": "1s", "hosts": [2, 3], "factor": 3}`, 1)))
+	s, err := drill.Parse("day", []byte(strings.Replace(day, "TROUBLES", `{"kind": "crash", "at": "1s", "for": "1s", "servers": [1]},
+		{"kind": "hang", "at": "2s", "for": "1s", "servers": [4]}, {"kind": "slow", "at": "3s", "for": "1s", "servers": [2, 3], "factor": 3}`, 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -29,8 +29,8 @@
 		t.Error(v)
 	}
 	for name, sum := range rep.Sums {
-		if sum.Wrong > 0 || sum.Honoured < sum.Jobs/3 {
-			t.Errorf("track %s: %d of %d honoured, %d wrong", name, sum.Honoured, sum.Jobs, sum.Wrong)
+		if sum.Wrong > 0 || sum.Served < sum.Requests/3 {
+			t.Errorf("track %s: %d of %d honoured, %d wrong", name, sum.Served, sum.Requests, sum.Wrong)
 		}
 	}
 }
--- a/internal/e2e/batchapi_test.go
+++ b/internal/e2e/batchapi_test.go
@@ -346,10 +346,10 @@
 	}
 	records := &book.Book{}
 	var hosts []string
-	for i, role := range []string{"reader", "reader", "writer", "writer"} {
+	for i, role := range []string{"prefill", "prefill", "decode", "decode"} {
 		spec := engine.Spec{ID: i + 1, Role: pb.Role_ROLE_READER, Zone: "a", Cell: "a1", Slots: 16, Queue: 64, Memory: 100000, ReadRate: 20000, TokenGap: 4 * time.Millisecond,
 			JobsPerSecond: 100, MoveRate: 1e6, Hold: 2 * time.Second}
-		if role == "writer" {
+		if role == "decode" {
 			spec.Role = pb.Role_ROLE_WRITER
 		}
 		e := engine.New(spec, engine.Simple{}, records)
@@ -375,11 +375,11 @@
 		}
 		return name
 	}
-	fleet := write("fleet.json", `{"hosts": [`+strings.Join(hosts, ",")+`]}`)
+	fleet := write("fleet.json", `{"servers": [`+strings.Join(hosts, ",")+`]}`)
 	file := write("settings.json", fmt.Sprintf(`{"listen": %q, "zone": "a", "fleet": {"file": %q},
-		"tracks": [{"name": "draft", "expected": "2s", "patience": "10s", "token_gap": "100ms", "effect": "redoable"},
-			{"name": "book", "expected": "2s", "patience": "10s", "token_gap": "100ms", "effect": "irreversible"}],
-		"cold_start": {"from": 1, "warm_after": "1s", "topples_at": 100, "topples_over": "1s"}, "rules": {"release_within": "500ms"}, "seed": 3,
+		"classes": [{"name": "draft", "target": "2s", "timeout": "10s", "token_gap": "100ms", "effect": "idempotent"},
+			{"name": "book", "target": "2s", "timeout": "10s", "token_gap": "100ms", "effect": "non_idempotent"}],
+		"cold_start": {"from": 1, "warm_after": "1s", "overload_factor": 100, "overload_window": "1s"}, "rules": {"release_within": "500ms"}, "seed": 3,
 		"batch": {"listen": %q, "dir": %q, "keys": [{"sha256": %q}], "again_after": "50ms", "lines_out": 24}}`, free(), fleet, at, filepath.Join(dir, "store"), hashOf("k1")))
 	var running *exec.Cmd
 	start := func() {
@@ -433,7 +433,7 @@
 	}
 	ran := map[string]int{}
 	for _, e := range records.Entries() {
-		if e.Kind == book.Ran && e.Track == "book" {
+		if e.Kind == book.Ran && e.Class == "book" {
 			if ran[e.Label]++; ran[e.Label] > 1 {
 				t.Errorf("booking %s ran twice", e.Label)
 			}
--- a/internal/e2e/door_test.go
+++ b/internal/e2e/door_test.go
@@ -27,17 +27,17 @@
 
 // crowd is a day on which one client of many asks for more than the fleet bears; the tests change it.
 const crowd = `{
-  "for": "8s", "sessions_per_second": 60, "lister_late": "50ms", "release_within": "500ms", "launches": 5, "jobs_waiting": 400,
-  "cold_start": {"from": 1, "warm_after": "1s", "topples_at": 100, "topples_over": "1s"},
+  "for": "8s", "sessions_per_second": 60, "lister_late": "50ms", "release_within": "500ms", "attempts": 5, "requests_waiting": 400,
+  "cold_start": {"from": 1, "warm_after": "1s", "overload_factor": 100, "overload_window": "1s"},
   "fleet": [
-    {"count": 2, "role": "reader", "zone": "a", "cell": "a1", "slots": 8, "queue": 60, "reads_per_second": 6000, "jobs_per_second": 17},
-    {"count": 2, "role": "writer", "zone": "a", "cell": "a1", "slots": 32, "queue": 60, "token_gap": "5ms", "jobs_per_second": 40}
+    {"count": 2, "role": "prefill", "zone": "a", "cell": "a1", "slots": 8, "queue": 60, "reads_per_second": 6000, "requests_per_second": 17},
+    {"count": 2, "role": "decode", "zone": "a", "cell": "a1", "slots": 32, "queue": 60, "token_gap": "5ms", "requests_per_second": 40}
   ],
   "dispatchers": [{"zone": "a"}],
-  "tracks": [
-    {"name": "small", "share": SMALL, "expected": "1s", "patience": "4s", "token_gap": "50ms", "effect": "redoable",
+  "classes": [
+    {"name": "small", "share": SMALL, "target": "1s", "timeout": "4s", "token_gap": "50ms", "effect": "idempotent",
      "prompt": 300, "prompt_most": 400, "answer": 20, "retries": 2, "clients": 6},
-    {"name": "flood", "share": FLOOD, "expected": "1s", "patience": "4s", "token_gap": "50ms", "effect": "redoable",
+    {"name": "flood", "share": FLOOD, "target": "1s", "timeout": "4s", "token_gap": "50ms", "effect": "idempotent",
      "prompt": 300, "prompt_most": 400, "answer": 20, "retries": 2, HOW}
   ]
 }`
@@ -84,7 +84,7 @@
 			first := playScript(t, s, nil)
 			a, b := fair.Sums["small"], first.Sums["small"]
 			t.Logf("small clients, p50/p99 to the first token: without the flood %v/%v, with it %v/%v, in order of arrival %v/%v; honoured %d of %d, in order of arrival %d of %d",
-				calmP50, calmP99, p(a.First, 0.5), p(a.First, 0.99), p(b.First, 0.5), p(b.First, 0.99), a.Honoured, a.Jobs, b.Honoured, b.Jobs)
+				calmP50, calmP99, p(a.First, 0.5), p(a.First, 0.99), p(b.First, 0.5), p(b.First, 0.99), a.Served, a.Requests, b.Served, b.Requests)
 			for _, rep := range []*drill.Report{fair, first} {
 				if len(rep.Violations) > 0 || rep.Counts.InvalidDecisions > 0 {
 					t.Errorf("%v, %d decisions refused", rep.Violations, rep.Counts.InvalidDecisions)
@@ -98,8 +98,8 @@
 			if got := p(a.First, 0.99); got > 10*calmP99+300*time.Millisecond {
 				t.Errorf("one in a hundred of the small clients waited %v and more, without the flood %v", got, calmP99)
 			}
-			if a.Honoured < a.Jobs*8/10 {
-				t.Errorf("%d of %d small jobs honoured in the flood", a.Honoured, a.Jobs)
+			if a.Served < a.Requests*8/10 {
+				t.Errorf("%d of %d small jobs honoured in the flood", a.Served, a.Requests)
 			}
 		})
 	}
@@ -111,7 +111,7 @@
 	s := crowdDay(t, true, `"clients": 200`)
 	s.Waiting = 24
 	for i := range s.Load {
-		s.Load[i].Patience, s.Load[i].Retries = 12*time.Second, 3
+		s.Load[i].Timeout, s.Load[i].Retries = 12*time.Second, 3
 	}
 	rep := playScript(t, s, nil)
 	back, kept := 0, 0
--- a/internal/e2e/hard_test.go
+++ b/internal/e2e/hard_test.go
@@ -218,7 +218,7 @@
 
 // TestReaderDiesHoldingState, and the state is gone when the writer fetches it: the prompt is read anew.
 func TestReaderDiesHoldingState(t *testing.T) {
-	st, client := stage(t, func(s *drill.Script) { s.Load[0].Expected = 2 * time.Second; s.Load[0].Patience = 5 * time.Second })
+	st, client := stage(t, func(s *drill.Script) { s.Load[0].Target = 2 * time.Second; s.Load[0].Timeout = 5 * time.Second })
 	turn(st, true, 3, 4) // the state has to wait at its reader
 	var wg sync.WaitGroup
 	wg.Add(1)
@@ -342,7 +342,7 @@
 		t.Fatal(err)
 	}
 	for i := range s.Load {
-		s.Load[i].Expected, s.Load[i].Patience = 110*time.Millisecond, 120*time.Millisecond
+		s.Load[i].Target, s.Load[i].Timeout = 110*time.Millisecond, 120*time.Millisecond
 	}
 	s.For, s.Rate = 3*time.Second, 60
 	rep := playScript(t, s, nil)
@@ -350,8 +350,8 @@
 		t.Errorf("%v, %d decisions refused", rep.Violations, rep.Counts.InvalidDecisions)
 	}
 	q := rep.Sums["question"]
-	if q.Honoured == 0 || q.Honoured == q.Jobs {
-		t.Errorf("%d of %d honoured: nothing crossed", q.Honoured, q.Jobs)
+	if q.Served == 0 || q.Served == q.Requests {
+		t.Errorf("%d of %d honoured: nothing crossed", q.Served, q.Requests)
 	}
 }
 
--- a/internal/e2e/rules_test.go
+++ b/internal/e2e/rules_test.go
@@ -19,17 +19,17 @@
 
 // day is a small day that the tests change.
 const day = `{
-  "for": "5s", "sessions_per_second": 25, "lister_late": "50ms", "release_within": "300ms", "launches": 5,
-  "cold_start": {"from": 0.1, "warm_after": "6s", "topples_at": 1.2, "topples_over": "1s"},
+  "for": "5s", "sessions_per_second": 25, "lister_late": "50ms", "release_within": "300ms", "attempts": 5,
+  "cold_start": {"from": 0.1, "warm_after": "6s", "overload_factor": 1.2, "overload_window": "1s"},
   "fleet": [
-    {"count": 2, "role": "reader", "zone": "a", "cell": "a1", "slots": 8, "queue": 60, "reads_per_second": 7000, "jobs_per_second": 17},
-    {"count": 2, "role": "writer", "zone": "a", "cell": "a1", "slots": 16, "queue": 60, "token_gap": "5ms", "jobs_per_second": 40}
+    {"count": 2, "role": "prefill", "zone": "a", "cell": "a1", "slots": 8, "queue": 60, "reads_per_second": 7000, "requests_per_second": 17},
+    {"count": 2, "role": "decode", "zone": "a", "cell": "a1", "slots": 16, "queue": 60, "token_gap": "5ms", "requests_per_second": 40}
   ],
   "dispatchers": [{"zone": "a"}],
-  "tracks": [
-    {"name": "question", "share": 0.7, "expected": "600ms", "patience": "2s", "token_gap": "50ms", "effect": "redoable",
+  "classes": [
+    {"name": "question", "share": 0.7, "target": "600ms", "timeout": "2s", "token_gap": "50ms", "effect": "idempotent",
      "prompt": 100, "prompt_most": 600, "answer": 20, "retries": 1},
-    {"name": "booking", "share": 0.3, "expected": "600ms", "patience": "2s", "token_gap": "50ms", "effect": "irreversible",
+    {"name": "booking", "share": 0.3, "target": "600ms", "timeout": "2s", "token_gap": "50ms", "effect": "non_idempotent",
      "prompt": 100, "prompt_most": 600, "answer": 20, "retries": 1}
   ],
   "troubles": [TROUBLES]
@@ -167,14 +167,14 @@
 		change   func(s *drill.Script)
 	}{
 		{"an answer dropped", 1, ``, func(m dispatch.Module) dispatch.Module { return &dropsAnswers{Module: m} }, nil},
-		{"an effect twice", 2, `{"kind": "errors", "at": "1s", "for": "3s", "hosts": [3, 4], "factor": 0.5}`,
+		{"an effect twice", 2, `{"kind": "errors", "at": "1s", "for": "3s", "servers": [3, 4], "factor": 0.5}`,
 			func(m dispatch.Module) dispatch.Module { return runsTwice{m} },
 			func(s *drill.Script) { s.Load[0].Share, s.Load[1].Share = 0, 1 }},
-		{"a drain ignored", 3, `{"kind": "drain", "at": "1s", "for": "6s", "hosts": [4]}`,
+		{"a drain ignored", 3, `{"kind": "drain", "at": "1s", "for": "6s", "servers": [4]}`,
 			func(m dispatch.Module) dispatch.Module { return ignoresDrains{m} }, nil},
-		{"a cold host flooded", 4, `{"kind": "crash", "at": "500ms", "for": "500ms", "hosts": [1]}`,
+		{"a cold host flooded", 4, `{"kind": "crash", "at": "500ms", "for": "500ms", "servers": [1]}`,
 			func(m dispatch.Module) dispatch.Module { return &floodsCold{Module: m} }, nil},
-		{"a state never let go", 5, `{"kind": "hang", "at": "1s", "for": "3s", "hosts": [3, 4]}`,
+		{"a state never let go", 5, `{"kind": "hang", "at": "1s", "for": "3s", "servers": [3, 4]}`,
 			func(m dispatch.Module) dispatch.Module { return neverLetsGo{m} }, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -230,8 +230,8 @@
 		if sum.Wrong > 0 {
 			t.Errorf("track %s: %d answers were not whole", name, sum.Wrong)
 		}
-		if sum.Honoured < sum.Jobs/2 {
-			t.Errorf("track %s: %d of %d jobs honoured, want half at least", name, sum.Honoured, sum.Jobs)
+		if sum.Served < sum.Requests/2 {
+			t.Errorf("track %s: %d of %d jobs honoured, want half at least", name, sum.Served, sum.Requests)
 		}
 	}
 	if slices.Sort(names); len(names) != 4 {
--- a/internal/lab/book/book.go
+++ b/internal/lab/book/book.go
@@ -23,7 +23,7 @@
 	Sent     Kind = "sent"       // a launch passed towards a host; Note says read or write
 	Ended    Kind = "ended"      // the end of a launch passed: by status (Code), reset or closed connection (Note)
 	Held     Kind = "held"       // a reader holds the state of a job
-	LetGo    Kind = "letgo"      // it was fetched, let go or ran out; Note says which
+	Released Kind = "letgo"      // it was fetched, let go or ran out; Note says which
 	Ran      Kind = "ran"        // a host began to answer a job
 	Told     Kind = "told"       // the lister told a dispatcher of a host; Note is its health, N its start
 	Start    Kind = "start"      // a host's process started
@@ -36,20 +36,20 @@
 
 // Entry is one thing that passed. Times are Unix nanoseconds, all on one machine's clock.
 type Entry struct {
-	At     int64  `json:"at"`
-	Kind   Kind   `json:"kind"`
-	Job    string `json:"job,omitempty"` // the dispatcher's name for it
-	Shot   int    `json:"shot,omitempty"`
-	Host   int    `json:"host,omitempty"`
-	Label  string `json:"label,omitempty"` // the client's name for it
-	Try    int    `json:"try,omitempty"`
-	Track  string `json:"track,omitempty"`
-	Tenant string `json:"tenant,omitempty"`
-	Code   string `json:"code,omitempty"`
-	Note   string `json:"note,omitempty"`
-	N      int64  `json:"n,omitempty"`
-	Disp   int    `json:"disp,omitempty"` // which dispatcher, from 0
-	By     int64  `json:"by,omitempty"`   // a time that belongs to it: deadline of a try
+	At      int64  `json:"at"`
+	Kind    Kind   `json:"kind"`
+	Request string `json:"job,omitempty"` // the dispatcher's name for it
+	Attempt int    `json:"shot,omitempty"`
+	Server  int    `json:"host,omitempty"`
+	Label   string `json:"label,omitempty"` // the client's name for it
+	Try     int    `json:"try,omitempty"`
+	Class   string `json:"track,omitempty"`
+	Tenant  string `json:"tenant,omitempty"`
+	Code    string `json:"code,omitempty"`
+	Note    string `json:"note,omitempty"`
+	N       int64  `json:"n,omitempty"`
+	Disp    int    `json:"disp,omitempty"` // which dispatcher, from 0
+	By      int64  `json:"by,omitempty"`   // a time that belongs to it: deadline of a try
 }
 
 // Book collects entries; any goroutine may write. Its zero value is ready.
--- a/internal/lab/client/client.go
+++ b/internal/lab/client/client.go
@@ -27,22 +27,22 @@
 	"docksail/internal/lab/engine"
 )
 
-// Track is what the jobs of a track are like.
-type Track struct {
+// Class is what the jobs of a track are like.
+type Class struct {
 	Name               string
 	Share              float64 // of the sessions
 	Tenant             string
 	Turns              int
 	Prompt, PromptMost int // tokens that each turn adds
-	Beginning          int // tokens of the shared beginning; 0 = none
-	Beginnings         int // how many different ones
+	PrefixTokens       int // tokens of the shared beginning; 0 = none
+	Prefixes           int // how many different ones
 	Answer             int // most tokens
 	Expected, Per1k    time.Duration
-	Patience           time.Duration
+	Timeout            time.Duration
 	Call               time.Duration // whole time of a call; 0 = patience and some time for the answer
-	Payoff             float64
+	Value              float64
 	Retries            int
-	Irreversible       bool          // only a nack is followed by another try
+	NonIdempotent      bool          // only a nack is followed by another try
 	Leave              float64       // share of the tries that the client leaves, at a random point
 	Idle               time.Duration // between turns
 	Clients            int           // how many name themselves; 0 = none does
@@ -55,7 +55,7 @@
 // Load is a stream of sessions.
 type Load struct {
 	Targets []string // dispatchers; each client takes one, and another after a lost connection
-	Tracks  []Track
+	Classes []Class
 	Rate    func(at time.Duration) float64 // sessions a second
 	For     time.Duration
 	Seed    uint64
@@ -67,11 +67,11 @@
 
 // Sum is what became of the jobs of a track.
 type Sum struct {
-	Jobs, Honoured, OnTime, Nacked, Abandoned, Left, Unanswered, Wrong int
-	Tries                                                              int
-	Back, BackKept                                                     int // tries with a booking, and those honoured
-	Payoff, Asked                                                      float64
-	First                                                              []time.Duration // to the first token, of those honoured
+	Requests, Served, OnTime, Rejected, Failed, Left, Unanswered, Wrong int
+	Tries                                                               int
+	Back, BackKept                                                      int // tries with a booking, and those honoured
+	Value, Asked                                                        float64
+	First                                                               []time.Duration // to the first token, of those honoured
 }
 
 // Kept is the payoff in the expected time over the payoff asked for.
@@ -79,17 +79,17 @@
 	if s.Asked == 0 {
 		return math.NaN()
 	}
-	return s.Payoff / s.Asked
+	return s.Value / s.Asked
 }
 
 // Run plays a load to its end and gives what became of it, by track.
 func Run(ctx context.Context, l Load, b *book.Book) (map[string]*Sum, error) {
 	conns := map[string][][]pb.GenerationClient{}
-	for i := range l.Tracks { // each track's clients come from an address of their own
+	for i := range l.Classes { // each track's clients come from an address of their own
 		from := &net.Dialer{LocalAddr: &net.TCPAddr{IP: net.IPv4(127, 0, 0, byte(2+i))}}
 		for _, t := range l.Targets {
 			var some []pb.GenerationClient
-			for range max(l.Conns, l.Tracks[i].Conns, 1) {
+			for range max(l.Conns, l.Classes[i].Conns, 1) {
 				c, err := grpc.NewClient(t, grpc.WithTransportCredentials(insecure.NewCredentials()),
 					grpc.WithContextDialer(func(ctx context.Context, to string) (net.Conn, error) { return from.DialContext(ctx, "tcp", to) }),
 					grpc.WithConnectParams(grpc.ConnectParams{MinConnectTimeout: 200 * time.Millisecond}))
@@ -99,11 +99,11 @@
 				defer c.Close()
 				some = append(some, pb.NewGenerationClient(c))
 			}
-			conns[l.Tracks[i].Name] = append(conns[l.Tracks[i].Name], some)
+			conns[l.Classes[i].Name] = append(conns[l.Classes[i].Name], some)
 		}
 	}
 	sums := map[string]*Sum{}
-	for _, t := range l.Tracks {
+	for _, t := range l.Classes {
 		sums[t.Name] = &Sum{}
 	}
 	r := &runner{l: l, b: b, conns: conns, sums: sums}
@@ -116,8 +116,8 @@
 		if at, more = l.next(at, n, rng); !more || ctx.Err() != nil {
 			break
 		}
-		x, track := rng.Float64(), l.Tracks[len(l.Tracks)-1]
-		for _, t := range l.Tracks {
+		x, track := rng.Float64(), l.Classes[len(l.Classes)-1]
+		for _, t := range l.Classes {
 			if x -= t.Share; x < 0 {
 				track = t
 				break
@@ -166,13 +166,13 @@
 	}
 }
 
-// DrawBeginning draws one of the shared beginnings of a track: few are shared by most, by Zipf's law.
-func (t *Track) DrawBeginning(rng *rand.Rand) string {
+// DrawPrefix draws one of the shared beginnings of a track: few are shared by most, by Zipf's law.
+func (t *Class) DrawPrefix(rng *rand.Rand) string {
 	const skew = 1.1
-	if t.Beginnings < 2 {
+	if t.Prefixes < 2 {
 		return "b0"
 	}
-	return "b" + strconv.FormatUint(rand.NewZipf(rng, skew, 1, uint64(t.Beginnings-1)).Uint64(), 10)
+	return "b" + strconv.FormatUint(rand.NewZipf(rng, skew, 1, uint64(t.Prefixes-1)).Uint64(), 10)
 }
 
 type runner struct {
@@ -186,7 +186,7 @@
 
 // session plays one conversation: each turn's prompt holds all that went before.
 // due is when its first turn should be sent: times count from then, even if the machine is late.
-func (r *runner) session(ctx context.Context, n int, t Track, heavy int, due time.Time, rng *rand.Rand) {
+func (r *runner) session(ctx context.Context, n int, t Class, heavy int, due time.Time, rng *rand.Rand) {
 	prompt := 0
 	name := ""
 	if t.Made {
@@ -196,10 +196,10 @@
 	}
 	req := &pb.GenerateRequest{Track: t.Name, Tenant: t.Tenant, Session: "s" + strconv.Itoa(n), MaxTokens: uint32(t.Answer),
 		Client: name}
-	if t.Beginning > 0 {
-		req.Beginning = t.DrawBeginning(rng)
-		req.BeginningTokens = uint32(t.Beginning)
-		prompt = t.Beginning
+	if t.PrefixTokens > 0 {
+		req.Beginning = t.DrawPrefix(rng)
+		req.BeginningTokens = uint32(t.PrefixTokens)
+		prompt = t.PrefixTokens
 	}
 	for turn := range 1 + rng.IntN(max(t.Turns, 1)) {
 		prompt += heavy * (t.Prompt + rng.IntN(max(t.PromptMost-t.Prompt, 1)))
@@ -221,26 +221,26 @@
 }
 
 // job is one job with all its tries; it gives the tokens of the answer.
-func (r *runner) job(ctx context.Context, t Track, req *pb.GenerateRequest, begin time.Time, rng *rand.Rand) (int, bool) {
+func (r *runner) job(ctx context.Context, t Class, req *pb.GenerateRequest, begin time.Time, rng *rand.Rand) (int, bool) {
 	var last outcome
 	if r.l.Done != nil {
 		defer func() { r.l.Done(t.Name, last.first.Sub(begin), last.code) }()
 	}
 	expected := t.Expected + t.Per1k*time.Duration(req.PromptTokens)/1000
-	worth := t.Payoff * float64(req.PromptTokens+4*req.MaxTokens)
+	worth := t.Value * float64(req.PromptTokens+4*req.MaxTokens)
 	sum := func(f func(s *Sum)) {
 		r.mu.Lock()
 		f(r.sums[t.Name])
 		r.mu.Unlock()
 	}
-	sum(func(s *Sum) { s.Jobs++; s.Asked += worth })
+	sum(func(s *Sum) { s.Requests++; s.Asked += worth })
 	conns := r.conns[t.Name]
 	at := rng.IntN(len(conns))
 	ticket := ""
 	for try := 0; ; try++ {
-		left := t.Patience + 2*t.Per1k*time.Duration(req.PromptTokens)/1000 - time.Since(begin)
+		left := t.Timeout + 2*t.Per1k*time.Duration(req.PromptTokens)/1000 - time.Since(begin)
 		if left <= 0 {
-			sum(func(s *Sum) { s.Nacked++ }) // it waited as it was told, and its time was up
+			sum(func(s *Sum) { s.Rejected++ }) // it waited as it was told, and its time was up
 			return 0, false
 		}
 		sum(func(s *Sum) { s.Tries++ })
@@ -263,11 +263,11 @@
 		case res.code == codes.OK:
 			first := res.first.Sub(begin)
 			sum(func(s *Sum) {
-				s.Honoured++
+				s.Served++
 				s.First = append(s.First, first)
 				if first <= expected {
 					s.OnTime++
-					s.Payoff += worth
+					s.Value += worth
 				}
 			})
 			return res.tokens, true
@@ -276,7 +276,7 @@
 			return 0, false
 		}
 		nacked := (res.code == codes.Unavailable || res.code == codes.ResourceExhausted) && res.final
-		again := nacked || !t.Irreversible
+		again := nacked || !t.NonIdempotent
 		wait := res.after
 		if res.after < 0 {
 			again = again && res.lost // the dispatcher asks to stay away
@@ -290,13 +290,13 @@
 		} else if ticket == "" { // without a booking, spread
 			wait = time.Duration(float64(wait) * (1 + 0.2*rng.Float64()))
 		}
-		if !again || try >= t.Retries || time.Since(begin)+wait >= t.Patience || ctx.Err() != nil {
+		if !again || try >= t.Retries || time.Since(begin)+wait >= t.Timeout || ctx.Err() != nil {
 			sum(func(s *Sum) {
 				switch {
 				case nacked:
-					s.Nacked++
+					s.Rejected++
 				case res.final:
-					s.Abandoned++
+					s.Failed++
 				default:
 					s.Unanswered++
 				}
@@ -322,7 +322,7 @@
 	ticket string
 }
 
-func (r *runner) try(ctx context.Context, c pb.GenerationClient, t Track, req *pb.GenerateRequest, try int,
+func (r *runner) try(ctx context.Context, c pb.GenerationClient, t Class, req *pb.GenerateRequest, try int,
 	left time.Duration, ticket string, rng *rand.Rand) outcome {
 	call := t.Call
 	if call == 0 {
@@ -350,12 +350,12 @@
 	}
 	req.PatienceNs = uint64(left)
 	now := time.Now()
-	e := book.Entry{Label: req.Label, Try: try, Track: t.Name, Tenant: t.Tenant}
+	e := book.Entry{Label: req.Label, Try: try, Class: t.Name, Tenant: t.Tenant}
 	gap := int64(0) // mean time between the tokens, nanoseconds
 	note := func(kind book.Kind, code string, job string) {
 		e := e
 		e.N = gap
-		e.Kind, e.Code, e.Job, e.By = kind, code, job, now.Add(left).UnixNano()
+		e.Kind, e.Code, e.Request, e.By = kind, code, job, now.Add(left).UnixNano()
 		r.b.Add(e)
 	}
 	note(book.Asked, "", "")
--- a/internal/lab/drill/importday.go
+++ b/internal/lab/drill/importday.go
@@ -165,15 +165,15 @@
 		all := groups[g]
 		k, e := kinds[g[2]], d.Family.Engines[g[2]]
 		count := max(1, int(math.Round(float64(len(all))/every)))
-		role := map[string]string{"read": "reader", "write": "writer", "both": "mixed"}[d.Family.Roles[g[2]]]
+		role := map[string]Role{"read": Prefill, "write": Decode, "both": Mixed}[d.Family.Roles[g[2]]]
 		h := Hosts{Count: count, Role: role, Zone: d.Zones[g[0]], Cell: fmt.Sprint("c", g[1]), Slots: max(k.Slots, 1), Queue: k.Queue,
 			Memory: e.Memory, ReadRate: e.Reads, MoveRate: d.Family.Near, TokenGap: time.Duration(e.Step * 1e6).Round(time.Microsecond)}
 		h.TokenGap = max(h.TokenGap, time.Millisecond)
-		h.Jobs = e.Reads / max(perJob, 1)
-		if role != "reader" {
-			h.Jobs = float64(h.Slots) / max(answers*h.TokenGap.Seconds()*1.5, 0.01)
+		h.RequestsPerSecond = e.Reads / max(perJob, 1)
+		if role != Prefill {
+			h.RequestsPerSecond = float64(h.Slots) / max(answers*h.TokenGap.Seconds()*1.5, 0.01)
 		} else {
-			readers += float64(count) * h.Jobs
+			readers += float64(count) * h.RequestsPerSecond
 		}
 		s.Fleet = append(s.Fleet, h)
 		for j, i := range all {
@@ -194,14 +194,14 @@
 	}
 	for i, c := range d.Classes {
 		t := d.Family.Talks[i]
-		tr := Track{Name: c.Name, Share: c.Share / total, Expected: us(c.Aim), Per1k: time.Duration(t.Per1k * 1e6), Patience: us(c.Limit),
-			Payoff: c.Worth, TokenGap: time.Duration(max(t.Gap, 10) * 1e6), Window: us(c.Window), Turns: max(1, int(math.Round(2*t.Turns-1))),
-			Prompt: max(1, int(t.New/2)), PromptMost: int(1.5 * t.New), Beginning: int(t.Prefix), Beginnings: 8,
+		tr := Track{Name: c.Name, Share: c.Share / total, Target: us(c.Aim), Per1k: time.Duration(t.Per1k * 1e6), Timeout: us(c.Limit),
+			Value: c.Worth, TokenGap: time.Duration(max(t.Gap, 10) * 1e6), Window: us(c.Window), Turns: max(1, int(math.Round(2*t.Turns-1))),
+			Prompt: max(1, int(t.New/2)), PromptMost: int(1.5 * t.New), PrefixTokens: int(t.Prefix), Prefixes: 8,
 			Answer: max(1, int(min(1.33*t.Out, float64(t.MaxOut)))), Retries: d.Clients.Retries, Idle: time.Second}
 		effect := map[string]policy.Effect{"safe": policy.Idempotent, "keyed": policy.Deduplicated, "unsafe": policy.NonIdempotent}
 		e, ok := effect[c.Effect]
 		if !ok {
-			cannot = append(cannot, fmt.Sprintf("class %s: effect %q, played as redoable", c.Name, c.Effect))
+			cannot = append(cannot, fmt.Sprintf("class %s: effect %q, played as idempotent", c.Name, c.Effect))
 		}
 		tr.Effect = setup.Effect(e)
 		switch c.Group {
@@ -294,15 +294,15 @@
 	}
 	m := text(s).(map[string]any)
 	for i, t := range s.Load {
-		to := m["tracks"].([]any)[i].(map[string]any)
-		to["effect"] = []string{"redoable", "labelled", "irreversible"}[t.Effect]
+		to := m["classes"].([]any)[i].(map[string]any)
+		to["effect"] = []string{"idempotent", "deduplicated", "non_idempotent"}[t.Effect]
 		to["group"] = []string{"all", "zone", "cell"}[t.Group]
 	}
 	return m
 }
 
 // lengths are the fields that hold lengths of time.
-const lengths = " for lister_late release_within warm_after topples_over token_gap expected expected_per_1000_tokens patience window idle at "
+const lengths = " for lister_late release_within warm_after overload_window token_gap target target_per_1000_tokens timeout window idle at "
 
 func spell(v any, name string) any {
 	switch v := v.(type) {
--- a/internal/lab/drill/script.go
+++ b/internal/lab/drill/script.go
@@ -25,18 +25,18 @@
 	Rate        float64      `json:"sessions_per_second" need:"sessions a second, at the usual"`
 	ListerLate  Dur          `json:"lister_late"`
 	Release     Dur          `json:"release_within"`
-	Cold        Cold         `json:"cold_start" need:"what cold hosts bear"`
-	Fleet       []Hosts      `json:"fleet" need:"groups of hosts"`
+	Cold        Cold         `json:"cold_start" need:"what servers bear that have just started"`
+	Fleet       []Hosts      `json:"fleet" need:"groups of servers"`
 	Dispatchers []Dispatcher `json:"dispatchers" need:"a list of dispatchers"`
-	Load        []Track      `json:"tracks" need:"a list of tracks"`
+	Load        []Track      `json:"classes" was:"tracks" need:"a list of classes"`
 	Troubles    []Trouble    `json:"troubles"`
 	Noise       float64      `json:"report_noise"`
 	Batch       bool         `json:"batching"` // Hosts play the batch model instead of the simple one
-	Most        int64        `json:"launches"`
-	FirstCome   bool         `json:"first_come"`   // the door keeps no order but that of arrival
-	Waiting     int          `json:"jobs_waiting"` // at the door; 0 = the usual
-	Connections int          `json:"connections"`  // of clients; 0 = the usual
-	Memory      int          `json:"memory_bytes"` // from which on the door sheds; 0 = no bound
+	Most        int64        `json:"attempts" was:"launches"`
+	FirstCome   bool         `json:"first_come"`                          // the door keeps no order but that of arrival
+	Waiting     int          `json:"requests_waiting" was:"jobs_waiting"` // at the door; 0 = the usual
+	Connections int          `json:"connections"`                         // of clients; 0 = the usual
+	Memory      int          `json:"memory_bytes"`                        // from which on the door sheds; 0 = no bound
 }
 
 // Dur is a length of time as text.
@@ -46,23 +46,23 @@
 type Cold struct {
 	From     float64 `json:"from"`
 	Warm     Dur     `json:"warm_after"`
-	Multiple float64 `json:"topples_at"`
-	Window   Dur     `json:"topples_over"`
+	Multiple float64 `json:"overload_factor" was:"topples_at"`
+	Window   Dur     `json:"overload_window" was:"topples_over"`
 }
 
 // Hosts is a group of hosts alike.
 type Hosts struct {
-	Count    int     `json:"count" need:"how many"`
-	Role     string  `json:"role" need:"reader, writer or mixed"`
-	Zone     string  `json:"zone"`
-	Cell     string  `json:"cell"`
-	Slots    int     `json:"slots" need:"jobs at once"`
-	Queue    int     `json:"queue"`
-	Memory   int64   `json:"memory_tokens"`
-	ReadRate float64 `json:"reads_per_second"` // prompt tokens
-	TokenGap Dur     `json:"token_gap"`
-	Jobs     float64 `json:"jobs_per_second" need:"what one can do warm"`
-	MoveRate float64 `json:"moves_per_second"` // tokens of state
+	Count             int     `json:"count" need:"how many"`
+	Role              Role    `json:"role" need:"prefill, decode or mixed"`
+	Zone              string  `json:"zone"`
+	Cell              string  `json:"cell"`
+	Slots             int     `json:"slots" need:"requests at once"`
+	Queue             int     `json:"queue"`
+	Memory            int64   `json:"memory_tokens"`
+	ReadRate          float64 `json:"reads_per_second"` // prompt tokens
+	TokenGap          Dur     `json:"token_gap"`
+	RequestsPerSecond float64 `json:"requests_per_second" was:"jobs_per_second" need:"what one can do warm"`
+	MoveRate          float64 `json:"moves_per_second"` // tokens of state
 }
 
 // Dispatcher is one dispatcher of the day.
@@ -73,33 +73,33 @@
 
 // Track is a class of jobs: what the dispatcher is told of it and what its clients do.
 type Track struct {
-	Name       string       `json:"name" need:"a name"`
-	Share      float64      `json:"share" need:"its share of the sessions"`
-	Tenant     string       `json:"tenant"`
-	Expected   Dur          `json:"expected" need:"time in which the first token is wanted"`
-	Per1k      Dur          `json:"expected_per_1000_tokens"`
-	Patience   Dur          `json:"patience" need:"the client's patience"`
-	Payoff     float64      `json:"payoff"`
-	TokenGap   Dur          `json:"token_gap" need:"time wanted between tokens"`
-	Effect     setup.Effect `json:"effect"`
-	Group      setup.Group  `json:"group"`
-	Window     Dur          `json:"window"`
-	Turns      int          `json:"turns"`
-	Prompt     int          `json:"prompt" need:"least tokens that a turn adds"`
-	PromptMost int          `json:"prompt_most"`
-	Beginning  int          `json:"beginning"`
-	Beginnings int          `json:"beginnings"`
-	Answer     int          `json:"answer" need:"most tokens of an answer"`
-	Retries    int          `json:"retries"`
-	Leave      float64      `json:"leave"`
-	Idle       Dur          `json:"idle"`
-	Clients    int          `json:"clients"`         // that name themselves
-	Deaf       bool         `json:"no_advice"`       // come back at once whatever they are told
-	Made       bool         `json:"made_up"`         // a new name for each job
-	Background bool         `json:"background"`      // its jobs yield to all others
-	Conns      int          `json:"connections"`     // of its clients to each dispatcher; 0 = two
-	Weight     float64      `json:"weight"`          // of its tenant
-	Rate       float64      `json:"most_per_second"` // of its tenant
+	Name         string       `json:"name" need:"a name"`
+	Share        float64      `json:"share" need:"its share of the sessions"`
+	Tenant       string       `json:"tenant"`
+	Target       Dur          `json:"target" was:"expected" need:"time in which the first token is wanted"`
+	Per1k        Dur          `json:"target_per_1000_tokens" was:"expected_per_1000_tokens"`
+	Timeout      Dur          `json:"timeout" was:"patience" need:"the client's time"`
+	Value        float64      `json:"value" was:"payoff"`
+	TokenGap     Dur          `json:"token_gap" need:"time wanted between tokens"`
+	Effect       setup.Effect `json:"effect"`
+	Group        setup.Group  `json:"group"`
+	Window       Dur          `json:"window"`
+	Turns        int          `json:"turns"`
+	Prompt       int          `json:"prompt" need:"least tokens that a turn adds"`
+	PromptMost   int          `json:"prompt_most"`
+	PrefixTokens int          `json:"prefix_tokens" was:"beginning"`
+	Prefixes     int          `json:"prefixes" was:"beginnings"`
+	Answer       int          `json:"answer" need:"most tokens of an answer"`
+	Retries      int          `json:"retries"`
+	Leave        float64      `json:"leave"`
+	Idle         Dur          `json:"idle"`
+	Clients      int          `json:"clients"`         // that name themselves
+	Deaf         bool         `json:"no_advice"`       // come back at once whatever they are told
+	Made         bool         `json:"made_up"`         // a new name for each job
+	Background   bool         `json:"background"`      // its jobs yield to all others
+	Conns        int          `json:"connections"`     // of its clients to each dispatcher; 0 = two
+	Weight       float64      `json:"weight"`          // of its tenant
+	Rate         float64      `json:"most_per_second"` // of its tenant
 }
 
 // Trouble is one thing that goes wrong.
@@ -107,12 +107,12 @@
 	Kind   string  `json:"kind" need:"what goes wrong"`
 	At     Dur     `json:"at" need:"when"`
 	For    Dur     `json:"for"`
-	Hosts  []int   `json:"hosts"` // numbers of hosts, from 1, in the order of the fleet
-	Share  float64 `json:"share"` // or so many of them, by the seed
-	Role   string  `json:"role"`  // of this role
+	Hosts  []int   `json:"servers" was:"hosts"` // numbers of hosts, from 1, in the order of the fleet
+	Share  float64 `json:"share"`               // or so many of them, by the seed
+	Role   Role    `json:"role"`                // of this role
 	Zone   string  `json:"zone"`
 	Cell   string  `json:"cell"`
-	Track  string  `json:"track"`
+	Track  string  `json:"class" was:"track"`
 	Factor float64 `json:"factor"`
 	Number int     `json:"dispatcher"`
 }
@@ -149,8 +149,31 @@
 	"delay":      "bytes to and from the hosts pass factor milliseconds late",
 }
 
-// Roles are what scripts call them.
-var Roles = map[string]pb.Role{"reader": pb.Role_ROLE_READER, "writer": pb.Role_ROLE_WRITER, "mixed": pb.Role_ROLE_MIXED}
+// Role is what a script calls what servers can do: prefill, decode or mixed; empty = whatever.
+type Role string
+
+const (
+	Prefill Role = "prefill" // reads prompts
+	Decode  Role = "decode"  // writes answers
+	Mixed   Role = "mixed"   // does both
+)
+
+// Roles are what they are on the wire.
+var Roles = map[Role]pb.Role{Prefill: pb.Role_ROLE_READER, Decode: pb.Role_ROLE_WRITER, Mixed: pb.Role_ROLE_MIXED}
+
+// UnmarshalText takes the name of a role.
+func (r *Role) UnmarshalText(text []byte) error {
+	if _, ok := Roles[Role(text)]; !ok && len(text) > 0 {
+		return fmt.Errorf("%q, want prefill, decode or mixed", text)
+	}
+	*r = Role(text)
+	return nil
+}
+
+// FormerNames are those of the release before.
+func (*Role) FormerNames() map[string]string {
+	return map[string]string{"reader": "prefill", "writer": "decode"}
+}
 
 // Kinds are the names of all troubles.
 func Kinds() []string { return slices.Sorted(maps.Keys(kinds)) }
@@ -169,21 +192,21 @@
 	s := &Script{Seed: 1, Release: time.Second, Most: 5}
 	err := setup.Decode(name, text, s, func(bad func(path, format string, args ...any)) {
 		for i, h := range s.Fleet {
-			if _, ok := Roles[h.Role]; !ok {
-				bad(fmt.Sprintf("fleet[%d].role", i), "%q, want reader, writer or mixed", h.Role)
+			if h.Role == "" {
+				bad(fmt.Sprintf("fleet[%d].role", i), "is empty, want prefill, decode or mixed")
 			}
-			if h.Count < 1 || h.Slots < 1 || h.Jobs <= 0 {
-				bad(fmt.Sprintf("fleet[%d]", i), "want count, slots and jobs_per_second above 0")
+			if h.Count < 1 || h.Slots < 1 || h.RequestsPerSecond <= 0 {
+				bad(fmt.Sprintf("fleet[%d]", i), "want count, slots and requests_per_second above 0")
 			}
-			if h.Role != "writer" && h.ReadRate <= 0 {
+			if h.Role != Decode && h.ReadRate <= 0 {
 				bad(fmt.Sprintf("fleet[%d].reads_per_second", i), "is %v, want more than 0 for what reads", h.ReadRate)
 			}
-			if h.Role != "reader" && h.TokenGap <= 0 {
+			if h.Role != Prefill && h.TokenGap <= 0 {
 				bad(fmt.Sprintf("fleet[%d].token_gap", i), "is %v, want more than 0 for what writes", h.TokenGap)
 			}
 		}
 		if len(s.Dispatchers) == 0 || len(s.Load) == 0 || s.For <= 0 {
-			bad("dispatchers", "want one dispatcher, one track and some time at least")
+			bad("dispatchers", "want one dispatcher, one class and some time at least")
 		}
 		total := len(s.Hosts())
 		for i, t := range s.Troubles {
@@ -193,7 +216,7 @@
 			}
 			for _, h := range t.Hosts {
 				if h < 1 || h > total {
-					bad(at+".hosts", "%d, want 1 to %d", h, total)
+					bad(at+".servers", "%d, want 1 to %d", h, total)
 				}
 			}
 			dispatchers := 0
@@ -224,7 +247,7 @@
 	for _, h := range s.Fleet {
 		for range h.Count {
 			e := engine.Spec{ID: len(all) + 1, Role: Roles[h.Role], Zone: h.Zone, Cell: h.Cell, Slots: h.Slots, Queue: h.Queue,
-				Memory: h.Memory, ReadRate: h.ReadRate, TokenGap: h.TokenGap, JobsPerSecond: h.Jobs, ColdFrom: s.Cold.From,
+				Memory: h.Memory, ReadRate: h.ReadRate, TokenGap: h.TokenGap, JobsPerSecond: h.RequestsPerSecond, ColdFrom: s.Cold.From,
 				Warm: s.Cold.Warm, Topple: s.Cold.Multiple, ToppleOver: s.Cold.Window, MoveRate: h.MoveRate,
 				Hold: 10 * time.Second, ReportEvery: 100 * time.Millisecond, Batch: s.Batch, ReportNoise: s.Noise}
 			if e.Memory == 0 {
@@ -246,8 +269,8 @@
 func (s *Script) Settings(n int) *setup.Dispatcher {
 	d := setup.Usual()
 	d.Zone, d.Number, d.Count, d.Seed, d.HashKey = s.Dispatchers[n].Zone, int32(n), int32(len(s.Dispatchers)), uint64(s.Seed)+uint64(n), 7
-	d.Launches.Most = int32(s.Most)
-	d.Launches.Connect = 250 * time.Millisecond
+	d.Attempts.Most = int32(s.Most)
+	d.Attempts.Connect = 250 * time.Millisecond
 	d.Rules.Release = s.Release
 	d.Cold = setup.Cold{From: s.Cold.From, Warm: s.Cold.Warm, Multiple: s.Cold.Multiple, Window: s.Cold.Window}
 	d.FirstCome = s.FirstCome
@@ -260,8 +283,8 @@
 	d.Limits.Memory = s.Memory
 	tenants := map[string]bool{}
 	for _, t := range s.Load {
-		d.Tracks = append(d.Tracks, setup.Track{Name: t.Name, Expected: t.Expected, ExpectedPer1k: t.Per1k,
-			Patience: t.Patience, Payoff: t.Payoff, TokenGap: t.TokenGap, Effect: t.Effect, Group: t.Group, Window: t.Window})
+		d.Classes = append(d.Classes, setup.Class{Name: t.Name, Target: t.Target, TargetPer1k: t.Per1k,
+			Timeout: t.Timeout, Value: t.Value, TokenGap: t.TokenGap, Effect: t.Effect, Group: t.Group, Window: t.Window})
 		if t.Tenant != "" && !tenants[t.Tenant] {
 			tenants[t.Tenant] = true
 			d.Tenants = append(d.Tenants, setup.Tenant{Name: t.Tenant, PerSecond: s.Rate, Weight: t.Weight, Rate: t.Rate})
@@ -271,28 +294,27 @@
 }
 
 // Clients are the load's tracks.
-func (s *Script) Clients() []client.Track {
-	var ts []client.Track
+func (s *Script) Clients() []client.Class {
+	var ts []client.Class
 	for _, t := range s.Load {
-		ts = append(ts, client.Track{Name: t.Name, Share: t.Share, Tenant: t.Tenant, Turns: t.Turns, Prompt: t.Prompt,
-			PromptMost: t.PromptMost, Beginning: t.Beginning, Beginnings: t.Beginnings, Answer: t.Answer, Expected: t.Expected,
-			Per1k: t.Per1k, Patience: t.Patience, Payoff: max(t.Payoff, 1), Retries: t.Retries, Leave: t.Leave, Idle: t.Idle,
+		ts = append(ts, client.Class{Name: t.Name, Share: t.Share, Tenant: t.Tenant, Turns: t.Turns, Prompt: t.Prompt,
+			PromptMost: t.PromptMost, PrefixTokens: t.PrefixTokens, Prefixes: t.Prefixes, Answer: t.Answer, Expected: t.Target,
+			Per1k: t.Per1k, Timeout: t.Timeout, Value: max(t.Value, 1), Retries: t.Retries, Leave: t.Leave, Idle: t.Idle,
 			Clients: t.Clients, Deaf: t.Deaf, Made: t.Made, Conns: t.Conns, Background: t.Background,
-			Irreversible: policy.Effect(t.Effect) != policy.Idempotent})
+			NonIdempotent: policy.Effect(t.Effect) != policy.Idempotent})
 	}
 	return ts
 }
 
 // Facts are what the rules are judged by.
 func (s *Script) Facts() rules.Facts {
-	f := rules.Facts{Tracks: map[string]rules.Track{}, Hosts: map[int]rules.Host{}, Release: s.Release,
+	f := rules.Facts{Classes: map[string]rules.Class{}, Servers: map[int]rules.Server{}, Release: s.Release,
 		Grace: setup.Usual().Rules.Drain, Slack: 250 * time.Millisecond}
 	for _, t := range s.Load {
-		f.Tracks[t.Name] = rules.Track{Effect: []string{"redoable", "labelled", "irreversible"}[t.Effect],
-			Group: []string{"all", "zone", "cell"}[t.Group], Window: t.Window}
+		f.Classes[t.Name] = rules.Class{Effect: policy.Effect(t.Effect), Group: policy.Group(t.Group), Window: t.Window}
 	}
 	for _, h := range s.Hosts() {
-		f.Hosts[h.ID] = rules.Host{Zone: h.Zone, Cell: h.Cell}
+		f.Servers[h.ID] = rules.Server{Zone: h.Zone, Cell: h.Cell}
 	}
 	return f
 }
@@ -301,11 +323,11 @@
 func Demo() *Script {
 	return &Script{Seed: 1, For: time.Second, Rate: 5, Release: time.Second, Most: 5,
 		Cold: Cold{From: 1, Warm: time.Second, Multiple: 100, Window: time.Second},
-		Fleet: []Hosts{{Count: 2, Role: "reader", Zone: "a", Cell: "a1", Slots: 8, Queue: 32, ReadRate: 20000, Jobs: 10},
-			{Count: 2, Role: "writer", Zone: "a", Cell: "a1", Slots: 32, Queue: 32, TokenGap: 20 * time.Millisecond, Jobs: 10}},
+		Fleet: []Hosts{{Count: 2, Role: Prefill, Zone: "a", Cell: "a1", Slots: 8, Queue: 32, ReadRate: 20000, RequestsPerSecond: 10},
+			{Count: 2, Role: Decode, Zone: "a", Cell: "a1", Slots: 32, Queue: 32, TokenGap: 20 * time.Millisecond, RequestsPerSecond: 10}},
 		Dispatchers: []Dispatcher{{Zone: "a"}},
-		Load: []Track{{Name: "question", Share: 1, Expected: time.Second, Per1k: 60 * time.Millisecond, Patience: 5 * time.Second,
-			Payoff: 1, TokenGap: 50 * time.Millisecond, Prompt: 500, PromptMost: 1500, Answer: 60}}}
+		Load: []Track{{Name: "question", Share: 1, Target: time.Second, Per1k: 60 * time.Millisecond, Timeout: 5 * time.Second,
+			Value: 1, TokenGap: 50 * time.Millisecond, Prompt: 500, PromptMost: 1500, Answer: 60}}}
 }
 
 func ceil(x float64) int { return int(math.Ceil(x)) }
--- a/internal/lab/drill/script_test.go
+++ b/internal/lab/drill/script_test.go
@@ -39,9 +39,10 @@
 	}
 	for _, c := range []struct{ from, to, want string }{
 		{`"kind": "hang"`, `"kind": "hung"`, `troubles[1].kind: "hung", want one of [ageing `},
-		{`"hosts": [11]`, `"hosts": [15]`, `troubles[1].hosts: 15, want 1 to 14`},
+		{`"servers": [11]`, `"servers": [15]`, `troubles[1].servers: 15, want 1 to 14`},
 		{`"dispatcher": 1}`, `"dispatcher": 3}`, `dispatcher: 3, want 0 to 2`},
-		{`"role": "mixed"`, `"role": "both"`, `fleet[2].role: "both", want reader, writer or mixed`},
+		{`"role": "mixed"`, `"role": "both"`, `fleet[2].role: "both", want prefill, decode or mixed`},
+		{`"role": "mixed"`, `"role": ""`, `fleet[2].role: is empty, want prefill, decode or mixed`},
 		{`"for": "46s"`, `"for": 46`, `for: want a text, not 46`},
 	} {
 		if !strings.Contains(string(text), c.from) {
--- a/internal/lab/drill/stage.go
+++ b/internal/lab/drill/stage.go
@@ -339,7 +339,7 @@
 			st.Book.Add(book.Entry{Kind: book.Trouble, Code: t.Kind, Note: "ends"})
 		}()
 	}
-	load := client.Load{Targets: st.Targets(), Tracks: s.Clients(), For: s.For, Seed: uint64(s.Seed), Conns: 2,
+	load := client.Load{Targets: st.Targets(), Classes: s.Clients(), For: s.For, Seed: uint64(s.Seed), Conns: 2,
 		Rate: func(at time.Duration) float64 {
 			r := s.Rate
 			for _, t := range s.Troubles {
@@ -429,7 +429,7 @@
 					st.relays[n][i].Cut(yes)
 				}
 			}
-			st.Book.Add(book.Entry{Kind: book.Trouble, Note: note, Host: e.Spec.ID})
+			st.Book.Add(book.Entry{Kind: book.Trouble, Note: note, Server: e.Spec.ID})
 		})
 	}
 	gone := func(i int, e *engine.Engine) {
@@ -537,11 +537,11 @@
 	case "halfopen":
 		wire(func(r *relay.Relay) { r.Mute() })
 		each(func(_ int, e *engine.Engine) {
-			st.Book.Add(book.Entry{Kind: book.Trouble, Note: "cut", Host: e.Spec.ID})
+			st.Book.Add(book.Entry{Kind: book.Trouble, Note: "cut", Server: e.Spec.ID})
 		})
 		sleep(ctx, Noticed)
 		each(func(_ int, e *engine.Engine) {
-			st.Book.Add(book.Entry{Kind: book.Trouble, Note: "uncut", Host: e.Spec.ID})
+			st.Book.Add(book.Entry{Kind: book.Trouble, Note: "uncut", Server: e.Spec.ID})
 		})
 	case "trickle":
 		wire(func(r *relay.Relay) { r.Trickle(true) })
@@ -568,8 +568,8 @@
 	for _, name := range names {
 		s := r.Sums[name]
 		slices.Sort(s.First)
-		fmt.Fprintf(w, "%-16s %7d %7d %8d %8d %8d %9d %5d %7d %6d %8.3f %8.0f %8.0f\n", name, s.Jobs, s.Tries, s.Honoured,
-			s.OnTime, s.Nacked, s.Abandoned, s.Left, s.Unanswered, s.Wrong, s.Kept(), quantile(s.First, 0.5), quantile(s.First, 0.99))
+		fmt.Fprintf(w, "%-16s %7d %7d %8d %8d %8d %9d %5d %7d %6d %8.3f %8.0f %8.0f\n", name, s.Requests, s.Tries, s.Served,
+			s.OnTime, s.Rejected, s.Failed, s.Left, s.Unanswered, s.Wrong, s.Kept(), quantile(s.First, 0.5), quantile(s.First, 0.99))
 	}
 	c := r.Counts
 	fmt.Fprintf(w, "dispatchers: %d launches, %d recalled, %d late, %d broken, %d releases, %d reports (%d late), %d refused at the gate, "+
--- a/internal/lab/engine/driver.go
+++ b/internal/lab/engine/driver.go
@@ -237,8 +237,8 @@
 		case batch.Token:
 			if !ran {
 				ran = true
-				e.book.Add(book.Entry{Kind: book.Ran, Host: e.Spec.ID, Job: jobName(l.Dispatcher, l.Job), Shot: int(l.Shot), Label: req.Label,
-					Try: int(l.Repeat), Track: req.Track})
+				e.book.Add(book.Entry{Kind: book.Ran, Server: e.Spec.ID, Request: jobName(l.Dispatcher, l.Job), Attempt: int(l.Shot), Label: req.Label,
+					Try: int(l.Repeat), Class: req.Track})
 			}
 			e.mu.Lock()
 			stall := e.faults.StallAfter
--- a/internal/lab/engine/engine.go
+++ b/internal/lab/engine/engine.go
@@ -192,7 +192,7 @@
 		}
 		go e.drv.run(e.life, e)
 	}
-	e.book.Add(book.Entry{Kind: book.Start, Host: e.Spec.ID})
+	e.book.Add(book.Entry{Kind: book.Start, Server: e.Spec.ID})
 	go e.srv.Serve(ln)
 	return nil
 }
@@ -210,7 +210,7 @@
 	srv, listener, end, peers := e.srv, e.listener, e.end, e.peers
 	e.srv = nil
 	for job := range e.states {
-		e.book.Add(book.Entry{Kind: book.LetGo, Host: e.Spec.ID, Job: job, Note: "crash"})
+		e.book.Add(book.Entry{Kind: book.Released, Server: e.Spec.ID, Request: job, Note: "crash"})
 	}
 	e.states = map[string]*state{}
 	e.mu.Unlock()
@@ -288,7 +288,7 @@
 		}
 		if float64(len(e.arrived)) > s.Topple*w*s.JobsPerSecond*s.ToppleOver.Seconds()+ToppleSlack {
 			e.toppled = true
-			e.book.Add(book.Entry{Kind: book.Toppled, Host: s.ID, N: int64(len(e.arrived))})
+			e.book.Add(book.Entry{Kind: book.Toppled, Server: s.ID, N: int64(len(e.arrived))})
 			return status.Error(codes.Internal, "fallen over")
 		}
 	}
@@ -434,7 +434,7 @@
 	e.drop(name, "read anew")
 	e.states[name] = st
 	e.used += st.tokens
-	e.book.Add(book.Entry{Kind: book.Held, Host: e.Spec.ID, Job: name, Shot: int(st.shot), N: st.tokens})
+	e.book.Add(book.Entry{Kind: book.Held, Server: e.Spec.ID, Request: name, Attempt: int(st.shot), N: st.tokens})
 	return nil
 }
 
@@ -450,7 +450,7 @@
 	if st.drv != nil {
 		st.drv.drop(st.id)
 	}
-	e.book.Add(book.Entry{Kind: book.LetGo, Host: e.Spec.ID, Job: name, Shot: int(st.shot), Note: why})
+	e.book.Add(book.Entry{Kind: book.Released, Server: e.Spec.ID, Request: name, Attempt: int(st.shot), Note: why})
 }
 
 // read reads a prompt, first come first, from where what is kept of it ends.
@@ -553,8 +553,8 @@
 	} else if _, _, err := e.read(ctx, req); err != nil {
 		return status.FromContextError(err).Err()
 	}
-	e.book.Add(book.Entry{Kind: book.Ran, Host: e.Spec.ID, Job: jobName(l.Dispatcher, l.Job), Shot: int(l.Shot),
-		Label: req.Label, Try: int(l.Repeat), Track: req.Track})
+	e.book.Add(book.Entry{Kind: book.Ran, Server: e.Spec.ID, Request: jobName(l.Dispatcher, l.Job), Attempt: int(l.Shot),
+		Label: req.Label, Try: int(l.Repeat), Class: req.Track})
 	n := Answer(req)
 	for i := range n {
 		e.mu.Lock()
--- a/internal/lab/lister/lister.go
+++ b/internal/lab/lister/lister.go
@@ -121,7 +121,7 @@
 			return err
 		}
 		for _, h := range news.Hosts {
-			l.book.Add(book.Entry{Kind: book.Told, Host: int(h.Id), Disp: l.disp, Note: h.Health.String(), N: h.StartedUnixNs})
+			l.book.Add(book.Entry{Kind: book.Told, Server: int(h.Id), Disp: l.disp, Note: h.Health.String(), N: h.StartedUnixNs})
 		}
 		var ok bool
 		select {
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -116,7 +116,7 @@
 	}
 	var mu sync.Mutex
 	ended, honoured := int64(0), int64(0)
-	l := client.Load{Targets: p.Targets, Tracks: p.Script.Clients(), Rate: rate, For: p.For, Seed: uint64(p.Script.Seed), Conns: p.Conns,
+	l := client.Load{Targets: p.Targets, Classes: p.Script.Clients(), Rate: rate, For: p.For, Seed: uint64(p.Script.Seed), Conns: p.Conns,
 		Done: func(track string, first time.Duration, code codes.Code) {
 			mu.Lock()
 			defer mu.Unlock()
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -40,7 +40,7 @@
 func TestNothingOmitted(t *testing.T) {
 	s := drill.Demo()
 	s.Rate = 40
-	s.Load[0].Patience, s.Load[0].Answer = 8*time.Second, 4
+	s.Load[0].Timeout, s.Load[0].Answer = 8*time.Second, 4
 	stage, err := drill.Open(s, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lab/measure/measure.go
+++ b/internal/lab/measure/measure.go
@@ -269,8 +269,8 @@
 // settings of the dispatcher that is measured.
 const settings = `{
   "listen": "127.0.0.1:%d", "zone": "a", "fleet": {"watch": "%s"},
-  "tracks": [{"name": "question", "expected": "5s", "patience": "60s", "token_gap": "1s", "effect": "redoable"}],
-  "cold_start": {"from": 1, "warm_after": "1s", "topples_at": 100, "topples_over": "1s"},
+  "classes": [{"name": "question", "target": "5s", "timeout": "60s", "token_gap": "1s", "effect": "idempotent"}],
+  "cold_start": {"from": 1, "warm_after": "1s", "overload_factor": 100, "overload_window": "1s"},
   "rules": {"release_within": "60s"}
 }`
 
--- a/internal/lab/relay/tap.go
+++ b/internal/lab/relay/tap.go
@@ -130,8 +130,8 @@
 		}
 		return
 	}
-	e := book.Entry{Kind: book.Sent, Job: get("docksail-job"), Host: t.host, Disp: t.disp}
-	e.Shot, _ = strconv.Atoi(get("docksail-shot"))
+	e := book.Entry{Kind: book.Sent, Request: get("docksail-job"), Server: t.host, Disp: t.disp}
+	e.Attempt, _ = strconv.Atoi(get("docksail-shot"))
 	switch get(":path") {
 	case "/docksail.v1.Engine/Read":
 		e.Note = "read"
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -67,9 +67,9 @@
 			if f.from == 0 {
 				f.from = e.At
 			}
-			tracks[e.Track] = true
+			tracks[e.Class] = true
 		case book.Sent, book.Figures:
-			hosts[e.Host] = true
+			hosts[e.Server] = true
 			f.figures = f.figures || e.Kind == book.Figures
 		}
 		last = e.At
@@ -192,11 +192,11 @@
 		switch {
 		case e.Kind == book.Asked:
 			at[key] = f.bin(e.At)
-			asked[e.Track][at[key]]++
+			asked[e.Class][at[key]]++
 		case e.Kind == book.Final && e.Code == "OK":
-			good[e.Track][at[key]]++
+			good[e.Class][at[key]]++
 		case e.Kind == book.Quit: // by its own will: it counts neither way
-			asked[e.Track][at[key]]--
+			asked[e.Class][at[key]]--
 		}
 	}
 	for n, t := range f.tracks {
@@ -234,7 +234,7 @@
 			asked[key] = e.At
 		} else if e.Kind == book.Token {
 			b := f.bin(asked[key])
-			took[e.Track][b] = append(took[e.Track][b], math.Max(float64(e.At-asked[key])/1e6, 0.1))
+			took[e.Class][b] = append(took[e.Class][b], math.Max(float64(e.At-asked[key])/1e6, 0.1))
 		}
 	}
 	for n, t := range f.tracks {
@@ -268,7 +268,7 @@
 	for n, t := range f.tracks {
 		var by [bins][]float64
 		for _, e := range f.run.Entries {
-			if e.Kind == book.Final && e.Track == t && e.N > 0 {
+			if e.Kind == book.Final && e.Class == t && e.N > 0 {
 				by[f.bin(e.At)] = append(by[f.bin(e.At)], float64(e.N)/1e6)
 			}
 		}
@@ -321,8 +321,8 @@
 	for i := range f.run.Entries {
 		e := &f.run.Entries[i]
 		if v, ok := of(e); ok {
-			g.at[row[e.Host]][f.bin(e.At)] += v
-			n[row[e.Host]][f.bin(e.At)]++
+			g.at[row[e.Server]][f.bin(e.At)] += v
+			n[row[e.Server]][f.bin(e.At)]++
 		}
 	}
 	for r := range g.at {
@@ -371,7 +371,7 @@
 				return f.heat("prompt tokens not read yet", func(e *book.Entry) (float64, bool) { return float64(e.N), e.Kind == book.Figures }, true)
 			}, true},
 			one{"memory", "Share of each host's memory in use.", func() (*plot.Plot, error) {
-				return f.heat("share of memory in use", func(e *book.Entry) (float64, bool) { return float64(e.Shot) / 1000, e.Kind == book.Figures }, true)
+				return f.heat("share of memory in use", func(e *book.Entry) (float64, bool) { return float64(e.Attempt) / 1000, e.Kind == book.Figures }, true)
 			}, true})
 	}
 	var out []Plot
@@ -406,7 +406,7 @@
 		by[t] = &row{Track: t}
 	}
 	for _, e := range f.run.Entries {
-		r := by[e.Track]
+		r := by[e.Class]
 		key := fmt.Sprint(e.Label, "/", e.Try)
 		switch {
 		case r == nil:
@@ -414,7 +414,7 @@
 			r.Tries++
 			asked[key] = e.At
 		case e.Kind == book.Token:
-			first[e.Track] = append(first[e.Track], float64(e.At-asked[key])/1e6)
+			first[e.Class] = append(first[e.Class], float64(e.At-asked[key])/1e6)
 		case e.Kind == book.Quit:
 			r.Left++
 		case e.Kind == book.NoAnswer:
--- a/internal/lab/rules/rules.go
+++ b/internal/lab/rules/rules.go
@@ -9,24 +9,25 @@
 	"time"
 
 	"docksail/internal/lab/book"
+	"docksail/policy"
 )
 
-// Track is what the rules need to know of a track.
-type Track struct {
-	Effect string // redoable, labelled, irreversible
-	Group  string // all, zone, cell
+// Class is what the rules need to know of a class of requests.
+type Class struct {
+	Effect policy.Effect
+	Group  policy.Group
 	Window time.Duration
 }
 
-// Host is what the rules need to know of a host.
-type Host struct{ Zone, Cell string }
+// Server is what the rules need to know of a server.
+type Server struct{ Zone, Cell string }
 
 // Facts are the figures by which a run is judged.
 type Facts struct {
-	Tracks  map[string]Track
-	Hosts   map[int]Host
-	Release time.Duration // held states are taken or let go within this
-	Grace   time.Duration // nothing new to a host so long after the dispatcher was told of its drain
+	Classes map[string]Class
+	Servers map[int]Server
+	Release time.Duration // KV states are fetched or released within this
+	Grace   time.Duration // nothing new to a server so long after the dispatcher was told of its drain
 	Slack   time.Duration // for what crosses on the wire and for a busy machine
 }
 
@@ -39,243 +40,150 @@
 
 func (v Violation) String() string { return fmt.Sprintf("rule %d: %s", v.Rule, v.What) }
 
-// launch is one launch as it passed.
-type launch struct {
-	job        string
-	shot, host int
-	disp       int
-	write      bool
-	sent, end  int64
-	code, note string
-}
-
-// harmless tells that it is known not to have run.
-func (l *launch) harmless() bool {
-	return !l.write || l.code == "ResourceExhausted" || l.code == "FailedPrecondition" || l.note == "refused"
+// Check gives all rules that were broken, by time.
+func Check(entries []book.Entry, facts Facts) []Violation {
+	c := newChecker(facts)
+	for i := range entries {
+		c.record(&entries[i])
+	}
+	c.finish(entries)
+	for _, key := range c.tryOrder {
+		c.checkAnswers(key, c.tries[key])
+	}
+	for _, name := range c.requestOrder {
+		attempts := c.attempts[name]
+		slices.SortStableFunc(attempts, func(a, b *attempt) int { return cmp.Compare(a.sent, b.sent) })
+		c.checkOneAtATime(name, attempts)
+		c.checkRepeats(name, attempts)
+	}
+	c.checkRanOnce()
+	c.checkHeld()
+	slices.SortStableFunc(c.violations, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
+	return c.violations
 }
 
-const never = int64(1) << 62
-
-type try struct {
-	asked  book.Entry
-	job    string
-	final  *book.Entry
-	finals int
+// checkAnswers is rule one: each try ends once, in time, and nothing is sent for it after.
+func (c *checker) checkAnswers(key string, t *try) {
+	asked := t.asked
+	if t.final == nil {
+		c.broken(1, asked.At, "%s (class %s) never ended", key, asked.Class)
+		return
+	}
+	if t.finals > 1 {
+		c.broken(1, asked.At, "%s ended %d times", key, t.finals)
+	}
+	final := *t.final
+	if final.Kind == book.NoAnswer && !c.overlaps(c.downtimes, asked.At, final.At) {
+		c.broken(1, final.At, "%s (class %s, request %s) got no final answer: %s", key, asked.Class, t.request, final.Code)
+	}
+	if final.Kind == book.Final {
+		c.checkFinalAnswer(key, final)
+	}
+	for _, a := range c.attempts[t.request] {
+		if t.request != "" && a.sent > final.At+c.slack {
+			c.broken(1, a.sent, "request %s (%s) was sent to server %d %v after its end", t.request, key, a.server, milliseconds(a.sent-final.At))
+		}
+	}
 }
 
-// Check gives all rules that were broken, by time.
-func Check(es []book.Entry, f Facts) []Violation {
-	var out []Violation
-	bad := func(rule int, at int64, format string, args ...any) {
-		out = append(out, Violation{rule, at, fmt.Sprintf(format, args...)})
+// checkFinalAnswer is what rule one asks of an answer's words and time.
+func (c *checker) checkFinalAnswer(key string, final book.Entry) {
+	switch final.Code {
+	case "OK", "Aborted":
+		return
+	case "Unavailable", "ResourceExhausted":
+	default:
+		c.broken(1, final.At, "%s ended with %s, which is no final answer of ours", key, final.Code)
 	}
-	slack := int64(f.Slack)
-	jobs := map[string][]*launch{}
-	var order []string
-	open := map[string]*launch{}
-	tries := map[string]*try{}
-	var tryOrder []string
-	labelOf := map[string]*try{} // by job
-	var downs [][2]int64
-	down := map[int]int64{}
-	told := map[[2]int]int64{} // dispatcher, host: told that it drains or is gone
-	type heldAt struct {
-		from int64
-		e    book.Entry
+	if final.At > final.By+c.slack {
+		c.broken(1, final.At, "%s was rejected %v after its time was up", key, milliseconds(final.At-final.By))
 	}
-	held := map[string]heldAt{}
-	type pin struct {
-		job      string
-		host     int
-		from, to int64
-		how      string
-	}
-	var pins []pin
-	cut := map[int][][2]int64{} // host: times in which it could not be heard
-	cutFrom := map[int]int64{}
-	ran := map[string][]book.Entry{}
+}
 
-	for i := range es {
-		e := es[i]
-		switch e.Kind {
-		case book.Down:
-			down[e.Disp] = e.At
-		case book.Up:
-			if at, ok := down[e.Disp]; ok {
-				downs = append(downs, [2]int64{at, e.At})
-				delete(down, e.Disp)
-			}
-		case book.Asked:
-			key := fmt.Sprintf("%s/%d", e.Label, e.Try)
-			tries[key] = &try{asked: e}
-			tryOrder = append(tryOrder, key)
-		case book.Final, book.Quit, book.NoAnswer:
-			t := tries[fmt.Sprintf("%s/%d", e.Label, e.Try)]
-			if t == nil {
-				bad(1, e.At, "an answer to %s that nobody asked", e.Label)
-				break
-			}
-			t.finals++
-			t.final = &es[i]
-			if e.Job != "" {
-				t.job = e.Job
-				labelOf[e.Job] = t
-			}
-		case book.Sent:
-			l := &launch{job: e.Job, shot: e.Shot, host: e.Host, disp: e.Disp, write: e.Note == "write", sent: e.At, end: never}
-			if jobs[e.Job] == nil {
-				order = append(order, e.Job)
-			}
-			jobs[e.Job] = append(jobs[e.Job], l)
-			open[fmt.Sprintf("%s/%d/%d", e.Job, e.Shot, e.Host)] = l
-			if at, ok := told[[2]int{e.Disp, e.Host}]; ok && e.At > at+int64(f.Grace)+slack {
-				bad(3, e.At, "job %s was sent to host %d %v after dispatcher %d was told that it drains or is gone",
-					e.Job, e.Host, time.Duration(e.At-at).Round(time.Millisecond), e.Disp)
-			}
-		case book.Ended:
-			if l := open[fmt.Sprintf("%s/%d/%d", e.Job, e.Shot, e.Host)]; l != nil && l.end == never {
-				l.end, l.code, l.note = e.At, e.Code, e.Note
-			}
-		case book.Told:
-			key := [2]int{e.Disp, e.Host}
-			if e.Note == "HEALTH_SERVING" {
-				delete(told, key)
-			} else if _, ok := told[key]; !ok {
-				told[key] = e.At
-			}
-		case book.Toppled:
-			bad(4, e.At, "cold host %d fell over, sent %d launches", e.Host, e.N)
-		case book.Held:
-			held[fmt.Sprintf("%s/%d", e.Job, e.Host)] = heldAt{e.At, e}
-		case book.LetGo:
-			key := fmt.Sprintf("%s/%d", e.Job, e.Host)
-			if h, ok := held[key]; ok {
-				pins = append(pins, pin{e.Job, e.Host, h.from, e.At, e.Note})
-				delete(held, key)
-			}
-		case book.Ran:
-			ran[e.Label] = append(ran[e.Label], e)
-		case book.Trouble:
-			if e.Note == "cut" {
-				cutFrom[e.Host] = e.At
-			} else if e.Note == "uncut" {
-				cut[e.Host] = append(cut[e.Host], [2]int64{cutFrom[e.Host], e.At})
-				delete(cutFrom, e.Host)
+// checkOneAtATime is one half of rule two: never two attempts out.
+func (c *checker) checkOneAtATime(name string, attempts []*attempt) {
+	for i, later := range attempts {
+		for _, before := range attempts[:i] {
+			if before.end > later.sent+c.slack {
+				c.broken(2, later.sent, "request %s had two attempts out: at server %d since %v, then at server %d", name, before.server,
+					milliseconds(later.sent-before.sent), later.server)
 			}
 		}
 	}
-	end := never
-	if len(es) > 0 {
-		end = es[len(es)-1].At
+}
+
+// checkRepeats is the other half: no attempt after one that may have run, but where a repeat does no harm.
+func (c *checker) checkRepeats(name string, attempts []*attempt) {
+	t := c.tryOf[name]
+	if t == nil {
+		return
 	}
-	for host, at := range cutFrom {
-		cut[host] = append(cut[host], [2]int64{at, never})
+	class := c.facts.Classes[t.asked.Class]
+	first := slices.IndexFunc(attempts, func(a *attempt) bool { return !a.harmless() })
+	if first < 0 || class.Effect == policy.Idempotent {
+		return
 	}
-	for _, at := range down {
-		downs = append(downs, [2]int64{at, never})
+	ran := attempts[first]
+	for _, again := range attempts[first+1:] {
+		c.checkRepeat(name, class, ran, again)
 	}
-	hit := func(spans [][2]int64, from, to int64) bool {
-		return slices.ContainsFunc(spans, func(s [2]int64) bool { return s[0] <= to+slack && s[1] >= from-slack })
+	rejected := t.final != nil && t.final.Kind == book.Final && (t.final.Code == "Unavailable" || t.final.Code == "ResourceExhausted")
+	if rejected && (class.Effect == policy.NonIdempotent || class.Group != policy.GroupAll) && ran.sent < t.final.At {
+		c.broken(2, t.final.At, "%s request %s was rejected though it may have run at server %d", effectName(class.Effect), name, ran.server)
 	}
+}
 
-	// Rule one: each try ends once, in time, and nothing is sent for it after.
-	for _, key := range tryOrder {
-		t := tries[key]
-		a := t.asked
-		switch {
-		case t.final == nil:
-			bad(1, a.At, "%s (track %s) never ended", key, a.Track)
-			continue
-		case t.finals > 1:
-			bad(1, a.At, "%s ended %d times", key, t.finals)
-		}
-		e := *t.final
-		if e.Kind == book.NoAnswer && !hit(downs, a.At, e.At) {
-			bad(1, e.At, "%s (track %s, job %s) got no final answer: %s", key, a.Track, t.job, e.Code)
-		}
-		if e.Kind == book.Final && e.Code != "OK" && e.Code != "Aborted" && e.At > e.By+slack {
-			bad(1, e.At, "%s was nacked %v after its time was up", key, time.Duration(e.At-e.By).Round(time.Millisecond))
-		}
-		if e.Kind == book.Final && e.Code != "OK" && e.Code != "Aborted" && e.Code != "Unavailable" && e.Code != "ResourceExhausted" {
-			bad(1, e.At, "%s ended with %s, which is no final answer of ours", key, e.Code)
-		}
-		if t.job == "" {
-			continue
-		}
-		for _, l := range jobs[t.job] {
-			if l.sent > e.At+slack {
-				bad(1, l.sent, "job %s (%s) was sent to host %d %v after its end", t.job, key, l.host,
-					time.Duration(l.sent-e.At).Round(time.Millisecond))
-			}
-		}
+func (c *checker) checkRepeat(name string, class Class, ran, again *attempt) {
+	was, is := c.facts.Servers[ran.server], c.facts.Servers[again.server]
+	switch {
+	case class.Effect == policy.NonIdempotent:
+		c.broken(2, again.sent, "non-idempotent request %s was sent to server %d after it may have run at server %d", name, again.server, ran.server)
+	case class.Group == policy.GroupZone && again.decode && was.Zone != is.Zone:
+		c.broken(2, again.sent, "deduplicated request %s was sent to server %d, outside the zone of server %d", name, again.server, ran.server)
+	case class.Group == policy.GroupCell && again.decode && was != is:
+		c.broken(2, again.sent, "deduplicated request %s was sent to server %d, outside the cell of server %d", name, again.server, ran.server)
+	case again.decode && again.sent > ran.sent+int64(class.Window)+c.slack:
+		c.broken(2, again.sent, "deduplicated request %s was sent again after its window", name)
 	}
+}
 
-	// Rule two: no effect twice.
-	for _, job := range order {
-		ls := jobs[job]
-		slices.SortStableFunc(ls, func(a, b *launch) int { return cmp.Compare(a.sent, b.sent) })
-		for i := 1; i < len(ls); i++ {
-			for _, before := range ls[:i] {
-				if before.end > ls[i].sent+slack {
-					bad(2, ls[i].sent, "job %s had two launches out: at host %d since %v, then at host %d", job, before.host,
-						time.Duration(ls[i].sent-before.sent).Round(time.Millisecond), ls[i].host)
-				}
-			}
+// checkRanOnce has what servers wrote down judge rule two, over all tries of a client.
+func (c *checker) checkRanOnce() {
+	for label, runs := range c.ran {
+		if label != "" && len(runs) > 1 && c.facts.Classes[runs[0].Class].Effect == policy.NonIdempotent {
+			c.broken(2, runs[1].At, "non-idempotent %s ran %d times, at servers %d and %d", label, len(runs), runs[0].Server, runs[1].Server)
 		}
-		t := labelOf[job]
-		if t == nil {
-			continue
-		}
-		track := f.Tracks[t.asked.Track]
-		first := slices.IndexFunc(ls, func(l *launch) bool { return !l.harmless() })
-		if first < 0 || track.Effect == "redoable" || track.Effect == "" {
+	}
+}
+
+// checkHeld is rule five: no KV state is held for long while no attempt of its request is out.
+func (c *checker) checkHeld() {
+	slices.SortFunc(c.states, func(a, b heldState) int { return cmp.Compare(a.from, b.from) })
+	for _, s := range c.states {
+		if c.overlaps(c.downtimes, s.from, s.to) || c.overlaps(c.cuts[s.server], s.from, s.to) {
 			continue
 		}
-		was := ls[first]
-		for _, l := range ls[first+1:] {
-			switch a, b := f.Hosts[was.host], f.Hosts[l.host]; {
-			case track.Effect == "irreversible":
-				bad(2, l.sent, "irreversible job %s was sent to host %d after it may have run at host %d", job, l.host, was.host)
-			case track.Group == "zone" && l.write && a.Zone != b.Zone, track.Group == "cell" && l.write && a != b:
-				bad(2, l.sent, "labelled job %s was sent to host %d, outside the %s of host %d", job, l.host, track.Group, was.host)
-			case l.write && l.sent > was.sent+int64(track.Window)+slack:
-				bad(2, l.sent, "labelled job %s was sent again after its window", job)
-			}
-		}
-		if e := t.final; e != nil && e.Kind == book.Final && (e.Code == "Unavailable" || e.Code == "ResourceExhausted") &&
-			(track.Effect == "irreversible" || track.Group != "all") && was.sent < e.At {
-			bad(2, e.At, "%s job %s was nacked though it may have run at host %d", track.Effect, job, was.host)
-		}
-	}
-	for label, rs := range ran {
-		if label != "" && len(rs) > 1 && f.Tracks[rs[0].Track].Effect == "irreversible" {
-			bad(2, rs[1].At, "irreversible %s ran %d times, at hosts %d and %d", label, len(rs), rs[0].Host, rs[1].Host)
+		if longest := c.longestIdle(s); longest > int64(c.facts.Release)+c.slack {
+			c.broken(5, s.from, "server %d held the state of request %s for %v with no attempt out (%s)", s.server, s.request, milliseconds(longest), s.how)
 		}
 	}
+}
 
-	// Rule five: what is held while no launch is out.
-	for _, h := range held {
-		pins = append(pins, pin{h.e.Job, h.e.Host, h.from, end, "still held at the end"})
-	}
-	slices.SortFunc(pins, func(a, b pin) int { return cmp.Compare(a.from, b.from) })
-	for _, p := range pins {
-		if hit(downs, p.from, p.to) || hit(cut[p.host], p.from, p.to) {
+// longestIdle is the longest time for which a state was held with no attempt of its request out.
+func (c *checker) longestIdle(s heldState) int64 {
+	at, longest := s.from, int64(0)
+	for _, a := range c.attempts[s.request] {
+		if a.end < s.from || a.sent > s.to {
 			continue
 		}
-		at, worst := p.from, int64(0)
-		for _, l := range jobs[p.job] {
-			if l.end < p.from || l.sent > p.to {
-				continue
-			}
-			worst = max(worst, l.sent-at)
-			at = max(at, min(l.end, p.to))
-		}
-		worst = max(worst, p.to-at)
-		if worst > int64(f.Release)+slack {
-			bad(5, p.from, "host %d held the state of job %s for %v with no launch out (%s)", p.host, p.job,
-				time.Duration(worst).Round(time.Millisecond), p.how)
-		}
+		longest = max(longest, a.sent-at)
+		at = max(at, min(a.end, s.to))
 	}
-	slices.SortStableFunc(out, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
-	return out
+	return max(longest, s.to-at)
+}
+
+func milliseconds(span int64) time.Duration { return time.Duration(span).Round(time.Millisecond) }
+
+func effectName(e policy.Effect) string {
+	return map[policy.Effect]string{policy.Idempotent: "idempotent", policy.Deduplicated: "deduplicated", policy.NonIdempotent: "non-idempotent"}[e]
 }
--- a/internal/lab/rules/rules_test.go
+++ b/internal/lab/rules/rules_test.go
@@ -5,14 +5,15 @@
 	"time"
 
 	"docksail/internal/lab/book"
+	"docksail/policy"
 )
 
 const ms = int64(1e6)
 
 var facts = Facts{
-	Tracks: map[string]Track{"r": {Effect: "redoable", Group: "all"}, "i": {Effect: "irreversible", Group: "all"},
-		"z": {Effect: "labelled", Group: "zone", Window: time.Second}, "l": {Effect: "labelled", Group: "all", Window: time.Second}},
-	Hosts:   map[int]Host{1: {"a", "a1"}, 2: {"a", "a2"}, 3: {"b", "b1"}, 4: {"a", "a1"}},
+	Classes: map[string]Class{"r": {Effect: policy.Idempotent}, "i": {Effect: policy.NonIdempotent},
+		"z": {Effect: policy.Deduplicated, Group: policy.GroupZone, Window: time.Second}, "l": {Effect: policy.Deduplicated, Window: time.Second}},
+	Servers: map[int]Server{1: {"a", "a1"}, 2: {"a", "a2"}, 3: {"b", "b1"}, 4: {"a", "a1"}},
 	Release: 500 * time.Millisecond, Grace: 500 * time.Millisecond, Slack: 50 * time.Millisecond,
 }
 
@@ -25,20 +26,20 @@
 	return e
 }
 
-func sent(t int64, shot, host int, what string) book.Entry {
-	return at(t, book.Entry{Kind: book.Sent, Job: "j", Shot: shot, Host: host, Note: what})
+func sent(t int64, number, server int, what string) book.Entry {
+	return at(t, book.Entry{Kind: book.Sent, Request: "j", Attempt: number, Server: server, Note: what})
 }
 
-func ended(t int64, shot, host int, code, note string) book.Entry {
-	return at(t, book.Entry{Kind: book.Ended, Job: "j", Shot: shot, Host: host, Code: code, Note: note})
+func ended(t int64, number, server int, code, note string) book.Entry {
+	return at(t, book.Entry{Kind: book.Ended, Request: "j", Attempt: number, Server: server, Code: code, Note: note})
 }
 
-func asked(track string) book.Entry {
-	return at(0, book.Entry{Kind: book.Asked, Label: "x", Track: track, By: 5000})
+func asked(class string) book.Entry {
+	return at(0, book.Entry{Kind: book.Asked, Label: "x", Class: class, By: 5000})
 }
 
-func final(t int64, track, code string) book.Entry {
-	return at(t, book.Entry{Kind: book.Final, Label: "x", Track: track, Code: code, Job: "j", By: 5000})
+func final(t int64, class, code string) book.Entry {
+	return at(t, book.Entry{Kind: book.Final, Label: "x", Class: class, Code: code, Request: "j", By: 5000})
 }
 
 func TestCheck(t *testing.T) {
@@ -47,51 +48,51 @@
 		es   []book.Entry
 		want int // rule; 0 = none
 	}{
-		{"an ordinary job", []book.Entry{asked("i"), sent(1, 0, 1, "read"), ended(2, 0, 1, "OK", "status"), sent(3, 1, 2, "write"),
+		{"an ordinary request", []book.Entry{asked("i"), sent(1, 0, 1, "read"), ended(2, 0, 1, "OK", "status"), sent(3, 1, 2, "write"),
 			ended(9, 1, 2, "OK", "status"), final(10, "i", "OK")}, 0},
 		{"never ended", []book.Entry{asked("r")}, 1},
 		{"ended twice", []book.Entry{asked("r"), final(5, "r", "OK"), final(6, "r", "Unavailable")}, 1},
 		{"ended with no word of ours", []book.Entry{asked("r"), final(5, "r", "Internal")}, 1},
-		{"nacked too late", []book.Entry{asked("r"), final(5100, "r", "Unavailable")}, 1},
-		{"nacked at the last moment", []book.Entry{asked("r"), final(5000, "r", "Unavailable")}, 0},
+		{"rejected too late", []book.Entry{asked("r"), final(5100, "r", "Unavailable")}, 1},
+		{"rejected at the last moment", []book.Entry{asked("r"), final(5000, "r", "Unavailable")}, 0},
 		{"unanswered", []book.Entry{asked("r"), at(9, book.Entry{Kind: book.NoAnswer, Label: "x", Code: "DeadlineExceeded"})}, 1},
 		{"unanswered, as its dispatcher was killed", []book.Entry{asked("r"), at(8, book.Entry{Kind: book.Down}),
 			at(9, book.Entry{Kind: book.NoAnswer, Label: "x", Code: "lost"})}, 0},
 		{"sent after its end", []book.Entry{asked("r"), final(5, "r", "Unavailable"), sent(100, 0, 1, "read")}, 1},
 		{"an answer nobody asked for", []book.Entry{final(5, "r", "OK")}, 1},
-		{"two launches out", []book.Entry{sent(1, 0, 1, "read"), sent(200, 1, 2, "read")}, 2},
-		{"a launch that crosses with the end of the one before", []book.Entry{sent(1, 0, 1, "read"), sent(100, 1, 2, "read"), ended(120, 0, 1, "", "reset by the dispatcher")}, 0},
-		{"irreversible, sent again after it may have run", []book.Entry{asked("i"), sent(1, 0, 1, "write"), ended(5, 0, 1, "", "closed"),
+		{"two attempts out", []book.Entry{sent(1, 0, 1, "read"), sent(200, 1, 2, "read")}, 2},
+		{"an attempt that crosses with the end of the one before", []book.Entry{sent(1, 0, 1, "read"), sent(100, 1, 2, "read"), ended(120, 0, 1, "", "reset by the dispatcher")}, 0},
+		{"non-idempotent, sent again after it may have run", []book.Entry{asked("i"), sent(1, 0, 1, "write"), ended(5, 0, 1, "", "closed"),
 			sent(6, 1, 2, "write"), ended(9, 1, 2, "OK", "status"), final(10, "i", "OK")}, 2},
-		{"irreversible, sent again after it was turned away", []book.Entry{asked("i"), sent(1, 0, 1, "write"), ended(5, 0, 1, "ResourceExhausted", "status"),
+		{"non-idempotent, sent again after it was turned away", []book.Entry{asked("i"), sent(1, 0, 1, "write"), ended(5, 0, 1, "ResourceExhausted", "status"),
 			sent(6, 1, 2, "write"), ended(9, 1, 2, "OK", "status"), final(10, "i", "OK")}, 0},
-		{"irreversible, sent again after its stream was refused", []book.Entry{asked("i"), sent(1, 0, 1, "write"), ended(5, 0, 1, "", "refused"),
+		{"non-idempotent, sent again after its stream was refused", []book.Entry{asked("i"), sent(1, 0, 1, "write"), ended(5, 0, 1, "", "refused"),
 			sent(6, 1, 2, "write"), ended(9, 1, 2, "OK", "status"), final(10, "i", "OK")}, 0},
-		{"irreversible, nacked though it may have run", []book.Entry{asked("i"), sent(1, 0, 1, "write"), ended(5, 0, 1, "Internal", "status"), final(10, "i", "Unavailable")}, 2},
-		{"irreversible, abandoned as it may have run", []book.Entry{asked("i"), sent(1, 0, 1, "write"), ended(5, 0, 1, "Internal", "status"), final(10, "i", "Aborted")}, 0},
-		{"irreversible, ran twice over two tries", []book.Entry{at(1, book.Entry{Kind: book.Ran, Label: "x", Track: "i", Host: 1}), at(2, book.Entry{Kind: book.Ran, Label: "x", Track: "i", Host: 2})}, 2},
-		{"labelled, sent to another zone", []book.Entry{asked("z"), sent(1, 0, 1, "write"), ended(5, 0, 1, "", "closed"), sent(6, 1, 3, "write"),
+		{"non-idempotent, rejected though it may have run", []book.Entry{asked("i"), sent(1, 0, 1, "write"), ended(5, 0, 1, "Internal", "status"), final(10, "i", "Unavailable")}, 2},
+		{"non-idempotent, failed as it may have run", []book.Entry{asked("i"), sent(1, 0, 1, "write"), ended(5, 0, 1, "Internal", "status"), final(10, "i", "Aborted")}, 0},
+		{"non-idempotent, ran twice over two tries", []book.Entry{at(1, book.Entry{Kind: book.Ran, Label: "x", Class: "i", Server: 1}), at(2, book.Entry{Kind: book.Ran, Label: "x", Class: "i", Server: 2})}, 2},
+		{"deduplicated, sent to another zone", []book.Entry{asked("z"), sent(1, 0, 1, "write"), ended(5, 0, 1, "", "closed"), sent(6, 1, 3, "write"),
 			ended(9, 1, 3, "OK", "status"), final(10, "z", "OK")}, 2},
-		{"labelled, sent within its zone", []book.Entry{asked("z"), sent(1, 0, 1, "write"), ended(5, 0, 1, "", "closed"), sent(6, 1, 2, "write"),
+		{"deduplicated, sent within its zone", []book.Entry{asked("z"), sent(1, 0, 1, "write"), ended(5, 0, 1, "", "closed"), sent(6, 1, 2, "write"),
 			ended(9, 1, 2, "OK", "status"), final(10, "z", "OK")}, 0},
-		{"labelled, sent after its window", []book.Entry{asked("l"), sent(1, 0, 1, "write"), ended(5, 0, 1, "", "closed"), sent(1200, 1, 2, "write"),
+		{"deduplicated, sent after its window", []book.Entry{asked("l"), sent(1, 0, 1, "write"), ended(5, 0, 1, "", "closed"), sent(1200, 1, 2, "write"),
 			ended(1300, 1, 2, "OK", "status"), final(1301, "l", "OK")}, 2},
-		{"labelled, nacked though it may have run in one zone", []book.Entry{asked("z"), sent(1, 0, 1, "write"), ended(5, 0, 1, "", "closed"), final(10, "z", "Unavailable")}, 2},
-		{"sent to a host that drains", []book.Entry{at(0, book.Entry{Kind: book.Told, Host: 1, Note: "HEALTH_DRAINING"}), sent(600, 0, 1, "read"), ended(601, 0, 1, "OK", "status")}, 3},
-		{"sent within the grace", []book.Entry{at(0, book.Entry{Kind: book.Told, Host: 1, Note: "HEALTH_DRAINING"}), sent(400, 0, 1, "read"), ended(401, 0, 1, "OK", "status")}, 0},
-		{"sent once it serves again", []book.Entry{at(0, book.Entry{Kind: book.Told, Host: 1, Note: "HEALTH_GONE"}), at(500, book.Entry{Kind: book.Told, Host: 1, Note: "HEALTH_SERVING"}),
+		{"deduplicated, rejected though it may have run in one zone", []book.Entry{asked("z"), sent(1, 0, 1, "write"), ended(5, 0, 1, "", "closed"), final(10, "z", "Unavailable")}, 2},
+		{"sent to a server that drains", []book.Entry{at(0, book.Entry{Kind: book.Told, Server: 1, Note: "HEALTH_DRAINING"}), sent(600, 0, 1, "read"), ended(601, 0, 1, "OK", "status")}, 3},
+		{"sent within the grace", []book.Entry{at(0, book.Entry{Kind: book.Told, Server: 1, Note: "HEALTH_DRAINING"}), sent(400, 0, 1, "read"), ended(401, 0, 1, "OK", "status")}, 0},
+		{"sent once it serves again", []book.Entry{at(0, book.Entry{Kind: book.Told, Server: 1, Note: "HEALTH_GONE"}), at(500, book.Entry{Kind: book.Told, Server: 1, Note: "HEALTH_SERVING"}),
 			sent(600, 0, 1, "read"), ended(601, 0, 1, "OK", "status")}, 0},
-		{"another dispatcher was told", []book.Entry{at(0, book.Entry{Kind: book.Told, Host: 1, Disp: 1, Note: "HEALTH_GONE"}), sent(600, 0, 1, "read"), ended(601, 0, 1, "OK", "status")}, 0},
-		{"a cold host fell over", []book.Entry{at(0, book.Entry{Kind: book.Toppled, Host: 1, N: 9})}, 4},
-		{"held too long", []book.Entry{sent(0, 0, 1, "read"), at(10, book.Entry{Kind: book.Held, Job: "j", Host: 1}), ended(10, 0, 1, "OK", "status"),
-			at(700, book.Entry{Kind: book.LetGo, Job: "j", Host: 1, Note: "released"})}, 5},
-		{"held while a launch is out", []book.Entry{sent(0, 0, 1, "read"), at(10, book.Entry{Kind: book.Held, Job: "j", Host: 1}), ended(10, 0, 1, "OK", "status"),
-			sent(20, 1, 2, "write"), ended(2000, 1, 2, "", "closed"), at(2100, book.Entry{Kind: book.LetGo, Job: "j", Host: 1, Note: "released"})}, 0},
-		{"never let go", []book.Entry{sent(0, 0, 1, "read"), at(10, book.Entry{Kind: book.Held, Job: "j", Host: 1}), ended(10, 0, 1, "OK", "status"),
+		{"another dispatcher was told", []book.Entry{at(0, book.Entry{Kind: book.Told, Server: 1, Disp: 1, Note: "HEALTH_GONE"}), sent(600, 0, 1, "read"), ended(601, 0, 1, "OK", "status")}, 0},
+		{"a cold server fell over", []book.Entry{at(0, book.Entry{Kind: book.Toppled, Server: 1, N: 9})}, 4},
+		{"held too long", []book.Entry{sent(0, 0, 1, "read"), at(10, book.Entry{Kind: book.Held, Request: "j", Server: 1}), ended(10, 0, 1, "OK", "status"),
+			at(700, book.Entry{Kind: book.Released, Request: "j", Server: 1, Note: "released"})}, 5},
+		{"held while an attempt is out", []book.Entry{sent(0, 0, 1, "read"), at(10, book.Entry{Kind: book.Held, Request: "j", Server: 1}), ended(10, 0, 1, "OK", "status"),
+			sent(20, 1, 2, "write"), ended(2000, 1, 2, "", "closed"), at(2100, book.Entry{Kind: book.Released, Request: "j", Server: 1, Note: "released"})}, 0},
+		{"never released", []book.Entry{sent(0, 0, 1, "read"), at(10, book.Entry{Kind: book.Held, Request: "j", Server: 1}), ended(10, 0, 1, "OK", "status"),
 			at(2000, book.Entry{Kind: book.Trouble, Code: "end"})}, 5},
-		{"held at a host that could not be heard", []book.Entry{sent(0, 0, 1, "read"), at(10, book.Entry{Kind: book.Held, Job: "j", Host: 1}), ended(10, 0, 1, "OK", "status"),
-			at(20, book.Entry{Kind: book.Trouble, Note: "cut", Host: 1}), at(900, book.Entry{Kind: book.Trouble, Note: "uncut", Host: 1}),
-			at(950, book.Entry{Kind: book.LetGo, Job: "j", Host: 1, Note: "ran out"})}, 0},
+		{"held at a server that could not be heard", []book.Entry{sent(0, 0, 1, "read"), at(10, book.Entry{Kind: book.Held, Request: "j", Server: 1}), ended(10, 0, 1, "OK", "status"),
+			at(20, book.Entry{Kind: book.Trouble, Note: "cut", Server: 1}), at(900, book.Entry{Kind: book.Trouble, Note: "uncut", Server: 1}),
+			at(950, book.Entry{Kind: book.Released, Request: "j", Server: 1, Note: "ran out"})}, 0},
 	} {
 		got := Check(c.es, facts)
 		if c.want == 0 && len(got) > 0 {
--- a/internal/lab/sim/client.go
+++ b/internal/lab/sim/client.go
@@ -35,7 +35,7 @@
 // crowd are the users of one track: all that a grpc-go client of the laboratory does, on one simulated loop.
 type crowd struct {
 	d     *Day
-	t     client.Track
+	t     client.Class
 	l     *loop.Loop
 	wires [][]*wire // by dispatcher
 	sum   *client.Sum
@@ -94,10 +94,10 @@
 		name = fmt.Sprintf("%s-%d", t.Name, n%t.Clients)
 	}
 	s.req = &pb.GenerateRequest{Track: t.Name, Tenant: t.Tenant, Session: "s" + strconv.Itoa(n), MaxTokens: uint32(t.Answer), Client: name}
-	if t.Beginning > 0 {
-		s.req.Beginning = t.DrawBeginning(rng)
-		s.req.BeginningTokens = uint32(t.Beginning)
-		s.prompt = t.Beginning
+	if t.PrefixTokens > 0 {
+		s.req.Beginning = t.DrawPrefix(rng)
+		s.req.BeginningTokens = uint32(t.PrefixTokens)
+		s.prompt = t.PrefixTokens
 	}
 	k.open++
 	s.turns = 1 + rng.IntN(max(t.Turns, 1))
@@ -118,8 +118,8 @@
 	s.turn++
 	s.begin, s.try, s.ticket = k.now(), 0, ""
 	s.expected = int64(t.Expected) + int64(t.Per1k)*int64(s.prompt)/1000
-	s.worth = t.Payoff * float64(s.req.PromptTokens+4*s.req.MaxTokens)
-	k.sum.Jobs++
+	s.worth = t.Value * float64(s.req.PromptTokens+4*s.req.MaxTokens)
+	k.sum.Requests++
 	k.sum.Asked += s.worth
 	s.at = s.rng.IntN(len(k.wires))
 	s.send()
@@ -129,9 +129,9 @@
 func (s *session) send() {
 	k, t := s.k, &s.k.t
 	now := k.now()
-	s.left = int64(t.Patience) + 2*int64(t.Per1k)*int64(s.prompt)/1000 - (now - s.begin)
+	s.left = int64(t.Timeout) + 2*int64(t.Per1k)*int64(s.prompt)/1000 - (now - s.begin)
 	if s.left <= 0 {
-		k.sum.Nacked++ // it waited as it was told, and its time was up
+		k.sum.Rejected++ // it waited as it was told, and its time was up
 		k.open--
 		return
 	}
@@ -141,7 +141,7 @@
 		call = s.left + int64(s.req.MaxTokens)*writeTime
 	}
 	a := &attempt{s: s, leaves: -1, ticketed: s.ticket != "", by: k.d.world.Wall() + s.left,
-		entry: book.Entry{Label: s.req.Label, Try: s.try, Track: t.Name, Tenant: t.Tenant}}
+		entry: book.Entry{Label: s.req.Label, Try: s.try, Class: t.Name, Tenant: t.Tenant}}
 	s.now = a
 	if s.rng.Float64() < t.Leave {
 		if s.rng.IntN(2) == 0 { // at some time, or after some tokens
@@ -212,7 +212,7 @@
 
 func (a *attempt) note(kind book.Kind, code string) {
 	e := a.entry
-	e.Kind, e.Code, e.Job, e.By, e.N = kind, code, a.job, a.by, a.gap
+	e.Kind, e.Code, e.Request, e.By, e.N = kind, code, a.job, a.by, a.gap
 	a.s.k.d.Book.Add(e)
 }
 
@@ -270,11 +270,11 @@
 		return
 	case code == codes.OK:
 		first := a.first - s.begin
-		sum.Honoured++
+		sum.Served++
 		sum.First = append(sum.First, time.Duration(first))
 		if first <= s.expected {
 			sum.OnTime++
-			sum.Payoff += s.worth
+			sum.Value += s.worth
 		}
 		s.prompt += a.tokens
 		k.l.At(&s.timer, now+int64(float64(t.Idle)*s.rng.Float64()), func(loop.Nanos) { s.next() })
@@ -286,7 +286,7 @@
 		return
 	}
 	nacked := (code == codes.Unavailable || code == codes.ResourceExhausted) && o.final
-	again := nacked || !t.Irreversible
+	again := nacked || !t.NonIdempotent
 	wait := o.after
 	if o.after < 0 {
 		again = again && o.lost
@@ -300,12 +300,12 @@
 	} else if s.ticket == "" { // without a booking, spread
 		wait = int64(float64(wait) * (1 + 0.2*s.rng.Float64()))
 	}
-	if !again || s.try >= t.Retries || now-s.begin+wait >= int64(t.Patience) {
+	if !again || s.try >= t.Retries || now-s.begin+wait >= int64(t.Timeout) {
 		switch {
 		case nacked:
-			sum.Nacked++
+			sum.Rejected++
 		case o.final:
-			sum.Abandoned++
+			sum.Failed++
 		default:
 			sum.Unanswered++
 		}
--- a/internal/lab/sim/day.go
+++ b/internal/lab/sim/day.go
@@ -286,8 +286,8 @@
 func (d *Day) sample() {
 	for _, h := range d.hosts {
 		if h.l != nil {
-			d.Book.Add(book.Entry{Kind: book.Figures, Host: h.spec.ID, N: int64(h.model.Unread()), Try: h.model.Queued() + h.model.Running(),
-				Shot: 1000 * h.model.Memory.InUse() / h.model.Memory.Blocks()})
+			d.Book.Add(book.Entry{Kind: book.Figures, Server: h.spec.ID, N: int64(h.model.Unread()), Try: h.model.Queued() + h.model.Running(),
+				Attempt: 1000 * h.model.Memory.InUse() / h.model.Memory.Blocks()})
 		}
 	}
 	d.after(int64(d.Sample), d.sample)
@@ -357,7 +357,7 @@
 					d.world.Cut(x.l, h.l, yes)
 				}
 			}
-			d.Book.Add(book.Entry{Kind: book.Trouble, Note: note, Host: h.spec.ID})
+			d.Book.Add(book.Entry{Kind: book.Trouble, Note: note, Server: h.spec.ID})
 		})
 	}
 	all := func(*dispatcher) bool { return true }
@@ -406,7 +406,7 @@
 						d.world.Cut(x.l, was, false)
 					}
 				}
-				d.Book.Add(book.Entry{Kind: book.Trouble, Note: "uncut", Host: h.spec.ID})
+				d.Book.Add(book.Entry{Kind: book.Trouble, Note: "uncut", Server: h.spec.ID})
 			})
 			each(again)
 		})
@@ -476,10 +476,10 @@
 			if h.l != nil {
 				h.l.Mute()
 			}
-			d.Book.Add(book.Entry{Kind: book.Trouble, Note: "cut", Host: h.spec.ID})
+			d.Book.Add(book.Entry{Kind: book.Trouble, Note: "cut", Server: h.spec.ID})
 		})
 		d.after(int64(drill.Noticed), func() {
-			each(func(h *host) { d.Book.Add(book.Entry{Kind: book.Trouble, Note: "uncut", Host: h.spec.ID}) })
+			each(func(h *host) { d.Book.Add(book.Entry{Kind: book.Trouble, Note: "uncut", Server: h.spec.ID}) })
 		})
 	case "trickle":
 		slow(0, true)
--- a/internal/lab/sim/host.go
+++ b/internal/lab/sim/host.go
@@ -81,7 +81,7 @@
 	h.step, h.inStep, h.toppled, h.arrived = loop.Timer{}, false, false, nil
 	h.onStep = h.stepped
 	_, err = h.l.Listen(h.addr, false, func(c *loop.Conn, _ netip.AddrPort) loop.Handler { return serveWire(h.l, c, h) })
-	h.d.Book.Add(book.Entry{Kind: book.Start, Host: h.spec.ID})
+	h.d.Book.Add(book.Entry{Kind: book.Start, Server: h.spec.ID})
 	return err
 }
 
@@ -91,7 +91,7 @@
 		return
 	}
 	for _, name := range sorted(h.states) {
-		h.d.Book.Add(book.Entry{Kind: book.LetGo, Host: h.spec.ID, Job: name, Note: "crash"})
+		h.d.Book.Add(book.Entry{Kind: book.Released, Server: h.spec.ID, Request: name, Note: "crash"})
 	}
 	h.l.Kill()
 	h.l, h.states, h.calls = nil, map[string]*state{}, map[batch.ID]*call{}
@@ -195,8 +195,8 @@
 		}
 		if !c.ran {
 			c.ran = true
-			h.d.Book.Add(book.Entry{Kind: book.Ran, Host: h.spec.ID, Job: c.name, Shot: int(c.launch.Shot), Label: req.Label,
-				Try: int(c.launch.Repeat), Track: req.Track})
+			h.d.Book.Add(book.Entry{Kind: book.Ran, Server: h.spec.ID, Request: c.name, Attempt: int(c.launch.Shot), Label: req.Label,
+				Try: int(c.launch.Repeat), Class: req.Track})
 		}
 		b, err := proto.Marshal(&pb.Tokens{Position: uint32(n), Tokens: []uint32{engine.Tok(req, n)}, Text: []byte("tok ")})
 		if err != nil {
@@ -263,7 +263,7 @@
 	}
 	st := &state{shot: c.launch.Shot, tokens: int(req.PromptTokens), id: c.id}
 	h.states[c.name] = st
-	h.d.Book.Add(book.Entry{Kind: book.Held, Host: h.spec.ID, Job: c.name, Shot: int(st.shot), N: int64(st.tokens)})
+	h.d.Book.Add(book.Entry{Kind: book.Held, Server: h.spec.ID, Request: c.name, Attempt: int(st.shot), N: int64(st.tokens)})
 	name := c.name
 	h.l.At(&st.ends, h.l.Now()+int64(h.spec.Hold), func(loop.Nanos) { h.drop(name, "ran out") })
 	b, err := proto.Marshal(&pb.ReadDone{ReadTokens: uint32(unread), KeptTokens: req.PromptTokens - min(uint32(unread), req.PromptTokens)})
@@ -283,7 +283,7 @@
 	delete(h.states, name)
 	h.l.Cancel(&st.ends)
 	h.model.Drop(st.id)
-	h.d.Book.Add(book.Entry{Kind: book.LetGo, Host: h.spec.ID, Job: name, Shot: int(st.shot), Note: why})
+	h.d.Book.Add(book.Entry{Kind: book.Released, Server: h.spec.ID, Request: name, Attempt: int(st.shot), Note: why})
 	h.l.Post(h.kick)
 }
 
@@ -377,7 +377,7 @@
 		}
 		if float64(len(h.arrived)) > s.Topple*w*s.JobsPerSecond*s.ToppleOver.Seconds()+engine.ToppleSlack {
 			h.toppled = true
-			h.d.Book.Add(book.Entry{Kind: book.Toppled, Host: s.ID, N: int64(len(h.arrived))})
+			h.d.Book.Add(book.Entry{Kind: book.Toppled, Server: s.ID, N: int64(len(h.arrived))})
 			return codes.Internal, "fallen over"
 		}
 	}
--- a/internal/lab/sim/lister.go
+++ b/internal/lab/sim/lister.go
@@ -66,7 +66,7 @@
 	s.Send(b, false)
 	to.flush()
 	for _, h := range news.Hosts {
-		w.d.Book.Add(book.Entry{Kind: book.Told, Host: int(h.Id), Disp: w.disp, Note: h.Health.String(), N: h.StartedUnixNs})
+		w.d.Book.Add(book.Entry{Kind: book.Told, Server: int(h.Id), Disp: w.disp, Note: h.Health.String(), N: h.StartedUnixNs})
 	}
 }
 
--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/sim/sim_test.go
@@ -66,7 +66,7 @@
 		}
 		jobs, honoured := 0, 0
 		for name, s := range rep.Sums {
-			jobs, honoured = jobs+s.Jobs, honoured+s.Honoured
+			jobs, honoured = jobs+s.Requests, honoured+s.Served
 			if s.Wrong > 0 {
 				t.Errorf("seed %d: %d answers of %s were not whole", 100+seed, s.Wrong, name)
 			}
@@ -179,7 +179,7 @@
 func TestStateGoneBeforeFetch(t *testing.T) {
 	s := load(t, 9)
 	s.For, s.Rate = 20*time.Second, 10
-	s.Troubles = []drill.Trouble{{Kind: "links", At: 2 * time.Second, For: 14 * time.Second, Role: "reader", Factor: 60}}
+	s.Troubles = []drill.Trouble{{Kind: "links", At: 2 * time.Second, For: 14 * time.Second, Role: drill.Prefill, Factor: 60}}
 	for i := range 6 {
 		s.Troubles = append(s.Troubles, drill.Trouble{Kind: "crash", At: time.Duration(3+2*i) * time.Second, For: 200 * time.Millisecond, Hosts: []int{1 + i%3, 8 + i%3}})
 	}
@@ -189,8 +189,8 @@
 		t.Errorf("%d launches found no state; %v", n[policy.Stateless], rep.Violations)
 	}
 	for name, sum := range rep.Sums {
-		if sum.Wrong > 0 || sum.Honoured < sum.Jobs*4/10 {
-			t.Errorf("%s: %d of %d honoured, %d wrong", name, sum.Honoured, sum.Jobs, sum.Wrong)
+		if sum.Wrong > 0 || sum.Served < sum.Requests*4/10 {
+			t.Errorf("%s: %d of %d honoured, %d wrong", name, sum.Served, sum.Requests, sum.Wrong)
 		}
 	}
 }
--- a/internal/lab/trial/trial.go
+++ b/internal/lab/trial/trial.go
@@ -129,7 +129,7 @@
 	}
 	for name, t := range r.Sums {
 		take(name, t)
-		all.Payoff, all.Asked, all.First = all.Payoff+t.Payoff, all.Asked+t.Asked, append(all.First, t.First...)
+		all.Value, all.Asked, all.First = all.Value+t.Value, all.Asked+t.Asked, append(all.First, t.First...)
 	}
 	take("", &all)
 	return s
--- a/internal/lab/trial/trial_test.go
+++ b/internal/lab/trial/trial_test.go
@@ -36,7 +36,7 @@
 	}
 	e, err := Load(write(t, "e.json", `{"script": "`+day+`", "seeds": 3, "variants": [{"name": "a", "with": {"for": "8s", "troubles": []}},
 		{"name": "same", "with": {"for": "8s", "troubles": []}},
-		{"name": "hang", "with": {"for": "8s", "troubles": [{"kind": "hang", "at": "0s", "for": "8s", "role": "writer"}]}},
+		{"name": "hang", "with": {"for": "8s", "troubles": [{"kind": "hang", "at": "0s", "for": "8s", "role": "decode"}]}},
 		{"name": "in turn", "policy": "round robin", "with": {"for": "8s", "troubles": []}}]}`))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/setup/decode.go
+++ b/internal/setup/decode.go
@@ -21,10 +21,23 @@
 
 // decoder fills a value from a parsed text and remembers on which line each field stands.
 type decoder struct {
-	name  string
-	text  []byte
-	lines map[string]int
-	errs  []error
+	name     string
+	text     []byte
+	lines    map[string]int
+	errs     []error
+	warnings []string // names that have others by now
+}
+
+// renamed is a type of which some texts had other names in the release before.
+type renamed interface {
+	encoding.TextUnmarshaler
+	FormerNames() map[string]string
+}
+
+// warnRenamed takes down that something is written by the name it had in the release before.
+func (d *decoder) warnRenamed(path, former, name string) {
+	d.warnings = append(d.warnings, fmt.Sprintf("%s:%d: %s: %q is called %q now; the next release will not read it", d.name,
+		max(d.lines[path], 1), path, former, name))
 }
 
 func (d *decoder) line(offset int) int {
@@ -46,7 +59,7 @@
 }
 
 // decode parses the text into the struct that v points to. Fields are named by the tag json; those with the
-// tag need must be there.
+// tag need must be there. The tag was has the name of a field in the release before, which is read with a warning.
 func (d *decoder) decode(v any) {
 	tree, err := hujson.Parse(d.text)
 	if err != nil {
@@ -66,11 +79,8 @@
 	}
 	if to.CanAddr() {
 		if u, ok := to.Addr().Interface().(encoding.TextUnmarshaler); ok {
-			text, ok := d.text1(v, path)
-			if ok {
-				if err := u.UnmarshalText([]byte(text)); err != nil {
-					d.bad(path, "%v", err)
-				}
+			if text, ok := d.text1(v, path); ok {
+				d.unmarshalText(u, text, path)
 			}
 			return
 		}
@@ -139,18 +149,37 @@
 	}
 }
 
+// unmarshalText has a value read its text, by a former name too.
+func (d *decoder) unmarshalText(u encoding.TextUnmarshaler, text, path string) {
+	if r, ok := u.(renamed); ok {
+		if name, former := r.FormerNames()[text]; former {
+			d.warnRenamed(path, text, name)
+			text = name
+		}
+	}
+	if err := u.UnmarshalText([]byte(text)); err != nil {
+		d.bad(path, "%v", err)
+	}
+}
+
 func (d *decoder) object(v hujson.Value, to reflect.Value, path string) {
 	obj, ok := v.Value.(*hujson.Object)
 	if !ok {
 		d.bad(path, "want an object, not %s", kind(v))
 		return
 	}
-	fields := map[string]int{}
+	fields, former := map[string]int{}, map[string]string{}
 	var names []string
 	for i := range to.NumField() {
-		if name := to.Type().Field(i).Tag.Get("json"); name != "" {
-			fields[name] = i
-			names = append(names, name)
+		tag := to.Type().Field(i).Tag
+		name := tag.Get("json")
+		if name == "" {
+			continue
+		}
+		fields[name] = i
+		names = append(names, name)
+		if was := tag.Get("was"); was != "" {
+			former[was] = name
 		}
 	}
 	seen := map[string]bool{}
@@ -158,6 +187,11 @@
 		name := m.Name.Value.(hujson.Literal).String()
 		at := join(path, name)
 		d.lines[at] = d.line(m.Name.StartOffset)
+		if now, ok := former[name]; ok {
+			d.warnRenamed(at, name, now)
+			name, at = now, join(path, now)
+			d.lines[at] = d.line(m.Name.StartOffset)
+		}
 		i, ok := fields[name]
 		switch {
 		case !ok:
--- a/internal/setup/print.go
+++ b/internal/setup/print.go
@@ -11,7 +11,7 @@
 
 // MarshalText gives the name.
 func (e Effect) MarshalText() ([]byte, error) {
-	return []byte([]string{policy.Idempotent: "redoable", policy.Deduplicated: "labelled", policy.NonIdempotent: "irreversible"}[e]), nil
+	return []byte([]string{policy.Idempotent: "idempotent", policy.Deduplicated: "deduplicated", policy.NonIdempotent: "non_idempotent"}[e]), nil
 }
 
 // MarshalText gives the name.
@@ -43,10 +43,14 @@
 	if _, ok := v.Interface().(json.Marshaler); !ok && v.Kind() == reflect.Struct && v.NumField() > 0 && v.Type().Field(0).Tag.Get("json") != "" {
 		b.WriteByte('{')
 		for i := range v.NumField() {
+			name := v.Type().Field(i).Tag.Get("json")
+			if name == "" {
+				continue
+			}
 			if i > 0 {
 				b.WriteByte(',')
 			}
-			b.WriteString(`"` + v.Type().Field(i).Tag.Get("json") + `":`)
+			b.WriteString(`"` + name + `":`)
 			if err := write(b, v.Field(i)); err != nil {
 				return err
 			}
--- a/internal/setup/setup.go
+++ b/internal/setup/setup.go
@@ -24,17 +24,19 @@
 	Seed      uint64         `json:"seed"`   // feeds all chance; 0 = taken from the clock
 	HashKey   uint64         `json:"hash_key"`
 	Fleet     Fleet          `json:"fleet" need:"where the list of engines comes from"`
-	Tracks    []Track        `json:"tracks" need:"a list of tracks"`
+	Classes   []Class        `json:"classes" was:"tracks" need:"a list of classes"`
 	Tenants   []Tenant       `json:"tenants"`
-	Cold      Cold           `json:"cold_start" need:"what a host bears that has just started"`
-	Launches  Launches       `json:"launches"`
+	Cold      Cold           `json:"cold_start" need:"what a server bears that has just started"`
+	Attempts  AttemptLimits  `json:"attempts" was:"launches"`
 	Answers   Answers        `json:"answers"`
 	Rules     Rules          `json:"rules" need:"the times of the rules"`
 	Limits    Limits         `json:"limits"`
 	Batch     Batch          `json:"batch"`
 	Status    string         `json:"status_file"`  // written every second, for docksail view
 	FirstCome bool           `json:"first_come"`   // the door lets jobs in as they came: a baseline to measure against
-	Drain     time.Duration  `json:"drain_within"` // jobs in hand have so long after the signal to leave
+	Drain     time.Duration  `json:"drain_within"` // requests in hand have so long after the signal to drain
+
+	Warnings []string // names of the release before that were read
 }
 
 // Batch is the API for files of jobs; without an address to listen on there is none.
@@ -66,24 +68,24 @@
 	Retry time.Duration  `json:"ask_within"` // a lost list is asked for again several times in this
 }
 
-// Track is one class of jobs.
-type Track struct {
-	Name          string        `json:"name" need:"a name"`
-	Expected      time.Duration `json:"expected" need:"the time in which the first token is wanted"`
-	ExpectedPer1k time.Duration `json:"expected_per_1000_tokens"`
-	Patience      time.Duration `json:"patience" need:"the client's whole patience"`
-	Payoff        float64       `json:"payoff"`
-	LatePayoff    float64       `json:"late_payoff"`
-	TokenGap      time.Duration `json:"token_gap" need:"the time wanted between tokens"`
-	Effect        Effect        `json:"effect" need:"redoable, labelled or irreversible"`
-	Group         Group         `json:"group"`
-	Window        time.Duration `json:"window"`
+// Class is one class of jobs.
+type Class struct {
+	Name        string        `json:"name" need:"a name"`
+	Target      time.Duration `json:"target" was:"expected" need:"the time in which the first token is wanted"`
+	TargetPer1k time.Duration `json:"target_per_1000_tokens" was:"expected_per_1000_tokens"`
+	Timeout     time.Duration `json:"timeout" was:"patience" need:"the client's whole time"`
+	Value       float64       `json:"value" was:"payoff"`
+	LateValue   float64       `json:"late_value" was:"late_payoff"`
+	TokenGap    time.Duration `json:"token_gap" need:"the time wanted between tokens"`
+	Effect      Effect        `json:"effect" need:"idempotent, deduplicated or non_idempotent"`
+	Group       Group         `json:"group"`
+	Window      time.Duration `json:"window"`
 }
 
 // Tenant is one payer.
 type Tenant struct {
 	Name      string  `json:"name" need:"a name"`
-	PerSecond float64 `json:"jobs_per_second" need:"the jobs a second it is entitled to, over all dispatchers"`
+	PerSecond float64 `json:"requests_per_second" was:"jobs_per_second" need:"the requests a second it is entitled to, over all dispatchers"`
 	Weight    float64 `json:"weight"`          // its part at the door; 0 = as jobs_per_second
 	Rate      float64 `json:"most_per_second"` // jobs a second that this dispatcher takes of it; 0 = no limit
 	Waiting   int     `json:"most_waiting"`    // its jobs at the door; 0 = as many as fit
@@ -93,17 +95,17 @@
 
 // Cold is what hosts bear that have just started.
 type Cold struct {
-	From     float64       `json:"from" need:"the share of its capacity with which a host starts"`
+	From     float64       `json:"from" need:"the share of its capacity with which a server starts"`
 	Warm     time.Duration `json:"warm_after" need:"the time after which it is warm"`
-	Multiple float64       `json:"topples_at" need:"the multiple of what it can do that topples it"`
-	Window   time.Duration `json:"topples_over" need:"the time over which it topples it"`
+	Multiple float64       `json:"overload_factor" was:"topples_at" need:"the multiple of what it can do at which it fails"`
+	Window   time.Duration `json:"overload_window" was:"topples_over" need:"the time over which it fails"`
 }
 
-// Launches bounds what is sent.
-type Launches struct {
+// AttemptLimits bounds what is sent.
+type AttemptLimits struct {
 	Most        int32         `json:"most"`
-	Recall      bool          `json:"recall"`
-	WritersRead bool          `json:"writers_read"`
+	Cancel      bool          `json:"cancel" was:"recall"`
+	DecodeReads bool          `json:"decode_reads" was:"writers_read"`
 	Connect     time.Duration `json:"connect_within"`
 }
 
@@ -117,22 +119,22 @@
 
 // Rules are the times that the rules name.
 type Rules struct {
-	Release time.Duration `json:"release_within" need:"the time in which what is held is taken or let go"`
+	Release time.Duration `json:"release_within" need:"the time in which KV state is fetched or released"`
 	Drain   time.Duration `json:"drain_grace"`
 }
 
 // Limits bound what the dispatcher holds. 0 stands for the usual.
 type Limits struct {
-	Jobs         int `json:"jobs"`          // in hand
-	Connections  int `json:"connections"`   // of clients
-	Streams      int `json:"streams"`       // on one connection
-	StreamWindow int `json:"stream_window"` // bytes an engine may be ahead of a client
+	Requests     int `json:"requests" was:"jobs"` // in hand
+	Connections  int `json:"connections"`         // of clients
+	Streams      int `json:"streams"`             // on one connection
+	StreamWindow int `json:"stream_window"`       // bytes an engine may be ahead of a client
 	Message      int `json:"message_bytes"`
 	Headers      int `json:"header_bytes"`
 	Prompt       int `json:"prompt_tokens"`
-	Output       int `json:"output_bytes"`  // queued for one connection
-	Partial      int `json:"partial_bytes"` // of messages that have come in part, on all connections together
-	Waiting      int `json:"jobs_waiting"`  // at the door
+	Output       int `json:"output_bytes"`                        // queued for one connection
+	Partial      int `json:"partial_bytes"`                       // of messages that have come in part, on all connections together
+	Waiting      int `json:"requests_waiting" was:"jobs_waiting"` // at the door
 	Clients      int `json:"clients_known"`
 	Memory       int `json:"memory_bytes"` // on the heap, from which on the door sheds what waits; 0 = no bound
 }
@@ -141,12 +143,17 @@
 type Effect policy.Effect
 
 func (e *Effect) UnmarshalText(b []byte) error {
-	i, err := oneOf(string(b), "redoable", "labelled", "irreversible")
+	i, err := oneOf(string(b), "idempotent", "deduplicated", "non_idempotent")
 	*e = Effect(i)
 	return err
 }
 
-// Group is the set of hosts that knows a labelled job's repeats: all, zone or cell.
+// FormerNames are those of the release before.
+func (*Effect) FormerNames() map[string]string {
+	return map[string]string{"redoable": "idempotent", "labelled": "deduplicated", "irreversible": "non_idempotent"}
+}
+
+// Group is the set of servers that knows a deduplicated request's repeats: all, zone or cell.
 type Group policy.Group
 
 func (g *Group) UnmarshalText(b []byte) error {
@@ -184,6 +191,7 @@
 	if err := d.err(); err != nil {
 		return nil, err
 	}
+	s.Warnings = d.warnings
 	return s, nil
 }
 
@@ -202,20 +210,20 @@
 		d.bad("fleet", "want either watch or file")
 	}
 	above("fleet.ask_within", float64(s.Fleet.Retry))
-	if len(s.Tracks) == 0 {
-		d.bad("tracks", "is empty, want one track or more")
+	if len(s.Classes) == 0 {
+		d.bad("classes", "is empty, want one class or more")
 	}
 	names := map[string]bool{}
-	for i, t := range s.Tracks {
-		at := fmt.Sprintf("tracks[%d]", i)
-		if t.Name == "" || names["track "+t.Name] {
+	for i, t := range s.Classes {
+		at := fmt.Sprintf("classes[%d]", i)
+		if t.Name == "" || names["class "+t.Name] {
 			d.bad(at+".name", "%q is empty or stands twice, want a name of its own", t.Name)
 		}
-		names["track "+t.Name] = true
-		above(at+".expected", float64(t.Expected))
+		names["class "+t.Name] = true
+		above(at+".target", float64(t.Target))
 		above(at+".token_gap", float64(t.TokenGap))
-		if t.Patience < t.Expected {
-			d.bad(at+".patience", "is %v, want at least the expected time, %v", t.Patience, t.Expected)
+		if t.Timeout < t.Target {
+			d.bad(at+".timeout", "is %v, want at least the target, %v", t.Timeout, t.Target)
 		}
 		if policy.Effect(t.Effect) == policy.Deduplicated {
 			above(at+".window", float64(t.Window))
@@ -227,7 +235,7 @@
 			d.bad(at+".name", "%q is empty or stands twice, want a name of its own", t.Name)
 		}
 		names["tenant "+t.Name] = true
-		above(at+".jobs_per_second", t.PerSecond)
+		above(at+".requests_per_second", t.PerSecond)
 		if t.Weight < 0 || t.Rate < 0 || t.Waiting < 0 || t.Running < 0 || t.Prompt < 0 {
 			d.bad(at, "has a weight or limit below 0, want 0 for the usual or more")
 		}
@@ -236,14 +244,14 @@
 		d.bad("cold_start.from", "is %v, want more than 0 and at most 1", s.Cold.From)
 	}
 	if s.Cold.Multiple < 1 {
-		d.bad("cold_start.topples_at", "is %v, want 1 or more", s.Cold.Multiple)
+		d.bad("cold_start.overload_factor", "is %v, want 1 or more", s.Cold.Multiple)
 	}
 	above("cold_start.warm_after", float64(s.Cold.Warm))
-	above("cold_start.topples_over", float64(s.Cold.Window))
-	if s.Launches.Most < 2 {
-		d.bad("launches.most", "is %d, want 2 or more: one to read, one to write", s.Launches.Most)
+	above("cold_start.overload_window", float64(s.Cold.Window))
+	if s.Attempts.Most < 2 {
+		d.bad("attempts.most", "is %d, want 2 or more: one for prefill, one for decode", s.Attempts.Most)
 	}
-	above("launches.connect_within", float64(s.Launches.Connect))
+	above("attempts.connect_within", float64(s.Attempts.Connect))
 	above("rules.release_within", float64(s.Rules.Release))
 	above("answers.round", float64(s.Answers.Round))
 	if s.Answers.Ahead < 0 {
@@ -281,9 +289,9 @@
 		name string
 		n    int
 		low  int
-	}{{"jobs", s.Limits.Jobs, 1}, {"connections", s.Limits.Connections, 1}, {"streams", s.Limits.Streams, 1},
+	}{{"requests", s.Limits.Requests, 1}, {"connections", s.Limits.Connections, 1}, {"streams", s.Limits.Streams, 1},
 		{"stream_window", s.Limits.StreamWindow, 1 << 10}, {"message_bytes", s.Limits.Message, 1 << 10},
-		{"header_bytes", s.Limits.Headers, 1 << 10}, {"prompt_tokens", s.Limits.Prompt, 1}, {"jobs_waiting", s.Limits.Waiting, 1}, {"partial_bytes", s.Limits.Partial, s.Limits.Message}, {"clients_known", s.Limits.Clients, 1},
+		{"header_bytes", s.Limits.Headers, 1 << 10}, {"prompt_tokens", s.Limits.Prompt, 1}, {"requests_waiting", s.Limits.Waiting, 1}, {"partial_bytes", s.Limits.Partial, s.Limits.Message}, {"clients_known", s.Limits.Clients, 1},
 		{"output_bytes", s.Limits.Output, 64 << 10}} {
 		if l.n < l.low || l.n > 1<<30 {
 			d.bad("limits."+l.name, "is %d, want %d to %d", l.n, l.low, 1<<30)
@@ -291,8 +299,8 @@
 	}
 }
 
-// Door gives what tenants may do at the door; where the settings name none, all jobs are one tenant's.
-func (s *Dispatcher) Door() []admission.Tenant {
+// TenantTerms gives what tenants may do at the door; where the settings name none, all jobs are one tenant's.
+func (s *Dispatcher) TenantTerms() []admission.Tenant {
 	if len(s.Tenants) == 0 {
 		return []admission.Tenant{{Weight: 1}}
 	}
@@ -310,7 +318,7 @@
 // Module starts the decision module that the settings describe. zone numbers the dispatcher's own zone; kinds of
 // host are the roles in their order.
 func (s *Dispatcher) Module(seed uint64, zone policy.ZoneID) (*policy.Dispatcher, error) {
-	tracks := s.PolicyTracks()
+	tracks := s.PolicyClasses()
 	var tenants []policy.Tenant
 	for _, t := range s.Tenants {
 		tenants = append(tenants, policy.Tenant{PerSecond: t.PerSecond})
@@ -319,19 +327,19 @@
 		[]policy.Role{policy.Prefill, policy.Decode, policy.Mixed},
 		policy.ColdStart{From: s.Cold.From, Warm: policy.Nanos(s.Cold.Warm), Multiple: s.Cold.Multiple,
 			Window: policy.Nanos(s.Cold.Window)},
-		policy.AttemptLimits{Most: s.Launches.Most, Cancel: s.Launches.Recall, DecodeReads: s.Launches.WritersRead},
+		policy.AttemptLimits{Most: s.Attempts.Most, Cancel: s.Attempts.Cancel, DecodeReads: s.Attempts.DecodeReads},
 		policy.Answering{Slack: 0, Round: policy.Nanos(s.Answers.Round), Advice: s.Answers.Advice,
 			MaxAdvice: policy.Nanos(s.Answers.MaxAdvice)},
 		policy.Listing{Within: policy.Nanos(s.Fleet.Retry)}, policy.Nanos(s.Rules.Release))
 }
 
-// PolicyTracks gives the tracks as the decision module takes them.
-func (s *Dispatcher) PolicyTracks() []policy.Class {
+// PolicyClasses gives the tracks as the decision module takes them.
+func (s *Dispatcher) PolicyClasses() []policy.Class {
 	var tracks []policy.Class
-	for _, t := range s.Tracks {
-		tracks = append(tracks, policy.Class{Target: policy.Nanos(t.Expected),
-			TargetPer1k: policy.Nanos(t.ExpectedPer1k), Timeout: policy.Nanos(t.Patience), Value: t.Payoff,
-			LateValue: t.LatePayoff, TokenGap: policy.Nanos(t.TokenGap), Effect: policy.Effect(t.Effect),
+	for _, t := range s.Classes {
+		tracks = append(tracks, policy.Class{Target: policy.Nanos(t.Target),
+			TargetPer1k: policy.Nanos(t.TargetPer1k), Timeout: policy.Nanos(t.Timeout), Value: t.Value,
+			LateValue: t.LateValue, TokenGap: policy.Nanos(t.TokenGap), Effect: policy.Effect(t.Effect),
 			Group: policy.Group(t.Group), Window: policy.Nanos(t.Window)})
 	}
 	return tracks
@@ -350,23 +358,23 @@
 
 // Usual gives the settings that hold where a file says nothing.
 func Usual() *Dispatcher {
-	return &Dispatcher{Count: 1, Launches: Launches{Most: 5, Recall: true, Connect: time.Second},
+	return &Dispatcher{Count: 1, Attempts: AttemptLimits{Most: 5, Cancel: true, Connect: time.Second},
 		Answers: Answers{Ahead: 20 * time.Millisecond, Round: time.Millisecond, Advice: true, MaxAdvice: time.Minute},
 		Batch:   Batch{File: 200 << 20, Line: 1 << 20, Lines: 100000, Out: 64, First: 500 * time.Millisecond, Window: 7 * 24 * time.Hour},
 		Fleet:   Fleet{Retry: 4 * time.Second}, Rules: Rules{Drain: 500 * time.Millisecond}, Drain: 30 * time.Second,
-		Limits: Limits{Partial: 256 << 20, Waiting: 10000, Clients: 16384, Jobs: 20000, Connections: 20000, Streams: 10000, StreamWindow: 64 << 10, Message: 4 << 20,
+		Limits: Limits{Partial: 256 << 20, Waiting: 10000, Clients: 16384, Requests: 20000, Connections: 20000, Streams: 10000, StreamWindow: 64 << 10, Message: 4 << 20,
 			Headers: 16 << 10, Prompt: 1 << 20, Output: 4 << 20}}
 }
 
-// hosts is a list of engines as a file has it.
-type hosts struct {
-	Hosts []host `json:"hosts" need:"a list of hosts"`
+// serverList is a list of engines as a file has it.
+type serverList struct {
+	Servers []serverEntry `json:"servers" was:"hosts" need:"a list of servers"`
 }
 
-type host struct {
+type serverEntry struct {
 	ID      int64          `json:"id" need:"a number above 0"`
 	Address netip.AddrPort `json:"address" need:"an address and port"`
-	Role    role           `json:"role" need:"reader, writer or mixed"`
+	Role    role           `json:"role" need:"prefill, decode or mixed"`
 	Zone    string         `json:"zone"`
 	Cell    string         `json:"cell"`
 	Health  health         `json:"health"`
@@ -376,11 +384,16 @@
 type role policy.Role
 
 func (r *role) UnmarshalText(b []byte) error {
-	i, err := oneOf(string(b), "reader", "writer", "mixed")
+	i, err := oneOf(string(b), "prefill", "decode", "mixed")
 	*r = role(i)
 	return err
 }
 
+// FormerNames are those of the release before.
+func (*role) FormerNames() map[string]string {
+	return map[string]string{"reader": "prefill", "writer": "decode"}
+}
+
 type health policy.Health
 
 func (h *health) UnmarshalText(b []byte) error {
@@ -389,16 +402,16 @@
 	return err
 }
 
-// Hosts reads a list of engines; name stands for the file in errors.
-func Hosts(name string, text []byte) ([]fleet.Host, error) {
-	var in hosts
+// Servers reads a list of engines; name stands for the file in errors.
+func Servers(name string, text []byte) ([]fleet.Host, error) {
+	var in serverList
 	d := &decoder{name: name, text: text, lines: map[string]int{}}
 	d.decode(&in)
 	var list []fleet.Host
 	seen := map[int64]bool{}
-	for i, h := range in.Hosts {
+	for i, h := range in.Servers {
 		if h.ID < 1 || h.ID > 1<<32-1 || seen[h.ID] {
-			d.bad(fmt.Sprintf("hosts[%d].id", i), "%d is out of range or stands twice, want a number of its own above 0", h.ID)
+			d.bad(fmt.Sprintf("servers[%d].id", i), "%d is out of range or stands twice, want a number of its own above 0", h.ID)
 		}
 		seen[h.ID] = true
 		list = append(list, fleet.Host{ID: policy.ServerID(h.ID), Address: h.Address, Role: policy.Role(h.Role), Zone: h.Zone,
--- a/internal/setup/setup_test.go
+++ b/internal/setup/setup_test.go
@@ -3,6 +3,7 @@
 import (
 	"os"
 	"reflect"
+	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -15,11 +16,11 @@
   "listen": "127.0.0.1:7600",
   "zone": "a",
   "fleet": {"watch": "127.0.0.1:7700"},
-  "tracks": [
-    {"name": "question", "expected": "1s", "patience": "5s", "token_gap": "50ms", "effect": "redoable"},
-    {"name": "notice", "expected": "1s", "patience": "5s", "token_gap": "50ms", "effect": "labelled", "group": "zone", "window": "3s"},
+  "classes": [
+    {"name": "question", "target": "1s", "timeout": "5s", "token_gap": "50ms", "effect": "idempotent"},
+    {"name": "notice", "target": "1s", "timeout": "5s", "token_gap": "50ms", "effect": "deduplicated", "group": "zone", "window": "3s"},
   ],
-  "cold_start": {"from": 0.3, "warm_after": "10s", "topples_at": 2.5, "topples_over": "2s"},
+  "cold_start": {"from": 0.3, "warm_after": "10s", "overload_factor": 2.5, "overload_window": "2s"},
   "rules": {"release_within": "500ms"},
 }`
 
@@ -28,10 +29,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Tracks[1].Effect != Effect(policy.Deduplicated) || s.Tracks[1].Group != Group(policy.GroupZone) || s.Tracks[1].Window != 3*time.Second {
-		t.Errorf("track read as %+v", s.Tracks[1])
+	if s.Classes[1].Effect != Effect(policy.Deduplicated) || s.Classes[1].Group != Group(policy.GroupZone) || s.Classes[1].Window != 3*time.Second {
+		t.Errorf("track read as %+v", s.Classes[1])
 	}
-	if s.Limits.Jobs != Usual().Limits.Jobs || s.Launches.Most != Usual().Launches.Most {
+	if s.Limits.Requests != Usual().Limits.Requests || s.Attempts.Most != Usual().Attempts.Most {
 		t.Error("what the file does not say is not as usual")
 	}
 	if _, err := s.Module(1, 0); err != nil {
@@ -45,19 +46,19 @@
 		{`"zone": "a"`, `"zoen": "a"`, `x:4: zoen: no such field, want one of listen,`},
 		{`"zone": "a"`, `"zone": 7`, `x:4: zone: want a text, not 7`},
 		{`"zone": "a"`, `"zone": "a", "zone": "b"`, `x:4: zone: stands twice`},
-		{`"expected": "1s", "patience": "5s", "token_gap": "50ms", "effect": "redoable"`, `"patience": "5s", "token_gap": "50ms", "effect": "redoable"`,
-			`x:7: tracks[0].expected: is missing, want the time in which`},
-		{`"effect": "redoable"`, `"effect": "safe"`, `x:7: tracks[0].effect: "safe", want one of redoable, labelled, irreversible`},
-		{`"patience": "5s", "token_gap": "50ms", "effect": "labelled"`, `"patience": "5", "token_gap": "50ms", "effect": "labelled"`,
-			`x:8: tracks[1].patience: "5" is no length of time`},
-		{`"window": "3s"`, `"window": "0s"`, `x:8: tracks[1].window: is 0, want more than 0`},
-		{`"name": "notice"`, `"name": "question"`, `x:8: tracks[1].name: "question" is empty or stands twice`},
+		{`"target": "1s", "timeout": "5s", "token_gap": "50ms", "effect": "idempotent"`, `"timeout": "5s", "token_gap": "50ms", "effect": "idempotent"`,
+			`x:7: classes[0].target: is missing, want the time in which`},
+		{`"effect": "idempotent"`, `"effect": "safe"`, `x:7: classes[0].effect: "safe", want one of idempotent, deduplicated, non_idempotent`},
+		{`"timeout": "5s", "token_gap": "50ms", "effect": "deduplicated"`, `"timeout": "5", "token_gap": "50ms", "effect": "deduplicated"`,
+			`x:8: classes[1].timeout: "5" is no length of time`},
+		{`"window": "3s"`, `"window": "0s"`, `x:8: classes[1].window: is 0, want more than 0`},
+		{`"name": "notice"`, `"name": "question"`, `x:8: classes[1].name: "question" is empty or stands twice`},
 		{`"from": 0.3`, `"from": 30`, `x:10: cold_start.from: is 30, want more than 0 and at most 1`},
 		{`"from": 0.3`, `"from": true`, `x:10: cold_start.from: want a number, not true`},
 		{`"127.0.0.1:7600"`, `"here"`, `x:3: listen:`},
 		{`{"watch": "127.0.0.1:7700"}`, `{}`, `x:5: fleet: want either watch or file`},
 		{`"zone": "a"`, `"zone": "a", "number": 2, "count": 2`, `x:4: number: is 2, want 0 to 1`},
-		{`"zone": "a"`, `"zone": "a", "limits": {"jobs": 1.5}`, `x:4: limits.jobs: want a whole number, not 1.5`},
+		{`"zone": "a"`, `"zone": "a", "limits": {"requests": 1.5}`, `x:4: limits.requests: want a whole number, not 1.5`},
 		{`"zone": "a"`, `"zone": "a", "limits": []`, `x:4: limits: want an object, not a list`},
 		{`"rules": {"release_within": "500ms"},`, ``, `x:1: rules: is missing, want the times of the rules`},
 		{`"zone": "a",`, `"zone": "a"`, `x: hujson: line 5`},
@@ -118,19 +119,50 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if hosts, err := Hosts("fleet.json", text); err != nil || len(hosts) == 0 {
+	if hosts, err := Servers("fleet.json", text); err != nil || len(hosts) == 0 {
 		t.Errorf("%d hosts, %v", len(hosts), err)
 	}
 }
 
 func TestHosts(t *testing.T) {
 	for _, c := range []struct{ text, want string }{
-		{`{"hosts": [{"id": 1, "address": "127.0.0.1:1", "role": "reader"}, {"id": 1, "address": "127.0.0.1:2", "role": "writer"}]}`, "hosts[1].id: 1 is out of range or stands twice"},
-		{`{"hosts": [{"id": 1, "address": "127.0.0.1:1", "role": "cook"}]}`, `"cook", want one of reader, writer, mixed`},
-		{`{}`, "hosts: is missing"},
+		{`{"servers": [{"id": 1, "address": "127.0.0.1:1", "role": "prefill"}, {"id": 1, "address": "127.0.0.1:2", "role": "decode"}]}`, "servers[1].id: 1 is out of range or stands twice"},
+		{`{"servers": [{"id": 1, "address": "127.0.0.1:1", "role": "cook"}]}`, `"cook", want one of prefill, decode, mixed`},
+		{`{}`, "servers: is missing"},
 	} {
-		if _, err := Hosts("f", []byte(c.text)); err == nil || !strings.Contains(err.Error(), c.want) {
+		if _, err := Servers("f", []byte(c.text)); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v, want %q", c.text, err, c.want)
 		}
 	}
 }
+
+// TestFormerNames: settings written for the release before are read, with a warning for each name.
+func TestFormerNames(t *testing.T) {
+	former := strings.NewReplacer(`"classes"`, `"tracks"`, `"target"`, `"expected"`, `"timeout"`, `"patience"`, `"idempotent"`, `"redoable"`,
+		`"deduplicated"`, `"labelled"`, `"overload_factor"`, `"topples_at"`, `"overload_window"`, `"topples_over"`).Replace(good)
+	was, err := Parse("x", []byte(former))
+	if err != nil {
+		t.Fatal(err)
+	}
+	is, err := Parse("x", []byte(good))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got, want := len(was.Warnings), 9; got != want {
+		t.Errorf("%d warnings, want %d: %q", got, want, was.Warnings)
+	}
+	if want := `x:7: classes[0].effect: "redoable" is called "idempotent" now; the next release will not read it`; !slices.Contains(was.Warnings, want) {
+		t.Errorf("warnings %q, want %q", was.Warnings, want)
+	}
+	if len(is.Warnings) > 0 {
+		t.Errorf("warnings for names that hold: %q", is.Warnings)
+	}
+	was.Warnings = nil
+	if !reflect.DeepEqual(was, is) {
+		t.Errorf("read as %+v, want %+v", was, is)
+	}
+	both := strings.Replace(good, `"target": "1s"`, `"expected": "1s", "target": "2s"`, 1)
+	if _, err := Parse("x", []byte(both)); err == nil || !strings.Contains(err.Error(), "classes[0].target: stands twice") {
+		t.Errorf("a field by both names: %v", err)
+	}
+}
