--- a/internal/dispatch/listwatch.go
+++ b/internal/dispatch/listwatch.go
@@ -275,13 +275,16 @@
 func (w *listWatch) poll(now loop.Nanos) {
 	name, stamp := w.file, w.stamp
 	go func() {
-		servers, at, err := readHosts(name, stamp)
+		servers, warnings, at, err := readServers(name, stamp)
 		w.d.loop.Post(func() {
 			switch {
 			case err != nil:
 				w.d.log.Warn("list of engines not read", "err", err)
 			case at != w.stamp:
 				w.stamp = at
+				for _, warning := range warnings {
+					w.d.log.Warn("list of engines", "former_name", warning)
+				}
 				if err := w.take(w.d.loop.Now(), w.exit.list.Version()+1, true, servers); err != nil {
 					w.d.log.Warn("list of engines not taken", "file", name, "err", err)
 				}
@@ -291,21 +294,20 @@
 	w.d.loop.At(&w.timer, now+w.every, w.poll)
 }
 
-// readHosts reads a list of engines from a file, unless it is as old as was read before.
-func readHosts(name string, stamp time.Time) ([]fleet.Host, time.Time, error) {
+// readServers reads a list of engines from a file, unless it is as old as was read before.
+func readServers(name string, stamp time.Time) (servers []fleet.Host, warnings []string, at time.Time, err error) {
 	info, err := os.Stat(name)
 	if err != nil || info.ModTime().Equal(stamp) {
-		return nil, stamp, err
+		return nil, nil, stamp, err
 	}
 	text, err := os.ReadFile(name)
 	if err != nil {
-		return nil, stamp, err
+		return nil, nil, stamp, err
 	}
-	var servers []fleet.Host
-	if servers, err = setup.Servers(name, text); err != nil {
-		return nil, stamp, err
+	if servers, warnings, err = setup.Servers(name, text); err != nil {
+		return nil, nil, stamp, err
 	}
-	return servers, info.ModTime(), nil
+	return servers, warnings, info.ModTime(), nil
 }
 
 // close ends the decode server of kept lists; the loop must have ended.
--- a/internal/setup/setup.go
+++ b/internal/setup/setup.go
@@ -346,7 +346,7 @@
 }
 
 // Decode reads any other text of this kind into the struct that v points to: fields by their tag json, those with
-// the tag need must be there. check may add errors about fields by their path.
+// the tag need must be there; former names are read without a word. check may add errors about fields by their path.
 func Decode(name string, text []byte, v any, check func(bad func(path, format string, args ...any))) error {
 	d := &decoder{name: name, text: text, lines: map[string]int{}}
 	d.decode(v)
@@ -402,12 +402,11 @@
 	return err
 }
 
-// Servers reads a list of engines; name stands for the file in errors.
-func Servers(name string, text []byte) ([]fleet.Host, error) {
+// Servers reads a list of engines; name stands for the file in errors. The warnings are about names of the release before.
+func Servers(name string, text []byte) (list []fleet.Host, warnings []string, err error) {
 	var in serverList
 	d := &decoder{name: name, text: text, lines: map[string]int{}}
 	d.decode(&in)
-	var list []fleet.Host
 	seen := map[int64]bool{}
 	for i, h := range in.Servers {
 		if h.ID < 1 || h.ID > 1<<32-1 || seen[h.ID] {
@@ -418,7 +417,7 @@
 			Cell: h.Cell, Health: policy.Health(h.Health), Started: h.Started})
 	}
 	if err := d.err(); err != nil {
-		return nil, err
+		return nil, nil, err
 	}
-	return list, nil
+	return list, d.warnings, nil
 }
--- a/internal/setup/setup_test.go
+++ b/internal/setup/setup_test.go
@@ -119,8 +119,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if hosts, err := Servers("fleet.json", text); err != nil || len(hosts) == 0 {
-		t.Errorf("%d hosts, %v", len(hosts), err)
+	if servers, warnings, err := Servers("fleet.json", text); err != nil || len(servers) == 0 || len(warnings) > 0 {
+		t.Errorf("%d servers, warnings %q, %v", len(servers), warnings, err)
 	}
 }
 
@@ -130,7 +130,7 @@
 		{`{"servers": [{"id": 1, "address": "127.0.0.1:1", "role": "cook"}]}`, `"cook", want one of prefill, decode, mixed`},
 		{`{}`, "servers: is missing"},
 	} {
-		if _, err := Servers("f", []byte(c.text)); err == nil || !strings.Contains(err.Error(), c.want) {
+		if _, _, err := Servers("f", []byte(c.text)); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v, want %q", c.text, err, c.want)
 		}
 	}
@@ -166,3 +166,15 @@
 		t.Errorf("a field by both names: %v", err)
 	}
 }
+
+// TestFormerNamesOfServers: a list of engines written for the release before is read, with its warnings.
+func TestFormerNamesOfServers(t *testing.T) {
+	list, warnings, err := Servers("f", []byte(`{"hosts": [{"id": 1, "address": "127.0.0.1:1", "role": "reader"}, {"id": 2, "address": "127.0.0.1:2", "role": "writer"}]}`))
+	if err != nil || len(list) != 2 || list[0].Role != policy.Prefill || list[1].Role != policy.Decode {
+		t.Fatalf("%+v, %v", list, err)
+	}
+	want := `f:1: servers[1].role: "writer" is called "decode" now; the next release will not read it`
+	if len(warnings) != 3 || !slices.Contains(warnings, want) {
+		t.Errorf("warnings %q, want three and %q", warnings, want)
+	}
+}
--- a/policy/scale_test.go
+++ b/policy/scale_test.go
@@ -112,7 +112,7 @@
 }
 
 // TestLargeListIsTakenInTime: the list of the largest fleet, cell by cell, costs a moment of processor time. Looking for a
-// cell among the servers of all others took ten seconds of it, in which a dispatcher that has just started is not ready.
+// cell among the servers of all others took three quarters of a minute of it, in which a dispatcher that has just started is not ready.
 func TestLargeListIsTakenInTime(t *testing.T) {
 	const limit = 2 * time.Second // a hundred times what it takes
 	begun := time.Now()
