--- a/cmd/docksail/batch.go
+++ b/cmd/docksail/batch.go
@@ -3,6 +3,12 @@
 import (
 	"bytes"
 	"context"
+	"docksail/internal/batchrunner"
+	"docksail/internal/config"
+	"docksail/internal/decide/batchscheduler"
+	"docksail/internal/state/batchstore"
+	"docksail/internal/state/recordstore"
+	"docksail/policy"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -20,38 +26,34 @@
 
 	"github.com/spf13/cobra"
 
-	"docksail/internal/decide/batch"
-	front "docksail/internal/front/batch"
-	"docksail/internal/runner"
-	"docksail/internal/setup"
-	"docksail/internal/state/batches"
-	"docksail/internal/state/vault"
-	"docksail/policy"
+	frontend "docksail/internal/frontend/batch"
 )
 
 const sweepEvery = time.Hour
 
 // startBatches serves the batch API of a dispatcher that listens at an address; stop ends it and waits.
-func startBatches(ctx context.Context, s *setup.Dispatcher, at netip.AddrPort, log *slog.Logger) (stop func(), err error) {
+func startBatches(ctx context.Context, s *config.Dispatcher, at netip.AddrPort, log *slog.Logger) (stop func(), err error) {
 	b := &s.Batch
-	store, err := batches.Open(b.Dir, b.Quota)
+	store, err := batchstore.Open(b.Dir, b.Quota)
 	if err != nil {
 		return nil, err
 	}
-	plan := runner.Plan{Tracks: map[string]runner.Track{}, Target: at.String(), Out: b.Out, First: b.First, Lines: b.Lines, Line: b.Line, Seed: s.Seed}
+	plan := batchrunner.Plan{Tracks: map[string]batchrunner.Track{}, Target: at.String(), Out: b.Out, First: b.First, Lines: b.Lines, Line: b.Line, Seed: s.Seed}
 	if at.Addr().IsUnspecified() {
 		plan.Target = net.JoinHostPort("localhost", fmt.Sprint(at.Port()))
 	}
 	for _, t := range s.Classes {
-		plan.Tracks[t.Name] = runner.Track{Effect: map[policy.Effect]batch.Effect{policy.Idempotent: batch.Redoable, policy.Deduplicated: batch.Labelled,
-			policy.NonIdempotent: batch.Irreversible}[policy.Effect(t.Effect)], Window: t.Window, Patience: t.Timeout}
+		plan.Tracks[t.Name] = batchrunner.Track{Effect: map[policy.Effect]batchscheduler.Effect{
+			policy.Idempotent: batchscheduler.Redoable, policy.Deduplicated: batchscheduler.Labelled,
+			policy.NonIdempotent: batchscheduler.Irreversible,
+		}[policy.Effect(t.Effect)], Window: t.Window, Patience: t.Timeout}
 	}
 	for _, t := range s.Tenants {
 		w := t.Weight
 		if w == 0 {
 			w = t.PerSecond
 		}
-		plan.Tenants = append(plan.Tenants, runner.Tenant{Name: t.Name, Weight: w})
+		plan.Tenants = append(plan.Tenants, batchrunner.Tenant{Name: t.Name, Weight: w})
 	}
 	keys := map[string]string{}
 	for _, k := range b.Keys {
@@ -63,11 +65,11 @@
 		store.Close()
 		return nil, fmt.Errorf("batch API: %w", err)
 	}
-	r, err := runner.New(store, plan, log)
+	r, err := batchrunner.New(store, plan, log)
 	if err != nil {
 		return fail(err)
 	}
-	srv, err := front.New(ctx, store, r, front.Limits{File: b.File, Window: b.Window, Headers: s.Limits.Headers}, keys, log)
+	srv, err := frontend.New(ctx, store, r, frontend.Limits{File: b.File, Window: b.Window, Headers: s.Limits.Headers}, keys, log)
 	if err != nil {
 		return fail(err)
 	}
@@ -192,7 +194,8 @@
 	root.PersistentFlags().StringVar(&c.key, "key", os.Getenv("DOCKSAIL_KEY"), "key; usually from DOCKSAIL_KEY")
 	var window string
 	var wait bool
-	submit := &cobra.Command{Use: "submit FILE", Short: "Hand in a file of lines and begin its batch", Args: cobra.ExactArgs(1),
+	submit := &cobra.Command{
+		Use: "submit FILE", Short: "Hand in a file of lines and begin its batch", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			f, err := os.Open(args[0])
 			if err != nil {
@@ -216,7 +219,7 @@
 			if err := c.call(cmd.Context(), "POST", "/v1/files", form.FormDataContentType(), body, &file); err != nil {
 				return err
 			}
-			q, err := json.Marshal(map[string]any{"input_file_id": file.ID, "endpoint": runner.Endpoint, "completion_window": window})
+			q, err := json.Marshal(map[string]any{"input_file_id": file.ID, "endpoint": batchrunner.Endpoint, "completion_window": window})
 			if err != nil {
 				return err
 			}
@@ -229,11 +232,13 @@
 				return c.follow(cmd, b.ID)
 			}
 			return nil
-		}}
+		},
+	}
 	submit.Flags().StringVar(&window, "window", "24h", "completion window")
 	submit.Flags().BoolVar(&wait, "wait", false, "show progress until it is over")
 	var follow bool
-	status := &cobra.Command{Use: "status BATCH", Short: "Show where a batch stands", Args: cobra.ExactArgs(1),
+	status := &cobra.Command{
+		Use: "status BATCH", Short: "Show where a batch stands", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if follow {
 				return c.follow(cmd, args[0])
@@ -248,10 +253,12 @@
 				fmt.Fprintf(cmd.OutOrStdout(), "  line %d: %s\n", f.Line, f.Message)
 			}
 			return nil
-		}}
+		},
+	}
 	status.Flags().BoolVar(&follow, "follow", false, "show progress until it is over")
 	var lost bool
-	fetch := &cobra.Command{Use: "fetch BATCH", Short: "Write a batch's results to standard output", Args: cobra.ExactArgs(1),
+	fetch := &cobra.Command{
+		Use: "fetch BATCH", Short: "Write a batch's results to standard output", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			var b shownBatch
 			if err := c.call(cmd.Context(), "GET", "/v1/batches/"+args[0], "", nil, &b); err != nil {
@@ -265,9 +272,11 @@
 				return fmt.Errorf("batch %s is %s and has no such file", b.ID, b.Status)
 			}
 			return c.call(cmd.Context(), "GET", "/v1/files/"+id+"/content", "", nil, cmd.OutOrStdout())
-		}}
+		},
+	}
 	fetch.Flags().BoolVar(&lost, "errors", false, "the lines that were lost, and why, in place of the results")
-	cancel := &cobra.Command{Use: "cancel BATCH", Short: "Cancel a batch", Args: cobra.ExactArgs(1),
+	cancel := &cobra.Command{
+		Use: "cancel BATCH", Short: "Cancel a batch", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			var b shownBatch
 			if err := c.call(cmd.Context(), "POST", "/v1/batches/"+args[0]+"/cancel", "", nil, &b); err != nil {
@@ -275,7 +284,8 @@
 			}
 			fmt.Fprintln(cmd.OutOrStdout(), b.Status)
 			return nil
-		}}
+		},
+	}
 	root.AddCommand(submit, status, fetch, cancel, verifyCommand(), compactCommand())
 	return root
 }
@@ -304,9 +314,10 @@
 }
 
 func verifyCommand() *cobra.Command {
-	return &cobra.Command{Use: "verify DIR", Short: "Look at every record and line of a store that no dispatcher has open", Args: cobra.ExactArgs(1),
+	return &cobra.Command{
+		Use: "verify DIR", Short: "Look at every record and line of a store that no dispatcher has open", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			s, err := batches.Open(args[0], 0)
+			s, err := batchstore.Open(args[0], 0)
 			if err != nil {
 				return err
 			}
@@ -323,17 +334,20 @@
 				return fmt.Errorf("%s is damaged", args[0])
 			}
 			return nil
-		}}
+		},
+	}
 }
 
 func compactCommand() *cobra.Command {
-	return &cobra.Command{Use: "compact DIR", Short: "Give back the room that ended batches had in a store that no dispatcher has open", Args: cobra.ExactArgs(1),
+	return &cobra.Command{
+		Use: "compact DIR", Short: "Give back the room that ended batches had in a store that no dispatcher has open", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			before, after, err := vault.Compact(filepath.Join(args[0], "vault"))
+			before, after, err := recordstore.Compact(filepath.Join(args[0], "vault"))
 			if err != nil {
 				return err
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "%d bytes, %d before\n", after, before)
 			return nil
-		}}
+		},
+	}
 }
--- a/cmd/docksail/heldstate_test.go
+++ b/cmd/docksail/heldstate_test.go
@@ -1,12 +1,11 @@
 package main
 
 import (
+	"docksail/internal/lab/soak"
 	"fmt"
 	"net/http"
 	"testing"
 	"time"
-
-	"docksail/internal/lab/soak"
 )
 
 // soakSettings is the settings object of the dispatchers of a soak: release time one second.
--- a/cmd/docksail/lab.go
+++ b/cmd/docksail/lab.go
@@ -2,6 +2,15 @@
 
 import (
 	"context"
+	"docksail/internal/lab/baselinepolicy"
+	"docksail/internal/lab/benchmark"
+	"docksail/internal/lab/calibrate"
+	"docksail/internal/lab/eventlog"
+	"docksail/internal/lab/experiment"
+	"docksail/internal/lab/faultsearch"
+	"docksail/internal/lab/loadgen"
+	"docksail/internal/lab/report"
+	"docksail/internal/lab/scenario"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -17,15 +26,6 @@
 	"google.golang.org/grpc/credentials/insecure"
 
 	pb "docksail/api/docksail/v1"
-	"docksail/internal/lab/book"
-	"docksail/internal/lab/calibrate"
-	"docksail/internal/lab/drill"
-	"docksail/internal/lab/explore"
-	"docksail/internal/lab/load"
-	"docksail/internal/lab/measure"
-	"docksail/internal/lab/plain"
-	"docksail/internal/lab/report"
-	"docksail/internal/lab/trial"
 )
 
 func labCommand() *cobra.Command {
@@ -42,8 +42,8 @@
 		RunE: func(c *cobra.Command, _ []string) error {
 			out := c.OutOrStdout()
 			log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelWarn}))
-			s := drill.Demo()
-			stage, err := drill.Open(s, log)
+			s := scenario.Demo()
+			stage, err := scenario.Open(s, log)
 			if err != nil {
 				return err
 			}
@@ -57,8 +57,10 @@
 			}
 			defer conn.Close()
 			begin := time.Now()
-			stream, err := pb.NewGenerationClient(conn).Generate(ctx, &pb.GenerateRequest{Track: s.Load[0].Name,
-				PromptTokens: 1200, MaxTokens: 40, Session: "demo", Label: "demo", Prompt: []byte("Is my shift confirmed?")})
+			stream, err := pb.NewGenerationClient(conn).Generate(ctx, &pb.GenerateRequest{
+				Track:        s.Load[0].Name,
+				PromptTokens: 1200, MaxTokens: 40, Session: "demo", Label: "demo", Prompt: []byte("Is my shift confirmed?"),
+			})
 			if err != nil {
 				return err
 			}
@@ -93,12 +95,12 @@
 		Short: "Play a scripted day in real time and judge the rules from what passed on the sockets",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			s, err := drill.Load(args[0])
+			s, err := scenario.Load(args[0])
 			if err != nil {
 				return err
 			}
 			log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
-			stage, err := drill.Open(s, log)
+			stage, err := scenario.Open(s, log)
 			if err != nil {
 				return err
 			}
@@ -134,14 +136,14 @@
 		Short: "Play a scripted day in simulated time, with real dispatchers, and judge the rules",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			s, err := drill.Load(args[0])
+			s, err := scenario.Load(args[0])
 			if err != nil {
 				return err
 			}
 			if c.Flags().Changed("seed") {
 				s.Seed = seed
 			}
-			rep, err := trial.Play(c.Context(), s, policy, sample)
+			rep, err := experiment.Play(c.Context(), s, policy, sample)
 			if err != nil {
 				return err
 			}
@@ -151,7 +153,7 @@
 				}
 			}
 			if sums {
-				if err := json.NewEncoder(c.OutOrStdout()).Encode(trial.SumsOf(&rep.Report)); err != nil {
+				if err := json.NewEncoder(c.OutOrStdout()).Encode(experiment.SumsOf(&rep.Report)); err != nil {
 					return err
 				}
 			} else {
@@ -166,7 +168,7 @@
 	}
 	c.Flags().StringVar(&entries, "entries", "", "write what passed on the sockets to this file")
 	c.Flags().Int64Var(&seed, "seed", 0, "in place of the script's")
-	c.Flags().StringVar(&policy, "policy", "", "a textbook policy in the module's place: "+strings.Join(plain.Names, ", "))
+	c.Flags().StringVar(&policy, "policy", "", "a textbook policy in the module's place: "+strings.Join(baselinepolicy.Names, ", "))
 	c.Flags().DurationVar(&sample, "sample", 0, "write the hosts' figures into the entries so often; 0 = never")
 	c.Flags().BoolVar(&sums, "sums", false, "print what it came to as JSON")
 	return c
@@ -179,7 +181,7 @@
 		Short: "Compare variants of a day in simulated time, paired by seed",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			e, err := trial.Load(args[0])
+			e, err := experiment.Load(args[0])
 			if err != nil {
 				return err
 			}
@@ -188,9 +190,9 @@
 			if err != nil {
 				return err
 			}
-			trial.Print(c.OutOrStdout(), rs)
+			experiment.Print(c.OutOrStdout(), rs)
 			if picture != "" {
-				return trial.Plot(rs, picture)
+				return experiment.Plot(rs, picture)
 			}
 			return nil
 		},
@@ -209,7 +211,7 @@
 		Short: "Play random days of a script's fleet in simulated time, look for broken rules and make what breaks one small",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			s, err := drill.Load(args[0])
+			s, err := scenario.Load(args[0])
 			if err != nil {
 				return err
 			}
@@ -217,8 +219,8 @@
 			defer cancel()
 			var bad error
 			finds := 0
-			x := explore.Explorer{Base: s}
-			tried, err := x.Explore(ctx, first, seeds, func(f *explore.Find) {
+			x := faultsearch.Explorer{Base: s}
+			tried, err := x.Explore(ctx, first, seeds, func(f *faultsearch.Find) {
 				finds++
 				name := filepath.Join(into, fmt.Sprintf("found-%d.json", f.Seed))
 				text, err := f.Text()
@@ -259,7 +261,7 @@
 				if err != nil {
 					return err
 				}
-				es, err := book.Read(f)
+				es, err := eventlog.Read(f)
 				f.Close()
 				if err != nil && len(es) == 0 {
 					return fmt.Errorf("%s: %w", name, err)
@@ -276,31 +278,31 @@
 }
 
 func loadCommand() *cobra.Command {
-	p := load.Plan{}
+	p := loadgen.Plan{}
 	c := &cobra.Command{
 		Use:   "load SCRIPT",
 		Short: "Send a script's load to running dispatchers, open loop, with times from when each job was due",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			s, err := drill.Load(args[0])
+			s, err := scenario.Load(args[0])
 			if err != nil {
 				return err
 			}
 			if p.Script = s; p.For == 0 {
 				p.For = s.For
 			}
-			tracks, err := load.Run(c.Context(), p, func(at time.Duration, ended, honoured int64) {
+			tracks, err := loadgen.Run(c.Context(), p, func(at time.Duration, ended, honoured int64) {
 				fmt.Fprintf(os.Stderr, "\r%4.0f s: %d jobs ended, %d honoured", at.Seconds(), ended, honoured)
 			})
 			fmt.Fprintln(os.Stderr)
 			if err != nil {
 				return err
 			}
-			return load.Print(c.OutOrStdout(), tracks)
+			return loadgen.Print(c.OutOrStdout(), tracks)
 		},
 	}
 	c.Flags().StringSliceVar(&p.Targets, "target", []string{"127.0.0.1:7000"}, "addresses of dispatchers")
-	c.Flags().StringVar(&p.Pattern, "pattern", "poisson", "how sessions come: "+strings.Join(load.Patterns, ", "))
+	c.Flags().StringVar(&p.Pattern, "pattern", "poisson", "how sessions come: "+strings.Join(loadgen.Patterns, ", "))
 	c.Flags().StringVar(&p.Record, "record", "", "entries whose sessions' times are played, of the pattern recorded")
 	c.Flags().DurationVar(&p.For, "for", 0, "how long; 0 = the script's")
 	c.Flags().IntVar(&p.Conns, "connections", 2, "to each dispatcher")
@@ -323,12 +325,12 @@
 }
 
 // writeEntries writes what passed to a file.
-func writeEntries(name string, es []book.Entry) error {
+func writeEntries(name string, es []eventlog.Entry) error {
 	f, err := os.Create(name)
 	if err != nil {
 		return err
 	}
-	if err := book.Write(f, es); err != nil {
+	if err := eventlog.Write(f, es); err != nil {
 		f.Close()
 		return err
 	}
@@ -336,7 +338,7 @@
 }
 
 func measureCommand() *cobra.Command {
-	p := measure.Plan{}
+	p := benchmark.Plan{}
 	c := &cobra.Command{
 		Use:   "measure",
 		Short: "Measure a dispatcher beside the plain relay and no relay: CPU, added time, memory",
@@ -347,7 +349,7 @@
 				return err
 			}
 			p.Binary, p.Progress = self, c.OutOrStdout()
-			return measure.Run(c.Context(), p)
+			return benchmark.Run(c.Context(), p)
 		},
 	}
 	c.Flags().IntSliceVar(&p.Streams, "streams", []int{100, 1000, 5000}, "streams at once, one pass for each")
@@ -367,7 +369,7 @@
 		Args:   cobra.NoArgs,
 		Hidden: true,
 		RunE: func(c *cobra.Command, _ []string) error {
-			return measure.Engines(gap, c.InOrStdin(), c.OutOrStdout())
+			return benchmark.Engines(gap, c.InOrStdin(), c.OutOrStdout())
 		},
 	}
 	c.Flags().DurationVar(&gap, "gap", 50*time.Millisecond, "time between the tokens of a stream")
@@ -375,14 +377,14 @@
 }
 
 func baselineCommand() *cobra.Command {
-	var f measure.Fleet
+	var f benchmark.Fleet
 	c := &cobra.Command{
 		Use:    "baseline",
 		Short:  "Run the plain relay until the input ends",
 		Args:   cobra.NoArgs,
 		Hidden: true,
 		RunE: func(c *cobra.Command, _ []string) error {
-			return measure.Baseline(f, c.InOrStdin(), c.OutOrStdout())
+			return benchmark.Baseline(f, c.InOrStdin(), c.OutOrStdout())
 		},
 	}
 	c.Flags().StringArrayVar(&f.Readers, "reader", nil, "address of a reader")
@@ -401,7 +403,7 @@
 			if err != nil {
 				return err
 			}
-			s, cannot, err := drill.Import(text, hosts, dispatchers)
+			s, cannot, err := scenario.Import(text, hosts, dispatchers)
 			if err != nil {
 				return fmt.Errorf("%s: %w", args[0], err)
 			}
--- a/cmd/docksail/main_test.go
+++ b/cmd/docksail/main_test.go
@@ -3,6 +3,9 @@
 import (
 	"bytes"
 	"context"
+	"docksail/internal/lab/engine"
+	"docksail/internal/node"
+	"docksail/policy"
 	"errors"
 	"fmt"
 	"io"
@@ -20,10 +23,7 @@
 	"google.golang.org/grpc/credentials/insecure"
 
 	pb "docksail/api/docksail/v1"
-	exit "docksail/internal/exit/platform"
-	"docksail/internal/lab/engine"
-	"docksail/internal/node"
-	"docksail/policy"
+	backend "docksail/internal/backend/platform"
 )
 
 // The test binary is the program when it is asked to be.
@@ -62,8 +62,10 @@
 	dir := t.TempDir()
 	var hosts []string
 	for i, role := range []pb.Role{pb.Role_ROLE_READER, pb.Role_ROLE_WRITER} {
-		e := engine.New(engine.Spec{ID: i + 1, Role: role, Slots: 8, Queue: 8, Memory: 1 << 20, ReadRate: 1e5, TokenGap: 10 * time.Millisecond,
-			JobsPerSecond: 100, ColdFrom: 1, MoveRate: 1e6, Hold: time.Second}, engine.Simple{}, nil)
+		e := engine.New(engine.Spec{
+			ID: i + 1, Role: role, Slots: 8, Queue: 8, Memory: 1 << 20, ReadRate: 1e5, TokenGap: 10 * time.Millisecond,
+			JobsPerSecond: 100, ColdFrom: 1, MoveRate: 1e6, Hold: time.Second,
+		}, engine.Simple{}, nil)
 		if err := e.Start("127.0.0.1:0"); err != nil {
 			t.Fatal(err)
 		}
@@ -214,11 +216,11 @@
 		want   slog.Level
 	}{
 		"nothing":         {node.Belief{}, slog.LevelDebug},
-		"an attempt out":  {node.Belief{ServerView: exit.ServerView{Out: 1}, Belief: policy.Belief{Writing: 1}}, slog.LevelInfo},
-		"a kept conn":     {node.Belief{ServerView: exit.ServerView{Idle: 1}}, slog.LevelInfo},
+		"an attempt out":  {node.Belief{ServerView: backend.ServerView{Out: 1}, Belief: policy.Belief{Writing: 1}}, slog.LevelInfo},
+		"a kept conn":     {node.Belief{ServerView: backend.ServerView{Idle: 1}}, slog.LevelInfo},
 		"ejected":         {node.Belief{Belief: policy.Belief{Aside: true}}, slog.LevelInfo},
 		"no agreement":    {node.Belief{Belief: policy.Belief{Writing: 1}}, slog.LevelInfo},
-		"a report, alone": {node.Belief{ServerView: exit.ServerView{LoadAge: 5}}, slog.LevelDebug},
+		"a report, alone": {node.Belief{ServerView: backend.ServerView{LoadAge: 5}}, slog.LevelDebug},
 	} {
 		if got := beliefLevel(&c.belief); got != c.want {
 			t.Errorf("%s: level %v, want %v", name, got, c.want)
--- a/cmd/docksail/node.go
+++ b/cmd/docksail/node.go
@@ -2,6 +2,8 @@
 
 import (
 	"context"
+	"docksail/internal/dispatch"
+	"docksail/internal/node"
 	"log/slog"
 	"os"
 	"os/signal"
@@ -9,9 +11,6 @@
 	"time"
 
 	"github.com/spf13/cobra"
-
-	"docksail/internal/dispatch"
-	"docksail/internal/node"
 )
 
 func nodeCommand() *cobra.Command {
--- a/cmd/docksail/serve.go
+++ b/cmd/docksail/serve.go
@@ -3,6 +3,9 @@
 import (
 	"cmp"
 	"context"
+	"docksail/internal/config"
+	"docksail/internal/decide/admission"
+	"docksail/internal/dispatch"
 	"encoding/json"
 	"fmt"
 	"io"
@@ -14,10 +17,6 @@
 	"time"
 
 	"github.com/spf13/cobra"
-
-	"docksail/internal/decide/admission"
-	"docksail/internal/dispatch"
-	"docksail/internal/setup"
 )
 
 func serveCommand() *cobra.Command {
@@ -31,7 +30,7 @@
 			"the weights and limits of tenants; all else stays.",
 		Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			s, err := setup.Load(args[0])
+			s, err := config.Load(args[0])
 			if err != nil {
 				return err
 			}
@@ -80,7 +79,7 @@
 						}
 					}
 				case <-reload:
-					changed, err := setup.Load(args[0])
+					changed, err := config.Load(args[0])
 					if err == nil && !r.Ask(func(d *dispatch.Dispatcher) { err = d.Terms(changed) }) {
 						err = fmt.Errorf("the dispatcher has ended")
 					}
@@ -205,7 +204,7 @@
 		Short: "Say what is wrong with settings, or print what is in force",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			s, err := setup.Load(args[0])
+			s, err := config.Load(args[0])
 			if err != nil {
 				return err
 			}
--- a/cmd/docksail/soak.go
+++ b/cmd/docksail/soak.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"docksail/internal/lab/soak"
 	"fmt"
 	"os"
 	"os/exec"
@@ -8,8 +9,6 @@
 	"time"
 
 	"github.com/spf13/cobra"
-
-	"docksail/internal/lab/soak"
 )
 
 // modelServerCommand runs one stand-in model server of a soak.
--- a/cmd/docksail/soak_test.go
+++ b/cmd/docksail/soak_test.go
@@ -1,13 +1,12 @@
 package main
 
 import (
+	"docksail/internal/lab/soak"
 	"fmt"
 	"os"
 	"strconv"
 	"testing"
 	"time"
-
-	"docksail/internal/lab/soak"
 )
 
 // soakSeeds names, in the environment, how many seeds TestFaultSoak plays; a few seconds each.
--- a/internal/exit/platform/conn.go
+++ b/internal/backend/platform/conn.go
@@ -2,49 +2,48 @@
 
 import (
 	"bytes"
-	"encoding/json"
-	"math/bits"
-	"slices"
-	"strconv"
-
-	"docksail/internal/decide/effects"
+	"docksail/internal/decide/inflight"
 	"docksail/internal/decide/serverconn"
 	"docksail/internal/dispatch"
+	"docksail/internal/eventloop"
 	"docksail/internal/h1"
-	"docksail/internal/loop"
 	"docksail/internal/platformconfig"
 	"docksail/policy"
+	"encoding/json"
+	"math/bits"
+	"slices"
+	"strconv"
 )
 
 // conn is one connection to a server. It carries an attempt, a release, or nothing.
 type conn struct {
 	exit      *Exit
 	server    *server
-	conn      *loop.Conn
+	conn      *eventloop.Conn
 	decoder   h1.Decoder
 	feed      h1.Feeder
 	number    uint64
 	ready     bool
 	idle      bool
 	gone      bool
-	idleSince loop.Nanos // idle since then
+	idleSince eventloop.Nanos // idle since then
 	heapIndex int
 	uses      int // how often
-	timer     loop.Timer
-	onTimer   func(loop.Nanos)
+	timer     eventloop.Timer
+	onTimer   func(eventloop.Nanos)
 
 	request    *dispatch.Request
-	release    *settlement    // whose release it carries
-	settles    *settlement    // the one that waits for the end of an attempt given up on it ...
-	givenUpAt  loop.Nanos     // ... then
-	effect     effects.Effect // what it carries, or carried last
-	sentAt     loop.Nanos     // what it carries was written then
-	written    bool           // to its last byte
-	answered   bool           // something came back
-	headSeen   bool           // its answer's head has come
-	stream     bool           // which is that of a stream
-	events     int            // pieces of it
-	firstBytes []byte         // what has come of a read's answer, or of the first event of a stream
+	release    *settlement     // whose release it carries
+	settles    *settlement     // the one that waits for the end of an attempt given up on it ...
+	givenUpAt  eventloop.Nanos // ... then
+	effect     inflight.Effect // what it carries, or carried last
+	sentAt     eventloop.Nanos // what it carries was written then
+	written    bool            // to its last byte
+	answered   bool            // something came back
+	headSeen   bool            // its answer's head has come
+	stream     bool            // which is that of a stream
+	events     int             // pieces of it
+	firstBytes []byte          // what has come of a read's answer, or of the first event of a stream
 	load       policy.Load
 }
 
@@ -77,13 +76,13 @@
 
 // due closes it when it has stood idle for long enough. If it carries an attempt that is to take a state and is not known to have come to its
 // server, the state is released: beside the attempt, if that may be on its way; else the attempt has come too late.
-func (c *conn) due(now loop.Nanos) {
+func (c *conn) due(now eventloop.Nanos) {
 	req := c.request
 	switch {
 	case c.idle:
 		c.retire()
 	case req == nil || c.effect.KnownArrived():
-	case c.effect.Stage() < effects.Writing:
+	case c.effect.Stage() < inflight.Writing:
 		c.drop()
 		c.exit.dispatcher.Finish(now, req, policy.Unreachable, "", policy.NoLoad)
 		c.exit.loop.Again()
@@ -94,28 +93,28 @@
 }
 
 // armEarlyRelease sets the time at which the state that the attempt is to take has to be released if there is no sign of its arrival.
-func (c *conn) armEarlyRelease(now loop.Nanos) {
+func (c *conn) armEarlyRelease(now eventloop.Nanos) {
 	if at, due := c.request.EarlyRelease(c.effect.Stage(), c.exit.releaseTime); due {
 		c.exit.loop.At(&c.timer, max(at, now+1), c.onTimer)
 	}
 }
 
-func (c *conn) begin(now loop.Nanos) {
+func (c *conn) begin(now eventloop.Nanos) {
 	c.decoder = h1.NewClient(h1.Limits{Head: headMost, Body: 0, Chunk: chunkMost})
 	c.uses++
 	if c.uses > 1 {
 		c.exit.Counts.Rested[restedFor(now-c.idleSince)]++
 	}
 	c.answered = false
-	c.advance(effects.Writing)
+	c.advance(inflight.Writing)
 	c.sentAt, c.written, c.headSeen, c.stream, c.firstBytes, c.load, c.events = now, false, false, false, c.firstBytes[:0], policy.NoLoad, 0
 }
 
 // writeAttempt writes the request as its client sent it; false: it must not be written, and the connection is closed.
-func (c *conn) writeAttempt(now loop.Nanos) bool {
+func (c *conn) writeAttempt(now eventloop.Nanos) bool {
 	req := c.request
 	if err := c.mayWrite(now); err != nil {
-		if err != effects.ErrTooLate {
+		if err != inflight.ErrTooLate {
 			c.exit.violated(req.ClientID, c.server, err)
 		}
 		c.drop()
@@ -139,10 +138,12 @@
 }
 
 // mayWrite tells whether the attempt that the connection carries may be written.
-func (c *conn) mayWrite(now loop.Nanos) error {
+func (c *conn) mayWrite(now eventloop.Nanos) error {
 	s := c.exit.settlements[c.request.ID]
-	return c.request.MayWrite(effects.WriteFacts{Now: now, Before: c.request.WriteBefore, Serving: c.server.health == policy.Serving,
-		Releasing: s != nil && len(s.tries) > 0 && !s.besideRead})
+	return c.request.MayWrite(inflight.WriteFacts{
+		Now: now, Before: c.request.WriteBefore, Serving: c.server.health == policy.Serving,
+		Releasing: s != nil && len(s.tries) > 0 && !s.besideRead,
+	})
 }
 
 // drop takes what the connection carries off it and closes it.
@@ -154,11 +155,11 @@
 }
 
 // writeRelease writes the release that the connection carries.
-func (c *conn) writeRelease(now loop.Nanos) {
+func (c *conn) writeRelease(now eventloop.Nanos) {
 	s := c.release
 	permit, out := c.exit.dispatcher.MayRelease(s.request)
-	if err := effects.MayWriteRelease(permit, s.besideRead); err != nil {
-		if err != effects.ErrOvertaken {
+	if err := inflight.MayWriteRelease(permit, s.besideRead); err != nil {
+		if err != inflight.ErrOvertaken {
 			c.exit.violated(s.name, c.server, err)
 		}
 		s.dropTry(c)
@@ -176,7 +177,7 @@
 
 // ---- What the loop tells.
 
-func (c *conn) Opened(now loop.Nanos) {
+func (c *conn) Opened(now eventloop.Nanos) {
 	c.ready = true
 	switch {
 	case c.request != nil:
@@ -190,17 +191,17 @@
 	}
 }
 
-func (c *conn) Drained(loop.Nanos) {
+func (c *conn) Drained(eventloop.Nanos) {
 	c.written = true
 	if c.carries() {
-		c.advance(effects.Written)
+		c.advance(inflight.Written)
 	}
 	if c.carries() && c.answered {
-		c.advance(effects.Arrived)
+		c.advance(inflight.Arrived)
 	}
 }
 
-func (c *conn) PeerDone(now loop.Nanos) {
+func (c *conn) PeerDone(now eventloop.Nanos) {
 	if c.settles != nil {
 		c.confirm(now)
 		return
@@ -212,7 +213,7 @@
 	c.conn.Close()
 }
 
-func (c *conn) Data(now loop.Nanos, p []byte) {
+func (c *conn) Data(now eventloop.Nanos, p []byte) {
 	c.server.heardAt = now
 	if c.settles != nil { // an answer to what was given up: that is over
 		c.confirm(now)
@@ -225,14 +226,14 @@
 		return
 	}
 	if !c.answered && c.written {
-		c.advance(effects.Arrived)
+		c.advance(inflight.Arrived)
 	}
 	c.answered = true
 	c.feed.Feed(p, func(p []byte) int { return c.take(now, p) })
 }
 
 // take takes the answer apart.
-func (c *conn) take(now loop.Nanos, p []byte) (n int) {
+func (c *conn) take(now eventloop.Nanos, p []byte) (n int) {
 	for !c.gone && (c.request != nil || c.release != nil) {
 		piece, data, k, err := c.decoder.Next(p[n:])
 		n += k
@@ -287,7 +288,7 @@
 
 // event passes on a piece of a stream; the first is held until an event is whole, as a stream that is spoilt before is
 // an attempt that failed.
-func (c *conn) event(now loop.Nanos, data []byte) {
+func (c *conn) event(now eventloop.Nanos, data []byte) {
 	if i := bytes.Index(data, loadLine); i == 0 || i > 0 && data[i-1] == '\n' {
 		line, _, _ := bytes.Cut(data[i+len(loadLine):], []byte{'\n'})
 		c.report(bytes.TrimSpace(line))
@@ -313,14 +314,14 @@
 }
 
 // invalidAnswer ends an attempt or release whose answer cannot be read.
-func (c *conn) invalidAnswer(now loop.Nanos, err error) {
+func (c *conn) invalidAnswer(now eventloop.Nanos, err error) {
 	c.exit.Counts.InvalidAnswers++
 	c.exit.log.Info("answer invalid", "server", c.server.name, "begun", c.request != nil && c.request.Streaming(), "after", now-c.sentAt, "events", c.events, "err", err)
 	c.ended(now, true)
 }
 
 // ended tells what carried on the connection that it is of no more use: spoilt by what came on it, or lost.
-func (c *conn) ended(now loop.Nanos, spoilt bool) {
+func (c *conn) ended(now eventloop.Nanos, spoilt bool) {
 	req, r := c.request, c.release
 	c.drop()
 	switch {
@@ -350,11 +351,11 @@
 }
 
 // answerComplete deals with an answer that has come whole; clean tells that nothing came behind it.
-func (c *conn) answerComplete(now loop.Nanos, clean bool) {
+func (c *conn) answerComplete(now eventloop.Nanos, clean bool) {
 	req, r := c.request, c.release
 	srv := &c.decoder.Head
 	status, turned, begun := srv.Status, srv.Get("x-turned-away") != nil, req != nil && req.Streaming()
-	c.advance(effects.Over)
+	c.advance(inflight.Over)
 	c.request, c.release = nil, nil
 	if clean && c.written && !srv.Close {
 		c.becomeIdle(now)
@@ -407,7 +408,7 @@
 }
 
 // becomeIdle keeps the connection for the next request.
-func (c *conn) becomeIdle(now loop.Nanos) {
+func (c *conn) becomeIdle(now eventloop.Nanos) {
 	if c.server.health == policy.Gone {
 		c.retire()
 		return
@@ -418,7 +419,7 @@
 	c.exit.loop.At(&c.timer, c.exit.keeper.IdleUntil(now), c.onTimer)
 }
 
-func (c *conn) Closed(now loop.Nanos, err error) {
+func (c *conn) Closed(now eventloop.Nanos, err error) {
 	if c.gone {
 		return
 	}
@@ -435,7 +436,7 @@
 // ---- What the dispatcher asks of an attempt.
 
 // End implements dispatch.Attempt. Ending the sending on a connection, or closing it, is how a server learns that an attempt is given up.
-func (c *conn) End(now loop.Nanos) bool {
+func (c *conn) End(now eventloop.Nanos) bool {
 	req := c.request
 	if req == nil {
 		return false
@@ -445,7 +446,7 @@
 	c.request = nil
 	srv, sent, wired := c.server, c.sentAt, c.ready
 	var s *settlement
-	if parting == effects.WatchForEnd {
+	if parting == inflight.WatchForEnd {
 		s = c.exit.settlement(req)
 	}
 	if s != nil {
@@ -461,7 +462,7 @@
 }
 
 // leftBehind takes down that an attempt was lost with its connection: its server may work on it.
-func (c *conn) leftBehind(now loop.Nanos, req *dispatch.Request) {
+func (c *conn) leftBehind(now eventloop.Nanos, req *dispatch.Request) {
 	if s := c.exit.settlement(req); s != nil {
 		s.account.GivenUp(now, now+c.exit.longestWait, false)
 		s.actSoon(now)
@@ -469,7 +470,7 @@
 }
 
 // Ended implements dispatch.Attempt.
-func (c *conn) Ended(loop.Nanos) {}
+func (c *conn) Ended(eventloop.Nanos) {}
 
 // Credit implements dispatch.Attempt.
 func (c *conn) Credit(int) {
@@ -479,9 +480,9 @@
 }
 
 // Stage implements dispatch.Attempt.
-func (c *conn) Stage() effects.Stage { return c.effect.Stage() }
+func (c *conn) Stage() inflight.Stage { return c.effect.Stage() }
 
 // ServerHeard implements dispatch.Attempt.
 func (c *conn) ServerHeard() bool {
-	return c.effect.Stage() >= effects.Writing && c.server.heardAt > c.sentAt
+	return c.effect.Stage() >= inflight.Writing && c.server.heardAt > c.sentAt
 }
--- a/internal/exit/platform/discovery.go
+++ b/internal/backend/platform/discovery.go
@@ -1,14 +1,14 @@
 package platform
 
 import (
+	"docksail/internal/eventloop"
+	"docksail/internal/h1"
 	"encoding/json"
 	"fmt"
 	"net/netip"
 	"strconv"
 
 	decide "docksail/internal/decide/discovery"
-	"docksail/internal/h1"
-	"docksail/internal/loop"
 )
 
 // discovery follows the list.
@@ -21,8 +21,8 @@
 	failures  int            // watches in a row that were not to be had
 	refusals  int            // calls in a row that discovery refused
 	version   int64          // of the last news from addr; -1 = none came from there: a whole list is asked for
-	timer     loop.Timer
-	onTimer   func(loop.Nanos)
+	timer     eventloop.Timer
+	onTimer   func(eventloop.Nanos)
 	onNews    func() // the first news of this process, once
 }
 
@@ -31,7 +31,7 @@
 }
 
 // watch begins a watch, if none at the address is under way or at work.
-func (s *discovery) watch(now loop.Nanos) {
+func (s *discovery) watch(now eventloop.Nanos) {
 	if s.next != nil || s.current != nil && s.current.addr == s.addr {
 		return
 	}
@@ -48,14 +48,14 @@
 }
 
 // retryLater tries again after a while.
-func (s *discovery) retryLater(now loop.Nanos) {
+func (s *discovery) retryLater(now eventloop.Nanos) {
 	wait := decide.RetryAfter(s.failures, s.refusals, s.exit.rng.Float64())
 	s.exit.loop.At(&s.timer, now+max(wait, 1), s.onTimer)
 }
 
 // Discovery has the list watched at another address; the old watch goes when the new one has told something. Versions
 // are a discovery's own: one at another address may count otherwise, so it is asked for the whole list.
-func (x *Exit) Discovery(now loop.Nanos, addr netip.AddrPort) {
+func (x *Exit) Discovery(now eventloop.Nanos, addr netip.AddrPort) {
 	s := &x.discovery
 	if addr == s.addr {
 		return
@@ -72,11 +72,11 @@
 type watch struct {
 	discovery *discovery
 	addr      netip.AddrPort
-	conn      *loop.Conn
+	conn      *eventloop.Conn
 	decoder   h1.Decoder
 	feed      h1.Feeder
 	list      values
-	timer     loop.Timer
+	timer     eventloop.Timer
 	over      bool
 	silent    bool // it was given up as it said nothing
 	refused   bool // the call was answered with another status
@@ -88,7 +88,7 @@
 	w.conn.Close()
 }
 
-func (w *watch) Opened(now loop.Nanos) {
+func (w *watch) Opened(now eventloop.Nanos) {
 	b := []byte("GET /registry/instances?watch=1")
 	if w.discovery.version >= 0 {
 		b = strconv.AppendInt(append(b, "&from="...), w.discovery.version, 10)
@@ -100,14 +100,14 @@
 
 // expectWithin sets the time in which the next sign of life must come: the head of the answer, then whole news or the blank
 // line between them. Bytes of what never becomes whole are none.
-func (w *watch) expectWithin(now loop.Nanos, span int64) {
-	w.discovery.exit.loop.At(&w.timer, now+span, func(loop.Nanos) {
+func (w *watch) expectWithin(now eventloop.Nanos, span int64) {
+	w.discovery.exit.loop.At(&w.timer, now+span, func(eventloop.Nanos) {
 		w.silent = true
 		w.conn.Close()
 	})
 }
 
-func (w *watch) Data(now loop.Nanos, p []byte) {
+func (w *watch) Data(now eventloop.Nanos, p []byte) {
 	w.feed.Feed(p, func(p []byte) (n int) {
 		for !w.over {
 			piece, data, k, err := w.decoder.Next(p[n:])
@@ -155,7 +155,7 @@
 
 // update takes one object of the watch. What an old address tells while the new one has told nothing is taken, whatever
 // its version.
-func (w *watch) update(now loop.Nanos, text []byte) error {
+func (w *watch) update(now eventloop.Nanos, text []byte) error {
 	var list List
 	if err := json.Unmarshal(text, &list); err != nil {
 		return fmt.Errorf("news %.60q: %w", text, err)
@@ -176,10 +176,10 @@
 	return nil
 }
 
-func (w *watch) PeerDone(loop.Nanos) { w.conn.Close() }
-func (w *watch) Drained(loop.Nanos)  {}
+func (w *watch) PeerDone(eventloop.Nanos) { w.conn.Close() }
+func (w *watch) Drained(eventloop.Nanos)  {}
 
-func (w *watch) Closed(now loop.Nanos, err error) {
+func (w *watch) Closed(now eventloop.Nanos, err error) {
 	s := w.discovery
 	s.exit.loop.Cancel(&w.timer)
 	if w.over {
--- a/internal/exit/platform/exit.go
+++ b/internal/backend/platform/exit.go
@@ -5,6 +5,13 @@
 
 import (
 	"context"
+	"docksail/internal/decide/inflight"
+	"docksail/internal/decide/serverconn"
+	"docksail/internal/dispatch"
+	"docksail/internal/eventloop"
+	"docksail/internal/indexedheap"
+	"docksail/internal/platformconfig"
+	"docksail/policy"
 	"log/slog"
 	"maps"
 	"math/rand/v2"
@@ -12,14 +19,6 @@
 	"slices"
 
 	"github.com/cespare/xxhash/v2"
-
-	"docksail/internal/decide/effects"
-	"docksail/internal/decide/serverconn"
-	"docksail/internal/dispatch"
-	"docksail/internal/loop"
-	"docksail/internal/order"
-	"docksail/internal/platformconfig"
-	"docksail/policy"
 )
 
 const (
@@ -73,7 +72,7 @@
 type Exit struct {
 	Counts Counts
 
-	loop        *loop.Loop
+	loop        *eventloop.Loop
 	dispatcher  *dispatch.Dispatcher
 	log         *slog.Logger
 	debug       bool // the log takes lines of single requests
@@ -87,7 +86,7 @@
 	servers     []*server // in the order in which they were first listed
 	byName      map[string]*server
 	byID        map[policy.ServerID]*server
-	idle        order.Heap[*conn] // by since when
+	idle        indexedheap.Heap[*conn] // by since when
 	settlements map[policy.RequestID]*settlement
 	releaseTime int64
 	longestWait int64 // of the classes: a server may work for so long on what was given up
@@ -99,18 +98,22 @@
 }
 
 // New makes the way to the servers for a dispatcher: at most so many connections, discovery at an address.
-func New(l *loop.Loop, d *dispatch.Dispatcher, log *slog.Logger, m *platformconfig.Config, most int, discovery netip.AddrPort) *Exit {
-	x := &Exit{loop: l, dispatcher: d, log: log, debug: log.Enabled(context.Background(), slog.LevelDebug), zones: m.Zones, kinds: m.Kinds, roles: m.Roles, maxConns: most, connect: int64(m.ConnectTimeout),
+func New(l *eventloop.Loop, d *dispatch.Dispatcher, log *slog.Logger, m *platformconfig.Config, most int, discovery netip.AddrPort) *Exit {
+	x := &Exit{
+		loop: l, dispatcher: d, log: log, debug: log.Enabled(context.Background(), slog.LevelDebug), zones: m.Zones, kinds: m.Kinds, roles: m.Roles, maxConns: most, connect: int64(m.ConnectTimeout),
 		keeper: serverconn.Keeper{Idle: int64(m.IdleTimeout)}, releaseTime: int64(m.ReleaseTime), byName: make(map[string]*server),
-		byID: make(map[policy.ServerID]*server), settlements: make(map[policy.RequestID]*settlement)}
+		byID: make(map[policy.ServerID]*server), settlements: make(map[policy.RequestID]*settlement),
+	}
 	if x.connect <= 0 {
 		x.connect = usualReach
 	}
 	x.keeper.Connect = x.connect
-	x.idle = order.Heap[*conn]{Place: func(c *conn) *int { return &c.heapIndex },
+	x.idle = indexedheap.Heap[*conn]{
+		Place: func(c *conn) *int { return &c.heapIndex },
 		Less: func(a, b *conn) bool {
 			return a.idleSince < b.idleSince || a.idleSince == b.idleSince && a.number < b.number
-		}}
+		},
+	}
 	for _, class := range m.Classes {
 		x.longestWait = max(x.longestWait, int64(class.Timeout))
 	}
@@ -130,9 +133,9 @@
 	health    policy.Health
 	startedAt int64
 	conns     []*conn
-	heardAt   loop.Nanos  // last bytes from it
-	load      policy.Load // its last report ...
-	loadAt    loop.Nanos  // ... and when that came
+	heardAt   eventloop.Nanos // last bytes from it
+	load      policy.Load     // its last report ...
+	loadAt    eventloop.Nanos // ... and when that came
 }
 
 // idOf gives a server's number by its name, the same at every dispatcher and in every life but for names whose hashes
@@ -146,13 +149,13 @@
 }
 
 // Start implements dispatch.Exit.
-func (x *Exit) Start(now loop.Nanos) { x.discovery.watch(now) }
+func (x *Exit) Start(now eventloop.Nanos) { x.discovery.watch(now) }
 
 // OnNews has f called with the first news of this process.
 func (x *Exit) OnNews(f func()) { x.discovery.onNews = f }
 
 // Watch implements dispatch.Exit.
-func (x *Exit) Watch(now loop.Nanos) { x.discovery.watch(now) }
+func (x *Exit) Watch(now eventloop.Nanos) { x.discovery.watch(now) }
 
 // Flush implements dispatch.Exit; what is written is queued already.
 func (x *Exit) Flush() {}
@@ -188,7 +191,7 @@
 }
 
 // Each calls f for every server that is known.
-func (x *Exit) Each(now loop.Nanos, f func(ServerView)) {
+func (x *Exit) Each(now eventloop.Nanos, f func(ServerView)) {
 	for _, srv := range x.servers {
 		v := ServerView{ID: srv.id, Name: srv.name, Prefill: srv.role == policy.Prefill, Load: srv.load, LoadAge: -1}
 		if srv.load != policy.NoLoad {
@@ -218,7 +221,7 @@
 
 // Send implements dispatch.Exit. A read waits until what was to be released for the request before is gone: a release
 // that came after it would take its state away.
-func (x *Exit) Send(now loop.Nanos, req *dispatch.Request, _ policy.AttemptNumber) dispatch.Attempt {
+func (x *Exit) Send(now eventloop.Nanos, req *dispatch.Request, _ policy.AttemptNumber) dispatch.Attempt {
 	if s := x.settlements[req.ID]; s != nil && req.Prefill && s.underWay() {
 		s.next = req
 		s.actSoon(now) // not at once: the dispatcher does not know yet that the attempt is held here
@@ -232,7 +235,7 @@
 
 // send has a connection to the request's server carry its attempt; nil if the server takes none, as it may have begun to drain
 // while the attempt waited behind a release.
-func (x *Exit) send(now loop.Nanos, req *dispatch.Request) *conn {
+func (x *Exit) send(now eventloop.Nanos, req *dispatch.Request) *conn {
 	srv := x.byID[req.Server]
 	if srv == nil || srv.health != policy.Serving {
 		return nil
@@ -242,9 +245,9 @@
 		return nil
 	}
 	c.request = req
-	kind := effects.Write
+	kind := inflight.Write
 	if req.Prefill {
-		kind = effects.Read
+		kind = inflight.Read
 	}
 	c.carry(kind)
 	c.armEarlyRelease(now)
@@ -256,7 +259,7 @@
 
 // connTo gives a connection that carries nothing: one that is at hand, if it may be used, else a new one, of so many at most; nil if there can
 // be none.
-func (x *Exit) connTo(now loop.Nanos, srv *server, most int, reuse bool) *conn {
+func (x *Exit) connTo(now eventloop.Nanos, srv *server, most int, reuse bool) *conn {
 	var c *conn
 	if reuse {
 		c = srv.usableConn(now)
@@ -289,7 +292,7 @@
 }
 
 // makeRoom ends a connection that carries nothing: one that rests, else one that is only watched.
-func (x *Exit) makeRoom(now loop.Nanos) bool {
+func (x *Exit) makeRoom(now eventloop.Nanos) bool {
 	if x.idle.Len() > 0 {
 		x.idle.Min().retire()
 		return true
@@ -311,7 +314,7 @@
 }
 
 // restingConn gives the unused connection that was used last, if one may be used again; it may have ended unseen.
-func (srv *server) restingConn(now loop.Nanos) (best *conn) {
+func (srv *server) restingConn(now eventloop.Nanos) (best *conn) {
 	for _, c := range srv.conns {
 		if c.idle && srv.x.keeper.Usable(now, c.idleSince) && (best == nil || c.idleSince > best.idleSince) {
 			best = c
@@ -321,7 +324,7 @@
 }
 
 // usableConn gives the unused connection that was used last, if one is fit; what is found to have ended is dropped.
-func (srv *server) usableConn(now loop.Nanos) *conn {
+func (srv *server) usableConn(now eventloop.Nanos) *conn {
 	for {
 		best := srv.restingConn(now)
 		if best == nil || best.conn.Quiet() {
@@ -333,7 +336,7 @@
 }
 
 // unwatchAll gives up the connections that were to show the end of an attempt: the server is gone, and what it held with it.
-func (srv *server) unwatchAll(now loop.Nanos) {
+func (srv *server) unwatchAll(now eventloop.Nanos) {
 	for _, c := range slices.Clone(srv.conns) {
 		if c.settles != nil {
 			c.unwatch(now, "its server is gone")
@@ -352,7 +355,7 @@
 
 // endUnsent ends attempts to the server whose connections are not up yet, or that wait behind a release: it drains, and by
 // then it may be too late.
-func (srv *server) endUnsent(now loop.Nanos) {
+func (srv *server) endUnsent(now eventloop.Nanos) {
 	for _, id := range slices.Sorted(maps.Keys(srv.x.settlements)) { // in an order that does not change from run to run
 		s := srv.x.settlements[id]
 		if req := s.next; req != nil && req.Server == srv.id {
--- a/internal/exit/platform/exit_test.go
+++ b/internal/backend/platform/exit_test.go
@@ -2,6 +2,11 @@
 
 import (
 	"bufio"
+	"docksail/internal/dispatch"
+	"docksail/internal/eventloop"
+	"docksail/internal/frontend"
+	"docksail/internal/platformconfig"
+	"docksail/policy"
 	"io"
 	"log/slog"
 	"net"
@@ -9,12 +14,6 @@
 	"net/netip"
 	"testing"
 	"time"
-
-	"docksail/internal/dispatch"
-	"docksail/internal/front"
-	"docksail/internal/loop"
-	"docksail/internal/platformconfig"
-	"docksail/policy"
 )
 
 // scriptedModule decides what the test gives it to decide.
@@ -33,6 +32,7 @@
 func (*scriptedModule) Woken(policy.Nanos)                                     {}
 func (*scriptedModule) AttemptEnded(policy.Nanos, policy.RequestID, policy.AttemptNumber, policy.Outcome, policy.Nanos, bool, policy.Load) {
 }
+
 func (m *scriptedModule) Next(policy.Nanos) (policy.Decision, bool) {
 	if len(m.decisions) == 0 {
 		return policy.Decision{}, false
@@ -54,14 +54,14 @@
 // slowCall is a client that has never room: whatever is relayed to it waits.
 type slowCall struct{ served int }
 
-func (*slowCall) Tokens(policy.RequestID, []byte) bool   { return true }
-func (c *slowCall) Served(policy.RequestID)              { c.served++ }
-func (*slowCall) Fail(policy.RequestID, string)          {}
-func (*slowCall) Reject(policy.RequestID, front.Refusal) {}
+func (*slowCall) Tokens(policy.RequestID, []byte) bool      { return true }
+func (c *slowCall) Served(policy.RequestID)                 { c.served++ }
+func (*slowCall) Fail(policy.RequestID, string)             {}
+func (*slowCall) Reject(policy.RequestID, frontend.Refusal) {}
 
 // A connection that was held back for a slow client as its answer ended is read again when it carries the next request.
 func TestHeldBackConnectionIsReadAgain(t *testing.T) {
-	l, err := loop.New()
+	l, err := eventloop.New()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -76,8 +76,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	x := New(l, d, log, &platformconfig.Config{Zones: []string{"z"}, Kinds: []string{"decode"}, Roles: []policy.Role{policy.Decode},
-		IdleTimeout: 15e9, ReleaseTime: 1e9, ConnectTimeout: 250e6}, 10, netip.AddrPort{})
+	x := New(l, d, log, &platformconfig.Config{
+		Zones: []string{"z"}, Kinds: []string{"decode"}, Roles: []policy.Role{policy.Decode},
+		IdleTimeout: 15e9, ReleaseTime: 1e9, ConnectTimeout: 250e6,
+	}, 10, netip.AddrPort{})
 	d.Attach(noClients{}, x)
 	x.Known(0, List{Full: true, Servers: []Server{{ID: "w1", Addr: host.Addr().String(), Zone: "z", Kind: "decode", State: "Ready"}}})
 	done := make(chan error)
@@ -90,7 +92,7 @@
 	}
 	ask := func() {
 		on(func() {
-			id, err := d.Arrive(l.Now(), call, &front.Request{Class: []byte("a"), ClientID: []byte("n"), Path: []byte("/"), Raw: []byte("x"), Prompt: 1})
+			id, err := d.Arrive(l.Now(), call, &frontend.Request{Class: []byte("a"), ClientID: []byte("n"), Path: []byte("/"), Raw: []byte("x"), Prompt: 1})
 			if err != nil {
 				t.Error(err)
 			}
--- a/internal/exit/platform/list.go
+++ b/internal/backend/platform/list.go
@@ -1,15 +1,14 @@
 package platform
 
 import (
+	"docksail/internal/dispatch"
+	"docksail/internal/eventloop"
+	"docksail/policy"
 	"encoding/json"
 	"errors"
 	"fmt"
 	"net/netip"
 	"slices"
-
-	"docksail/internal/dispatch"
-	"docksail/internal/loop"
-	"docksail/policy"
 )
 
 // List is the platform's list of servers, or changes of it.
@@ -69,13 +68,13 @@
 var states = map[string]policy.Health{"Ready": policy.Serving, "Terminating": policy.Draining, "Gone": policy.Gone}
 
 // Known takes the list that the process was started with.
-func (x *Exit) Known(now loop.Nanos, list List) {
+func (x *Exit) Known(now eventloop.Nanos, list List) {
 	x.discovery.version = list.Version
 	x.Take(now, list)
 }
 
 // Take hands news of the list on.
-func (x *Exit) Take(now loop.Nanos, list List) {
+func (x *Exit) Take(now eventloop.Nanos, list List) {
 	x.Counts.ListUpdates++
 	for _, err := range list.Unreadable {
 		x.log.Warn("line of the list not taken", "err", err)
@@ -94,7 +93,7 @@
 
 // entries takes the lines of a list. It gives the servers that the list names, and those that a whole list leaves out: they are
 // gone.
-func (x *Exit) entries(now loop.Nanos, module dispatch.Module, list List) []*server {
+func (x *Exit) entries(now eventloop.Nanos, module dispatch.Module, list List) []*server {
 	changed := make([]*server, 0, len(list.Servers))
 	named := make(map[*server]bool, len(list.Servers))
 	for _, e := range list.Servers {
@@ -124,7 +123,7 @@
 }
 
 // applyHealth has a server's connections follow what the list says of it now.
-func (srv *server) applyHealth(now loop.Nanos) {
+func (srv *server) applyHealth(now eventloop.Nanos) {
 	if srv.health != policy.Serving {
 		srv.endUnsent(now)
 	}
@@ -136,7 +135,7 @@
 }
 
 // entry takes one line.
-func (x *Exit) entry(now loop.Nanos, mod dispatch.Module, e Server) error {
+func (x *Exit) entry(now eventloop.Nanos, mod dispatch.Module, e Server) error {
 	health, ok := states[e.State]
 	zone, kind := slices.Index(x.zones, e.Zone), slices.Index(x.kinds, e.Kind)
 	srv := x.byName[e.ID]
--- a/internal/exit/platform/list_test.go
+++ b/internal/backend/platform/list_test.go
@@ -1,21 +1,20 @@
 package platform
 
 import (
+	"docksail/internal/dispatch"
+	"docksail/internal/eventloop"
+	"docksail/internal/platformconfig"
+	"docksail/policy"
 	"fmt"
 	"log/slog"
 	"net/netip"
 	"testing"
-
-	"docksail/internal/dispatch"
-	"docksail/internal/loop"
-	"docksail/internal/platformconfig"
-	"docksail/policy"
 )
 
 // largeExit is the way to a fleet of so many servers.
 func largeExit(tb testing.TB, servers int) (*Exit, []Server) {
 	tb.Helper()
-	l, err := loop.New()
+	l, err := eventloop.New()
 	if err != nil {
 		tb.Fatal(err)
 	}
--- a/internal/exit/platform/settlement.go
+++ b/internal/backend/platform/settlement.go
@@ -1,30 +1,29 @@
 package platform
 
 import (
-	"slices"
-
-	"docksail/internal/decide/effects"
+	"docksail/internal/decide/inflight"
 	"docksail/internal/decide/serverconn"
 	"docksail/internal/dispatch"
-	"docksail/internal/loop"
+	"docksail/internal/eventloop"
 	"docksail/policy"
+	"slices"
 )
 
 // settlement carries out what effects.Settlement decides for one request: it sends releases, and watches the connections of
 // attempts that were given up for their end. It outlives the request.
 type settlement struct {
 	exit       *Exit
-	account    effects.Settlement
+	account    inflight.Settlement
 	request    policy.RequestID
 	name       []byte            // the client's name for the request
 	tries      []*conn           // that carry a release without an answer
 	besideRead bool              // they were begun while a read was out
 	round      int               // of tries since one was answered
 	tried      []policy.ServerID // in these rounds
-	retryAt    loop.Nanos        // the next round
+	retryAt    eventloop.Nanos   // the next round
 	watched    []*conn           // that show the end of an attempt given up
-	timer      loop.Timer
-	onTimer    func(loop.Nanos)
+	timer      eventloop.Timer
+	onTimer    func(eventloop.Nanos)
 	next       *dispatch.Request // a read of the request that waits for its release
 	acting     bool
 	over       bool
@@ -35,18 +34,18 @@
 	if s := x.settlements[req.ID]; s != nil {
 		return s
 	}
-	if !effects.MaySettle(len(x.settlements)) {
+	if !inflight.MaySettle(len(x.settlements)) {
 		x.releaseLost(req.ClientID, "too many are under way", 0, 0)
 		return nil
 	}
-	s := &settlement{exit: x, account: effects.NewSettlement(x.releaseTime, x.keeper.Idle), request: req.ID, name: slices.Clone(req.ClientID)}
+	s := &settlement{exit: x, account: inflight.NewSettlement(x.releaseTime, x.keeper.Idle), request: req.ID, name: slices.Clone(req.ClientID)}
 	s.onTimer = s.act
 	x.settlements[req.ID] = s
 	return s
 }
 
 // Release implements dispatch.Exit: any server that runs takes a release.
-func (x *Exit) Release(now loop.Nanos, req *dispatch.Request, _ policy.ServerID, _ policy.AttemptNumber, since loop.Nanos) {
+func (x *Exit) Release(now eventloop.Nanos, req *dispatch.Request, _ policy.ServerID, _ policy.AttemptNumber, since eventloop.Nanos) {
 	s := x.settlement(req)
 	if s == nil {
 		return
@@ -60,10 +59,10 @@
 func (s *settlement) underWay() bool { return s.account.Owed() || len(s.tries) > 0 }
 
 // actSoon has the settlement act at the end of the turn: what else becomes of the request in it is known by then.
-func (s *settlement) actSoon(now loop.Nanos) { s.exit.loop.At(&s.timer, now, s.onTimer) }
+func (s *settlement) actSoon(now eventloop.Nanos) { s.exit.loop.At(&s.timer, now, s.onTimer) }
 
 // act does what is due now.
-func (s *settlement) act(now loop.Nanos) {
+func (s *settlement) act(now eventloop.Nanos) {
 	if s.acting || s.over {
 		return
 	}
@@ -76,27 +75,27 @@
 	}
 	action, at := s.account.Next(now, permit, out)
 	switch action {
-	case effects.Send:
+	case inflight.Send:
 		if now >= s.retryAt {
-			s.besideRead = permit == effects.Reluctantly
+			s.besideRead = permit == inflight.Reluctantly
 			s.sendRound(now)
 		}
 		x.loop.At(&s.timer, max(s.retryAt, now+1), s.onTimer)
-	case effects.Wait:
+	case inflight.Wait:
 		x.loop.At(&s.timer, max(at, now+1), s.onTimer)
 		s.sendNext(now)
-	case effects.Expired:
+	case inflight.Expired:
 		s.expire(now)
 		s.end(now)
-	case effects.Settled:
+	case inflight.Settled:
 		s.end(now)
 	}
 }
 
 // sendRound sends the release by some servers that have not been asked yet, and passes over those to which there is no connection to be had.
-func (s *settlement) sendRound(now loop.Nanos) {
+func (s *settlement) sendRound(now eventloop.Nanos) {
 	s.retryAt = now + s.account.RoundTimeout(s.round)
-	for sent, anew := 0, false; sent < effects.Parallel(s.round); {
+	for sent, anew := 0, false; sent < inflight.Parallel(s.round); {
 		srv, again := s.chooseServer(now)
 		if srv == nil {
 			break
@@ -117,19 +116,19 @@
 }
 
 // sendBy sends the release by a server; false: there is no connection to be had.
-func (s *settlement) sendBy(now loop.Nanos, srv *server) bool {
+func (s *settlement) sendBy(now eventloop.Nanos, srv *server) bool {
 	x := s.exit
 	c := x.connTo(now, srv, x.maxConns, true)
 	if c == nil {
 		return false
 	}
 	x.Counts.ReleaseTries++
-	if len(s.tries) >= effects.MostTries {
+	if len(s.tries) >= inflight.MostTries {
 		s.dropTry(s.tries[0])
 	}
 	c.release = s
 	s.tries = append(s.tries, c)
-	c.carry(effects.Release)
+	c.carry(inflight.Release)
 	if c.ready {
 		c.writeRelease(now)
 	}
@@ -137,13 +136,15 @@
 }
 
 // chooseServer gives the server by which a release goes next; nil if there is none. again: it has been asked already.
-func (s *settlement) chooseServer(now loop.Nanos) (srv *server, again bool) {
+func (s *settlement) chooseServer(now eventloop.Nanos) (srv *server, again bool) {
 	x := s.exit
 	for {
 		x.candidates = x.candidates[:0]
 		for _, srv := range x.servers {
-			x.candidates = append(x.candidates, serverconn.Candidate{Heard: srv.heardAt, Ready: srv.restingConn(now) != nil,
-				Tried: slices.Contains(s.tried, srv.id), Gone: srv.health == policy.Gone})
+			x.candidates = append(x.candidates, serverconn.Candidate{
+				Heard: srv.heardAt, Ready: srv.restingConn(now) != nil,
+				Tried: slices.Contains(s.tried, srv.id), Gone: srv.health == policy.Gone,
+			})
 		}
 		i := serverconn.Choose(x.candidates, s.round)
 		if i < 0 {
@@ -156,7 +157,7 @@
 }
 
 // releaseAnswered is when a server has answered a release.
-func (s *settlement) releaseAnswered(now loop.Nanos, c *conn, status int) {
+func (s *settlement) releaseAnswered(now eventloop.Nanos, c *conn, status int) {
 	x := s.exit
 	s.forget(c)
 	if status/100 != 2 {
@@ -172,7 +173,7 @@
 	if owed {
 		x.Counts.ReleaseSlowest = max(x.Counts.ReleaseSlowest, held)
 	}
-	if owed && held > x.releaseTime+effects.HeldSlack {
+	if owed && held > x.releaseTime+inflight.HeldSlack {
 		x.Counts.ReleasesLate++
 		x.log.Warn("release late", "request", string(s.name), "server", c.server.name, "held", held, "tries", len(s.tried))
 	}
@@ -188,7 +189,7 @@
 
 // tryLost is when the connection of a release has ended without an answer. Other servers are asked when the round is over; at once if
 // none has it.
-func (s *settlement) tryLost(now loop.Nanos, c *conn) {
+func (s *settlement) tryLost(now eventloop.Nanos, c *conn) {
 	s.forget(c)
 	if len(s.tries) == 0 && len(s.tried) < len(s.exit.servers) {
 		s.retryAt = now
@@ -217,7 +218,7 @@
 }
 
 // sendNext sends the read that waits, once no release is under way that could take its state.
-func (s *settlement) sendNext(now loop.Nanos) {
+func (s *settlement) sendNext(now eventloop.Nanos) {
 	req := s.next
 	if req == nil || s.underWay() {
 		return
@@ -233,7 +234,7 @@
 }
 
 // expire takes down that something may be left.
-func (s *settlement) expire(now loop.Nanos) {
+func (s *settlement) expire(now eventloop.Nanos) {
 	if s.account.Owed() {
 		s.exit.log.Warn("release given up", "request", string(s.name), "tries", len(s.tried), "held", s.account.HeldFor(now))
 		return
@@ -242,7 +243,7 @@
 }
 
 // end ends the settlement: a read that waits is sent.
-func (s *settlement) end(now loop.Nanos) {
+func (s *settlement) end(now eventloop.Nanos) {
 	x := s.exit
 	s.over = true
 	x.loop.Cancel(&s.timer)
@@ -268,19 +269,19 @@
 // ---- A read that waits for the release, as the dispatcher holds it.
 
 // End implements dispatch.Attempt for a read that waits.
-func (s *settlement) End(loop.Nanos) bool {
+func (s *settlement) End(eventloop.Nanos) bool {
 	s.next = nil
 	return false
 }
 
 // Ended implements dispatch.Attempt.
-func (s *settlement) Ended(loop.Nanos) {}
+func (s *settlement) Ended(eventloop.Nanos) {}
 
 // Credit implements dispatch.Attempt.
 func (s *settlement) Credit(int) {}
 
 // Stage implements dispatch.Attempt.
-func (s *settlement) Stage() effects.Stage { return effects.Planned }
+func (s *settlement) Stage() inflight.Stage { return inflight.Planned }
 
 // ServerHeard implements dispatch.Attempt.
 func (s *settlement) ServerHeard() bool { return false }
@@ -289,7 +290,7 @@
 
 // watch keeps the connection of an attempt that is given up: its sending is ended, which is how the server learns of it, and the server's
 // own end tells that it has.
-func (c *conn) watch(now loop.Nanos, s *settlement) {
+func (c *conn) watch(now eventloop.Nanos, s *settlement) {
 	c.settles, c.givenUpAt = s, now
 	c.exit.loop.Cancel(&c.timer)
 	c.conn.Pause(false)
@@ -300,7 +301,7 @@
 }
 
 // unwatch gives up a connection that was to show the end of an attempt.
-func (c *conn) unwatch(now loop.Nanos, why string) {
+func (c *conn) unwatch(now eventloop.Nanos, why string) {
 	s := c.settles
 	c.stopWatching(s)
 	c.exit.Counts.Unconfirmed++
@@ -312,7 +313,7 @@
 }
 
 // watchLost is when a watched connection broke.
-func (c *conn) watchLost(now loop.Nanos) {
+func (c *conn) watchLost(now eventloop.Nanos) {
 	if c.settles.account.ShowsEnd(now, c.givenUpAt, false) {
 		c.confirm(now)
 		return
@@ -321,12 +322,12 @@
 }
 
 // confirm takes down that the server has shown the end of an attempt that was given up.
-func (c *conn) confirm(now loop.Nanos) {
+func (c *conn) confirm(now eventloop.Nanos) {
 	s := c.settles
 	c.stopWatching(s)
 	c.exit.Counts.Confirmed++
 	if c.exit.debug {
-		c.exit.log.Debug("effect", "request", string(s.name), "kind", c.effect.Kind, "from", effects.GivenUp, "to", effects.Over, "server", c.server.name, "conn", c.number, "uses", c.uses)
+		c.exit.log.Debug("effect", "request", string(s.name), "kind", c.effect.Kind, "from", inflight.GivenUp, "to", inflight.Over, "server", c.server.name, "conn", c.number, "uses", c.uses)
 	}
 	s.account.Confirmed(now)
 	s.actSoon(now)
--- a/internal/exit/platform/settlement_test.go
+++ b/internal/backend/platform/settlement_test.go
@@ -1,20 +1,19 @@
 package platform
 
 import (
+	"docksail/internal/dispatch"
+	"docksail/internal/eventloop"
+	"docksail/internal/platformconfig"
+	"docksail/policy"
 	"log/slog"
 	"net"
 	"net/netip"
 	"testing"
-
-	"docksail/internal/dispatch"
-	"docksail/internal/loop"
-	"docksail/internal/platformconfig"
-	"docksail/policy"
 )
 
 // A release does not wait for another round where a server cannot even be dialed: the next one is asked.
 func TestReleasePassesOverServerThatCannotBeDialed(t *testing.T) {
-	l, err := loop.New()
+	l, err := eventloop.New()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/exit/platform/trace.go
+++ b/internal/backend/platform/trace.go
@@ -1,20 +1,20 @@
 package platform
 
-import "docksail/internal/decide/effects"
+import "docksail/internal/decide/inflight"
 
 // carries tells that an attempt or a release is on the connection.
 func (c *conn) carries() bool { return c.request != nil || c.release != nil }
 
 // carry takes down that the connection is to carry something from now on.
-func (c *conn) carry(kind effects.Kind) {
-	c.effect = effects.New(kind)
+func (c *conn) carry(kind inflight.Kind) {
+	c.effect = inflight.New(kind)
 	if !c.ready {
-		c.advance(effects.Connecting)
+		c.advance(inflight.Connecting)
 	}
 }
 
 // advance takes down how far what the connection carries has come. A change that cannot be is counted and logged.
-func (c *conn) advance(to effects.Stage) {
+func (c *conn) advance(to inflight.Stage) {
 	from, x := c.effect.Stage(), c.exit
 	if err := c.effect.Advance(to); err != nil {
 		x.violated([]byte(c.requestName()), c.server, err)
@@ -35,11 +35,11 @@
 // cannot have come there.
 func (c *conn) abandon() {
 	switch {
-	case !c.carries() || c.effect.Stage() == effects.Over:
+	case !c.carries() || c.effect.Stage() == inflight.Over:
 	case c.effect.MayHaveArrived():
-		c.advance(effects.GivenUp)
+		c.advance(inflight.GivenUp)
 	default:
-		c.advance(effects.Over)
+		c.advance(inflight.Over)
 	}
 }
 
--- a/internal/exit/platform/values.go
+++ b/internal/backend/platform/values.go
@@ -1,9 +1,8 @@
 package platform
 
 import (
-	"fmt"
-
 	"docksail/internal/h1"
+	"fmt"
 )
 
 const listMost = 8 << 20 // bytes of one object
--- a/internal/runner/runner.go
+++ b/internal/batchrunner/runner.go
@@ -1,12 +1,14 @@
-// Package runner sends the lines of batches through the dispatcher as background jobs, and keeps what comes of them. It
+// Package batchrunner sends the lines of batches through the dispatcher as background jobs, and keeps what comes of them. It
 // binds the store (internal/state/batches) and the scheduler (internal/decide/batch) to a gRPC client of the
 // dispatcher's own door: nothing reaches an engine past the door and the decision module. It decides nothing.
-package runner
+package batchrunner
 
 import (
 	"bufio"
 	"bytes"
 	"context"
+	"docksail/internal/decide/batchscheduler"
+	"docksail/internal/state/batchstore"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -27,8 +29,6 @@
 	"google.golang.org/grpc/status"
 
 	pb "docksail/api/docksail/v1"
-	"docksail/internal/decide/batch"
-	"docksail/internal/state/batches"
 )
 
 // Endpoint is what lines may ask for.
@@ -36,7 +36,7 @@
 
 // Track is what the runner has to know of a track.
 type Track struct {
-	Effect   batch.Effect
+	Effect   batchscheduler.Effect
 	Window   time.Duration
 	Patience time.Duration
 }
@@ -62,7 +62,7 @@
 // Runner is at work from Run on.
 type Runner struct {
 	p       Plan
-	s       *batches.Store
+	s       *batchstore.Store
 	log     *slog.Logger
 	client  pb.GenerationClient
 	conn    *grpc.ClientConn
@@ -70,10 +70,10 @@
 	begin   time.Time
 
 	mu     sync.Mutex
-	sch    *batch.Scheduler
+	sch    *batchscheduler.Scheduler
 	active map[string]*active // by the batch's name
-	byID   map[batch.ID]*active
-	last   batch.ID
+	byID   map[batchscheduler.ID]*active
+	last   batchscheduler.ID
 	wake   chan struct{}
 	wg     sync.WaitGroup
 	Counts Counts
@@ -84,8 +84,8 @@
 
 // active is a batch under way.
 type active struct {
-	id         batch.ID
-	b          batches.Batch
+	id         batchscheduler.ID
+	b          batchstore.Batch
 	track      string
 	cancel     context.CancelFunc // of its lines
 	ctx        context.Context
@@ -96,12 +96,14 @@
 }
 
 // New makes a runner.
-func New(s *batches.Store, p Plan, log *slog.Logger) (*Runner, error) {
+func New(s *batchstore.Store, p Plan, log *slog.Logger) (*Runner, error) {
 	if len(p.Tenants) == 0 {
 		p.Tenants = []Tenant{{Weight: 1}}
 	}
-	r := &Runner{p: p, s: s, log: log, tenants: map[string]int{}, active: map[string]*active{}, byID: map[batch.ID]*active{},
-		wake: make(chan struct{}, 1), begin: time.Now()}
+	r := &Runner{
+		p: p, s: s, log: log, tenants: map[string]int{}, active: map[string]*active{}, byID: map[batchscheduler.ID]*active{},
+		wake: make(chan struct{}, 1), begin: time.Now(),
+	}
 	var weights []float64
 	for i, t := range p.Tenants {
 		r.tenants[t.Name] = i
@@ -109,7 +111,7 @@
 	}
 	chance := rand.New(rand.NewPCG(p.Seed, 0x6261746368))
 	var err error
-	if r.sch, err = batch.New(weights, int64(p.First), p.Out, chance.Float64); err != nil {
+	if r.sch, err = batchscheduler.New(weights, int64(p.First), p.Out, chance.Float64); err != nil {
 		return nil, err
 	}
 	if r.conn, err = grpc.NewClient(p.Target, grpc.WithTransportCredentials(insecure.NewCredentials()),
@@ -195,7 +197,7 @@
 }
 
 // Submit takes a batch that the store has as validating.
-func (r *Runner) Submit(ctx context.Context, b batches.Batch) {
+func (r *Runner) Submit(ctx context.Context, b batchstore.Batch) {
 	r.wg.Add(1)
 	go func() {
 		defer r.wg.Done()
@@ -206,9 +208,9 @@
 }
 
 // carryOn takes a batch up wherever it stands.
-func (r *Runner) carryOn(ctx context.Context, b batches.Batch) (err error) {
-	if b.State == batch.Validating {
-		if b, err = r.validate(b); err != nil || b.State != batch.InProgress {
+func (r *Runner) carryOn(ctx context.Context, b batchstore.Batch) (err error) {
+	if b.State == batchscheduler.Validating {
+		if b, err = r.validate(b); err != nil || b.State != batchscheduler.InProgress {
 			return err
 		}
 	}
@@ -217,24 +219,24 @@
 		return fmt.Errorf("tenant %q is not there any more", b.Tenant)
 	}
 	a := &active{b: b, parent: ctx}
-	var entries []batch.Entry
-	var recovered []batch.Line
+	var entries []batchscheduler.Entry
+	var recovered []batchscheduler.Line
 	type end struct {
-		n    batch.Line
-		l    batches.Line
+		n    batchscheduler.Line
+		l    batchstore.Line
 		code string
 		why  string
 	}
 	var ends []end
 	track := Track{}
-	if err := r.s.Lines(b.ID, func(n batch.Line, l batches.Line, rotten error) error {
+	if err := r.s.Lines(b.ID, func(n batchscheduler.Line, l batchstore.Line, rotten error) error {
 		for int(n) > len(entries) { // a record is missing
-			ends = append(ends, end{batch.Line(len(entries)), batches.Line{}, "rotten", "its record is missing"})
-			entries = append(entries, batch.Entry{At: batch.Lost})
+			ends = append(ends, end{batchscheduler.Line(len(entries)), batchstore.Line{}, "rotten", "its record is missing"})
+			entries = append(entries, batchscheduler.Entry{At: batchscheduler.Lost})
 		}
 		if rotten != nil {
 			ends = append(ends, end{n, l, "rotten", rotten.Error()})
-			entries = append(entries, batch.Entry{At: batch.Lost})
+			entries = append(entries, batchscheduler.Entry{At: batchscheduler.Lost})
 			return nil
 		}
 		if a.track == "" {
@@ -244,13 +246,13 @@
 				track = r.p.Tracks[a.track]
 			}
 		}
-		at, mayHaveRun := batch.Recover(l.At, track.Effect)
+		at, mayHaveRun := batchscheduler.Recover(l.At, track.Effect)
 		if mayHaveRun {
-			ends = append(ends, end{n, l, "may_have_run", batch.MayHaveRun})
+			ends = append(ends, end{n, l, "may_have_run", batchscheduler.MayHaveRun})
 		} else if at != l.At {
 			recovered = append(recovered, n)
 		}
-		entries = append(entries, batch.Entry{Cost: float64(l.Cost), Group: l.Group, At: at})
+		entries = append(entries, batchscheduler.Entry{Cost: float64(l.Cost), Group: l.Group, At: at})
 		return nil
 	}); err != nil {
 		return err
@@ -269,12 +271,14 @@
 	a.id = r.last
 	left := time.Until(time.Unix(b.Expires, 0))
 	a.ctx, a.cancel = context.WithDeadline(ctx, time.Now().Add(left))
-	if err := r.sch.Add(batch.Batch{ID: a.id, Tenant: tenant, Effect: track.Effect, Window: int64(track.Window), Ends: r.now() + int64(left),
-		Lines: entries}); err != nil {
+	if err := r.sch.Add(batchscheduler.Batch{
+		ID: a.id, Tenant: tenant, Effect: track.Effect, Window: int64(track.Window), Ends: r.now() + int64(left),
+		Lines: entries,
+	}); err != nil {
 		return err
 	}
 	r.active[b.ID], r.byID[a.id] = a, a
-	if b.State == batch.Cancelling || b.State == batch.Finalizing {
+	if b.State == batchscheduler.Cancelling || b.State == batchscheduler.Finalizing {
 		r.sch.Stop(a.id)
 	}
 	r.nudge()
@@ -344,11 +348,11 @@
 const mostFaults = 50 // told of one file
 
 // validate reads a batch's file and writes its lines, or says what is wrong with it. Memory holds no text.
-func (r *Runner) validate(b batches.Batch) (batches.Batch, error) {
-	var faults []batches.Fault
+func (r *Runner) validate(b batchstore.Batch) (batchstore.Batch, error) {
+	var faults []batchstore.Fault
 	bad := func(line int, code, format string, args ...any) {
 		if len(faults) < mostFaults {
-			faults = append(faults, batches.Fault{Line: line, Code: code, Message: fmt.Sprintf(format, args...)})
+			faults = append(faults, batchstore.Fault{Line: line, Code: code, Message: fmt.Sprintf(format, args...)})
 		}
 	}
 	n, err := r.scan(b, bad)
@@ -358,13 +362,13 @@
 	if n == 0 && len(faults) == 0 {
 		bad(0, "empty_file", "the file has no lines")
 	}
-	to := batch.InProgress
+	to := batchscheduler.InProgress
 	if len(faults) > 0 {
-		to = batch.Failed
+		to = batchscheduler.Failed
 	}
-	return r.s.Change(b.ID, to, func(b *batches.Batch) {
+	return r.s.Change(b.ID, to, func(b *batchstore.Batch) {
 		b.Total, b.Faults = n, faults
-		if to == batch.Failed {
+		if to == batchscheduler.Failed {
 			b.Ended = time.Now().Unix()
 		} else {
 			b.InProgress = time.Now().Unix()
@@ -372,18 +376,18 @@
 	})
 }
 
-func (r *Runner) scan(b batches.Batch, bad func(line int, code, format string, args ...any)) (int, error) {
+func (r *Runner) scan(b batchstore.Batch, bad func(line int, code, format string, args ...any)) (int, error) {
 	f, err := r.s.Input(b.Input)
 	if err != nil {
 		return 0, err
 	}
 	defer f.Close()
 	in := bufio.NewReaderSize(f, 64<<10)
-	var chunk []batches.Line
+	var chunk []batchstore.Line
 	seen := map[uint64]bool{} // hashes of names: of a hundred thousand two fall together once in billions of files
 	model, n, offset := "", 0, int64(0)
 	flush := func() error {
-		err := r.s.AddLines(b.ID, batch.Line(n-len(chunk)), chunk)
+		err := r.s.AddLines(b.ID, batchscheduler.Line(n-len(chunk)), chunk)
 		chunk = chunk[:0]
 		return err
 	}
@@ -443,8 +447,10 @@
 			} else if len(q.Body.Prompt) > groupBytes {
 				group = max(xxhash.Sum64String(q.Body.Prompt[:groupBytes]), 1)
 			}
-			chunk = append(chunk, batches.Line{Offset: at, Length: int32(len(line)), Sum: crc32.ChecksumIEEE(line), Group: group,
-				Cost: float32(q.Body.PromptTokens + answerCost*q.Body.MaxTokens/2), Custom: q.Custom})
+			chunk = append(chunk, batchstore.Line{
+				Offset: at, Length: int32(len(line)), Sum: crc32.ChecksumIEEE(line), Group: group,
+				Cost: float32(q.Body.PromptTokens + answerCost*q.Body.MaxTokens/2), Custom: q.Custom,
+			})
 			n++
 			if len(chunk) >= scanChunk {
 				if err := flush(); err != nil {
@@ -459,20 +465,20 @@
 }
 
 // Cancel has nothing more of a batch go out; what is out ends by itself or is called back, and the rest is given up.
-func (r *Runner) Cancel(tenant, id string) (batches.Batch, error) {
+func (r *Runner) Cancel(tenant, id string) (batchstore.Batch, error) {
 	b, err := r.s.Batch(tenant, id)
 	if err != nil {
 		return b, err
 	}
-	if b.State == batch.Cancelling || b.State == batch.Cancelled {
+	if b.State == batchscheduler.Cancelling || b.State == batchscheduler.Cancelled {
 		return b, nil
 	}
-	if b, err = r.s.Change(id, batch.Cancelling, func(b *batches.Batch) { b.Cancelling = time.Now().Unix() }); err != nil {
+	if b, err = r.s.Change(id, batchscheduler.Cancelling, func(b *batchstore.Batch) { b.Cancelling = time.Now().Unix() }); err != nil {
 		return b, err
 	}
 	r.mu.Lock()
 	if a := r.active[id]; a != nil {
-		a.b.State = batch.Cancelling
+		a.b.State = batchscheduler.Cancelling
 		r.sch.Stop(a.id)
 		a.cancel()
 	}
@@ -494,7 +500,7 @@
 }
 
 // line sends one line's job and keeps what comes of it.
-func (r *Runner) line(a *active, n batch.Line) {
+func (r *Runner) line(a *active, n batchscheduler.Line) {
 	l, err := r.s.Line(a.b.ID, n)
 	var text []byte
 	var q *request
@@ -504,22 +510,24 @@
 		}
 	}
 	if err != nil { // it has rotted: this line is lost, with its name
-		r.ended(a, n, l, batch.Bad, 0, "rotten", err.Error(), nil)
+		r.ended(a, n, l, batchscheduler.Bad, 0, "rotten", err.Error(), nil)
 		return
 	}
 	track := r.p.Tracks[q.Body.Model]
-	if track.Effect != batch.Redoable { // before it goes out it is on disk that it may
-		if err := r.s.Mark(a.b.ID, n, batch.Out); err != nil {
+	if track.Effect != batchscheduler.Redoable { // before it goes out it is on disk that it may
+		if err := r.s.Mark(a.b.ID, n, batchscheduler.Out); err != nil {
 			r.log.Error("line not sent", "batch", a.b.ID, "line", n+1, "err", err)
-			r.ended(a, n, l, batch.Nacked, int64(time.Second), "", "", nil)
+			r.ended(a, n, l, batchscheduler.Nacked, int64(time.Second), "", "", nil)
 			return
 		}
 	}
 	deadline, _ := a.ctx.Deadline()
 	ctx := metadata.AppendToOutgoingContext(a.ctx, "docksail-background", "1")
-	req := &pb.GenerateRequest{Track: q.Body.Model, Tenant: a.b.Tenant, PromptTokens: uint32(q.Body.PromptTokens), MaxTokens: uint32(q.Body.MaxTokens),
+	req := &pb.GenerateRequest{
+		Track: q.Body.Model, Tenant: a.b.Tenant, PromptTokens: uint32(q.Body.PromptTokens), MaxTokens: uint32(q.Body.MaxTokens),
 		Beginning: q.Body.Beginning, BeginningTokens: uint32(q.Body.BeginningTokens), Client: q.Body.User, Prompt: []byte(q.Body.Prompt),
-		Label: a.b.ID + "/" + q.Custom, PatienceNs: uint64(min(track.Patience, max(time.Until(deadline), time.Millisecond)))}
+		Label: a.b.ID + "/" + q.Custom, PatienceNs: uint64(min(track.Patience, max(time.Until(deadline), time.Millisecond))),
+	}
 	stream, err := r.client.Generate(ctx, req)
 	var answer strings.Builder
 	tokens := 0
@@ -535,7 +543,7 @@
 		if md, e := stream.Header(); e == nil && len(md.Get("docksail-job")) > 0 {
 			job = md.Get("docksail-job")[0]
 		}
-		r.ended(a, n, l, batch.Served, 0, "", "", doneText(a.b.ID, n, q, job, answer.String(), tokens))
+		r.ended(a, n, l, batchscheduler.Served, 0, "", "", doneText(a.b.ID, n, q, job, answer.String(), tokens))
 		return
 	}
 	var push []string
@@ -544,55 +552,55 @@
 	}
 	switch st := status.Convert(err); {
 	case a.ctx.Err() != nil && len(push) == 0: // called back: by a cancel, the window's end, or our own
-		r.ended(a, n, l, batch.Broken, 0, "called_back", "called back while it was out", nil)
+		r.ended(a, n, l, batchscheduler.Broken, 0, "called_back", "called back while it was out", nil)
 	case (st.Code() == codes.Unavailable || st.Code() == codes.ResourceExhausted) && len(push) > 0:
 		ms, _ := strconv.ParseInt(push[0], 10, 64)
-		r.ended(a, n, l, batch.Nacked, max(ms, 0)*1e6, "", st.Message(), nil)
+		r.ended(a, n, l, batchscheduler.Nacked, max(ms, 0)*1e6, "", st.Message(), nil)
 	case st.Code() == codes.Aborted:
-		r.ended(a, n, l, batch.Abandoned, 0, "abandoned", st.Message(), nil)
+		r.ended(a, n, l, batchscheduler.Abandoned, 0, "abandoned", st.Message(), nil)
 	case st.Code() == codes.InvalidArgument:
-		r.ended(a, n, l, batch.Bad, 0, "invalid_request", st.Message(), nil)
+		r.ended(a, n, l, batchscheduler.Bad, 0, "invalid_request", st.Message(), nil)
 	default:
-		r.ended(a, n, l, batch.Broken, 0, "connection_lost", st.Message(), nil)
+		r.ended(a, n, l, batchscheduler.Broken, 0, "connection_lost", st.Message(), nil)
 	}
 }
 
 // ended has the scheduler judge how a line ended, and keeps it if it is over. The result is on disk before the line
 // counts as over.
-func (r *Runner) ended(a *active, n batch.Line, l batches.Line, how batch.How, after int64, code, why string, text []byte) {
-	if how == batch.Served {
+func (r *Runner) ended(a *active, n batchscheduler.Line, l batchstore.Line, how batchscheduler.How, after int64, code, why string, text []byte) {
+	if how == batchscheduler.Served {
 		if err := r.s.End(a.b.ID, n, true, text); err != nil {
 			r.log.Error("result not kept", "batch", a.b.ID, "line", n+1, "err", err)
-			how = batch.Broken // a redoable line is done anew; any other says that it may have run
+			how = batchscheduler.Broken // a redoable line is done anew; any other says that it may have run
 			code, why = "result_not_kept", err.Error()
 		}
 	}
 	r.mu.Lock()
 	verdict, reason := r.sch.Ended(r.now(), a.id, n, how, after)
 	switch {
-	case how == batch.Served:
+	case how == batchscheduler.Served:
 		r.Counts.Served++
-	case how == batch.Nacked:
+	case how == batchscheduler.Nacked:
 		r.Counts.Nacked++
 	}
 	switch verdict {
-	case batch.GoAgain:
+	case batchscheduler.GoAgain:
 		r.Counts.Again++
-	case batch.IsLost:
+	case batchscheduler.IsLost:
 		r.Counts.Lost++
 	}
 	a.ending++
-	cancelled := a.b.State == batch.Cancelling
+	cancelled := a.b.State == batchscheduler.Cancelling
 	stopping := a.parent.Err() != nil && !cancelled && !a.expired
 	r.mu.Unlock()
 	switch {
-	case verdict == batch.IsLost && stopping: // the process ends: the next one takes it up by what is on disk
-	case verdict == batch.IsLost:
-		if reason == batch.MayHaveRun || reason == batch.LabelIsOver {
+	case verdict == batchscheduler.IsLost && stopping: // the process ends: the next one takes it up by what is on disk
+	case verdict == batchscheduler.IsLost:
+		if reason == batchscheduler.MayHaveRun || reason == batchscheduler.LabelIsOver {
 			code = "may_have_run"
 		} else if cancelled {
-			code, reason = "batch_cancelled", batch.ByCancel
-		} else if reason == batch.WindowOver {
+			code, reason = "batch_cancelled", batchscheduler.ByCancel
+		} else if reason == batchscheduler.WindowOver {
 			code = "batch_expired"
 		}
 		if why != "" {
@@ -601,8 +609,8 @@
 		if err := r.s.End(a.b.ID, n, false, lostText(a.b.ID, n, l.Custom, code, reason)); err != nil {
 			r.log.Error("end not kept", "batch", a.b.ID, "line", n+1, "err", err)
 		}
-	case verdict == batch.GoAgain && how == batch.Nacked && l.At != batch.Waiting:
-		if err := r.s.Mark(a.b.ID, n, batch.Waiting); err != nil {
+	case verdict == batchscheduler.GoAgain && how == batchscheduler.Nacked && l.At != batchscheduler.Waiting:
+		if err := r.s.Mark(a.b.ID, n, batchscheduler.Waiting); err != nil {
 			r.log.Error("line not marked", "batch", a.b.ID, "line", n+1, "err", err)
 		}
 	}
@@ -615,16 +623,16 @@
 const finishAgain = 2 * time.Second // a disk that was full may have room then
 
 // finish gives up the rest of a batch, if there is any, and writes its files.
-func (r *Runner) finish(ctx context.Context, a *active, rest []batch.Line) {
+func (r *Runner) finish(ctx context.Context, a *active, rest []batchscheduler.Line) {
 	r.mu.Lock()
 	state, expired := a.b.State, a.expired
 	r.mu.Unlock()
-	final, code, why := batch.Completed, "", ""
+	final, code, why := batchscheduler.Completed, "", ""
 	switch {
-	case state == batch.Cancelling:
-		final, code, why = batch.Cancelled, "batch_cancelled", batch.ByCancel
+	case state == batchscheduler.Cancelling:
+		final, code, why = batchscheduler.Cancelled, "batch_cancelled", batchscheduler.ByCancel
 	case len(rest) > 0 || expired:
-		final, code, why = batch.Expired, "batch_expired", batch.WindowOver
+		final, code, why = batchscheduler.Expired, "batch_expired", batchscheduler.WindowOver
 	}
 	if ctx.Err() != nil {
 		return
@@ -650,8 +658,8 @@
 	r.mu.Unlock()
 }
 
-func (r *Runner) finalize(a *active, rest []batch.Line, final batch.State, code, why string) error {
-	if err := r.s.EndRest(a.b.ID, rest, func(n batch.Line, l batches.Line) []byte {
+func (r *Runner) finalize(a *active, rest []batchscheduler.Line, final batchscheduler.State, code, why string) error {
+	if err := r.s.EndRest(a.b.ID, rest, func(n batchscheduler.Line, l batchstore.Line) []byte {
 		return lostText(a.b.ID, n, l.Custom, code, why)
 	}); err != nil {
 		return err
@@ -660,8 +668,8 @@
 	if err != nil {
 		return err
 	}
-	if b.State != batch.Finalizing {
-		if b, err = r.s.Change(b.ID, batch.Finalizing, func(b *batches.Batch) { b.Final, b.Finalizing = final, time.Now().Unix() }); err != nil {
+	if b.State != batchscheduler.Finalizing {
+		if b, err = r.s.Change(b.ID, batchscheduler.Finalizing, func(b *batchstore.Batch) { b.Final, b.Finalizing = final, time.Now().Unix() }); err != nil {
 			return err
 		}
 	}
@@ -669,7 +677,7 @@
 	return err
 }
 
-func lineID(id string, n batch.Line) string {
+func lineID(id string, n batchscheduler.Line) string {
 	return fmt.Sprintf("batch_req_%s_%d", strings.TrimPrefix(id, "batch_"), n+1)
 }
 
@@ -691,18 +699,19 @@
 	Message string `json:"message"`
 }
 
-func doneText(id string, n batch.Line, q *request, job, answer string, tokens int) []byte {
+func doneText(id string, n batchscheduler.Line, q *request, job, answer string, tokens int) []byte {
 	b, err := json.Marshal(outLine{ID: lineID(id, n), Custom: q.Custom, Response: &response{Status: 200, Request: job, Body: map[string]any{
 		"id": "cmpl-" + job, "object": "text_completion", "model": q.Body.Model,
 		"choices": []any{map[string]any{"index": 0, "text": answer, "finish_reason": "stop", "logprobs": nil}},
-		"usage":   map[string]any{"prompt_tokens": q.Body.PromptTokens, "completion_tokens": tokens, "total_tokens": q.Body.PromptTokens + tokens}}}})
+		"usage":   map[string]any{"prompt_tokens": q.Body.PromptTokens, "completion_tokens": tokens, "total_tokens": q.Body.PromptTokens + tokens},
+	}}})
 	if err != nil {
 		panic(err) // made of texts and numbers
 	}
 	return b
 }
 
-func lostText(id string, n batch.Line, custom, code, why string) []byte {
+func lostText(id string, n batchscheduler.Line, custom, code, why string) []byte {
 	b, err := json.Marshal(outLine{ID: lineID(id, n), Custom: custom, Error: &outError{code, why}})
 	if err != nil {
 		panic(err)
--- a/internal/setup/setup.go
+++ b/internal/config/config.go
@@ -1,17 +1,16 @@
-package setup
+package config
 
 import (
 	"crypto/sha256"
+	"docksail/internal/decide/admission"
+	"docksail/internal/state/endpointlist"
+	"docksail/policy"
 	"encoding/hex"
 	"fmt"
 	"net/netip"
 	"os"
 	"strings"
 	"time"
-
-	"docksail/internal/decide/admission"
-	"docksail/internal/state/fleet"
-	"docksail/policy"
 )
 
 // Dispatcher is what one dispatcher is told at its start.
@@ -268,8 +267,14 @@
 		for _, v := range []struct {
 			name string
 			n    float64
-		}{{"file_bytes", float64(b.File)}, {"line_bytes", float64(b.Line)}, {"lines", float64(b.Lines)}, {"lines_out", float64(b.Out)},
-			{"again_after", float64(b.First)}, {"longest_window", float64(b.Window)}} {
+		}{
+			{"file_bytes", float64(b.File)},
+			{"line_bytes", float64(b.Line)},
+			{"lines", float64(b.Lines)},
+			{"lines_out", float64(b.Out)},
+			{"again_after", float64(b.First)},
+			{"longest_window", float64(b.Window)},
+		} {
 			above("batch."+v.name, v.n)
 		}
 		for i, k := range b.Keys {
@@ -289,10 +294,19 @@
 		name string
 		n    int
 		low  int
-	}{{"requests", s.Limits.Requests, 1}, {"connections", s.Limits.Connections, 1}, {"streams", s.Limits.Streams, 1},
-		{"stream_window", s.Limits.StreamWindow, 1 << 10}, {"message_bytes", s.Limits.Message, 1 << 10},
-		{"header_bytes", s.Limits.Headers, 1 << 10}, {"prompt_tokens", s.Limits.Prompt, 1}, {"requests_waiting", s.Limits.Waiting, 1}, {"partial_bytes", s.Limits.Partial, s.Limits.Message}, {"clients_known", s.Limits.Clients, 1},
-		{"output_bytes", s.Limits.Output, 64 << 10}} {
+	}{
+		{"requests", s.Limits.Requests, 1},
+		{"connections", s.Limits.Connections, 1},
+		{"streams", s.Limits.Streams, 1},
+		{"stream_window", s.Limits.StreamWindow, 1 << 10},
+		{"message_bytes", s.Limits.Message, 1 << 10},
+		{"header_bytes", s.Limits.Headers, 1 << 10},
+		{"prompt_tokens", s.Limits.Prompt, 1},
+		{"requests_waiting", s.Limits.Waiting, 1},
+		{"partial_bytes", s.Limits.Partial, s.Limits.Message},
+		{"clients_known", s.Limits.Clients, 1},
+		{"output_bytes", s.Limits.Output, 64 << 10},
+	} {
 		if l.n < l.low || l.n > 1<<30 {
 			d.bad("limits."+l.name, "is %d, want %d to %d", l.n, l.low, 1<<30)
 		}
@@ -325,11 +339,15 @@
 	}
 	return policy.New(seed, policy.Identity{Number: s.Number, Count: s.Count, Zone: zone}, tracks, tenants,
 		[]policy.Role{policy.Prefill, policy.Decode, policy.Mixed},
-		policy.ColdStart{From: s.Cold.From, Warm: policy.Nanos(s.Cold.Warm), Multiple: s.Cold.Multiple,
-			Window: policy.Nanos(s.Cold.Window)},
+		policy.ColdStart{
+			From: s.Cold.From, Warm: policy.Nanos(s.Cold.Warm), Multiple: s.Cold.Multiple,
+			Window: policy.Nanos(s.Cold.Window),
+		},
 		policy.AttemptLimits{Most: s.Attempts.Most, Cancel: s.Attempts.Cancel, DecodeReads: s.Attempts.DecodeReads},
-		policy.Answering{Slack: 0, Round: policy.Nanos(s.Answers.Round), Advice: s.Answers.Advice,
-			MaxAdvice: policy.Nanos(s.Answers.MaxAdvice)},
+		policy.Answering{
+			Slack: 0, Round: policy.Nanos(s.Answers.Round), Advice: s.Answers.Advice,
+			MaxAdvice: policy.Nanos(s.Answers.MaxAdvice),
+		},
 		policy.Listing{Within: policy.Nanos(s.Fleet.Retry)}, policy.Nanos(s.Rules.Release))
 }
 
@@ -337,10 +355,12 @@
 func (s *Dispatcher) PolicyClasses() []policy.Class {
 	var tracks []policy.Class
 	for _, t := range s.Classes {
-		tracks = append(tracks, policy.Class{Target: policy.Nanos(t.Target),
+		tracks = append(tracks, policy.Class{
+			Target:      policy.Nanos(t.Target),
 			TargetPer1k: policy.Nanos(t.TargetPer1k), Timeout: policy.Nanos(t.Timeout), Value: t.Value,
 			LateValue: t.LateValue, TokenGap: policy.Nanos(t.TokenGap), Effect: policy.Effect(t.Effect),
-			Group: policy.Group(t.Group), Window: policy.Nanos(t.Window)})
+			Group: policy.Group(t.Group), Window: policy.Nanos(t.Window),
+		})
 	}
 	return tracks
 }
@@ -358,12 +378,16 @@
 
 // Usual gives the settings that hold where a file says nothing.
 func Usual() *Dispatcher {
-	return &Dispatcher{Count: 1, Attempts: AttemptLimits{Most: 5, Cancel: true, Connect: time.Second},
+	return &Dispatcher{
+		Count: 1, Attempts: AttemptLimits{Most: 5, Cancel: true, Connect: time.Second},
 		Answers: Answers{Ahead: 20 * time.Millisecond, Round: time.Millisecond, Advice: true, MaxAdvice: time.Minute},
 		Batch:   Batch{File: 200 << 20, Line: 1 << 20, Lines: 100000, Out: 64, First: 500 * time.Millisecond, Window: 7 * 24 * time.Hour},
 		Fleet:   Fleet{Retry: 4 * time.Second}, Rules: Rules{Drain: 500 * time.Millisecond}, Drain: 30 * time.Second,
-		Limits: Limits{Partial: 256 << 20, Waiting: 10000, Clients: 16384, Requests: 20000, Connections: 20000, Streams: 10000, StreamWindow: 64 << 10, Message: 4 << 20,
-			Headers: 16 << 10, Prompt: 1 << 20, Output: 4 << 20}}
+		Limits: Limits{
+			Partial: 256 << 20, Waiting: 10000, Clients: 16384, Requests: 20000, Connections: 20000, Streams: 10000, StreamWindow: 64 << 10, Message: 4 << 20,
+			Headers: 16 << 10, Prompt: 1 << 20, Output: 4 << 20,
+		},
+	}
 }
 
 // serverList is a list of engines as a file has it.
@@ -403,7 +427,7 @@
 }
 
 // Servers reads a list of engines; name stands for the file in errors. The warnings are about names of the release before.
-func Servers(name string, text []byte) (list []fleet.Host, warnings []string, err error) {
+func Servers(name string, text []byte) (list []endpointlist.Host, warnings []string, err error) {
 	var in serverList
 	d := &decoder{name: name, text: text, lines: map[string]int{}}
 	d.decode(&in)
@@ -413,8 +437,10 @@
 			d.bad(fmt.Sprintf("servers[%d].id", i), "%d is out of range or stands twice, want a number of its own above 0", h.ID)
 		}
 		seen[h.ID] = true
-		list = append(list, fleet.Host{ID: policy.ServerID(h.ID), Address: h.Address, Role: policy.Role(h.Role), Zone: h.Zone,
-			Cell: h.Cell, Health: policy.Health(h.Health), Started: h.Started})
+		list = append(list, endpointlist.Host{
+			ID: policy.ServerID(h.ID), Address: h.Address, Role: policy.Role(h.Role), Zone: h.Zone,
+			Cell: h.Cell, Health: policy.Health(h.Health), Started: h.Started,
+		})
 	}
 	if err := d.err(); err != nil {
 		return nil, nil, err
--- a/internal/setup/setup_test.go
+++ b/internal/config/config_test.go
@@ -1,14 +1,13 @@
-package setup
+package config
 
 import (
+	"docksail/policy"
 	"os"
 	"reflect"
 	"slices"
 	"strings"
 	"testing"
 	"time"
-
-	"docksail/policy"
 )
 
 const good = `// comments are fine
@@ -46,11 +45,15 @@
 		{`"zone": "a"`, `"zoen": "a"`, `x:4: zoen: no such field, want one of listen,`},
 		{`"zone": "a"`, `"zone": 7`, `x:4: zone: want a text, not 7`},
 		{`"zone": "a"`, `"zone": "a", "zone": "b"`, `x:4: zone: stands twice`},
-		{`"target": "1s", "timeout": "5s", "token_gap": "50ms", "effect": "idempotent"`, `"timeout": "5s", "token_gap": "50ms", "effect": "idempotent"`,
-			`x:7: classes[0].target: is missing, want the time in which`},
+		{
+			`"target": "1s", "timeout": "5s", "token_gap": "50ms", "effect": "idempotent"`, `"timeout": "5s", "token_gap": "50ms", "effect": "idempotent"`,
+			`x:7: classes[0].target: is missing, want the time in which`,
+		},
 		{`"effect": "idempotent"`, `"effect": "safe"`, `x:7: classes[0].effect: "safe", want one of idempotent, deduplicated, non_idempotent`},
-		{`"timeout": "5s", "token_gap": "50ms", "effect": "deduplicated"`, `"timeout": "5", "token_gap": "50ms", "effect": "deduplicated"`,
-			`x:8: classes[1].timeout: "5" is no length of time`},
+		{
+			`"timeout": "5s", "token_gap": "50ms", "effect": "deduplicated"`, `"timeout": "5", "token_gap": "50ms", "effect": "deduplicated"`,
+			`x:8: classes[1].timeout: "5" is no length of time`,
+		},
 		{`"window": "3s"`, `"window": "0s"`, `x:8: classes[1].window: is 0, want more than 0`},
 		{`"name": "notice"`, `"name": "question"`, `x:8: classes[1].name: "question" is empty or stands twice`},
 		{`"from": 0.3`, `"from": 30`, `x:10: cold_start.from: is 30, want more than 0 and at most 1`},
--- a/internal/setup/decode.go
+++ b/internal/config/decode.go
@@ -1,6 +1,6 @@
-// Package setup reads the settings of a dispatcher: JSON with comments, checked strictly. An error names the
+// Package config reads the settings of a dispatcher: JSON with comments, checked strictly. An error names the
 // file, the line, the field and what was wanted; all errors of a file are told at once.
-package setup
+package config
 
 import (
 	"bytes"
--- a/internal/setup/print.go
+++ b/internal/config/print.go
@@ -1,12 +1,11 @@
-package setup
+package config
 
 import (
 	"bytes"
+	"docksail/policy"
 	"encoding/json"
 	"reflect"
 	"time"
-
-	"docksail/policy"
 )
 
 // MarshalText gives the name.
--- a/internal/decide/abuse/abuse.go
+++ b/internal/decide/abuse/abuse.go
@@ -25,9 +25,11 @@
 // request taken or byte-carrying frame brings. A client that opens and cancels at leisure stays far below; one
 // that resets as fast as it opens is let do so for one full set of streams. Each request that came whole may be reset once as
 // its end is under way: many whose time is up at once are.
-var burst = [acts]float64{Reset: 200, Ping: 20, Settings: 10, Empty: 200, Update: 2000, Fault: 50, Crossed: 200}
-var perSecond = [acts]float64{Reset: 100, Ping: 2, Settings: 1, Empty: 50, Update: 1000, Fault: 10, Crossed: 50}
-var perUse = [acts]float64{Reset: 0.5, Ping: 1, Settings: 0, Empty: 0.25, Update: 4, Fault: 0, Crossed: 1}
+var (
+	burst     = [acts]float64{Reset: 200, Ping: 20, Settings: 10, Empty: 200, Update: 2000, Fault: 50, Crossed: 200}
+	perSecond = [acts]float64{Reset: 100, Ping: 2, Settings: 1, Empty: 50, Update: 1000, Fault: 10, Crossed: 50}
+	perUse    = [acts]float64{Reset: 0.5, Ping: 1, Settings: 0, Empty: 0.25, Update: 4, Fault: 0, Crossed: 1}
+)
 
 // credit is how many of each use may bring ahead: streams that are open together may end, and be reset, together.
 var credit = [acts]float64{Crossed: 10000}
--- a/internal/decide/admission/bookings.go
+++ b/internal/decide/admission/bookings.go
@@ -137,8 +137,10 @@
 	if len(b) != ticketSize || !hmac.Equal(s.sign(b[:ticketSize-16]), b[ticketSize-16:]) {
 		return nil, ErrTicket
 	}
-	return &Ticket{Tenant: int(binary.BigEndian.Uint64(b)), Client: binary.BigEndian.Uint64(b[8:]),
-		Slot: int64(binary.BigEndian.Uint64(b[16:])), Serial: binary.BigEndian.Uint32(b[24:])}, nil
+	return &Ticket{
+		Tenant: int(binary.BigEndian.Uint64(b)), Client: binary.BigEndian.Uint64(b[8:]),
+		Slot: int64(binary.BigEndian.Uint64(b[16:])), Serial: binary.BigEndian.Uint32(b[24:]),
+	}, nil
 }
 
 const (
--- a/internal/decide/admission/flows.go
+++ b/internal/decide/admission/flows.go
@@ -1,9 +1,8 @@
 package admission
 
 import (
+	"docksail/internal/indexedheap"
 	"slices"
-
-	"docksail/internal/order"
 )
 
 type queuedRequest struct {
@@ -24,7 +23,7 @@
 	key      flowKey
 	tenant   *tenant
 	weight   float64
-	requests order.Heap[*queuedRequest]
+	requests indexedheap.Heap[*queuedRequest]
 	start    float64 // start tag of its next request
 	order    uint64
 	at       int // place in the tenant's heap
@@ -42,11 +41,11 @@
 	Tenant
 	n       int
 	flows   map[flowKey]*flow
-	active  order.Heap[*flow]
-	heavy   order.Heap[*flow] // the same, the heaviest first
-	virtual float64           // virtual time of its flows
-	start   float64           // start tag of its next request among tenants
-	at      int               // place in the queue's heap
+	active  indexedheap.Heap[*flow]
+	heavy   indexedheap.Heap[*flow] // the same, the heaviest first
+	virtual float64                 // virtual time of its flows
+	start   float64                 // start tag of its next request among tenants
+	at      int                     // place in the queue's heap
 	waiting int
 	running int
 	tokens  float64 // of its rate
--- a/internal/decide/admission/heaps.go
+++ b/internal/decide/admission/heaps.go
@@ -1,6 +1,6 @@
 package admission
 
-import "docksail/internal/order"
+import "docksail/internal/indexedheap"
 
 // A flow's requests stand by when they are due, all waiting requests by when it is too late for them, a tenant's flows and the
 // tenants by their start tags.
@@ -8,28 +8,30 @@
 func byDue(a, b *queuedRequest) bool {
 	return a.startBy < b.startBy || a.startBy == b.startBy && a.order < b.order
 }
+
 func byLate(a, b *queuedRequest) bool {
 	return a.tooLateAt < b.tooLateAt || a.tooLateAt == b.tooLateAt && a.order < b.order
 }
+
 func byStart(a, b *flow) bool {
 	return a.start < b.start || a.start == b.start && a.order < b.order
 }
 func byTenant(a, b *tenant) bool { return a.start < b.start || a.start == b.start && a.n < b.n }
 
-func requestHeap() order.Heap[*queuedRequest] {
-	return order.Heap[*queuedRequest]{Less: byDue, Place: func(w *queuedRequest) *int { return &w.at }}
+func requestHeap() indexedheap.Heap[*queuedRequest] {
+	return indexedheap.Heap[*queuedRequest]{Less: byDue, Place: func(w *queuedRequest) *int { return &w.at }}
 }
 
-func lateHeap() order.Heap[*queuedRequest] {
-	return order.Heap[*queuedRequest]{Less: byLate, Place: func(w *queuedRequest) *int { return &w.overdueIndex }}
+func lateHeap() indexedheap.Heap[*queuedRequest] {
+	return indexedheap.Heap[*queuedRequest]{Less: byLate, Place: func(w *queuedRequest) *int { return &w.overdueIndex }}
 }
 
-func flowHeap() order.Heap[*flow] {
-	return order.Heap[*flow]{Less: byStart, Place: func(f *flow) *int { return &f.at }}
+func flowHeap() indexedheap.Heap[*flow] {
+	return indexedheap.Heap[*flow]{Less: byStart, Place: func(f *flow) *int { return &f.at }}
 }
 
-func tenantHeap() order.Heap[*tenant] {
-	return order.Heap[*tenant]{Less: byTenant, Place: func(t *tenant) *int { return &t.at }}
+func tenantHeap() indexedheap.Heap[*tenant] {
+	return indexedheap.Heap[*tenant]{Less: byTenant, Place: func(t *tenant) *int { return &t.at }}
 }
 
 // load is what a flow has waiting for its weight.
@@ -40,8 +42,8 @@
 	return x > y || x == y && a.order > b.order
 }
 
-func heavyHeap() order.Heap[*flow] {
-	return order.Heap[*flow]{Less: byLoad, Place: func(f *flow) *int { return &f.heavyAt }}
+func heavyHeap() indexedheap.Heap[*flow] {
+	return indexedheap.Heap[*flow]{Less: byLoad, Place: func(f *flow) *int { return &f.heavyAt }}
 }
 
 // placeFlow puts a flow where it belongs among its tenant's that have requests.
--- a/internal/decide/admission/queue.go
+++ b/internal/decide/admission/queue.go
@@ -9,11 +9,10 @@
 package admission
 
 import (
+	"docksail/internal/decide/background"
+	"docksail/internal/indexedheap"
 	"fmt"
 	"slices"
-
-	"docksail/internal/decide/background"
-	"docksail/internal/order"
 )
 
 // Nanos is a time or a span in nanoseconds.
@@ -53,8 +52,10 @@
 )
 
 func (c Cause) String() string {
-	return [...]string{"admitted", "too many requests waiting", "too many requests of the tenant waiting", "faster than the tenant may ask",
-		"prompt longer than the tenant's may be", "no chance to be in time", "unknown tenant", "dispatcher overloaded"}[c]
+	return [...]string{
+		"admitted", "too many requests waiting", "too many requests of the tenant waiting", "faster than the tenant may ask",
+		"prompt longer than the tenant's may be", "no chance to be in time", "unknown tenant", "dispatcher overloaded",
+	}[c]
 }
 
 // Own tells that a limit of the caller's own was met.
@@ -114,11 +115,11 @@
 	limit             int
 	limitPerFlow      int
 	tenants           []*tenant
-	active            order.Heap[*tenant]
+	active            indexedheap.Heap[*tenant]
 	virtual           float64
 	requests          map[RequestID]*queuedRequest
 	displacedRequests []displaced
-	overdue           order.Heap[*queuedRequest]
+	overdue           indexedheap.Heap[*queuedRequest]
 	free              []*queuedRequest
 	freeFlow          []*flow
 	flows             int
@@ -140,14 +141,18 @@
 	if most < 1 || clients < 1 || expected < 1 {
 		return nil, fmt.Errorf("admission queue for %d requests, %d clients, target %d: want all above 0", most, clients, expected)
 	}
-	q := &Queue{admitted: maxUnsent, limit: most, limitPerFlow: most + 1024, requests: make(map[RequestID]*queuedRequest), target: expected,
-		active: tenantHeap(), overdue: lateHeap()}
+	q := &Queue{
+		admitted: maxUnsent, limit: most, limitPerFlow: most + 1024, requests: make(map[RequestID]*queuedRequest), target: expected,
+		active: tenantHeap(), overdue: lateHeap(),
+	}
 	q.BackgroundLimit = background.New(expected)
 	q.known.init(clients)
 	q.rate.memory = rateMemory * expected
 	q.book.init(tickets, expected)
-	q.backgroundQueue = &Queue{admitted: maxUnsent, limit: max(int(backgroundRoom*float64(most)), 1), limitPerFlow: most + 1024, requests: make(map[RequestID]*queuedRequest), target: expected,
-		active: tenantHeap(), overdue: lateHeap()}
+	q.backgroundQueue = &Queue{
+		admitted: maxUnsent, limit: max(int(backgroundRoom*float64(most)), 1), limitPerFlow: most + 1024, requests: make(map[RequestID]*queuedRequest), target: expected,
+		active: tenantHeap(), overdue: lateHeap(),
+	}
 	q.backgroundQueue.known.init(1)
 	q.backgroundQueue.rate.memory = q.rate.memory
 	q.backgroundQueue.book.init(tickets, expected)
@@ -296,8 +301,10 @@
 func (q *Queue) insert(now Nanos, t *tenant, request Request, cost float64, booked bool) {
 	f := q.flowOf(now, t, &request, true)
 	w := q.newRequest()
-	*w = queuedRequest{Request: request, cost: cost, arrivedAt: now, flow: f, startBy: now + request.Target, order: q.nextOrder(),
-		in: booked, tooLateAt: tooLateAt(now, &request)}
+	*w = queuedRequest{
+		Request: request, cost: cost, arrivedAt: now, flow: f, startBy: now + request.Target, order: q.nextOrder(),
+		in: booked, tooLateAt: tooLateAt(now, &request),
+	}
 	w.Ticket = nil
 	if q.FirstCome || booked { // who comes back has waited its time elsewhere
 		w.startBy = now
--- a/internal/decide/admission/tenants.go
+++ b/internal/decide/admission/tenants.go
@@ -51,8 +51,10 @@
 		return fmt.Errorf("tenant %d: %w", n, err)
 	}
 	if n == len(q.tenants) {
-		q.tenants = append(q.tenants, &tenant{n: n, flows: make(map[flowKey]*flow), active: flowHeap(), heavy: heavyHeap(),
-			start: q.virtual, tokens: burstSeconds * t.Rate})
+		q.tenants = append(q.tenants, &tenant{
+			n: n, flows: make(map[flowKey]*flow), active: flowHeap(), heavy: heavyHeap(),
+			start: q.virtual, tokens: burstSeconds * t.Rate,
+		})
 	}
 	tn := q.tenants[n]
 	tn.Tenant, tn.gone = t, false
--- a/internal/decide/batch/batch.go
+++ b/internal/decide/batchscheduler/scheduler.go
@@ -1,14 +1,13 @@
-// Package batch decides about files of requests that nobody waits for: which line of which batch goes out next, which is
+// Package batchscheduler decides about files of requests that nobody waits for: which line of which batch goes out next, which is
 // tried again and when, what a restart means for a line that was out, and how batches go from state to state. It does
 // no I/O and reads no clock.
-package batch
+package batchscheduler
 
 import (
 	"cmp"
+	"docksail/internal/indexedheap"
 	"fmt"
 	"slices"
-
-	"docksail/internal/order"
 )
 
 // Nanos is a time or a span in nanoseconds.
@@ -164,7 +163,7 @@
 	lines   []line
 	order   []Line // as they go out
 	head    int    // of order: what lies before has been out
-	later   order.Heap[*line]
+	later   indexedheap.Heap[*line]
 	waiting int
 	out     int
 	left    float64 // cost of what is not over
@@ -211,8 +210,10 @@
 	if s.byID[b.ID] != nil || b.Tenant < 0 || b.Tenant >= len(s.tenants) {
 		return fmt.Errorf("batch %d of tenant %d: want a new one, of tenants 0 to %d", b.ID, b.Tenant, len(s.tenants)-1)
 	}
-	k := &batch{Batch: b, lines: make([]line, len(b.Lines)), later: order.Heap[*line]{Place: func(l *line) *int { return &l.i },
-		Less: func(a, b *line) bool { return a.again < b.again }}}
+	k := &batch{Batch: b, lines: make([]line, len(b.Lines)), later: indexedheap.Heap[*line]{
+		Place: func(l *line) *int { return &l.i },
+		Less:  func(a, b *line) bool { return a.again < b.again },
+	}}
 	// Lines that begin alike go out one after another, in the order of the first of each kind.
 	first := map[uint64]int{}
 	for i, e := range b.Lines {
--- a/internal/decide/batch/batch_test.go
+++ b/internal/decide/batchscheduler/scheduler_test.go
@@ -1,4 +1,4 @@
-package batch
+package batchscheduler
 
 import (
 	"fmt"
@@ -120,8 +120,12 @@
 // to do in what is left of its window goes faster.
 func TestFair(t *testing.T) {
 	s := newScheduler(t, 1, 1, 3)
-	for i, b := range []Batch{{ID: 1, Tenant: 0, Ends: 1000 * sec, Lines: entries(5000)}, {ID: 2, Tenant: 1, Ends: 1000 * sec, Lines: entries(5000)},
-		{ID: 3, Tenant: 0, Ends: 100 * sec, Lines: entries(5000)}, {ID: 4, Tenant: 0, Ends: 1000 * sec, Lines: entries(5000)}} {
+	for i, b := range []Batch{
+		{ID: 1, Tenant: 0, Ends: 1000 * sec, Lines: entries(5000)},
+		{ID: 2, Tenant: 1, Ends: 1000 * sec, Lines: entries(5000)},
+		{ID: 3, Tenant: 0, Ends: 100 * sec, Lines: entries(5000)},
+		{ID: 4, Tenant: 0, Ends: 1000 * sec, Lines: entries(5000)},
+	} {
 		if err := s.Add(b); err != nil {
 			t.Fatal(i, err)
 		}
--- a/internal/decide/clientconn/clientconn_test.go
+++ b/internal/decide/clientconn/clientconn_test.go
@@ -63,8 +63,12 @@
 		waiting int
 		want    bool
 		over    int64
-	}{{now - second, 1, true, now - 3*second}, {now - second, 0, false, now - 3*second}, {now - unreadTimeout, 1, false, now - 3*second},
-		{now - second, 1, false, now - maxLinger}} {
+	}{
+		{now - second, 1, true, now - 3*second},
+		{now - second, 0, false, now - 3*second},
+		{now - unreadTimeout, 1, false, now - 3*second},
+		{now - second, 1, false, now - maxLinger},
+	} {
 		if got := KeepLingering(now, c.over, c.taken, c.waiting); got != c.want {
 			t.Errorf("taken %d s ago, %d waiting: %v", (now-c.taken)/second, c.waiting, got)
 		}
--- a/internal/decide/effects/effects.go
+++ b/internal/decide/inflight/effects.go
@@ -1,11 +1,11 @@
-// Package effects is the one place that decides what may be sent, repeated, closed or started now for a request, and when KV state that
+// Package inflight is the one place that decides what may be sent, repeated, closed or started now for a request, and when KV state that
 // is held for it has to be released. It keeps the life of each thing that is sent: reads, writes and releases. What is known of it at its
 // server is told apart from what was done here: a connect that worked, bytes that the system took, or an answer on another connection
 // are no proof that it arrived, and a close that was made here is no proof that the server knows of it.
 //
 // Record is the account of one request. Settlement follows what a request's attempts may have left until it is gone for sure. The
 // package does no I/O and reads no clock.
-package effects
+package inflight
 
 import "fmt"
 
--- a/internal/decide/effects/record.go
+++ b/internal/decide/inflight/record.go
@@ -1,9 +1,8 @@
-package effects
+package inflight
 
 import (
-	"errors"
-
 	"docksail/policy"
+	"errors"
 )
 
 // Errors of a request's account. Each is a fault of the program, never of a peer.
--- a/internal/decide/effects/record_test.go
+++ b/internal/decide/inflight/record_test.go
@@ -1,11 +1,10 @@
-package effects
+package inflight
 
 import (
+	"docksail/policy"
 	"testing"
 
 	"pgregory.net/rapid"
-
-	"docksail/policy"
 )
 
 // Whatever is asked in whatever order: one final answer, one attempt out, no attempt after the answer, and no held state is forgotten.
@@ -74,8 +73,10 @@
 		ending, _ := r.EndAttempt(9, number, outcome, 3, Written, written)
 		return ending
 	}
-	for outcome, want := range map[policy.Outcome]bool{policy.Read: false, policy.Rejected: false, policy.NotSent: false, policy.Unreachable: false,
-		policy.Failed: true, policy.Late: true, policy.Broken: true, policy.StaleConnection: true, policy.Canceled: true, policy.Served: true} {
+	for outcome, want := range map[policy.Outcome]bool{
+		policy.Read: false, policy.Rejected: false, policy.NotSent: false, policy.Unreachable: false,
+		policy.Failed: true, policy.Late: true, policy.Broken: true, policy.StaleConnection: true, policy.Canceled: true, policy.Served: true,
+	} {
 		if got := read(outcome, true).Release; got != want {
 			t.Errorf("a read that ended with %d: release %v, want %v", outcome, got, want)
 		}
--- a/internal/decide/effects/settlement.go
+++ b/internal/decide/inflight/settlement.go
@@ -1,4 +1,4 @@
-package effects
+package inflight
 
 // Settlement follows what the attempts of one request may have left at servers until it is gone for sure. An attempt that was given up
 // may still run there, as its server has not heard of it: a read may end, and a write may keep the state that it waits for. A release goes out when
--- a/internal/decide/effects/settlement_test.go
+++ b/internal/decide/inflight/settlement_test.go
@@ -1,4 +1,4 @@
-package effects
+package inflight
 
 import (
 	"testing"
--- a/internal/decide/intake/intake.go
+++ b/internal/decide/intake/intake.go
@@ -15,8 +15,10 @@
 )
 
 func (c Cause) String() string {
-	return [...]string{"taken", "dispatcher drains", "too many requests in hand", "prompt too long", "no time left",
-		"no engines known"}[c]
+	return [...]string{
+		"taken", "dispatcher drains", "too many requests in hand", "prompt too long", "no time left",
+		"no engines known",
+	}[c]
 }
 
 // Harmless tells that the request may be tried again as it is: the request is rejected, with advice when to come back.
--- a/internal/decide/serverconn/serverconn_test.go
+++ b/internal/decide/serverconn/serverconn_test.go
@@ -15,8 +15,11 @@
 		"a kept one may be dead":   {[]Candidate{{Heard: 9}, {Heard: 1, Ready: true}}, 1, 0},
 		"heard at once, kept":      {[]Candidate{{Heard: 9}, {Heard: 9, Ready: true}}, 1, 1},
 		"not again where in vain":  {[]Candidate{{Heard: 9, Ready: true, Tried: true}, {Heard: 1}}, 0, 1},
-		"again if there is no other": {[]Candidate{{Heard: 3, Tried: true}, {Heard: 9, Tried: true},
-			{Heard: 99, Gone: true}}, 0, 1},
+		"again if there is no other": {[]Candidate{
+			{Heard: 3, Tried: true},
+			{Heard: 9, Tried: true},
+			{Heard: 99, Gone: true},
+		}, 0, 1},
 	} {
 		if got := Choose(c.ways, c.round); got != c.want {
 			t.Errorf("%s: %d, want %d", what, got, c.want)
--- a/internal/decide/streamwatch/streamwatch_test.go
+++ b/internal/decide/streamwatch/streamwatch_test.go
@@ -39,8 +39,10 @@
 // TestEnds: whoever judges when told to never waits beyond the client's time, and a silent stream ends.
 func TestEnds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := Stream{FirstAt: 1, LastAt: 1, TokenGap: rapid.Int64Range(1, 1e9).Draw(t, "gap"), Target: rapid.Int64Range(1, 1e10).Draw(t, "expected"),
-			AnswerAhead: 1000, Unread: rapid.Bool().Draw(t, "unread")}
+		s := Stream{
+			FirstAt: 1, LastAt: 1, TokenGap: rapid.Int64Range(1, 1e9).Draw(t, "gap"), Target: rapid.Int64Range(1, 1e10).Draw(t, "expected"),
+			AnswerAhead: 1000, Unread: rapid.Bool().Draw(t, "unread"),
+		}
 		if rapid.Bool().Draw(t, "ends") {
 			s.CallEnds = rapid.Int64Range(1, 1e12).Draw(t, "at")
 		}
--- a/internal/dispatch/admission.go
+++ b/internal/dispatch/admission.go
@@ -1,12 +1,11 @@
 package dispatch
 
 import (
-	"slices"
-
 	"docksail/internal/decide/admission"
-	"docksail/internal/front"
-	"docksail/internal/loop"
+	"docksail/internal/eventloop"
+	"docksail/internal/frontend"
 	"docksail/policy"
+	"slices"
 )
 
 // Requests that wait in the admission queue, until the module takes them or they are refused.
@@ -14,7 +13,7 @@
 // unsentRequest is a request that the module has and has not sent.
 type unsentRequest struct {
 	id         policy.RequestID
-	admittedAt loop.Nanos // let in
+	admittedAt eventloop.Nanos // let in
 }
 
 func (d *Dispatcher) unsentIndex(id policy.RequestID) int {
@@ -22,7 +21,7 @@
 }
 
 // admits tells whether the admission queue lets in another.
-func (d *Dispatcher) admits(now loop.Nanos) bool {
+func (d *Dispatcher) admits(now eventloop.Nanos) bool {
 	d.ages = d.ages[:0]
 	for _, u := range d.unsent {
 		d.ages = append(d.ages, now-u.admittedAt)
@@ -31,7 +30,7 @@
 }
 
 // admit hands a request that waited in the admission queue to the module.
-func (d *Dispatcher) admit(now loop.Nanos, id policy.RequestID) {
+func (d *Dispatcher) admit(now eventloop.Nanos, id policy.RequestID) {
 	d.queue.Admit(now, admission.RequestID(id))
 	req := d.requests.Find(id)
 	req.queued, req.admitted = false, true
@@ -40,7 +39,7 @@
 }
 
 // refuseQueued refuses a request that waits in the admission queue.
-func (d *Dispatcher) refuseQueued(now loop.Nanos, id policy.RequestID, why admission.Cause) {
+func (d *Dispatcher) refuseQueued(now eventloop.Nanos, id policy.RequestID, why admission.Cause) {
 	d.rejectQueued(id, why, d.queue.Refuse(now, admission.RequestID(id), why))
 }
 
@@ -52,8 +51,8 @@
 	d.dropIfDone(req)
 }
 
-func (d *Dispatcher) refusal(why string, own bool, a admission.Advice) front.Refusal {
-	no := front.Refusal{Reason: why, TenantLimit: own, RetryAfter: min(a.RetryAfter, d.maxRetryAfter)}
+func (d *Dispatcher) refusal(why string, own bool, a admission.Advice) frontend.Refusal {
+	no := frontend.Refusal{Reason: why, TenantLimit: own, RetryAfter: min(a.RetryAfter, d.maxRetryAfter)}
 	if a.Ticket != nil && no.RetryAfter == a.RetryAfter {
 		no.Ticket = d.signer.Encode(a.Ticket)
 	}
--- a/internal/dispatch/attempts.go
+++ b/internal/dispatch/attempts.go
@@ -1,23 +1,22 @@
 package dispatch
 
 import (
+	"docksail/internal/decide/inflight"
+	"docksail/internal/decide/streamwatch"
+	"docksail/internal/eventloop"
+	"docksail/internal/frontend"
+	"docksail/policy"
 	"fmt"
 	"math"
 	"slices"
-
-	"docksail/internal/decide/effects"
-	"docksail/internal/decide/streamwatch"
-	"docksail/internal/front"
-	"docksail/internal/loop"
-	"docksail/policy"
 )
 
 // What the module decides about requests, and how its attempts go.
 
-func (d *Dispatcher) carryOut(now loop.Nanos, decision policy.Decision) {
+func (d *Dispatcher) carryOut(now eventloop.Nanos, decision policy.Decision) {
 	switch decision.Verb {
 	case policy.Wake:
-		d.loop.At(&d.wakeTimer, now+loop.Nanos(decision.For), d.onWake)
+		d.loop.At(&d.wakeTimer, now+eventloop.Nanos(decision.For), d.onWake)
 		return
 	case policy.Watch:
 		d.exit.Watch(now)
@@ -46,13 +45,13 @@
 			d.attemptEnded(now, req, policy.Canceled, false, policy.NoLoad)
 		}
 	case policy.Reject:
-		no := front.Refusal{Reason: "no engine could take it in time"}
+		no := frontend.Refusal{Reason: "no engine could take it in time"}
 		if d.unsentIndex(req.ID) >= 0 {
 			d.queue.NotSent()
 		}
 		no.RetryAfter = min(int64(decision.For), d.maxRetryAfter)
 		if decision.For > 0 && !d.direct { // that at least; the admission queue books a place
-			no = d.refusal(no.Reason, false, d.queue.RetryAfter(now, req.queueRequest, loop.Nanos(decision.For)))
+			no = d.refusal(no.Reason, false, d.queue.RetryAfter(now, req.queueRequest, eventloop.Nanos(decision.For)))
 		}
 		d.answer(req, func() { req.call.Reject(req.ID, no) }, &d.Counts.Rejected)
 	case policy.Fail:
@@ -66,11 +65,11 @@
 }
 
 // attempt sends a request to a server.
-func (d *Dispatcher) sendAttempt(now loop.Nanos, req *Request, to policy.ServerID, within int64) {
+func (d *Dispatcher) sendAttempt(now eventloop.Nanos, req *Request, to policy.ServerID, within int64) {
 	reads, known := d.exit.IsPrefill(to)
-	kind := effects.Write
+	kind := inflight.Write
 	if reads {
-		kind = effects.Read
+		kind = inflight.Read
 	}
 	attempt, err := req.BeginAttempt(kind)
 	if err != nil {
@@ -96,7 +95,7 @@
 }
 
 // logRelease logs why the state of a request is released, and how long ago its last read ended.
-func (d *Dispatcher) logRelease(now loop.Nanos, req *Request, why string, at policy.ServerID) {
+func (d *Dispatcher) logRelease(now eventloop.Nanos, req *Request, why string, at policy.ServerID) {
 	if !d.debug {
 		return
 	}
@@ -104,16 +103,16 @@
 }
 
 // timerDue is the timer of a request: its attempt's time, or, once the answer streams, the time to look at it.
-func (req *Request) timerDue(now loop.Nanos) {
+func (req *Request) timerDue(now eventloop.Nanos) {
 	d := req.d
 	if req.firstTokenAt == 0 {
 		if _, out := req.Outstanding(); out {
 			d.Counts.TimedOut++
 			outcome := policy.Late
 			switch req.attempt.Stage() {
-			case effects.Planned: // others stood before it
+			case inflight.Planned: // others stood before it
 				outcome = policy.NotSent
-			case effects.Connecting:
+			case inflight.Connecting:
 				outcome = policy.Unreachable
 			}
 			d.attemptEnded(now, req, outcome, false, policy.NoLoad)
@@ -125,10 +124,12 @@
 }
 
 // checkStream has the pace of a running answer judged.
-func (d *Dispatcher) checkStream(now loop.Nanos, req *Request) {
+func (d *Dispatcher) checkStream(now eventloop.Nanos, req *Request) {
 	t := &d.classTimes[req.class]
-	verdict, again := streamwatch.Check(now, streamwatch.Stream{FirstAt: req.firstTokenAt, LastAt: req.lastTokenAt, TokenGap: t.tokenGap, Target: t.target,
-		CallEnds: req.callEnds, AnswerAhead: d.answerAhead, SilenceLimit: d.silenceLimit, Unread: req.unread > 0})
+	verdict, again := streamwatch.Check(now, streamwatch.Stream{
+		FirstAt: req.firstTokenAt, LastAt: req.lastTokenAt, TokenGap: t.tokenGap, Target: t.target,
+		CallEnds: req.callEnds, AnswerAhead: d.answerAhead, SilenceLimit: d.silenceLimit, Unread: req.unread > 0,
+	})
 	if verdict == streamwatch.Continue {
 		d.loop.At(&req.timer, again, req.onTimer)
 		return
@@ -145,7 +146,7 @@
 }
 
 // streamBegan tells of the first token.
-func (d *Dispatcher) streamBegan(now loop.Nanos, req *Request) {
+func (d *Dispatcher) streamBegan(now eventloop.Nanos, req *Request) {
 	attempt, _ := req.Outstanding()
 	req.firstTokenAt, req.lastTokenAt = now, now
 	d.loop.Cancel(&req.overdueTimer)
@@ -159,7 +160,7 @@
 
 // attemptEnded tells how the attempt that is out has ended; where the engine has not ended it, its stream is reset
 // first, so that it is no longer out. The request may be over by this.
-func (d *Dispatcher) attemptEnded(now loop.Nanos, req *Request, outcome policy.Outcome, over bool, load policy.Load) {
+func (d *Dispatcher) attemptEnded(now eventloop.Nanos, req *Request, outcome policy.Outcome, over bool, load policy.Load) {
 	attempt, out := req.Outstanding()
 	if !out {
 		return
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -4,6 +4,16 @@
 
 import (
 	"context"
+	"docksail/internal/config"
+	"docksail/internal/decide/admission"
+	"docksail/internal/decide/intake"
+	"docksail/internal/decide/keepalive"
+	"docksail/internal/eventloop"
+	"docksail/internal/frontend/grpc"
+	"docksail/internal/h2"
+	"docksail/internal/state/endpointlist"
+	"docksail/internal/state/requesttable"
+	"docksail/policy"
 	"encoding/binary"
 	"fmt"
 	"io"
@@ -11,17 +21,6 @@
 	"net/netip"
 
 	"github.com/cespare/xxhash/v2"
-
-	"docksail/internal/decide/admission"
-	"docksail/internal/decide/intake"
-	"docksail/internal/decide/keepalive"
-	"docksail/internal/front/grpc"
-	"docksail/internal/h2"
-	"docksail/internal/loop"
-	"docksail/internal/setup"
-	"docksail/internal/state/fleet"
-	"docksail/internal/state/requests"
-	"docksail/policy"
 )
 
 // Module is the decision module as the dispatcher calls it; a test may stand between.
@@ -45,7 +44,7 @@
 type Dispatcher struct {
 	Counts Counts
 
-	loop          *loop.Loop
+	loop          *eventloop.Loop
 	log           *slog.Logger
 	debug         bool // the log takes lines of single requests
 	module        Module
@@ -60,15 +59,15 @@
 	tenantTerms   []admission.Tenant // what tenants may do in the admission queue
 	tenantNames   []string
 	secretKey     uint64 // keys the hashes of clients' names
-	expiryTimer   loop.Timer
-	onExpiry      func(loop.Nanos)
-	ages          []loop.Nanos
+	expiryTimer   eventloop.Timer
+	onExpiry      func(eventloop.Nanos)
+	ages          []eventloop.Nanos
 	unsent        []unsentRequest // requests that the module has and has not sent, by when they were let in
 	maxRetryAfter int64
 	incarnation   uint64 // this start of the dispatcher, in what engines are told
 	clockStart    int64  // module time at the loop's 0: Unix nanoseconds
 
-	requests requests.Table[Request]
+	requests requesttable.Table[Request]
 
 	classes      map[string]policy.ClassID
 	tenants      map[string]policy.TenantID
@@ -77,11 +76,11 @@
 	hash         xxhash.Digest
 	answerAhead  int64
 	silenceLimit int64 // a client may be left waiting so long after its last token; 0 = not told
-	wakeTimer    loop.Timer
-	onWake       func(loop.Nanos)
+	wakeTimer    eventloop.Timer
+	onWake       func(eventloop.Nanos)
 
 	draining   bool
-	drainTimer loop.Timer
+	drainTimer eventloop.Timer
 	onDrained  func()
 }
 
@@ -93,8 +92,8 @@
 // New makes a dispatcher on a loop, whose clients and engines speak gRPC; Start sets it going. life must differ from
 // one start to the next; secrets is where it draws keys from that nobody may guess, crypto/rand's Reader but for
 // simulations.
-func New(l *loop.Loop, s *setup.Dispatcher, log *slog.Logger, seed, incarnation uint64, secrets io.Reader, wrap func(Module) Module) (*Dispatcher, error) {
-	list := fleet.New()
+func New(l *eventloop.Loop, s *config.Dispatcher, log *slog.Logger, seed, incarnation uint64, secrets io.Reader, wrap func(Module) Module) (*Dispatcher, error) {
+	list := endpointlist.New()
 	module, err := s.Module(seed, list.Zone(s.Zone))
 	if err != nil {
 		return nil, fmt.Errorf("decision module: %w", err)
@@ -112,8 +111,10 @@
 		d.tenants[t.Name] = policy.TenantID(i)
 	}
 	d.gate = intake.Limits{Requests: s.Limits.Requests, PromptTokens: int64(s.Limits.Prompt)}
-	lim := h2.Limits{Streams: uint32(s.Limits.Streams), StreamWindow: uint32(s.Limits.StreamWindow),
-		ConnWindow: h2.Usual.ConnWindow, HeaderBytes: uint32(s.Limits.Headers), MessageBytes: uint32(s.Limits.Message)}
+	lim := h2.Limits{
+		Streams: uint32(s.Limits.Streams), StreamWindow: uint32(s.Limits.StreamWindow),
+		ConnWindow: h2.Usual.ConnWindow, HeaderBytes: uint32(s.Limits.Headers), MessageBytes: uint32(s.Limits.Message),
+	}
 	var key [40]byte
 	if _, err := io.ReadFull(secrets, key[:]); err != nil {
 		return nil, fmt.Errorf("keys: %w", err)
@@ -143,8 +144,10 @@
 		return nil, err
 	}
 	d.entry = d.grpcEntry
-	x := &grpcExit{d: d, list: list, servers: make(map[policy.ServerID]*grpcServer), keeper: keepalive.Keeper{Target: shortest},
-		connect: int64(s.Attempts.Connect), lim: lim}
+	x := &grpcExit{
+		d: d, list: list, servers: make(map[policy.ServerID]*grpcServer), keeper: keepalive.Keeper{Target: shortest},
+		connect: int64(s.Attempts.Connect), lim: lim,
+	}
 	x.lister.init(x, s.Fleet)
 	d.exit = x
 	return d, nil
@@ -153,7 +156,7 @@
 // Direct makes a dispatcher whose requests go to the module as they come, at most so many in hand, with the classes and tenants
 // that the module was made with; a request without a tenant is nobody's. Ends gives it its entry and exit, Start sets it going. advises is the longest advice;
 // hush, how long a client may be left waiting after a token.
-func Direct(l *loop.Loop, log *slog.Logger, module Module, names []string, classes []policy.Class, tenants []string, maxRequests int, maxPrompt, maxRetryAfter, silenceLimit int64, incarnation uint64) (*Dispatcher, error) {
+func Direct(l *eventloop.Loop, log *slog.Logger, module Module, names []string, classes []policy.Class, tenants []string, maxRequests int, maxPrompt, maxRetryAfter, silenceLimit int64, incarnation uint64) (*Dispatcher, error) {
 	d, shortest := newDispatcher(l, log, module, names, classes, incarnation)
 	d.direct, d.maxRetryAfter, d.silenceLimit = true, maxRetryAfter, silenceLimit
 	for i, name := range tenants {
@@ -169,18 +172,22 @@
 func (d *Dispatcher) Attach(in Entry, out Exit) { d.entry, d.exit = in, out }
 
 // newDispatcher makes what all dispatchers have, and gives the shortest expected time.
-func newDispatcher(l *loop.Loop, log *slog.Logger, module Module, names []string, classes []policy.Class, incarnation uint64) (*Dispatcher, int64) {
-	d := &Dispatcher{loop: l, log: log, debug: log.Enabled(context.Background(), slog.LevelDebug), module: module, incarnation: incarnation, clockStart: l.Wall(), classes: make(map[string]policy.ClassID),
-		tenants: make(map[string]policy.TenantID)}
+func newDispatcher(l *eventloop.Loop, log *slog.Logger, module Module, names []string, classes []policy.Class, incarnation uint64) (*Dispatcher, int64) {
+	d := &Dispatcher{
+		loop: l, log: log, debug: log.Enabled(context.Background(), slog.LevelDebug), module: module, incarnation: incarnation, clockStart: l.Wall(), classes: make(map[string]policy.ClassID),
+		tenants: make(map[string]policy.TenantID),
+	}
 	shortest := int64(classes[0].Target)
 	for i, t := range classes {
 		d.classes[names[i]] = policy.ClassID(i)
-		d.classTimes = append(d.classTimes, classTimes{int64(t.Target), int64(t.TargetPer1k), int64(t.Timeout),
-			int64(t.TokenGap), t.Effect == policy.Idempotent})
+		d.classTimes = append(d.classTimes, classTimes{
+			int64(t.Target), int64(t.TargetPer1k), int64(t.Timeout),
+			int64(t.TokenGap), t.Effect == policy.Idempotent,
+		})
 		shortest = min(shortest, int64(t.Target))
 	}
-	d.onWake = func(now loop.Nanos) { d.module.Woken(d.Time(now)) }
-	d.onExpiry = func(loop.Nanos) {} // the round looks
+	d.onWake = func(now eventloop.Nanos) { d.module.Woken(d.Time(now)) }
+	d.onExpiry = func(eventloop.Nanos) {} // the round looks
 	return d, shortest
 }
 
@@ -196,7 +203,7 @@
 
 // Round is what the loop calls once a turn: decisions are pulled until there is none, requests that wait in the admission queue are
 // let in as the module takes them, then output is queued.
-func (d *Dispatcher) Round(now loop.Nanos) {
+func (d *Dispatcher) Round(now eventloop.Nanos) {
 	for n := d.queue.ToShed(d.loop.Lag(), d.memory.inUse(now), d.memory.most); n > 0; n-- {
 		id, ok := d.queue.Heaviest()
 		if !ok {
@@ -238,4 +245,4 @@
 }
 
 // Time is the module's: Unix nanoseconds by the loop's clock, so that servers' starts compare with it.
-func (d *Dispatcher) Time(now loop.Nanos) policy.Nanos { return policy.Nanos(d.clockStart + now) }
+func (d *Dispatcher) Time(now eventloop.Nanos) policy.Nanos { return policy.Nanos(d.clockStart + now) }
--- a/internal/dispatch/exit.go
+++ b/internal/dispatch/exit.go
@@ -1,11 +1,10 @@
 package dispatch
 
 import (
-	"net/netip"
-
-	"docksail/internal/decide/effects"
-	"docksail/internal/loop"
+	"docksail/internal/decide/inflight"
+	"docksail/internal/eventloop"
 	"docksail/policy"
+	"net/netip"
 )
 
 // Entry is a front by which clients come in; it hands requests over by Arrive and answers them by their front.Call.
@@ -20,15 +19,15 @@
 // Exit is the way to the servers and to their list. It tells the dispatcher what becomes of attempts by Heard,
 // Tokens and Finish, and the module, by the dispatcher's Listed, what the list says.
 type Exit interface {
-	Start(now loop.Nanos) // asks for the list of servers
-	Watch(now loop.Nanos) // asks for it again
+	Start(now eventloop.Nanos) // asks for the list of servers
+	Watch(now eventloop.Nanos) // asks for it again
 	// IsPrefill tells whether a server is a prefill server; known, whether there is such a server.
 	IsPrefill(host policy.ServerID) (reads, known bool)
 	// Attempt sends the request to its Host; nil: it was not sent and will not be.
-	Send(now loop.Nanos, j *Request, shot policy.AttemptNumber) Attempt
+	Send(now eventloop.Nanos, j *Request, shot policy.AttemptNumber) Attempt
 	// Release has what an attempt of the request left at a server released; the clock of that state runs since then. The request may be
 	// over after the call.
-	Release(now loop.Nanos, j *Request, at policy.ServerID, shot policy.AttemptNumber, since loop.Nanos)
+	Release(now eventloop.Nanos, j *Request, at policy.ServerID, shot policy.AttemptNumber, since eventloop.Nanos)
 	Flush()     // queues on the sockets what has come together in this turn
 	Idle() bool // nothing is on its way to a server that must still come there
 	Close()     // the loop has ended
@@ -38,19 +37,19 @@
 type Attempt interface {
 	// End is called once, when the attempt is over, whoever ended it. It is given up at its server before End returns; true: the server may
 	// have had all of it.
-	End(now loop.Nanos) bool
+	End(now eventloop.Nanos) bool
 	// Ended follows End once the module has been told.
-	Ended(now loop.Nanos)
+	Ended(now eventloop.Nanos)
 	// Credit tells that the client has taken so many bytes that had to wait.
 	Credit(n int)
 	// Stage is how far it is known to have come.
-	Stage() effects.Stage
+	Stage() inflight.Stage
 	// ServerHeard tells that its server has been heard since it was written, on whatever connection.
 	ServerHeard() bool
 }
 
 // ListUpdated tells the module news of the list: tell is called between its beginning and its end; some, that they name a server.
-func (d *Dispatcher) ListUpdated(now loop.Nanos, full, some bool, tell func(module Module)) {
+func (d *Dispatcher) ListUpdated(now eventloop.Nanos, full, some bool, tell func(module Module)) {
 	d.module.ListBegin(full)
 	tell(d.module)
 	d.module.ListEnd(d.Time(now))
@@ -58,11 +57,11 @@
 }
 
 // ListFailed tells the module that the list can't be had.
-func (d *Dispatcher) ListFailed(now loop.Nanos) { d.module.ListFailed(d.Time(now)) }
+func (d *Dispatcher) ListFailed(now eventloop.Nanos) { d.module.ListFailed(d.Time(now)) }
 
 // Tokens relays a piece of a request's answer, of so many bytes on the wire; the first piece begins it. True: the server is
 // to be held back until the attempt's Credit.
-func (d *Dispatcher) Tokens(now loop.Nanos, req *Request, p []byte, size int) bool {
+func (d *Dispatcher) Tokens(now eventloop.Nanos, req *Request, p []byte, size int) bool {
 	if req.Answered() { // its client was gone as this came: nobody reads it
 		d.attemptEnded(now, req, policy.Canceled, true, policy.NoLoad)
 		d.dropIfDone(req)
@@ -88,7 +87,7 @@
 func (req *Request) Streaming() bool { return req.firstTokenAt > 0 }
 
 // Finish tells how the attempt that is out has come to its end; why is for a client whose answer had begun.
-func (d *Dispatcher) Finish(now loop.Nanos, req *Request, outcome policy.Outcome, why string, load policy.Load) {
+func (d *Dispatcher) Finish(now eventloop.Nanos, req *Request, outcome policy.Outcome, why string, load policy.Load) {
 	begun := req.firstTokenAt > 0
 	switch {
 	case req.Answered():
@@ -103,7 +102,7 @@
 
 // Unacceptable tells that a server finds the request itself at fault: that is no news of the server, and no other would find
 // otherwise.
-func (d *Dispatcher) Unacceptable(now loop.Nanos, req *Request, why string) {
+func (d *Dispatcher) Unacceptable(now eventloop.Nanos, req *Request, why string) {
 	if !req.Answered() {
 		d.answer(req, func() { req.call.Fail(req.ID, why) }, &d.Counts.Failed)
 	}
@@ -112,7 +111,7 @@
 }
 
 // releaseHeld has the state that is held for a request released.
-func (d *Dispatcher) releaseHeld(now loop.Nanos, req *Request, why string) {
+func (d *Dispatcher) releaseHeld(now eventloop.Nanos, req *Request, why string) {
 	at, _ := req.StateHeld()
 	since := req.HeldSince()
 	if err := req.TakeForRelease(); err != nil {
@@ -123,32 +122,32 @@
 }
 
 // ReleaseEarly releases what is held for a request beside the attempt that is out and may never come to its server.
-func (d *Dispatcher) ReleaseEarly(now loop.Nanos, req *Request) {
+func (d *Dispatcher) ReleaseEarly(now eventloop.Nanos, req *Request) {
 	d.releaseHeld(now, req, "beside an attempt that may not have come")
 }
 
 // MayRelease tells how freely a release may be sent for a request, which may be over by now, and whether an attempt of it is on its way or at a server.
-func (d *Dispatcher) MayRelease(id policy.RequestID) (permit effects.Permit, out bool) {
+func (d *Dispatcher) MayRelease(id policy.RequestID) (permit inflight.Permit, out bool) {
 	req := d.requests.Find(id)
 	if req == nil {
-		return effects.Free, false
+		return inflight.Free, false
 	}
 	_, out = req.Outstanding()
 	stage := req.stage()
 	heard := req.attempt != nil && req.attempt.ServerHeard()
-	return req.MayRelease(stage, heard), out && stage > effects.Planned
+	return req.MayRelease(stage, heard), out && stage > inflight.Planned
 }
 
 // stage is how far the attempt that is out has come.
-func (req *Request) stage() effects.Stage {
+func (req *Request) stage() inflight.Stage {
 	if req.attempt == nil {
-		return effects.Planned
+		return inflight.Planned
 	}
 	return req.attempt.Stage()
 }
 
 // Reassigned tells that an attempt is from now on held as s; nil: it could not be sent after all.
-func (d *Dispatcher) Reassigned(now loop.Nanos, req *Request, s Attempt) {
+func (d *Dispatcher) Reassigned(now eventloop.Nanos, req *Request, s Attempt) {
 	if req.attempt = s; s == nil {
 		d.attemptEnded(now, req, policy.NotSent, false, policy.NoLoad)
 		d.dropIfDone(req)
@@ -156,4 +155,4 @@
 }
 
 // TimeLeft is how long the attempt that is out may still take.
-func (req *Request) TimeLeft(now loop.Nanos) int64 { return max(req.SentAt+req.Timeout-now, 1) }
+func (req *Request) TimeLeft(now eventloop.Nanos) int64 { return max(req.SentAt+req.Timeout-now, 1) }
--- a/internal/dispatch/grpcconn.go
+++ b/internal/dispatch/grpcconn.go
@@ -1,24 +1,23 @@
 package dispatch
 
 import (
+	"docksail/internal/decide/keepalive"
+	"docksail/internal/eventloop"
+	"docksail/internal/h2"
+	"docksail/policy"
 	"strconv"
 
 	"golang.org/x/net/http2"
 	"golang.org/x/net/http2/hpack"
 	"google.golang.org/grpc/codes"
 	"google.golang.org/protobuf/encoding/protowire"
-
-	"docksail/internal/decide/keepalive"
-	"docksail/internal/h2"
-	"docksail/internal/loop"
-	"docksail/policy"
 )
 
 // serverConn is one connection to an engine.
 type serverConn struct {
 	d        *Dispatcher
 	server   *grpcServer
-	conn     *loop.Conn
+	conn     *eventloop.Conn
 	http2    *h2.Conn
 	ready    bool
 	gone     bool
@@ -28,19 +27,21 @@
 	streams  int
 	wired    int                // attempts that were sent, of those out
 	queue    []policy.RequestID // attempts that wait for the connection, or for the engine's trial
-	now      loop.Nanos
-	heardAt  loop.Nanos
-	pingedAt loop.Nanos
+	now      eventloop.Nanos
+	heardAt  eventloop.Nanos
+	pingedAt eventloop.Nanos
 	pings    int
-	usedAt   loop.Nanos
-	sentAt   loop.Nanos
-	timer    loop.Timer
-	onKeep   func(loop.Nanos)
+	usedAt   eventloop.Nanos
+	sentAt   eventloop.Nanos
+	timer    eventloop.Timer
+	onKeep   func(eventloop.Nanos)
 }
 
 func (k *serverConn) facts() keepalive.Conn {
-	return keepalive.Conn{Ready: k.ready && !k.retired && k.http2.CanOpen(), Connecting: !k.ready && !k.gone && !k.retired, Streams: k.streams, HeardAt: k.heardAt,
-		PingedAt: k.pingedAt, Pings: k.pings, UsedAt: k.usedAt, SentAt: k.sentAt}
+	return keepalive.Conn{
+		Ready: k.ready && !k.retired && k.http2.CanOpen(), Connecting: !k.ready && !k.gone && !k.retired, Streams: k.streams, HeardAt: k.heardAt,
+		PingedAt: k.pingedAt, Pings: k.pings, UsedAt: k.usedAt, SentAt: k.sentAt,
+	}
 }
 
 func (k *serverConn) touch() {
@@ -65,7 +66,7 @@
 }
 
 // keep has the connection judged.
-func (k *serverConn) keep(now loop.Nanos) {
+func (k *serverConn) keep(now eventloop.Nanos) {
 	if k.gone {
 		return
 	}
@@ -92,7 +93,7 @@
 
 // ---- What the loop tells.
 
-func (k *serverConn) Opened(now loop.Nanos) {
+func (k *serverConn) Opened(now eventloop.Nanos) {
 	k.now, k.ready, k.heardAt = now, true, now
 	k.server.sendQueued(now)
 	for _, id := range k.queue {
@@ -110,21 +111,21 @@
 	k.d.loop.At(&k.timer, now+k.server.exit.keeper.Target, k.onKeep)
 }
 
-func (k *serverConn) Data(now loop.Nanos, p []byte) {
+func (k *serverConn) Data(now eventloop.Nanos, p []byte) {
 	k.now, k.heardAt = now, now
 	k.http2.Feed(now, p)
 	k.touch()
 }
 
-func (k *serverConn) PeerDone(loop.Nanos) { k.conn.Close() }
+func (k *serverConn) PeerDone(eventloop.Nanos) { k.conn.Close() }
 
-func (k *serverConn) Drained(now loop.Nanos) {
+func (k *serverConn) Drained(now eventloop.Nanos) {
 	k.now = now
 	k.http2.Congested(false)
 	k.flush()
 }
 
-func (k *serverConn) Closed(now loop.Nanos, err error) {
+func (k *serverConn) Closed(now eventloop.Nanos, err error) {
 	k.now, k.gone = now, true
 	d := k.d
 	d.loop.Cancel(&k.timer)
@@ -158,7 +159,7 @@
 // ---- What is sent.
 
 // send opens the stream of an attempt.
-func (k *serverConn) send(now loop.Nanos, req *Request, attempt policy.AttemptNumber) {
+func (k *serverConn) send(now eventloop.Nanos, req *Request, attempt policy.AttemptNumber) {
 	d, x := k.d, k.server.exit
 	path, timeout := pathWrite, int64(0)
 	if req.Prefill {
@@ -166,7 +167,8 @@
 	}
 	extra := [3]hpack.HeaderField{
 		{Name: "docksail-job", Value: d.requestName(req.ID), Sensitive: true},
-		{Name: "docksail-shot", Value: strconv.Itoa(int(attempt))}}
+		{Name: "docksail-shot", Value: strconv.Itoa(int(attempt))},
+	}
 	n := 2
 	if req.Trace != "" {
 		extra[2] = hpack.HeaderField{Name: "traceparent", Value: req.Trace, Sensitive: true}
--- a/internal/dispatch/grpcexit.go
+++ b/internal/dispatch/grpcexit.go
@@ -1,14 +1,14 @@
 package dispatch
 
 import (
-	"golang.org/x/net/http2"
-
-	"docksail/internal/decide/effects"
+	"docksail/internal/decide/inflight"
 	"docksail/internal/decide/keepalive"
+	"docksail/internal/eventloop"
 	"docksail/internal/h2"
-	"docksail/internal/loop"
-	"docksail/internal/state/fleet"
+	"docksail/internal/state/endpointlist"
 	"docksail/policy"
+
+	"golang.org/x/net/http2"
 )
 
 const (
@@ -25,7 +25,7 @@
 type grpcExit struct {
 	d       *Dispatcher
 	servers map[policy.ServerID]*grpcServer
-	list    *fleet.List
+	list    *endpointlist.List
 	lister  listWatch
 	keeper  keepalive.Keeper
 	connect int64
@@ -35,9 +35,9 @@
 	scratch []byte
 }
 
-func (x *grpcExit) Start(loop.Nanos)     { x.lister.start() }
-func (x *grpcExit) Watch(now loop.Nanos) { x.lister.watch(now) }
-func (x *grpcExit) Close()               { x.lister.close() }
+func (x *grpcExit) Start(eventloop.Nanos)     { x.lister.start() }
+func (x *grpcExit) Watch(now eventloop.Nanos) { x.lister.watch(now) }
+func (x *grpcExit) Close()                    { x.lister.close() }
 
 // Idle implements Exit: releases that wait for a connection are left to the engines' own time.
 func (x *grpcExit) Idle() bool { return true }
@@ -55,7 +55,7 @@
 	x.dirty = x.dirty[:0]
 }
 
-func (x *grpcExit) Release(now loop.Nanos, req *Request, at policy.ServerID, attempt policy.AttemptNumber, _ loop.Nanos) {
+func (x *grpcExit) Release(now eventloop.Nanos, req *Request, at policy.ServerID, attempt policy.AttemptNumber, _ eventloop.Nanos) {
 	if srv := x.servers[at]; srv != nil {
 		on := req.grpcAttempt.last // the attempt's own keeps the order
 		if on != nil && on.server != srv {
@@ -65,7 +65,7 @@
 	}
 }
 
-func (x *grpcExit) Send(now loop.Nanos, req *Request, attempt policy.AttemptNumber) Attempt {
+func (x *grpcExit) Send(now eventloop.Nanos, req *Request, attempt policy.AttemptNumber) Attempt {
 	srv := x.servers[req.Server]
 	k := srv.linkFor(now)
 	if k != nil && k.ready && req.grpcAttempt.queuedBehind && !srv.trial.May(srv.onWire()) { // once is enough: its time is the client's
@@ -102,12 +102,12 @@
 }
 
 // wait has an attempt wait for its engine's trial: not for long, as what it is to fetch is held meanwhile.
-func (s *grpcAttempt) wait(now loop.Nanos) {
+func (s *grpcAttempt) wait(now eventloop.Nanos) {
 	s.queuedBehind = true
 	s.request.d.loop.At(&s.request.timer, min(s.request.SentAt+s.request.Timeout, now+s.conn.server.exit.keeper.Hold()), s.request.onTimer)
 }
 
-func (s *grpcAttempt) End(now loop.Nanos) bool {
+func (s *grpcAttempt) End(now eventloop.Nanos) bool {
 	k, cut := s.conn, s.stream != nil
 	if cut {
 		s.stream.Ref = 0
@@ -123,7 +123,7 @@
 	return cut
 }
 
-func (s *grpcAttempt) Ended(now loop.Nanos) {
+func (s *grpcAttempt) Ended(now eventloop.Nanos) {
 	if k := s.last; k != nil && len(k.queue) > 0 {
 		k.server.sendQueued(now)
 	}
@@ -138,14 +138,14 @@
 
 // Stage implements Attempt. On a connection that is asked for signs of life, what was written is taken to have come: a server that is cut
 // off is noticed, and frees what it holds by its own time.
-func (s *grpcAttempt) Stage() effects.Stage {
+func (s *grpcAttempt) Stage() inflight.Stage {
 	switch {
 	case s.stream != nil:
-		return effects.Arrived
+		return inflight.Arrived
 	case s.conn.ready:
-		return effects.Planned
+		return inflight.Planned
 	}
-	return effects.Connecting
+	return inflight.Connecting
 }
 
 // ServerHeard implements Attempt: connections are asked for signs of life.
--- a/internal/dispatch/grpcload.go
+++ b/internal/dispatch/grpcload.go
@@ -1,13 +1,12 @@
 package dispatch
 
 import (
+	"docksail/internal/h2"
+	"docksail/policy"
 	"encoding/base64"
 
 	orca "github.com/cncf/xds/go/xds/data/orca/v3"
 	"google.golang.org/protobuf/proto"
-
-	"docksail/internal/h2"
-	"docksail/policy"
 )
 
 // load reads an ORCA report from a trailer; one that is too old counts as none.
--- a/internal/dispatch/grpcrelease_test.go
+++ b/internal/dispatch/grpcrelease_test.go
@@ -1,12 +1,11 @@
 package dispatch
 
 import (
+	"docksail/internal/h2"
 	"log/slog"
 	"testing"
 
 	"google.golang.org/grpc/codes"
-
-	"docksail/internal/h2"
 )
 
 // A release that an engine answers with an error is counted as lost, one that it takes is not.
--- a/internal/dispatch/grpcserver.go
+++ b/internal/dispatch/grpcserver.go
@@ -1,12 +1,11 @@
 package dispatch
 
 import (
-	"net/netip"
-
 	"docksail/internal/decide/keepalive"
+	"docksail/internal/eventloop"
 	"docksail/internal/h2"
-	"docksail/internal/loop"
 	"docksail/policy"
+	"net/netip"
 )
 
 // grpcServer is a server of the list and the connections to it.
@@ -33,7 +32,7 @@
 }
 
 // sendQueued sends attempts that wait, as far as the engine's trial lets them.
-func (srv *grpcServer) sendQueued(now loop.Nanos) {
+func (srv *grpcServer) sendQueued(now eventloop.Nanos) {
 	for _, k := range srv.links {
 		for k.ready && !k.gone && len(k.queue) > 0 && srv.trial.May(srv.onWire()) {
 			id := k.queue[0]
@@ -56,7 +55,7 @@
 }
 
 // linkFor gives the connection for an attempt; nil if there may be none.
-func (srv *grpcServer) linkFor(now loop.Nanos) *serverConn {
+func (srv *grpcServer) linkFor(now eventloop.Nanos) *serverConn {
 	d := srv.d
 	srv.exit.facts = srv.exit.facts[:0]
 	for _, k := range srv.links {
@@ -102,13 +101,13 @@
 }
 
 // release has what an attempt left at the engine released: now, or as soon as there is a connection.
-func (srv *grpcServer) release(now loop.Nanos, on *serverConn, id policy.RequestID, attempt policy.AttemptNumber) {
+func (srv *grpcServer) release(now eventloop.Nanos, on *serverConn, id policy.RequestID, attempt policy.AttemptNumber) {
 	srv.d.Counts.Releases++
 	srv.releaseBy(now, on, id, attempt)
 }
 
 // releaseBy sends a release by a connection that is fit, or remembers it until there is one.
-func (srv *grpcServer) releaseBy(now loop.Nanos, on *serverConn, id policy.RequestID, attempt policy.AttemptNumber) {
+func (srv *grpcServer) releaseBy(now eventloop.Nanos, on *serverConn, id policy.RequestID, attempt policy.AttemptNumber) {
 	if on == nil || on.gone || on.retired || !on.http2.CanOpen() { // the attempt's own keeps the order
 		on = srv.readyLink()
 	}
@@ -126,7 +125,7 @@
 
 // dropQueued ends attempts that wait for a connection: the server drains, and by the time the connection is made it
 // may be too late to send them.
-func (srv *grpcServer) dropQueued(now loop.Nanos) {
+func (srv *grpcServer) dropQueued(now eventloop.Nanos) {
 	for _, k := range srv.links {
 		queue := k.queue
 		k.queue = nil
--- a/internal/dispatch/listwatch.go
+++ b/internal/dispatch/listwatch.go
@@ -1,6 +1,12 @@
 package dispatch
 
 import (
+	"docksail/internal/config"
+	"docksail/internal/decide/keepalive"
+	"docksail/internal/eventloop"
+	"docksail/internal/h2"
+	"docksail/internal/state/endpointlist"
+	"docksail/policy"
 	"errors"
 	"net/netip"
 	"os"
@@ -11,12 +17,6 @@
 	"google.golang.org/protobuf/proto"
 
 	pb "docksail/api/docksail/v1"
-	"docksail/internal/decide/keepalive"
-	"docksail/internal/h2"
-	"docksail/internal/loop"
-	"docksail/internal/setup"
-	"docksail/internal/state/fleet"
-	"docksail/policy"
 )
 
 // listWatch follows the list of engines: a watch on a lister, or a file.
@@ -27,19 +27,19 @@
 	file     string
 	savePath string // file that keeps the list for the next start
 	every    int64
-	conn     *loop.Conn
+	conn     *eventloop.Conn
 	http2    *h2.Conn
-	now      loop.Nanos
+	now      eventloop.Nanos
 	open     bool
-	heardAt  loop.Nanos
-	pingedAt loop.Nanos
+	heardAt  eventloop.Nanos
+	pingedAt eventloop.Nanos
 	pings    int
-	timer    loop.Timer
+	timer    eventloop.Timer
 	stamp    time.Time
 	saves    chan []byte
 }
 
-func (w *listWatch) init(x *grpcExit, s setup.Fleet) {
+func (w *listWatch) init(x *grpcExit, s config.Fleet) {
 	*w = listWatch{d: x.d, exit: x, addr: s.Watch, file: s.File, savePath: s.Keep, every: int64(s.Retry) / 8}
 }
 
@@ -66,7 +66,7 @@
 // keepList writes lists beside the loop; of several that wait only the newest counts.
 func keepList(name string, lists <-chan []byte, d *Dispatcher) {
 	for b := range lists {
-		if err := fleet.Save(name, b); err != nil {
+		if err := endpointlist.Save(name, b); err != nil {
 			d.log.Warn("list of engines not kept", "err", err)
 		}
 	}
@@ -92,7 +92,7 @@
 }
 
 // update hands news to the module.
-func (w *listWatch) update(now loop.Nanos, full bool, told []fleet.Host) {
+func (w *listWatch) update(now eventloop.Nanos, full bool, told []endpointlist.Host) {
 	d := w.d
 	if full {
 		told = w.exit.list.Hosts() // the module forgets what a full list does not name
@@ -100,7 +100,7 @@
 	d.ListUpdated(now, full, len(told) > 0, func(module Module) { w.hosts(now, module, told) })
 }
 
-func (w *listWatch) hosts(now loop.Nanos, module Module, told []fleet.Host) {
+func (w *listWatch) hosts(now eventloop.Nanos, module Module, told []endpointlist.Host) {
 	d := w.d
 	for _, h := range told {
 		srv := w.exit.servers[h.ID]
@@ -128,7 +128,7 @@
 	}
 }
 
-func (w *listWatch) take(now loop.Nanos, version uint64, full bool, servers []fleet.Host) error {
+func (w *listWatch) take(now eventloop.Nanos, version uint64, full bool, servers []endpointlist.Host) error {
 	told, err := w.exit.list.Take(version, full, servers)
 	if err != nil {
 		return err
@@ -141,7 +141,7 @@
 }
 
 // watch opens the watch on the lister; losing it is told to the module, which asks for it again.
-func (w *listWatch) watch(now loop.Nanos) {
+func (w *listWatch) watch(now eventloop.Nanos) {
 	if w.file != "" || w.conn != nil {
 		return
 	}
@@ -158,7 +158,7 @@
 // lost tells that the list is as it was some time ago.
 func (w *listWatch) lost() bool { return w.file == "" && !w.open }
 
-func (w *listWatch) Opened(now loop.Nanos) {
+func (w *listWatch) Opened(now eventloop.Nanos) {
 	w.now, w.heardAt, w.pingedAt, w.pings, w.open = now, now, 0, 0, true
 	s := w.http2.OpenStream(pathWatch, w.addr.String(), 0)
 	b, err := proto.Marshal(&pb.WatchRequest{})
@@ -171,12 +171,14 @@
 }
 
 // keepWatch pings a lister that is silent: on a half-open connection news would never come.
-func (w *listWatch) keepWatch(now loop.Nanos) {
+func (w *listWatch) keepWatch(now eventloop.Nanos) {
 	if w.conn == nil {
 		return
 	}
-	verdict, again := keepalive.Keeper{Target: w.every}.Check(now, keepalive.Conn{Ready: true, Streams: 1, HeardAt: w.heardAt,
-		PingedAt: w.pingedAt, Pings: w.pings})
+	verdict, again := keepalive.Keeper{Target: w.every}.Check(now, keepalive.Conn{
+		Ready: true, Streams: 1, HeardAt: w.heardAt,
+		PingedAt: w.pingedAt, Pings: w.pings,
+	})
 	switch verdict {
 	case keepalive.Ping:
 		w.pingedAt = now
@@ -191,7 +193,7 @@
 	w.d.loop.At(&w.timer, again, w.keepWatch)
 }
 
-func (w *listWatch) Data(now loop.Nanos, p []byte) {
+func (w *listWatch) Data(now eventloop.Nanos, p []byte) {
 	w.now, w.heardAt = now, now
 	w.http2.Feed(now, p)
 	w.conn.Write(w.http2.Take())
@@ -200,10 +202,10 @@
 	}
 }
 
-func (w *listWatch) PeerDone(loop.Nanos) { w.conn.Close() }
-func (w *listWatch) Drained(loop.Nanos)  {}
+func (w *listWatch) PeerDone(eventloop.Nanos) { w.conn.Close() }
+func (w *listWatch) Drained(eventloop.Nanos)  {}
 
-func (w *listWatch) Closed(now loop.Nanos, err error) {
+func (w *listWatch) Closed(now eventloop.Nanos, err error) {
 	w.d.loop.Cancel(&w.timer)
 	if w.open {
 		w.d.log.Warn("lister lost", "err", err)
@@ -219,7 +221,7 @@
 	var news pb.FleetNews
 	err := proto.Unmarshal(p, &news)
 	if err == nil {
-		var servers []fleet.Host
+		var servers []endpointlist.Host
 		if servers, err = fromNews(&news); err == nil {
 			err = w.take(w.now, news.Version, news.Full, servers)
 		}
@@ -231,14 +233,18 @@
 	return false
 }
 
-var healths = map[pb.Health]policy.Health{pb.Health_HEALTH_SERVING: policy.Serving,
-	pb.Health_HEALTH_DRAINING: policy.Draining, pb.Health_HEALTH_GONE: policy.Gone}
+var healths = map[pb.Health]policy.Health{
+	pb.Health_HEALTH_SERVING:  policy.Serving,
+	pb.Health_HEALTH_DRAINING: policy.Draining, pb.Health_HEALTH_GONE: policy.Gone,
+}
 
-var roles = map[pb.Role]policy.Role{pb.Role_ROLE_READER: policy.Prefill, pb.Role_ROLE_WRITER: policy.Decode,
-	pb.Role_ROLE_MIXED: policy.Mixed}
+var roles = map[pb.Role]policy.Role{
+	pb.Role_ROLE_READER: policy.Prefill, pb.Role_ROLE_WRITER: policy.Decode,
+	pb.Role_ROLE_MIXED: policy.Mixed,
+}
 
-func fromNews(news *pb.FleetNews) ([]fleet.Host, error) {
-	var servers []fleet.Host
+func fromNews(news *pb.FleetNews) ([]endpointlist.Host, error) {
+	var servers []endpointlist.Host
 	for _, h := range news.Hosts {
 		role, ok := roles[h.Role]
 		health, ok2 := healths[h.Health]
@@ -251,8 +257,10 @@
 		case err != nil:
 			return nil, err
 		}
-		servers = append(servers, fleet.Host{ID: policy.ServerID(h.Id), Address: addr, Role: role, Zone: h.Zone,
-			Cell: h.Cell, Health: health, Started: h.StartedUnixNs})
+		servers = append(servers, endpointlist.Host{
+			ID: policy.ServerID(h.Id), Address: addr, Role: role, Zone: h.Zone,
+			Cell: h.Cell, Health: health, Started: h.StartedUnixNs,
+		})
 	}
 	return servers, nil
 }
@@ -262,6 +270,7 @@
 	w.d.log.Warn("lister ended the watch", "code", code.String(), "message", message)
 	w.conn.Close()
 }
+
 func (w *listWatch) Reset(*h2.Stream, http2.ErrCode, bool) {
 	if w.conn != nil {
 		w.conn.Close()
@@ -272,7 +281,7 @@
 func (w *listWatch) Pong()           {}
 
 // poll reads the file again when it has changed, beside the loop.
-func (w *listWatch) poll(now loop.Nanos) {
+func (w *listWatch) poll(now eventloop.Nanos) {
 	name, stamp := w.file, w.stamp
 	go func() {
 		servers, warnings, at, err := readServers(name, stamp)
@@ -295,7 +304,7 @@
 }
 
 // readServers reads a list of engines from a file, unless it is as old as was read before.
-func readServers(name string, stamp time.Time) (servers []fleet.Host, warnings []string, at time.Time, err error) {
+func readServers(name string, stamp time.Time) (servers []endpointlist.Host, warnings []string, at time.Time, err error) {
 	info, err := os.Stat(name)
 	if err != nil || info.ModTime().Equal(stamp) {
 		return nil, nil, stamp, err
@@ -304,7 +313,7 @@
 	if err != nil {
 		return nil, nil, stamp, err
 	}
-	if servers, warnings, err = setup.Servers(name, text); err != nil {
+	if servers, warnings, err = config.Servers(name, text); err != nil {
 		return nil, nil, stamp, err
 	}
 	return servers, warnings, info.ModTime(), nil
--- a/internal/dispatch/overdue_test.go
+++ b/internal/dispatch/overdue_test.go
@@ -1,14 +1,13 @@
 package dispatch
 
 import (
+	"docksail/internal/decide/inflight"
+	"docksail/internal/eventloop"
+	"docksail/internal/frontend"
+	"docksail/policy"
 	"log/slog"
 	"net/netip"
 	"testing"
-
-	"docksail/internal/decide/effects"
-	"docksail/internal/front"
-	"docksail/internal/loop"
-	"docksail/policy"
 )
 
 // deafModule decides what it is given to decide and nothing else: it forgets every request.
@@ -30,6 +29,7 @@
 func (m *deafModule) ClientLeft(policy.Nanos, policy.RequestID) { m.left++ }
 func (m *deafModule) HeldSince(policy.Nanos, policy.RequestID, policy.Nanos) {
 }
+
 func (m *deafModule) Next(policy.Nanos) (policy.Decision, bool) {
 	if len(m.decisions) == 0 {
 		return policy.Decision{}, false
@@ -50,27 +50,40 @@
 
 type silentExit struct{ closed int }
 
-func (*silentExit) Start(loop.Nanos)                                                                {}
-func (*silentExit) Watch(loop.Nanos)                                                                {}
-func (*silentExit) IsPrefill(policy.ServerID) (reads, known bool)                                   { return false, true }
-func (x *silentExit) Send(loop.Nanos, *Request, policy.AttemptNumber) Attempt                       { return x }
-func (*silentExit) Release(loop.Nanos, *Request, policy.ServerID, policy.AttemptNumber, loop.Nanos) {}
-func (*silentExit) Flush()                                                                          {}
-func (*silentExit) Idle() bool                                                                      { return true }
-func (*silentExit) Close()                                                                          {}
-func (x *silentExit) End(loop.Nanos) bool                                                           { x.closed++; return true }
-func (*silentExit) Ended(loop.Nanos)                                                                {}
-func (*silentExit) Credit(int)                                                                      {}
-func (*silentExit) ServerHeard() bool                                                               { return true }
-func (*silentExit) Stage() effects.Stage                                                            { return effects.Arrived }
+func (*silentExit) Start(eventloop.Nanos) {}
+
+func (*silentExit) Watch(eventloop.Nanos) {}
+
+func (*silentExit) IsPrefill(policy.ServerID) (reads, known bool) { return false, true }
+
+func (x *silentExit) Send(eventloop.Nanos, *Request, policy.AttemptNumber) Attempt { return x }
+
+func (*silentExit) Release(eventloop.Nanos, *Request, policy.ServerID, policy.AttemptNumber, eventloop.Nanos) {
+}
+
+func (*silentExit) Flush() {}
+
+func (*silentExit) Idle() bool { return true }
+
+func (*silentExit) Close() {}
+
+func (x *silentExit) End(eventloop.Nanos) bool { x.closed++; return true }
+
+func (*silentExit) Ended(eventloop.Nanos) {}
+
+func (*silentExit) Credit(int) {}
+
+func (*silentExit) ServerHeard() bool { return true }
+
+func (*silentExit) Stage() inflight.Stage { return inflight.Arrived }
 
 // answers counts what a client was told.
 type answers struct{ nacked, abandoned int }
 
-func (*answers) Tokens(policy.RequestID, []byte) bool     { return false }
-func (*answers) Served(policy.RequestID)                  {}
-func (a *answers) Fail(policy.RequestID, string)          { a.abandoned++ }
-func (a *answers) Reject(policy.RequestID, front.Refusal) { a.nacked++ }
+func (*answers) Tokens(policy.RequestID, []byte) bool        { return false }
+func (*answers) Served(policy.RequestID)                     {}
+func (a *answers) Fail(policy.RequestID, string)             { a.abandoned++ }
+func (a *answers) Reject(policy.RequestID, frontend.Refusal) { a.nacked++ }
 
 // A request that the module forgets has its final answer by the dispatcher's own deadline, within half a second of its client's;
 // the attempt that is out is closed.
@@ -85,7 +98,7 @@
 		"never sent, not redone": {want: answers{nacked: 1}},
 	} {
 		t.Run(decision, func(t *testing.T) {
-			l, err := loop.New()
+			l, err := eventloop.New()
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -102,7 +115,7 @@
 			d.gate.ListKnown = true
 			d.Attach(noEntry{}, out)
 			const left = 200e6
-			id, err := d.Arrive(l.Now(), told, &front.Request{Class: []byte("a"), Prompt: 10, WaitLimit: left})
+			id, err := d.Arrive(l.Now(), told, &frontend.Request{Class: []byte("a"), Prompt: 10, WaitLimit: left})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -110,10 +123,10 @@
 				module.decisions = []policy.Decision{{Verb: policy.Attempt, Request: id, Server: 1, For: 1e12}}
 			}
 			d.Round(l.Now())
-			var answered loop.Nanos
-			var end loop.Timer
-			l.At(&end, 5e9, func(loop.Nanos) { l.Stop() })
-			l.Run(func(now loop.Nanos) {
+			var answered eventloop.Nanos
+			var end eventloop.Timer
+			l.At(&end, 5e9, func(eventloop.Nanos) { l.Stop() })
+			l.Run(func(now eventloop.Nanos) {
 				if d.Round(now); told.nacked+told.abandoned > 0 {
 					answered = now
 					l.Stop()
@@ -134,7 +147,7 @@
 
 // The module learns whose a request is; its session and prefix stand for the same text whoever asks.
 func TestTenantOfJob(t *testing.T) {
-	l, err := loop.New()
+	l, err := eventloop.New()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -147,7 +160,7 @@
 	}
 	d.gate.ListKnown = true
 	for _, tenant := range []string{"south", "north", ""} {
-		r := front.Request{Class: []byte("a"), Tenant: []byte(tenant), Session: []byte("s"), Prefix: []byte("p"), Prompt: 10}
+		r := frontend.Request{Class: []byte("a"), Tenant: []byte(tenant), Session: []byte("s"), Prefix: []byte("p"), Prompt: 10}
 		if _, err := d.Arrive(l.Now(), &answers{}, &r); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/dispatch/requests.go
+++ b/internal/dispatch/requests.go
@@ -1,35 +1,34 @@
 package dispatch
 
 import (
-	"fmt"
-	"slices"
-	"strconv"
-
 	"docksail/internal/decide/admission"
-	"docksail/internal/decide/effects"
+	"docksail/internal/decide/inflight"
 	"docksail/internal/decide/intake"
-	"docksail/internal/front"
-	"docksail/internal/loop"
+	"docksail/internal/eventloop"
+	"docksail/internal/frontend"
 	"docksail/policy"
+	"fmt"
+	"slices"
+	"strconv"
 )
 
 // What clients do, and the answers that they get.
 
 // Request is one request in hand.
 type Request struct {
-	effects.Record
-	call          front.Call // nil once it is answered
-	Raw           []byte     // the client's message
-	ClientID      []byte     // the client's name for it
-	Path          []byte     // where the client sent it
-	Header        []byte     // header fields that go with it, as lines
+	inflight.Record
+	call          frontend.Call // nil once it is answered
+	Raw           []byte        // the client's message
+	ClientID      []byte        // the client's name for it
+	Path          []byte        // where the client sent it
+	Header        []byte        // header fields that go with it, as lines
 	class         policy.ClassID
 	Repeat        uint32
 	Trace         string
-	arrivedAt     loop.Nanos
-	callEnds      loop.Nanos        // the call's own time is up; 0 = never
-	firstTokenAt  loop.Nanos        // the answer's first token came; 0 = not yet
-	lastTokenAt   loop.Nanos        // its last token
+	arrivedAt     eventloop.Nanos
+	callEnds      eventloop.Nanos   // the call's own time is up; 0 = never
+	firstTokenAt  eventloop.Nanos   // the answer's first token came; 0 = not yet
+	lastTokenAt   eventloop.Nanos   // its last token
 	unread        int               // bytes of the engine's window that wait for the client
 	policyRequest policy.Request    // as the module is told of it
 	queueRequest  admission.Request // as the admission queue is
@@ -41,17 +40,17 @@
 	attempt        Attempt         // the attempt that is out; nil = it is none of the exit's
 	Server         policy.ServerID // where it goes
 	Prefill        bool            // it is a read
-	SentAt         loop.Nanos
-	Timeout        int64       // its time
-	WriteBefore    loop.Nanos  // it may begin to be written until then
-	PrefilledAt    loop.Nanos  // its last read ended
-	Stale          int         // attempts in a row that were lost with connections that had died unseen
-	ExpectedCached int64       // prompt tokens that the module expects to be kept where it is read
-	grpcAttempt    grpcAttempt // how the gRPC exit holds it
-	timer          loop.Timer
-	onTimer        func(loop.Nanos)
-	overdueTimer   loop.Timer // set while the request is owed its first answer
-	onOverdue      func(loop.Nanos)
+	SentAt         eventloop.Nanos
+	Timeout        int64           // its time
+	WriteBefore    eventloop.Nanos // it may begin to be written until then
+	PrefilledAt    eventloop.Nanos // its last read ended
+	Stale          int             // attempts in a row that were lost with connections that had died unseen
+	ExpectedCached int64           // prompt tokens that the module expects to be kept where it is read
+	grpcAttempt    grpcAttempt     // how the gRPC exit holds it
+	timer          eventloop.Timer
+	onTimer        func(eventloop.Nanos)
+	overdueTimer   eventloop.Timer // set while the request is owed its first answer
+	onOverdue      func(eventloop.Nanos)
 	d              *Dispatcher
 }
 
@@ -86,7 +85,7 @@
 }
 
 // Arrive implements the fronts' core: it takes a request in, or tells why not.
-func (d *Dispatcher) Arrive(now loop.Nanos, call front.Call, r *front.Request) (policy.RequestID, error) {
+func (d *Dispatcher) Arrive(now eventloop.Nanos, call frontend.Call, r *frontend.Request) (policy.RequestID, error) {
 	class, tenant, err := d.classAndTenant(r)
 	if err != nil {
 		return 0, err
@@ -119,23 +118,23 @@
 }
 
 // classAndTenant looks up what a request names; the tenant is -1 where there are none.
-func (d *Dispatcher) classAndTenant(r *front.Request) (policy.ClassID, policy.TenantID, error) {
+func (d *Dispatcher) classAndTenant(r *frontend.Request) (policy.ClassID, policy.TenantID, error) {
 	class, ok := d.classes[string(r.Class)]
 	if !ok {
-		return 0, -1, fmt.Errorf("class %q is unknown: %w", r.Class, front.ErrBad)
+		return 0, -1, fmt.Errorf("class %q is unknown: %w", r.Class, frontend.ErrBad)
 	}
 	if len(d.tenants) == 0 || d.direct && len(r.Tenant) == 0 {
 		return class, -1, nil
 	}
 	tenant, ok := d.tenants[string(r.Tenant)]
 	if !ok {
-		return 0, -1, fmt.Errorf("tenant %q is unknown: %w", r.Tenant, front.ErrBad)
+		return 0, -1, fmt.Errorf("tenant %q is unknown: %w", r.Tenant, frontend.ErrBad)
 	}
 	return class, tenant, nil
 }
 
 // timeLeft is how long a request's client waits: its class's time, or less if it says so.
-func (t *classTimes) timeLeft(r *front.Request) int64 {
+func (t *classTimes) timeLeft(r *frontend.Request) int64 {
 	left := t.timeout
 	if r.WaitLimit > 0 {
 		left = min(left, r.WaitLimit)
@@ -147,23 +146,25 @@
 }
 
 // checkIntake tells why a request is not taken at all; nil if it is.
-func (d *Dispatcher) checkIntake(r *front.Request, left, target int64) error {
+func (d *Dispatcher) checkIntake(r *frontend.Request, left, target int64) error {
 	cause, after := d.gate.Check(d.requests.Len(), r.Prompt, left, target)
 	if cause == intake.Accepted {
 		return nil
 	}
 	d.Counts.Refused++
 	if cause.Harmless() {
-		return front.Refusal{Reason: cause.String(), RetryAfter: min(after, d.maxRetryAfter)}
+		return frontend.Refusal{Reason: cause.String(), RetryAfter: min(after, d.maxRetryAfter)}
 	}
-	return fmt.Errorf("%s, %d tokens of at most %d: %w", cause, r.Prompt, d.gate.PromptTokens, front.ErrBad)
+	return fmt.Errorf("%s, %d tokens of at most %d: %w", cause, r.Prompt, d.gate.PromptTokens, frontend.ErrBad)
 }
 
 // admissionRequest is a request as the admission queue is told of it.
-func (d *Dispatcher) admissionRequest(r *front.Request, tenant policy.TenantID, deadline loop.Nanos, target int64) admission.Request {
-	waiting := admission.Request{Tenant: max(int(tenant), 0), Client: d.hashSecretly(tenant, r.Client),
+func (d *Dispatcher) admissionRequest(r *frontend.Request, tenant policy.TenantID, deadline eventloop.Nanos, target int64) admission.Request {
+	waiting := admission.Request{
+		Tenant: max(int(tenant), 0), Client: d.hashSecretly(tenant, r.Client),
 		Source: d.hashSecretly(-1, r.Source[:]), Prompt: r.Prompt, Background: r.Background, Answer: r.MaxTokens,
-		Target: target, Deadline: deadline}
+		Target: target, Deadline: deadline,
+	}
 	if r.Ticket != nil && d.signer != nil {
 		if ticket, err := d.signer.Decode(r.Ticket); err == nil {
 			waiting.Ticket = ticket
@@ -173,25 +174,27 @@
 }
 
 // enqueue has a request wait in the admission queue, or tells why it may not.
-func (d *Dispatcher) enqueue(now loop.Nanos, waiting admission.Request) error {
+func (d *Dispatcher) enqueue(now eventloop.Nanos, waiting admission.Request) error {
 	cause, advice := d.queue.Arrive(now, waiting)
 	if cause == admission.Admitted {
 		return nil
 	}
 	d.Counts.Refused++
 	if cause == admission.TooLong {
-		return fmt.Errorf("%s, %d tokens: %w", cause, waiting.Prompt, front.ErrBad)
+		return fmt.Errorf("%s, %d tokens: %w", cause, waiting.Prompt, frontend.ErrBad)
 	}
 	return d.refusal(cause.String(), cause.Own(), advice)
 }
 
 // begin makes a record that may have been used before that of a new request; its buffers and timers stay.
-func (req *Request) begin(d *Dispatcher, id policy.RequestID, class policy.ClassID, call front.Call, r *front.Request, now loop.Nanos) {
-	*req = Request{Record: effects.Record{ID: id}, call: call, class: class, d: d,
+func (req *Request) begin(d *Dispatcher, id policy.RequestID, class policy.ClassID, call frontend.Call, r *frontend.Request, now eventloop.Nanos) {
+	*req = Request{
+		Record: inflight.Record{ID: id}, call: call, class: class, d: d,
 		Raw: append(req.Raw[:0], r.Raw...), ClientID: append(req.ClientID[:0], r.ClientID...),
 		Path: append(req.Path[:0], r.Path...), Header: append(req.Header[:0], r.Header...),
 		Repeat: uint32(r.Repeat), Trace: r.Trace, arrivedAt: now,
-		timer: req.timer, onTimer: req.onTimer, overdueTimer: req.overdueTimer, onOverdue: req.onOverdue}
+		timer: req.timer, onTimer: req.onTimer, overdueTimer: req.overdueTimer, onOverdue: req.onOverdue,
+	}
 	req.grpcAttempt.request = req
 	if req.onTimer == nil {
 		req.onTimer, req.onOverdue = req.timerDue, req.deadlineMissed
@@ -202,21 +205,24 @@
 }
 
 // policyRequest is a request as the decision module is told of it.
-func (d *Dispatcher) policyRequest(id policy.RequestID, class policy.ClassID, tenant policy.TenantID, r *front.Request,
-	deadline policy.Nanos) policy.Request {
+func (d *Dispatcher) policyRequest(id policy.RequestID, class policy.ClassID, tenant policy.TenantID, r *frontend.Request,
+	deadline policy.Nanos,
+) policy.Request {
 	owner := tenant
 	if d.direct { // as in the simulator: equal names stand for equal text, whoever asks
 		owner = -1
 	}
-	return policy.Request{ID: id, Class: class, Tenant: tenant,
+	return policy.Request{
+		ID: id, Class: class, Tenant: tenant,
 		Session: policy.SessionKey(d.hashName('s', owner, r.Session)),
 		Prefix:  policy.PrefixKey(d.hashName('b', owner, r.Prefix)),
 		Prompt:  r.Prompt, Shared: r.Shared, Cap: r.MaxTokens, Deadline: deadline, Hint: policy.Nanos(r.Hint),
-		Repeat: r.Repeat > 0}
+		Repeat: r.Repeat > 0,
+	}
 }
 
 // ClientLeft tells that a client is gone.
-func (d *Dispatcher) ClientLeft(now loop.Nanos, id policy.RequestID) {
+func (d *Dispatcher) ClientLeft(now eventloop.Nanos, id policy.RequestID) {
 	if req := d.requests.Find(id); req != nil && !req.Answered() {
 		if d.debug {
 			attempt, out := req.Outstanding()
@@ -228,7 +234,7 @@
 }
 
 // clientLeft tells the module that nothing more is owed, and ends a stream that nobody reads.
-func (d *Dispatcher) clientLeft(now loop.Nanos, req *Request) {
+func (d *Dispatcher) clientLeft(now eventloop.Nanos, req *Request) {
 	if req.queued {
 		req.queued = false
 		d.queue.Cancel(now, admission.RequestID(req.ID))
@@ -239,14 +245,14 @@
 	switch {
 	case req.firstTokenAt > 0:
 		d.attemptEnded(now, req, policy.Canceled, true, policy.NoLoad)
-	case req.attempt != nil && req.attempt.Stage() < effects.Writing: // it is not to begin any more, also where what has begun may not be withdrawn
+	case req.attempt != nil && req.attempt.Stage() < inflight.Writing: // it is not to begin any more, also where what has begun may not be withdrawn
 		d.attemptEnded(now, req, policy.NotSent, true, policy.NoLoad)
 	}
 	d.dropIfDone(req)
 }
 
 // Room lets an engine go on that was held back for its client.
-func (d *Dispatcher) Room(now loop.Nanos, id policy.RequestID) {
+func (d *Dispatcher) Room(now eventloop.Nanos, id policy.RequestID) {
 	req := d.requests.Find(id)
 	if req == nil || req.unread == 0 || req.attempt == nil {
 		return
@@ -293,7 +299,7 @@
 
 // deadlineMissed is the dispatcher's own deadline of a request that has no answer yet and no stream. The module answers every request
 // before; this guards against a fault by which it does not.
-func (req *Request) deadlineMissed(now loop.Nanos) {
+func (req *Request) deadlineMissed(now eventloop.Nanos) {
 	d := req.d
 	_, out := req.Outstanding()
 	d.Counts.Overdue++
--- a/internal/dispatch/serve.go
+++ b/internal/dispatch/serve.go
@@ -3,29 +3,28 @@
 import (
 	"context"
 	"crypto/rand"
+	"docksail/internal/config"
+	"docksail/internal/eventloop"
 	"fmt"
 	"log/slog"
 	"net/netip"
 	"sync/atomic"
 	"time"
-
-	"docksail/internal/loop"
-	"docksail/internal/setup"
 )
 
 // Running is a dispatcher that runs on a loop of its own goroutine.
 type Running struct {
 	Addr netip.AddrPort
 
-	l    *loop.Loop
+	l    *eventloop.Loop
 	d    *Dispatcher
 	done chan struct{}
 	err  error
 }
 
 // Run starts a dispatcher by its settings. wrap, if not nil, stands between the dispatcher and its module.
-func Run(s *setup.Dispatcher, log *slog.Logger, wrap func(Module) Module) (*Running, error) {
-	l, err := loop.New()
+func Run(s *config.Dispatcher, log *slog.Logger, wrap func(Module) Module) (*Running, error) {
+	l, err := eventloop.New()
 	if err != nil {
 		return nil, err
 	}
--- a/internal/dispatch/shutdown.go
+++ b/internal/dispatch/shutdown.go
@@ -2,8 +2,8 @@
 
 import (
 	"docksail/internal/decide/intake"
-	"docksail/internal/front"
-	"docksail/internal/loop"
+	"docksail/internal/eventloop"
+	"docksail/internal/frontend"
 	"docksail/policy"
 )
 
@@ -22,7 +22,7 @@
 	}
 	d.log.Info("draining", "requests", d.requests.Len(), "within_ms", within/1e6)
 	d.entry.Drain()
-	d.loop.At(&d.drainTimer, d.loop.Now()+within, func(now loop.Nanos) {
+	d.loop.At(&d.drainTimer, d.loop.Now()+within, func(now eventloop.Nanos) {
 		d.log.Warn("drain time is up", "requests", d.requests.Len())
 		d.requests.Each(func(_ policy.RequestID, req *Request) {
 			if req.Answered() {
@@ -30,14 +30,14 @@
 			}
 			d.abort(now, req, "dispatcher leaves")
 		})
-		d.loop.At(&d.drainTimer, now+int64(d.answerAhead), func(loop.Nanos) { d.onDrained() })
+		d.loop.At(&d.drainTimer, now+int64(d.answerAhead), func(eventloop.Nanos) { d.onDrained() })
 	})
 }
 
 // abort gives a request its final answer whatever the module holds of it, and tells the module that nothing more is owed.
-func (d *Dispatcher) abort(now loop.Nanos, req *Request, why string) {
+func (d *Dispatcher) abort(now eventloop.Nanos, req *Request, why string) {
 	if intake.AtDrainEnd(d.classTimes[req.class].idempotent && req.firstTokenAt == 0, req.mayHaveRun) == intake.Rejected {
-		d.answer(req, func() { req.call.Reject(req.ID, front.Refusal{Reason: why}) }, &d.Counts.Rejected)
+		d.answer(req, func() { req.call.Reject(req.ID, frontend.Refusal{Reason: why}) }, &d.Counts.Rejected)
 	} else {
 		d.answer(req, func() { req.call.Fail(req.ID, why) }, &d.Counts.Failed)
 	}
--- a/internal/dispatch/view.go
+++ b/internal/dispatch/view.go
@@ -1,13 +1,12 @@
 package dispatch
 
 import (
+	"docksail/internal/config"
+	"docksail/internal/decide/admission"
+	"docksail/internal/eventloop"
+	"docksail/internal/frontend/grpc"
 	"fmt"
 	"runtime/metrics"
-
-	"docksail/internal/decide/admission"
-	"docksail/internal/front/grpc"
-	"docksail/internal/loop"
-	"docksail/internal/setup"
 )
 
 // What people see of a dispatcher, and what they may change while it runs.
@@ -46,10 +45,27 @@
 	for _, f := range []struct {
 		to   *uint64
 		from uint64
-	}{{&c.Requests, o.Requests}, {&c.Served, o.Served}, {&c.Rejected, o.Rejected}, {&c.Failed, o.Failed}, {&c.ClientsLeft, o.ClientsLeft},
-		{&c.Refused, o.Refused}, {&c.Attempts, o.Attempts}, {&c.Cancels, o.Cancels}, {&c.TimedOut, o.TimedOut}, {&c.Broken, o.Broken},
-		{&c.Releases, o.Releases}, {&c.ReleasesLost, o.ReleasesLost}, {&c.Messages, o.Messages}, {&c.LateReports, o.LateReports}, {&c.Reports, o.Reports},
-		{&c.InvalidDecisions, o.InvalidDecisions}, {&c.Overdue, o.Overdue}, {&c.Pings, o.Pings}, {&c.DeadConnections, o.DeadConnections}} {
+	}{
+		{&c.Requests, o.Requests},
+		{&c.Served, o.Served},
+		{&c.Rejected, o.Rejected},
+		{&c.Failed, o.Failed},
+		{&c.ClientsLeft, o.ClientsLeft},
+		{&c.Refused, o.Refused},
+		{&c.Attempts, o.Attempts},
+		{&c.Cancels, o.Cancels},
+		{&c.TimedOut, o.TimedOut},
+		{&c.Broken, o.Broken},
+		{&c.Releases, o.Releases},
+		{&c.ReleasesLost, o.ReleasesLost},
+		{&c.Messages, o.Messages},
+		{&c.LateReports, o.LateReports},
+		{&c.Reports, o.Reports},
+		{&c.InvalidDecisions, o.InvalidDecisions},
+		{&c.Overdue, o.Overdue},
+		{&c.Pings, o.Pings},
+		{&c.DeadConnections, o.DeadConnections},
+	} {
 		*f.to += f.from
 	}
 }
@@ -58,13 +74,13 @@
 type memory struct {
 	most   uint64 // 0 = not bounded
 	used   uint64
-	at     loop.Nanos
+	at     eventloop.Nanos
 	sample [1]metrics.Sample
 }
 
 const memoryEvery = 100e6 // nanoseconds between two readings, each some microseconds
 
-func (m *memory) inUse(now loop.Nanos) uint64 {
+func (m *memory) inUse(now eventloop.Nanos) uint64 {
 	if m.most > 0 && (m.at == 0 || now-m.at >= memoryEvery) {
 		m.at, m.sample[0].Name = now, "/memory/classes/heap/objects:bytes"
 		metrics.Read(m.sample[:])
@@ -93,9 +109,11 @@
 
 // View gives the state of now.
 func (d *Dispatcher) View() View {
-	v := View{InHand: d.requests.Len(), Clients: d.entry.Conns(), Waiting: d.queue.Waiting(), Flows: d.queue.Flows(), Counts: d.Counts,
+	v := View{
+		InHand: d.requests.Len(), Clients: d.entry.Conns(), Waiting: d.queue.Waiting(), Flows: d.queue.Flows(), Counts: d.Counts,
 		Background: d.queue.BackgroundWaiting(), BackgroundOut: d.queue.BackgroundLimit.Out(), Spare: d.queue.BackgroundLimit.Allowance(),
-		Front: d.Front()}
+		Front: d.Front(),
+	}
 	for i, t := range d.tenantTerms {
 		w, r := d.queue.Tenant(i)
 		v.Tenants = append(v.Tenants, TenantView{Name: d.tenantNames[i], Weight: t.Weight, Waiting: w, Running: r, Counts: d.queue.Counts(i)})
@@ -105,7 +123,7 @@
 
 // Terms changes what tenants may do in the admission queue, for requests that wait too: all of them or, with an error, none. The
 // tenants must be those of the start.
-func (d *Dispatcher) Terms(s *setup.Dispatcher) error {
+func (d *Dispatcher) Terms(s *config.Dispatcher) error {
 	if len(s.Tenants) != len(d.tenants) {
 		return fmt.Errorf("%d tenants, want the %d of the start", len(s.Tenants), len(d.tenants))
 	}
--- a/internal/e2e/batch_test.go
+++ b/internal/e2e/batch_test.go
@@ -2,20 +2,19 @@
 
 import (
 	"context"
+	"docksail/internal/lab/scenario"
 	"fmt"
 	"strings"
 	"testing"
 	"time"
 
 	"google.golang.org/grpc/codes"
-
-	"docksail/internal/lab/drill"
 )
 
 // TestBatchingHosts: a day with troubles against hosts that batch keeps the rules and gives whole answers; memory that
 // is short preempts answers, which come whole all the same.
 func TestBatchingHosts(t *testing.T) {
-	s, err := drill.Parse("day", []byte(strings.Replace(day, "TROUBLES", `{"kind": "crash", "at": "1s", "for": "1s", "servers": [1]},
+	s, err := scenario.Parse("day", []byte(strings.Replace(day, "TROUBLES", `{"kind": "crash", "at": "1s", "for": "1s", "servers": [1]},
 		{"kind": "hang", "at": "2s", "for": "1s", "servers": [4]}, {"kind": "slow", "at": "3s", "for": "1s", "servers": [2, 3], "factor": 3}`, 1)))
 	if err != nil {
 		t.Fatal(err)
@@ -37,7 +36,7 @@
 
 // TestShortMemoryPreempts: answers together need more memory than the writer has.
 func TestShortMemoryPreempts(t *testing.T) {
-	st, client := stage(t, func(s *drill.Script) {
+	st, client := stage(t, func(s *scenario.Script) {
 		s.Batch = true
 		s.Fleet[1].Count, s.Fleet[1].Memory = 1, 1600
 	})
--- a/internal/e2e/batchapi_test.go
+++ b/internal/e2e/batchapi_test.go
@@ -5,6 +5,12 @@
 	"bytes"
 	"context"
 	"crypto/sha256"
+	"docksail/internal/batchrunner"
+	"docksail/internal/decide/batchscheduler"
+	"docksail/internal/lab/engine"
+	"docksail/internal/lab/eventlog"
+	"docksail/internal/lab/scenario"
+	"docksail/internal/state/batchstore"
 	"encoding/hex"
 	"encoding/json"
 	"fmt"
@@ -20,13 +26,7 @@
 	"time"
 
 	pb "docksail/api/docksail/v1"
-	"docksail/internal/decide/batch"
-	front "docksail/internal/front/batch"
-	"docksail/internal/lab/book"
-	"docksail/internal/lab/drill"
-	"docksail/internal/lab/engine"
-	"docksail/internal/runner"
-	"docksail/internal/state/batches"
+	frontend "docksail/internal/frontend/batch"
 )
 
 // api is a batch API and its caller.
@@ -157,23 +157,25 @@
 }
 
 // openAPI serves the batch API of a stage's dispatcher for the tenants of the keys.
-func openAPI(t *testing.T, st *drill.Stage, dir string, change func(p *runner.Plan)) *api {
+func openAPI(t *testing.T, st *scenario.Stage, dir string, change func(p *batchrunner.Plan)) *api {
 	t.Helper()
-	s, err := batches.Open(dir, 1<<20)
+	s, err := batchstore.Open(dir, 1<<20)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := runner.Plan{Tenants: []runner.Tenant{{Name: "", Weight: 1}, {Name: "other", Weight: 1}}, Target: st.Targets()[0], Out: 16, First: 50 * time.Millisecond, Lines: 1000, Line: 4096, Seed: 1,
-		Tracks: map[string]runner.Track{"question": {Patience: 2 * time.Second}, "booking": {Effect: batch.Irreversible, Patience: 2 * time.Second}}}
+	p := batchrunner.Plan{
+		Tenants: []batchrunner.Tenant{{Name: "", Weight: 1}, {Name: "other", Weight: 1}}, Target: st.Targets()[0], Out: 16, First: 50 * time.Millisecond, Lines: 1000, Line: 4096, Seed: 1,
+		Tracks: map[string]batchrunner.Track{"question": {Patience: 2 * time.Second}, "booking": {Effect: batchscheduler.Irreversible, Patience: 2 * time.Second}},
+	}
 	if change != nil {
 		change(&p)
 	}
-	r, err := runner.New(s, p, quiet)
+	r, err := batchrunner.New(s, p, quiet)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	srv, err := front.New(ctx, s, r, front.Limits{File: 200 << 10, Window: time.Hour, Headers: 16 << 10}, map[string]string{hashOf("k1"): "", hashOf("k2"): "other"}, quiet)
+	srv, err := frontend.New(ctx, s, r, frontend.Limits{File: 200 << 10, Window: time.Hour, Headers: 16 << 10}, map[string]string{hashOf("k1"): "", hashOf("k2"): "other"}, quiet)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -244,7 +246,7 @@
 func TestBatchBadFiles(t *testing.T) {
 	t.Parallel()
 	st, _ := stage(t, nil)
-	a := openAPI(t, st, t.TempDir(), func(p *runner.Plan) { p.Lines = 200 })
+	a := openAPI(t, st, t.TempDir(), func(p *batchrunner.Plan) { p.Lines = 200 })
 	good := jsonl(100, "question")
 	lines := strings.SplitAfter(good, "\n")
 	replace := func(n int, text string) string {
@@ -303,7 +305,7 @@
 func TestBatchEndsEarly(t *testing.T) {
 	t.Parallel()
 	st, _ := stage(t, nil)
-	a := openAPI(t, st, t.TempDir(), func(p *runner.Plan) { p.Out = 4 })
+	a := openAPI(t, st, t.TempDir(), func(p *batchrunner.Plan) { p.Out = 4 })
 	check := func(b map[string]any, n int, want string) {
 		t.Helper()
 		all := map[string]map[string]any{}
@@ -344,11 +346,13 @@
 	if out, err := exec.Command("go", "build", "-o", program, "../../cmd/docksail").CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
-	records := &book.Book{}
+	records := &eventlog.Book{}
 	var hosts []string
 	for i, role := range []string{"prefill", "prefill", "decode", "decode"} {
-		spec := engine.Spec{ID: i + 1, Role: pb.Role_ROLE_READER, Zone: "a", Cell: "a1", Slots: 16, Queue: 64, Memory: 100000, ReadRate: 20000, TokenGap: 4 * time.Millisecond,
-			JobsPerSecond: 100, MoveRate: 1e6, Hold: 2 * time.Second}
+		spec := engine.Spec{
+			ID: i + 1, Role: pb.Role_ROLE_READER, Zone: "a", Cell: "a1", Slots: 16, Queue: 64, Memory: 100000, ReadRate: 20000, TokenGap: 4 * time.Millisecond,
+			JobsPerSecond: 100, MoveRate: 1e6, Hold: 2 * time.Second,
+		}
 		if role == "decode" {
 			spec.Role = pb.Role_ROLE_WRITER
 		}
@@ -433,7 +437,7 @@
 	}
 	ran := map[string]int{}
 	for _, e := range records.Entries() {
-		if e.Kind == book.Ran && e.Class == "book" {
+		if e.Kind == eventlog.Ran && e.Class == "book" {
 			if ran[e.Label]++; ran[e.Label] > 1 {
 				t.Errorf("booking %s ran twice", e.Label)
 			}
--- a/internal/e2e/door_test.go
+++ b/internal/e2e/door_test.go
@@ -2,6 +2,10 @@
 
 import (
 	"context"
+	"docksail/internal/decide/admission"
+	"docksail/internal/dispatch"
+	"docksail/internal/lab/scenario"
+	"docksail/policy"
 	"fmt"
 	"net"
 	"runtime"
@@ -19,10 +23,6 @@
 	"google.golang.org/grpc/metadata"
 
 	pb "docksail/api/docksail/v1"
-	"docksail/internal/decide/admission"
-	"docksail/internal/dispatch"
-	"docksail/internal/lab/drill"
-	"docksail/policy"
 )
 
 // crowd is a day on which one client of many asks for more than the fleet bears; the tests change it.
@@ -42,7 +42,7 @@
   ]
 }`
 
-func crowdDay(t *testing.T, flood bool, how string) *drill.Script {
+func crowdDay(t *testing.T, flood bool, how string) *scenario.Script {
 	t.Helper()
 	small, much := "0.1", "0.9"
 	text := crowd
@@ -50,7 +50,7 @@
 		small, much = "1", "0"
 		text = strings.Replace(text, `"sessions_per_second": 60`, `"sessions_per_second": 6`, 1)
 	}
-	s, err := drill.Parse("crowd", []byte(strings.NewReplacer("SMALL", small, "FLOOD", much, "HOW", how).Replace(text)))
+	s, err := scenario.Parse("crowd", []byte(strings.NewReplacer("SMALL", small, "FLOOD", much, "HOW", how).Replace(text)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -85,7 +85,7 @@
 			a, b := fair.Sums["small"], first.Sums["small"]
 			t.Logf("small clients, p50/p99 to the first token: without the flood %v/%v, with it %v/%v, in order of arrival %v/%v; honoured %d of %d, in order of arrival %d of %d",
 				calmP50, calmP99, p(a.First, 0.5), p(a.First, 0.99), p(b.First, 0.5), p(b.First, 0.99), a.Served, a.Requests, b.Served, b.Requests)
-			for _, rep := range []*drill.Report{fair, first} {
+			for _, rep := range []*scenario.Report{fair, first} {
 				if len(rep.Violations) > 0 || rep.Counts.InvalidDecisions > 0 {
 					t.Errorf("%v, %d decisions refused", rep.Violations, rep.Counts.InvalidDecisions)
 				}
@@ -135,7 +135,7 @@
 
 // TestTenThousandClients: each sends one job at once; every one is answered, memory stays flat.
 func TestTenThousandClients(t *testing.T) {
-	st, client := stage(t, func(s *drill.Script) { s.Waiting = 500 })
+	st, client := stage(t, func(s *scenario.Script) { s.Waiting = 500 })
 	clients := []pb.GenerationClient{client}
 	for range 7 {
 		clients = append(clients, dial(t, st.Targets()[0]))
@@ -199,7 +199,7 @@
 // TestFloodHoldsNoMemory: two hundred connections of one address send jobs as fast as they are refused; the heap is as
 // large late in the flood as early in it, the door keeps its bounds, and clients of another address are served.
 func TestFloodHoldsNoMemory(t *testing.T) {
-	st, _ := stage(t, func(s *drill.Script) { s.Waiting = 200 })
+	st, _ := stage(t, func(s *scenario.Script) { s.Waiting = 200 })
 	to := st.Targets()[0]
 	if _, s, _ := ask(context.Background(), dialFrom(t, 8, to), job("first")); s.Code() != codes.OK {
 		t.Fatal(s)
@@ -338,7 +338,7 @@
 
 // TestFloodOfConnections: one address opens as many connections as it can; another's client is served as before.
 func TestFloodOfConnections(t *testing.T) {
-	st, _ := stage(t, func(s *drill.Script) { s.Connections = 200 })
+	st, _ := stage(t, func(s *scenario.Script) { s.Connections = 200 })
 	to := st.Targets()[0]
 	from := &net.Dialer{Timeout: 2 * time.Second, LocalAddr: &net.TCPAddr{IP: net.IPv4(127, 0, 0, 9)}}
 	var conns []net.Conn
@@ -372,7 +372,7 @@
 // TestTenantsLimits: who asks faster than it may is told so, with the time at which it may; changed terms hold at once,
 // and terms that are wrong change nothing.
 func TestTenantsLimits(t *testing.T) {
-	st, client := stage(t, func(s *drill.Script) {
+	st, client := stage(t, func(s *scenario.Script) {
 		s.Load[0].Tenant, s.Load[0].Rate, s.Load[0].Weight = "quick", 5, 1
 		s.Load[1].Tenant, s.Load[1].Weight = "other", 1
 	})
@@ -460,12 +460,12 @@
 		memory int
 	}{{"loop lags", 100 * time.Millisecond, 0}, {"memory", 0, 1}} {
 		t.Run(c.name, func(t *testing.T) {
-			s, err := drill.Parse("day", []byte(strings.Replace(day, "TROUBLES", "", 1)))
+			s, err := scenario.Parse("day", []byte(strings.Replace(day, "TROUBLES", "", 1)))
 			if err != nil {
 				t.Fatal(err)
 			}
 			s.Memory = c.memory
-			st, err := drill.OpenWith(s, quiet, func(int) func(dispatch.Module) dispatch.Module {
+			st, err := scenario.OpenWith(s, quiet, func(int) func(dispatch.Module) dispatch.Module {
 				return func(m dispatch.Module) dispatch.Module { return lags{m, c.lag} }
 			})
 			if err != nil {
--- a/internal/e2e/hard_test.go
+++ b/internal/e2e/hard_test.go
@@ -3,6 +3,10 @@
 import (
 	"bytes"
 	"context"
+	"docksail/internal/dispatch"
+	"docksail/internal/h2"
+	"docksail/internal/lab/engine"
+	"docksail/internal/lab/scenario"
 	"errors"
 	"fmt"
 	"io"
@@ -24,23 +28,19 @@
 	"google.golang.org/protobuf/proto"
 
 	pb "docksail/api/docksail/v1"
-	"docksail/internal/dispatch"
-	"docksail/internal/h2"
-	"docksail/internal/lab/drill"
-	"docksail/internal/lab/engine"
 )
 
 // stage is one dispatcher with two readers (hosts 1 and 2) and two writers (3 and 4).
-func stage(t *testing.T, change func(s *drill.Script)) (*drill.Stage, pb.GenerationClient) {
+func stage(t *testing.T, change func(s *scenario.Script)) (*scenario.Stage, pb.GenerationClient) {
 	t.Helper()
-	s, err := drill.Parse("day", []byte(strings.Replace(day, "TROUBLES", "", 1)))
+	s, err := scenario.Parse("day", []byte(strings.Replace(day, "TROUBLES", "", 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if change != nil {
 		change(s)
 	}
-	st, err := drill.Open(s, quiet)
+	st, err := scenario.Open(s, quiet)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -87,7 +87,7 @@
 }
 
 // calm waits until no engine does or holds anything and the dispatcher has no job in hand.
-func calm(t *testing.T, st *drill.Stage, within time.Duration) {
+func calm(t *testing.T, st *scenario.Stage, within time.Duration) {
 	t.Helper()
 	var what string
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
@@ -110,7 +110,7 @@
 	t.Errorf("after %v:%s", within, what)
 }
 
-func clean(t *testing.T, st *drill.Stage) {
+func clean(t *testing.T, st *scenario.Stage) {
 	t.Helper()
 	for _, v := range st.Check() {
 		t.Error(v)
@@ -126,15 +126,15 @@
 func TestClientCancels(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		set    func(st *drill.Stage)
+		set    func(st *scenario.Stage)
 		tokens int // cancel after so many; 0 = after the time
 		after  time.Duration
 	}{
-		{"before the read", func(st *drill.Stage) { turn(st, true, 1, 2) }, 0, 30 * time.Millisecond},
-		{"during the read", func(st *drill.Stage) { hang(st, 1, 2) }, 0, 100 * time.Millisecond},
-		{"between read and write", func(st *drill.Stage) { turn(st, true, 3, 4) }, 0, 60 * time.Millisecond},
-		{"before the first token", func(st *drill.Stage) { hang(st, 3, 4) }, 0, 150 * time.Millisecond},
-		{"mid-stream", func(*drill.Stage) {}, 3, 0},
+		{"before the read", func(st *scenario.Stage) { turn(st, true, 1, 2) }, 0, 30 * time.Millisecond},
+		{"during the read", func(st *scenario.Stage) { hang(st, 1, 2) }, 0, 100 * time.Millisecond},
+		{"between read and write", func(st *scenario.Stage) { turn(st, true, 3, 4) }, 0, 60 * time.Millisecond},
+		{"before the first token", func(st *scenario.Stage) { hang(st, 3, 4) }, 0, 150 * time.Millisecond},
+		{"mid-stream", func(*scenario.Stage) {}, 3, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -169,13 +169,13 @@
 	}
 }
 
-func hang(st *drill.Stage, hosts ...int) {
+func hang(st *scenario.Stage, hosts ...int) {
 	for _, h := range hosts {
 		st.Engines[h-1].Fail(func(f *engine.Faults) { f.Hang = true })
 	}
 }
 
-func turn(st *drill.Stage, yes bool, hosts ...int) {
+func turn(st *scenario.Stage, yes bool, hosts ...int) {
 	for _, h := range hosts {
 		st.Engines[h-1].Fail(func(f *engine.Faults) { f.Drain = yes })
 	}
@@ -218,7 +218,7 @@
 
 // TestReaderDiesHoldingState, and the state is gone when the writer fetches it: the prompt is read anew.
 func TestReaderDiesHoldingState(t *testing.T) {
-	st, client := stage(t, func(s *drill.Script) { s.Load[0].Target = 2 * time.Second; s.Load[0].Timeout = 5 * time.Second })
+	st, client := stage(t, func(s *scenario.Script) { s.Load[0].Target = 2 * time.Second; s.Load[0].Timeout = 5 * time.Second })
 	turn(st, true, 3, 4) // the state has to wait at its reader
 	var wg sync.WaitGroup
 	wg.Add(1)
@@ -250,7 +250,7 @@
 
 // TestClientStopsReading: its writer is held back, others run at full pace, memory stays bounded.
 func TestClientStopsReading(t *testing.T) {
-	st, client := stage(t, func(s *drill.Script) { s.Fleet[1].TokenGap = 200 * time.Microsecond })
+	st, client := stage(t, func(s *scenario.Script) { s.Fleet[1].TokenGap = 200 * time.Microsecond })
 	raw, err := net.Dial("tcp", st.Targets()[0])
 	if err != nil {
 		t.Fatal(err)
@@ -337,7 +337,7 @@
 
 // TestAnswerAndDeadlineCross: with patience about as long as an answer takes, each job still ends once, in time.
 func TestAnswerAndDeadlineCross(t *testing.T) {
-	s, err := drill.Parse("day", []byte(strings.Replace(day, "TROUBLES", "", 1)))
+	s, err := scenario.Parse("day", []byte(strings.Replace(day, "TROUBLES", "", 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -357,7 +357,7 @@
 
 // TestDrainDuringConnect: a launch that waits for its connection is not sent once the host drains.
 func TestDrainDuringConnect(t *testing.T) {
-	st, client := stage(t, func(s *drill.Script) { s.Fleet[0].Count = 1 })
+	st, client := stage(t, func(s *scenario.Script) { s.Fleet[0].Count = 1 })
 	st.Relays(0)[0].Cut(true) // the connection is made, but its engine never speaks
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
@@ -636,12 +636,14 @@
 		t.Errorf("%d services listed, want 3", n)
 	}
 	file := askOne(&reflectpb.ServerReflectionRequest{MessageRequest: &reflectpb.ServerReflectionRequest_FileContainingSymbol{
-		FileContainingSymbol: "docksail.v1.Generation"}})
+		FileContainingSymbol: "docksail.v1.Generation",
+	}})
 	if len(file.GetFileDescriptorResponse().GetFileDescriptorProto()) == 0 {
 		t.Errorf("no file for the service: %v", file)
 	}
 	none := askOne(&reflectpb.ServerReflectionRequest{MessageRequest: &reflectpb.ServerReflectionRequest_FileContainingSymbol{
-		FileContainingSymbol: "no.such"}})
+		FileContainingSymbol: "no.such",
+	}})
 	if none.GetErrorResponse() == nil {
 		t.Error("no error for an unknown symbol")
 	}
--- a/internal/e2e/rules_test.go
+++ b/internal/e2e/rules_test.go
@@ -3,16 +3,15 @@
 
 import (
 	"context"
+	"docksail/internal/dispatch"
+	"docksail/internal/lab/scenario"
+	"docksail/policy"
 	"io"
 	"log/slog"
 	"os"
 	"slices"
 	"strings"
 	"testing"
-
-	"docksail/internal/dispatch"
-	"docksail/internal/lab/drill"
-	"docksail/policy"
 )
 
 var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
@@ -35,9 +34,9 @@
   "troubles": [TROUBLES]
 }`
 
-func playChanged(t *testing.T, troubles string, wrap func(dispatch.Module) dispatch.Module, change func(s *drill.Script)) *drill.Report {
+func playChanged(t *testing.T, troubles string, wrap func(dispatch.Module) dispatch.Module, change func(s *scenario.Script)) *scenario.Report {
 	t.Helper()
-	s, err := drill.Parse("day", []byte(strings.Replace(day, "TROUBLES", troubles, 1)))
+	s, err := scenario.Parse("day", []byte(strings.Replace(day, "TROUBLES", troubles, 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -47,9 +46,9 @@
 	return playScript(t, s, wrap)
 }
 
-func playScript(t *testing.T, s *drill.Script, wrap func(dispatch.Module) dispatch.Module) *drill.Report {
+func playScript(t *testing.T, s *scenario.Script, wrap func(dispatch.Module) dispatch.Module) *scenario.Report {
 	t.Helper()
-	st, err := drill.OpenWith(s, quiet, func(int) func(dispatch.Module) dispatch.Module { return wrap })
+	st, err := scenario.OpenWith(s, quiet, func(int) func(dispatch.Module) dispatch.Module { return wrap })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -65,7 +64,7 @@
 }
 
 // broken tells whether a run broke a rule.
-func broken(rep *drill.Report, rule int) bool {
+func broken(rep *scenario.Report, rule int) bool {
 	for _, v := range rep.Violations {
 		if v.Rule == rule {
 			return true
@@ -164,18 +163,26 @@
 		rule     int
 		troubles string
 		wrap     func(dispatch.Module) dispatch.Module
-		change   func(s *drill.Script)
+		change   func(s *scenario.Script)
 	}{
 		{"an answer dropped", 1, ``, func(m dispatch.Module) dispatch.Module { return &dropsAnswers{Module: m} }, nil},
-		{"an effect twice", 2, `{"kind": "errors", "at": "1s", "for": "3s", "servers": [3, 4], "factor": 0.5}`,
+		{
+			"an effect twice", 2, `{"kind": "errors", "at": "1s", "for": "3s", "servers": [3, 4], "factor": 0.5}`,
 			func(m dispatch.Module) dispatch.Module { return runsTwice{m} },
-			func(s *drill.Script) { s.Load[0].Share, s.Load[1].Share = 0, 1 }},
-		{"a drain ignored", 3, `{"kind": "drain", "at": "1s", "for": "6s", "servers": [4]}`,
-			func(m dispatch.Module) dispatch.Module { return ignoresDrains{m} }, nil},
-		{"a cold host flooded", 4, `{"kind": "crash", "at": "500ms", "for": "500ms", "servers": [1]}`,
-			func(m dispatch.Module) dispatch.Module { return &floodsCold{Module: m} }, nil},
-		{"a state never let go", 5, `{"kind": "hang", "at": "1s", "for": "3s", "servers": [3, 4]}`,
-			func(m dispatch.Module) dispatch.Module { return neverLetsGo{m} }, nil},
+			func(s *scenario.Script) { s.Load[0].Share, s.Load[1].Share = 0, 1 },
+		},
+		{
+			"a drain ignored", 3, `{"kind": "drain", "at": "1s", "for": "6s", "servers": [4]}`,
+			func(m dispatch.Module) dispatch.Module { return ignoresDrains{m} }, nil,
+		},
+		{
+			"a cold host flooded", 4, `{"kind": "crash", "at": "500ms", "for": "500ms", "servers": [1]}`,
+			func(m dispatch.Module) dispatch.Module { return &floodsCold{Module: m} }, nil,
+		},
+		{
+			"a state never let go", 5, `{"kind": "hang", "at": "1s", "for": "3s", "servers": [3, 4]}`,
+			func(m dispatch.Module) dispatch.Module { return neverLetsGo{m} }, nil,
+		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -209,11 +216,11 @@
 
 // TestBadDay is the scripted bad day: all five rules kept, every answer whole.
 func TestBadDay(t *testing.T) {
-	text, err := os.ReadFile("../lab/drill/testdata/badday.json")
+	text, err := os.ReadFile("../lab/scenario/testdata/badday.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := drill.Parse("badday.json", text)
+	s, err := scenario.Parse("badday.json", text)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/loop/listener.go
+++ b/internal/eventloop/listener.go
@@ -1,4 +1,4 @@
-package loop
+package eventloop
 
 import (
 	"fmt"
--- a/internal/loop/loop.go
+++ b/internal/eventloop/loop.go
@@ -1,9 +1,9 @@
-// Package loop runs sockets, timers and calls from other threads on one epoll loop. It moves bytes and knows
+// Package eventloop runs sockets, timers and calls from other threads on one epoll loop. It moves bytes and knows
 // no protocol. All methods belong to the goroutine that runs the loop, except Post, Stop and Dropped.
 //
 // One turn of the loop reads the clock once, hands over what has arrived, fires the timers that are due, calls
 // the host's round function and then writes all that was queued, one write a connection.
-package loop
+package eventloop
 
 import (
 	"errors"
--- a/internal/loop/timer.go
+++ b/internal/eventloop/timer.go
@@ -1,6 +1,6 @@
-package loop
+package eventloop
 
-import "docksail/internal/order"
+import "docksail/internal/indexedheap"
 
 // Timer is one call at a time. Its zero value is ready; it must not be copied while it is set.
 type Timer struct {
@@ -20,13 +20,15 @@
 func (l *Loop) Cancel(t *Timer) { l.timers.cancel(t) }
 
 type timers struct {
-	heap order.Heap[*Timer]
+	heap indexedheap.Heap[*Timer]
 	n    uint64
 }
 
 func newTimers() timers {
-	return timers{heap: order.Heap[*Timer]{Place: func(t *Timer) *int { return &t.i },
-		Less: func(a, b *Timer) bool { return a.at < b.at || a.at == b.at && a.n < b.n }}}
+	return timers{heap: indexedheap.Heap[*Timer]{
+		Place: func(t *Timer) *int { return &t.i },
+		Less:  func(a, b *Timer) bool { return a.at < b.at || a.at == b.at && a.n < b.n },
+	}}
 }
 
 func (ts *timers) set(t *Timer, at Nanos, call func(Nanos)) {
--- a/internal/loop/world.go
+++ b/internal/eventloop/world.go
@@ -1,13 +1,12 @@
-package loop
+package eventloop
 
 import (
+	"docksail/internal/indexedheap"
 	"fmt"
 	"net/netip"
 	"os"
 
 	"golang.org/x/sys/unix"
-
-	"docksail/internal/order"
 )
 
 // World is simulated time with loops in it: their sockets are pipes in memory, a fixed time long, their clock is the
@@ -20,7 +19,7 @@
 
 	now       Nanos
 	wall      int64
-	events    order.Heap[*event]
+	events    indexedheap.Heap[*event]
 	free      []*event
 	n         uint64
 	loops     int
@@ -69,13 +68,15 @@
 
 // NewWorld makes a world whose clock stands at 0 at a wall-clock time in Unix nanoseconds.
 func NewWorld(wall int64, delay Nanos) *World {
-	return &World{Delay: delay, wall: wall, listeners: map[netip.AddrPort]*Listener{}, cuts: map[[2]int]bool{}, ports: 1024,
-		events: order.Heap[*event]{Place: func(e *event) *int { return &e.i }, Less: func(a, b *event) bool {
+	return &World{
+		Delay: delay, wall: wall, listeners: map[netip.AddrPort]*Listener{}, cuts: map[[2]int]bool{}, ports: 1024,
+		events: indexedheap.Heap[*event]{Place: func(e *event) *int { return &e.i }, Less: func(a, b *event) bool {
 			if a.at != b.at {
 				return a.at < b.at
 			}
 			return a.n < b.n
-		}}}
+		}},
+	}
 }
 
 // Now is the world's time.
@@ -222,7 +223,7 @@
 
 // open gives the loop's connections in the order of their making.
 func (l *Loop) open() []*Conn {
-	heap := order.Heap[*Conn]{Place: func(c *Conn) *int { return &c.place }, Less: func(a, b *Conn) bool { return a.made < b.made }}
+	heap := indexedheap.Heap[*Conn]{Place: func(c *Conn) *int { return &c.place }, Less: func(a, b *Conn) bool { return a.made < b.made }}
 	for c := range l.live {
 		heap.Put(c)
 	}
