--- a/internal/front/batch/batch.go
+++ b/internal/frontend/batch/batch.go
@@ -6,6 +6,8 @@
 import (
 	"context"
 	"crypto/sha256"
+	"docksail/internal/batchrunner"
+	"docksail/internal/state/batchstore"
 	"encoding/hex"
 	"encoding/json"
 	"errors"
@@ -18,9 +20,7 @@
 	"strings"
 	"time"
 
-	decide "docksail/internal/decide/batch"
-	"docksail/internal/runner"
-	"docksail/internal/state/batches"
+	decide "docksail/internal/decide/batchscheduler"
 )
 
 // Limits bound what one call may bring.
@@ -32,8 +32,8 @@
 
 // Server is the front.
 type Server struct {
-	s    *batches.Store
-	r    *runner.Runner
+	s    *batchstore.Store
+	r    *batchrunner.Runner
 	lim  Limits
 	keys map[[sha256.Size]byte]string // tenant by the hash of its key
 	log  *slog.Logger
@@ -41,7 +41,7 @@
 }
 
 // New makes a front; keys are the hex SHA-256 of each key, by which its tenant is known. Batches run until ctx ends.
-func New(ctx context.Context, s *batches.Store, r *runner.Runner, lim Limits, keys map[string]string, log *slog.Logger) (*Server, error) {
+func New(ctx context.Context, s *batchstore.Store, r *batchrunner.Runner, lim Limits, keys map[string]string, log *slog.Logger) (*Server, error) {
 	x := &Server{s: s, r: r, lim: lim, keys: map[[sha256.Size]byte]string{}, log: log, ctx: ctx}
 	for hash, tenant := range keys {
 		b, err := hex.DecodeString(hash)
@@ -69,8 +69,10 @@
 	var protocols http.Protocols
 	protocols.SetHTTP1(true)
 	protocols.SetUnencryptedHTTP2(true)
-	srv := &http.Server{Handler: x.Handler(), ReadHeaderTimeout: headTime, IdleTimeout: idleTime, MaxHeaderBytes: x.lim.Headers, Protocols: &protocols,
-		ErrorLog: slog.NewLogLogger(x.log.Handler(), slog.LevelInfo)}
+	srv := &http.Server{
+		Handler: x.Handler(), ReadHeaderTimeout: headTime, IdleTimeout: idleTime, MaxHeaderBytes: x.lim.Headers, Protocols: &protocols,
+		ErrorLog: slog.NewLogLogger(x.log.Handler(), slog.LevelInfo),
+	}
 	stopped := make(chan struct{})
 	go func() {
 		defer close(stopped)
@@ -140,13 +142,13 @@
 	var e apiError
 	switch {
 	case errors.As(err, &e):
-	case errors.Is(err, batches.ErrNone):
+	case errors.Is(err, batchstore.ErrNone):
 		e = apiError{http.StatusNotFound, "invalid_request_error", "id", "not_found", err.Error()}
-	case errors.Is(err, batches.ErrState):
+	case errors.Is(err, batchstore.ErrState):
 		e = apiError{http.StatusConflict, "invalid_request_error", "", "invalid_state", err.Error()}
-	case errors.Is(err, batches.ErrLarge):
+	case errors.Is(err, batchstore.ErrLarge):
 		e = apiError{http.StatusRequestEntityTooLarge, "invalid_request_error", "file", "file_too_large", err.Error()}
-	case errors.Is(err, batches.ErrQuota):
+	case errors.Is(err, batchstore.ErrQuota):
 		e = apiError{http.StatusForbidden, "insufficient_quota", "file", "quota_exceeded", err.Error()}
 	default:
 		x.log.Error("batch API", "err", err)
@@ -173,9 +175,11 @@
 	return nil
 }
 
-func showFile(f batches.File) map[string]any {
-	return map[string]any{"id": f.ID, "object": "file", "bytes": f.Bytes, "created_at": f.Created, "filename": f.Name, "purpose": f.Purpose,
-		"status": "processed"}
+func showFile(f batchstore.File) map[string]any {
+	return map[string]any{
+		"id": f.ID, "object": "file", "bytes": f.Bytes, "created_at": f.Created, "filename": f.Name, "purpose": f.Purpose,
+		"status": "processed",
+	}
 }
 
 // upload takes a file as multipart/form-data, without holding it in memory.
@@ -210,7 +214,7 @@
 			var large *http.MaxBytesError
 			switch {
 			case errors.As(err, &large):
-				return fmt.Errorf("more than %d bytes: %w", x.lim.File, batches.ErrLarge)
+				return fmt.Errorf("more than %d bytes: %w", x.lim.File, batchstore.ErrLarge)
 			case errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, context.Canceled):
 				return bad("file", "the file was cut off: %v", err)
 			case err != nil:
@@ -296,8 +300,8 @@
 	}
 	window, err := time.ParseDuration(q.Window)
 	switch {
-	case q.Endpoint != runner.Endpoint:
-		return bad("endpoint", "%q, want %s", q.Endpoint, runner.Endpoint)
+	case q.Endpoint != batchrunner.Endpoint:
+		return bad("endpoint", "%q, want %s", q.Endpoint, batchrunner.Endpoint)
 	case err != nil || window <= 0 || window > x.lim.Window:
 		return bad("completion_window", "%q, want a time of at most %v, as 24h", q.Window, x.lim.Window)
 	case len(q.Metadata) > mostMeta:
@@ -308,7 +312,7 @@
 			return bad("metadata", "%.64q is longer than %d, or what it says than %d", k, metaKey, metaValue)
 		}
 	}
-	b, err := x.s.Create(time.Now(), batches.Batch{Tenant: tenant, Input: q.Input, Endpoint: q.Endpoint, Window: q.Window, Metadata: q.Metadata}, window)
+	b, err := x.s.Create(time.Now(), batchstore.Batch{Tenant: tenant, Input: q.Input, Endpoint: q.Endpoint, Window: q.Window, Metadata: q.Metadata}, window)
 	if err != nil {
 		return err
 	}
@@ -316,7 +320,7 @@
 	return x.answer(w, http.StatusOK, x.show(b))
 }
 
-func (x *Server) show(b batches.Batch) map[string]any {
+func (x *Server) show(b batchstore.Batch) map[string]any {
 	time0 := func(t int64) any {
 		if t == 0 {
 			return nil
@@ -329,11 +333,13 @@
 		}
 		return nil
 	}
-	m := map[string]any{"id": b.ID, "object": "batch", "endpoint": b.Endpoint, "input_file_id": b.Input, "completion_window": b.Window,
+	m := map[string]any{
+		"id": b.ID, "object": "batch", "endpoint": b.Endpoint, "input_file_id": b.Input, "completion_window": b.Window,
 		"status": b.State.String(), "output_file_id": orNull(b.Output), "error_file_id": orNull(b.Errors), "created_at": b.Created,
 		"expires_at": b.Expires, "in_progress_at": time0(b.InProgress), "finalizing_at": time0(b.Finalizing), "cancelling_at": time0(b.Cancelling),
 		"completed_at": at(decide.Completed), "failed_at": at(decide.Failed), "expired_at": at(decide.Expired), "cancelled_at": at(decide.Cancelled),
-		"request_counts": map[string]any{"total": b.Total, "completed": b.Done, "failed": b.Lost}, "metadata": b.Metadata, "errors": nil}
+		"request_counts": map[string]any{"total": b.Total, "completed": b.Done, "failed": b.Lost}, "metadata": b.Metadata, "errors": nil,
+	}
 	if len(b.Faults) > 0 {
 		var data []any
 		for _, f := range b.Faults {
--- a/internal/front/front.go
+++ b/internal/frontend/frontend.go
@@ -1,12 +1,11 @@
-// Package front is what every front of the dispatcher has in common: the requests that come in by it, the ends that they
+// Package frontend is what every front of the dispatcher has in common: the requests that come in by it, the ends that they
 // come to, and what stands behind it. The doors themselves are packages below.
-package front
+package frontend
 
 import (
-	"errors"
-
-	"docksail/internal/loop"
+	"docksail/internal/eventloop"
 	"docksail/policy"
+	"errors"
 )
 
 // ErrBad is wrapped by the core's errors about a request that can never be taken as it is.
@@ -16,13 +15,13 @@
 type Core interface {
 	// Arrive hands over a request. The request's slices are valid during the call only. An error that wraps ErrBad
 	// is the caller's fault; a Refusal rejects the request.
-	Arrive(now loop.Nanos, call Call, r *Request) (policy.RequestID, error)
+	Arrive(now eventloop.Nanos, call Call, r *Request) (policy.RequestID, error)
 	// ClientLeft tells that the client of a request is gone.
-	ClientLeft(now loop.Nanos, id policy.RequestID)
+	ClientLeft(now eventloop.Nanos, id policy.RequestID)
 	// Name is a request's for the outside.
 	Name(id policy.RequestID) string
 	// Room tells that all that was sent to the client has left.
-	Room(now loop.Nanos, id policy.RequestID)
+	Room(now eventloop.Nanos, id policy.RequestID)
 }
 
 // Call is the client's end of a request.
@@ -41,9 +40,9 @@
 // Refusal is an error that says when to come back.
 type Refusal struct {
 	Reason      string
-	RetryAfter  loop.Nanos // 0 = at once, elsewhere
-	TenantLimit bool       // a limit of the caller's own was met
-	Ticket      []byte     // to be brought back then; nil = none
+	RetryAfter  eventloop.Nanos // 0 = at once, elsewhere
+	TenantLimit bool            // a limit of the caller's own was met
+	Ticket      []byte          // to be brought back then; nil = none
 }
 
 func (r Refusal) Error() string { return r.Reason }
--- a/internal/front/grpc/aside.go
+++ b/internal/frontend/grpc/aside.go
@@ -1,6 +1,7 @@
 package grpc
 
 import (
+	"docksail/internal/h2"
 	"strings"
 
 	"google.golang.org/grpc/codes"
@@ -12,7 +13,6 @@
 	"google.golang.org/protobuf/reflect/protoregistry"
 
 	_ "docksail/api/docksail/v1" // what reflection tells of
-	"docksail/internal/h2"
 )
 
 // aside is a call of the side services: health and reflection.
@@ -98,7 +98,8 @@
 	res := &grpc_reflection_v1.ServerReflectionResponse{ValidHost: req.Host, OriginalRequest: req}
 	fail := func(what string) {
 		res.MessageResponse = &grpc_reflection_v1.ServerReflectionResponse_ErrorResponse{
-			ErrorResponse: &grpc_reflection_v1.ErrorResponse{ErrorCode: int32(codes.NotFound), ErrorMessage: what + " is not known"}}
+			ErrorResponse: &grpc_reflection_v1.ErrorResponse{ErrorCode: int32(codes.NotFound), ErrorMessage: what + " is not known"},
+		}
 	}
 	files := func(fd protoreflect.FileDescriptor) {
 		var all [][]byte
@@ -118,7 +119,8 @@
 		}
 		walk(fd)
 		res.MessageResponse = &grpc_reflection_v1.ServerReflectionResponse_FileDescriptorResponse{
-			FileDescriptorResponse: &grpc_reflection_v1.FileDescriptorResponse{FileDescriptorProto: all}}
+			FileDescriptorResponse: &grpc_reflection_v1.FileDescriptorResponse{FileDescriptorProto: all},
+		}
 	}
 	switch q := req.MessageRequest.(type) {
 	case *grpc_reflection_v1.ServerReflectionRequest_ListServices:
--- a/internal/front/grpc/grpc.go
+++ b/internal/frontend/grpc/grpc.go
@@ -3,6 +3,11 @@
 package grpc
 
 import (
+	"docksail/internal/decide/connlimit"
+	"docksail/internal/eventloop"
+	"docksail/internal/frontend"
+	"docksail/internal/h2"
+	"docksail/policy"
 	"encoding/base64"
 	"errors"
 	"net/netip"
@@ -19,12 +24,6 @@
 	"google.golang.org/protobuf/proto"
 	"google.golang.org/protobuf/types/known/anypb"
 	"google.golang.org/protobuf/types/known/durationpb"
-
-	"docksail/internal/decide/connlimit"
-	"docksail/internal/front"
-	"docksail/internal/h2"
-	"docksail/internal/loop"
-	"docksail/policy"
 )
 
 const (
@@ -35,17 +34,17 @@
 
 // Server accepts clients on a loop.
 type Server struct {
-	l       *loop.Loop
-	core    front.Core
+	l       *eventloop.Loop
+	core    frontend.Core
 	lim     h2.Limits
 	crowd   *connlimit.Limiter
 	budget  *h2.Budget
 	output  int // bytes queued for one
 	conns   map[*conn]struct{}
 	dirty   []*conn
-	ln      *loop.Listener
+	ln      *eventloop.Listener
 	leaving bool
-	req     front.Request
+	req     frontend.Request
 	Counts  Counts
 }
 
@@ -58,13 +57,15 @@
 
 // New makes a front; it opens with Listen. partial bounds the bytes of messages that have come in part, over all
 // connections.
-func New(l *loop.Loop, core front.Core, lim h2.Limits, connections, output, partial int) (*Server, error) {
+func New(l *eventloop.Loop, core frontend.Core, lim h2.Limits, connections, output, partial int) (*Server, error) {
 	c, err := connlimit.New(connections)
 	if err != nil {
 		return nil, err
 	}
-	return &Server{l: l, core: core, lim: lim, crowd: c, budget: &h2.Budget{Most: int64(partial)}, output: output,
-		conns: make(map[*conn]struct{})}, nil
+	return &Server{
+		l: l, core: core, lim: lim, crowd: c, budget: &h2.Budget{Most: int64(partial)}, output: output,
+		conns: make(map[*conn]struct{}),
+	}, nil
 }
 
 // Listen opens the listener.
@@ -124,7 +125,7 @@
 	return true
 }
 
-func (s *Server) accept(lc *loop.Conn, from netip.AddrPort) loop.Handler {
+func (s *Server) accept(lc *eventloop.Conn, from netip.AddrPort) eventloop.Handler {
 	source := connlimit.Cut(from.Addr().As16())
 	if s.crowd.Opened(s.l.Now(), source) != connlimit.Accepted {
 		return nil
@@ -140,13 +141,13 @@
 // conn is one client's connection.
 type conn struct {
 	s     *Server
-	lc    *loop.Conn
+	lc    *eventloop.Conn
 	h     *h2.Conn
-	now   loop.Nanos
+	now   eventloop.Nanos
 	dirty bool
 	heard bool
 	from  connlimit.Source
-	greet loop.Timer
+	greet eventloop.Timer
 }
 
 func (c *conn) touch() {
@@ -156,12 +157,12 @@
 	}
 }
 
-func (c *conn) Opened(now loop.Nanos) {
-	c.s.l.At(&c.greet, now+greetWithin, func(loop.Nanos) { c.lc.Close() })
+func (c *conn) Opened(now eventloop.Nanos) {
+	c.s.l.At(&c.greet, now+greetWithin, func(eventloop.Nanos) { c.lc.Close() })
 	c.touch()
 }
 
-func (c *conn) Data(now loop.Nanos, p []byte) {
+func (c *conn) Data(now eventloop.Nanos, p []byte) {
 	c.now = now
 	if !c.heard {
 		c.heard = true
@@ -171,9 +172,9 @@
 	c.touch()
 }
 
-func (c *conn) PeerDone(loop.Nanos) { c.lc.Close() } // HTTP/2 has no use for half a connection
+func (c *conn) PeerDone(eventloop.Nanos) { c.lc.Close() } // HTTP/2 has no use for half a connection
 
-func (c *conn) Drained(now loop.Nanos) {
+func (c *conn) Drained(now eventloop.Nanos) {
 	c.now = now
 	c.h.Congested(false)
 	c.flush()
@@ -182,9 +183,9 @@
 	}
 }
 
-func (c *conn) Closed(now loop.Nanos, err error) {
+func (c *conn) Closed(now eventloop.Nanos, err error) {
 	c.now = now
-	if errors.Is(err, loop.ErrOutputBound) {
+	if errors.Is(err, eventloop.ErrOutputBound) {
 		c.s.Counts.Overflows++
 	}
 	c.s.l.Cancel(&c.greet)
@@ -251,7 +252,7 @@
 type waiting struct {
 	call            Call
 	timeout, repeat int64
-	came            loop.Nanos
+	came            eventloop.Nanos
 	trace           string
 	ticket          []byte
 	background      bool
@@ -280,7 +281,7 @@
 		c.s.Counts.Calls++
 		tag.call = Call{c, s}
 		id, err := c.s.core.Arrive(c.now, &tag.call, r)
-		var no front.Refusal
+		var no frontend.Refusal
 		switch {
 		case err == nil:
 			s.Ref = uint64(id)
@@ -344,14 +345,16 @@
 
 // Reject ends the call with UNAVAILABLE, or RESOURCE_EXHAUSTED where a limit of the caller's own was met: trying again
 // is harmless, best after so many nanoseconds.
-func (a *Call) Reject(id policy.RequestID, no front.Refusal) {
+func (a *Call) Reject(id policy.RequestID, no frontend.Refusal) {
 	ms := (no.RetryAfter + 1e6 - 1) / 1e6
 	why, code := "nacked: "+no.Reason, codes.Unavailable
 	if no.TenantLimit {
 		code = codes.ResourceExhausted
 	}
-	extra := []hpack.HeaderField{{Name: "grpc-retry-pushback-ms", Value: strconv.FormatInt(ms, 10)},
-		{Name: "grpc-status-details-bin", Value: details(code, why, no.RetryAfter)}}
+	extra := []hpack.HeaderField{
+		{Name: "grpc-retry-pushback-ms", Value: strconv.FormatInt(ms, 10)},
+		{Name: "grpc-status-details-bin", Value: details(code, why, no.RetryAfter)},
+	}
 	if no.Ticket != nil {
 		extra = append(extra, hpack.HeaderField{Name: ticketHeader, Value: base64.RawStdEncoding.EncodeToString(no.Ticket)})
 	}
@@ -372,7 +375,7 @@
 }
 
 // details encodes a google.rpc.Status with RetryInfo as grpc-status-details-bin has it.
-func details(code codes.Code, why string, after loop.Nanos) string {
+func details(code codes.Code, why string, after eventloop.Nanos) string {
 	info, err := anypb.New(&errdetails.RetryInfo{RetryDelay: durationpb.New(time.Duration(after))})
 	if err != nil {
 		return ""
--- a/internal/front/grpc/request.go
+++ b/internal/frontend/grpc/request.go
@@ -1,17 +1,16 @@
 package grpc
 
 import (
+	"docksail/internal/frontend"
 	"fmt"
 	"unicode/utf8"
 
 	"google.golang.org/protobuf/encoding/protowire"
-
-	"docksail/internal/front"
 )
 
 // decode reads a message; unknown fields are passed over, as the format wants it.
-func decode(r *front.Request, p []byte) error {
-	*r = front.Request{Raw: p}
+func decode(r *frontend.Request, p []byte) error {
+	*r = frontend.Request{Raw: p}
 	for len(p) > 0 {
 		num, typ, n := protowire.ConsumeTag(p)
 		if n < 0 {
--- a/internal/front/platform/answer.go
+++ b/internal/frontend/platform/answer.go
@@ -1,14 +1,13 @@
 package platform
 
 import (
+	"docksail/internal/decide/clientconn"
+	"docksail/internal/eventloop"
+	"docksail/internal/frontend"
+	"docksail/policy"
 	"encoding/json"
 	"net/http"
 	"strconv"
-
-	"docksail/internal/decide/clientconn"
-	"docksail/internal/front"
-	"docksail/internal/loop"
-	"docksail/policy"
 )
 
 // refuse answers a request that cannot be taken, whatever still comes of it, and ends the connection.
@@ -19,7 +18,7 @@
 }
 
 // answer gives an answer that is no stream; after is when to come back, 0 = not told.
-func (c *conn) answer(status int, after loop.Nanos, why string) {
+func (c *conn) answer(status int, after eventloop.Nanos, why string) {
 	c.server.Counts.Answers[status/100]++
 	c.closeAfter = c.closeAfter || c.isLastAnswer()
 	b := append(c.server.scratch[:0], "HTTP/1.1 "...)
@@ -51,7 +50,7 @@
 func (c *conn) isLastAnswer() bool { return c.server.phase >= draining && c.pipelinedWaiting() == 0 }
 
 // appendSeconds writes a span in seconds with three decimals, rounded up.
-func appendSeconds(b []byte, span loop.Nanos) []byte {
+func appendSeconds(b []byte, span eventloop.Nanos) []byte {
 	ms := (span + 1e6 - 1) / 1e6
 	b = strconv.AppendInt(b, ms/1000, 10)
 	return append(b, '.', byte('0'+ms/100%10), byte('0'+ms/10%10), byte('0'+ms%10))
@@ -118,7 +117,7 @@
 }
 
 // Reject implements front.Call.
-func (c *conn) Reject(_ policy.RequestID, no front.Refusal) {
+func (c *conn) Reject(_ policy.RequestID, no frontend.Refusal) {
 	if !c.gone {
 		c.answer(503, no.RetryAfter, no.Reason)
 	}
--- a/internal/front/platform/request.go
+++ b/internal/frontend/platform/request.go
@@ -2,13 +2,12 @@
 
 import (
 	"bytes"
+	"docksail/internal/frontend"
+	"docksail/internal/h1"
 	"encoding/json"
 	"errors"
 	"fmt"
 	"strconv"
-
-	"docksail/internal/front"
-	"docksail/internal/h1"
 )
 
 func cut(p []byte, sep byte) (before, after []byte, found bool) { return bytes.Cut(p, []byte{sep}) }
@@ -32,8 +31,10 @@
 
 // head reads the fields that the platform has.
 func (a *parsedRequest) head(h *h1.Head) error {
-	*a = parsedRequest{id: a.id[:0], path: append(a.path[:0], h.Target...), class: a.class[:0], session: a.session[:0],
-		prefix: a.prefix[:0], tenant: a.tenant[:0], fields: a.fields[:0]}
+	*a = parsedRequest{
+		id: a.id[:0], path: append(a.path[:0], h.Target...), class: a.class[:0], session: a.session[:0],
+		prefix: a.prefix[:0], tenant: a.tenant[:0], fields: a.fields[:0],
+	}
 	var seen [len(fieldNameList)]bool
 	for _, f := range h.Fields {
 		i, known := fieldNames[string(lower(f.Name))]
@@ -122,8 +123,10 @@
 }
 
 // hopFields concern one connection only, or are written anew for the server.
-var hopFields = map[string]bool{"host": true, "content-length": true, "content-type": true, "transfer-encoding": true, "connection": true,
-	"keep-alive": true, "proxy-connection": true, "te": true, "trailer": true, "upgrade": true, "expect": true}
+var hopFields = map[string]bool{
+	"host": true, "content-length": true, "content-type": true, "transfer-encoding": true, "connection": true,
+	"keep-alive": true, "proxy-connection": true, "te": true, "trailer": true, "upgrade": true, "expect": true,
+}
 
 // endToEnd tells that a field goes on to the server: it is none of this connection's own, be it by name or because the
 // client's Connection field lists it.
@@ -253,7 +256,7 @@
 
 // request makes the request of a request that has all come; age is how long ago its first byte came, be it while another was
 // in hand: the client's time has run since.
-func (a *parsedRequest) request(r *front.Request, raw []byte, age int64) error {
+func (a *parsedRequest) request(r *frontend.Request, raw []byte, age int64) error {
 	var b body
 	if err := json.Unmarshal(raw, &b); err != nil {
 		return fmt.Errorf("body: %w", err)
@@ -269,8 +272,10 @@
 	if b.Max != nil && (*b.Max < 0 || *b.Max > tokenMost) {
 		return fmt.Errorf("body: max_tokens %d", *b.Max)
 	}
-	*r = front.Request{Raw: raw, ClientID: a.id, Path: a.path, Header: a.fields, Class: a.class, Tenant: a.tenant, Session: a.session, Prefix: a.prefix,
-		Prompt: a.promptTokens, Shared: a.prefixTokens, MaxTokens: a.maxTokens, Hint: a.hint, WaitLimit: max(a.remaining-age, 1)}
+	*r = frontend.Request{
+		Raw: raw, ClientID: a.id, Path: a.path, Header: a.fields, Class: a.class, Tenant: a.tenant, Session: a.session, Prefix: a.prefix,
+		Prompt: a.promptTokens, Shared: a.prefixTokens, MaxTokens: a.maxTokens, Hint: a.hint, WaitLimit: max(a.remaining-age, 1),
+	}
 	if a.resent {
 		r.Repeat = 1
 	}
--- a/internal/front/platform/server.go
+++ b/internal/frontend/platform/server.go
@@ -3,16 +3,15 @@
 package platform
 
 import (
-	"errors"
-	"log/slog"
-	"net/netip"
-
 	"docksail/internal/decide/clientconn"
-	"docksail/internal/front"
+	"docksail/internal/eventloop"
+	"docksail/internal/frontend"
 	"docksail/internal/h1"
-	"docksail/internal/loop"
-	"docksail/internal/order"
+	"docksail/internal/indexedheap"
 	"docksail/policy"
+	"errors"
+	"log/slog"
+	"net/netip"
 )
 
 const (
@@ -38,34 +37,36 @@
 type Server struct {
 	Counts Counts
 
-	loop      *loop.Loop
-	core      front.Core
+	loop      *eventloop.Loop
+	core      frontend.Core
 	log       *slog.Logger
 	maxConns  int   // connections
 	bodies    int64 // bytes of requests that have come in part, over all connections
 	partial   int64
 	ready     func() bool
-	listener  *loop.Listener
+	listener  *eventloop.Listener
 	phase     phase
-	phaseEnds loop.Timer
+	phaseEnds eventloop.Timer
 	conns     int
-	number    uint64               // of the last connection
-	byStage   [3]order.Heap[*conn] // silent or in part, resting, over: by since when
-	byRequest map[string]struct{}  // names of the requests in hand
-	req       front.Request
+	number    uint64                     // of the last connection
+	byStage   [3]indexedheap.Heap[*conn] // silent or in part, resting, over: by since when
+	byRequest map[string]struct{}        // names of the requests in hand
+	req       frontend.Request
 	bodyPool  [][]byte // room for bodies
 	scratch   []byte
 }
 
 // New makes a front for at most so many connections and bytes of requests in part; it opens with Listen. ready tells
 // whether the dispatcher can take requests.
-func New(l *loop.Loop, core front.Core, log *slog.Logger, most int, bodies int64, ready func() bool) *Server {
+func New(l *eventloop.Loop, core frontend.Core, log *slog.Logger, most int, bodies int64, ready func() bool) *Server {
 	s := &Server{loop: l, core: core, log: log, maxConns: most, bodies: bodies, ready: ready, byRequest: make(map[string]struct{})}
 	for i := range s.byStage {
-		s.byStage[i] = order.Heap[*conn]{Place: func(c *conn) *int { return &c.heapIndex },
+		s.byStage[i] = indexedheap.Heap[*conn]{
+			Place: func(c *conn) *int { return &c.heapIndex },
 			Less: func(a, b *conn) bool {
 				return a.stageSince < b.stageSince || a.stageSince == b.stageSince && a.number < b.number
-			}}
+			},
+		}
 	}
 	return s
 }
@@ -109,7 +110,7 @@
 	}
 }
 
-func (s *Server) accept(lc *loop.Conn, _ netip.AddrPort) loop.Handler {
+func (s *Server) accept(lc *eventloop.Conn, _ netip.AddrPort) eventloop.Handler {
 	if s.conns >= s.maxConns && !s.makeRoom() {
 		s.Counts.ClosedUnread++
 		return nil
@@ -143,7 +144,7 @@
 
 // firstQuiet gives the connection of a kind that has stood longest, passing over those with bytes that are not read or an
 // answer that is not taken yet: to close one would reset it. nil if there is none among the first few.
-func (s *Server) firstQuiet(stage *order.Heap[*conn]) (found *conn) {
+func (s *Server) firstQuiet(stage *indexedheap.Heap[*conn]) (found *conn) {
 	var passed [clientconn.CrowdTries]*conn
 	n := 0
 	for ; n < clientconn.CrowdTries && stage.Len() > 0 && found == nil; n++ {
@@ -162,7 +163,7 @@
 }
 
 // inStageSince tells since when the connection has stood as it is; 0 = there is none.
-func (c *conn) inStageSince() loop.Nanos {
+func (c *conn) inStageSince() eventloop.Nanos {
 	if c == nil {
 		return 0
 	}
@@ -172,19 +173,19 @@
 // conn is one client's connection, and the client's end of the request that is in hand on it.
 type conn struct {
 	server         *Server
-	conn           *loop.Conn
+	conn           *eventloop.Conn
 	decoder        h1.Decoder
 	feed           h1.Feeder
 	number         uint64
 	stage          clientconn.Stage
-	stageSince     loop.Nanos // it has stood so
-	requestSince   loop.Nanos // the first byte of the request under way, or of what waits behind the one in hand
-	unsent         int        // bytes of the last answer that waited when it was looked at last ...
-	readAt         loop.Nanos // ... and when the client was last seen to have taken some
+	stageSince     eventloop.Nanos // it has stood so
+	requestSince   eventloop.Nanos // the first byte of the request under way, or of what waits behind the one in hand
+	unsent         int             // bytes of the last answer that waited when it was looked at last ...
+	readAt         eventloop.Nanos // ... and when the client was last seen to have taken some
 	heapIndex      int
-	timer          loop.Timer
-	onTimer        func(loop.Nanos)
-	now            loop.Nanos
+	timer          eventloop.Timer
+	onTimer        func(eventloop.Nanos)
+	now            eventloop.Nanos
 	body           []byte
 	parsed         parsedRequest
 	healthPath     string // path of a request that is no request
@@ -198,7 +199,7 @@
 }
 
 // heap in which a connection of a stage stands; nil = none.
-func (s *Server) heap(stage clientconn.Stage) *order.Heap[*conn] {
+func (s *Server) heap(stage clientconn.Stage) *indexedheap.Heap[*conn] {
 	switch stage {
 	case clientconn.Silent, clientconn.Partial:
 		return &s.byStage[0]
@@ -232,7 +233,7 @@
 }
 
 // timerDue ends a connection that has stood as it is for too long.
-func (c *conn) timerDue(now loop.Nanos) {
+func (c *conn) timerDue(now eventloop.Nanos) {
 	c.now = now
 	switch {
 	case c.stage == clientconn.Partial:
@@ -258,12 +259,12 @@
 	return clientconn.KeepLingering(c.now, c.stageSince, c.readAt, waiting)
 }
 
-func (c *conn) Opened(now loop.Nanos) {
+func (c *conn) Opened(now eventloop.Nanos) {
 	c.now = now
 	c.setStage(clientconn.Silent)
 }
 
-func (c *conn) Data(now loop.Nanos, p []byte) {
+func (c *conn) Data(now eventloop.Nanos, p []byte) {
 	c.now = now
 	if c.stage == clientconn.Lingering {
 		if c.discarded += int64(len(p)); c.discarded > clientconn.Discard {
@@ -399,12 +400,12 @@
 	c.setStage(clientconn.Busy)
 	if c.server.phase == refusing {
 		c.dropBody()
-		c.Reject(0, front.Refusal{Reason: "the dispatcher leaves"})
+		c.Reject(0, frontend.Refusal{Reason: "the dispatcher leaves"})
 		return
 	}
 	id, err := c.server.core.Arrive(c.now, c, r)
 	c.dropBody()
-	var no front.Refusal
+	var no frontend.Refusal
 	switch {
 	case err == nil:
 		c.id = id
@@ -416,21 +417,21 @@
 	}
 }
 
-func (c *conn) PeerDone(now loop.Nanos) {
+func (c *conn) PeerDone(now eventloop.Nanos) {
 	c.now = now
 	c.conn.Close()
 }
 
-func (c *conn) Drained(now loop.Nanos) {
+func (c *conn) Drained(now eventloop.Nanos) {
 	c.now = now
 	if c.id != 0 {
 		c.server.core.Room(now, c.id)
 	}
 }
 
-func (c *conn) Closed(now loop.Nanos, err error) {
+func (c *conn) Closed(now eventloop.Nanos, err error) {
 	c.now, c.gone = now, true
-	if errors.Is(err, loop.ErrOutputBound) {
+	if errors.Is(err, eventloop.ErrOutputBound) {
 		c.server.Counts.Overflows++
 	}
 	if h := c.server.heap(c.stage); h != nil && c.heapIndex > 0 {
--- a/internal/front/platform/server_test.go
+++ b/internal/frontend/platform/server_test.go
@@ -2,6 +2,10 @@
 
 import (
 	"bufio"
+	"docksail/internal/decide/clientconn"
+	"docksail/internal/eventloop"
+	"docksail/internal/frontend"
+	"docksail/policy"
 	"fmt"
 	"io"
 	"log/slog"
@@ -11,28 +15,23 @@
 	"strings"
 	"testing"
 	"time"
-
-	"docksail/internal/decide/clientconn"
-	"docksail/internal/front"
-	"docksail/internal/loop"
-	"docksail/policy"
 )
 
 // core takes every request and leaves its answer to the test.
-type core struct{ calls []front.Call }
+type core struct{ calls []frontend.Call }
 
-func (k *core) Arrive(_ loop.Nanos, call front.Call, _ *front.Request) (policy.RequestID, error) {
+func (k *core) Arrive(_ eventloop.Nanos, call frontend.Call, _ *frontend.Request) (policy.RequestID, error) {
 	k.calls = append(k.calls, call)
 	return policy.RequestID(len(k.calls)), nil
 }
-func (*core) ClientLeft(loop.Nanos, policy.RequestID) {}
-func (*core) Room(loop.Nanos, policy.RequestID)       {}
-func (*core) Name(policy.RequestID) string            { return "" }
+func (*core) ClientLeft(eventloop.Nanos, policy.RequestID) {}
+func (*core) Room(eventloop.Nanos, policy.RequestID)       {}
+func (*core) Name(policy.RequestID) string                 { return "" }
 
 // served is a Server on a loop of its own, before a core that the test plays.
 type served struct {
 	t    *testing.T
-	l    *loop.Loop
+	l    *eventloop.Loop
 	s    *Server
 	core *core
 	addr netip.AddrPort
@@ -40,7 +39,7 @@
 
 func serve(t *testing.T, connections int) *served {
 	t.Helper()
-	l, err := loop.New()
+	l, err := eventloop.New()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -161,9 +160,9 @@
 	c := v.client()
 	v.until("it is connected", func() bool { return v.s.Conns() == 1 })
 	v.on(func() {
-		var first loop.Timer // fires in the same turn, before the connection's own
+		var first eventloop.Timer // fires in the same turn, before the connection's own
 		silent := v.s.byStage[0].Min()
-		v.l.At(&first, clientconn.StageEnds(clientconn.Silent, silent.stageSince)-1, func(loop.Nanos) { io.WriteString(c, request("")) })
+		v.l.At(&first, clientconn.StageEnds(clientconn.Silent, silent.stageSince)-1, func(eventloop.Nanos) { io.WriteString(c, request("")) })
 	})
 	v.until("the request", func() bool { return len(v.core.calls) == 1 || v.s.Conns() == 0 })
 	if len(v.core.calls) != 1 {
@@ -180,10 +179,10 @@
 	io.WriteString(c, strings.Replace(request(""), "00aa", "00bb", 1))
 	first := v.core.calls[0].(*conn)
 	v.until("the second is read", func() bool { return first.pipelinedWaiting() > 0 })
-	var came, now loop.Nanos
+	var came, now eventloop.Nanos
 	v.on(func() { came = v.l.Now() })
 	v.until("some time", func() bool { now = v.l.Now(); return now > came+50e6 })
-	v.on(func() { first.Reject(1, front.Refusal{}) })
+	v.on(func() { first.Reject(1, frontend.Refusal{}) })
 	v.until("the second", func() bool { return len(v.core.calls) == 2 })
 	if left := v.s.req.WaitLimit; left > int64(5e9)-50e6 {
 		t.Errorf("%d ms left of 5 s after 50 ms", left/1e6)
--- a/internal/front/platform/shutdown.go
+++ b/internal/frontend/platform/shutdown.go
@@ -2,7 +2,7 @@
 
 import (
 	"docksail/internal/decide/clientconn"
-	"docksail/internal/loop"
+	"docksail/internal/eventloop"
 )
 
 // phase is how far the front has come in its shutdown. Each follows the one before; when, clientconn says.
@@ -23,7 +23,7 @@
 }
 
 // closeListener accepts whoever waits, then takes no new connections and ends those that rest.
-func (s *Server) closeListener(now loop.Nanos) {
+func (s *Server) closeListener(now eventloop.Nanos) {
 	s.listener.Finish()
 	s.phase = closed
 	s.endResting(now)
@@ -32,7 +32,7 @@
 }
 
 // endResting ends the connections between requests. One whose next request has come already has an answer first.
-func (s *Server) endResting(now loop.Nanos) {
+func (s *Server) endResting(now eventloop.Nanos) {
 	resting := s.heap(clientconn.Resting)
 	for n := resting.Len(); n > 0; n-- {
 		c := resting.Min()
@@ -41,7 +41,7 @@
 	}
 }
 
-func (s *Server) refuseRequests(loop.Nanos) { s.phase = refusing }
+func (s *Server) refuseRequests(eventloop.Nanos) { s.phase = refusing }
 
 // Idle implements dispatch.Entry: nobody is connected any more, and nobody can connect.
 func (s *Server) Idle() bool { return s.phase >= closed && s.conns == 0 }
--- a/internal/h2/frames.go
+++ b/internal/h2/frames.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"docksail/internal/decide/abuse"
 	"slices"
 	"strconv"
 	"strings"
@@ -9,8 +10,6 @@
 	"golang.org/x/net/http2"
 	"golang.org/x/net/http2/hpack"
 	"google.golang.org/grpc/codes"
-
-	"docksail/internal/decide/abuse"
 )
 
 func sortStreams(list []*Stream) {
--- a/internal/h2/h2.go
+++ b/internal/h2/h2.go
@@ -8,6 +8,7 @@
 
 import (
 	"bytes"
+	"docksail/internal/decide/abuse"
 	"errors"
 	"fmt"
 	"io"
@@ -17,8 +18,6 @@
 	"golang.org/x/net/http2"
 	"golang.org/x/net/http2/hpack"
 	"google.golang.org/grpc/codes"
-
-	"docksail/internal/decide/abuse"
 )
 
 // Limits bound what one connection may hold.
@@ -31,8 +30,10 @@
 }
 
 // Usual limits: a stream's window holds a few thousand tokens, a message a prompt of some megabytes.
-var Usual = Limits{Streams: 10000, StreamWindow: 64 << 10, ConnWindow: 4 << 20, HeaderBytes: 16 << 10,
-	MessageBytes: 4 << 20}
+var Usual = Limits{
+	Streams: 10000, StreamWindow: 64 << 10, ConnWindow: 4 << 20, HeaderBytes: 16 << 10,
+	MessageBytes: 4 << 20,
+}
 
 // Budget bounds the bytes of messages that have come in part, over all connections that share it. One connection may
 // have an eighth of it. It belongs to the loop that feeds them.
@@ -155,8 +156,10 @@
 
 const preface = http2.ClientPreface
 
-var drainPing = [8]byte{'d', 'r', 'a', 'i', 'n'}
-var alivePing = [8]byte{'a', 'l', 'i', 'v', 'e'}
+var (
+	drainPing = [8]byte{'d', 'r', 'a', 'i', 'n'}
+	alivePing = [8]byte{'a', 'l', 'i', 'v', 'e'}
+)
 
 // NewServer makes the server's end.
 func NewServer(lim Limits, app App) *Conn { return newConn(true, lim, app) }
@@ -166,16 +169,20 @@
 
 func newConn(server bool, lim Limits, app App) *Conn {
 	lim.ConnWindow = max(lim.ConnWindow, 65535)
-	c := &Conn{server: server, lim: lim, app: app, streams: make(map[uint32]*Stream), sendWin: 65535,
-		recvWin: int64(lim.ConnWindow), peerWin: 65535, peerMost: 1 << 30, peerFrame: 16384, nextID: 1}
+	c := &Conn{
+		server: server, lim: lim, app: app, streams: make(map[uint32]*Stream), sendWin: 65535,
+		recvWin: int64(lim.ConnWindow), peerWin: 65535, peerMost: 1 << 30, peerFrame: 16384, nextID: 1,
+	}
 	c.fr = http2.NewFramer(outBuf{c}, &c.rd)
 	c.fr.SetReuseFrames()
 	c.fr.SetMaxReadFrameSize(16384)
 	c.dec = hpack.NewDecoder(4096, c.field)
 	c.dec.SetMaxStringLength(4 * int(lim.HeaderBytes)) // longer than a list may be: it is refused, not the connection
 	c.enc = hpack.NewEncoder(&c.encBuf)
-	set := []http2.Setting{{ID: http2.SettingInitialWindowSize, Val: lim.StreamWindow},
-		{ID: http2.SettingMaxHeaderListSize, Val: lim.HeaderBytes}}
+	set := []http2.Setting{
+		{ID: http2.SettingInitialWindowSize, Val: lim.StreamWindow},
+		{ID: http2.SettingMaxHeaderListSize, Val: lim.HeaderBytes},
+	}
 	if server {
 		set = append(set, http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: lim.Streams})
 	} else {
@@ -435,8 +442,10 @@
 	block := c.encBuf.Bytes()
 	first := block[:min(len(block), int(c.peerFrame))]
 	block = block[len(first):]
-	c.fr.WriteHeaders(http2.HeadersFrameParam{StreamID: s.id, BlockFragment: first, EndStream: end,
-		EndHeaders: len(block) == 0})
+	c.fr.WriteHeaders(http2.HeadersFrameParam{
+		StreamID: s.id, BlockFragment: first, EndStream: end,
+		EndHeaders: len(block) == 0,
+	})
 	for len(block) > 0 {
 		part := block[:min(len(block), int(c.peerFrame))]
 		block = block[len(part):]
--- a/internal/h2/h2_test.go
+++ b/internal/h2/h2_test.go
@@ -59,6 +59,7 @@
 func (a *asker) Finished(s *Stream, code codes.Code, message string, _ *Header) {
 	a.done[s.ID()] += code.String() + " " + message
 }
+
 func (a *asker) Reset(s *Stream, _ http2.ErrCode, refused bool) {
 	a.resets++
 	if refused {
@@ -327,10 +328,12 @@
 		{"pseudo field twice", func(r *raw) {
 			r.headers(1, r.block(":method", "POST", ":method", "POST", ":scheme", "http", ":path", "/x"), true)
 		}, 999, http2.ErrCodeProtocol, ""},
-		{"pseudo field late", func(r *raw) {
-			r.headers(1, r.block("a", "b", ":method", "POST", ":scheme", "http", ":path", "/x"), true)
+		{
+			"pseudo field late", func(r *raw) {
+				r.headers(1, r.block("a", "b", ":method", "POST", ":scheme", "http", ":path", "/x"), true)
+			},
+			999, http2.ErrCodeProtocol, "",
 		},
-			999, http2.ErrCodeProtocol, ""},
 		{"timeout twice", func(r *raw) {
 			r.headers(1, r.block(":method", "POST", ":scheme", "http", ":path", "/x", "content-type", "application/grpc",
 				"grpc-timeout", "1S", "grpc-timeout", "2S"), true)
@@ -344,10 +347,12 @@
 		{"headers too long", func(r *raw) {
 			r.headers(1, r.block(":method", "POST", ":scheme", "http", ":path", "/x", "content-type", "application/grpc", "long", long), true)
 		}, 999, 999, "8"},
-		{"not gRPC", func(r *raw) {
-			r.headers(1, r.block(":method", "POST", ":scheme", "http", ":path", "/x", "content-type", "text/plain"), true)
+		{
+			"not gRPC", func(r *raw) {
+				r.headers(1, r.block(":method", "POST", ":scheme", "http", ":path", "/x", "content-type", "text/plain"), true)
+			},
+			999, 999, "415",
 		},
-			999, 999, "415"},
 		{"message too long", func(r *raw) {
 			r.headers(1, r.usual(), false)
 			r.fr.WriteData(1, false, []byte{0, 0, 2, 0, 0, 1})
@@ -381,10 +386,12 @@
 		{"data on an idle stream", func(r *raw) { r.fr.WriteData(7, false, []byte{0}) }, http2.ErrCodeProtocol, 999, ""},
 		{"reset of an idle stream", func(r *raw) { r.fr.WriteRSTStream(9, http2.ErrCodeCancel) }, http2.ErrCodeProtocol, 999, ""},
 		{"even stream", func(r *raw) { r.headers(2, r.usual(), true) }, http2.ErrCodeProtocol, 999, ""},
-		{"push", func(r *raw) {
-			r.fr.WriteRawFrame(http2.FramePushPromise, http2.FlagPushPromiseEndHeaders, 1, []byte{0, 0, 0, 2})
+		{
+			"push", func(r *raw) {
+				r.fr.WriteRawFrame(http2.FramePushPromise, http2.FlagPushPromiseEndHeaders, 1, []byte{0, 0, 0, 2})
+			},
+			http2.ErrCodeProtocol, 999, "",
 		},
-			http2.ErrCodeProtocol, 999, ""},
 		{"bad compression", func(r *raw) { r.headers(1, []byte{0xff, 0xff, 0xff, 0xff, 0xff}, true) }, http2.ErrCodeCompression, 999, ""},
 		{"window overflow", func(r *raw) { r.fr.WriteWindowUpdate(0, 1<<31-1) }, http2.ErrCodeFlowControl, 999, ""},
 		{"window update of nothing", func(r *raw) { r.fr.WriteRawFrame(http2.FrameWindowUpdate, 0, 0, []byte{0, 0, 0, 0}) }, http2.ErrCodeProtocol, 999, ""},
--- a/internal/order/order.go
+++ b/internal/indexedheap/heap.go
@@ -1,5 +1,5 @@
-// Package order keeps things in a heap from which any of them can be taken or moved.
-package order
+// Package indexedheap keeps things in a heap from which any of them can be taken or moved.
+package indexedheap
 
 import "container/heap"
 
--- a/internal/order/order_test.go
+++ b/internal/indexedheap/heap_test.go
@@ -1,4 +1,4 @@
-package order
+package indexedheap
 
 import (
 	"slices"
--- a/internal/lab/baseline/baseline.go
+++ b/internal/lab/baselinerelay/relay.go
@@ -1,6 +1,6 @@
-// Package baseline is a plain relay on grpc-go to measure against: the same front and engines, readers and writers
+// Package baselinerelay is a plain relay on grpc-go to measure against: the same front and engines, readers and writers
 // in turn, no decisions. It keeps no rule under failures.
-package baseline
+package baselinerelay
 
 import (
 	"context"
@@ -66,7 +66,8 @@
 
 // Run plays one job straight on engines: readers and writers in turn by n.
 func Run(ctx context.Context, req *pb.GenerateRequest, life, n uint64, readers []pb.EngineClient, addrs []string,
-	writers []pb.EngineClient, send func(*pb.Tokens) error) error {
+	writers []pb.EngineClient, send func(*pb.Tokens) error,
+) error {
 	l := &pb.Launch{Dispatcher: life, Job: n, Request: req}
 	at := int(n) % len(readers)
 	if _, err := readers[at].Read(ctx, l); err != nil {
--- a/internal/lab/measure/measure.go
+++ b/internal/lab/benchmark/benchmark.go
@@ -1,10 +1,13 @@
-// Package measure puts a dispatcher, the plain relay and no relay at all side by side, each in a process of its own
+// Package benchmark puts a dispatcher, the plain relay and no relay at all side by side, each in a process of its own
 // before the same stand-in engines, and reads their CPU time and memory from outside. Its figures are of stand-ins
 // on loopback: only their ratios within one run say something.
-package measure
+package benchmark
 
 import (
 	"context"
+	"docksail/internal/lab/baselinerelay"
+	"docksail/internal/lab/discoveryserver"
+	"docksail/internal/lab/engine"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -25,9 +28,6 @@
 	"google.golang.org/grpc/credentials/insecure"
 
 	pb "docksail/api/docksail/v1"
-	"docksail/internal/lab/baseline"
-	"docksail/internal/lab/engine"
-	"docksail/internal/lab/lister"
 )
 
 // Plan is what is measured.
@@ -50,15 +50,17 @@
 
 // Engines runs stand-in engines and a lister until its input ends; it says where on out.
 func Engines(gap time.Duration, in io.Reader, out io.Writer) error {
-	l := lister.New(0, 0, nil)
+	l := discoveryserver.New(0, 0, nil)
 	if err := l.Start("127.0.0.1:0"); err != nil {
 		return err
 	}
 	f := Fleet{Lister: l.Addr()}
 	const readers, hosts = 8, 48 // as many answers at a writer as they have slots for in earnest: some hundred
 	for i := range hosts {
-		s := engine.Spec{ID: i + 1, Role: pb.Role_ROLE_READER, Zone: "a", Cell: "a1", Slots: 20000, Queue: 20000, Memory: 1 << 40,
-			ReadRate: 1e9, TokenGap: gap, JobsPerSecond: 1e6, ColdFrom: 1, MoveRate: 1e9, Hold: time.Minute}
+		s := engine.Spec{
+			ID: i + 1, Role: pb.Role_ROLE_READER, Zone: "a", Cell: "a1", Slots: 20000, Queue: 20000, Memory: 1 << 40,
+			ReadRate: 1e9, TokenGap: gap, JobsPerSecond: 1e6, ColdFrom: 1, MoveRate: 1e9, Hold: time.Minute,
+		}
 		if i >= readers {
 			s.Role, s.Slots = pb.Role_ROLE_WRITER, 1<<30
 		}
@@ -97,7 +99,7 @@
 
 // Baseline runs the plain relay until its input ends; it says where on out.
 func Baseline(f Fleet, in io.Reader, out io.Writer) error {
-	r, err := baseline.Start("127.0.0.1:0", f.Readers, f.Writers)
+	r, err := baselinerelay.Start("127.0.0.1:0", f.Readers, f.Writers)
 	if err != nil {
 		return err
 	}
@@ -180,7 +182,8 @@
 
 // load keeps so many streams running for a time.
 func load(ctx context.Context, streams int, tokens int, every time.Duration, one func(ctx context.Context, n uint64, req *pb.GenerateRequest,
-	got func(*pb.Tokens) error) error) *Pass {
+	got func(*pb.Tokens) error) error,
+) *Pass {
 	p := &Pass{Streams: streams, First: hdrhistogram.New(1, 60e6, 3), Gaps: hdrhistogram.New(1, 60e6, 3)}
 	var mu sync.Mutex
 	var n, jobs, toks, failed atomic.Uint64
@@ -423,7 +426,7 @@
 	}
 	life := uint64(time.Now().UnixNano())
 	return func(ctx context.Context, n uint64, req *pb.GenerateRequest, got func(*pb.Tokens) error) error {
-		return baseline.Run(ctx, req, life, n, readers, f.Readers, writers, got)
+		return baselinerelay.Run(ctx, req, life, n, readers, f.Readers, writers, got)
 	}
 }
 
--- a/internal/lab/calibrate/calibrate.go
+++ b/internal/lab/calibrate/calibrate.go
@@ -4,6 +4,7 @@
 
 import (
 	"context"
+	"docksail/internal/lab/engine"
 	"errors"
 	"fmt"
 	"io"
@@ -15,7 +16,6 @@
 	"google.golang.org/grpc/credentials/insecure"
 
 	pb "docksail/api/docksail/v1"
-	"docksail/internal/lab/engine"
 )
 
 // Line is one figure.
--- a/internal/lab/lister/lister.go
+++ b/internal/lab/discoveryserver/server.go
@@ -1,8 +1,9 @@
-// Package lister is a stand-in for the service that knows which engines run: it tells dispatchers the list, and
+// Package discoveryserver is a stand-in for the service that knows which engines run: it tells dispatchers the list, and
 // changes some time after they happened.
-package lister
+package discoveryserver
 
 import (
+	"docksail/internal/lab/eventlog"
 	"fmt"
 	"net"
 	"sync"
@@ -12,14 +13,13 @@
 	"google.golang.org/protobuf/proto"
 
 	pb "docksail/api/docksail/v1"
-	"docksail/internal/lab/book"
 )
 
 // Lister is one such service.
 type Lister struct {
 	pb.UnimplementedFleetServer
 	late time.Duration
-	book *book.Book
+	book *eventlog.Book
 	disp int // the dispatcher that it tells
 
 	mu      sync.Mutex
@@ -32,7 +32,7 @@
 }
 
 // New makes a lister for one dispatcher that tells changes so late. Entries go to the book, which may be nil.
-func New(late time.Duration, disp int, b *book.Book) *Lister {
+func New(late time.Duration, disp int, b *eventlog.Book) *Lister {
 	return &Lister{late: late, book: b, disp: disp, hosts: map[uint32]*pb.Host{}, watch: map[chan *pb.FleetNews]bool{}}
 }
 
@@ -121,7 +121,7 @@
 			return err
 		}
 		for _, h := range news.Hosts {
-			l.book.Add(book.Entry{Kind: book.Told, Server: int(h.Id), Disp: l.disp, Note: h.Health.String(), N: h.StartedUnixNs})
+			l.book.Add(eventlog.Entry{Kind: eventlog.Told, Server: int(h.Id), Disp: l.disp, Note: h.Health.String(), N: h.StartedUnixNs})
 		}
 		var ok bool
 		select {
--- a/internal/lab/engine/batch/blocks.go
+++ b/internal/lab/engine/batch/blocks.go
@@ -4,7 +4,7 @@
 // time. Its figures are a model's and measure nothing real.
 package batch
 
-import "docksail/internal/order"
+import "docksail/internal/indexedheap"
 
 // Hash names what stands in a block and all before it.
 type Hash uint64
@@ -34,7 +34,7 @@
 	blocks  []block
 	free    []int32
 	byHash  map[Hash]int32
-	idle    order.Heap[*block] // kept, and nobody's: the least recently used first
+	idle    indexedheap.Heap[*block] // kept, and nobody's: the least recently used first
 	clock   uint64
 	Evicted uint64
 }
--- a/internal/lab/engine/batch/net_test.go
+++ b/internal/lab/engine/batch/net_test.go
@@ -23,8 +23,10 @@
 		{"over a narrow link", func() { n.Start(0, 1, 1000, 1, port, link) }, map[Move]Nanos{1: 2 * second}},
 		{"to a far zone", func() { n.Start(0, 1, 1000, 3, port) }, map[Move]Nanos{1: 3 * second}},
 		{"two at a port", func() { n.Start(0, 1, 1000, 1, port); n.Start(0, 2, 1000, 1, port) }, map[Move]Nanos{1: 2 * second, 2: 2 * second}},
-		{"a short one beside a long one", func() { n.Start(0, 1, 500, 1, port); n.Start(0, 2, 1000, 1, port) },
-			map[Move]Nanos{1: second, 2: second + second/2}},
+		{
+			"a short one beside a long one", func() { n.Start(0, 1, 500, 1, port); n.Start(0, 2, 1000, 1, port) },
+			map[Move]Nanos{1: second, 2: second + second/2},
+		},
 	} {
 		n.at = 0
 		c.start()
--- a/internal/lab/engine/batch/report_test.go
+++ b/internal/lab/engine/batch/report_test.go
@@ -18,8 +18,13 @@
 		want float64
 		age  Nanos
 		ok   bool
-	}{{2 * second, 0, 0, false}, {3 * second, 0, 3 * second, true}, {3*second + 999, 0, 3*second + 999, true}, {7 * second, 40, 3 * second, true},
-		{7*second + second/2, 40, 3*second + second/2, true}} {
+	}{
+		{2 * second, 0, 0, false},
+		{3 * second, 0, 3 * second, true},
+		{3*second + 999, 0, 3*second + 999, true},
+		{7 * second, 40, 3 * second, true},
+		{7*second + second/2, 40, 3*second + second/2, true},
+	} {
 		f, age, ok := r.Known(c.at)
 		if ok != c.ok || f.Requests != c.want || age != c.age {
 			t.Errorf("at %d: %v, %d old, %v; want %v, %d, %v", c.at, f.Requests, age, ok, c.want, c.age, c.ok)
--- a/internal/lab/engine/driver.go
+++ b/internal/lab/engine/driver.go
@@ -2,6 +2,8 @@
 
 import (
 	"context"
+	"docksail/internal/lab/engine/batch"
+	"docksail/internal/lab/eventlog"
 	"errors"
 	"sync"
 	"time"
@@ -13,8 +15,6 @@
 	"google.golang.org/grpc/status"
 
 	pb "docksail/api/docksail/v1"
-	"docksail/internal/lab/book"
-	"docksail/internal/lab/engine/batch"
 )
 
 // driver runs a batch.Host on the clock.
@@ -46,8 +46,10 @@
 	if step <= 0 {
 		step = readerStep
 	}
-	return batch.Shape{Slots: s.Slots, Queue: s.Queue, Chunk: ChunkTokens, Step: int64(step), PerRead: int64(1e9 / s.ReadRate),
-		PerRun: int64(step) / int64(2*s.Slots), PerThing: int64(step) / int64(20*s.Slots)}
+	return batch.Shape{
+		Slots: s.Slots, Queue: s.Queue, Chunk: ChunkTokens, Step: int64(step), PerRead: int64(1e9 / s.ReadRate),
+		PerRun: int64(step) / int64(2*s.Slots), PerThing: int64(step) / int64(20*s.Slots),
+	}
 }
 
 func newDriver(s *Spec) (*driver, error) {
@@ -237,8 +239,10 @@
 		case batch.Token:
 			if !ran {
 				ran = true
-				e.book.Add(book.Entry{Kind: book.Ran, Server: e.Spec.ID, Request: jobName(l.Dispatcher, l.Job), Attempt: int(l.Shot), Label: req.Label,
-					Try: int(l.Repeat), Class: req.Track})
+				e.book.Add(eventlog.Entry{
+					Kind: eventlog.Ran, Server: e.Spec.ID, Request: jobName(l.Dispatcher, l.Job), Attempt: int(l.Shot), Label: req.Label,
+					Try: int(l.Repeat), Class: req.Track,
+				})
 			}
 			e.mu.Lock()
 			stall := e.faults.StallAfter
@@ -282,14 +286,18 @@
 	d.mu.Lock()
 	h := d.host
 	unread := h.Unread()
-	e.rep.See(now, batch.Figures{Requests: float64(h.Queued() + h.Running()), Memory: float64(h.Memory.InUse()) / float64(h.Memory.Blocks()),
-		Unread: float64(unread), Finish: int64(float64(unread) / e.Spec.ReadRate * 1e9)})
+	e.rep.See(now, batch.Figures{
+		Requests: float64(h.Queued() + h.Running()), Memory: float64(h.Memory.InUse()) / float64(h.Memory.Blocks()),
+		Unread: float64(unread), Finish: int64(float64(unread) / e.Spec.ReadRate * 1e9),
+	})
 	d.mu.Unlock()
 	e.rep.Late(int64(late))
 	f, age, ok := e.rep.Known(now)
 	if ok {
-		e.report = &orca.OrcaLoadReport{MemUtilization: f.Memory, NamedMetrics: map[string]float64{"requests": f.Requests,
-			"unread_tokens": f.Unread, "finish_ms": float64(f.Finish) / 1e6, "age_ms": float64(age) / 1e6}}
+		e.report = &orca.OrcaLoadReport{MemUtilization: f.Memory, NamedMetrics: map[string]float64{
+			"requests":      f.Requests,
+			"unread_tokens": f.Unread, "finish_ms": float64(f.Finish) / 1e6, "age_ms": float64(age) / 1e6,
+		}}
 	}
 	return ok
 }
--- a/internal/lab/engine/engine.go
+++ b/internal/lab/engine/engine.go
@@ -5,6 +5,8 @@
 
 import (
 	"context"
+	"docksail/internal/lab/engine/batch"
+	"docksail/internal/lab/eventlog"
 	"fmt"
 	"net"
 	"strconv"
@@ -20,8 +22,6 @@
 	"google.golang.org/protobuf/proto"
 
 	pb "docksail/api/docksail/v1"
-	"docksail/internal/lab/book"
-	"docksail/internal/lab/engine/batch"
 )
 
 // Spec describes a host. Times are real.
@@ -106,7 +106,7 @@
 	Spec  Spec
 	Links *Links // over which states move; nil: each move alone, as Model has it. Set before Start
 	model Model
-	book  *book.Book
+	book  *eventlog.Book
 
 	mu       sync.Mutex
 	addr     string
@@ -150,7 +150,7 @@
 }
 
 // New makes a host that does not run yet. Entries go to the book, which may be nil.
-func New(spec Spec, model Model, b *book.Book) *Engine {
+func New(spec Spec, model Model, b *eventlog.Book) *Engine {
 	return &Engine{Spec: spec, model: model, book: b, changed: make(chan struct{})}
 }
 
@@ -192,7 +192,7 @@
 		}
 		go e.drv.run(e.life, e)
 	}
-	e.book.Add(book.Entry{Kind: book.Start, Server: e.Spec.ID})
+	e.book.Add(eventlog.Entry{Kind: eventlog.Start, Server: e.Spec.ID})
 	go e.srv.Serve(ln)
 	return nil
 }
@@ -210,7 +210,7 @@
 	srv, listener, end, peers := e.srv, e.listener, e.end, e.peers
 	e.srv = nil
 	for job := range e.states {
-		e.book.Add(book.Entry{Kind: book.Released, Server: e.Spec.ID, Request: job, Note: "crash"})
+		e.book.Add(eventlog.Entry{Kind: eventlog.Released, Server: e.Spec.ID, Request: job, Note: "crash"})
 	}
 	e.states = map[string]*state{}
 	e.mu.Unlock()
@@ -288,7 +288,7 @@
 		}
 		if float64(len(e.arrived)) > s.Topple*w*s.JobsPerSecond*s.ToppleOver.Seconds()+ToppleSlack {
 			e.toppled = true
-			e.book.Add(book.Entry{Kind: book.Toppled, Server: s.ID, N: int64(len(e.arrived))})
+			e.book.Add(eventlog.Entry{Kind: eventlog.Toppled, Server: s.ID, N: int64(len(e.arrived))})
 			return status.Error(codes.Internal, "fallen over")
 		}
 	}
@@ -434,7 +434,7 @@
 	e.drop(name, "read anew")
 	e.states[name] = st
 	e.used += st.tokens
-	e.book.Add(book.Entry{Kind: book.Held, Server: e.Spec.ID, Request: name, Attempt: int(st.shot), N: st.tokens})
+	e.book.Add(eventlog.Entry{Kind: eventlog.Held, Server: e.Spec.ID, Request: name, Attempt: int(st.shot), N: st.tokens})
 	return nil
 }
 
@@ -450,7 +450,7 @@
 	if st.drv != nil {
 		st.drv.drop(st.id)
 	}
-	e.book.Add(book.Entry{Kind: book.Released, Server: e.Spec.ID, Request: name, Attempt: int(st.shot), Note: why})
+	e.book.Add(eventlog.Entry{Kind: eventlog.Released, Server: e.Spec.ID, Request: name, Attempt: int(st.shot), Note: why})
 }
 
 // read reads a prompt, first come first, from where what is kept of it ends.
@@ -553,8 +553,10 @@
 	} else if _, _, err := e.read(ctx, req); err != nil {
 		return status.FromContextError(err).Err()
 	}
-	e.book.Add(book.Entry{Kind: book.Ran, Server: e.Spec.ID, Request: jobName(l.Dispatcher, l.Job), Attempt: int(l.Shot),
-		Label: req.Label, Try: int(l.Repeat), Class: req.Track})
+	e.book.Add(eventlog.Entry{
+		Kind: eventlog.Ran, Server: e.Spec.ID, Request: jobName(l.Dispatcher, l.Job), Attempt: int(l.Shot),
+		Label: req.Label, Try: int(l.Repeat), Class: req.Track,
+	})
 	n := Answer(req)
 	for i := range n {
 		e.mu.Lock()
@@ -733,8 +735,10 @@
 		}
 	} else {
 		if e.report == nil || time.Since(e.reportAt) >= e.Spec.ReportEvery {
-			e.report = &orca.OrcaLoadReport{MemUtilization: float64(e.used) / float64(max(e.Spec.Memory, 1)),
-				NamedMetrics: map[string]float64{"requests": float64(e.running + e.waiting), "unread_tokens": float64(e.unread)}}
+			e.report = &orca.OrcaLoadReport{
+				MemUtilization: float64(e.used) / float64(max(e.Spec.Memory, 1)),
+				NamedMetrics:   map[string]float64{"requests": float64(e.running + e.waiting), "unread_tokens": float64(e.unread)},
+			}
 			e.reportAt = time.Now()
 		}
 		e.report.NamedMetrics["age_ms"] = float64((time.Since(e.reportAt) + late).Milliseconds())
--- a/internal/lab/engine/engine_test.go
+++ b/internal/lab/engine/engine_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"docksail/internal/lab/eventlog"
 	"errors"
 	"io"
 	"slices"
@@ -17,7 +18,6 @@
 	"google.golang.org/protobuf/proto"
 
 	pb "docksail/api/docksail/v1"
-	"docksail/internal/lab/book"
 )
 
 func startOne(t *testing.T, s Spec) (*Engine, pb.EngineClient) {
@@ -50,8 +50,10 @@
 			t.Errorf("%s took %v, intended %v", what, got, want)
 		}
 	}
-	spec := Spec{ID: 1, Role: pb.Role_ROLE_MIXED, Slots: 8, Queue: 8, Memory: 1 << 17, ReadRate: 20000, TokenGap: 20 * time.Millisecond,
-		JobsPerSecond: 100, MoveRate: 1e6, Hold: 5 * time.Second, Batch: true}
+	spec := Spec{
+		ID: 1, Role: pb.Role_ROLE_MIXED, Slots: 8, Queue: 8, Memory: 1 << 17, ReadRate: 20000, TokenGap: 20 * time.Millisecond,
+		JobsPerSecond: 100, MoveRate: 1e6, Hold: 5 * time.Second, Batch: true,
+	}
 	e, c := startOne(t, spec)
 	var reads []time.Duration
 	for i := range 5 {
@@ -82,8 +84,10 @@
 	near("a gap of one answer alone", median(gaps), time.Duration(s.Step+s.PerRun+115*s.PerThing/1000))
 	// A kept beginning is not read again.
 	for i := range 2 {
-		done, err := c.Read(context.Background(), &pb.Launch{Job: uint64(200 + i), Request: &pb.GenerateRequest{PromptTokens: 4000, BeginningTokens: 3200,
-			Beginning: "shared", Session: string(rune('a' + i))}})
+		done, err := c.Read(context.Background(), &pb.Launch{Job: uint64(200 + i), Request: &pb.GenerateRequest{
+			PromptTokens: 4000, BeginningTokens: 3200,
+			Beginning: "shared", Session: string(rune('a' + i)),
+		}})
 		if want := uint32(4000 - 3200*i); err != nil || done.ReadTokens != want {
 			t.Errorf("read %d: %v, %v, want %d tokens read", i, done, err, want)
 		}
@@ -99,8 +103,10 @@
 // TestStateGone: a write whose state is nowhere ends as stateless.
 func TestStateGone(t *testing.T) {
 	for _, batch := range []bool{false, true} {
-		e, c := startOne(t, Spec{ID: 1, Role: pb.Role_ROLE_WRITER, Slots: 8, Queue: 8, Memory: 1 << 16, ReadRate: 1e4, TokenGap: time.Millisecond,
-			JobsPerSecond: 100, MoveRate: 1e6, Hold: time.Second, Batch: batch})
+		e, c := startOne(t, Spec{
+			ID: 1, Role: pb.Role_ROLE_WRITER, Slots: 8, Queue: 8, Memory: 1 << 16, ReadRate: 1e4, TokenGap: time.Millisecond,
+			JobsPerSecond: 100, MoveRate: 1e6, Hold: time.Second, Batch: batch,
+		})
 		stream, err := c.Write(context.Background(), &pb.Launch{Job: 1, StateAddress: e.Addr(), Request: &pb.GenerateRequest{PromptTokens: 10, MaxTokens: 1}})
 		if err == nil {
 			_, err = stream.Recv()
@@ -113,8 +119,10 @@
 
 // TestReportsAreLate: a batching host's report is that of some time ago and says so; before one is known there is none.
 func TestReportsAreLate(t *testing.T) {
-	e, c := startOne(t, Spec{ID: 1, Role: pb.Role_ROLE_READER, Slots: 8, Queue: 8, Memory: 1 << 16, ReadRate: 1e6, JobsPerSecond: 100, MoveRate: 1e6,
-		Hold: time.Second, Batch: true, ReportEvery: 10 * time.Millisecond, ReportLate: 150 * time.Millisecond})
+	e, c := startOne(t, Spec{
+		ID: 1, Role: pb.Role_ROLE_READER, Slots: 8, Queue: 8, Memory: 1 << 16, ReadRate: 1e6, JobsPerSecond: 100, MoveRate: 1e6,
+		Hold: time.Second, Batch: true, ReportEvery: 10 * time.Millisecond, ReportLate: 150 * time.Millisecond,
+	})
 	read := func(job uint64) (*orca.OrcaLoadReport, bool) {
 		var md metadata.MD
 		if _, err := c.Read(context.Background(), &pb.Launch{Job: job, Request: &pb.GenerateRequest{PromptTokens: 3200, Label: string(rune('a' + job))}}, grpc.Trailer(&md)); err != nil {
@@ -151,7 +159,7 @@
 // TestReadEndsInCrashedProcess: a read that is done as its process ends leaves no state, neither while the server is
 // down nor in the process that is started after it.
 func TestReadEndsInCrashedProcess(t *testing.T) {
-	entries := &book.Book{}
+	entries := &eventlog.Book{}
 	e := New(Spec{ID: 1, Role: pb.Role_ROLE_READER, Slots: 8, Queue: 8, Memory: 1 << 17, ReadRate: 20000, Hold: time.Second}, Simple{}, entries)
 	if err := e.Start("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
@@ -173,7 +181,7 @@
 	}
 	held := 0
 	for _, entry := range entries.Entries() {
-		if entry.Kind == book.Held {
+		if entry.Kind == eventlog.Held {
 			held++
 		}
 	}
--- a/internal/lab/engine/links.go
+++ b/internal/lab/engine/links.go
@@ -2,10 +2,9 @@
 
 import (
 	"context"
+	"docksail/internal/lab/engine/batch"
 	"sync"
 	"time"
-
-	"docksail/internal/lab/engine/batch"
 )
 
 // Links are the ways over which states move between the engines of a day: each host's port and each cell's one link,
@@ -27,8 +26,10 @@
 // NewLinks makes links of which a cell's carries so many times what one port does, and over which a token to another
 // zone takes so many times as long.
 func NewLinks(cellFactor, zoneSlower float64) *Links {
-	l := &Links{cellFactor: cellFactor, zoneSlower: max(zoneSlower, 1), net: batch.NewNet(), begin: time.Now(), ports: map[int]int{},
-		cells: map[string]int{}, wait: map[batch.Move]chan struct{}{}}
+	l := &Links{
+		cellFactor: cellFactor, zoneSlower: max(zoneSlower, 1), net: batch.NewNet(), begin: time.Now(), ports: map[int]int{},
+		cells: map[string]int{}, wait: map[batch.Move]chan struct{}{},
+	}
 	l.timer = time.AfterFunc(time.Hour, l.tick)
 	return l
 }
--- a/internal/lab/engine/links_test.go
+++ b/internal/lab/engine/links_test.go
@@ -31,8 +31,11 @@
 	for _, c := range []struct {
 		name, zone, cell string
 		want             time.Duration
-	}{{"within the cell", "a", "a1", 100 * time.Millisecond}, {"to another cell", "a", "a2", 200 * time.Millisecond},
-		{"to another zone", "b", "b1", 400 * time.Millisecond}} {
+	}{
+		{"within the cell", "a", "a1", 100 * time.Millisecond},
+		{"to another cell", "a", "a2", 200 * time.Millisecond},
+		{"to another zone", "b", "b1", 400 * time.Millisecond},
+	} {
 		if got := move(c.zone, c.cell); got < c.want*98/100 || got > c.want*3/2 {
 			t.Errorf("%s: three moves took %v, want %v", c.name, got, c.want)
 		}
--- a/internal/lab/book/book.go
+++ b/internal/lab/eventlog/eventlog.go
@@ -1,6 +1,6 @@
-// Package book is what the laboratory's parties write down of what passed on their sockets: the rule checker
+// Package eventlog is what the laboratory's parties write down of what passed on their sockets: the rule checker
 // reads nothing else.
-package book
+package eventlog
 
 import (
 	"encoding/json"
--- a/internal/lab/trial/trial.go
+++ b/internal/lab/experiment/experiment.go
@@ -1,9 +1,15 @@
-// Package trial compares variants of a day in simulated time: each plays the same seeds, and what is told is the
+// Package experiment compares variants of a day in simulated time: each plays the same seeds, and what is told is the
 // difference, seed by seed, with its interval, or that none is shown.
-package trial
+package experiment
 
 import (
 	"context"
+	"docksail/internal/config"
+	"docksail/internal/dispatch"
+	"docksail/internal/lab/baselinepolicy"
+	"docksail/internal/lab/scenario"
+	"docksail/internal/lab/simulation"
+	"docksail/internal/lab/userclient"
 	"encoding/json"
 	"fmt"
 	"image/color"
@@ -25,13 +31,6 @@
 	"gonum.org/v1/plot"
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/vg"
-
-	"docksail/internal/dispatch"
-	"docksail/internal/lab/client"
-	"docksail/internal/lab/drill"
-	"docksail/internal/lab/plain"
-	"docksail/internal/lab/sim"
-	"docksail/internal/setup"
 )
 
 // Experiment is a day and what is tried on it.
@@ -44,10 +43,10 @@
 
 // Variant is the day with something changed.
 type Variant struct {
-	Name    string    `json:"name" need:"a name"`
-	With    setup.Raw `json:"with"`    // fields of the script that differ
-	Policy  string    `json:"policy"`  // a textbook policy in the module's place
-	Program string    `json:"program"` // another build, which plays with its own "lab sim"
+	Name    string     `json:"name" need:"a name"`
+	With    config.Raw `json:"with"`    // fields of the script that differ
+	Policy  string     `json:"policy"`  // a textbook policy in the module's place
+	Program string     `json:"program"` // another build, which plays with its own "lab sim"
 }
 
 // Load reads an experiment; the script and programs are named from where it stands.
@@ -57,7 +56,7 @@
 		return nil, err
 	}
 	e := &Experiment{First: 1}
-	err = setup.Decode(name, text, e, func(bad func(path, format string, args ...any)) {
+	err = config.Decode(name, text, e, func(bad func(path, format string, args ...any)) {
 		if e.Seeds < 2 {
 			bad("seeds", "%d, want 2 or more: one says nothing of chance", e.Seeds)
 		}
@@ -65,8 +64,8 @@
 			bad("variants", "want one at least")
 		}
 		for i, v := range e.Variants {
-			if v.Policy != "" && !slices.Contains(plain.Names, v.Policy) {
-				bad(fmt.Sprintf("variants[%d].policy", i), "%q, want one of %s", v.Policy, strings.Join(plain.Names, ", "))
+			if v.Policy != "" && !slices.Contains(baselinepolicy.Names, v.Policy) {
+				bad(fmt.Sprintf("variants[%d].policy", i), "%q, want one of %s", v.Policy, strings.Join(baselinepolicy.Names, ", "))
 			}
 			if v.Policy != "" && v.Program != "" {
 				bad(fmt.Sprintf("variants[%d]", i), "want a policy or a program, not both")
@@ -83,7 +82,7 @@
 }
 
 // With gives the text of a script with some of its fields in place of its own.
-func With(text []byte, fields setup.Raw) ([]byte, error) {
+func With(text []byte, fields config.Raw) ([]byte, error) {
 	if len(fields) == 0 {
 		return text, nil
 	}
@@ -116,10 +115,10 @@
 }
 
 // SumsOf gives the sums of a report; a track without jobs has none.
-func SumsOf(r *drill.Report) Sums {
+func SumsOf(r *scenario.Report) Sums {
 	s := Sums{Kept: map[string]float64{}, P50: map[string]float64{}, P99: map[string]float64{}, Broken: len(r.Violations), Launches: r.Launches}
-	var all client.Sum
-	take := func(name string, t *client.Sum) {
+	var all userclient.Sum
+	take := func(name string, t *userclient.Sum) {
 		if t.Asked > 0 {
 			s.Kept[name] = t.Kept()
 		}
@@ -137,19 +136,19 @@
 
 // Play plays one script in simulated time, by a textbook policy if one is named; the hosts' figures are written down
 // every sample, if it is above 0.
-func Play(ctx context.Context, s *drill.Script, name string, sample time.Duration) (*sim.Report, error) {
-	day, err := sim.Open(s)
+func Play(ctx context.Context, s *scenario.Script, name string, sample time.Duration) (*simulation.Report, error) {
+	day, err := simulation.Open(s)
 	if err != nil {
 		return nil, err
 	}
 	day.Sample = sample
 	if name != "" {
-		if _, err := plain.New(name, 0, day.Sight); err != nil {
+		if _, err := baselinepolicy.New(name, 0, day.Sight); err != nil {
 			return nil, err
 		}
 		day.Wrap = func(n int) func(dispatch.Module) dispatch.Module {
 			return func(dispatch.Module) dispatch.Module {
-				m, err := plain.New(name, uint64(s.Seed)<<8|uint64(n), day.Sight)
+				m, err := baselinepolicy.New(name, uint64(s.Seed)<<8|uint64(n), day.Sight)
 				if err != nil {
 					panic(err)
 				}
@@ -228,7 +227,7 @@
 	if err != nil {
 		return Sums{}, err
 	}
-	s, err := drill.Parse(name+" ("+v.Name+")", text)
+	s, err := scenario.Parse(name+" ("+v.Name+")", text)
 	if err != nil {
 		return Sums{}, err
 	}
--- a/internal/lab/trial/trial_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -1,4 +1,4 @@
-package trial
+package experiment
 
 import (
 	"math"
@@ -30,7 +30,7 @@
 
 // TestRun: a variant that changes nothing shows no difference at all, one that halves the fleet's pace does.
 func TestRun(t *testing.T) {
-	day, err := filepath.Abs("../drill/testdata/badday.json")
+	day, err := filepath.Abs("../scenario/testdata/badday.json")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/relay/relay.go
+++ b/internal/lab/faultproxy/proxy.go
@@ -1,15 +1,14 @@
-// Package relay stands on the wire between a dispatcher and an engine: it passes bytes on, acts out what goes
+// Package faultproxy stands on the wire between a dispatcher and an engine: it passes bytes on, acts out what goes
 // wrong on a network, and writes down from the frames which launches passed and how they ended.
-package relay
+package faultproxy
 
 import (
+	"docksail/internal/lab/eventlog"
 	"fmt"
 	"net"
 	"sync"
 	"sync/atomic"
 	"time"
-
-	"docksail/internal/lab/book"
 )
 
 // Relay passes the connections of one dispatcher to one host.
@@ -17,7 +16,7 @@
 	to   string
 	host int
 	disp int
-	book *book.Book
+	book *eventlog.Book
 	ln   net.Listener
 
 	mu    sync.Mutex
@@ -29,7 +28,7 @@
 }
 
 // New opens a relay on a free port of the loopback.
-func New(to string, host, disp int, b *book.Book) (*Relay, error) {
+func New(to string, host, disp int, b *eventlog.Book) (*Relay, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("relay to host %d: %w", host, err)
--- a/internal/lab/relay/tap.go
+++ b/internal/lab/faultproxy/tap.go
@@ -1,6 +1,7 @@
-package relay
+package faultproxy
 
 import (
+	"docksail/internal/lab/eventlog"
 	"maps"
 	"slices"
 	"strconv"
@@ -9,17 +10,15 @@
 	"golang.org/x/net/http2"
 	"golang.org/x/net/http2/hpack"
 	"google.golang.org/grpc/codes"
-
-	"docksail/internal/lab/book"
 )
 
 // Tap reads the frames of one connection, both ways, as they pass.
 type Tap struct {
-	book *book.Book
+	book *eventlog.Book
 	host int
 	disp int
 	mu   sync.Mutex
-	out  map[uint32]book.Entry // launches that are out, by stream
+	out  map[uint32]eventlog.Entry // launches that are out, by stream
 	to   half
 	from half
 }
@@ -34,9 +33,11 @@
 }
 
 // NewTap reads what passes between a dispatcher and a host into a book.
-func NewTap(b *book.Book, host, disp int) *Tap {
-	return &Tap{book: b, host: host, disp: disp, out: map[uint32]book.Entry{},
-		to: half{skip: len(http2.ClientPreface), dec: hpack.NewDecoder(4096, nil)}, from: half{dec: hpack.NewDecoder(4096, nil)}}
+func NewTap(b *eventlog.Book, host, disp int) *Tap {
+	return &Tap{
+		book: b, host: host, disp: disp, out: map[uint32]eventlog.Entry{},
+		to: half{skip: len(http2.ClientPreface), dec: hpack.NewDecoder(4096, nil)}, from: half{dec: hpack.NewDecoder(4096, nil)},
+	}
 }
 
 // Ahead sees bytes for the host.
@@ -130,7 +131,7 @@
 		}
 		return
 	}
-	e := book.Entry{Kind: book.Sent, Request: get("docksail-job"), Server: t.host, Disp: t.disp}
+	e := eventlog.Entry{Kind: eventlog.Sent, Request: get("docksail-job"), Server: t.host, Disp: t.disp}
 	e.Attempt, _ = strconv.Atoi(get("docksail-shot"))
 	switch get(":path") {
 	case "/docksail.v1.Engine/Read":
@@ -150,7 +151,7 @@
 		return
 	}
 	delete(t.out, id)
-	e.Kind, e.Code, e.Note, e.At = book.Ended, code, note, 0
+	e.Kind, e.Code, e.Note, e.At = eventlog.Ended, code, note, 0
 	t.book.Add(e)
 }
 
--- a/internal/lab/explore/explore.go
+++ b/internal/lab/faultsearch/search.go
@@ -1,9 +1,14 @@
-// Package explore looks for broken rules: it plays random days in simulated time under the rule checker, and makes a
+// Package faultsearch looks for broken rules: it plays random days in simulated time under the rule checker, and makes a
 // day that breaks one as small as it can.
-package explore
+package faultsearch
 
 import (
 	"context"
+	"docksail/internal/config"
+	"docksail/internal/dispatch"
+	"docksail/internal/lab/invariants"
+	"docksail/internal/lab/scenario"
+	"docksail/internal/lab/simulation"
 	"fmt"
 	"math/rand/v2"
 	"runtime"
@@ -11,25 +16,19 @@
 	"strings"
 	"sync"
 	"time"
-
-	"docksail/internal/dispatch"
-	"docksail/internal/lab/drill"
-	"docksail/internal/lab/rules"
-	"docksail/internal/lab/sim"
-	"docksail/internal/setup"
 )
 
 // Explorer draws days from one script: its fleet, tracks and dispatchers, with troubles of its own.
 type Explorer struct {
-	Base *drill.Script
+	Base *scenario.Script
 	Wrap func(n int) func(dispatch.Module) dispatch.Module // for tests
 }
 
 // Find is a day that breaks a rule, or panics.
 type Find struct {
 	Seed   uint64
-	Script *drill.Script // the least that was found
-	Broken []rules.Violation
+	Script *scenario.Script // the least that was found
+	Broken []invariants.Violation
 	Panic  string // of the program
 	Plays  int    // that the making small took
 }
@@ -40,17 +39,19 @@
 )
 
 // Draw makes a day of a seed.
-func (x *Explorer) Draw(seed uint64) *drill.Script {
+func (x *Explorer) Draw(seed uint64) *scenario.Script {
 	rng := rand.New(rand.NewPCG(seed, 0x6578706c6f7265))
 	s := *x.Base
 	s.Seed, s.For = int64(seed>>1), time.Duration(2+rng.IntN(int(longest/time.Second)-1))*time.Second
 	s.Rate *= 0.25 + 1.5*rng.Float64()
 	s.Troubles = nil
-	kinds := drill.Kinds()
+	kinds := scenario.Kinds()
 	total := len(s.Hosts())
 	for range 1 + rng.IntN(mostTroubles) {
-		t := drill.Trouble{Kind: kinds[rng.IntN(len(kinds))], At: time.Duration(rng.Int64N(int64(s.For))).Truncate(time.Millisecond),
-			For: time.Duration(50+rng.IntN(6000)) * time.Millisecond}
+		t := scenario.Trouble{
+			Kind: kinds[rng.IntN(len(kinds))], At: time.Duration(rng.Int64N(int64(s.For))).Truncate(time.Millisecond),
+			For: time.Duration(50+rng.IntN(6000)) * time.Millisecond,
+		}
 		for range 1 + rng.IntN(3) {
 			if h := 1 + rng.IntN(total); !slices.Contains(t.Hosts, h) {
 				t.Hosts = append(t.Hosts, h)
@@ -81,14 +82,14 @@
 }
 
 // play gives what a day breaks.
-func (x *Explorer) play(ctx context.Context, s *drill.Script) (broken []rules.Violation, panicked string, err error) {
+func (x *Explorer) play(ctx context.Context, s *scenario.Script) (broken []invariants.Violation, panicked string, err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			stack := make([]byte, 4<<10)
 			panicked = fmt.Sprintf("%v\n%s", p, stack[:runtime.Stack(stack, false)])
 		}
 	}()
-	day, err := sim.Open(s)
+	day, err := simulation.Open(s)
 	if err != nil {
 		return nil, "", err
 	}
@@ -99,11 +100,11 @@
 	}
 	broken = rep.Violations
 	if rep.Counts.InvalidDecisions > 0 {
-		broken = append(broken, rules.Violation{What: fmt.Sprintf("the account of a job refused %d decisions", rep.Counts.InvalidDecisions)})
+		broken = append(broken, invariants.Violation{What: fmt.Sprintf("the account of a job refused %d decisions", rep.Counts.InvalidDecisions)})
 	}
 	for name, sum := range rep.Sums {
 		if sum.Wrong > 0 {
-			broken = append(broken, rules.Violation{What: fmt.Sprintf("%d answers of track %s were not whole", sum.Wrong, name)})
+			broken = append(broken, invariants.Violation{What: fmt.Sprintf("%d answers of track %s were not whole", sum.Wrong, name)})
 		}
 	}
 	return broken, "", nil
@@ -158,7 +159,7 @@
 	if len(f.Broken) > 0 {
 		rule = f.Broken[0].Rule
 	}
-	try := func(change func(s *drill.Script)) bool {
+	try := func(change func(s *scenario.Script)) bool {
 		s := *f.Script
 		s.Troubles = slices.Clone(s.Troubles)
 		change(&s)
@@ -167,7 +168,7 @@
 		}
 		f.Plays++
 		broken, panicked, err := x.play(ctx, &s)
-		same := rule >= 0 && slices.ContainsFunc(broken, func(v rules.Violation) bool { return v.Rule == rule }) || rule < 0 && panicked != ""
+		same := rule >= 0 && slices.ContainsFunc(broken, func(v invariants.Violation) bool { return v.Rule == rule }) || rule < 0 && panicked != ""
 		if err != nil || !same {
 			return false
 		}
@@ -177,7 +178,7 @@
 	for again := true; again; {
 		again = false
 		for i := 0; i < len(f.Script.Troubles); {
-			if try(func(s *drill.Script) { s.Troubles = slices.Delete(s.Troubles, i, i+1) }) {
+			if try(func(s *scenario.Script) { s.Troubles = slices.Delete(s.Troubles, i, i+1) }) {
 				again = true
 			} else {
 				i++
@@ -186,25 +187,25 @@
 		for i := range f.Script.Troubles {
 			hosts := f.Script.Troubles[i].Hosts
 			for k := 0; len(hosts) > 1 && k < len(hosts); {
-				if try(func(s *drill.Script) { s.Troubles[i].Hosts = slices.Delete(slices.Clone(hosts), k, k+1) }) {
+				if try(func(s *scenario.Script) { s.Troubles[i].Hosts = slices.Delete(slices.Clone(hosts), k, k+1) }) {
 					hosts, again = f.Script.Troubles[i].Hosts, true
 				} else {
 					k++
 				}
 			}
-			if f.Script.Troubles[i].For > 100*time.Millisecond && try(func(s *drill.Script) { s.Troubles[i].For /= 2 }) {
+			if f.Script.Troubles[i].For > 100*time.Millisecond && try(func(s *scenario.Script) { s.Troubles[i].For /= 2 }) {
 				again = true
 			}
 		}
-		if f.Script.For > time.Second && try(func(s *drill.Script) { s.For = s.For * 3 / 4 }) {
+		if f.Script.For > time.Second && try(func(s *scenario.Script) { s.For = s.For * 3 / 4 }) {
 			again = true
 		}
-		if f.Script.Rate > 1 && try(func(s *drill.Script) { s.Rate *= 0.75 }) {
+		if f.Script.Rate > 1 && try(func(s *scenario.Script) { s.Rate *= 0.75 }) {
 			again = true
 		}
 		last := len(f.Script.Dispatchers) - 1
-		if last > 0 && !slices.ContainsFunc(f.Script.Troubles, func(t drill.Trouble) bool { return t.Number >= last }) &&
-			try(func(s *drill.Script) { s.Dispatchers = s.Dispatchers[:last] }) {
+		if last > 0 && !slices.ContainsFunc(f.Script.Troubles, func(t scenario.Trouble) bool { return t.Number >= last }) &&
+			try(func(s *scenario.Script) { s.Dispatchers = s.Dispatchers[:last] }) {
 			again = true
 		}
 	}
@@ -224,7 +225,7 @@
 	if f.Panic != "" {
 		fmt.Fprintf(&b, "// panic: %s\n", strings.SplitN(f.Panic, "\n", 2)[0])
 	}
-	text, err := setup.Print(*f.Script)
+	text, err := config.Print(*f.Script)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/explore/explore_test.go
+++ b/internal/lab/faultsearch/search_test.go
@@ -1,17 +1,16 @@
-package explore
+package faultsearch
 
 import (
 	"context"
-	"testing"
-
 	"docksail/internal/dispatch"
-	"docksail/internal/lab/drill"
+	"docksail/internal/lab/scenario"
 	"docksail/policy"
+	"testing"
 )
 
-func base(t *testing.T) *drill.Script {
+func base(t *testing.T) *scenario.Script {
 	t.Helper()
-	s, err := drill.Load("../drill/testdata/badday.json")
+	s, err := scenario.Load("../scenario/testdata/badday.json")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -69,7 +68,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := drill.Parse("found", text)
+	s, err := scenario.Parse("found", text)
 	if err != nil {
 		t.Fatalf("%v\n%s", err, text)
 	}
--- a/internal/lab/rules/rules.go
+++ b/internal/lab/invariants/invariants.go
@@ -1,15 +1,14 @@
-// Package rules judges the five rules from what passed on the sockets, as both ends wrote it down. It never asks
+// Package invariants judges the five rules from what passed on the sockets, as both ends wrote it down. It never asks
 // the dispatcher.
-package rules
+package invariants
 
 import (
 	"cmp"
+	"docksail/internal/lab/eventlog"
+	"docksail/policy"
 	"fmt"
 	"slices"
 	"time"
-
-	"docksail/internal/lab/book"
-	"docksail/policy"
 )
 
 // Class is what the rules need to know of a class of requests.
@@ -41,7 +40,7 @@
 func (v Violation) String() string { return fmt.Sprintf("rule %d: %s", v.Rule, v.What) }
 
 // Check gives all rules that were broken, by time.
-func Check(entries []book.Entry, facts Facts) []Violation {
+func Check(entries []eventlog.Entry, facts Facts) []Violation {
 	c := newChecker(facts)
 	for i := range entries {
 		c.record(&entries[i])
@@ -73,10 +72,10 @@
 		c.broken(1, asked.At, "%s ended %d times", key, t.finals)
 	}
 	final := *t.final
-	if final.Kind == book.NoAnswer && !c.overlaps(c.downtimes, asked.At, final.At) {
+	if final.Kind == eventlog.NoAnswer && !c.overlaps(c.downtimes, asked.At, final.At) {
 		c.broken(1, final.At, "%s (class %s, request %s) got no final answer: %s", key, asked.Class, t.request, final.Code)
 	}
-	if final.Kind == book.Final {
+	if final.Kind == eventlog.Final {
 		c.checkFinalAnswer(key, final)
 	}
 	for _, a := range c.attempts[t.request] {
@@ -87,7 +86,7 @@
 }
 
 // checkFinalAnswer is what rule one asks of an answer's words and time.
-func (c *checker) checkFinalAnswer(key string, final book.Entry) {
+func (c *checker) checkFinalAnswer(key string, final eventlog.Entry) {
 	switch final.Code {
 	case "OK", "Aborted":
 		return
@@ -127,7 +126,7 @@
 	for _, again := range attempts[first+1:] {
 		c.checkRepeat(name, class, ran, again)
 	}
-	rejected := t.final != nil && t.final.Kind == book.Final && (t.final.Code == "Unavailable" || t.final.Code == "ResourceExhausted")
+	rejected := t.final != nil && t.final.Kind == eventlog.Final && (t.final.Code == "Unavailable" || t.final.Code == "ResourceExhausted")
 	if rejected && (class.Effect == policy.NonIdempotent || class.Group != policy.GroupAll) && ran.sent < t.final.At {
 		c.broken(2, t.final.At, "%s request %s was rejected though it may have run at server %d", effectName(class.Effect), name, ran.server)
 	}
--- a/internal/lab/rules/record.go
+++ b/internal/lab/invariants/record.go
@@ -1,10 +1,9 @@
-package rules
+package invariants
 
 import (
+	"docksail/internal/lab/eventlog"
 	"fmt"
 	"slices"
-
-	"docksail/internal/lab/book"
 )
 
 // never is the end of an attempt that has not ended.
@@ -25,9 +24,9 @@
 
 // try is what a client asked for once, and what it got.
 type try struct {
-	asked   book.Entry
+	asked   eventlog.Entry
 	request string // the dispatcher's name for it
-	final   *book.Entry
+	final   *eventlog.Entry
 	finals  int
 }
 
@@ -67,7 +66,7 @@
 	tries        map[string]*try // by the client's name and the number of the try
 	tryOrder     []string
 	tryOf        map[string]*try // by request
-	ran          map[string][]book.Entry
+	ran          map[string][]eventlog.Entry
 	noticed      map[noticeKey]int64 // a dispatcher was told that a server drains or is gone
 	held         map[stateKey]int64  // since when
 	states       []heldState
@@ -78,9 +77,11 @@
 }
 
 func newChecker(facts Facts) *checker {
-	return &checker{facts: facts, slack: int64(facts.Slack), attempts: map[string][]*attempt{}, open: map[attemptKey]*attempt{},
-		tries: map[string]*try{}, tryOf: map[string]*try{}, ran: map[string][]book.Entry{}, noticed: map[noticeKey]int64{},
-		held: map[stateKey]int64{}, downSince: map[int]int64{}, cuts: map[int][]span{}, cutSince: map[int]int64{}}
+	return &checker{
+		facts: facts, slack: int64(facts.Slack), attempts: map[string][]*attempt{}, open: map[attemptKey]*attempt{},
+		tries: map[string]*try{}, tryOf: map[string]*try{}, ran: map[string][]eventlog.Entry{}, noticed: map[noticeKey]int64{},
+		held: map[stateKey]int64{}, downSince: map[int]int64{}, cuts: map[int][]span{}, cutSince: map[int]int64{},
+	}
 }
 
 func (c *checker) broken(rule int, at int64, format string, args ...any) {
@@ -88,49 +89,49 @@
 }
 
 // record takes down one entry; entries come by time.
-func (c *checker) record(e *book.Entry) {
+func (c *checker) record(e *eventlog.Entry) {
 	switch e.Kind {
-	case book.Down:
+	case eventlog.Down:
 		c.downSince[e.Disp] = e.At
-	case book.Up:
+	case eventlog.Up:
 		if at, ok := c.downSince[e.Disp]; ok {
 			c.downtimes = append(c.downtimes, span{at, e.At})
 			delete(c.downSince, e.Disp)
 		}
-	case book.Asked:
+	case eventlog.Asked:
 		key := tryKey(e)
 		c.tries[key] = &try{asked: *e}
 		c.tryOrder = append(c.tryOrder, key)
-	case book.Final, book.Quit, book.NoAnswer:
+	case eventlog.Final, eventlog.Quit, eventlog.NoAnswer:
 		c.recordFinal(e)
-	case book.Sent:
+	case eventlog.Sent:
 		c.recordSent(e)
-	case book.Ended:
+	case eventlog.Ended:
 		if a := c.open[attemptKey{e.Request, e.Attempt, e.Server}]; a != nil && a.end == never {
 			a.end, a.code, a.note = e.At, e.Code, e.Note
 		}
-	case book.Told:
+	case eventlog.Told:
 		c.recordNotice(e)
-	case book.Toppled:
+	case eventlog.Toppled:
 		c.broken(4, e.At, "cold server %d fell over, sent %d attempts", e.Server, e.N)
-	case book.Held:
+	case eventlog.Held:
 		c.held[stateKey{e.Request, e.Server}] = e.At
-	case book.Released:
+	case eventlog.Released:
 		key := stateKey{e.Request, e.Server}
 		if from, ok := c.held[key]; ok {
 			c.states = append(c.states, heldState{e.Request, e.Server, from, e.At, e.Note})
 			delete(c.held, key)
 		}
-	case book.Ran:
+	case eventlog.Ran:
 		c.ran[e.Label] = append(c.ran[e.Label], *e)
-	case book.Trouble:
+	case eventlog.Trouble:
 		c.recordCut(e)
 	}
 }
 
-func tryKey(e *book.Entry) string { return fmt.Sprintf("%s/%d", e.Label, e.Try) }
+func tryKey(e *eventlog.Entry) string { return fmt.Sprintf("%s/%d", e.Label, e.Try) }
 
-func (c *checker) recordFinal(e *book.Entry) {
+func (c *checker) recordFinal(e *eventlog.Entry) {
 	t := c.tries[tryKey(e)]
 	if t == nil {
 		c.broken(1, e.At, "an answer to %s that nobody asked", e.Label)
@@ -145,7 +146,7 @@
 }
 
 // recordSent takes down an attempt, and judges rule three: nothing new to a server that drains.
-func (c *checker) recordSent(e *book.Entry) {
+func (c *checker) recordSent(e *eventlog.Entry) {
 	a := &attempt{server: e.Server, decode: e.Note == "write", sent: e.At, end: never}
 	if c.attempts[e.Request] == nil {
 		c.requestOrder = append(c.requestOrder, e.Request)
@@ -158,7 +159,7 @@
 	}
 }
 
-func (c *checker) recordNotice(e *book.Entry) {
+func (c *checker) recordNotice(e *eventlog.Entry) {
 	key := noticeKey{e.Disp, e.Server}
 	if e.Note == "HEALTH_SERVING" {
 		delete(c.noticed, key)
@@ -167,7 +168,7 @@
 	}
 }
 
-func (c *checker) recordCut(e *book.Entry) {
+func (c *checker) recordCut(e *eventlog.Entry) {
 	switch e.Note {
 	case "cut":
 		c.cutSince[e.Server] = e.At
@@ -178,7 +179,7 @@
 }
 
 // finish closes what is open at the end of a run.
-func (c *checker) finish(entries []book.Entry) {
+func (c *checker) finish(entries []eventlog.Entry) {
 	end := never
 	if n := len(entries); n > 0 {
 		end = entries[n-1].At
--- a/internal/lab/load/load.go
+++ b/internal/lab/loadgen/loadgen.go
@@ -1,9 +1,12 @@
-// Package load sends open-loop load to dispatchers that run anywhere on this machine and tells how long first tokens
+// Package loadgen sends open-loop load to dispatchers that run anywhere on this machine and tells how long first tokens
 // took, from when each job was due: a generator or a dispatcher that falls behind hides nothing.
-package load
+package loadgen
 
 import (
 	"context"
+	"docksail/internal/lab/eventlog"
+	"docksail/internal/lab/scenario"
+	"docksail/internal/lab/userclient"
 	"errors"
 	"fmt"
 	"io"
@@ -16,10 +19,6 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"google.golang.org/grpc/codes"
-
-	"docksail/internal/lab/book"
-	"docksail/internal/lab/client"
-	"docksail/internal/lab/drill"
 )
 
 // Patterns of arrivals.
@@ -60,14 +59,14 @@
 		return nil, err
 	}
 	defer f.Close()
-	es, err := book.Read(f)
+	es, err := eventlog.Read(f)
 	if err != nil && len(es) == 0 {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
 	var at []time.Duration
 	first := int64(0)
 	for _, e := range es {
-		if e.Kind != book.Asked || e.Try != 0 || len(e.Label) < 2 || e.Label[len(e.Label)-2:] != ".0" {
+		if e.Kind != eventlog.Asked || e.Try != 0 || len(e.Label) < 2 || e.Label[len(e.Label)-2:] != ".0" {
 			continue
 		}
 		if first == 0 {
@@ -84,7 +83,7 @@
 
 // Plan is a run.
 type Plan struct {
-	Script  *drill.Script // its tracks and sessions a second
+	Script  *scenario.Script // its tracks and sessions a second
 	Targets []string
 	Pattern string
 	Record  string // file, of the pattern recorded
@@ -116,7 +115,8 @@
 	}
 	var mu sync.Mutex
 	ended, honoured := int64(0), int64(0)
-	l := client.Load{Targets: p.Targets, Classes: p.Script.Clients(), Rate: rate, For: p.For, Seed: uint64(p.Script.Seed), Conns: p.Conns,
+	l := userclient.Load{
+		Targets: p.Targets, Classes: p.Script.Clients(), Rate: rate, For: p.For, Seed: uint64(p.Script.Seed), Conns: p.Conns,
 		Done: func(track string, first time.Duration, code codes.Code) {
 			mu.Lock()
 			defer mu.Unlock()
@@ -129,7 +129,8 @@
 				honoured++
 				t.First.RecordValue(min(max(int64(first), least), most))
 			}
-		}}
+		},
+	}
 	if p.Pattern == "recorded" {
 		if l.Arrive, err = Recorded(p.Record); err != nil {
 			return nil, err
@@ -153,7 +154,7 @@
 			}
 		}()
 	}
-	if _, err := client.Run(ctx, l, nil); err != nil {
+	if _, err := userclient.Run(ctx, l, nil); err != nil {
 		return nil, err
 	}
 	if err := ctx.Err(); err != nil && !errors.Is(err, context.Canceled) {
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/loadgen/loadgen_test.go
@@ -1,7 +1,10 @@
-package load
+package loadgen
 
 import (
 	"bytes"
+	"docksail/internal/lab/engine"
+	"docksail/internal/lab/eventlog"
+	"docksail/internal/lab/scenario"
 	"log/slog"
 	"math"
 	"os"
@@ -9,10 +12,6 @@
 	"strings"
 	"testing"
 	"time"
-
-	"docksail/internal/lab/book"
-	"docksail/internal/lab/drill"
-	"docksail/internal/lab/engine"
 )
 
 // TestRates: the mean of each pattern over a run is its base.
@@ -38,10 +37,10 @@
 // TestNothingOmitted: engines that stand still for a second show in the times of the jobs that were due meanwhile; a
 // generator that waited for answers would have sent few of them.
 func TestNothingOmitted(t *testing.T) {
-	s := drill.Demo()
+	s := scenario.Demo()
 	s.Rate = 40
 	s.Load[0].Timeout, s.Load[0].Answer = 8*time.Second, 4
-	stage, err := drill.Open(s, slog.New(slog.DiscardHandler))
+	stage, err := scenario.Open(s, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -82,8 +81,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := book.Write(f, []book.Entry{{At: 1e9, Kind: book.Asked, Label: "0.0"}, {At: 1.2e9, Kind: book.Asked, Label: "0.0", Try: 1},
-		{At: 3e9, Kind: book.Asked, Label: "1.0"}, {At: 4e9, Kind: book.Asked, Label: "0.1"}}); err != nil {
+	if err := eventlog.Write(f, []eventlog.Entry{
+		{At: 1e9, Kind: eventlog.Asked, Label: "0.0"},
+		{At: 1.2e9, Kind: eventlog.Asked, Label: "0.0", Try: 1},
+		{At: 3e9, Kind: eventlog.Asked, Label: "1.0"},
+		{At: 4e9, Kind: eventlog.Asked, Label: "0.1"},
+	}); err != nil {
 		t.Fatal(err)
 	}
 	f.Close()
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -5,6 +5,7 @@
 import (
 	"bytes"
 	"cmp"
+	"docksail/internal/lab/eventlog"
 	"encoding/base64"
 	"fmt"
 	"html/template"
@@ -22,14 +23,12 @@
 	"gonum.org/v1/plot/vg"
 	"gonum.org/v1/plot/vg/draw"
 	"gonum.org/v1/plot/vg/vgimg"
-
-	"docksail/internal/lab/book"
 )
 
 // Run is one run's entries under a name.
 type Run struct {
 	Name    string
-	Entries []book.Entry
+	Entries []eventlog.Entry
 }
 
 // band is a trouble, in seconds from the start.
@@ -63,14 +62,14 @@
 	last := int64(0)
 	for _, e := range r.Entries {
 		switch e.Kind {
-		case book.Asked:
+		case eventlog.Asked:
 			if f.from == 0 {
 				f.from = e.At
 			}
 			tracks[e.Class] = true
-		case book.Sent, book.Figures:
+		case eventlog.Sent, eventlog.Figures:
 			hosts[e.Server] = true
-			f.figures = f.figures || e.Kind == book.Figures
+			f.figures = f.figures || e.Kind == eventlog.Figures
 		}
 		last = e.At
 	}
@@ -81,7 +80,7 @@
 	f.tracks, f.hosts = slices.Sorted(maps.Keys(tracks)), slices.Sorted(maps.Keys(hosts))
 	open := map[string][]float64{}
 	for _, e := range r.Entries {
-		if e.Kind != book.Trouble || e.Code == "" {
+		if e.Kind != eventlog.Trouble || e.Code == "" {
 			continue
 		}
 		if e.Note == "begins" {
@@ -190,12 +189,12 @@
 	for _, e := range f.run.Entries {
 		key := fmt.Sprint(e.Label, "/", e.Try)
 		switch {
-		case e.Kind == book.Asked:
+		case e.Kind == eventlog.Asked:
 			at[key] = f.bin(e.At)
 			asked[e.Class][at[key]]++
-		case e.Kind == book.Final && e.Code == "OK":
+		case e.Kind == eventlog.Final && e.Code == "OK":
 			good[e.Class][at[key]]++
-		case e.Kind == book.Quit: // by its own will: it counts neither way
+		case e.Kind == eventlog.Quit: // by its own will: it counts neither way
 			asked[e.Class][at[key]]--
 		}
 	}
@@ -230,9 +229,9 @@
 	}
 	for _, e := range f.run.Entries {
 		key := fmt.Sprint(e.Label, "/", e.Try)
-		if e.Kind == book.Asked {
+		if e.Kind == eventlog.Asked {
 			asked[key] = e.At
-		} else if e.Kind == book.Token {
+		} else if e.Kind == eventlog.Token {
 			b := f.bin(asked[key])
 			took[e.Class][b] = append(took[e.Class][b], math.Max(float64(e.At-asked[key])/1e6, 0.1))
 		}
@@ -268,7 +267,7 @@
 	for n, t := range f.tracks {
 		var by [bins][]float64
 		for _, e := range f.run.Entries {
-			if e.Kind == book.Final && e.Class == t && e.N > 0 {
+			if e.Kind == eventlog.Final && e.Class == t && e.N > 0 {
 				by[f.bin(e.At)] = append(by[f.bin(e.At)], float64(e.N)/1e6)
 			}
 		}
@@ -310,7 +309,7 @@
 }
 
 // heat draws something by host: white is none, and none for long is a host that was set aside, or gone.
-func (f *facts) heat(title string, of func(e *book.Entry) (float64, bool), mean bool) (*plot.Plot, error) {
+func (f *facts) heat(title string, of func(e *eventlog.Entry) (float64, bool), mean bool) (*plot.Plot, error) {
 	p := f.axes(title, "host")
 	g, n := grid{f, make([][bins]float64, len(f.hosts))}, make([][bins]float64, len(f.hosts))
 	row := map[int]int{}
@@ -362,16 +361,16 @@
 		{"first", "Time to the first token, on a logarithmic scale, of those that got one: what was refused is in the plot above alone.", f.first, false},
 		{"gaps", "Time between tokens.", f.gaps, false},
 		{"sent", "Launches that passed towards each host. A host that is white while others are not was set aside, drained or gone.", func() (*plot.Plot, error) {
-			return f.heat("launches sent to each host", func(e *book.Entry) (float64, bool) { return 1, e.Kind == book.Sent }, false)
+			return f.heat("launches sent to each host", func(e *eventlog.Entry) (float64, bool) { return 1, e.Kind == eventlog.Sent }, false)
 		}, true},
 	}
 	if f.figures {
 		all = append(all,
 			one{"queue", "Prompt tokens that each host had not read yet (mean of its samples).", func() (*plot.Plot, error) {
-				return f.heat("prompt tokens not read yet", func(e *book.Entry) (float64, bool) { return float64(e.N), e.Kind == book.Figures }, true)
+				return f.heat("prompt tokens not read yet", func(e *eventlog.Entry) (float64, bool) { return float64(e.N), e.Kind == eventlog.Figures }, true)
 			}, true},
 			one{"memory", "Share of each host's memory in use.", func() (*plot.Plot, error) {
-				return f.heat("share of memory in use", func(e *book.Entry) (float64, bool) { return float64(e.Attempt) / 1000, e.Kind == book.Figures }, true)
+				return f.heat("share of memory in use", func(e *eventlog.Entry) (float64, bool) { return float64(e.Attempt) / 1000, e.Kind == eventlog.Figures }, true)
 			}, true})
 	}
 	var out []Plot
@@ -410,20 +409,20 @@
 		key := fmt.Sprint(e.Label, "/", e.Try)
 		switch {
 		case r == nil:
-		case e.Kind == book.Asked:
+		case e.Kind == eventlog.Asked:
 			r.Tries++
 			asked[key] = e.At
-		case e.Kind == book.Token:
+		case e.Kind == eventlog.Token:
 			first[e.Class] = append(first[e.Class], float64(e.At-asked[key])/1e6)
-		case e.Kind == book.Quit:
+		case e.Kind == eventlog.Quit:
 			r.Left++
-		case e.Kind == book.NoAnswer:
+		case e.Kind == eventlog.NoAnswer:
 			r.NoAnswer++
-		case e.Kind == book.Final && e.Code == "OK":
+		case e.Kind == eventlog.Final && e.Code == "OK":
 			r.Honoured++
-		case e.Kind == book.Final && e.Code == "Aborted":
+		case e.Kind == eventlog.Final && e.Code == "Aborted":
 			r.Abandoned++
-		case e.Kind == book.Final:
+		case e.Kind == eventlog.Final:
 			r.Nacked++
 		}
 	}
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -2,34 +2,33 @@
 
 import (
 	"bytes"
+	"docksail/internal/lab/eventlog"
+	"docksail/internal/lab/experiment"
+	"docksail/internal/lab/scenario"
 	"image/png"
 	"os"
 	"path/filepath"
 	"strings"
 	"testing"
-
-	"docksail/internal/lab/book"
-	"docksail/internal/lab/drill"
-	"docksail/internal/lab/trial"
 )
 
 // TestReport: the page of a played day names its tracks and troubles and holds plots that are pictures; a record whose
 // writer was killed in mid-write is drawn as far as it goes.
 func TestReport(t *testing.T) {
-	s, err := drill.Load("../drill/testdata/badday.json")
+	s, err := scenario.Load("../scenario/testdata/badday.json")
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.For = 10 * s.For / 46
-	rep, err := trial.Play(t.Context(), s, "", s.For/20)
+	rep, err := experiment.Play(t.Context(), s, "", s.For/20)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var b bytes.Buffer
-	if err := book.Write(&b, rep.Entries); err != nil {
+	if err := eventlog.Write(&b, rep.Entries); err != nil {
 		t.Fatal(err)
 	}
-	torn, err := book.Read(bytes.NewReader(b.Bytes()[:b.Len()*2/3]))
+	torn, err := eventlog.Read(bytes.NewReader(b.Bytes()[:b.Len()*2/3]))
 	if err == nil || !strings.Contains(err.Error(), "entry ") || len(torn) < len(rep.Entries)/2 {
 		t.Fatalf("%d of %d entries of a torn record: %v", len(torn), len(rep.Entries), err)
 	}
--- a/internal/lab/drill/importday.go
+++ b/internal/lab/scenario/import.go
@@ -1,15 +1,14 @@
-package drill
+package scenario
 
 import (
+	"docksail/internal/config"
+	"docksail/policy"
 	"encoding/json"
 	"fmt"
 	"math"
 	"slices"
 	"strings"
 	"time"
-
-	"docksail/internal/setup"
-	"docksail/policy"
 )
 
 // benchDay is the part of a bench's day file that a drill can play. Times are microseconds.
@@ -127,8 +126,10 @@
 	us := func(x int64) time.Duration { return (time.Duration(x) * time.Microsecond).Round(time.Millisecond) }
 	var cannot []string
 	kinds := d.Tiers[0].Kinds
-	s := &Script{Seed: 1, For: us(d.Length), ListerLate: us(d.Discovery.Notice), Release: us(d.Family.Release), Most: d.Allow.Most,
-		Cold: Cold{From: 1, Multiple: d.Multiple, Window: us(d.Over)}}
+	s := &Script{
+		Seed: 1, For: us(d.Length), ListerLate: us(d.Discovery.Notice), Release: us(d.Family.Release), Most: d.Allow.Most,
+		Cold: Cold{From: 1, Multiple: d.Multiple, Window: us(d.Over)},
+	}
 	for _, k := range kinds {
 		s.Cold.From = min(s.Cold.From, k.ColdFrom)
 		s.Cold.Warm = max(s.Cold.Warm, us(k.Cold))
@@ -166,8 +167,10 @@
 		k, e := kinds[g[2]], d.Family.Engines[g[2]]
 		count := max(1, int(math.Round(float64(len(all))/every)))
 		role := map[string]Role{"read": Prefill, "write": Decode, "both": Mixed}[d.Family.Roles[g[2]]]
-		h := Hosts{Count: count, Role: role, Zone: d.Zones[g[0]], Cell: fmt.Sprint("c", g[1]), Slots: max(k.Slots, 1), Queue: k.Queue,
-			Memory: e.Memory, ReadRate: e.Reads, MoveRate: d.Family.Near, TokenGap: time.Duration(e.Step * 1e6).Round(time.Microsecond)}
+		h := Hosts{
+			Count: count, Role: role, Zone: d.Zones[g[0]], Cell: fmt.Sprint("c", g[1]), Slots: max(k.Slots, 1), Queue: k.Queue,
+			Memory: e.Memory, ReadRate: e.Reads, MoveRate: d.Family.Near, TokenGap: time.Duration(e.Step * 1e6).Round(time.Microsecond),
+		}
 		h.TokenGap = max(h.TokenGap, time.Millisecond)
 		h.RequestsPerSecond = e.Reads / max(perJob, 1)
 		if role != Prefill {
@@ -194,21 +197,23 @@
 	}
 	for i, c := range d.Classes {
 		t := d.Family.Talks[i]
-		tr := Track{Name: c.Name, Share: c.Share / total, Target: us(c.Aim), Per1k: time.Duration(t.Per1k * 1e6), Timeout: us(c.Limit),
+		tr := Track{
+			Name: c.Name, Share: c.Share / total, Target: us(c.Aim), Per1k: time.Duration(t.Per1k * 1e6), Timeout: us(c.Limit),
 			Value: c.Worth, TokenGap: time.Duration(max(t.Gap, 10) * 1e6), Window: us(c.Window), Turns: max(1, int(math.Round(2*t.Turns-1))),
 			Prompt: max(1, int(t.New/2)), PromptMost: int(1.5 * t.New), PrefixTokens: int(t.Prefix), Prefixes: 8,
-			Answer: max(1, int(min(1.33*t.Out, float64(t.MaxOut)))), Retries: d.Clients.Retries, Idle: time.Second}
+			Answer: max(1, int(min(1.33*t.Out, float64(t.MaxOut)))), Retries: d.Clients.Retries, Idle: time.Second,
+		}
 		effect := map[string]policy.Effect{"safe": policy.Idempotent, "keyed": policy.Deduplicated, "unsafe": policy.NonIdempotent}
 		e, ok := effect[c.Effect]
 		if !ok {
 			cannot = append(cannot, fmt.Sprintf("class %s: effect %q, played as idempotent", c.Name, c.Effect))
 		}
-		tr.Effect = setup.Effect(e)
+		tr.Effect = config.Effect(e)
 		switch c.Group {
 		case "zone":
-			tr.Group = setup.Group(policy.GroupZone)
+			tr.Group = config.Group(policy.GroupZone)
 		case "cell":
-			tr.Group = setup.Group(policy.GroupCell)
+			tr.Group = config.Group(policy.GroupCell)
 		}
 		s.Load = append(s.Load, tr)
 	}
--- a/internal/lab/drill/script.go
+++ b/internal/lab/scenario/scenario.go
@@ -1,8 +1,13 @@
-// Package drill plays a scripted day in real time: stand-in engines, listers, relays, clients and real dispatchers
+// Package scenario plays a scripted day in real time: stand-in engines, listers, relays, clients and real dispatchers
 // on loopback, with troubles that begin and end by the script. What passed on the sockets is judged by the rules.
-package drill
+package scenario
 
 import (
+	"docksail/internal/config"
+	"docksail/internal/lab/engine"
+	"docksail/internal/lab/invariants"
+	"docksail/internal/lab/userclient"
+	"docksail/policy"
 	"fmt"
 	"maps"
 	"math"
@@ -11,11 +16,6 @@
 	"time"
 
 	pb "docksail/api/docksail/v1"
-	"docksail/internal/lab/client"
-	"docksail/internal/lab/engine"
-	"docksail/internal/lab/rules"
-	"docksail/internal/setup"
-	"docksail/policy"
 )
 
 // Script is a day.
@@ -73,33 +73,33 @@
 
 // Track is a class of jobs: what the dispatcher is told of it and what its clients do.
 type Track struct {
-	Name         string       `json:"name" need:"a name"`
-	Share        float64      `json:"share" need:"its share of the sessions"`
-	Tenant       string       `json:"tenant"`
-	Target       Dur          `json:"target" was:"expected" need:"time in which the first token is wanted"`
-	Per1k        Dur          `json:"target_per_1000_tokens" was:"expected_per_1000_tokens"`
-	Timeout      Dur          `json:"timeout" was:"patience" need:"the client's time"`
-	Value        float64      `json:"value" was:"payoff"`
-	TokenGap     Dur          `json:"token_gap" need:"time wanted between tokens"`
-	Effect       setup.Effect `json:"effect"`
-	Group        setup.Group  `json:"group"`
-	Window       Dur          `json:"window"`
-	Turns        int          `json:"turns"`
-	Prompt       int          `json:"prompt" need:"least tokens that a turn adds"`
-	PromptMost   int          `json:"prompt_most"`
-	PrefixTokens int          `json:"prefix_tokens" was:"beginning"`
-	Prefixes     int          `json:"prefixes" was:"beginnings"`
-	Answer       int          `json:"answer" need:"most tokens of an answer"`
-	Retries      int          `json:"retries"`
-	Leave        float64      `json:"leave"`
-	Idle         Dur          `json:"idle"`
-	Clients      int          `json:"clients"`         // that name themselves
-	Deaf         bool         `json:"no_advice"`       // come back at once whatever they are told
-	Made         bool         `json:"made_up"`         // a new name for each job
-	Background   bool         `json:"background"`      // its jobs yield to all others
-	Conns        int          `json:"connections"`     // of its clients to each dispatcher; 0 = two
-	Weight       float64      `json:"weight"`          // of its tenant
-	Rate         float64      `json:"most_per_second"` // of its tenant
+	Name         string        `json:"name" need:"a name"`
+	Share        float64       `json:"share" need:"its share of the sessions"`
+	Tenant       string        `json:"tenant"`
+	Target       Dur           `json:"target" was:"expected" need:"time in which the first token is wanted"`
+	Per1k        Dur           `json:"target_per_1000_tokens" was:"expected_per_1000_tokens"`
+	Timeout      Dur           `json:"timeout" was:"patience" need:"the client's time"`
+	Value        float64       `json:"value" was:"payoff"`
+	TokenGap     Dur           `json:"token_gap" need:"time wanted between tokens"`
+	Effect       config.Effect `json:"effect"`
+	Group        config.Group  `json:"group"`
+	Window       Dur           `json:"window"`
+	Turns        int           `json:"turns"`
+	Prompt       int           `json:"prompt" need:"least tokens that a turn adds"`
+	PromptMost   int           `json:"prompt_most"`
+	PrefixTokens int           `json:"prefix_tokens" was:"beginning"`
+	Prefixes     int           `json:"prefixes" was:"beginnings"`
+	Answer       int           `json:"answer" need:"most tokens of an answer"`
+	Retries      int           `json:"retries"`
+	Leave        float64       `json:"leave"`
+	Idle         Dur           `json:"idle"`
+	Clients      int           `json:"clients"`         // that name themselves
+	Deaf         bool          `json:"no_advice"`       // come back at once whatever they are told
+	Made         bool          `json:"made_up"`         // a new name for each job
+	Background   bool          `json:"background"`      // its jobs yield to all others
+	Conns        int           `json:"connections"`     // of its clients to each dispatcher; 0 = two
+	Weight       float64       `json:"weight"`          // of its tenant
+	Rate         float64       `json:"most_per_second"` // of its tenant
 }
 
 // Trouble is one thing that goes wrong.
@@ -190,7 +190,7 @@
 // Parse reads a script; name stands for the file in errors.
 func Parse(name string, text []byte) (*Script, error) {
 	s := &Script{Seed: 1, Release: time.Second, Most: 5}
-	err := setup.Decode(name, text, s, func(bad func(path, format string, args ...any)) {
+	err := config.Decode(name, text, s, func(bad func(path, format string, args ...any)) {
 		for i, h := range s.Fleet {
 			if h.Role == "" {
 				bad(fmt.Sprintf("fleet[%d].role", i), "is empty, want prefill, decode or mixed")
@@ -246,10 +246,12 @@
 	var all []engine.Spec
 	for _, h := range s.Fleet {
 		for range h.Count {
-			e := engine.Spec{ID: len(all) + 1, Role: Roles[h.Role], Zone: h.Zone, Cell: h.Cell, Slots: h.Slots, Queue: h.Queue,
+			e := engine.Spec{
+				ID: len(all) + 1, Role: Roles[h.Role], Zone: h.Zone, Cell: h.Cell, Slots: h.Slots, Queue: h.Queue,
 				Memory: h.Memory, ReadRate: h.ReadRate, TokenGap: h.TokenGap, JobsPerSecond: h.RequestsPerSecond, ColdFrom: s.Cold.From,
 				Warm: s.Cold.Warm, Topple: s.Cold.Multiple, ToppleOver: s.Cold.Window, MoveRate: h.MoveRate,
-				Hold: 10 * time.Second, ReportEvery: 100 * time.Millisecond, Batch: s.Batch, ReportNoise: s.Noise}
+				Hold: 10 * time.Second, ReportEvery: 100 * time.Millisecond, Batch: s.Batch, ReportNoise: s.Noise,
+			}
 			if e.Memory == 0 {
 				e.Memory = 200000
 			}
@@ -266,13 +268,13 @@
 }
 
 // Settings are what dispatcher n is told.
-func (s *Script) Settings(n int) *setup.Dispatcher {
-	d := setup.Usual()
+func (s *Script) Settings(n int) *config.Dispatcher {
+	d := config.Usual()
 	d.Zone, d.Number, d.Count, d.Seed, d.HashKey = s.Dispatchers[n].Zone, int32(n), int32(len(s.Dispatchers)), uint64(s.Seed)+uint64(n), 7
 	d.Attempts.Most = int32(s.Most)
 	d.Attempts.Connect = 250 * time.Millisecond
 	d.Rules.Release = s.Release
-	d.Cold = setup.Cold{From: s.Cold.From, Warm: s.Cold.Warm, Multiple: s.Cold.Multiple, Window: s.Cold.Window}
+	d.Cold = config.Cold{From: s.Cold.From, Warm: s.Cold.Warm, Multiple: s.Cold.Multiple, Window: s.Cold.Window}
 	d.FirstCome = s.FirstCome
 	if s.Waiting > 0 {
 		d.Limits.Waiting = s.Waiting
@@ -283,51 +285,63 @@
 	d.Limits.Memory = s.Memory
 	tenants := map[string]bool{}
 	for _, t := range s.Load {
-		d.Classes = append(d.Classes, setup.Class{Name: t.Name, Target: t.Target, TargetPer1k: t.Per1k,
-			Timeout: t.Timeout, Value: t.Value, TokenGap: t.TokenGap, Effect: t.Effect, Group: t.Group, Window: t.Window})
+		d.Classes = append(d.Classes, config.Class{
+			Name: t.Name, Target: t.Target, TargetPer1k: t.Per1k,
+			Timeout: t.Timeout, Value: t.Value, TokenGap: t.TokenGap, Effect: t.Effect, Group: t.Group, Window: t.Window,
+		})
 		if t.Tenant != "" && !tenants[t.Tenant] {
 			tenants[t.Tenant] = true
-			d.Tenants = append(d.Tenants, setup.Tenant{Name: t.Tenant, PerSecond: s.Rate, Weight: t.Weight, Rate: t.Rate})
+			d.Tenants = append(d.Tenants, config.Tenant{Name: t.Tenant, PerSecond: s.Rate, Weight: t.Weight, Rate: t.Rate})
 		}
 	}
 	return d
 }
 
 // Clients are the load's tracks.
-func (s *Script) Clients() []client.Class {
-	var ts []client.Class
+func (s *Script) Clients() []userclient.Class {
+	var ts []userclient.Class
 	for _, t := range s.Load {
-		ts = append(ts, client.Class{Name: t.Name, Share: t.Share, Tenant: t.Tenant, Turns: t.Turns, Prompt: t.Prompt,
+		ts = append(ts, userclient.Class{
+			Name: t.Name, Share: t.Share, Tenant: t.Tenant, Turns: t.Turns, Prompt: t.Prompt,
 			PromptMost: t.PromptMost, PrefixTokens: t.PrefixTokens, Prefixes: t.Prefixes, Answer: t.Answer, Expected: t.Target,
 			Per1k: t.Per1k, Timeout: t.Timeout, Value: max(t.Value, 1), Retries: t.Retries, Leave: t.Leave, Idle: t.Idle,
 			Clients: t.Clients, Deaf: t.Deaf, Made: t.Made, Conns: t.Conns, Background: t.Background,
-			NonIdempotent: policy.Effect(t.Effect) != policy.Idempotent})
+			NonIdempotent: policy.Effect(t.Effect) != policy.Idempotent,
+		})
 	}
 	return ts
 }
 
 // Facts are what the rules are judged by.
-func (s *Script) Facts() rules.Facts {
-	f := rules.Facts{Classes: map[string]rules.Class{}, Servers: map[int]rules.Server{}, Release: s.Release,
-		Grace: setup.Usual().Rules.Drain, Slack: 250 * time.Millisecond}
+func (s *Script) Facts() invariants.Facts {
+	f := invariants.Facts{
+		Classes: map[string]invariants.Class{}, Servers: map[int]invariants.Server{}, Release: s.Release,
+		Grace: config.Usual().Rules.Drain, Slack: 250 * time.Millisecond,
+	}
 	for _, t := range s.Load {
-		f.Classes[t.Name] = rules.Class{Effect: policy.Effect(t.Effect), Group: policy.Group(t.Group), Window: t.Window}
+		f.Classes[t.Name] = invariants.Class{Effect: policy.Effect(t.Effect), Group: policy.Group(t.Group), Window: t.Window}
 	}
 	for _, h := range s.Hosts() {
-		f.Servers[h.ID] = rules.Server{Zone: h.Zone, Cell: h.Cell}
+		f.Servers[h.ID] = invariants.Server{Zone: h.Zone, Cell: h.Cell}
 	}
 	return f
 }
 
 // Demo is a small quiet day.
 func Demo() *Script {
-	return &Script{Seed: 1, For: time.Second, Rate: 5, Release: time.Second, Most: 5,
+	return &Script{
+		Seed: 1, For: time.Second, Rate: 5, Release: time.Second, Most: 5,
 		Cold: Cold{From: 1, Warm: time.Second, Multiple: 100, Window: time.Second},
-		Fleet: []Hosts{{Count: 2, Role: Prefill, Zone: "a", Cell: "a1", Slots: 8, Queue: 32, ReadRate: 20000, RequestsPerSecond: 10},
-			{Count: 2, Role: Decode, Zone: "a", Cell: "a1", Slots: 32, Queue: 32, TokenGap: 20 * time.Millisecond, RequestsPerSecond: 10}},
+		Fleet: []Hosts{
+			{Count: 2, Role: Prefill, Zone: "a", Cell: "a1", Slots: 8, Queue: 32, ReadRate: 20000, RequestsPerSecond: 10},
+			{Count: 2, Role: Decode, Zone: "a", Cell: "a1", Slots: 32, Queue: 32, TokenGap: 20 * time.Millisecond, RequestsPerSecond: 10},
+		},
 		Dispatchers: []Dispatcher{{Zone: "a"}},
-		Load: []Track{{Name: "question", Share: 1, Target: time.Second, Per1k: 60 * time.Millisecond, Timeout: 5 * time.Second,
-			Value: 1, TokenGap: 50 * time.Millisecond, Prompt: 500, PromptMost: 1500, Answer: 60}}}
+		Load: []Track{{
+			Name: "question", Share: 1, Target: time.Second, Per1k: 60 * time.Millisecond, Timeout: 5 * time.Second,
+			Value: 1, TokenGap: 50 * time.Millisecond, Prompt: 500, PromptMost: 1500, Answer: 60,
+		}},
+	}
 }
 
 func ceil(x float64) int { return int(math.Ceil(x)) }
--- a/internal/lab/drill/script_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -1,4 +1,4 @@
-package drill
+package scenario
 
 import (
 	"os"
--- a/internal/lab/drill/stage.go
+++ b/internal/lab/scenario/stage.go
@@ -1,7 +1,16 @@
-package drill
+package scenario
 
 import (
 	"context"
+	"docksail/internal/config"
+	"docksail/internal/decide/admission"
+	"docksail/internal/dispatch"
+	"docksail/internal/lab/discoveryserver"
+	"docksail/internal/lab/engine"
+	"docksail/internal/lab/eventlog"
+	"docksail/internal/lab/faultproxy"
+	"docksail/internal/lab/invariants"
+	"docksail/internal/lab/userclient"
 	"fmt"
 	"io"
 	"log/slog"
@@ -14,32 +23,23 @@
 	"time"
 
 	pb "docksail/api/docksail/v1"
-	"docksail/internal/decide/admission"
-	"docksail/internal/dispatch"
-	"docksail/internal/lab/book"
-	"docksail/internal/lab/client"
-	"docksail/internal/lab/engine"
-	"docksail/internal/lab/lister"
-	"docksail/internal/lab/relay"
-	"docksail/internal/lab/rules"
-	"docksail/internal/setup"
 )
 
 // Stage is a day's parties, running.
 type Stage struct {
 	Script  *Script
-	Book    *book.Book
+	Book    *eventlog.Book
 	Engines []*engine.Engine
 	Wrap    func(n int) func(dispatch.Module) dispatch.Module // stands between a dispatcher and its module, for tests
 
 	log     *slog.Logger
 	dir     string
-	listers []*lister.Lister
-	relays  [][]*relay.Relay // by dispatcher, by host
+	listers []*discoveryserver.Lister
+	relays  [][]*faultproxy.Relay // by dispatcher, by host
 	mu      sync.Mutex
 	disp    []*dispatch.Running
 	addrs   []netip.AddrPort
-	sets    []*setup.Dispatcher
+	sets    []*config.Dispatcher
 	health  map[int]pb.Health
 	counts  []dispatch.Counts // of the lives that ended
 	began   time.Time
@@ -51,7 +51,7 @@
 
 // OpenWith is Open with something between dispatchers and their modules.
 func OpenWith(s *Script, log *slog.Logger, wrap func(n int) func(dispatch.Module) dispatch.Module) (st *Stage, err error) {
-	st = &Stage{Script: s, Book: &book.Book{}, Wrap: wrap, log: log, health: map[int]pb.Health{}}
+	st = &Stage{Script: s, Book: &eventlog.Book{}, Wrap: wrap, log: log, health: map[int]pb.Health{}}
 	defer func() {
 		if err != nil {
 			st.Close()
@@ -74,14 +74,14 @@
 		st.health[spec.ID] = pb.Health_HEALTH_SERVING
 	}
 	for n := range s.Dispatchers {
-		l := lister.New(s.ListerLate, n, st.Book)
+		l := discoveryserver.New(s.ListerLate, n, st.Book)
 		if err := l.Start("127.0.0.1:0"); err != nil {
 			return st, err
 		}
 		st.listers = append(st.listers, l)
-		var rs []*relay.Relay
+		var rs []*faultproxy.Relay
 		for _, e := range st.Engines {
-			r, err := relay.New(e.Addr(), e.Spec.ID, n, st.Book)
+			r, err := faultproxy.New(e.Addr(), e.Spec.ID, n, st.Book)
 			if err != nil {
 				return st, err
 			}
@@ -135,7 +135,7 @@
 	st.mu.Lock()
 	st.disp[n], st.addrs[n] = r, r.Addr
 	st.mu.Unlock()
-	st.Book.Add(book.Entry{Kind: book.Up, Disp: n})
+	st.Book.Add(eventlog.Entry{Kind: eventlog.Up, Disp: n})
 	return nil
 }
 
@@ -164,17 +164,19 @@
 }
 
 // Settings gives a copy of what dispatcher n was told.
-func (st *Stage) Settings(n int) *setup.Dispatcher {
+func (st *Stage) Settings(n int) *config.Dispatcher {
 	s := *st.sets[n]
 	s.Tenants = slices.Clone(s.Tenants)
 	return &s
 }
 
 // Relays are those of dispatcher n, by host.
-func (st *Stage) Relays(n int) []*relay.Relay { return st.relays[n] }
+func (st *Stage) Relays(n int) []*faultproxy.Relay { return st.relays[n] }
 
 // Check judges what has passed so far.
-func (st *Stage) Check() []rules.Violation { return rules.Check(st.Book.Entries(), st.Script.Facts()) }
+func (st *Stage) Check() []invariants.Violation {
+	return invariants.Check(st.Book.Entries(), st.Script.Facts())
+}
 
 func (st *Stage) killDispatcher(n int) {
 	st.mu.Lock()
@@ -183,7 +185,7 @@
 	st.mu.Unlock()
 	if r != nil {
 		r.Ask(func(d *dispatch.Dispatcher) { add(&st.counts[n], d.Counts) })
-		st.Book.Add(book.Entry{Kind: book.Down, Disp: n})
+		st.Book.Add(eventlog.Entry{Kind: eventlog.Down, Disp: n})
 		r.Kill()
 	}
 }
@@ -196,7 +198,7 @@
 	st.mu.Unlock()
 	r.Drain(within)
 	r.Wait()
-	st.Book.Add(book.Entry{Kind: book.Down, Disp: n})
+	st.Book.Add(eventlog.Entry{Kind: eventlog.Down, Disp: n})
 }
 
 // Targets are the addresses of the dispatchers.
@@ -255,8 +257,10 @@
 func (st *Stage) list(i int, atOnce bool, started int64) {
 	e := st.Engines[i]
 	for n, l := range st.listers {
-		l.Set(&pb.Host{Id: uint32(e.Spec.ID), Address: st.relays[n][i].Addr(), Role: e.Spec.Role, Zone: e.Spec.Zone,
-			Cell: e.Spec.Cell, Health: st.health[e.Spec.ID], StartedUnixNs: started}, atOnce)
+		l.Set(&pb.Host{
+			Id: uint32(e.Spec.ID), Address: st.relays[n][i].Addr(), Role: e.Spec.Role, Zone: e.Spec.Zone,
+			Cell: e.Spec.Cell, Health: st.health[e.Spec.ID], StartedUnixNs: started,
+		}, atOnce)
 	}
 }
 
@@ -307,9 +311,9 @@
 
 // Report is what a day came to.
 type Report struct {
-	Sums       map[string]*client.Sum
-	Violations []rules.Violation
-	Entries    []book.Entry
+	Sums       map[string]*userclient.Sum
+	Violations []invariants.Violation
+	Entries    []eventlog.Entry
 	Counts     dispatch.Counts
 	Launches   int
 	Doors      []admission.Counts // by dispatcher, by tenant
@@ -333,13 +337,14 @@
 			if !sleep(ctx, time.Until(begin.Add(t.At))) {
 				return
 			}
-			st.Book.Add(book.Entry{Kind: book.Trouble, Code: t.Kind, Note: "begins"})
+			st.Book.Add(eventlog.Entry{Kind: eventlog.Trouble, Code: t.Kind, Note: "begins"})
 			st.log.Info("trouble begins", "kind", t.Kind, "hosts", hosts)
 			st.trouble(ctx, t, hosts, &mu)
-			st.Book.Add(book.Entry{Kind: book.Trouble, Code: t.Kind, Note: "ends"})
+			st.Book.Add(eventlog.Entry{Kind: eventlog.Trouble, Code: t.Kind, Note: "ends"})
 		}()
 	}
-	load := client.Load{Targets: st.Targets(), Classes: s.Clients(), For: s.For, Seed: uint64(s.Seed), Conns: 2,
+	load := userclient.Load{
+		Targets: st.Targets(), Classes: s.Clients(), For: s.For, Seed: uint64(s.Seed), Conns: 2,
 		Rate: func(at time.Duration) float64 {
 			r := s.Rate
 			for _, t := range s.Troubles {
@@ -348,7 +353,8 @@
 				}
 			}
 			return r
-		}}
+		},
+	}
 	n := 0
 	load.Heavy = func(at time.Duration) int {
 		n++
@@ -359,7 +365,7 @@
 		}
 		return 1
 	}
-	sums, err := client.Run(ctx, load, st.Book)
+	sums, err := userclient.Run(ctx, load, st.Book)
 	if err != nil {
 		return nil, err
 	}
@@ -376,9 +382,9 @@
 		}
 	}
 	rep := &Report{Doors: doors, Sums: sums, Counts: st.Counts(), Entries: st.Book.Entries(), Took: time.Since(begin)}
-	rep.Violations = rules.Check(rep.Entries, s.Facts())
+	rep.Violations = invariants.Check(rep.Entries, s.Facts())
 	for _, e := range rep.Entries {
-		if e.Kind == book.Sent {
+		if e.Kind == eventlog.Sent {
 			rep.Launches++
 		}
 	}
@@ -411,7 +417,7 @@
 		sleep(ctx, t.For)
 		each(func(_ int, e *engine.Engine) { e.Fail(back) })
 	}
-	wire := func(f func(r *relay.Relay)) {
+	wire := func(f func(r *faultproxy.Relay)) {
 		each(func(i int, _ *engine.Engine) {
 			for n := range st.relays {
 				f(st.relays[n][i])
@@ -429,7 +435,7 @@
 					st.relays[n][i].Cut(yes)
 				}
 			}
-			st.Book.Add(book.Entry{Kind: book.Trouble, Note: note, Server: e.Spec.ID})
+			st.Book.Add(eventlog.Entry{Kind: eventlog.Trouble, Note: note, Server: e.Spec.ID})
 		})
 	}
 	gone := func(i int, e *engine.Engine) {
@@ -533,24 +539,24 @@
 			}
 		}
 	case "reset":
-		wire(func(r *relay.Relay) { r.Reset() })
+		wire(func(r *faultproxy.Relay) { r.Reset() })
 	case "halfopen":
-		wire(func(r *relay.Relay) { r.Mute() })
+		wire(func(r *faultproxy.Relay) { r.Mute() })
 		each(func(_ int, e *engine.Engine) {
-			st.Book.Add(book.Entry{Kind: book.Trouble, Note: "cut", Server: e.Spec.ID})
+			st.Book.Add(eventlog.Entry{Kind: eventlog.Trouble, Note: "cut", Server: e.Spec.ID})
 		})
 		sleep(ctx, Noticed)
 		each(func(_ int, e *engine.Engine) {
-			st.Book.Add(book.Entry{Kind: book.Trouble, Note: "uncut", Server: e.Spec.ID})
+			st.Book.Add(eventlog.Entry{Kind: eventlog.Trouble, Note: "uncut", Server: e.Spec.ID})
 		})
 	case "trickle":
-		wire(func(r *relay.Relay) { r.Trickle(true) })
+		wire(func(r *faultproxy.Relay) { r.Trickle(true) })
 		sleep(ctx, t.For)
-		wire(func(r *relay.Relay) { r.Trickle(false) })
+		wire(func(r *faultproxy.Relay) { r.Trickle(false) })
 	case "delay":
-		wire(func(r *relay.Relay) { r.Delay(time.Duration(t.Factor * 1e6)) })
+		wire(func(r *faultproxy.Relay) { r.Delay(time.Duration(t.Factor * 1e6)) })
 		sleep(ctx, t.For)
-		wire(func(r *relay.Relay) { r.Delay(0) })
+		wire(func(r *faultproxy.Relay) { r.Delay(0) })
 	case "burst", "heavy": // the load acts them out
 		sleep(ctx, t.For)
 	}
--- a/internal/lab/sim/client.go
+++ b/internal/lab/simulation/client.go
@@ -1,6 +1,11 @@
-package sim
+package simulation
 
 import (
+	"docksail/internal/eventloop"
+	"docksail/internal/h2"
+	"docksail/internal/lab/engine"
+	"docksail/internal/lab/eventlog"
+	"docksail/internal/lab/userclient"
 	"encoding/base64"
 	"fmt"
 	"math/rand/v2"
@@ -17,11 +22,6 @@
 	"google.golang.org/protobuf/proto"
 
 	pb "docksail/api/docksail/v1"
-	"docksail/internal/h2"
-	"docksail/internal/lab/book"
-	"docksail/internal/lab/client"
-	"docksail/internal/lab/engine"
-	"docksail/internal/loop"
 )
 
 const (
@@ -35,10 +35,10 @@
 // crowd are the users of one track: all that a grpc-go client of the laboratory does, on one simulated loop.
 type crowd struct {
 	d     *Day
-	t     client.Class
-	l     *loop.Loop
+	t     userclient.Class
+	l     *eventloop.Loop
 	wires [][]*wire // by dispatcher
-	sum   *client.Sum
+	sum   *userclient.Sum
 	turn  int
 	open  int // sessions that are not over
 }
@@ -52,13 +52,13 @@
 	turn, turns  int
 	prompt       int
 	req          *pb.GenerateRequest
-	begin        loop.Nanos
+	begin        eventloop.Nanos
 	try, at      int
 	left         int64
 	expected     int64
 	worth        float64
 	ticket       string
-	timer, quits loop.Timer
+	timer, quits eventloop.Timer
 	now          *attempt
 }
 
@@ -67,10 +67,10 @@
 	s        *session
 	w        *wire
 	st       *h2.Stream
-	entry    book.Entry
+	entry    eventlog.Entry
 	by       int64
 	job      string
-	first    loop.Nanos
+	first    eventloop.Nanos
 	tokens   int
 	wrong    bool
 	leaves   int
@@ -78,10 +78,10 @@
 	within   int64
 	gap      int64 // mean, between its tokens
 	over     bool
-	call     loop.Timer
+	call     eventloop.Timer
 }
 
-func (k *crowd) now() loop.Nanos { return k.l.Clock() }
+func (k *crowd) now() eventloop.Nanos { return k.l.Clock() }
 
 // begin starts a session.
 func (k *crowd) begin(n, heavy int, rng *rand.Rand) {
@@ -140,21 +140,23 @@
 	if call == 0 {
 		call = s.left + int64(s.req.MaxTokens)*writeTime
 	}
-	a := &attempt{s: s, leaves: -1, ticketed: s.ticket != "", by: k.d.world.Wall() + s.left,
-		entry: book.Entry{Label: s.req.Label, Try: s.try, Class: t.Name, Tenant: t.Tenant}}
+	a := &attempt{
+		s: s, leaves: -1, ticketed: s.ticket != "", by: k.d.world.Wall() + s.left,
+		entry: eventlog.Entry{Label: s.req.Label, Try: s.try, Class: t.Name, Tenant: t.Tenant},
+	}
 	s.now = a
 	if s.rng.Float64() < t.Leave {
 		if s.rng.IntN(2) == 0 { // at some time, or after some tokens
-			k.l.At(&s.quits, now+int64(s.rng.Float64()*float64(t.Expected)), func(loop.Nanos) { a.quit() })
+			k.l.At(&s.quits, now+int64(s.rng.Float64()*float64(t.Expected)), func(eventloop.Nanos) { a.quit() })
 		} else {
 			a.leaves = 1 + s.rng.IntN(max(int(s.req.MaxTokens)/2, 1))
 		}
 	}
 	s.req.PatienceNs = uint64(s.left)
-	a.note(book.Asked, "")
-	k.l.At(&a.call, now+call, func(loop.Nanos) {
+	a.note(eventlog.Asked, "")
+	k.l.At(&a.call, now+call, func(eventloop.Nanos) {
 		a.cancel()
-		a.note(book.NoAnswer, "DeadlineExceeded: the client's own clock")
+		a.note(eventlog.NoAnswer, "DeadlineExceeded: the client's own clock")
 		a.end(codes.DeadlineExceeded, outcome{})
 	})
 	k.turn++
@@ -210,7 +212,7 @@
 	a.w.flush()
 }
 
-func (a *attempt) note(kind book.Kind, code string) {
+func (a *attempt) note(kind eventlog.Kind, code string) {
 	e := a.entry
 	e.Kind, e.Code, e.Request, e.By, e.N = kind, code, a.job, a.by, a.gap
 	a.s.k.d.Book.Add(e)
@@ -231,7 +233,7 @@
 		return
 	}
 	a.cancel()
-	a.note(book.Quit, "")
+	a.note(eventlog.Quit, "")
 	a.end(codes.Canceled, outcome{left: true})
 }
 
@@ -239,7 +241,7 @@
 	if a.over {
 		return
 	}
-	a.note(book.NoAnswer, "lost: "+why)
+	a.note(eventlog.NoAnswer, "lost: "+why)
 	a.end(codes.Unavailable, outcome{lost: true})
 }
 
@@ -277,7 +279,7 @@
 			sum.Value += s.worth
 		}
 		s.prompt += a.tokens
-		k.l.At(&s.timer, now+int64(float64(t.Idle)*s.rng.Float64()), func(loop.Nanos) { s.next() })
+		k.l.At(&s.timer, now+int64(float64(t.Idle)*s.rng.Float64()), func(eventloop.Nanos) { s.next() })
 		return
 	case o.left:
 		sum.Left++
@@ -313,7 +315,7 @@
 		return
 	}
 	s.try++
-	k.l.At(&s.timer, now+wait, func(loop.Nanos) { s.send() })
+	k.l.At(&s.timer, now+wait, func(eventloop.Nanos) { s.send() })
 }
 
 // ends is what a crowd does about a connection.
@@ -357,7 +359,7 @@
 	}
 	if a.tokens == 0 {
 		a.first = a.s.k.now()
-		a.note(book.Token, "")
+		a.note(eventlog.Token, "")
 	}
 	for i, got := range tok.Tokens {
 		if int(tok.Position)+i != a.tokens || got != engine.Tok(a.s.req, a.tokens) {
@@ -392,7 +394,7 @@
 		if a.wrong {
 			text = "OK, but not the whole answer"
 		}
-		a.note(book.Final, text)
+		a.note(eventlog.Final, text)
 		a.end(code, outcome{final: true})
 	case push != "":
 		ms, _ := strconv.ParseInt(push, 10, 64)
@@ -403,10 +405,10 @@
 		if !a.s.k.t.Deaf {
 			o.ticket = trailer.Get("docksail-ticket-bin")
 		}
-		a.note(book.Final, code.String())
+		a.note(eventlog.Final, code.String())
 		a.end(code, o)
 	default:
-		a.note(book.NoAnswer, code.String()+": "+message)
+		a.note(eventlog.NoAnswer, code.String()+": "+message)
 		a.end(code, outcome{})
 	}
 }
--- a/internal/lab/sim/lister.go
+++ b/internal/lab/simulation/discoveryserver.go
@@ -1,15 +1,15 @@
-package sim
+package simulation
 
 import (
+	"docksail/internal/eventloop"
+	"docksail/internal/h2"
+	"docksail/internal/lab/eventlog"
 	"net/netip"
 
 	"google.golang.org/grpc/codes"
 	"google.golang.org/protobuf/proto"
 
 	pb "docksail/api/docksail/v1"
-	"docksail/internal/h2"
-	"docksail/internal/lab/book"
-	"docksail/internal/loop"
 )
 
 // lister tells one dispatcher which hosts run, some time after it happened.
@@ -17,7 +17,7 @@
 	d       *Day
 	disp    int
 	addr    netip.AddrPort
-	l       *loop.Loop // nil while it is away
+	l       *eventloop.Loop // nil while it is away
 	version uint64
 	hosts   []*pb.Host // by number
 	watch   map[*wire]*h2.Stream
@@ -28,7 +28,7 @@
 		return nil
 	}
 	w.l, w.watch = w.d.world.Loop(w.addr.Addr(), nil), map[*wire]*h2.Stream{}
-	_, err := w.l.Listen(w.addr, false, func(c *loop.Conn, _ netip.AddrPort) loop.Handler { return serveWire(w.l, c, w) })
+	_, err := w.l.Listen(w.addr, false, func(c *eventloop.Conn, _ netip.AddrPort) eventloop.Handler { return serveWire(w.l, c, w) })
 	return err
 }
 
@@ -40,7 +40,7 @@
 }
 
 // set makes a change known after the lister's time, whether or not it is away meanwhile.
-func (w *lister) set(h *pb.Host, late loop.Nanos) {
+func (w *lister) set(h *pb.Host, late eventloop.Nanos) {
 	h = proto.Clone(h).(*pb.Host)
 	w.d.after(late, func() {
 		w.hosts[h.Id-1] = h
@@ -66,7 +66,7 @@
 	s.Send(b, false)
 	to.flush()
 	for _, h := range news.Hosts {
-		w.d.Book.Add(book.Entry{Kind: book.Told, Server: int(h.Id), Disp: w.disp, Note: h.Health.String(), N: h.StartedUnixNs})
+		w.d.Book.Add(eventlog.Entry{Kind: eventlog.Told, Server: int(h.Id), Disp: w.disp, Note: h.Health.String(), N: h.StartedUnixNs})
 	}
 }
 
--- a/internal/lab/sim/host.go
+++ b/internal/lab/simulation/host.go
@@ -1,6 +1,11 @@
-package sim
+package simulation
 
 import (
+	"docksail/internal/eventloop"
+	"docksail/internal/h2"
+	"docksail/internal/lab/engine"
+	"docksail/internal/lab/engine/batch"
+	"docksail/internal/lab/eventlog"
 	"encoding/base64"
 	"math/rand/v2"
 	"net/netip"
@@ -12,11 +17,6 @@
 	"google.golang.org/protobuf/proto"
 
 	pb "docksail/api/docksail/v1"
-	"docksail/internal/h2"
-	"docksail/internal/lab/book"
-	"docksail/internal/lab/engine"
-	"docksail/internal/lab/engine/batch"
-	"docksail/internal/loop"
 )
 
 // host is a model host of the batch model on a simulated loop.
@@ -24,22 +24,22 @@
 	d       *Day
 	spec    engine.Spec
 	addr    netip.AddrPort
-	l       *loop.Loop // nil while its process does not run
+	l       *eventloop.Loop // nil while its process does not run
 	rng     *rand.Rand
-	began   loop.Nanos // start of its process
+	began   eventloop.Nanos // start of its process
 	model   *batch.Host
 	rep     *batch.Reporter
 	last    batch.ID
 	calls   map[batch.ID]*call
 	states  map[string]*state
 	parked  []*call // of the track to which it is deaf
-	step    loop.Timer
-	onStep  func(loop.Nanos)
+	step    eventloop.Timer
+	onStep  func(eventloop.Nanos)
 	inStep  bool
 	events  []batch.Event
 	faults  engine.Faults
 	toppled bool
-	arrived []loop.Nanos
+	arrived []eventloop.Nanos
 	served  uint64
 }
 
@@ -52,7 +52,7 @@
 	launch pb.Launch
 	name   string
 	id     batch.ID
-	came   loop.Nanos
+	came   eventloop.Nanos
 	ran    bool
 	move   batch.Move
 	late   []int // tokens held back while the host is deaf to the track
@@ -63,11 +63,11 @@
 	shot   uint32
 	tokens int
 	id     batch.ID
-	ends   loop.Timer
+	ends   eventloop.Timer
 }
 
 // start starts the host's process.
-func (h *host) start(ago loop.Nanos) error {
+func (h *host) start(ago eventloop.Nanos) error {
 	var err error
 	if h.model, err = batch.NewHost(h.spec.Shape(), int(h.spec.Memory), engine.BlockTokens); err != nil {
 		return err
@@ -78,10 +78,10 @@
 	h.l = h.d.world.Loop(h.addr.Addr(), nil)
 	h.began = h.d.world.Now() - ago
 	h.calls, h.states, h.parked = map[batch.ID]*call{}, map[string]*state{}, nil
-	h.step, h.inStep, h.toppled, h.arrived = loop.Timer{}, false, false, nil
+	h.step, h.inStep, h.toppled, h.arrived = eventloop.Timer{}, false, false, nil
 	h.onStep = h.stepped
-	_, err = h.l.Listen(h.addr, false, func(c *loop.Conn, _ netip.AddrPort) loop.Handler { return serveWire(h.l, c, h) })
-	h.d.Book.Add(book.Entry{Kind: book.Start, Server: h.spec.ID})
+	_, err = h.l.Listen(h.addr, false, func(c *eventloop.Conn, _ netip.AddrPort) eventloop.Handler { return serveWire(h.l, c, h) })
+	h.d.Book.Add(eventlog.Entry{Kind: eventlog.Start, Server: h.spec.ID})
 	return err
 }
 
@@ -91,7 +91,7 @@
 		return
 	}
 	for _, name := range sorted(h.states) {
-		h.d.Book.Add(book.Entry{Kind: book.Released, Server: h.spec.ID, Request: name, Note: "crash"})
+		h.d.Book.Add(eventlog.Entry{Kind: eventlog.Released, Server: h.spec.ID, Request: name, Note: "crash"})
 	}
 	h.l.Kill()
 	h.l, h.states, h.calls = nil, map[string]*state{}, map[batch.ID]*call{}
@@ -138,11 +138,11 @@
 	took, h.events, h.inStep = h.model.Begin(h.events[:0])
 	h.tell()
 	if h.inStep {
-		h.l.At(&h.step, h.l.Now()+max(loop.Nanos(float64(took)/h.warmth()*max(h.faults.Slow, 1)), 1), h.onStep)
+		h.l.At(&h.step, h.l.Now()+max(eventloop.Nanos(float64(took)/h.warmth()*max(h.faults.Slow, 1)), 1), h.onStep)
 	}
 }
 
-func (h *host) stepped(now loop.Nanos) {
+func (h *host) stepped(now eventloop.Nanos) {
 	if h.stands() { // until fail says that it goes on
 		h.inStep = false
 		h.l.At(&h.step, now+int64(engine.StandCheck), h.onStep)
@@ -195,8 +195,10 @@
 		}
 		if !c.ran {
 			c.ran = true
-			h.d.Book.Add(book.Entry{Kind: book.Ran, Server: h.spec.ID, Request: c.name, Attempt: int(c.launch.Shot), Label: req.Label,
-				Try: int(c.launch.Repeat), Class: req.Track})
+			h.d.Book.Add(eventlog.Entry{
+				Kind: eventlog.Ran, Server: h.spec.ID, Request: c.name, Attempt: int(c.launch.Shot), Label: req.Label,
+				Try: int(c.launch.Repeat), Class: req.Track,
+			})
 		}
 		b, err := proto.Marshal(&pb.Tokens{Position: uint32(n), Tokens: []uint32{engine.Tok(req, n)}, Text: []byte("tok ")})
 		if err != nil {
@@ -220,13 +222,19 @@
 	var extra []hpack.HeaderField
 	now := h.d.world.Now()
 	unread := h.model.Unread()
-	h.rep.See(now, batch.Figures{Requests: float64(h.model.Queued() + h.model.Running()),
-		Memory: float64(h.model.Memory.InUse()) / float64(h.model.Memory.Blocks()), Unread: float64(unread),
-		Finish: int64(float64(unread) / h.spec.ReadRate * 1e9)})
+	h.rep.See(now, batch.Figures{
+		Requests: float64(h.model.Queued() + h.model.Running()),
+		Memory:   float64(h.model.Memory.InUse()) / float64(h.model.Memory.Blocks()), Unread: float64(unread),
+		Finish: int64(float64(unread) / h.spec.ReadRate * 1e9),
+	})
 	if f, age, ok := h.rep.Known(now); ok {
-		b, err := proto.MarshalOptions{Deterministic: true}.Marshal(&orca.OrcaLoadReport{MemUtilization: f.Memory,
-			NamedMetrics: map[string]float64{"requests": f.Requests, "unread_tokens": f.Unread,
-				"finish_ms": float64(f.Finish) / 1e6, "age_ms": float64(age) / 1e6}})
+		b, err := proto.MarshalOptions{Deterministic: true}.Marshal(&orca.OrcaLoadReport{
+			MemUtilization: f.Memory,
+			NamedMetrics: map[string]float64{
+				"requests": f.Requests, "unread_tokens": f.Unread,
+				"finish_ms": float64(f.Finish) / 1e6, "age_ms": float64(age) / 1e6,
+			},
+		})
 		if err != nil {
 			panic(err)
 		}
@@ -263,9 +271,9 @@
 	}
 	st := &state{shot: c.launch.Shot, tokens: int(req.PromptTokens), id: c.id}
 	h.states[c.name] = st
-	h.d.Book.Add(book.Entry{Kind: book.Held, Server: h.spec.ID, Request: c.name, Attempt: int(st.shot), N: int64(st.tokens)})
+	h.d.Book.Add(eventlog.Entry{Kind: eventlog.Held, Server: h.spec.ID, Request: c.name, Attempt: int(st.shot), N: int64(st.tokens)})
 	name := c.name
-	h.l.At(&st.ends, h.l.Now()+int64(h.spec.Hold), func(loop.Nanos) { h.drop(name, "ran out") })
+	h.l.At(&st.ends, h.l.Now()+int64(h.spec.Hold), func(eventloop.Nanos) { h.drop(name, "ran out") })
 	b, err := proto.Marshal(&pb.ReadDone{ReadTokens: uint32(unread), KeptTokens: req.PromptTokens - min(uint32(unread), req.PromptTokens)})
 	if err != nil {
 		panic(err)
@@ -283,7 +291,7 @@
 	delete(h.states, name)
 	h.l.Cancel(&st.ends)
 	h.model.Drop(st.id)
-	h.d.Book.Add(book.Entry{Kind: book.Released, Server: h.spec.ID, Request: name, Attempt: int(st.shot), Note: why})
+	h.d.Book.Add(eventlog.Entry{Kind: eventlog.Released, Server: h.spec.ID, Request: name, Attempt: int(st.shot), Note: why})
 	h.l.Post(h.kick)
 }
 
@@ -299,8 +307,8 @@
 		return
 	}
 	there := from.l
-	ask := &loop.Timer{}
-	l.At(ask, l.Now()+delay, func(loop.Nanos) {
+	ask := &eventloop.Timer{}
+	l.At(ask, l.Now()+delay, func(eventloop.Nanos) {
 		st := from.states[c.name]
 		if c.s == nil {
 			return
@@ -320,8 +328,8 @@
 				case from.l != there || from.states[c.name] != st:
 					none("it was let go meanwhile")
 				case from.stands():
-					again := &loop.Timer{}
-					from.l.At(again, from.l.Now()+int64(engine.StandCheck), func(loop.Nanos) { took() })
+					again := &eventloop.Timer{}
+					from.l.At(again, from.l.Now()+int64(engine.StandCheck), func(eventloop.Nanos) { took() })
 				default:
 					from.drop(c.name, "fetched")
 					l.Post(func() {
@@ -365,7 +373,7 @@
 }
 
 // admit is what happens at its door: a cold host topples, others fail fast or drain.
-func (h *host) admit(now loop.Nanos) (codes.Code, string) {
+func (h *host) admit(now eventloop.Nanos) (codes.Code, string) {
 	s := &h.spec
 	if h.toppled {
 		return codes.Internal, "fallen over"
@@ -377,7 +385,7 @@
 		}
 		if float64(len(h.arrived)) > s.Topple*w*s.JobsPerSecond*s.ToppleOver.Seconds()+engine.ToppleSlack {
 			h.toppled = true
-			h.d.Book.Add(book.Entry{Kind: book.Toppled, Server: s.ID, N: int64(len(h.arrived))})
+			h.d.Book.Add(eventlog.Entry{Kind: eventlog.Toppled, Server: s.ID, N: int64(len(h.arrived))})
 			return codes.Internal, "fallen over"
 		}
 	}
@@ -472,13 +480,13 @@
 
 // moves are the states under way between all hosts of a day.
 type moves struct {
-	l     *loop.Loop
+	l     *eventloop.Loop
 	net   *batch.Net
 	ports map[int]int
 	cells map[string]int
 	last  batch.Move
 	ended map[batch.Move]func()
-	timer loop.Timer
+	timer eventloop.Timer
 	list  []batch.Move
 }
 
@@ -514,7 +522,7 @@
 	return m.last
 }
 
-func (m *moves) now() loop.Nanos { return m.l.Clock() }
+func (m *moves) now() eventloop.Nanos { return m.l.Clock() }
 
 func (m *moves) stop(id batch.Move) {
 	delete(m.ended, id)
@@ -532,6 +540,6 @@
 		}
 	}
 	if at, ok := m.net.Next(); ok {
-		m.l.Post(func() { m.l.At(&m.timer, max(at, m.now()), func(loop.Nanos) { m.settle() }) })
+		m.l.Post(func() { m.l.At(&m.timer, max(at, m.now()), func(eventloop.Nanos) { m.settle() }) })
 	}
 }
--- a/internal/lab/sim/day.go
+++ b/internal/lab/simulation/simulation.go
@@ -1,11 +1,22 @@
-// Package sim plays a scripted day in simulated time: the real dispatchers, with the HTTP/2, the door and the decision
+// Package simulation plays a scripted day in simulated time: the real dispatchers, with the HTTP/2, the door and the decision
 // module that they have on the clock, on loops of one loop.World; model hosts, listers and clients are stand-ins on
 // loops of the same world. The same script and seed give the same run, entry by entry, whatever the machine does.
-package sim
+package simulation
 
 import (
 	"cmp"
 	"context"
+	"docksail/internal/config"
+	"docksail/internal/dispatch"
+	"docksail/internal/eventloop"
+	"docksail/internal/lab/engine"
+	"docksail/internal/lab/engine/batch"
+	"docksail/internal/lab/eventlog"
+	"docksail/internal/lab/faultproxy"
+	"docksail/internal/lab/invariants"
+	"docksail/internal/lab/scenario"
+	"docksail/internal/lab/userclient"
+	"docksail/policy"
 	"fmt"
 	"log/slog"
 	"maps"
@@ -16,17 +27,6 @@
 	"time"
 
 	pb "docksail/api/docksail/v1"
-	"docksail/internal/dispatch"
-	"docksail/internal/lab/book"
-	"docksail/internal/lab/client"
-	"docksail/internal/lab/drill"
-	"docksail/internal/lab/engine"
-	"docksail/internal/lab/engine/batch"
-	"docksail/internal/lab/relay"
-	"docksail/internal/lab/rules"
-	"docksail/internal/loop"
-	"docksail/internal/setup"
-	"docksail/policy"
 )
 
 const (
@@ -38,14 +38,14 @@
 
 // Day is a day's parties.
 type Day struct {
-	Script *drill.Script
-	Book   *book.Book
+	Script *scenario.Script
+	Book   *eventlog.Book
 	Wrap   func(n int) func(dispatch.Module) dispatch.Module // as in drill.OpenWith
 	Log    *slog.Logger
 	Sample time.Duration // the figures of all hosts are written down so often; 0 = never
 
-	world   *loop.World
-	ctl     *loop.Loop // on which the script's times come
+	world   *eventloop.World
+	ctl     *eventloop.Loop // on which the script's times come
 	net     *moves
 	hosts   []*host
 	byAddr  map[string]*host
@@ -53,7 +53,7 @@
 	listers []*lister
 	disp    []*dispatcher
 	crowds  []*crowd
-	began   loop.Nanos
+	began   eventloop.Nanos
 	counts  dispatch.Counts // of the lives that ended
 	rng     *rand.Rand
 }
@@ -62,21 +62,25 @@
 type dispatcher struct {
 	n     int
 	addr  netip.AddrPort
-	set   *setup.Dispatcher
-	l     *loop.Loop
+	set   *config.Dispatcher
+	l     *eventloop.Loop
 	d     *dispatch.Dispatcher // nil while it is down
 	lives uint64
 }
 
 // Open makes a day's parties.
-func Open(s *drill.Script) (*Day, error) {
-	d := &Day{Script: s, Book: &book.Book{}, Log: slog.New(slog.DiscardHandler), byAddr: map[string]*host{}, began: start,
-		rng: rand.New(rand.NewPCG(uint64(s.Seed), 2))}
-	d.world = loop.NewWorld(wall, delay)
+func Open(s *scenario.Script) (*Day, error) {
+	d := &Day{
+		Script: s, Book: &eventlog.Book{}, Log: slog.New(slog.DiscardHandler), byAddr: map[string]*host{}, began: start,
+		rng: rand.New(rand.NewPCG(uint64(s.Seed), 2)),
+	}
+	d.world = eventloop.NewWorld(wall, delay)
 	d.Book.Clock = d.world.Wall
 	d.ctl = d.world.Loop(addr(0, 0), nil)
-	d.net = &moves{l: d.world.Loop(addr(0, 1), nil), net: batch.NewNet(), ports: map[int]int{}, cells: map[string]int{},
-		ended: map[batch.Move]func(){}}
+	d.net = &moves{
+		l: d.world.Loop(addr(0, 1), nil), net: batch.NewNet(), ports: map[int]int{}, cells: map[string]int{},
+		ended: map[batch.Move]func(){},
+	}
 	var list []*pb.Host
 	for i, spec := range s.Hosts() {
 		spec.Batch = true
@@ -100,20 +104,20 @@
 		set.Listen, set.Fleet.Watch, set.Limits.Memory = at, w.addr, 0
 		d.disp = append(d.disp, &dispatcher{n: n, addr: at, set: set})
 	}
-	d.world.Tap = func(from *loop.Loop, to netip.AddrPort) loop.Tap {
+	d.world.Tap = func(from *eventloop.Loop, to netip.AddrPort) eventloop.Tap {
 		h := d.byAddr[to.String()]
 		if h == nil {
 			return nil
 		}
 		for _, x := range d.disp {
 			if x.l == from {
-				return relay.NewTap(d.Book, h.spec.ID, x.n)
+				return faultproxy.NewTap(d.Book, h.spec.ID, x.n)
 			}
 		}
 		return nil
 	}
 	for i, t := range s.Clients() {
-		k := &crowd{d: d, t: t, l: d.world.Loop(addr(4, i), nil), sum: &client.Sum{}}
+		k := &crowd{d: d, t: t, l: d.world.Loop(addr(4, i), nil), sum: &userclient.Sum{}}
 		for range d.disp {
 			k.wires = append(k.wires, make([]*wire, max(connsEach, t.Conns)))
 		}
@@ -145,7 +149,7 @@
 	x.d = disp
 	x.l.SetRound(disp.Round)
 	x.l.Post(func() {})
-	d.Book.Add(book.Entry{Kind: book.Up, Disp: x.n})
+	d.Book.Add(eventlog.Entry{Kind: eventlog.Up, Disp: x.n})
 	return nil
 }
 
@@ -155,17 +159,17 @@
 	}
 	d.counts.Add(x.d.Counts)
 	x.d = nil
-	d.Book.Add(book.Entry{Kind: book.Down, Disp: x.n})
+	d.Book.Add(eventlog.Entry{Kind: eventlog.Down, Disp: x.n})
 	x.l.Kill()
 }
 
 // at has f called at a time of the world, after on the way to it.
-func (d *Day) at(t loop.Nanos, f func()) {
-	timer := &loop.Timer{}
-	d.ctl.Post(func() { d.ctl.At(timer, max(t, d.world.Now()), func(loop.Nanos) { f() }) })
+func (d *Day) at(t eventloop.Nanos, f func()) {
+	timer := &eventloop.Timer{}
+	d.ctl.Post(func() { d.ctl.At(timer, max(t, d.world.Now()), func(eventloop.Nanos) { f() }) })
 }
 
-func (d *Day) after(t loop.Nanos, f func()) { d.at(d.world.Now()+t, f) }
+func (d *Day) after(t eventloop.Nanos, f func()) { d.at(d.world.Now()+t, f) }
 
 // Sight is the true load of a host: prompt tokens that are not read yet, and work at hand.
 func (d *Day) Sight(id policy.ServerID) (unread, work int) {
@@ -194,7 +198,7 @@
 
 // Report is what a day came to, with what its playing took.
 type Report struct {
-	drill.Report
+	scenario.Report
 	Turns     uint64 // of all loops
 	Simulated time.Duration
 }
@@ -213,10 +217,10 @@
 		hosts := d.on(t)
 		last = max(last, t.At+t.For+t.For/10)
 		d.at(d.began+int64(t.At), func() {
-			d.Book.Add(book.Entry{Kind: book.Trouble, Code: t.Kind, Note: "begins"})
+			d.Book.Add(eventlog.Entry{Kind: eventlog.Trouble, Code: t.Kind, Note: "begins"})
 			d.trouble(t, hosts)
 		})
-		d.at(d.began+int64(t.At+t.For), func() { d.Book.Add(book.Entry{Kind: book.Trouble, Code: t.Kind, Note: "ends"}) })
+		d.at(d.began+int64(t.At+t.For), func() { d.Book.Add(eventlog.Entry{Kind: eventlog.Trouble, Code: t.Kind, Note: "ends"}) })
 	}
 	if d.Sample > 0 {
 		d.sample()
@@ -259,7 +263,7 @@
 	}
 	d.world.Run(d.world.Now() + int64(s.Release+300*time.Millisecond))
 	rep := &Report{Turns: d.world.Turns, Simulated: time.Duration(d.world.Now())}
-	rep.Sums, rep.Counts, rep.Entries = map[string]*client.Sum{}, d.counts, d.Book.Entries()
+	rep.Sums, rep.Counts, rep.Entries = map[string]*userclient.Sum{}, d.counts, d.Book.Entries()
 	for _, k := range d.crowds {
 		rep.Sums[k.t.Name] = k.sum
 	}
@@ -272,9 +276,9 @@
 			rep.Doors = append(rep.Doors, t.Counts)
 		}
 	}
-	rep.Violations = rules.Check(rep.Entries, s.Facts())
+	rep.Violations = invariants.Check(rep.Entries, s.Facts())
 	for _, e := range rep.Entries {
-		if e.Kind == book.Sent {
+		if e.Kind == eventlog.Sent {
 			rep.Launches++
 		}
 	}
@@ -286,15 +290,17 @@
 func (d *Day) sample() {
 	for _, h := range d.hosts {
 		if h.l != nil {
-			d.Book.Add(book.Entry{Kind: book.Figures, Server: h.spec.ID, N: int64(h.model.Unread()), Try: h.model.Queued() + h.model.Running(),
-				Attempt: 1000 * h.model.Memory.InUse() / h.model.Memory.Blocks()})
+			d.Book.Add(eventlog.Entry{
+				Kind: eventlog.Figures, Server: h.spec.ID, N: int64(h.model.Unread()), Try: h.model.Queued() + h.model.Running(),
+				Attempt: 1000 * h.model.Memory.InUse() / h.model.Memory.Blocks(),
+			})
 		}
 	}
 	d.after(int64(d.Sample), d.sample)
 }
 
 // on gives the hosts of a trouble.
-func (d *Day) on(t drill.Trouble) []*host {
+func (d *Day) on(t scenario.Trouble) []*host {
 	var is []int
 	if len(t.Hosts) > 0 {
 		for _, n := range t.Hosts {
@@ -302,7 +308,7 @@
 		}
 	} else {
 		for i, h := range d.hosts {
-			if (t.Role == "" || drill.Roles[t.Role] == h.spec.Role) && (t.Zone == "" || t.Zone == h.spec.Zone) && (t.Cell == "" || t.Cell == h.spec.Cell) {
+			if (t.Role == "" || scenario.Roles[t.Role] == h.spec.Role) && (t.Zone == "" || t.Zone == h.spec.Zone) && (t.Cell == "" || t.Cell == h.spec.Cell) {
 				is = append(is, i)
 			}
 		}
@@ -320,7 +326,7 @@
 }
 
 // trouble acts one out, from its begin to its end.
-func (d *Day) trouble(t drill.Trouble, hosts []*host) {
+func (d *Day) trouble(t scenario.Trouble, hosts []*host) {
 	length := int64(t.For)
 	each := func(f func(h *host)) {
 		for _, h := range hosts {
@@ -357,7 +363,7 @@
 					d.world.Cut(x.l, h.l, yes)
 				}
 			}
-			d.Book.Add(book.Entry{Kind: book.Trouble, Note: note, Server: h.spec.ID})
+			d.Book.Add(eventlog.Entry{Kind: eventlog.Trouble, Note: note, Server: h.spec.ID})
 		})
 	}
 	all := func(*dispatcher) bool { return true }
@@ -406,7 +412,7 @@
 						d.world.Cut(x.l, was, false)
 					}
 				}
-				d.Book.Add(book.Entry{Kind: book.Trouble, Note: "uncut", Server: h.spec.ID})
+				d.Book.Add(eventlog.Entry{Kind: eventlog.Trouble, Note: "uncut", Server: h.spec.ID})
 			})
 			each(again)
 		})
@@ -476,10 +482,10 @@
 			if h.l != nil {
 				h.l.Mute()
 			}
-			d.Book.Add(book.Entry{Kind: book.Trouble, Note: "cut", Server: h.spec.ID})
+			d.Book.Add(eventlog.Entry{Kind: eventlog.Trouble, Note: "cut", Server: h.spec.ID})
 		})
-		d.after(int64(drill.Noticed), func() {
-			each(func(h *host) { d.Book.Add(book.Entry{Kind: book.Trouble, Note: "uncut", Server: h.spec.ID}) })
+		d.after(int64(scenario.Noticed), func() {
+			each(func(h *host) { d.Book.Add(eventlog.Entry{Kind: eventlog.Trouble, Note: "uncut", Server: h.spec.ID}) })
 		})
 	case "trickle":
 		slow(0, true)
--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/simulation/simulation_test.go
@@ -1,23 +1,22 @@
-package sim
+package simulation
 
 import (
 	"bytes"
 	"context"
+	"docksail/internal/dispatch"
+	"docksail/internal/lab/eventlog"
+	"docksail/internal/lab/scenario"
+	"docksail/internal/lab/userclient"
+	"docksail/policy"
 	"path/filepath"
 	"slices"
 	"testing"
 	"time"
-
-	"docksail/internal/dispatch"
-	"docksail/internal/lab/book"
-	"docksail/internal/lab/client"
-	"docksail/internal/lab/drill"
-	"docksail/policy"
 )
 
-func load(t *testing.T, seed int64) *drill.Script {
+func load(t *testing.T, seed int64) *scenario.Script {
 	t.Helper()
-	s, err := drill.Load("../drill/testdata/badday.json")
+	s, err := scenario.Load("../scenario/testdata/badday.json")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -25,7 +24,7 @@
 	return s
 }
 
-func play(t *testing.T, s *drill.Script, wrap func(dispatch.Module) dispatch.Module) *Report {
+func play(t *testing.T, s *scenario.Script, wrap func(dispatch.Module) dispatch.Module) *Report {
 	t.Helper()
 	d, err := Open(s)
 	if err != nil {
@@ -45,7 +44,7 @@
 func TestSameRun(t *testing.T) {
 	var runs [3]bytes.Buffer
 	for i, seed := range []int64{5, 5, 6} {
-		if err := book.Write(&runs[i], play(t, load(t, seed), nil).Entries); err != nil {
+		if err := eventlog.Write(&runs[i], play(t, load(t, seed), nil).Entries); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -126,18 +125,18 @@
 // with the first launches and made anew, well before a host's rest would end.
 func TestHalfOpen(t *testing.T) {
 	s := load(t, 3)
-	s.Fleet, s.Dispatchers = []drill.Hosts{s.Fleet[0], s.Fleet[1]}, s.Dispatchers[:1]
+	s.Fleet, s.Dispatchers = []scenario.Hosts{s.Fleet[0], s.Fleet[1]}, s.Dispatchers[:1]
 	s.Fleet[0].Count, s.Fleet[1].Count = 2, 2
 	s.Rate, s.For = 0.4, 60*time.Second // pauses of seconds between jobs
-	s.Troubles = []drill.Trouble{{Kind: "halfopen", At: 20 * time.Second, Hosts: []int{1, 2, 3, 4}}}
+	s.Troubles = []scenario.Trouble{{Kind: "halfopen", At: 20 * time.Second, Hosts: []int{1, 2, 3, 4}}}
 	rep := play(t, s, nil)
 	late, lost, last := 0, 0, rep.Entries[0].At+int64(time.Second)
 	for _, e := range rep.Entries {
 		at := time.Duration(e.At - last)
-		if e.Kind == book.Asked && at > 26*time.Second {
+		if e.Kind == eventlog.Asked && at > 26*time.Second {
 			late++
 		}
-		if (e.Kind == book.Final && e.Code != "OK" || e.Kind == book.NoAnswer) && at > 32*time.Second {
+		if (e.Kind == eventlog.Final && e.Code != "OK" || e.Kind == eventlog.NoAnswer) && at > 32*time.Second {
 			lost++
 		}
 	}
@@ -148,12 +147,12 @@
 
 // TestFound: days that once broke a rule, found by lab explore and made small, break none.
 func TestFound(t *testing.T) {
-	names, err := filepath.Glob("../drill/testdata/mended/*.json")
+	names, err := filepath.Glob("../scenario/testdata/mended/*.json")
 	if err != nil || len(names) == 0 {
 		t.Fatal(names, err)
 	}
 	for _, name := range names {
-		s, err := drill.Load(name)
+		s, err := scenario.Load(name)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -179,9 +178,9 @@
 func TestStateGoneBeforeFetch(t *testing.T) {
 	s := load(t, 9)
 	s.For, s.Rate = 20*time.Second, 10
-	s.Troubles = []drill.Trouble{{Kind: "links", At: 2 * time.Second, For: 14 * time.Second, Role: drill.Prefill, Factor: 60}}
+	s.Troubles = []scenario.Trouble{{Kind: "links", At: 2 * time.Second, For: 14 * time.Second, Role: scenario.Prefill, Factor: 60}}
 	for i := range 6 {
-		s.Troubles = append(s.Troubles, drill.Trouble{Kind: "crash", At: time.Duration(3+2*i) * time.Second, For: 200 * time.Millisecond, Hosts: []int{1 + i%3, 8 + i%3}})
+		s.Troubles = append(s.Troubles, scenario.Trouble{Kind: "crash", At: time.Duration(3+2*i) * time.Second, For: 200 * time.Millisecond, Hosts: []int{1 + i%3, 8 + i%3}})
 	}
 	var n [policy.Canceled + 1]int
 	rep := play(t, s, func(m dispatch.Module) dispatch.Module { return outcomes{m, &n} })
@@ -199,8 +198,8 @@
 // and nearly all are in time; in order of arrival half are.
 func TestFloodSimulated(t *testing.T) {
 	for seed := range int64(3) {
-		day := func(change func(s *drill.Script)) *client.Sum {
-			s, err := drill.Load("../../../experiments/flood-day.json")
+		day := func(change func(s *scenario.Script)) *userclient.Sum {
+			s, err := scenario.Load("../../../experiments/flood-day.json")
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -210,10 +209,10 @@
 			slices.Sort(sum.First)
 			return sum
 		}
-		p99 := func(s *client.Sum) time.Duration { return s.First[len(s.First)*99/100] }
-		calm := day(func(s *drill.Script) { s.Rate, s.Load[0].Share, s.Load[1].Share = 6, 1, 0 })
-		fair := day(func(*drill.Script) {})
-		first := day(func(s *drill.Script) { s.FirstCome = true })
+		p99 := func(s *userclient.Sum) time.Duration { return s.First[len(s.First)*99/100] }
+		calm := day(func(s *scenario.Script) { s.Rate, s.Load[0].Share, s.Load[1].Share = 6, 1, 0 })
+		fair := day(func(*scenario.Script) {})
+		first := day(func(s *scenario.Script) { s.FirstCome = true })
 		t.Logf("p99 %v without the flood, %v with it, %v in order of arrival; kept %.3f and %.3f", p99(calm), p99(fair), p99(first), fair.Kept(), first.Kept())
 		if p99(fair) > 8*p99(calm)+100*time.Millisecond || fair.Kept() < 0.97 || first.Kept() > 0.8 {
 			t.Errorf("seed %d: p99 %v beside %v without the flood; kept %.3f, in order of arrival %.3f", 50+seed, p99(fair), p99(calm), fair.Kept(), first.Kept())
--- a/internal/lab/sim/wire.go
+++ b/internal/lab/simulation/wire.go
@@ -1,17 +1,17 @@
-package sim
+package simulation
 
 import (
+	"docksail/internal/eventloop"
+	"docksail/internal/h2"
+
 	"golang.org/x/net/http2"
 	"google.golang.org/grpc/codes"
-
-	"docksail/internal/h2"
-	"docksail/internal/loop"
 )
 
 // wire is one connection of a stand-in: HTTP/2 on a simulated socket. What happens on it is told to on.
 type wire struct {
-	l    *loop.Loop
-	lc   *loop.Conn
+	l    *eventloop.Loop
+	lc   *eventloop.Conn
 	h    *h2.Conn
 	on   end
 	open bool
@@ -28,7 +28,7 @@
 	closed(w *wire)
 }
 
-func serveWire(l *loop.Loop, lc *loop.Conn, on end) *wire {
+func serveWire(l *eventloop.Loop, lc *eventloop.Conn, on end) *wire {
 	w := &wire{l: l, lc: lc, on: on}
 	w.h = h2.NewServer(h2.Usual, w)
 	return w
@@ -48,21 +48,21 @@
 
 // What the loop tells.
 
-func (w *wire) Opened(loop.Nanos) {
+func (w *wire) Opened(eventloop.Nanos) {
 	w.open = true
 	w.on.opened(w)
 	w.flush()
 }
 
-func (w *wire) Data(now loop.Nanos, p []byte) {
+func (w *wire) Data(now eventloop.Nanos, p []byte) {
 	w.h.Feed(now, p)
 	w.flush()
 }
 
-func (w *wire) PeerDone(loop.Nanos) { w.lc.Close() }
-func (w *wire) Drained(loop.Nanos)  {}
+func (w *wire) PeerDone(eventloop.Nanos) { w.lc.Close() }
+func (w *wire) Drained(eventloop.Nanos)  {}
 
-func (w *wire) Closed(loop.Nanos, error) {
+func (w *wire) Closed(eventloop.Nanos, error) {
 	w.gone = true
 	w.h.Lost()
 	w.on.closed(w)
@@ -71,6 +71,7 @@
 // What HTTP/2 tells.
 
 func (w *wire) Headers(s *h2.Stream, h *h2.Header) { w.on.headers(w, s, h) }
+
 func (w *wire) Message(s *h2.Stream, p []byte) bool {
 	w.on.message(w, s, p)
 	return false
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -47,9 +47,11 @@
 	faultKinds
 )
 
-var faultNames = [...]string{"hangs", "is killed and starts again", "gets nothing", "is not heard", "is cut off", "gets nothing on old connections", "is not heard on old connections",
+var faultNames = [...]string{
+	"hangs", "is killed and starts again", "gets nothing", "is not heard", "is cut off", "gets nothing on old connections", "is not heard on old connections",
 	"does not hear of closes", "is slow to reach", "is reached in another order", "has its connections cut at both ends", "has its connections cut at its end", "has its connections cut at the dispatchers' end",
-	"refuses connections", "is held up", "is killed and starts again", "ends and starts again", "reads its configuration again", "is silent"}
+	"refuses connections", "is held up", "is killed and starts again", "ends and starts again", "reads its configuration again", "is silent",
+}
 
 // String names a kind of fault.
 func (k FaultKind) String() string { return faultNames[k] }
--- a/internal/lab/soak/fleet.go
+++ b/internal/lab/soak/fleet.go
@@ -85,8 +85,10 @@
 
 // NewFleet makes a fleet that keeps its files in a folder. settings is the settings object of dispatchers.
 func NewFleet(program Program, folder, settings string, limits Limits) (*Fleet, error) {
-	f := &Fleet{Ledger: NewLedger(limits), program: program, dispatcherProgram: program, folder: folder, settings: settings, version: 41, Sockets: usualSockets, watches: map[chan struct{}]bool{},
-		Plan: func(string, bool, string) Plan { return Plan{} }, ReleaseStatus: func(string, string) int { return 0 }}
+	f := &Fleet{
+		Ledger: NewLedger(limits), program: program, dispatcherProgram: program, folder: folder, settings: settings, version: 41, Sockets: usualSockets, watches: map[chan struct{}]bool{},
+		Plan: func(string, bool, string) Plan { return Plan{} }, ReleaseStatus: func(string, string) int { return 0 },
+	}
 	var err error
 	if f.reports, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		return nil, err
@@ -366,8 +368,10 @@
 func (d *Dispatcher) writeConfig() error {
 	f := d.fleet
 	f.mu.Lock()
-	config, err := json.Marshal(map[string]any{"name": d.Name, "listen": d.Addr, "discovery": f.discovery.Addr().String(), "seed": fmt.Sprintf("%x", hash(d.Name)+uint64(d.Life())),
-		"limits": map[string]any{"cores": 1.0, "memory_mb": 96, "sockets": f.Sockets}, "known": f.list(), "settings": json.RawMessage(f.settings)})
+	config, err := json.Marshal(map[string]any{
+		"name": d.Name, "listen": d.Addr, "discovery": f.discovery.Addr().String(), "seed": fmt.Sprintf("%x", hash(d.Name)+uint64(d.Life())),
+		"limits": map[string]any{"cores": 1.0, "memory_mb": 96, "sockets": f.Sockets}, "known": f.list(), "settings": json.RawMessage(f.settings),
+	})
 	f.mu.Unlock()
 	if err != nil {
 		return err
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -164,8 +164,10 @@
 // Run runs the soak. An error is one of the run itself, not of the rules.
 func (s *Soak) Run() (v Verdict, err error) {
 	shape, faults := draw(s.Seed, s.Most, s.Length)
-	v = Verdict{Seed: s.Seed, Processes: shape.prefill + shape.decode + shape.dispatchers, Schedule: faults,
-		Settings: fmt.Sprintf("%d prefill, %d decode, %d dispatchers, %d sockets, release %v, cancel %v, releases take all %v", shape.prefill, shape.decode, shape.dispatchers, shape.sockets, shape.release, shape.cancel, shape.takesAll)}
+	v = Verdict{
+		Seed: s.Seed, Processes: shape.prefill + shape.decode + shape.dispatchers, Schedule: faults,
+		Settings: fmt.Sprintf("%d prefill, %d decode, %d dispatchers, %d sockets, release %v, cancel %v, releases take all %v", shape.prefill, shape.decode, shape.dispatchers, shape.sockets, shape.release, shape.cancel, shape.takesAll),
+	}
 	if err := os.MkdirAll(s.Folder, 0o700); err != nil {
 		return v, err
 	}
--- a/internal/lab/client/client.go
+++ b/internal/lab/userclient/userclient.go
@@ -1,9 +1,11 @@
-// Package client is a stand-in for the users of a dispatcher, on grpc-go: sessions of several turns arrive at
+// Package userclient is a stand-in for the users of a dispatcher, on grpc-go: sessions of several turns arrive at
 // random times, try again when told to, and sometimes leave.
-package client
+package userclient
 
 import (
 	"context"
+	"docksail/internal/lab/engine"
+	"docksail/internal/lab/eventlog"
 	"errors"
 	"fmt"
 	"io"
@@ -23,8 +25,6 @@
 	"google.golang.org/grpc/status"
 
 	pb "docksail/api/docksail/v1"
-	"docksail/internal/lab/book"
-	"docksail/internal/lab/engine"
 )
 
 // Class is what the jobs of a track are like.
@@ -83,7 +83,7 @@
 }
 
 // Run plays a load to its end and gives what became of it, by track.
-func Run(ctx context.Context, l Load, b *book.Book) (map[string]*Sum, error) {
+func Run(ctx context.Context, l Load, b *eventlog.Book) (map[string]*Sum, error) {
 	conns := map[string][][]pb.GenerationClient{}
 	for i := range l.Classes { // each track's clients come from an address of their own
 		from := &net.Dialer{LocalAddr: &net.TCPAddr{IP: net.IPv4(127, 0, 0, byte(2+i))}}
@@ -177,7 +177,7 @@
 
 type runner struct {
 	l     Load
-	b     *book.Book
+	b     *eventlog.Book
 	conns map[string][][]pb.GenerationClient // by track, by dispatcher
 	mu    sync.Mutex
 	sums  map[string]*Sum
@@ -194,8 +194,10 @@
 	} else if t.Clients > 0 {
 		name = fmt.Sprintf("%s-%d", t.Name, n%t.Clients)
 	}
-	req := &pb.GenerateRequest{Track: t.Name, Tenant: t.Tenant, Session: "s" + strconv.Itoa(n), MaxTokens: uint32(t.Answer),
-		Client: name}
+	req := &pb.GenerateRequest{
+		Track: t.Name, Tenant: t.Tenant, Session: "s" + strconv.Itoa(n), MaxTokens: uint32(t.Answer),
+		Client: name,
+	}
 	if t.PrefixTokens > 0 {
 		req.Beginning = t.DrawPrefix(rng)
 		req.BeginningTokens = uint32(t.PrefixTokens)
@@ -323,7 +325,8 @@
 }
 
 func (r *runner) try(ctx context.Context, c pb.GenerationClient, t Class, req *pb.GenerateRequest, try int,
-	left time.Duration, ticket string, rng *rand.Rand) outcome {
+	left time.Duration, ticket string, rng *rand.Rand,
+) outcome {
 	call := t.Call
 	if call == 0 {
 		call = left + time.Duration(req.MaxTokens)*200*time.Millisecond
@@ -350,15 +353,15 @@
 	}
 	req.PatienceNs = uint64(left)
 	now := time.Now()
-	e := book.Entry{Label: req.Label, Try: try, Class: t.Name, Tenant: t.Tenant}
+	e := eventlog.Entry{Label: req.Label, Try: try, Class: t.Name, Tenant: t.Tenant}
 	gap := int64(0) // mean time between the tokens, nanoseconds
-	note := func(kind book.Kind, code string, job string) {
+	note := func(kind eventlog.Kind, code string, job string) {
 		e := e
 		e.N = gap
 		e.Kind, e.Code, e.Request, e.By = kind, code, job, now.Add(left).UnixNano()
 		r.b.Add(e)
 	}
-	note(book.Asked, "", "")
+	note(eventlog.Asked, "", "")
 	stream, err := c.Generate(ctx, req)
 	job := ""
 	var res outcome
@@ -373,7 +376,7 @@
 			if md, e := stream.Header(); e == nil && len(md.Get("docksail-job")) > 0 {
 				job = md.Get("docksail-job")[0]
 			}
-			note(book.Token, "", job)
+			note(eventlog.Token, "", job)
 		}
 		for i, got := range tok.Tokens {
 			if int(tok.Position)+i != res.tokens || got != engine.Tok(req, res.tokens) {
@@ -405,7 +408,7 @@
 		if res.wrong {
 			code = "OK, but not the whole answer"
 		}
-		note(book.Final, code, job)
+		note(eventlog.Final, code, job)
 		return res
 	}
 	st := status.Convert(err)
@@ -418,7 +421,7 @@
 	switch {
 	case quit.Load():
 		res.left = true
-		note(book.Quit, "", job)
+		note(eventlog.Quit, "", job)
 	case len(push) > 0:
 		res.final = true
 		if v := md.Get("docksail-ticket-bin"); len(v) > 0 && !t.Deaf {
@@ -431,12 +434,12 @@
 				res.after = max(res.after, info.RetryDelay.AsDuration())
 			}
 		}
-		note(book.Final, res.code.String(), job)
+		note(eventlog.Final, res.code.String(), job)
 	case res.code == codes.Unavailable:
 		res.lost = true
-		note(book.NoAnswer, "lost: "+st.Message(), job)
+		note(eventlog.NoAnswer, "lost: "+st.Message(), job)
 	default:
-		note(book.NoAnswer, res.code.String()+": "+st.Message(), job)
+		note(eventlog.NoAnswer, res.code.String()+": "+st.Message(), job)
 	}
 	return res
 }
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -11,7 +11,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	exit "docksail/internal/exit/platform"
+	backend "docksail/internal/backend/platform"
 )
 
 // Config is the platform's configuration of one dispatcher.
@@ -25,7 +25,7 @@
 		Memory  int64   `json:"memory_mb"`
 		Sockets int     `json:"sockets"`
 	} `json:"limits"`
-	Known    exit.List       `json:"known"`
+	Known    backend.List    `json:"known"`
 	Settings json.RawMessage `json:"settings"`
 }
 
@@ -49,7 +49,7 @@
 	t := file.Config
 	if len(file.Known) > 0 {
 		if err := json.Unmarshal(file.Known, &t.Known); err != nil { // discovery is asked all the same
-			t.Known = exit.List{Unreadable: []error{fmt.Errorf("%s: known: %w", name, err)}}
+			t.Known = backend.List{Unreadable: []error{fmt.Errorf("%s: known: %w", name, err)}}
 		}
 	}
 	if t.Name == "" {
--- a/internal/node/crossing_test.go
+++ b/internal/node/crossing_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	exit "docksail/internal/exit/platform"
+	backend "docksail/internal/backend/platform"
 )
 
 // Tests of events that cross: each forces the order in which one spoils the other, in simulated time.
@@ -30,7 +30,7 @@
 			t.Fatalf("%q, want a release", line)
 		}
 		h.untilOut("r1")
-		h.tell(watch, exit.List{Version: 43, Servers: []exit.Server{h.draining("r1")}})
+		h.tell(watch, backend.List{Version: 43, Servers: []backend.Server{h.draining("r1")}})
 		release.send(noContent)
 		if status := client.expect("\r\n"); !strings.Contains(status, " 503 ") {
 			t.Errorf("the client got %q, want 503", status)
@@ -49,7 +49,7 @@
 		leftOut := h.server("w2", "decode")
 		watch := h.startInService()
 		taken := h.news()
-		list := listText(exit.List{Version: 43, Full: true, Servers: h.servers[:2]})
+		list := listText(backend.List{Version: 43, Full: true, Servers: h.servers[:2]})
 		watch.send(chunk(strings.Replace(list, `"cell":0`, `"cell":"x"`, 1))) // of r1
 		h.untilNews(taken)
 		for n := range 4 {
@@ -114,7 +114,7 @@
 	client.send(request(jobName(1)))
 	attempt := first.accept()
 	attempt.request()
-	h.tell(watch, exit.List{Version: 43, Servers: h.servers[2:]}) // only now: the first attempt is to go to w1
+	h.tell(watch, backend.List{Version: 43, Servers: h.servers[2:]}) // only now: the first attempt is to go to w1
 	second.cut(true)
 	attempt.send("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
 	h.untilOut("w2")
@@ -152,7 +152,7 @@
 	client := h.client()
 	client.send(request(jobName(1)))
 	h.untilOut("r1")
-	h.tell(watch, exit.List{Version: 43, Servers: []exit.Server{h.draining("r1")}})
+	h.tell(watch, backend.List{Version: 43, Servers: []backend.Server{h.draining("r1")}})
 	reader.cut(false)
 	if status := client.expect("\r\n"); !strings.Contains(status, " 503 ") {
 		t.Errorf("the client got %q, want 503", status)
@@ -176,7 +176,7 @@
 			client.expect("0\r\n\r\n")
 			anew := h.servers[1]
 			anew.Started = started
-			h.tell(watch, exit.List{Version: 43 + int64(n), Servers: []exit.Server{anew}})
+			h.tell(watch, backend.List{Version: 43 + int64(n), Servers: []backend.Server{anew}})
 			conn.untilEnd()
 		}
 	})
@@ -263,7 +263,7 @@
 		t.Fatal(err)
 	}
 	had, _ := s.node.View()
-	say(watch, watchHead+chunk(listText(exit.List{Version: 3, Full: true, Servers: s.hosts})))
+	say(watch, watchHead+chunk(listText(backend.List{Version: 3, Full: true, Servers: s.hosts})))
 	until(t, "the list", func() bool { v, _ := s.node.View(); return v.Exit.ListUpdates > had.Exit.ListUpdates })
 	s.served(s.dial(), 1)
 }
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -1,6 +1,7 @@
 package node
 
 import (
+	"docksail/internal/eventloop"
 	"encoding/json"
 	"log/slog"
 	"net/netip"
@@ -8,8 +9,7 @@
 	"testing"
 	"time"
 
-	exit "docksail/internal/exit/platform"
-	"docksail/internal/loop"
+	backend "docksail/internal/backend/platform"
 )
 
 // watchHead begins the answer to a watch.
@@ -23,14 +23,14 @@
 // network the same script runs over real connections.
 type harness struct {
 	t         *testing.T
-	world     *loop.World // nil = loopback
-	loop      *loop.Loop  // the dispatcher's; on loopback, that of all
-	round     func(loop.Nanos)
+	world     *eventloop.World // nil = loopback
+	loop      *eventloop.Loop  // the dispatcher's; on loopback, that of all
+	round     func(eventloop.Nanos)
 	began     time.Time
 	node      *Node
 	config    *Config
 	discovery *scriptedServer
-	servers   []exit.Server
+	servers   []backend.Server
 	replaced  []string // pieces of the settings and what stands in their place, pairwise
 	addresses byte     // given out so far
 	sockets   int      // descriptors of the dispatcher
@@ -62,7 +62,7 @@
 	t.Helper()
 	h := &harness{t: t, began: time.Now(), replaced: replaced, sockets: 1024}
 	if on == simulated {
-		h.world = loop.NewWorld(simulationStart, int64(transitTime))
+		h.world = eventloop.NewWorld(simulationStart, int64(transitTime))
 	} else {
 		h.runLoop()
 	}
@@ -74,12 +74,12 @@
 func (h *harness) runLoop() {
 	h.t.Helper()
 	var err error
-	if h.loop, err = loop.New(); err != nil {
+	if h.loop, err = eventloop.New(); err != nil {
 		h.t.Fatal(err)
 	}
 	done := make(chan error, 1)
 	go func() {
-		done <- h.loop.Run(func(now loop.Nanos) {
+		done <- h.loop.Run(func(now eventloop.Nanos) {
 			if h.round != nil {
 				h.round(now)
 			}
@@ -111,7 +111,7 @@
 }
 
 // endpoint gives a loop at an address of its own, with any port where the network has others.
-func (h *harness) endpoint() (*loop.Loop, netip.AddrPort) {
+func (h *harness) endpoint() (*eventloop.Loop, netip.AddrPort) {
 	if h.world == nil {
 		return h.loop, netip.MustParseAddrPort("127.0.0.1:0")
 	}
@@ -127,7 +127,7 @@
 	var at netip.AddrPort
 	p.loop, at = h.endpoint()
 	h.do(func() {
-		listener, err := p.loop.Listen(at, false, func(c *loop.Conn, _ netip.AddrPort) loop.Handler {
+		listener, err := p.loop.Listen(at, false, func(c *eventloop.Conn, _ netip.AddrPort) eventloop.Handler {
 			conn := &scriptedConn{h: h, server: p, loop: p.loop, conn: c}
 			p.conns = append(p.conns, conn)
 			p.accepted++
@@ -146,17 +146,19 @@
 func (h *harness) server(name, kind string) *scriptedServer {
 	h.t.Helper()
 	p := h.newServer()
-	h.servers = append(h.servers, exit.Server{ID: name, Addr: p.addr.String(), Zone: "z", Kind: kind, State: "Ready"})
+	h.servers = append(h.servers, backend.Server{ID: name, Addr: p.addr.String(), Zone: "z", Kind: kind, State: "Ready"})
 	return p
 }
 
 // start puts the dispatcher into service. Discovery takes its watch, and has told nothing yet.
 func (h *harness) start() (watch *scriptedConn) {
 	h.t.Helper()
-	h.config = &Config{Name: "n0", Discovery: h.discovery.addr, Seed: "8c1f30d27a5be964",
-		Settings: json.RawMessage(strings.NewReplacer(h.replaced...).Replace(settings))}
+	h.config = &Config{
+		Name: "n0", Discovery: h.discovery.addr, Seed: "8c1f30d27a5be964",
+		Settings: json.RawMessage(strings.NewReplacer(h.replaced...).Replace(settings)),
+	}
 	h.config.Limits.Sockets, h.config.Limits.Memory = h.sockets, 96
-	h.config.Known = exit.List{Version: 41, Full: true, Servers: h.servers}
+	h.config.Known = backend.List{Version: 41, Full: true, Servers: h.servers}
 	h.loop, h.config.Listen = h.endpoint()
 	h.do(func() {
 		var err error
@@ -180,7 +182,7 @@
 	h.t.Helper()
 	watch = h.start()
 	watch.send(watchHead)
-	h.tell(watch, exit.List{Version: 42, Full: true, Servers: h.servers})
+	h.tell(watch, backend.List{Version: 42, Full: true, Servers: h.servers})
 	return watch
 }
 
@@ -222,17 +224,17 @@
 // untilNews waits until discovery has told something more often than so many times.
 func (h *harness) untilNews(had uint64) {
 	h.t.Helper()
-	h.until("the list is taken", func() bool { return h.node.exit.Counts.ListUpdates > had })
+	h.until("the list is taken", func() bool { return h.node.backend.Counts.ListUpdates > had })
 }
 
 // news counts what discovery has told so far.
 func (h *harness) news() (count uint64) {
-	h.do(func() { count = h.node.exit.Counts.ListUpdates })
+	h.do(func() { count = h.node.backend.Counts.ListUpdates })
 	return count
 }
 
 // tell sends a list over a watch and waits until it has been taken.
-func (h *harness) tell(watch *scriptedConn, list exit.List) {
+func (h *harness) tell(watch *scriptedConn, list backend.List) {
 	h.t.Helper()
 	had := h.news()
 	watch.send(chunk(listText(list)))
@@ -273,7 +275,7 @@
 	h.t.Helper()
 	h.until("an attempt is out to "+name, func() bool {
 		out := 0
-		h.node.exit.Each(h.loop.Now(), func(v exit.ServerView) {
+		h.node.backend.Each(h.loop.Now(), func(v backend.ServerView) {
 			if v.Name == name {
 				out = v.Out
 			}
@@ -283,7 +285,7 @@
 }
 
 // draining gives a server's entry with the state in which it takes nothing new.
-func (h *harness) draining(name string) exit.Server {
+func (h *harness) draining(name string) backend.Server {
 	for _, server := range h.servers {
 		if server.ID == name {
 			server.State = "Terminating"
@@ -291,7 +293,7 @@
 		}
 	}
 	h.t.Fatalf("no server %q", name)
-	return exit.Server{}
+	return backend.Server{}
 }
 
 // wantRefused asks for something, which no server may be there for.
@@ -308,9 +310,9 @@
 func (h *harness) rest() { h.run(15 * time.Millisecond) }
 
 // listText is the text of a list as discovery writes it: an empty fleet is an empty array.
-func listText(list exit.List) string {
+func listText(list backend.List) string {
 	if list.Servers == nil {
-		list.Servers = []exit.Server{}
+		list.Servers = []backend.Server{}
 	}
 	text, err := json.Marshal(list)
 	if err != nil {
--- a/internal/node/heldstate_test.go
+++ b/internal/node/heldstate_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	exit "docksail/internal/exit/platform"
+	backend "docksail/internal/backend/platform"
 )
 
 // Tests of held state in simulated time: what is read is released in time whatever becomes of its attempts and releases. The same on real
@@ -77,7 +77,7 @@
 	h.until("the write's connection is made", func() bool { return writer.accepted == 1 })
 	h.run(transitTime) // the dispatcher knows it too; what it writes now does not arrive
 	writer.cut(true)
-	h.until("the write is out", func() bool { return h.node.exit.Conns() == 2 })
+	h.until("the write is out", func() bool { return h.node.backend.Conns() == 2 })
 	read := reader.readAt()
 	h.wantReleaseBy(jobName(1), read, read+int64(heldMost), reader)
 }
@@ -132,7 +132,7 @@
 		}
 	}
 	watch := h.startInService()
-	h.tell(watch, exit.List{Version: 43, Servers: []exit.Server{h.draining("w2")}}) // it takes releases alone
+	h.tell(watch, backend.List{Version: 43, Servers: []backend.Server{h.draining("w2")}}) // it takes releases alone
 	client := h.client()
 	client.send(request(jobName(1)))
 	writing := writer.accept()
@@ -198,7 +198,7 @@
 	}
 	h.until("the writes are out", func() bool { return writer.accepted == 30 })
 	h.do(func() {
-		if h.node.exit.Counts.NoRoom == 0 {
+		if h.node.backend.Counts.NoRoom == 0 {
 			t.Error("connections are not full: the test shows nothing")
 		}
 	})
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,6 +1,12 @@
 package node
 
 import (
+	"docksail/internal/decide/clientconn"
+	"docksail/internal/decide/discovery"
+	"docksail/internal/dispatch"
+	"docksail/internal/eventloop"
+	"docksail/internal/platformconfig"
+	"docksail/policy"
 	"fmt"
 	"log/slog"
 	"net/netip"
@@ -9,14 +15,8 @@
 	"runtime/metrics"
 	"time"
 
-	"docksail/internal/decide/clientconn"
-	"docksail/internal/decide/discovery"
-	"docksail/internal/dispatch"
-	exit "docksail/internal/exit/platform"
-	front "docksail/internal/front/platform"
-	"docksail/internal/loop"
-	"docksail/internal/platformconfig"
-	"docksail/policy"
+	backend "docksail/internal/backend/platform"
+	frontend "docksail/internal/frontend/platform"
 )
 
 const (
@@ -31,12 +31,12 @@
 
 // Node is one dispatcher in service.
 type Node struct {
-	loop       *loop.Loop
+	loop       *eventloop.Loop
 	dispatcher *dispatch.Dispatcher
 	module     *policy.Dispatcher
 	addr       netip.AddrPort
-	front      *front.Server
-	exit       *exit.Exit
+	frontend   *frontend.Server
+	backend    *backend.Exit
 	log        *slog.Logger
 	done       chan struct{}
 	err        error
@@ -49,7 +49,7 @@
 }
 
 // New makes a dispatcher on a loop by what it was told.
-func New(l *loop.Loop, t *Config, life uint64, log *slog.Logger) (*Node, error) {
+func New(l *eventloop.Loop, t *Config, life uint64, log *slog.Logger) (*Node, error) {
 	m, err := platformconfig.New(t.seed(), t.Settings)
 	if err != nil {
 		return nil, err
@@ -61,24 +61,24 @@
 	if n.dispatcher, err = dispatch.Direct(l, log, m.Policy, m.ClassNames, m.Classes, m.Tenant, most, maxPromptTokens, int64(m.MaxRetryAfter), silenceLimit, life); err != nil {
 		return nil, err
 	}
-	n.front = front.New(l, n.dispatcher, log, clients, clientconn.BodyMemory(memory), n.dispatcher.Known)
-	n.exit = exit.New(l, n.dispatcher, log, m, servers, t.Discovery)
-	n.dispatcher.Attach(n.front, n.exit)
-	n.exit.Known(l.Now(), t.Known)
+	n.frontend = frontend.New(l, n.dispatcher, log, clients, clientconn.BodyMemory(memory), n.dispatcher.Known)
+	n.backend = backend.New(l, n.dispatcher, log, m, servers, t.Discovery)
+	n.dispatcher.Attach(n.frontend, n.backend)
+	n.backend.Known(l.Now(), t.Known)
 	if n.addr, err = n.dispatcher.Start(t.Listen, false); err != nil {
 		return nil, fmt.Errorf("node %s: %w", t.Name, err)
 	}
-	n.front.Hold(true) // what the agent knows counts as told from now on: no request goes before it is asked
-	open := func() { n.front.Hold(false) }
-	n.exit.OnNews(open)
-	var late loop.Timer
-	l.At(&late, l.Now()+discovery.FirstListTimeout, func(loop.Nanos) { open() })
+	n.frontend.Hold(true) // what the agent knows counts as told from now on: no request goes before it is asked
+	open := func() { n.frontend.Hold(false) }
+	n.backend.OnNews(open)
+	var late eventloop.Timer
+	l.At(&late, l.Now()+discovery.FirstListTimeout, func(eventloop.Nanos) { open() })
 	return n, nil
 }
 
 // Run starts a dispatcher in service on a loop of its own goroutine.
 func Run(t *Config, log *slog.Logger) (*Node, error) {
-	l, err := loop.New()
+	l, err := eventloop.New()
 	if err != nil {
 		return nil, err
 	}
@@ -97,7 +97,7 @@
 
 // Reload takes over what may change under a dispatcher that runs: where discovery is.
 func (n *Node) Reload(t *Config) {
-	n.loop.Post(func() { n.exit.Discovery(n.loop.Now(), t.Discovery) })
+	n.loop.Post(func() { n.backend.Discovery(n.loop.Now(), t.Discovery) })
 }
 
 // Drain has clients go elsewhere and the dispatcher end when nobody is left.
@@ -113,8 +113,8 @@
 type View struct {
 	Requests, Clients, Servers, ServerConns int
 	Dispatch                                dispatch.Counts
-	Front                                   front.Counts
-	Exit                                    exit.Counts
+	Front                                   frontend.Counts
+	Exit                                    backend.Counts
 	HeapMB                                  float64
 	Beliefs                                 []Belief `json:"-"`
 }
@@ -122,7 +122,7 @@
 // Belief is what the module holds of a server beside what crosses the sockets to it.
 type Belief struct {
 	policy.Belief
-	exit.ServerView
+	backend.ServerView
 }
 
 // Differs tells that the two do not agree on the attempts that are out: a fault of the program.
@@ -142,8 +142,10 @@
 func (n *Node) View() (View, bool) {
 	got := make(chan View, 1)
 	posted := n.loop.Post(func() {
-		got <- View{Beliefs: n.beliefs(), Requests: n.dispatcher.InHand(), Clients: n.front.Conns(), Servers: n.exit.Servers(), ServerConns: n.exit.Conns(),
-			Dispatch: n.dispatcher.Counts, Front: n.front.Counts, Exit: n.exit.Counts}
+		got <- View{
+			Beliefs: n.beliefs(), Requests: n.dispatcher.InHand(), Clients: n.frontend.Conns(), Servers: n.backend.Servers(), ServerConns: n.backend.Conns(),
+			Dispatch: n.dispatcher.Counts, Front: n.frontend.Counts, Exit: n.backend.Counts,
+		}
 	})
 	if !posted {
 		return View{}, false
@@ -160,7 +162,7 @@
 // beliefs compares what the module assumes of each server with what crosses the sockets to it. It belongs to the loop.
 func (n *Node) beliefs() (all []Belief) {
 	now := n.loop.Now()
-	n.exit.Each(now, func(server exit.ServerView) {
+	n.backend.Each(now, func(server backend.ServerView) {
 		if held, ok := n.module.Believes(n.dispatcher.Time(now), server.ID); ok {
 			all = append(all, Belief{held, server})
 		}
--- a/internal/node/scripted_test.go
+++ b/internal/node/scripted_test.go
@@ -3,13 +3,12 @@
 import (
 	"bufio"
 	"bytes"
+	"docksail/internal/eventloop"
 	"io"
 	"net/http"
 	"net/netip"
 	"strings"
 	"time"
-
-	"docksail/internal/loop"
 )
 
 // The servers and clients of a harness.
@@ -64,8 +63,8 @@
 type scriptedServer struct {
 	h        *harness
 	addr     netip.AddrPort
-	loop     *loop.Loop
-	listener *loop.Listener
+	loop     *eventloop.Loop
+	listener *eventloop.Listener
 	conns    []*scriptedConn // that nobody has taken yet
 	reply    string          // to every request; empty = the test answers
 	// answer is asked for each request instead of reply; a release is answered for it.
@@ -171,23 +170,23 @@
 type scriptedConn struct {
 	h      *harness
 	server *scriptedServer // nil for a client
-	loop   *loop.Loop
-	conn   *loop.Conn
+	loop   *eventloop.Loop
+	conn   *eventloop.Conn
 	in     []byte // that came and was not taken yet
 	opened bool
 	ended  bool // the dispatcher sends no more
 }
 
-func (c *scriptedConn) Opened(loop.Nanos) { c.opened = true }
-func (c *scriptedConn) Data(_ loop.Nanos, p []byte) {
+func (c *scriptedConn) Opened(eventloop.Nanos) { c.opened = true }
+func (c *scriptedConn) Data(_ eventloop.Nanos, p []byte) {
 	c.in = append(c.in, p...)
 	if c.server != nil && (c.server.reply != "" || c.server.answer != nil) {
 		c.reply()
 	}
 }
-func (c *scriptedConn) PeerDone(loop.Nanos)      { c.ended = true }
-func (c *scriptedConn) Drained(loop.Nanos)       {}
-func (c *scriptedConn) Closed(loop.Nanos, error) { c.ended = true }
+func (c *scriptedConn) PeerDone(eventloop.Nanos)      { c.ended = true }
+func (c *scriptedConn) Drained(eventloop.Nanos)       {}
+func (c *scriptedConn) Closed(eventloop.Nanos, error) { c.ended = true }
 
 // reply answers the requests that have come whole as its peer does.
 func (c *scriptedConn) reply() {
--- a/internal/node/serve_test.go
+++ b/internal/node/serve_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	exit "docksail/internal/exit/platform"
+	backend "docksail/internal/backend/platform"
 )
 
 // Tests of requests from end to end, over simulated and over loopback connections.
@@ -308,7 +308,7 @@
 			h.client().served(n)
 		}
 		h.do(func() {
-			k := h.node.exit.Counts.PrefixCache
+			k := h.node.backend.Counts.PrefixCache
 			if k.Reads != 2 || k.Prompt != 2*5120 || k.Shared != 2*2048 || k.Expected != 5120 || k.Found != 2100 || k.Unforeseen != 100 || k.Missed != 3120 {
 				t.Errorf("%+v", k) // the second read's whole prompt was read there before
 			}
@@ -338,7 +338,7 @@
 		w1.reply, w2.reply = decodeAnswer, decodeAnswer
 		old := h.startInService()
 		h.client().served(1)
-		h.tell(old, exit.List{Version: 43, Servers: []exit.Server{h.draining("w1")}})
+		h.tell(old, backend.List{Version: 43, Servers: []backend.Server{h.draining("w1")}})
 		had := w1.posts()
 		for n := 2; n < 8; n++ {
 			h.client().served(n)
@@ -353,7 +353,7 @@
 			t.Errorf("%q, want a whole list asked for", line)
 		}
 		watch.send(watchHead)
-		h.tell(watch, exit.List{Version: 44, Full: true, Servers: h.servers})
+		h.tell(watch, backend.List{Version: 44, Full: true, Servers: h.servers})
 		old.untilEnd()
 	})
 }
@@ -365,7 +365,7 @@
 	watch := h.startInService()
 	c := h.client()
 	for n := range 200 {
-		list := exit.List{Version: int64(43 + n)}
+		list := backend.List{Version: int64(43 + n)}
 		for i, server := range h.servers {
 			gone := server
 			gone.State = "Gone"
@@ -378,7 +378,7 @@
 			c.served(n)
 		}
 	}
-	if servers, conns := h.node.exit.Servers(), h.node.exit.Conns(); servers > 2 || conns > 4 {
+	if servers, conns := h.node.backend.Servers(), h.node.backend.Conns(); servers > 2 || conns > 4 {
 		t.Errorf("%d servers known, %d connections, want 2 and few", servers, conns)
 	}
 }
@@ -414,7 +414,7 @@
 			h.rest()
 		}
 		h.do(func() {
-			if h.node.exit.Counts.StaleConnections == 0 {
+			if h.node.backend.Counts.StaleConnections == 0 {
 				t.Error("no kept connection died")
 			}
 		})
--- a/internal/node/slow_test.go
+++ b/internal/node/slow_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	exit "docksail/internal/exit/platform"
+	backend "docksail/internal/backend/platform"
 )
 
 // Tests of what takes long: slow clients and servers, and the end of a process. They run in simulated time.
@@ -141,7 +141,7 @@
 		h := newHarness(t, on)
 		h.server("r1", "prefill")
 		watch := h.startInService()
-		text, err := json.MarshalIndent(exit.List{Version: 43, Servers: []exit.Server{h.draining("r1")}}, "", "\t")
+		text, err := json.MarshalIndent(backend.List{Version: 43, Servers: []backend.Server{h.draining("r1")}}, "", "\t")
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/platformconfig/platformconfig.go
+++ b/internal/platformconfig/platformconfig.go
@@ -3,11 +3,10 @@
 package platformconfig
 
 import (
+	"docksail/policy"
 	"encoding/json"
 	"fmt"
 	"slices"
-
-	"docksail/policy"
 )
 
 // settings is the part of the object that the decisions need; unknown keys are passed over.
@@ -60,10 +59,14 @@
 
 var (
 	roles   = map[string]policy.Role{"read": policy.Prefill, "write": policy.Decode, "both": policy.Mixed}
-	effects = map[string]policy.Effect{"idempotent": policy.Idempotent, "deduplicated": policy.Deduplicated,
-		"at_most_once": policy.NonIdempotent}
-	groups = map[string]policy.Group{"": policy.GroupAll, "all": policy.GroupAll, "zone": policy.GroupZone,
-		"cell": policy.GroupCell}
+	effects = map[string]policy.Effect{
+		"idempotent": policy.Idempotent, "deduplicated": policy.Deduplicated,
+		"at_most_once": policy.NonIdempotent,
+	}
+	groups = map[string]policy.Group{
+		"": policy.GroupAll, "all": policy.GroupAll, "zone": policy.GroupZone,
+		"cell": policy.GroupCell,
+	}
 )
 
 // Config is a decision module and what the server that drives it has to know beside.
@@ -113,8 +116,10 @@
 		if !ok {
 			return nil, fmt.Errorf("setup: request class %q has unknown dedup_scope %q", c.Name, c.Scope)
 		}
-		t := policy.Class{Target: policy.Nanos(c.OnTime), Timeout: policy.Nanos(c.GiveUp), Value: c.Points,
-			LateValue: c.Late, Effect: effect, Group: group, Window: policy.Nanos(c.Windows)}
+		t := policy.Class{
+			Target: policy.Nanos(c.OnTime), Timeout: policy.Nanos(c.GiveUp), Value: c.Points,
+			LateValue: c.Late, Effect: effect, Group: group, Window: policy.Nanos(c.Windows),
+		}
 		if i < len(s.Family.AimPer1k) {
 			t.TargetPer1k = policy.Nanos(s.Family.AimPer1k[i] * 1000)
 		}
@@ -132,11 +137,15 @@
 	d, err := policy.New(seed,
 		policy.Identity{Number: s.Me, Count: s.Siblings, Zone: policy.ZoneID(slices.Index(s.Zones, s.Zone))},
 		m.Classes, tenants, m.Roles,
-		policy.ColdStart{From: s.Rules.ColdFrom, Warm: policy.Nanos(s.Rules.Cold), Multiple: s.Rules.Multiple,
-			Window: policy.Nanos(s.Rules.Fall)},
+		policy.ColdStart{
+			From: s.Rules.ColdFrom, Warm: policy.Nanos(s.Rules.Cold), Multiple: s.Rules.Multiple,
+			Window: policy.Nanos(s.Rules.Fall),
+		},
 		policy.AttemptLimits{Most: s.Limits.Most, Cancel: s.Limits.Cancel, DecodeReads: s.Family.PensRead},
-		policy.Answering{Slack: policy.Nanos(s.Rules.Slack), Round: policy.Nanos(s.Round),
-			Advice: s.Limits.RetryAfter, MaxAdvice: policy.Nanos(s.Limits.MaxAdvice)},
+		policy.Answering{
+			Slack: policy.Nanos(s.Rules.Slack), Round: policy.Nanos(s.Round),
+			Advice: s.Limits.RetryAfter, MaxAdvice: policy.Nanos(s.Limits.MaxAdvice),
+		},
 		policy.Listing{Asked: s.Mode == "on_request", Within: policy.Nanos(s.Rules.Within)},
 		policy.Nanos(*s.Family.Release))
 	if err != nil {
--- a/internal/simwire/simwire.go
+++ b/internal/simulatorwire/wire.go
@@ -1,18 +1,17 @@
-// Package simwire hosts dispatchers on the simulator's wire: it decodes lines into calls of the decision module and
+// Package simulatorwire hosts dispatchers on the simulator's wire: it decodes lines into calls of the decision module and
 // encodes what the module decides. It decides nothing.
-package simwire
+package simulatorwire
 
 import (
 	"bufio"
 	"bytes"
+	"docksail/internal/platformconfig"
+	"docksail/policy"
 	"errors"
 	"fmt"
 	"io"
 	"slices"
 	"strconv"
-
-	"docksail/internal/platformconfig"
-	"docksail/policy"
 )
 
 const longestLine = 64 << 20 // batches run to megabytes, a line never near this
@@ -249,9 +248,11 @@
 	return int32(i)
 }
 
-var outcomes = map[string]policy.Outcome{"Ok": policy.Served, "Failed": policy.Failed, "QueueFull": policy.Rejected,
+var outcomes = map[string]policy.Outcome{
+	"Ok": policy.Served, "Failed": policy.Failed, "QueueFull": policy.Rejected,
 	"TimedOut": policy.Late, "ConnectError": policy.Unreachable, "ResetByPeer": policy.Broken,
-	"Canceled": policy.Canceled, "Ignored": policy.NotSent, "handover": policy.Read}
+	"Canceled": policy.Canceled, "Ignored": policy.NotSent, "handover": policy.Read,
+}
 
 var healths = map[string]policy.Health{"IN": policy.Serving, "LAME": policy.Draining, "OUT": policy.Gone}
 
@@ -352,8 +353,10 @@
 }
 
 func (h *host) jobIn(f *fields, in *instance) error {
-	job := policy.Request{ID: policy.RequestID(f.whole("txn")), Cap: f.maybe("output_cap"),
-		Prefix: policy.PrefixKey(f.hex("template"))}
+	job := policy.Request{
+		ID: policy.RequestID(f.whole("txn")), Cap: f.maybe("output_cap"),
+		Prefix: policy.PrefixKey(f.hex("template")),
+	}
 	project := h.word()
 	job.Deadline = policy.Nanos(f.whole("client_deadline_ns"))
 	f.flag("returned")
--- a/internal/simwire/simwire_test.go
+++ b/internal/simulatorwire/wire_test.go
@@ -1,4 +1,4 @@
-package simwire
+package simulatorwire
 
 import (
 	"strings"
--- a/internal/state/batches/linear_test.go
+++ b/internal/state/batchstore/linear_test.go
@@ -1,6 +1,7 @@
-package batches
+package batchstore
 
 import (
+	"docksail/internal/decide/batchscheduler"
 	"errors"
 	"fmt"
 	"math/rand/v2"
@@ -10,8 +11,6 @@
 	"time"
 
 	"github.com/anishathalye/porcupine"
-
-	"docksail/internal/decide/batch"
 )
 
 // Concurrent histories of one batch: its lines are ended, marked and looked at by many at once. Each is checked against
@@ -85,7 +84,7 @@
 
 func plainly(s *Store, id string, o op) (seen, error) {
 	if o.what == "end" {
-		return seen{}, s.End(id, batch.Line(o.n), o.done, []byte("{}"))
+		return seen{}, s.End(id, batchscheduler.Line(o.n), o.done, []byte("{}"))
 	}
 	b, err := s.Batch("a", id)
 	return seen{b.Done, b.Lost}, err
@@ -137,11 +136,11 @@
 	defer s.Close()
 	b := begun(t, s, 3)
 	for n := range 3 {
-		if err := s.End(b.ID, batch.Line(n), n > 0, fmt.Appendf(nil, `{"n":%d}`, n)); err != nil {
+		if err := s.End(b.ID, batchscheduler.Line(n), n > 0, fmt.Appendf(nil, `{"n":%d}`, n)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	b, err := s.Change(b.ID, batch.Finalizing, func(b *Batch) { b.Final = batch.Expired })
+	b, err := s.Change(b.ID, batchscheduler.Finalizing, func(b *Batch) { b.Final = batchscheduler.Expired })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -156,11 +155,11 @@
 	if _, err := s.Finalize(t0, b); !errors.Is(err, full) {
 		t.Errorf("%v, want that the disk is full", err)
 	}
-	if again, _ := s.Batch("a", b.ID); again.State != batch.Finalizing || s.used["a"] != used {
+	if again, _ := s.Batch("a", b.ID); again.State != batchscheduler.Finalizing || s.used["a"] != used {
 		t.Errorf("%v, %d bytes used, want finalizing and %d", again.State, s.used["a"], used)
 	}
 	s.fail = func(string) error { return nil }
-	if b, err = s.Finalize(t0, b); err != nil || b.State != batch.Expired || b.Output == "" || b.Errors == "" {
+	if b, err = s.Finalize(t0, b); err != nil || b.State != batchscheduler.Expired || b.Output == "" || b.Errors == "" {
 		t.Errorf("%+v, %v", b, err)
 	}
 }
