--- a/internal/state/batches/batches.go
+++ b/internal/state/batchstore/store.go
@@ -1,12 +1,14 @@
-// Package batches keeps files and batches of jobs: what was handed in, where every line stands, and the results, across
+// Package batchstore keeps files and batches of jobs: what was handed in, where every line stands, and the results, across
 // any end of the process. Contents lie as plain files, all that is known of them in a vault beside them. A change is
 // on disk before the call that made it returns.
-package batches
+package batchstore
 
 import (
 	"bufio"
 	"bytes"
 	"crypto/rand"
+	"docksail/internal/decide/batchscheduler"
+	"docksail/internal/state/recordstore"
 	"encoding/binary"
 	"encoding/hex"
 	"encoding/json"
@@ -20,9 +22,6 @@
 	"strings"
 	"sync"
 	"time"
-
-	"docksail/internal/decide/batch"
-	"docksail/internal/state/vault"
 )
 
 // Errors that callers tell apart.
@@ -47,26 +46,26 @@
 
 // Batch is a batch of a tenant's. Times are Unix seconds; 0 = not yet.
 type Batch struct {
-	ID         string            `json:"id"`
-	Tenant     string            `json:"tenant"`
-	Input      string            `json:"input"`
-	Endpoint   string            `json:"endpoint"`
-	Window     string            `json:"window"`
-	Metadata   map[string]string `json:"metadata,omitempty"`
-	State      batch.State       `json:"state"`
-	Total      int               `json:"total"`
-	Done       int               `json:"done"`
-	Lost       int               `json:"lost"`
-	Output     string            `json:"output,omitempty"` // files
-	Errors     string            `json:"errors,omitempty"`
-	Created    int64             `json:"created"`
-	Expires    int64             `json:"expires"`
-	InProgress int64             `json:"in_progress,omitempty"`
-	Finalizing int64             `json:"finalizing,omitempty"`
-	Ended      int64             `json:"ended,omitempty"`
-	Cancelling int64             `json:"cancelling,omitempty"`
-	Final      batch.State       `json:"final,omitempty"` // what it becomes when it is finalized
-	Faults     []Fault           `json:"faults,omitempty"`
+	ID         string               `json:"id"`
+	Tenant     string               `json:"tenant"`
+	Input      string               `json:"input"`
+	Endpoint   string               `json:"endpoint"`
+	Window     string               `json:"window"`
+	Metadata   map[string]string    `json:"metadata,omitempty"`
+	State      batchscheduler.State `json:"state"`
+	Total      int                  `json:"total"`
+	Done       int                  `json:"done"`
+	Lost       int                  `json:"lost"`
+	Output     string               `json:"output,omitempty"` // files
+	Errors     string               `json:"errors,omitempty"`
+	Created    int64                `json:"created"`
+	Expires    int64                `json:"expires"`
+	InProgress int64                `json:"in_progress,omitempty"`
+	Finalizing int64                `json:"finalizing,omitempty"`
+	Ended      int64                `json:"ended,omitempty"`
+	Cancelling int64                `json:"cancelling,omitempty"`
+	Final      batchscheduler.State `json:"final,omitempty"` // what it becomes when it is finalized
+	Faults     []Fault              `json:"faults,omitempty"`
 }
 
 // Fault is what is wrong with a batch's file.
@@ -78,7 +77,7 @@
 
 // Line is a line of a batch: where it lies in its file, and where it stands.
 type Line struct {
-	At     batch.At
+	At     batchscheduler.At
 	Offset int64
 	Length int32
 	Sum    uint32
@@ -97,11 +96,11 @@
 func lines(id string) string   { return "lines/" + id }
 func results(id string) string { return "results/" + id }
 
-func key(n batch.Line) []byte { return binary.BigEndian.AppendUint32(nil, uint32(n)) }
+func key(n batchscheduler.Line) []byte { return binary.BigEndian.AppendUint32(nil, uint32(n)) }
 
 // Store is the files and batches of one directory.
 type Store struct {
-	v     *vault.Vault
+	v     *recordstore.Vault
 	dir   string
 	quota int64 // bytes of files for a tenant
 	ids   io.Reader
@@ -119,7 +118,7 @@
 			return nil, err
 		}
 	}
-	v, err := vault.Open(filepath.Join(dir, "vault"))
+	v, err := recordstore.Open(filepath.Join(dir, "vault"))
 	if err != nil {
 		return nil, err
 	}
@@ -137,7 +136,7 @@
 // tidy removes contents that no record names, and counts what tenants use.
 func (s *Store) tidy() error {
 	known := map[string]bool{}
-	if err := s.v.View(func(tx *vault.Tx) error {
+	if err := s.v.View(func(tx *recordstore.Tx) error {
 		return tx.Each(setFiles, nil, func(k, value []byte, err error) error {
 			known[string(k)] = true // also if its record has rotted: a person may still want what lies there
 			var f File
@@ -180,7 +179,7 @@
 	return kind + hex.EncodeToString(b), nil
 }
 
-func put(tx *vault.Tx, set, id string, v any) error {
+func put(tx *recordstore.Tx, set, id string, v any) error {
 	b, err := json.Marshal(v)
 	if err != nil {
 		return err
@@ -188,9 +187,9 @@
 	return tx.Put(set, []byte(id), b)
 }
 
-func get(tx *vault.Tx, set, id string, v any) error {
+func get(tx *recordstore.Tx, set, id string, v any) error {
 	b, err := tx.Get(set, []byte(id))
-	if errors.Is(err, vault.ErrNone) {
+	if errors.Is(err, recordstore.ErrNone) {
 		return fmt.Errorf("%s: %w", id, ErrNone)
 	}
 	if err != nil {
@@ -310,12 +309,12 @@
 	if err := k.keep(f.ID); err != nil {
 		return File{}, err
 	}
-	return f, s.v.Update(func(tx *vault.Tx) error { return put(tx, setFiles, f.ID, f) })
+	return f, s.v.Update(func(tx *recordstore.Tx) error { return put(tx, setFiles, f.ID, f) })
 }
 
 // File gives a tenant's file.
 func (s *Store) File(tenant, id string) (f File, err error) {
-	err = s.v.View(func(tx *vault.Tx) error { return get(tx, setFiles, id, &f) })
+	err = s.v.View(func(tx *recordstore.Tx) error { return get(tx, setFiles, id, &f) })
 	if err == nil && (f.Tenant != tenant || f.Deleted) {
 		err = fmt.Errorf("%s: %w", id, ErrNone)
 	}
@@ -324,7 +323,7 @@
 
 // list gives a tenant's things by their IDs, after one.
 func list[T any](s *Store, set, after string, most int, mine func(*T) bool) (all []T, more bool, err error) {
-	err = s.v.View(func(tx *vault.Tx) error {
+	err = s.v.View(func(tx *recordstore.Tx) error {
 		return tx.Each(set, []byte(after), func(k, value []byte, err error) error {
 			var x T
 			if string(k) == after || err != nil || json.Unmarshal(value, &x) != nil || !mine(&x) {
@@ -332,7 +331,7 @@
 			}
 			if len(all) == most {
 				more = true
-				return vault.ErrStop
+				return recordstore.ErrStop
 			}
 			all = append(all, x)
 			return nil
@@ -361,7 +360,7 @@
 		return err
 	}
 	used := false
-	if err := s.v.Update(func(tx *vault.Tx) error {
+	if err := s.v.Update(func(tx *recordstore.Tx) error {
 		if used, err = s.inUse(tx, id); err != nil {
 			return err
 		}
@@ -382,13 +381,13 @@
 }
 
 // inUse tells whether a batch that is not over reads a file.
-func (s *Store) inUse(tx *vault.Tx, id string) (bool, error) {
+func (s *Store) inUse(tx *recordstore.Tx, id string) (bool, error) {
 	used := false
 	err := tx.Each(setBatches, nil, func(_, value []byte, err error) error {
 		var b Batch
 		if err == nil && json.Unmarshal(value, &b) == nil && b.Input == id && !b.State.Over() {
 			used = true
-			return vault.ErrStop
+			return recordstore.ErrStop
 		}
 		return nil
 	})
@@ -402,7 +401,7 @@
 	for _, f := range old {
 		used := false
 		if err == nil {
-			err = s.v.View(func(tx *vault.Tx) error { used, err = s.inUse(tx, f.ID); return err })
+			err = s.v.View(func(tx *recordstore.Tx) error { used, err = s.inUse(tx, f.ID); return err })
 		}
 		if err == nil && !used {
 			if err = s.Delete(f.Tenant, f.ID); err == nil {
@@ -422,13 +421,13 @@
 	if b.ID, err = s.newID("batch_"); err != nil {
 		return Batch{}, err
 	}
-	b.State, b.Created, b.Expires = batch.Validating, now.Unix(), now.Add(window).Unix()
-	return b, s.v.Update(func(tx *vault.Tx) error { return put(tx, setBatches, b.ID, b) })
+	b.State, b.Created, b.Expires = batchscheduler.Validating, now.Unix(), now.Add(window).Unix()
+	return b, s.v.Update(func(tx *recordstore.Tx) error { return put(tx, setBatches, b.ID, b) })
 }
 
 // Batch gives a tenant's batch.
 func (s *Store) Batch(tenant, id string) (b Batch, err error) {
-	err = s.v.View(func(tx *vault.Tx) error { return get(tx, setBatches, id, &b) })
+	err = s.v.View(func(tx *recordstore.Tx) error { return get(tx, setBatches, id, &b) })
 	if err == nil && b.Tenant != tenant {
 		err = fmt.Errorf("%s: %w", id, ErrNone)
 	}
@@ -447,13 +446,13 @@
 }
 
 // Change changes a batch whose state may follow; f sees it as it is and has it at that state.
-func (s *Store) Change(id string, to batch.State, f func(b *Batch)) (b Batch, err error) {
-	err = s.v.Update(func(tx *vault.Tx) error {
+func (s *Store) Change(id string, to batchscheduler.State, f func(b *Batch)) (b Batch, err error) {
+	err = s.v.Update(func(tx *recordstore.Tx) error {
 		if err := get(tx, setBatches, id, &b); err != nil {
 			return err
 		}
 		if b.State != to {
-			if err := batch.Step(b.State, to); err != nil {
+			if err := batchscheduler.Step(b.State, to); err != nil {
 				return fmt.Errorf("%w: %w", ErrState, err)
 			}
 		}
@@ -472,7 +471,7 @@
 	return b, err
 }
 
-func dropLines(tx *vault.Tx, id string) error {
+func dropLines(tx *recordstore.Tx, id string) error {
 	return errors.Join(tx.Drop(lines(id)), tx.Drop(results(id)))
 }
 
@@ -480,7 +479,7 @@
 func (s *Store) letGo(id string) error {
 	var f File
 	gone := false
-	err := s.v.Update(func(tx *vault.Tx) error {
+	err := s.v.Update(func(tx *recordstore.Tx) error {
 		if err := get(tx, setFiles, id, &f); errors.Is(err, ErrNone) {
 			return nil
 		} else if err != nil {
@@ -514,19 +513,21 @@
 	if len(b) < lineHeader {
 		return Line{}, fmt.Errorf("line of %d bytes: %w", len(b), ErrRotten)
 	}
-	return Line{At: batch.At(b[0]), Offset: int64(binary.BigEndian.Uint64(b[1:])), Length: int32(binary.BigEndian.Uint32(b[9:])),
+	return Line{
+		At: batchscheduler.At(b[0]), Offset: int64(binary.BigEndian.Uint64(b[1:])), Length: int32(binary.BigEndian.Uint32(b[9:])),
 		Sum: binary.BigEndian.Uint32(b[13:]), Cost: float32(binary.BigEndian.Uint32(b[17:])), Group: binary.BigEndian.Uint64(b[21:]),
-		Custom: string(b[lineHeader:])}, nil
+		Custom: string(b[lineHeader:]),
+	}, nil
 }
 
 // AddLines writes lines of a batch that is validating, from a number on; those that an earlier, cut off validation wrote
 // are written over.
-func (s *Store) AddLines(id string, from batch.Line, ls []Line) error {
+func (s *Store) AddLines(id string, from batchscheduler.Line, ls []Line) error {
 	for len(ls) > 0 {
 		some := ls[:min(len(ls), chunkLines)]
-		if err := s.v.Update(func(tx *vault.Tx) error {
+		if err := s.v.Update(func(tx *recordstore.Tx) error {
 			for i := range some {
-				if err := tx.Put(lines(id), key(from+batch.Line(i)), some[i].encode()); err != nil {
+				if err := tx.Put(lines(id), key(from+batchscheduler.Line(i)), some[i].encode()); err != nil {
 					return err
 				}
 			}
@@ -534,27 +535,27 @@
 		}); err != nil {
 			return err
 		}
-		from, ls = from+batch.Line(len(some)), ls[len(some):]
+		from, ls = from+batchscheduler.Line(len(some)), ls[len(some):]
 	}
 	return nil
 }
 
 // Lines gives a batch's lines by their numbers; one whose record has rotted comes with an error and nothing else.
-func (s *Store) Lines(id string, f func(n batch.Line, l Line, rotten error) error) error {
-	return s.v.View(func(tx *vault.Tx) error {
+func (s *Store) Lines(id string, f func(n batchscheduler.Line, l Line, rotten error) error) error {
+	return s.v.View(func(tx *recordstore.Tx) error {
 		return tx.Each(lines(id), nil, func(k, value []byte, err error) error {
 			var l Line
 			if err == nil {
 				l, err = decodeLine(value)
 			}
-			return f(batch.Line(binary.BigEndian.Uint32(k)), l, err)
+			return f(batchscheduler.Line(binary.BigEndian.Uint32(k)), l, err)
 		})
 	})
 }
 
 // Line gives one line of a batch.
-func (s *Store) Line(id string, n batch.Line) (l Line, err error) {
-	err = s.v.View(func(tx *vault.Tx) error {
+func (s *Store) Line(id string, n batchscheduler.Line) (l Line, err error) {
+	err = s.v.View(func(tx *recordstore.Tx) error {
 		b, err := tx.Get(lines(id), key(n))
 		if err != nil {
 			return err
@@ -569,7 +570,7 @@
 func (s *Store) Input(id string) (*os.File, error) { return os.Open(s.content(id)) }
 
 // Text reads what a line says; the error wraps ErrRotten if it is not what was handed in.
-func (s *Store) Text(input string, n batch.Line, l Line) ([]byte, error) {
+func (s *Store) Text(input string, n batchscheduler.Line, l Line) ([]byte, error) {
 	f, err := os.Open(s.content(input))
 	if err != nil {
 		return nil, err
@@ -586,8 +587,8 @@
 }
 
 // Mark has it on disk where a line stands, before a launch of it goes out or after it came back unheard.
-func (s *Store) Mark(id string, n batch.Line, at batch.At) error {
-	return s.v.Batch(func(tx *vault.Tx) error {
+func (s *Store) Mark(id string, n batchscheduler.Line, at batchscheduler.At) error {
+	return s.v.Batch(func(tx *recordstore.Tx) error {
 		b, err := tx.Get(lines(id), key(n))
 		if err != nil {
 			return err
@@ -603,15 +604,15 @@
 
 // End keeps what a line came to, once: done with its result, or lost with its error, as the output or the error file is
 // to have it. A line that has ended stays as it ended.
-func (s *Store) End(id string, n batch.Line, done bool, text []byte) error {
-	return s.v.Batch(func(tx *vault.Tx) error { return end(tx, id, n, done, func(Line) []byte { return text }) })
+func (s *Store) End(id string, n batchscheduler.Line, done bool, text []byte) error {
+	return s.v.Batch(func(tx *recordstore.Tx) error { return end(tx, id, n, done, func(Line) []byte { return text }) })
 }
 
 // EndRest keeps that lines were lost, with what text says of each.
-func (s *Store) EndRest(id string, ns []batch.Line, text func(n batch.Line, l Line) []byte) error {
+func (s *Store) EndRest(id string, ns []batchscheduler.Line, text func(n batchscheduler.Line, l Line) []byte) error {
 	for len(ns) > 0 {
 		some := ns[:min(len(ns), chunkLines)]
-		if err := s.v.Update(func(tx *vault.Tx) error {
+		if err := s.v.Update(func(tx *recordstore.Tx) error {
 			for _, n := range some {
 				if err := end(tx, id, n, false, func(l Line) []byte { return text(n, l) }); err != nil {
 					return err
@@ -626,8 +627,8 @@
 	return nil
 }
 
-func end(tx *vault.Tx, id string, n batch.Line, done bool, text func(l Line) []byte) error {
-	if _, err := tx.Get(results(id), key(n)); !errors.Is(err, vault.ErrNone) {
+func end(tx *recordstore.Tx, id string, n batchscheduler.Line, done bool, text func(l Line) []byte) error {
+	if _, err := tx.Get(results(id), key(n)); !errors.Is(err, recordstore.ErrNone) {
 		return err
 	}
 	var b Batch
@@ -637,9 +638,9 @@
 	if b.State.Over() {
 		return fmt.Errorf("%s is %v: %w", id, b.State, ErrState)
 	}
-	kind, at := byte(0), batch.Lost
+	kind, at := byte(0), batchscheduler.Lost
 	if done {
-		kind, at = 1, batch.Done
+		kind, at = 1, batchscheduler.Done
 		b.Done++
 	} else {
 		b.Lost++
@@ -669,7 +670,7 @@
 			return b, err
 		}
 		some := false
-		err = s.v.View(func(tx *vault.Tx) error {
+		err = s.v.View(func(tx *recordstore.Tx) error {
 			return tx.Each(results(b.ID), nil, func(n, value []byte, err error) error {
 				if err != nil { // it is named in the error file, and harms no other
 					value = append([]byte{0}, fmt.Appendf(nil, `{"id":null,"custom_id":null,"response":null,"error":{"code":"rotten","message":%q}}`, err.Error())...)
@@ -691,8 +692,10 @@
 			continue
 		}
 		name := []string{"errors", "output"}[kind]
-		f := File{ID: "file-" + strings.TrimPrefix(b.ID, "batch_") + name[:1], Tenant: b.Tenant, Name: b.ID + "_" + name + ".jsonl",
-			Purpose: "batch_output", Bytes: k.n, Created: now.Unix()}
+		f := File{
+			ID: "file-" + strings.TrimPrefix(b.ID, "batch_") + name[:1], Tenant: b.Tenant, Name: b.ID + "_" + name + ".jsonl",
+			Purpose: "batch_output", Bytes: k.n, Created: now.Unix(),
+		}
 		if err := k.keep(f.ID); err != nil {
 			return b, err
 		}
@@ -701,11 +704,11 @@
 	if err := s.fail("files written"); err != nil {
 		return b, err
 	}
-	err := s.v.Update(func(tx *vault.Tx) error {
+	err := s.v.Update(func(tx *recordstore.Tx) error {
 		if err := get(tx, setBatches, b.ID, &b); err != nil {
 			return err
 		}
-		if err := batch.Step(b.State, b.Final); err != nil {
+		if err := batchscheduler.Step(b.State, b.Final); err != nil {
 			return fmt.Errorf("%w: %w", ErrState, err)
 		}
 		for kind, f := range files {
@@ -747,7 +750,7 @@
 		if err != nil {
 			break
 		}
-		err = s.Lines(b.ID, func(n batch.Line, l Line, e error) error {
+		err = s.Lines(b.ID, func(n batchscheduler.Line, l Line, e error) error {
 			if e == nil {
 				if _, e = s.Text(b.Input, n, l); e != nil {
 					rotten = append(rotten, e.Error())
--- a/internal/state/batches/batches_test.go
+++ b/internal/state/batchstore/store_test.go
@@ -1,7 +1,9 @@
-package batches
+package batchstore
 
 import (
 	"bytes"
+	"docksail/internal/decide/batchscheduler"
+	"docksail/internal/state/recordstore"
 	"errors"
 	"flag"
 	"fmt"
@@ -14,9 +16,6 @@
 	"time"
 
 	"pgregory.net/rapid"
-
-	"docksail/internal/decide/batch"
-	"docksail/internal/state/vault"
 )
 
 var (
@@ -59,7 +58,7 @@
 		err = s.AddLines(b.ID, 0, ls)
 	}
 	if err == nil {
-		b, err = s.Change(b.ID, batch.InProgress, func(b *Batch) { b.Total = n })
+		b, err = s.Change(b.ID, batchscheduler.InProgress, func(b *Batch) { b.Total = n })
 	}
 	if err != nil {
 		t.Fatal(err)
@@ -83,9 +82,9 @@
 			s.Close()
 			s = openStore(t, dir)
 		}
-		ends := map[batch.Line]string{}
+		ends := map[batchscheduler.Line]string{}
 		for len(ends) < n {
-			l := batch.Line(rapid.IntRange(0, n-1).Draw(rt, "line"))
+			l := batchscheduler.Line(rapid.IntRange(0, n-1).Draw(rt, "line"))
 			done := rapid.Bool().Draw(rt, "done")
 			text := fmt.Sprintf(`{"n":%d,"done":%v,"try":%d}`, l, done, len(ends))
 			switch rapid.IntRange(0, 5).Draw(rt, "what") {
@@ -93,7 +92,7 @@
 				reopen()
 			case 1:
 				if _, over := ends[l]; !over {
-					if err := s.Mark(b.ID, l, batch.Out); err != nil {
+					if err := s.Mark(b.ID, l, batchscheduler.Out); err != nil {
 						rt.Fatal(err)
 					}
 				}
@@ -106,7 +105,7 @@
 				}
 			}
 		}
-		if b, err = s.Change(b.ID, batch.Finalizing, func(b *Batch) { b.Final = batch.Completed }); err != nil {
+		if b, err = s.Change(b.ID, batchscheduler.Finalizing, func(b *Batch) { b.Final = batchscheduler.Completed }); err != nil {
 			rt.Fatal(err)
 		}
 		for range rapid.IntRange(0, 4).Draw(rt, "crashes") {
@@ -167,7 +166,7 @@
 		if err != nil || len(here) != files {
 			rt.Fatalf("%d files lie there, want %d", len(here), files)
 		}
-		if b, _ = s.Batch("a", b.ID); b.Done+b.Lost != n || b.State != batch.Completed {
+		if b, _ = s.Batch("a", b.ID); b.Done+b.Lost != n || b.State != batchscheduler.Completed {
 			rt.Fatalf("%+v", b)
 		}
 		if all, rotten, err := s.Verify(); err != nil || len(rotten) > 0 || all != files+1 {
@@ -181,7 +180,7 @@
 	dir := t.TempDir()
 	s := openStore(t, dir)
 	defer s.Close()
-	if _, err := Open(dir, 0); !errors.Is(err, vault.ErrOwned) {
+	if _, err := Open(dir, 0); !errors.Is(err, recordstore.ErrOwned) {
 		t.Errorf("%v, want that another has it", err)
 	}
 }
@@ -246,7 +245,7 @@
 	text[at] ^= 2
 	os.WriteFile(name, text, 0o600)
 	bad := 0
-	if err := s.Lines(b.ID, func(n batch.Line, l Line, rotten error) error {
+	if err := s.Lines(b.ID, func(n batchscheduler.Line, l Line, rotten error) error {
 		if _, err := s.Text(b.Input, n, l); errors.Is(err, ErrRotten) && n == 3 && strings.Contains(err.Error(), "line 4") {
 			bad++
 		} else if err != nil || rotten != nil {
@@ -284,17 +283,17 @@
 		if _, err := os.Stat(s.content(b.Input)); err != nil {
 			t.Errorf("before batch %d is over its file is gone: %v", i, err)
 		}
-		if _, err := s.Change(id, batch.Cancelling, func(*Batch) {}); err != nil {
+		if _, err := s.Change(id, batchscheduler.Cancelling, func(*Batch) {}); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := s.Change(id, batch.Cancelled, func(*Batch) {}); err != nil {
+		if _, err := s.Change(id, batchscheduler.Cancelled, func(*Batch) {}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if _, err := os.Stat(s.content(b.Input)); !errors.Is(err, os.ErrNotExist) {
 		t.Errorf("nobody reads it, and it lies there: %v", err)
 	}
-	if _, err := s.Change(b.ID, batch.InProgress, func(*Batch) {}); !errors.Is(err, ErrState) {
+	if _, err := s.Change(b.ID, batchscheduler.InProgress, func(*Batch) {}); !errors.Is(err, ErrState) {
 		t.Errorf("a cancelled batch goes on: %v", err)
 	}
 }
--- a/internal/state/fleet/fleet.go
+++ b/internal/state/endpointlist/list.go
@@ -1,10 +1,11 @@
-// Package fleet keeps the list of engines as this dispatcher was told it: full lists, changes by version, the
+// Package endpointlist keeps the list of engines as this dispatcher was told it: full lists, changes by version, the
 // names of zones and cells by number. It is kept in a file as well, from which a dispatcher that was killed
 // starts again with what it knew.
-package fleet
+package endpointlist
 
 import (
 	"crypto/sha256"
+	"docksail/policy"
 	"encoding/hex"
 	"encoding/json"
 	"errors"
@@ -13,8 +14,6 @@
 	"os"
 	"path/filepath"
 	"slices"
-
-	"docksail/policy"
 )
 
 // Host is one engine of the list.
@@ -42,8 +41,10 @@
 
 // New makes a list that knows nothing.
 func New() *List {
-	return &List{hosts: make(map[policy.ServerID]Host), zones: make(map[string]policy.ZoneID),
-		cells: make(map[[2]string]policy.CellID)}
+	return &List{
+		hosts: make(map[policy.ServerID]Host), zones: make(map[string]policy.ZoneID),
+		cells: make(map[[2]string]policy.CellID),
+	}
 }
 
 // Zone is the number of a zone's name, given at its first mention.
--- a/internal/state/fleet/fleet_test.go
+++ b/internal/state/endpointlist/list_test.go
@@ -1,6 +1,7 @@
-package fleet
+package endpointlist
 
 import (
+	"docksail/policy"
 	"errors"
 	"net/netip"
 	"os"
@@ -9,13 +10,13 @@
 	"testing"
 
 	"pgregory.net/rapid"
-
-	"docksail/policy"
 )
 
 func host(id policy.ServerID, started int64, health policy.Health) Host {
-	return Host{ID: id, Address: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(1000+id)), Role: policy.Decode, Zone: "a",
-		Cell: "c", Health: health, Started: started}
+	return Host{
+		ID: id, Address: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(1000+id)), Role: policy.Decode, Zone: "a",
+		Cell: "c", Health: health, Started: started,
+	}
 }
 
 func TestVersions(t *testing.T) {
--- a/internal/state/vault/vault.go
+++ b/internal/state/recordstore/store.go
@@ -1,7 +1,7 @@
-// Package vault keeps small records in named sets, in one file of one process. Every record carries a version and a
+// Package recordstore keeps small records in named sets, in one file of one process. Every record carries a version and a
 // checksum over its set, its key and what it holds, so that what has rotted is found, named, and harms nothing else.
 // The file is a bbolt database: a change is whole on disk or not there, whatever ends the process.
-package vault
+package recordstore
 
 import (
 	"bytes"
--- a/internal/state/vault/vault_test.go
+++ b/internal/state/recordstore/store_test.go
@@ -1,4 +1,4 @@
-package vault
+package recordstore
 
 import (
 	"bytes"
--- a/internal/state/requests/requests.go
+++ b/internal/state/requesttable/table.go
@@ -1,6 +1,6 @@
-// Package requests keeps the requests that a dispatcher has in hand, in a slab with reused places. What is owed for each is in
+// Package requesttable keeps the requests that a dispatcher has in hand, in a slab with reused places. What is owed for each is in
 // decide/effects.
-package requests
+package requesttable
 
 import "docksail/policy"
 
--- a/internal/state/requests/requests_test.go
+++ b/internal/state/requesttable/table_test.go
@@ -1,11 +1,10 @@
-package requests
+package requesttable
 
 import (
+	"docksail/policy"
 	"testing"
 
 	"pgregory.net/rapid"
-
-	"docksail/policy"
 )
 
 // TestTable plays random uses against a map.
--- a/policy/classes_test.go
+++ b/policy/classes_test.go
@@ -28,8 +28,10 @@
 			d.Woken(now)
 		}
 		if rng.Int64N(2) == 0 {
-			d.RequestArrived(now, Request{ID: RequestID(n + 1), Class: place[rng.IntN(2)], Tenant: -1, Session: SessionKey(rng.IntN(50) + 1),
-				Prefix: PrefixKey(rng.IntN(5) + 1), Prompt: 1000 + rng.Int64N(3000), Shared: 800, Deadline: now + Nanos(1e9+rng.Int64N(4e9))})
+			d.RequestArrived(now, Request{
+				ID: RequestID(n + 1), Class: place[rng.IntN(2)], Tenant: -1, Session: SessionKey(rng.IntN(50) + 1),
+				Prefix: PrefixKey(rng.IntN(5) + 1), Prompt: 1000 + rng.Int64N(3000), Shared: 800, Deadline: now + Nanos(1e9+rng.Int64N(4e9)),
+			})
 		}
 		if k := rng.IntN(max(len(out), 1)); len(out) > 0 && rng.IntN(3) > 0 {
 			what := out[k]
--- a/policy/events.go
+++ b/policy/events.go
@@ -9,7 +9,8 @@
 
 // New makes a dispatcher that knows nothing but its settings. All its random choices follow from the seed.
 func New(seed uint64, self Identity, classes []Class, tenants []Tenant, roles []Role, coldStart ColdStart,
-	limits AttemptLimits, answering Answering, listing Listing, releaseTime Nanos) (*Dispatcher, error) {
+	limits AttemptLimits, answering Answering, listing Listing, releaseTime Nanos,
+) (*Dispatcher, error) {
 	switch {
 	case len(classes) == 0:
 		return nil, fmt.Errorf("no classes")
@@ -31,14 +32,20 @@
 		shortestWait, shortestTarget = min(shortestWait, t.Target), min(shortestTarget, t.Target)
 	}
 	d := &Dispatcher{
-		requestPart: requestPart{classes: classes, shortestTarget: shortestTarget, tenants: tenants,
-			answering: answering, requests: newRequestTable(), shares: make([]tokenBucket, len(tenants))},
-		serverPart: serverPart{self: self, roles: roles, byID: make(map[ServerID]int32),
-			cellIndex: make(map[cellKey]int32), prefixes: newPrefixIndex()},
+		requestPart: requestPart{
+			classes: classes, shortestTarget: shortestTarget, tenants: tenants,
+			answering: answering, requests: newRequestTable(), shares: make([]tokenBucket, len(tenants)),
+		},
+		serverPart: serverPart{
+			self: self, roles: roles, byID: make(map[ServerID]int32),
+			cellIndex: make(map[cellKey]int32), prefixes: newPrefixIndex(),
+		},
 		limitPart: limitPart{coldStart: coldStart, attemptLimits: limits, releaseTime: releaseTime},
 		loadPart:  loadPart{requestLimit: math.MaxInt32},
-		schedulePart: schedulePart{listing: listing, watching: !listing.Asked, wakeAt: Never, reviewAt: Never,
-			reviewInterval: max(shortestWait/reviewsPerTarget, answering.Round, 1)},
+		schedulePart: schedulePart{
+			listing: listing, watching: !listing.Asked, wakeAt: Never, reviewAt: Never,
+			reviewInterval: max(shortestWait/reviewsPerTarget, answering.Round, 1),
+		},
 		rng: pcg{seed},
 	}
 	d.rng.intn(1)
@@ -60,7 +67,8 @@
 
 // ServerListed reports one entry of the update.
 func (d *Dispatcher) ServerListed(id ServerID, zone ZoneID, kind KindID, cell CellID, health Health,
-	startedAt Nanos) {
+	startedAt Nanos,
+) {
 	i, ok := d.byID[id]
 	if !ok {
 		if health == Gone {
@@ -116,7 +124,8 @@
 
 // AttemptEnded reports the outcome of an attempt; over tells that the request has its final answer.
 func (d *Dispatcher) AttemptEnded(now Nanos, id RequestID, attempt AttemptNumber, outcome Outcome,
-	elapsed Nanos, over bool, load Load) {
+	elapsed Nanos, over bool, load Load,
+) {
 	slot, req := d.requests.find(id)
 	if req == nil || !req.attemptOut || attempt != AttemptNumber(req.attempts-1) {
 		return
@@ -237,6 +246,8 @@
 		return Belief{}, false
 	}
 	srv := &d.servers[i]
-	return Belief{Unread: srv.queuedTokens, Waiting: srv.outstanding, Writing: srv.streams,
-		Aside: now < srv.ejectedUntil || srv.halfOpen}, true
+	return Belief{
+		Unread: srv.queuedTokens, Waiting: srv.outstanding, Writing: srv.streams,
+		Aside: now < srv.ejectedUntil || srv.halfOpen,
+	}, true
 }
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -552,8 +552,10 @@
 	if req.attempts++; req.attempts == 1 {
 		d.active++
 	}
-	return Decision{Verb: Attempt, Request: req.ID, Server: srv.id, Kept: kept,
-		For: d.attemptTimeout(now, req, srv.role), Before: d.repeatBefore(req, srv)}
+	return Decision{
+		Verb: Attempt, Request: req.ID, Server: srv.id, Kept: kept,
+		For: d.attemptTimeout(now, req, srv.role), Before: d.repeatBefore(req, srv),
+	}
 }
 
 // attemptTimeout bounds an attempt. Where attempts can be cancelled, a stalled decode server is noticed by
@@ -685,7 +687,8 @@
 
 // lowestEligible is the least value of a figure among the eligible servers that have it.
 func (d *Dispatcher) lowestEligible(now Nanos, req *requestState, pass int,
-	of func(srv *server) (int64, bool)) int64 {
+	of func(srv *server) (int64, bool),
+) int64 {
 	low := int64(Never)
 	for i := range d.servers {
 		if x, ok := of(&d.servers[i]); ok && d.eligible(now, req, int32(i), pass) {
--- a/policy/scale_test.go
+++ b/policy/scale_test.go
@@ -84,8 +84,10 @@
 		if p.now >= p.due {
 			p.due += p.every
 			p.next++
-			p.module.RequestArrived(p.now, Request{ID: p.next, Tenant: -1, Session: SessionKey(p.next), Prefix: PrefixKey(p.next%50 + 1),
-				Prompt: 4000, Shared: 1000, Deadline: p.now + 5e9})
+			p.module.RequestArrived(p.now, Request{
+				ID: p.next, Tenant: -1, Session: SessionKey(p.next), Prefix: PrefixKey(p.next%50 + 1),
+				Prompt: 4000, Shared: 1000, Deadline: p.now + 5e9,
+			})
 			p.pull()
 		}
 		if p.wake <= p.now {
--- a/policy/scenario_test.go
+++ b/policy/scenario_test.go
@@ -59,9 +59,11 @@
 		for _, part := range strings.Split(string(text), "\n== ")[1:] {
 			name, body, _ := strings.Cut(part, "\n")
 			t.Run(strings.TrimSuffix(filepath.Base(file), ".txt")+"/"+name, func(t *testing.T) {
-				p := &player{t: t, now: 1000 * ms, wake: Never, attempts: map[int]AttemptNumber{}, set: map[string]int{"target": 1000,
-					"per1k": 60, "timeout": 5000, "most": 6, "cancel": 1, "slack": 16, "round": 4, "release": 500,
-					"from": 30, "warm": 10000, "multiple": 250, "window": 2000, "advice": 1, "maxadvice": 1000, "count": 2}}
+				p := &player{t: t, now: 1000 * ms, wake: Never, attempts: map[int]AttemptNumber{}, set: map[string]int{
+					"target": 1000,
+					"per1k":  60, "timeout": 5000, "most": 6, "cancel": 1, "slack": 16, "round": 4, "release": 500,
+					"from": 30, "warm": 10000, "multiple": 250, "window": 2000, "advice": 1, "maxadvice": 1000, "count": 2,
+				}}
 				p.play(strings.Split(body, "\n"))
 				p.queueEmpty("the end")
 			})
@@ -102,11 +104,15 @@
 func (p *player) start() {
 	s := func(name string) Nanos { return Nanos(p.set[name]) * ms }
 	var err error
-	p.d, err = New(1, Identity{Number: int32(p.set["number"]), Count: int32(p.set["count"])}, []Class{{Target: s("target"), TargetPer1k: s("per1k"),
+	p.d, err = New(1, Identity{Number: int32(p.set["number"]), Count: int32(p.set["count"])}, []Class{{
+		Target: s("target"), TargetPer1k: s("per1k"),
 		Timeout: s("timeout"), Value: 1, TokenGap: 50 * ms, Effect: Effect(p.set["effect"]), Group: Group(p.set["group"]),
-		Window: s("memory")}}, []Tenant{{PerSecond: float64(p.set["share"])}}, []Role{Prefill, Decode, Mixed},
-		ColdStart{From: float64(p.set["from"]) / 100, Warm: s("warm"), Multiple: float64(p.set["multiple"]) / 100,
-			Window: s("window")},
+		Window: s("memory"),
+	}}, []Tenant{{PerSecond: float64(p.set["share"])}}, []Role{Prefill, Decode, Mixed},
+		ColdStart{
+			From: float64(p.set["from"]) / 100, Warm: s("warm"), Multiple: float64(p.set["multiple"]) / 100,
+			Window: s("window"),
+		},
 		AttemptLimits{Most: int32(p.set["most"]), Cancel: p.set["cancel"] == 1, DecodeReads: p.set["pens"] == 1},
 		Answering{Slack: s("slack"), Round: s("round"), Advice: p.set["advice"] == 1, MaxAdvice: s("maxadvice")},
 		Listing{Asked: p.set["asked"] == 1, Within: 10000 * ms}, s("release"))
@@ -144,8 +150,10 @@
 	if p.d == nil && w[0] != "set" {
 		p.start()
 	}
-	opts := map[string]int{"zone": 0, "cell": 0, "started": 0, "prompt": 500, "shared": 0, "prefix": 0, "session": 0,
-		"timeout": p.set["timeout"], "tenant": -1, "after": 50, "health": 0, "held": -1}
+	opts := map[string]int{
+		"zone": 0, "cell": 0, "started": 0, "prompt": 500, "shared": 0, "prefix": 0, "session": 0,
+		"timeout": p.set["timeout"], "tenant": -1, "after": 50, "health": 0, "held": -1,
+	}
 	for _, o := range w {
 		if k, v, ok := strings.Cut(o, "="); ok {
 			if _, known := opts[k]; !known {
@@ -188,15 +196,19 @@
 		p.now = Nanos(id) * ms
 	case "request":
 		p.settle()
-		p.d.RequestArrived(p.now, Request{ID: RequestID(id), Tenant: TenantID(opts["tenant"]), Session: SessionKey(opts["session"]),
+		p.d.RequestArrived(p.now, Request{
+			ID: RequestID(id), Tenant: TenantID(opts["tenant"]), Session: SessionKey(opts["session"]),
 			Prefix: PrefixKey(opts["prefix"]), Prompt: int64(opts["prompt"]), Shared: int64(opts["shared"]), Cap: 200,
-			Deadline: p.now + Nanos(opts["timeout"])*ms})
+			Deadline: p.now + Nanos(opts["timeout"])*ms,
+		})
 	case "began":
 		p.d.StreamBegan(p.now, RequestID(id), p.attempts[id], Nanos(opts["after"])*ms)
 	case "ended":
-		outcome, ok := map[string]Outcome{"served": Served, "read": Read, "rejected": Rejected, "stateless": Stateless,
+		outcome, ok := map[string]Outcome{
+			"served": Served, "read": Read, "rejected": Rejected, "stateless": Stateless,
 			"unreachable": Unreachable, "notsent": NotSent, "failed": Failed, "late": Late, "broken": Broken,
-			"canceled": Canceled, "stale": StaleConnection}[w[2]]
+			"canceled": Canceled, "stale": StaleConnection,
+		}[w[2]]
 		if !ok {
 			p.t.Fatalf("%s: unknown outcome", p.at)
 		}
@@ -247,8 +259,10 @@
 	}
 	got := p.queue[0]
 	p.queue = p.queue[1:]
-	name := map[Verb]string{Attempt: "attempt", Cancel: "cancel", Reject: "reject", Fail: "fail", Release: "release",
-		Watch: "watch"}[got.Verb]
+	name := map[Verb]string{
+		Attempt: "attempt", Cancel: "cancel", Reject: "reject", Fail: "fail", Release: "release",
+		Watch: "watch",
+	}[got.Verb]
 	ok := name == w[0] && (len(w) < 2 || fmt.Sprint(got.Request) == w[1])
 	if n := len(w) - 2; n > 0 && w[n] == "before" {
 		before := "never"
--- a/policy/state.go
+++ b/policy/state.go
@@ -76,8 +76,10 @@
 		slot = int32(len(s.entries))
 		s.entries = append(s.entries, requestState{})
 	}
-	s.entries[slot] = requestState{Request: request, used: true,
-		attemptServer: noServer, prefillServer: noServer, ranOn: noServer}
+	s.entries[slot] = requestState{
+		Request: request, used: true,
+		attemptServer: noServer, prefillServer: noServer, ranOn: noServer,
+	}
 	s.byID[request.ID] = slot
 	return slot
 }
