--- a/cmd/docksail/batch.go
+++ b/cmd/docksail/batch.go
@@ -38,15 +38,15 @@
 	if err != nil {
 		return nil, err
 	}
-	plan := batchrunner.Plan{Tracks: map[string]batchrunner.Track{}, Target: at.String(), Out: b.Out, First: b.First, Lines: b.Lines, Line: b.Line, Seed: s.Seed}
+	plan := batchrunner.Config{Classes: map[string]batchrunner.Class{}, DispatcherAddress: at.String(), MaxLinesInFlight: b.Out, InitialBackoff: b.First, MaxLines: b.Lines, MaxLineBytes: b.Line, Seed: s.Seed}
 	if at.Addr().IsUnspecified() {
-		plan.Target = net.JoinHostPort("localhost", fmt.Sprint(at.Port()))
+		plan.DispatcherAddress = net.JoinHostPort("localhost", fmt.Sprint(at.Port()))
 	}
 	for _, t := range s.Classes {
-		plan.Tracks[t.Name] = batchrunner.Track{Effect: map[policy.Effect]batchscheduler.Effect{
-			policy.Idempotent: batchscheduler.Redoable, policy.Deduplicated: batchscheduler.Labelled,
-			policy.NonIdempotent: batchscheduler.Irreversible,
-		}[policy.Effect(t.Effect)], Window: t.Window, Patience: t.Timeout}
+		plan.Classes[t.Name] = batchrunner.Class{Effect: map[policy.Idempotency]batchscheduler.Effect{
+			policy.Idempotent: batchscheduler.Idempotent, policy.Deduplicated: batchscheduler.Deduplicated,
+			policy.NonIdempotent: batchscheduler.NonIdempotent,
+		}[policy.Idempotency(t.Effect)], DeduplicationWindow: t.Window, Timeout: t.Timeout}
 	}
 	for _, t := range s.Tenants {
 		w := t.Weight
@@ -69,7 +69,7 @@
 	if err != nil {
 		return fail(err)
 	}
-	srv, err := frontend.New(ctx, store, r, frontend.Limits{File: b.File, Window: b.Window, Headers: s.Limits.Headers}, keys, log)
+	srv, err := frontend.New(ctx, store, r, frontend.Limits{MaxFileBytes: b.File, MaxCompletionWindow: b.Window, MaxHeaderBytes: s.Limits.Headers}, keys, log)
 	if err != nil {
 		return fail(err)
 	}
@@ -93,7 +93,7 @@
 	if b.Keep > 0 {
 		run("sweep", func() error {
 			for tick := time.Tick(sweepEvery); ; {
-				n, err := store.Sweep(time.Now(), b.Keep)
+				n, err := store.DeleteFilesOlderThan(time.Now(), b.Keep)
 				if err != nil {
 					log.Error("old files not deleted", "err", err)
 				} else if n > 0 {
@@ -219,7 +219,7 @@
 			if err := c.call(cmd.Context(), "POST", "/v1/files", form.FormDataContentType(), body, &file); err != nil {
 				return err
 			}
-			q, err := json.Marshal(map[string]any{"input_file_id": file.ID, "endpoint": batchrunner.Endpoint, "completion_window": window})
+			q, err := json.Marshal(map[string]any{"input_file_id": file.ID, "endpoint": batchrunner.CompletionsEndpoint, "completion_window": window})
 			if err != nil {
 				return err
 			}
--- a/cmd/docksail/main_test.go
+++ b/cmd/docksail/main_test.go
@@ -212,15 +212,15 @@
 // Servers of which a dispatcher has nothing have no line at the usual level: a large fleet has thousands of them.
 func TestBeliefLevel(t *testing.T) {
 	for name, c := range map[string]struct {
-		belief node.Belief
+		belief node.ServerStatus
 		want   slog.Level
 	}{
-		"nothing":         {node.Belief{}, slog.LevelDebug},
-		"an attempt out":  {node.Belief{ServerView: backend.ServerView{Out: 1}, Belief: policy.Belief{Writing: 1}}, slog.LevelInfo},
-		"a kept conn":     {node.Belief{ServerView: backend.ServerView{Idle: 1}}, slog.LevelInfo},
-		"ejected":         {node.Belief{Belief: policy.Belief{Aside: true}}, slog.LevelInfo},
-		"no agreement":    {node.Belief{Belief: policy.Belief{Writing: 1}}, slog.LevelInfo},
-		"a report, alone": {node.Belief{ServerView: backend.ServerView{LoadAge: 5}}, slog.LevelDebug},
+		"nothing":         {node.ServerStatus{}, slog.LevelDebug},
+		"an attempt out":  {node.ServerStatus{ServerStats: backend.ServerStats{InFlightAttempts: 1}, ServerEstimate: policy.ServerEstimate{Streams: 1}}, slog.LevelInfo},
+		"a kept conn":     {node.ServerStatus{ServerStats: backend.ServerStats{IdleConns: 1}}, slog.LevelInfo},
+		"ejected":         {node.ServerStatus{ServerEstimate: policy.ServerEstimate{Ejected: true}}, slog.LevelInfo},
+		"no agreement":    {node.ServerStatus{ServerEstimate: policy.ServerEstimate{Streams: 1}}, slog.LevelInfo},
+		"a report, alone": {node.ServerStatus{ServerStats: backend.ServerStats{LoadReportAge: 5}}, slog.LevelDebug},
 	} {
 		if got := beliefLevel(&c.belief); got != c.want {
 			t.Errorf("%s: level %v, want %v", name, got, c.want)
--- a/cmd/docksail/node.go
+++ b/cmd/docksail/node.go
@@ -25,15 +25,15 @@
 		RunE: func(*cobra.Command, []string) error {
 			signals := make(chan os.Signal, 4) // before all else: a signal that comes during the start is kept
 			signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
-			t, err := node.Load(os.Getenv)
+			t, err := node.LoadConfig(os.Getenv)
 			if err != nil {
 				return err
 			}
 			node.LimitResources(t)
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
-			log := slog.New(dispatch.LogBeside(ctx, slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})))
-			n, err := node.Run(t, log)
+			log := slog.New(dispatch.NewAsyncLogHandler(ctx, slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})))
+			n, err := node.Start(t, log)
 			if err != nil {
 				return err
 			}
@@ -50,7 +50,7 @@
 						n.Drain()
 						continue
 					}
-					changed, err := node.Load(os.Getenv)
+					changed, err := node.LoadConfig(os.Getenv)
 					if err != nil {
 						log.Error("configuration stays as it was", "err", err)
 						continue
@@ -71,21 +71,21 @@
 
 // logView logs how a dispatcher does, with a line for each server that has something of it: in a large fleet these are few.
 func logView(log *slog.Logger, n *node.Node) {
-	view, ok := n.View()
+	view, ok := n.Status()
 	if !ok {
 		return
 	}
-	beliefs := view.Beliefs
-	view.Beliefs = nil
+	beliefs := view.ServerStatuses
+	view.ServerStatuses = nil
 	log.Info("counts", "view", view)
 	for _, b := range beliefs {
-		log.Log(context.Background(), beliefLevel(&b), "belief", "server", b.Name, "prefill", b.Prefill, "unread", b.Unread, "reported", b.Load.Unread,
-			"age_ms", b.LoadAge/1e6, "waiting", b.Waiting, "writing", b.Writing, "out", b.Out, "idle", b.Idle, "aside", b.Aside, "differs", b.Differs())
+		log.Log(context.Background(), beliefLevel(&b), "belief", "server", b.Name, "prefill", b.Prefill, "unread", b.QueuedPromptTokens, "reported", b.LoadReport.QueuedPromptTokens,
+			"age_ms", b.LoadReportAge/1e6, "waiting", b.UnansweredAttempts, "writing", b.Streams, "out", b.InFlightAttempts, "idle", b.IdleConns, "aside", b.Ejected, "differs", b.HasMismatch())
 	}
 }
 
 // beliefLevel is the level of a server's line: those of which the dispatcher has nothing are for who asks for all.
-func beliefLevel(b *node.Belief) slog.Level {
+func beliefLevel(b *node.ServerStatus) slog.Level {
 	if b.InUse() {
 		return slog.LevelInfo
 	}
--- a/cmd/docksail/serve.go
+++ b/cmd/docksail/serve.go
@@ -36,12 +36,12 @@
 			}
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
-			beside := dispatch.LogBeside(ctx, slog.NewJSONHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
+			beside := dispatch.NewAsyncLogHandler(ctx, slog.NewJSONHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
 			log := slog.New(beside)
 			for _, warning := range s.Warnings {
 				log.Warn("settings", "former_name", warning)
 			}
-			r, err := dispatch.Run(s, log, nil)
+			r, err := dispatch.Start(s, log, nil)
 			if err != nil {
 				return err
 			}
@@ -70,17 +70,17 @@
 			for {
 				select {
 				case <-tick.C:
-					r.Ask(func(d *dispatch.Dispatcher) { log.Info("counts", "view", d.View(), "log_lost", beside.Lost()) })
+					r.RunOnLoop(func(d *dispatch.Dispatcher) { log.Info("counts", "view", d.Status(), "log_lost", beside.Dropped()) })
 				case <-status:
-					var v dispatch.View
-					if r.Ask(func(d *dispatch.Dispatcher) { v = d.View() }) {
+					var v dispatch.Status
+					if r.RunOnLoop(func(d *dispatch.Dispatcher) { v = d.Status() }) {
 						if err := writeStatus(s.Status, v); err != nil {
 							log.Warn("status not written", "err", err)
 						}
 					}
 				case <-reload:
 					changed, err := config.Load(args[0])
-					if err == nil && !r.Ask(func(d *dispatch.Dispatcher) { err = d.Terms(changed) }) {
+					if err == nil && !r.RunOnLoop(func(d *dispatch.Dispatcher) { err = d.SetTenantLimits(changed) }) {
 						err = fmt.Errorf("the dispatcher has ended")
 					}
 					if err != nil {
@@ -113,12 +113,12 @@
 type status struct {
 	Format int       `json:"format"`
 	At     time.Time `json:"at"`
-	View   dispatch.View
+	View   dispatch.Status
 }
 
 const statusFormat = 1
 
-func writeStatus(name string, v dispatch.View) error {
+func writeStatus(name string, v dispatch.Status) error {
 	b, err := json.Marshal(status{statusFormat, time.Now(), v})
 	if err != nil {
 		return err
@@ -172,29 +172,29 @@
 	if age > 5*time.Second {
 		old = "  (" + age.String() + " old: the dispatcher may have ended)"
 	}
-	fmt.Fprintf(out, "%s%s\n%d requests in hand, %d waiting in %d flows, %d connections\n", s.At.Format(time.TimeOnly), old, v.InHand, v.Waiting, v.Flows, v.Clients)
+	fmt.Fprintf(out, "%s%s\n%d requests in hand, %d waiting in %d flows, %d connections\n", s.At.Format(time.TimeOnly), old, v.InFlight, v.Waiting, v.Flows, v.ClientConns)
 	total := 0.0
 	for _, t := range v.Tenants {
-		total += t.Counts.Cost
+		total += t.Counts.AdmittedCost
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "tenant\tweight\twaiting\trunning\tcame\tlet in\tshare\tmean wait\tlongest\tbooked\tback\tkept\t")
 	for _, t := range v.Tenants {
 		n := t.Counts
-		mean := time.Duration(n.Waited / int64(max(n.Admitted, 1)))
+		mean := time.Duration(n.TotalWait / int64(max(n.Admitted, 1)))
 		fmt.Fprintf(w, "%s\t%g\t%d\t%d\t%d\t%d\t%.1f%%\t%v\t%v\t%d\t%d\t%d\t\n", cmp.Or(t.Name, "(all)"), t.Weight, t.Waiting, t.Running, n.Arrived, n.Admitted,
-			100*n.Cost/max(total, 1), mean.Round(time.Millisecond), time.Duration(n.Longest).Round(time.Millisecond), n.Booked, n.Returned, n.KeptBookings)
+			100*n.AdmittedCost/max(total, 1), mean.Round(time.Millisecond), time.Duration(n.MaxWait).Round(time.Millisecond), n.ReservationsGranted, n.ReservationsRedeemed, n.ReservationsAdmitted)
 	}
 	w.Flush()
 	for _, t := range v.Tenants {
-		for cause, n := range t.Counts.Refused {
+		for cause, n := range t.Counts.Rejected {
 			if n > 0 {
-				fmt.Fprintf(out, "refused %s: %d, %v\n", cmp.Or(t.Name, "(all)"), n, admission.Cause(cause))
+				fmt.Fprintf(out, "refused %s: %d, %v\n", cmp.Or(t.Name, "(all)"), n, admission.Verdict(cause))
 			}
 		}
 	}
 	k := v.Counts
-	fmt.Fprintf(out, "%d served, %d rejected, %d failed, %d left; %d attempts, %d late, %d broken\n", k.Served, k.Rejected, k.Failed, k.ClientsLeft,
+	fmt.Fprintf(out, "%d served, %d rejected, %d failed, %d left; %d attempts, %d late, %d broken\n", k.Served, k.Rejected, k.Failed, k.ClientDisconnects,
 		k.Attempts, k.TimedOut, k.Broken)
 }
 
--- a/internal/backend/platform/discovery.go
+++ b/internal/backend/platform/discovery.go
@@ -13,59 +13,59 @@
 
 // discovery follows the list.
 type discovery struct {
-	exit      *Exit
-	addr      netip.AddrPort // where the configuration says that it is
-	onRequest bool           // lists are asked for, not pushed
-	current   *watch         // the one whose news counts
-	next      *watch         // one that has told nothing yet
-	failures  int            // watches in a row that were not to be had
-	refusals  int            // calls in a row that discovery refused
-	version   int64          // of the last news from addr; -1 = none came from there: a whole list is asked for
-	timer     eventloop.Timer
-	onTimer   func(eventloop.Nanos)
-	onNews    func() // the first news of this process, once
+	backend       *Backend
+	addr          netip.AddrPort // where the configuration says that it is
+	listOnRequest bool           // lists are asked for, not pushed
+	current       *watch         // the one whose news counts
+	next          *watch         // one that has told nothing yet
+	failedWatches int            // watches in a row that were not to be had
+	rejectedCalls int            // calls in a row that discovery refused
+	version       int64          // of the last news from addr; -1 = none came from there: a whole list is asked for
+	timer         eventloop.Timer
+	onTimer       func(eventloop.Nanos)
+	onFirstList   func() // the first news of this process, once
 }
 
-func (s *discovery) init(x *Exit, addr netip.AddrPort, asked bool) {
-	*s = discovery{exit: x, addr: addr, onRequest: asked, version: -1, onTimer: s.watch}
+func (d *discovery) init(x *Backend, addr netip.AddrPort, listOnRequest bool) {
+	*d = discovery{backend: x, addr: addr, listOnRequest: listOnRequest, version: -1, onTimer: d.watch}
 }
 
 // watch begins a watch, if none at the address is under way or at work.
-func (s *discovery) watch(now eventloop.Nanos) {
-	if s.next != nil || s.current != nil && s.current.addr == s.addr {
+func (d *discovery) watch(now eventloop.Nanos) {
+	if d.next != nil || d.current != nil && d.current.addr == d.addr {
 		return
 	}
-	w := &watch{discovery: s, addr: s.addr, decoder: h1.NewClient(h1.Limits{Head: headMost})}
-	lc, err := s.exit.loop.Dial(s.addr, decide.ConnectTimeout, w)
+	w := &watch{discovery: d, addr: d.addr, decoder: h1.NewResponseDecoder(h1.Limits{HeadBytes: maxHeadBytes})}
+	lc, err := d.backend.loop.Dial(d.addr, decide.ConnectTimeout, w)
 	if err != nil {
-		s.exit.log.Warn("discovery", "at", s.addr, "err", err)
-		s.failures++
-		s.retryLater(now)
+		d.backend.log.Warn("discovery", "at", d.addr, "err", err)
+		d.failedWatches++
+		d.scheduleRetry(now)
 		return
 	}
-	s.exit.Counts.Watches++
-	w.conn, s.next = lc, w
+	d.backend.Counts.DiscoveryWatches++
+	w.conn, d.next = lc, w
 }
 
-// retryLater tries again after a while.
-func (s *discovery) retryLater(now eventloop.Nanos) {
-	wait := decide.RetryAfter(s.failures, s.refusals, s.exit.rng.Float64())
-	s.exit.loop.At(&s.timer, now+max(wait, 1), s.onTimer)
+// scheduleRetry tries again after a while.
+func (d *discovery) scheduleRetry(now eventloop.Nanos) {
+	wait := decide.RetryDelay(d.failedWatches, d.rejectedCalls, d.backend.rng.Float64())
+	d.backend.loop.SetTimer(&d.timer, now+max(wait, 1), d.onTimer)
 }
 
-// Discovery has the list watched at another address; the old watch goes when the new one has told something. Versions
+// SetDiscoveryAddr has the list watched at another address; the old watch goes when the new one has told something. Versions
 // are a discovery's own: one at another address may count otherwise, so it is asked for the whole list.
-func (x *Exit) Discovery(now eventloop.Nanos, addr netip.AddrPort) {
-	s := &x.discovery
-	if addr == s.addr {
+func (b *Backend) SetDiscoveryAddr(now eventloop.Nanos, addr netip.AddrPort) {
+	d := &b.discovery
+	if addr == d.addr {
 		return
 	}
-	s.addr, s.failures, s.refusals, s.version = addr, 0, 0, -1
-	if s.next != nil {
-		s.next.end()
-		s.next = nil
+	d.addr, d.failedWatches, d.rejectedCalls, d.version = addr, 0, 0, -1
+	if d.next != nil {
+		d.next.end()
+		d.next = nil
 	}
-	s.watch(now)
+	d.watch(now)
 }
 
 // watch is one connection to discovery.
@@ -74,17 +74,17 @@
 	addr      netip.AddrPort
 	conn      *eventloop.Conn
 	decoder   h1.Decoder
-	feed      h1.Feeder
-	list      values
+	feeder    h1.InputBuffer
+	objects   objectSplitter
 	timer     eventloop.Timer
-	over      bool
-	silent    bool // it was given up as it said nothing
-	refused   bool // the call was answered with another status
+	ended     bool
+	timedOut  bool // it was given up as it said nothing
+	rejected  bool // the call was answered with another status
 }
 
 func (w *watch) end() {
-	w.over = true
-	w.discovery.exit.loop.Cancel(&w.timer)
+	w.ended = true
+	w.discovery.backend.loop.CancelTimer(&w.timer)
 	w.conn.Close()
 }
 
@@ -95,42 +95,42 @@
 	}
 	b = append(append(append(b, " HTTP/1.1\r\nHost: "...), w.addr.String()...), "\r\n\r\n"...)
 	w.conn.Write(b)
-	w.expectWithin(now, decide.AnswerWithin(w.discovery.onRequest, w.discovery.refusals))
+	w.resetSilenceTimer(now, decide.ResponseTimeout(w.discovery.listOnRequest, w.discovery.rejectedCalls))
 }
 
-// expectWithin sets the time in which the next sign of life must come: the head of the answer, then whole news or the blank
+// resetSilenceTimer sets the time in which the next sign of life must come: the head of the answer, then whole news or the blank
 // line between them. Bytes of what never becomes whole are none.
-func (w *watch) expectWithin(now eventloop.Nanos, span int64) {
-	w.discovery.exit.loop.At(&w.timer, now+span, func(eventloop.Nanos) {
-		w.silent = true
+func (w *watch) resetSilenceTimer(now eventloop.Nanos, span int64) {
+	w.discovery.backend.loop.SetTimer(&w.timer, now+span, func(eventloop.Nanos) {
+		w.timedOut = true
 		w.conn.Close()
 	})
 }
 
-func (w *watch) Data(now eventloop.Nanos, p []byte) {
-	w.feed.Feed(p, func(p []byte) (n int) {
-		for !w.over {
+func (w *watch) Received(now eventloop.Nanos, p []byte) {
+	w.feeder.Process(p, func(p []byte) (n int) {
+		for !w.ended {
 			piece, data, k, err := w.decoder.Next(p[n:])
 			n += k
 			switch {
-			case err == nil && piece == h1.None:
+			case err == nil && piece == h1.NeedData:
 				return n
-			case err == nil && piece == h1.Start && w.decoder.Head.Status == 200:
-				w.expectWithin(now, decide.AnswerWithin(w.discovery.onRequest, w.discovery.refusals))
-			case err == nil && piece == h1.Data:
-				err = w.list.feed(data, func(text []byte) error { return w.update(now, text) })
-				if err == nil && !w.over && w.list.between() {
+			case err == nil && piece == h1.MessageHead && w.decoder.Head.StatusCode == 200:
+				w.resetSilenceTimer(now, decide.ResponseTimeout(w.discovery.listOnRequest, w.discovery.rejectedCalls))
+			case err == nil && piece == h1.BodyData:
+				err = w.objects.feed(data, func(text []byte) error { return w.applyObject(now, text) })
+				if err == nil && !w.ended && w.objects.atBoundary() {
 					w.becomeCurrent()
-					w.expectWithin(now, decide.SilenceLimit)
+					w.resetSilenceTimer(now, decide.SilenceTimeout)
 				}
 			default:
-				w.refused = err == nil && piece == h1.Start
+				w.rejected = err == nil && piece == h1.MessageHead
 				if err == nil {
-					err = fmt.Errorf("answer with status %d, or its end", w.decoder.Head.Status)
+					err = fmt.Errorf("answer with status %d, or its end", w.decoder.Head.StatusCode)
 				}
 			}
 			if err != nil {
-				w.discovery.exit.log.Warn("discovery", "at", w.addr, "err", err)
+				w.discovery.backend.log.Warn("discovery", "at", w.addr, "err", err)
 				w.conn.Close()
 				return len(p)
 			}
@@ -146,17 +146,17 @@
 		return
 	}
 	old := s.current
-	s.current, s.next, s.failures, s.refusals = w, nil, 0, 0
+	s.current, s.next, s.failedWatches, s.rejectedCalls = w, nil, 0, 0
 	if old != nil {
 		old.end()
 	}
-	s.exit.log.Info("discovery", "at", w.addr)
+	s.backend.log.Info("discovery", "at", w.addr)
 }
 
-// update takes one object of the watch. What an old address tells while the new one has told nothing is taken, whatever
+// applyObject takes one object of the watch. What an old address tells while the new one has told nothing is taken, whatever
 // its version.
-func (w *watch) update(now eventloop.Nanos, text []byte) error {
-	var list List
+func (w *watch) applyObject(now eventloop.Nanos, text []byte) error {
+	var list EndpointList
 	if err := json.Unmarshal(text, &list); err != nil {
 		return fmt.Errorf("news %.60q: %w", text, err)
 	}
@@ -168,41 +168,41 @@
 		}
 		s.version = list.Version
 	}
-	s.exit.Take(now, list)
-	if f := s.onNews; f != nil {
-		s.onNews = nil
+	s.backend.ApplyList(now, list)
+	if f := s.onFirstList; f != nil {
+		s.onFirstList = nil
 		f()
 	}
 	return nil
 }
 
-func (w *watch) PeerDone(eventloop.Nanos) { w.conn.Close() }
-func (w *watch) Drained(eventloop.Nanos)  {}
+func (w *watch) PeerHalfClosed(eventloop.Nanos) { w.conn.Close() }
+func (w *watch) OutputFlushed(eventloop.Nanos)  {}
 
 func (w *watch) Closed(now eventloop.Nanos, err error) {
 	s := w.discovery
-	s.exit.loop.Cancel(&w.timer)
-	if w.over {
+	s.backend.loop.CancelTimer(&w.timer)
+	if w.ended {
 		return
 	}
-	w.over = true
-	s.exit.log.Warn("discovery lost", "at", w.addr, "quiet", w.silent, "spoke", s.current == w, "err", err)
+	w.ended = true
+	s.backend.log.Warn("discovery lost", "at", w.addr, "quiet", w.timedOut, "spoke", s.current == w, "err", err)
 	switch w {
 	case s.current:
 		s.current = nil
-		if w.silent { // it has been out of reach for long enough
+		if w.timedOut { // it has been out of reach for long enough
 			s.watch(now)
 			return
 		}
 	case s.next:
 		s.next = nil
-		s.failures++
+		s.failedWatches++
 		switch {
-		case w.refused:
-			s.refusals++
-		case !w.silent: // it could not be reached at all
-			s.refusals = 0
+		case w.rejected:
+			s.rejectedCalls++
+		case !w.timedOut: // it could not be reached at all
+			s.rejectedCalls = 0
 		}
 	}
-	s.retryLater(now)
+	s.scheduleRetry(now)
 }
--- a/internal/backend/platform/exit_test.go
+++ b/internal/backend/platform/exit_test.go
@@ -19,21 +19,21 @@
 // scriptedModule decides what the test gives it to decide.
 type scriptedModule struct{ decisions []policy.Decision }
 
-func (*scriptedModule) ListBegin(bool) {}
+func (*scriptedModule) ListUpdateStarted(bool) {}
 func (*scriptedModule) ServerListed(policy.ServerID, policy.ZoneID, policy.KindID, policy.CellID, policy.Health, policy.Nanos) {
 }
-func (*scriptedModule) ListEnd(policy.Nanos)                        {}
-func (*scriptedModule) ListFailed(policy.Nanos)                     {}
+func (*scriptedModule) ListUpdateEnded(policy.Nanos)                {}
+func (*scriptedModule) ListUpdateFailed(policy.Nanos)               {}
 func (*scriptedModule) RequestArrived(policy.Nanos, policy.Request) {}
-func (*scriptedModule) StreamBegan(policy.Nanos, policy.RequestID, policy.AttemptNumber, policy.Nanos) {
+func (*scriptedModule) StreamStarted(policy.Nanos, policy.RequestID, policy.AttemptNumber, policy.Nanos) {
 }
-func (*scriptedModule) ClientLeft(policy.Nanos, policy.RequestID)              {}
-func (*scriptedModule) HeldSince(policy.Nanos, policy.RequestID, policy.Nanos) {}
-func (*scriptedModule) Woken(policy.Nanos)                                     {}
-func (*scriptedModule) AttemptEnded(policy.Nanos, policy.RequestID, policy.AttemptNumber, policy.Outcome, policy.Nanos, bool, policy.Load) {
+func (*scriptedModule) RequestCanceled(policy.Nanos, policy.RequestID)              {}
+func (*scriptedModule) StateHeldSince(policy.Nanos, policy.RequestID, policy.Nanos) {}
+func (*scriptedModule) TimerFired(policy.Nanos)                                     {}
+func (*scriptedModule) AttemptEnded(policy.Nanos, policy.RequestID, policy.AttemptNumber, policy.Outcome, policy.Nanos, bool, policy.LoadReport) {
 }
 
-func (m *scriptedModule) Next(policy.Nanos) (policy.Decision, bool) {
+func (m *scriptedModule) NextDecision(policy.Nanos) (policy.Decision, bool) {
 	if len(m.decisions) == 0 {
 		return policy.Decision{}, false
 	}
@@ -47,17 +47,17 @@
 
 func (noClients) Listen(at netip.AddrPort, _ bool) (netip.AddrPort, error) { return at, nil }
 func (noClients) Flush()                                                   {}
-func (noClients) Conns() int                                               { return 0 }
-func (noClients) Idle() bool                                               { return true }
+func (noClients) ConnCount() int                                           { return 0 }
+func (noClients) IsIdle() bool                                             { return true }
 func (noClients) Drain()                                                   {}
 
 // slowCall is a client that has never room: whatever is relayed to it waits.
 type slowCall struct{ served int }
 
-func (*slowCall) Tokens(policy.RequestID, []byte) bool      { return true }
-func (c *slowCall) Served(policy.RequestID)                 { c.served++ }
-func (*slowCall) Fail(policy.RequestID, string)             {}
-func (*slowCall) Reject(policy.RequestID, frontend.Refusal) {}
+func (*slowCall) WriteTokens(policy.RequestID, []byte) bool        { return true }
+func (c *slowCall) Complete(policy.RequestID)                      { c.served++ }
+func (*slowCall) Fail(policy.RequestID, string)                    {}
+func (*slowCall) Reject(policy.RequestID, frontend.RejectionError) {}
 
 // A connection that was held back for a slow client as its answer ended is read again when it carries the next request.
 func TestHeldBackConnectionIsReadAgain(t *testing.T) {
@@ -72,7 +72,7 @@
 	defer host.Close()
 	mod, call := &scriptedModule{}, &slowCall{}
 	log := slog.New(slog.DiscardHandler)
-	d, err := dispatch.Direct(l, log, mod, []string{"a"}, []policy.Class{{Target: 1e9, Timeout: 9e9}}, nil, 10, 1000, 0, 0, 1)
+	d, err := dispatch.NewDirect(l, log, mod, []string{"a"}, []policy.Class{{LatencyTarget: 1e9, Timeout: 9e9}}, nil, 10, 1000, 0, 0, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -81,9 +81,9 @@
 		IdleTimeout: 15e9, ReleaseTime: 1e9, ConnectTimeout: 250e6,
 	}, 10, netip.AddrPort{})
 	d.Attach(noClients{}, x)
-	x.Known(0, List{Full: true, Servers: []Server{{ID: "w1", Addr: host.Addr().String(), Zone: "z", Kind: "decode", State: "Ready"}}})
+	x.SetInitialList(0, EndpointList{Full: true, Endpoints: []Endpoint{{ID: "w1", Addr: host.Addr().String(), Zone: "z", Kind: "decode", State: "Ready"}}})
 	done := make(chan error)
-	go func() { done <- l.Run(d.Round) }()
+	go func() { done <- l.Run(d.RunIteration) }()
 	defer func() { l.Stop(); <-done; l.Close() }()
 	on := func(f func()) {
 		got := make(chan struct{})
@@ -92,11 +92,11 @@
 	}
 	ask := func() {
 		on(func() {
-			id, err := d.Arrive(l.Now(), call, &frontend.Request{Class: []byte("a"), ClientID: []byte("n"), Path: []byte("/"), Raw: []byte("x"), Prompt: 1})
+			id, err := d.Submit(l.Now(), call, &frontend.Request{Class: []byte("a"), ClientID: []byte("n"), Path: []byte("/"), Raw: []byte("x"), PromptTokens: 1})
 			if err != nil {
 				t.Error(err)
 			}
-			mod.decisions = append(mod.decisions, policy.Decision{Verb: policy.Attempt, Request: id, Server: x.byName["w1"].id, For: 9e9})
+			mod.decisions = append(mod.decisions, policy.Decision{Action: policy.SendAttempt, Request: id, Server: x.byName["w1"].id, Duration: 9e9})
 		})
 	}
 	until := func(what string, is func() bool) {
@@ -129,7 +129,7 @@
 		io.WriteString(c, answer) // its end comes in the same bytes as what waits for the client
 		until("the answer is relayed", func() bool { return call.served == n+1 })
 		if n == 0 {
-			until("the connection may be used again", func() bool { return x.byName["w1"].usableConn(l.Now()) != nil })
+			until("the connection may be used again", func() bool { return x.byName["w1"].takeReusableConn(l.Now()) != nil })
 			ask()
 		}
 	}
--- a/internal/backend/platform/list_test.go
+++ b/internal/backend/platform/list_test.go
@@ -12,7 +12,7 @@
 )
 
 // largeExit is the way to a fleet of so many servers.
-func largeExit(tb testing.TB, servers int) (*Exit, []Server) {
+func largeExit(tb testing.TB, servers int) (*Backend, []Endpoint) {
 	tb.Helper()
 	l, err := eventloop.New()
 	if err != nil {
@@ -20,18 +20,18 @@
 	}
 	tb.Cleanup(l.Close)
 	log := slog.New(slog.DiscardHandler)
-	d, err := dispatch.Direct(l, log, &scriptedModule{}, []string{"a"}, []policy.Class{{Target: 1e9, Timeout: 9e9}}, nil, 10, 1000, 0, 0, 1)
+	d, err := dispatch.NewDirect(l, log, &scriptedModule{}, []string{"a"}, []policy.Class{{LatencyTarget: 1e9, Timeout: 9e9}}, nil, 10, 1000, 0, 0, 1)
 	if err != nil {
 		tb.Fatal(err)
 	}
 	x := New(l, d, log, &platformconfig.Config{Zones: []string{"z"}, Kinds: []string{"decode"}, Roles: []policy.Role{policy.Decode}, ReleaseTime: 1e9},
 		10, netip.AddrPort{})
 	d.Attach(noClients{}, x)
-	list := make([]Server, servers)
+	list := make([]Endpoint, servers)
 	for i := range list {
-		list[i] = Server{ID: fmt.Sprintf("s%d", i), Addr: "127.0.0.1:80", Zone: "z", Kind: "decode", State: "Ready"}
+		list[i] = Endpoint{ID: fmt.Sprintf("s%d", i), Addr: "127.0.0.1:80", Zone: "z", Kind: "decode", State: "Ready"}
 	}
-	x.Take(0, List{Full: true, Servers: list})
+	x.ApplyList(0, EndpointList{Full: true, Endpoints: list})
 	return x, list
 }
 
@@ -45,7 +45,7 @@
 			if n++; n%2 == 0 {
 				entry.State = "Terminating"
 			}
-			x.Take(0, List{Servers: []Server{entry}})
+			x.ApplyList(0, EndpointList{Endpoints: []Endpoint{entry}})
 		})
 	}
 	if small, large := cost(20), cost(2000); large > small {
@@ -60,7 +60,7 @@
 			x, list := largeExit(b, servers)
 			entry := list[:1]
 			for b.Loop() {
-				x.Take(0, List{Servers: entry})
+				x.ApplyList(0, EndpointList{Endpoints: entry})
 			}
 		})
 	}
--- a/internal/backend/platform/settlement.go
+++ b/internal/backend/platform/settlement.go
@@ -9,335 +9,339 @@
 	"slices"
 )
 
-// settlement carries out what effects.Settlement decides for one request: it sends releases, and watches the connections of
+// releaseTracker carries out what effects.Settlement decides for one request: it sends releases, and watches the connections of
 // attempts that were given up for their end. It outlives the request.
-type settlement struct {
-	exit       *Exit
-	account    inflight.Settlement
-	request    policy.RequestID
-	name       []byte            // the client's name for the request
-	tries      []*conn           // that carry a release without an answer
-	besideRead bool              // they were begun while a read was out
-	round      int               // of tries since one was answered
-	tried      []policy.ServerID // in these rounds
-	retryAt    eventloop.Nanos   // the next round
-	watched    []*conn           // that show the end of an attempt given up
-	timer      eventloop.Timer
-	onTimer    func(eventloop.Nanos)
-	next       *dispatch.Request // a read of the request that waits for its release
-	acting     bool
-	over       bool
+type releaseTracker struct {
+	backend        *Backend
+	decisions      inflight.ReleaseTracker
+	requestID      policy.RequestID
+	clientID       []byte            // the client's name for the request
+	pending        []*conn           // that carry a release without an answer
+	besidePrefill  bool              // they were begun while a read was out
+	round          int               // of tries since one was answered
+	triedServers   []policy.ServerID // in these rounds
+	nextRoundAt    eventloop.Nanos   // the next round
+	lingering      []*conn           // that show the end of an attempt given up
+	timer          eventloop.Timer
+	onTimer        func(eventloop.Nanos)
+	waitingPrefill *dispatch.Request // a read of the request that waits for its release
+	acting         bool
+	ended          bool
 }
 
-// settlement gives that of a request, made if there is none; nil if there may be no more.
-func (x *Exit) settlement(req *dispatch.Request) *settlement {
-	if s := x.settlements[req.ID]; s != nil {
-		return s
+// trackerFor gives that of a request, made if there is none; nil if there may be no more.
+func (b *Backend) trackerFor(req *dispatch.Request) *releaseTracker {
+	if tracker := b.releaseTrackers[req.ID]; tracker != nil {
+		return tracker
 	}
-	if !inflight.MaySettle(len(x.settlements)) {
-		x.releaseLost(req.ClientID, "too many are under way", 0, 0)
+	if !inflight.CanAddTracker(len(b.releaseTrackers)) {
+		b.recordReleaseLost(req.ClientRequestID, "too many are under way", 0, 0)
 		return nil
 	}
-	s := &settlement{exit: x, account: inflight.NewSettlement(x.releaseTime, x.keeper.Idle), request: req.ID, name: slices.Clone(req.ClientID)}
-	s.onTimer = s.act
-	x.settlements[req.ID] = s
-	return s
+	tracker := &releaseTracker{backend: b, decisions: inflight.NewReleaseTracker(b.releaseTime, b.keeper.IdleTimeout), requestID: req.ID, clientID: slices.Clone(req.ClientRequestID)}
+	tracker.onTimer = tracker.run
+	b.releaseTrackers[req.ID] = tracker
+	return tracker
 }
 
-// Release implements dispatch.Exit: any server that runs takes a release.
-func (x *Exit) Release(now eventloop.Nanos, req *dispatch.Request, _ policy.ServerID, _ policy.AttemptNumber, since eventloop.Nanos) {
-	s := x.settlement(req)
-	if s == nil {
+// Release implements dispatch.Backend: any server that runs takes a release.
+func (b *Backend) Release(now eventloop.Nanos, req *dispatch.Request, _ policy.ServerID, _ policy.AttemptNumber, since eventloop.Nanos) {
+	tracker := b.trackerFor(req)
+	if tracker == nil {
 		return
 	}
-	x.Counts.Releases++
-	s.account.Want(now, since)
-	s.actSoon(now)
+	b.Counts.Releases++
+	tracker.decisions.RequestRelease(now, since)
+	tracker.schedule(now)
 }
 
-// underWay tells that a release is owed or under way: a read that passed it would lose its state to it.
-func (s *settlement) underWay() bool { return s.account.Owed() || len(s.tries) > 0 }
+// releasePending tells that a release is owed or under way: a read that passed it would lose its state to it.
+func (t *releaseTracker) releasePending() bool {
+	return t.decisions.ReleasePending() || len(t.pending) > 0
+}
 
-// actSoon has the settlement act at the end of the turn: what else becomes of the request in it is known by then.
-func (s *settlement) actSoon(now eventloop.Nanos) { s.exit.loop.At(&s.timer, now, s.onTimer) }
+// schedule has the settlement act at the end of the turn: what else becomes of the request in it is known by then.
+func (t *releaseTracker) schedule(now eventloop.Nanos) {
+	t.backend.loop.SetTimer(&t.timer, now, t.onTimer)
+}
 
-// act does what is due now.
-func (s *settlement) act(now eventloop.Nanos) {
-	if s.acting || s.over {
+// run does what is due now.
+func (t *releaseTracker) run(now eventloop.Nanos) {
+	if t.acting || t.ended {
 		return
 	}
-	s.acting = true
-	defer func() { s.acting = false }()
-	x := s.exit
-	permit, out := x.dispatcher.MayRelease(s.request)
-	if s.account.Lost(now) {
-		x.releaseLost(s.name, "no server has taken it in time", len(s.tried), s.account.HeldFor(now))
+	t.acting = true
+	defer func() { t.acting = false }()
+	x := t.backend
+	permit, out := x.dispatcher.ReleasePermission(t.requestID)
+	if t.decisions.DetectLoss(now) {
+		x.recordReleaseLost(t.clientID, "no server has taken it in time", len(t.triedServers), t.decisions.HeldFor(now))
 	}
-	action, at := s.account.Next(now, permit, out)
+	action, at := t.decisions.NextAction(now, permit, out)
 	switch action {
-	case inflight.Send:
-		if now >= s.retryAt {
-			s.besideRead = permit == inflight.Reluctantly
-			s.sendRound(now)
+	case inflight.ActionSend:
+		if now >= t.nextRoundAt {
+			t.besidePrefill = permit == inflight.ReleaseIfUrgent
+			t.sendRound(now)
 		}
-		x.loop.At(&s.timer, max(s.retryAt, now+1), s.onTimer)
-	case inflight.Wait:
-		x.loop.At(&s.timer, max(at, now+1), s.onTimer)
-		s.sendNext(now)
-	case inflight.Expired:
-		s.expire(now)
-		s.end(now)
-	case inflight.Settled:
-		s.end(now)
+		x.loop.SetTimer(&t.timer, max(t.nextRoundAt, now+1), t.onTimer)
+	case inflight.ActionWait:
+		x.loop.SetTimer(&t.timer, max(at, now+1), t.onTimer)
+		t.sendWaitingPrefill(now)
+	case inflight.ActionExpire:
+		t.logExpired(now)
+		t.end(now)
+	case inflight.ActionDone:
+		t.end(now)
 	}
 }
 
 // sendRound sends the release by some servers that have not been asked yet, and passes over those to which there is no connection to be had.
-func (s *settlement) sendRound(now eventloop.Nanos) {
-	s.retryAt = now + s.account.RoundTimeout(s.round)
-	for sent, anew := 0, false; sent < inflight.Parallel(s.round); {
-		srv, again := s.chooseServer(now)
+func (t *releaseTracker) sendRound(now eventloop.Nanos) {
+	t.nextRoundAt = now + t.decisions.RoundTimeout(t.round)
+	for sent, anew := 0, false; sent < inflight.ParallelReleases(t.round); {
+		srv, again := t.chooseServer(now)
 		if srv == nil {
 			break
 		}
 		if again { // all have been asked: the next round begins with any, this one only if no server has it
-			s.tried = s.tried[:0]
-			if anew || len(s.tries) > 0 {
+			t.triedServers = t.triedServers[:0]
+			if anew || len(t.pending) > 0 {
 				break
 			}
 			anew = true
 		}
-		s.tried = append(s.tried, srv.id)
-		if s.sendBy(now, srv) {
+		t.triedServers = append(t.triedServers, srv.id)
+		if t.sendVia(now, srv) {
 			sent++
 		}
 	}
-	s.round++
+	t.round++
 }
 
-// sendBy sends the release by a server; false: there is no connection to be had.
-func (s *settlement) sendBy(now eventloop.Nanos, srv *server) bool {
-	x := s.exit
-	c := x.connTo(now, srv, x.maxConns, true)
+// sendVia sends the release by a server; false: there is no connection to be had.
+func (t *releaseTracker) sendVia(now eventloop.Nanos, srv *server) bool {
+	x := t.backend
+	c := x.acquireConn(now, srv, x.maxConns, true)
 	if c == nil {
 		return false
 	}
-	x.Counts.ReleaseTries++
-	if len(s.tries) >= inflight.MostTries {
-		s.dropTry(s.tries[0])
+	x.Counts.ReleaseAttempts++
+	if len(t.pending) >= inflight.MaxPendingReleases {
+		t.cancel(t.pending[0])
 	}
-	c.release = s
-	s.tries = append(s.tries, c)
-	c.carry(inflight.Release)
-	if c.ready {
+	c.release = t
+	t.pending = append(t.pending, c)
+	c.startOperation(inflight.StateRelease)
+	if c.connected {
 		c.writeRelease(now)
 	}
 	return true
 }
 
 // chooseServer gives the server by which a release goes next; nil if there is none. again: it has been asked already.
-func (s *settlement) chooseServer(now eventloop.Nanos) (srv *server, again bool) {
-	x := s.exit
+func (t *releaseTracker) chooseServer(now eventloop.Nanos) (srv *server, again bool) {
+	x := t.backend
 	for {
 		x.candidates = x.candidates[:0]
 		for _, srv := range x.servers {
-			x.candidates = append(x.candidates, serverconn.Candidate{
-				Heard: srv.heardAt, Ready: srv.restingConn(now) != nil,
-				Tried: slices.Contains(s.tried, srv.id), Gone: srv.health == policy.Gone,
+			x.candidates = append(x.candidates, serverconn.ReleaseCandidate{
+				LastHeardAt: srv.lastHeardAt, HasIdleConn: srv.reusableConn(now) != nil,
+				Tried: slices.Contains(t.triedServers, srv.id), Gone: srv.health == policy.Gone,
 			})
 		}
-		i := serverconn.Choose(x.candidates, s.round)
+		i := serverconn.SelectReleaseServer(x.candidates, t.round)
 		if i < 0 {
 			return nil, false
 		}
-		if srv := x.servers[i]; !x.candidates[i].Ready || srv.usableConn(now) != nil {
+		if srv := x.servers[i]; !x.candidates[i].HasIdleConn || srv.takeReusableConn(now) != nil {
 			return srv, x.candidates[i].Tried
 		}
 	}
 }
 
-// releaseAnswered is when a server has answered a release.
-func (s *settlement) releaseAnswered(now eventloop.Nanos, c *conn, status int) {
-	x := s.exit
-	s.forget(c)
+// handleResponse is when a server has answered a release.
+func (t *releaseTracker) handleResponse(now eventloop.Nanos, c *conn, status int) {
+	x := t.backend
+	t.removePending(c)
 	if status/100 != 2 {
 		x.Counts.ReleasesRefused++
-		x.log.Info("release refused", "request", string(s.name), "server", c.server.name, "status", status)
-		s.actSoon(now)
+		x.log.Info("release refused", "request", string(t.clientID), "server", c.server.name, "status", status)
+		t.schedule(now)
 		return
 	}
-	owed, held := s.account.Owed(), s.account.HeldFor(now)
+	owed, held := t.decisions.ReleasePending(), t.decisions.HeldFor(now)
 	if !owed {
 		x.Counts.ReleasesRepeated++
 	}
 	if owed {
 		x.Counts.ReleaseSlowest = max(x.Counts.ReleaseSlowest, held)
 	}
-	if owed && held > x.releaseTime+inflight.HeldSlack {
+	if owed && held > x.releaseTime+inflight.HoldTolerance {
 		x.Counts.ReleasesLate++
-		x.log.Warn("release late", "request", string(s.name), "server", c.server.name, "held", held, "tries", len(s.tried))
+		x.log.Warn("release late", "request", string(t.clientID), "server", c.server.name, "held", held, "tries", len(t.triedServers))
 	}
 	if x.debug {
-		x.log.Debug("release answered", "request", string(s.name), "server", c.server.name, "tries", len(s.tried), "held", held, "owed", owed)
+		x.log.Debug("release answered", "request", string(t.clientID), "server", c.server.name, "tries", len(t.triedServers), "held", held, "owed", owed)
 	}
-	s.account.Answered(c.sentAt)
-	s.dropTries()
-	s.round, s.tried, s.retryAt = 0, s.tried[:0], 0
-	s.act(now)
-	x.loop.Again()
+	t.decisions.ReleaseAccepted(c.sentAt)
+	t.cancelPending()
+	t.round, t.triedServers, t.nextRoundAt = 0, t.triedServers[:0], 0
+	t.run(now)
+	x.loop.SkipNextWait()
 }
 
-// tryLost is when the connection of a release has ended without an answer. Other servers are asked when the round is over; at once if
+// handleConnLost is when the connection of a release has ended without an answer. Other servers are asked when the round is over; at once if
 // none has it.
-func (s *settlement) tryLost(now eventloop.Nanos, c *conn) {
-	s.forget(c)
-	if len(s.tries) == 0 && len(s.tried) < len(s.exit.servers) {
-		s.retryAt = now
+func (t *releaseTracker) handleConnLost(now eventloop.Nanos, c *conn) {
+	t.removePending(c)
+	if len(t.pending) == 0 && len(t.triedServers) < len(t.backend.servers) {
+		t.nextRoundAt = now
 	}
-	s.actSoon(now)
+	t.schedule(now)
 }
 
-// forget takes a try off the settlement.
-func (s *settlement) forget(c *conn) {
-	if i := slices.Index(s.tries, c); i >= 0 {
-		s.tries = slices.Delete(s.tries, i, i+1)
+// removePending takes a try off the settlement.
+func (t *releaseTracker) removePending(c *conn) {
+	if i := slices.Index(t.pending, c); i >= 0 {
+		t.pending = slices.Delete(t.pending, i, i+1)
 	}
 }
 
-// dropTries gives up the releases that have no answer.
-func (s *settlement) dropTries() {
-	for len(s.tries) > 0 {
-		s.dropTry(s.tries[0])
+// cancelPending gives up the releases that have no answer.
+func (t *releaseTracker) cancelPending() {
+	for len(t.pending) > 0 {
+		t.cancel(t.pending[0])
 	}
 }
 
-// dropTry gives up a release that has no answer.
-func (s *settlement) dropTry(c *conn) {
-	s.forget(c)
-	c.drop()
+// cancel gives up a release that has no answer.
+func (t *releaseTracker) cancel(c *conn) {
+	t.removePending(c)
+	c.abandonAndClose()
 }
 
-// sendNext sends the read that waits, once no release is under way that could take its state.
-func (s *settlement) sendNext(now eventloop.Nanos) {
-	req := s.next
-	if req == nil || s.underWay() {
+// sendWaitingPrefill sends the read that waits, once no release is under way that could take its state.
+func (t *releaseTracker) sendWaitingPrefill(now eventloop.Nanos) {
+	req := t.waitingPrefill
+	if req == nil || t.releasePending() {
 		return
 	}
-	s.next = nil
-	x := s.exit
+	t.waitingPrefill = nil
+	x := t.backend
 	var sent dispatch.Attempt
-	if c := x.send(now, req); c != nil {
+	if c := x.sendAttempt(now, req); c != nil {
 		sent = c
 	}
-	x.dispatcher.Reassigned(now, req, sent)
-	x.loop.Again()
+	x.dispatcher.ReplaceAttempt(now, req, sent)
+	x.loop.SkipNextWait()
 }
 
-// expire takes down that something may be left.
-func (s *settlement) expire(now eventloop.Nanos) {
-	if s.account.Owed() {
-		s.exit.log.Warn("release given up", "request", string(s.name), "tries", len(s.tried), "held", s.account.HeldFor(now))
+// logExpired takes down that something may be left.
+func (t *releaseTracker) logExpired(now eventloop.Nanos) {
+	if t.decisions.ReleasePending() {
+		t.backend.log.Warn("release given up", "request", string(t.clientID), "tries", len(t.triedServers), "held", t.decisions.HeldFor(now))
 		return
 	}
-	s.exit.log.Info("end of an attempt not confirmed", "request", string(s.name), "connections", len(s.watched))
+	t.backend.log.Info("end of an attempt not confirmed", "request", string(t.clientID), "connections", len(t.lingering))
 }
 
 // end ends the settlement: a read that waits is sent.
-func (s *settlement) end(now eventloop.Nanos) {
-	x := s.exit
-	s.over = true
-	x.loop.Cancel(&s.timer)
-	delete(x.settlements, s.request)
-	s.dropTries()
-	for _, c := range s.watched {
+func (t *releaseTracker) end(now eventloop.Nanos) {
+	x := t.backend
+	t.ended = true
+	x.loop.CancelTimer(&t.timer)
+	delete(x.releaseTrackers, t.requestID)
+	t.cancelPending()
+	for _, c := range t.lingering {
 		x.Counts.Unconfirmed++
-		c.settles = nil
-		c.conn.Close()
-		c.leave()
+		c.lingersFor = nil
+		c.socket.Close()
+		c.detach()
 	}
-	s.watched = nil
-	s.sendNext(now)
-	x.loop.Again()
+	t.lingering = nil
+	t.sendWaitingPrefill(now)
+	x.loop.SkipNextWait()
 }
 
-// releaseLost takes down that a state is left to the servers' own time, or is longer than it may be. What it logs are values: the log is written beside.
-func (x *Exit) releaseLost(name []byte, why string, tried int, held int64) {
-	x.Counts.ReleasesLost++
-	x.log.Warn("release lost", "request", string(name), "why", why, "tries", tried, "held", held)
+// recordReleaseLost takes down that a state is left to the servers' own time, or is longer than it may be. What it logs are values: the log is written beside.
+func (b *Backend) recordReleaseLost(name []byte, why string, tried int, held int64) {
+	b.Counts.ReleasesLost++
+	b.log.Warn("release lost", "request", string(name), "why", why, "tries", tried, "held", held)
 }
 
 // ---- A read that waits for the release, as the dispatcher holds it.
 
-// End implements dispatch.Attempt for a read that waits.
-func (s *settlement) End(eventloop.Nanos) bool {
-	s.next = nil
+// Finish implements dispatch.Attempt for a read that waits.
+func (t *releaseTracker) Finish(eventloop.Nanos) bool {
+	t.waitingPrefill = nil
 	return false
 }
 
-// Ended implements dispatch.Attempt.
-func (s *settlement) Ended(eventloop.Nanos) {}
+// AfterFinish implements dispatch.Attempt.
+func (t *releaseTracker) AfterFinish(eventloop.Nanos) {}
 
-// Credit implements dispatch.Attempt.
-func (s *settlement) Credit(int) {}
+// CreditWindow implements dispatch.Attempt.
+func (t *releaseTracker) CreditWindow(int) {}
 
-// Stage implements dispatch.Attempt.
-func (s *settlement) Stage() inflight.Stage { return inflight.Planned }
+// DeliveryState implements dispatch.Attempt.
+func (t *releaseTracker) DeliveryState() inflight.DeliveryState { return inflight.Planned }
 
-// ServerHeard implements dispatch.Attempt.
-func (s *settlement) ServerHeard() bool { return false }
+// ServerResponsive implements dispatch.Attempt.
+func (t *releaseTracker) ServerResponsive() bool { return false }
 
 // ---- Connections of attempts that were given up.
 
-// watch keeps the connection of an attempt that is given up: its sending is ended, which is how the server learns of it, and the server's
+// linger keeps the connection of an attempt that is given up: its sending is ended, which is how the server learns of it, and the server's
 // own end tells that it has.
-func (c *conn) watch(now eventloop.Nanos, s *settlement) {
-	c.settles, c.givenUpAt = s, now
-	c.exit.loop.Cancel(&c.timer)
-	c.conn.Pause(false)
-	c.conn.EndOutput()
-	s.watched = append(s.watched, c)
-	s.account.GivenUp(now, now+c.exit.longestWait, true)
-	s.actSoon(now)
+func (c *conn) linger(now eventloop.Nanos, tracker *releaseTracker) {
+	c.lingersFor, c.abandonedAt = tracker, now
+	c.backend.loop.CancelTimer(&c.timer)
+	c.socket.SetReadPaused(false)
+	c.socket.CloseWriteAfterFlush()
+	tracker.lingering = append(tracker.lingering, c)
+	tracker.decisions.AttemptAbandoned(now, now+c.backend.maxClassTimeout, true)
+	tracker.schedule(now)
 }
 
-// unwatch gives up a connection that was to show the end of an attempt.
-func (c *conn) unwatch(now eventloop.Nanos, why string) {
-	s := c.settles
-	c.stopWatching(s)
-	c.exit.Counts.Unconfirmed++
-	if c.exit.debug {
-		c.exit.log.Debug("attempt not confirmed over", "request", string(s.name), "server", c.server.name, "conn", c.number, "why", why)
+// dropLingering gives up a connection that was to show the end of an attempt.
+func (c *conn) dropLingering(now eventloop.Nanos, why string) {
+	tracker := c.lingersFor
+	c.stopLingering(tracker)
+	c.backend.Counts.Unconfirmed++
+	if c.backend.debug {
+		c.backend.log.Debug("attempt not confirmed over", "request", string(tracker.clientID), "server", c.server.name, "conn", c.number, "why", why)
 	}
-	s.account.Unwatched()
-	s.actSoon(now)
+	tracker.decisions.WatchLost()
+	tracker.schedule(now)
 }
 
-// watchLost is when a watched connection broke.
-func (c *conn) watchLost(now eventloop.Nanos) {
-	if c.settles.account.ShowsEnd(now, c.givenUpAt, false) {
-		c.confirm(now)
+// handleLingeringLost is when a watched connection broke.
+func (c *conn) handleLingeringLost(now eventloop.Nanos) {
+	if c.lingersFor.decisions.ConfirmsEnd(now, c.abandonedAt, false) {
+		c.confirmEnd(now)
 		return
 	}
-	c.unwatch(now, "the connection broke")
+	c.dropLingering(now, "the connection broke")
 }
 
-// confirm takes down that the server has shown the end of an attempt that was given up.
-func (c *conn) confirm(now eventloop.Nanos) {
-	s := c.settles
-	c.stopWatching(s)
-	c.exit.Counts.Confirmed++
-	if c.exit.debug {
-		c.exit.log.Debug("effect", "request", string(s.name), "kind", c.effect.Kind, "from", inflight.GivenUp, "to", inflight.Over, "server", c.server.name, "conn", c.number, "uses", c.uses)
+// confirmEnd takes down that the server has shown the end of an attempt that was given up.
+func (c *conn) confirmEnd(now eventloop.Nanos) {
+	tracker := c.lingersFor
+	c.stopLingering(tracker)
+	c.backend.Counts.Confirmed++
+	if c.backend.debug {
+		c.backend.log.Debug("effect", "request", string(tracker.clientID), "kind", c.operation.Kind, "from", inflight.Abandoned, "to", inflight.Completed, "server", c.server.name, "conn", c.number, "uses", c.useCount)
 	}
-	s.account.Confirmed(now)
-	s.actSoon(now)
+	tracker.decisions.EndConfirmed(now)
+	tracker.schedule(now)
 }
 
-func (c *conn) stopWatching(s *settlement) {
-	c.settles = nil
-	if i := slices.Index(s.watched, c); i >= 0 {
-		s.watched = slices.Delete(s.watched, i, i+1)
+func (c *conn) stopLingering(tracker *releaseTracker) {
+	c.lingersFor = nil
+	if i := slices.Index(tracker.lingering, c); i >= 0 {
+		tracker.lingering = slices.Delete(tracker.lingering, i, i+1)
 	}
-	c.conn.Close()
-	c.leave()
+	c.socket.Close()
+	c.detach()
 }
--- a/internal/backend/platform/settlement_test.go
+++ b/internal/backend/platform/settlement_test.go
@@ -24,22 +24,22 @@
 	}
 	defer sound.Close()
 	log := slog.New(slog.DiscardHandler)
-	d, err := dispatch.Direct(l, log, &scriptedModule{}, []string{"a"}, []policy.Class{{Target: 1e9, Timeout: 9e9}}, nil, 10, 1000, 0, 0, 1)
+	d, err := dispatch.NewDirect(l, log, &scriptedModule{}, []string{"a"}, []policy.Class{{LatencyTarget: 1e9, Timeout: 9e9}}, nil, 10, 1000, 0, 0, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	x := New(l, d, log, &platformconfig.Config{Zones: []string{"z"}, Kinds: []string{"decode"}, Roles: []policy.Role{policy.Decode}, ReleaseTime: 1e9}, 10, netip.AddrPort{})
 	d.Attach(noClients{}, x)
-	x.Known(0, List{Full: true, Servers: []Server{
+	x.SetInitialList(0, EndpointList{Full: true, Endpoints: []Endpoint{
 		{ID: "w1", Addr: "[fe80::1]:1", Zone: "z", Kind: "decode", State: "Ready"}, // refused within the call: no zone, or no such family
 		{ID: "w2", Addr: sound.Addr().String(), Zone: "z", Kind: "decode", State: "Ready"},
 	}})
-	req := &dispatch.Request{ClientID: []byte("0000000000000001")}
+	req := &dispatch.Request{ClientRequestID: []byte("0000000000000001")}
 	req.ID = 7
 	x.Release(0, req, 0, 0, 0)
-	s := x.settlements[req.ID]
-	s.act(0)
-	if len(s.tries) != 1 || s.tries[0].server.name != "w2" || s.round != 1 {
-		t.Errorf("%d releases under way after %d rounds, want one by w2 after one", len(s.tries), s.round)
+	s := x.releaseTrackers[req.ID]
+	s.run(0)
+	if len(s.pending) != 1 || s.pending[0].server.name != "w2" || s.round != 1 {
+		t.Errorf("%d releases under way after %d rounds, want one by w2 after one", len(s.pending), s.round)
 	}
 }
--- a/internal/backend/platform/values_test.go
+++ b/internal/backend/platform/values_test.go
@@ -10,7 +10,7 @@
 	want := []string{`{"a":"}{\"[","b":[{"c":1},[]]}`, "{\n\t\"x\": \"\\\\\"\n}", "[1]"}
 	text := "\n" + want[0] + want[1] + "\r\n\n " + want[2] + "\n"
 	for cut := range len(text) {
-		var v values
+		var v objectSplitter
 		var got []string
 		for _, p := range []string{text[:cut], text[cut:]} {
 			if err := v.feed([]byte(p), func(text []byte) error { got = append(got, string(text)); return nil }); err != nil {
@@ -21,7 +21,7 @@
 			t.Fatalf("cut at %d: %q", cut, got)
 		}
 	}
-	var v values
+	var v objectSplitter
 	if v.feed([]byte("{} x"), func([]byte) error { return nil }) == nil {
 		t.Error("noise between objects was taken")
 	}
--- a/internal/batchrunner/runner.go
+++ b/internal/batchrunner/runner.go
@@ -31,14 +31,14 @@
 	pb "docksail/api/docksail/v1"
 )
 
-// Endpoint is what lines may ask for.
-const Endpoint = "/v1/completions"
-
-// Track is what the runner has to know of a track.
-type Track struct {
-	Effect   batchscheduler.Effect
-	Window   time.Duration
-	Patience time.Duration
+// CompletionsEndpoint is what lines may ask for.
+const CompletionsEndpoint = "/v1/completions"
+
+// Class is what the runner has to know of a track.
+type Class struct {
+	Effect              batchscheduler.Effect
+	DeduplicationWindow time.Duration
+	Timeout             time.Duration
 }
 
 // Tenant is a payer, with its weight among others'.
@@ -47,62 +47,62 @@
 	Weight float64
 }
 
-// Plan is what a runner is told.
-type Plan struct {
-	Tenants []Tenant         // none: one without a name
-	Tracks  map[string]Track // by name
-	Target  string           // the dispatcher's address
-	Out     int              // lines out at once
-	First   time.Duration    // wait after a first try
-	Lines   int              // of a file, at most
-	Line    int              // bytes of a line, at most
-	Seed    uint64
+// Config is what a runner is told.
+type Config struct {
+	Tenants           []Tenant         // none: one without a name
+	Classes           map[string]Class // by name
+	DispatcherAddress string           // the dispatcher's address
+	MaxLinesInFlight  int              // lines out at once
+	InitialBackoff    time.Duration    // wait after a first try
+	MaxLines          int              // of a file, at most
+	MaxLineBytes      int              // bytes of a line, at most
+	Seed              uint64
 }
 
 // Runner is at work from Run on.
 type Runner struct {
-	p       Plan
-	s       *batchstore.Store
-	log     *slog.Logger
-	client  pb.GenerationClient
-	conn    *grpc.ClientConn
-	tenants map[string]int
-	begin   time.Time
-
-	mu     sync.Mutex
-	sch    *batchscheduler.Scheduler
-	active map[string]*active // by the batch's name
-	byID   map[batchscheduler.ID]*active
-	last   batchscheduler.ID
-	wake   chan struct{}
-	wg     sync.WaitGroup
-	Counts Counts
+	config    Config
+	store     *batchstore.Store
+	log       *slog.Logger
+	client    pb.GenerationClient
+	conn      *grpc.ClientConn
+	tenants   map[string]int
+	startedAt time.Time
+
+	mu        sync.Mutex
+	scheduler *batchscheduler.Scheduler
+	active    map[string]*activeBatch // by the batch's name
+	byID      map[batchscheduler.BatchID]*activeBatch
+	lastID    batchscheduler.BatchID
+	wake      chan struct{}
+	wg        sync.WaitGroup
+	counters  Counters
 }
 
-// Counts are what a runner counted since its start.
-type Counts struct{ Sent, Served, Nacked, Again, Lost uint64 }
-
-// active is a batch under way.
-type active struct {
-	id         batchscheduler.ID
-	b          batchstore.Batch
-	track      string
-	cancel     context.CancelFunc // of its lines
-	ctx        context.Context
-	parent     context.Context // of the runner: its end is no line's
-	finalizing bool
-	expired    bool // its window is over, by the clock that does not jump
-	ending     int  // lines that the scheduler holds for over and that are not on disk yet
+// Counters are what a runner counted since its start.
+type Counters struct{ Sent, Served, Rejected, Retried, Failed uint64 }
+
+// activeBatch is a batch under way.
+type activeBatch struct {
+	id             batchscheduler.BatchID
+	record         batchstore.Batch
+	class          string
+	cancel         context.CancelFunc // of its lines
+	ctx            context.Context
+	runnerCtx      context.Context // of the runner: its end is no line's
+	finalizing     bool
+	expired        bool // its window is over, by the clock that does not jump
+	unrecordedEnds int  // lines that the scheduler holds for over and that are not on disk yet
 }
 
 // New makes a runner.
-func New(s *batchstore.Store, p Plan, log *slog.Logger) (*Runner, error) {
+func New(s *batchstore.Store, p Config, log *slog.Logger) (*Runner, error) {
 	if len(p.Tenants) == 0 {
 		p.Tenants = []Tenant{{Weight: 1}}
 	}
 	r := &Runner{
-		p: p, s: s, log: log, tenants: map[string]int{}, active: map[string]*active{}, byID: map[batchscheduler.ID]*active{},
-		wake: make(chan struct{}, 1), begin: time.Now(),
+		config: p, store: s, log: log, tenants: map[string]int{}, active: map[string]*activeBatch{}, byID: map[batchscheduler.BatchID]*activeBatch{},
+		wake: make(chan struct{}, 1), startedAt: time.Now(),
 	}
 	var weights []float64
 	for i, t := range p.Tenants {
@@ -111,10 +111,10 @@
 	}
 	chance := rand.New(rand.NewPCG(p.Seed, 0x6261746368))
 	var err error
-	if r.sch, err = batchscheduler.New(weights, int64(p.First), p.Out, chance.Float64); err != nil {
+	if r.scheduler, err = batchscheduler.New(weights, int64(p.InitialBackoff), p.MaxLinesInFlight, chance.Float64); err != nil {
 		return nil, err
 	}
-	if r.conn, err = grpc.NewClient(p.Target, grpc.WithTransportCredentials(insecure.NewCredentials()),
+	if r.conn, err = grpc.NewClient(p.DispatcherAddress, grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithConnectParams(grpc.ConnectParams{MinConnectTimeout: time.Second})); err != nil {
 		return nil, err
 	}
@@ -122,9 +122,9 @@
 	return r, nil
 }
 
-func (r *Runner) now() int64 { return int64(time.Since(r.begin)) }
+func (r *Runner) now() int64 { return int64(time.Since(r.startedAt)) }
 
-func (r *Runner) nudge() {
+func (r *Runner) wakeLoop() {
 	select {
 	case r.wake <- struct{}{}:
 	default:
@@ -134,12 +134,12 @@
 // Run carries on what the store has under way, and what Submit brings, until its context ends; then it waits for its
 // lines, which end with it.
 func (r *Runner) Run(ctx context.Context) error {
-	open, err := r.s.Open()
+	open, err := r.store.UnfinishedBatches()
 	if err != nil {
 		return err
 	}
 	for _, b := range open {
-		if err := r.carryOn(ctx, b); err != nil { // one that is damaged harms no other
+		if err := r.resume(ctx, b); err != nil { // one that is damaged harms no other
 			r.log.Error("batch not carried on", "batch", b.ID, "err", err)
 		}
 	}
@@ -156,30 +156,30 @@
 		r.mu.Lock()
 		now := r.now()
 		for {
-			id, ok := r.sch.Expired(now)
+			id, ok := r.scheduler.ExpireNext(now)
 			if !ok {
 				break
 			}
 			a := r.byID[id]
-			r.log.Info("batch expired", "batch", a.b.ID)
+			r.log.Info("batch expired", "batch", a.record.ID)
 			a.expired = true
 			a.cancel()
 		}
 		for {
-			id, n, ok := r.sch.Next(now)
+			id, n, ok := r.scheduler.NextLine(now)
 			if !ok {
 				break
 			}
 			a := r.byID[id]
-			r.Counts.Sent++
+			r.counters.Sent++
 			r.wg.Add(1)
 			go func() {
 				defer r.wg.Done()
-				r.line(a, n)
+				r.sendLine(a, n)
 			}()
 		}
 		for _, a := range r.byID {
-			if rest, over := r.sch.Rest(a.id); over && !a.finalizing && a.ending == 0 {
+			if rest, over := r.scheduler.UnsentLines(a.id); over && !a.finalizing && a.unrecordedEnds == 0 {
 				a.finalizing = true
 				r.wg.Add(1)
 				go func() {
@@ -188,7 +188,7 @@
 				}()
 			}
 		}
-		at, some := r.sch.NextAt(now)
+		at, some := r.scheduler.NextEventAt(now)
 		r.mu.Unlock()
 		if some {
 			timer.Reset(max(time.Duration(at-now), time.Millisecond))
@@ -201,16 +201,16 @@
 	r.wg.Add(1)
 	go func() {
 		defer r.wg.Done()
-		if err := r.carryOn(ctx, b); err != nil {
+		if err := r.resume(ctx, b); err != nil {
 			r.log.Error("batch not begun", "batch", b.ID, "err", err)
 		}
 	}()
 }
 
-// carryOn takes a batch up wherever it stands.
-func (r *Runner) carryOn(ctx context.Context, b batchstore.Batch) (err error) {
-	if b.State == batchscheduler.Validating {
-		if b, err = r.validate(b); err != nil || b.State != batchscheduler.InProgress {
+// resume takes a batch up wherever it stands.
+func (r *Runner) resume(ctx context.Context, b batchstore.Batch) (err error) {
+	if b.State == batchscheduler.StateValidating {
+		if b, err = r.validate(b); err != nil || b.State != batchscheduler.StateInProgress {
 			return err
 		}
 	}
@@ -218,47 +218,47 @@
 	if !ok {
 		return fmt.Errorf("tenant %q is not there any more", b.Tenant)
 	}
-	a := &active{b: b, parent: ctx}
-	var entries []batchscheduler.Entry
-	var recovered []batchscheduler.Line
+	a := &activeBatch{record: b, runnerCtx: ctx}
+	var entries []batchscheduler.LineSpec
+	var recovered []batchscheduler.LineIndex
 	type end struct {
-		n    batchscheduler.Line
+		n    batchscheduler.LineIndex
 		l    batchstore.Line
 		code string
 		why  string
 	}
 	var ends []end
-	track := Track{}
-	if err := r.s.Lines(b.ID, func(n batchscheduler.Line, l batchstore.Line, rotten error) error {
+	track := Class{}
+	if err := r.store.ForEachLine(b.ID, func(n batchscheduler.LineIndex, l batchstore.Line, rotten error) error {
 		for int(n) > len(entries) { // a record is missing
-			ends = append(ends, end{batchscheduler.Line(len(entries)), batchstore.Line{}, "rotten", "its record is missing"})
-			entries = append(entries, batchscheduler.Entry{At: batchscheduler.Lost})
+			ends = append(ends, end{batchscheduler.LineIndex(len(entries)), batchstore.Line{}, "rotten", "its record is missing"})
+			entries = append(entries, batchscheduler.LineSpec{State: batchscheduler.LineFailed})
 		}
 		if rotten != nil {
 			ends = append(ends, end{n, l, "rotten", rotten.Error()})
-			entries = append(entries, batchscheduler.Entry{At: batchscheduler.Lost})
+			entries = append(entries, batchscheduler.LineSpec{State: batchscheduler.LineFailed})
 			return nil
 		}
-		if a.track == "" {
-			text, err := r.s.Text(b.Input, n, l)
+		if a.class == "" {
+			text, err := r.store.LineText(b.InputFileID, n, l)
 			if req, e := parseLine(text); err == nil && e == nil {
-				a.track = req.Body.Model
-				track = r.p.Tracks[a.track]
+				a.class = req.Body.Model
+				track = r.config.Classes[a.class]
 			}
 		}
-		at, mayHaveRun := batchscheduler.Recover(l.At, track.Effect)
+		at, mayHaveRun := batchscheduler.RecoverLine(l.State, track.Effect)
 		if mayHaveRun {
-			ends = append(ends, end{n, l, "may_have_run", batchscheduler.MayHaveRun})
-		} else if at != l.At {
+			ends = append(ends, end{n, l, "may_have_run", batchscheduler.ReasonMayHaveRun})
+		} else if at != l.State {
 			recovered = append(recovered, n)
 		}
-		entries = append(entries, batchscheduler.Entry{Cost: float64(l.Cost), Group: l.Group, At: at})
+		entries = append(entries, batchscheduler.LineSpec{Cost: float64(l.Cost), PrefixGroup: l.PrefixGroup, State: at})
 		return nil
 	}); err != nil {
 		return err
 	}
 	for _, e := range ends {
-		if err := r.s.End(b.ID, e.n, false, lostText(b.ID, e.n, e.l.Custom, e.code, e.why)); err != nil {
+		if err := r.store.RecordResult(b.ID, e.n, false, encodeFailure(b.ID, e.n, e.l.CustomID, e.code, e.why)); err != nil {
 			return err
 		}
 	}
@@ -267,30 +267,30 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.last++
-	a.id = r.last
-	left := time.Until(time.Unix(b.Expires, 0))
+	r.lastID++
+	a.id = r.lastID
+	left := time.Until(time.Unix(b.ExpiresUnix, 0))
 	a.ctx, a.cancel = context.WithDeadline(ctx, time.Now().Add(left))
-	if err := r.sch.Add(batchscheduler.Batch{
-		ID: a.id, Tenant: tenant, Effect: track.Effect, Window: int64(track.Window), Ends: r.now() + int64(left),
+	if err := r.scheduler.AddBatch(batchscheduler.Batch{
+		ID: a.id, Tenant: tenant, Effect: track.Effect, DeduplicationWindow: int64(track.DeduplicationWindow), Deadline: r.now() + int64(left),
 		Lines: entries,
 	}); err != nil {
 		return err
 	}
 	r.active[b.ID], r.byID[a.id] = a, a
-	if b.State == batchscheduler.Cancelling || b.State == batchscheduler.Finalizing {
-		r.sch.Stop(a.id)
+	if b.State == batchscheduler.StateCancelling || b.State == batchscheduler.StateFinalizing {
+		r.scheduler.StopBatch(a.id)
 	}
-	r.nudge()
+	r.wakeLoop()
 	return nil
 }
 
-// request is a line as it is handed in.
-type request struct {
-	Custom string `json:"custom_id"`
-	Method string `json:"method"`
-	URL    string `json:"url"`
-	Body   struct {
+// lineRequest is a line as it is handed in.
+type lineRequest struct {
+	CustomID string `json:"custom_id"`
+	Method   string `json:"method"`
+	URL      string `json:"url"`
+	Body     struct {
 		Model           string `json:"model"`
 		Prompt          string `json:"prompt"`
 		MaxTokens       int    `json:"max_tokens"`
@@ -302,15 +302,15 @@
 }
 
 const (
-	bytesPerToken = 4   // where a line names no length
-	groupBytes    = 512 // of a prompt by which lines that begin alike are told
-	mostTokens    = 1 << 20
-	scanChunk     = 2000 // lines that are written at once
-	answerCost    = 8    // tokens read that a token written costs, as at the door
+	defaultBytesPerToken = 4   // where a line names no length
+	prefixGroupBytes     = 512 // of a prompt by which lines that begin alike are told
+	maxTokens            = 1 << 20
+	linesPerWrite        = 2000 // lines that are written at once
+	outputTokenCost      = 8    // tokens read that a token written costs, as at the door
 )
 
-func parseLine(text []byte) (*request, error) {
-	q := &request{}
+func parseLine(text []byte) (*lineRequest, error) {
+	q := &lineRequest{}
 	dec := json.NewDecoder(bytes.NewReader(text))
 	if err := dec.Decode(q); err != nil {
 		return nil, err
@@ -319,15 +319,15 @@
 		return nil, errors.New("more than one value in the line")
 	}
 	if q.Body.PromptTokens == 0 {
-		q.Body.PromptTokens = max(len(q.Body.Prompt)/bytesPerToken, 1)
+		q.Body.PromptTokens = max(len(q.Body.Prompt)/defaultBytesPerToken, 1)
 	}
 	return q, nil
 }
 
-// fault says what is wrong with a request; an empty code says nothing is.
-func (r *Runner) fault(q *request, endpoint string) (code, why string) {
-	switch t, known := r.p.Tracks[q.Body.Model]; {
-	case q.Custom == "":
+// checkRequest says what is wrong with a request; an empty code says nothing is.
+func (r *Runner) checkRequest(q *lineRequest, endpoint string) (code, why string) {
+	switch t, known := r.config.Classes[q.Body.Model]; {
+	case q.CustomID == "":
 		return "missing_custom_id", "custom_id is missing"
 	case q.Method != "POST":
 		return "invalid_method", fmt.Sprintf("method %q, want POST", q.Method)
@@ -335,24 +335,24 @@
 		return "mismatched_url", fmt.Sprintf("url %q, want %q as the batch has it", q.URL, endpoint)
 	case !known:
 		return "model_not_found", fmt.Sprintf("model %q is not there", q.Body.Model)
-	case t.Patience <= 0:
+	case t.Timeout <= 0:
 		return "model_not_found", fmt.Sprintf("model %q takes no batches", q.Body.Model)
-	case q.Body.MaxTokens < 1 || q.Body.MaxTokens > mostTokens:
-		return "invalid_value", fmt.Sprintf("max_tokens %d, want 1 to %d", q.Body.MaxTokens, mostTokens)
-	case q.Body.PromptTokens < 1 || q.Body.PromptTokens > mostTokens || q.Body.BeginningTokens < 0 || q.Body.BeginningTokens > q.Body.PromptTokens:
+	case q.Body.MaxTokens < 1 || q.Body.MaxTokens > maxTokens:
+		return "invalid_value", fmt.Sprintf("max_tokens %d, want 1 to %d", q.Body.MaxTokens, maxTokens)
+	case q.Body.PromptTokens < 1 || q.Body.PromptTokens > maxTokens || q.Body.BeginningTokens < 0 || q.Body.BeginningTokens > q.Body.PromptTokens:
 		return "invalid_value", "prompt_tokens or beginning_tokens out of their range"
 	}
 	return "", ""
 }
 
-const mostFaults = 50 // told of one file
+const maxValidationErrors = 50 // told of one file
 
 // validate reads a batch's file and writes its lines, or says what is wrong with it. Memory holds no text.
 func (r *Runner) validate(b batchstore.Batch) (batchstore.Batch, error) {
-	var faults []batchstore.Fault
+	var faults []batchstore.ValidationError
 	bad := func(line int, code, format string, args ...any) {
-		if len(faults) < mostFaults {
-			faults = append(faults, batchstore.Fault{Line: line, Code: code, Message: fmt.Sprintf(format, args...)})
+		if len(faults) < maxValidationErrors {
+			faults = append(faults, batchstore.ValidationError{LineNumber: line, Code: code, Message: fmt.Sprintf(format, args...)})
 		}
 	}
 	n, err := r.scan(b, bad)
@@ -362,22 +362,22 @@
 	if n == 0 && len(faults) == 0 {
 		bad(0, "empty_file", "the file has no lines")
 	}
-	to := batchscheduler.InProgress
+	to := batchscheduler.StateInProgress
 	if len(faults) > 0 {
-		to = batchscheduler.Failed
+		to = batchscheduler.StateFailed
 	}
-	return r.s.Change(b.ID, to, func(b *batchstore.Batch) {
-		b.Total, b.Faults = n, faults
-		if to == batchscheduler.Failed {
-			b.Ended = time.Now().Unix()
+	return r.store.TransitionBatch(b.ID, to, func(b *batchstore.Batch) {
+		b.TotalLines, b.ValidationErrors = n, faults
+		if to == batchscheduler.StateFailed {
+			b.EndedUnix = time.Now().Unix()
 		} else {
-			b.InProgress = time.Now().Unix()
+			b.InProgressUnix = time.Now().Unix()
 		}
 	})
 }
 
 func (r *Runner) scan(b batchstore.Batch, bad func(line int, code, format string, args ...any)) (int, error) {
-	f, err := r.s.Input(b.Input)
+	f, err := r.store.OpenInput(b.InputFileID)
 	if err != nil {
 		return 0, err
 	}
@@ -387,7 +387,7 @@
 	seen := map[uint64]bool{} // hashes of names: of a hundred thousand two fall together once in billions of files
 	model, n, offset := "", 0, int64(0)
 	flush := func() error {
-		err := r.s.AddLines(b.ID, batchscheduler.Line(n-len(chunk)), chunk)
+		err := r.store.AddLines(b.ID, batchscheduler.LineIndex(n-len(chunk)), chunk)
 		chunk = chunk[:0]
 		return err
 	}
@@ -401,7 +401,7 @@
 			var part []byte
 			part, err = in.ReadSlice('\n')
 			offset += int64(len(part))
-			if long = long || len(text)+len(part) > r.p.Line+1; !long {
+			if long = long || len(text)+len(part) > r.config.MaxLineBytes+1; !long {
 				text = append(text, part...)
 			}
 			if !errors.Is(err, bufio.ErrBufferFull) {
@@ -414,10 +414,10 @@
 		line := bytes.TrimRight(text, "\r\n")
 		switch {
 		case long:
-			bad(no, "line_too_long", "more than %d bytes", r.p.Line)
+			bad(no, "line_too_long", "more than %d bytes", r.config.MaxLineBytes)
 		case len(bytes.TrimSpace(line)) == 0:
-		case n == r.p.Lines:
-			bad(no, "too_many_lines", "more than %d lines", r.p.Lines)
+		case n == r.config.MaxLines:
+			bad(no, "too_many_lines", "more than %d lines", r.config.MaxLines)
 			return n, nil
 		default:
 			q, perr := parseLine(line)
@@ -425,13 +425,13 @@
 				bad(no, "invalid_json_line", "%v", perr)
 				break
 			}
-			if code, why := r.fault(q, b.Endpoint); code != "" {
+			if code, why := r.checkRequest(q, b.Endpoint); code != "" {
 				bad(no, code, "%s", why)
 				break
 			}
-			h := xxhash.Sum64String(q.Custom)
+			h := xxhash.Sum64String(q.CustomID)
 			if seen[h] {
-				bad(no, "duplicate_custom_id", "custom_id %q stands twice", q.Custom)
+				bad(no, "duplicate_custom_id", "custom_id %q stands twice", q.CustomID)
 				break
 			}
 			seen[h] = true
@@ -444,15 +444,15 @@
 			group := uint64(0)
 			if q.Body.Beginning != "" {
 				group = max(xxhash.Sum64String(q.Body.Beginning), 1)
-			} else if len(q.Body.Prompt) > groupBytes {
-				group = max(xxhash.Sum64String(q.Body.Prompt[:groupBytes]), 1)
+			} else if len(q.Body.Prompt) > prefixGroupBytes {
+				group = max(xxhash.Sum64String(q.Body.Prompt[:prefixGroupBytes]), 1)
 			}
 			chunk = append(chunk, batchstore.Line{
-				Offset: at, Length: int32(len(line)), Sum: crc32.ChecksumIEEE(line), Group: group,
-				Cost: float32(q.Body.PromptTokens + answerCost*q.Body.MaxTokens/2), Custom: q.Custom,
+				Offset: at, Length: int32(len(line)), Checksum: crc32.ChecksumIEEE(line), PrefixGroup: group,
+				Cost: float32(q.Body.PromptTokens + outputTokenCost*q.Body.MaxTokens/2), CustomID: q.CustomID,
 			})
 			n++
-			if len(chunk) >= scanChunk {
+			if len(chunk) >= linesPerWrite {
 				if err := flush(); err != nil {
 					return n, err
 				}
@@ -466,24 +466,24 @@
 
 // Cancel has nothing more of a batch go out; what is out ends by itself or is called back, and the rest is given up.
 func (r *Runner) Cancel(tenant, id string) (batchstore.Batch, error) {
-	b, err := r.s.Batch(tenant, id)
+	b, err := r.store.Batch(tenant, id)
 	if err != nil {
 		return b, err
 	}
-	if b.State == batchscheduler.Cancelling || b.State == batchscheduler.Cancelled {
+	if b.State == batchscheduler.StateCancelling || b.State == batchscheduler.StateCancelled {
 		return b, nil
 	}
-	if b, err = r.s.Change(id, batchscheduler.Cancelling, func(b *batchstore.Batch) { b.Cancelling = time.Now().Unix() }); err != nil {
+	if b, err = r.store.TransitionBatch(id, batchscheduler.StateCancelling, func(b *batchstore.Batch) { b.CancellingUnix = time.Now().Unix() }); err != nil {
 		return b, err
 	}
 	r.mu.Lock()
 	if a := r.active[id]; a != nil {
-		a.b.State = batchscheduler.Cancelling
-		r.sch.Stop(a.id)
+		a.record.State = batchscheduler.StateCancelling
+		r.scheduler.StopBatch(a.id)
 		a.cancel()
 	}
 	r.mu.Unlock()
-	r.nudge()
+	r.wakeLoop()
 	return b, nil
 }
 
@@ -495,38 +495,38 @@
 	if a == nil {
 		return time.Time{}, false
 	}
-	at, ok := r.sch.Forecast(r.now(), a.id)
-	return r.begin.Add(time.Duration(at)), ok
+	at, ok := r.scheduler.Forecast(r.now(), a.id)
+	return r.startedAt.Add(time.Duration(at)), ok
 }
 
-// line sends one line's job and keeps what comes of it.
-func (r *Runner) line(a *active, n batchscheduler.Line) {
-	l, err := r.s.Line(a.b.ID, n)
+// sendLine sends one line's job and keeps what comes of it.
+func (r *Runner) sendLine(a *activeBatch, n batchscheduler.LineIndex) {
+	l, err := r.store.Line(a.record.ID, n)
 	var text []byte
-	var q *request
+	var q *lineRequest
 	if err == nil {
-		if text, err = r.s.Text(a.b.Input, n, l); err == nil {
+		if text, err = r.store.LineText(a.record.InputFileID, n, l); err == nil {
 			q, err = parseLine(text)
 		}
 	}
 	if err != nil { // it has rotted: this line is lost, with its name
-		r.ended(a, n, l, batchscheduler.Bad, 0, "rotten", err.Error(), nil)
+		r.lineEnded(a, n, l, batchscheduler.OutcomeInvalid, 0, "rotten", err.Error(), nil)
 		return
 	}
-	track := r.p.Tracks[q.Body.Model]
-	if track.Effect != batchscheduler.Redoable { // before it goes out it is on disk that it may
-		if err := r.s.Mark(a.b.ID, n, batchscheduler.Out); err != nil {
-			r.log.Error("line not sent", "batch", a.b.ID, "line", n+1, "err", err)
-			r.ended(a, n, l, batchscheduler.Nacked, int64(time.Second), "", "", nil)
+	track := r.config.Classes[q.Body.Model]
+	if track.Effect != batchscheduler.Idempotent { // before it goes out it is on disk that it may
+		if err := r.store.SetLineState(a.record.ID, n, batchscheduler.LineInFlight); err != nil {
+			r.log.Error("line not sent", "batch", a.record.ID, "line", n+1, "err", err)
+			r.lineEnded(a, n, l, batchscheduler.OutcomeRejected, int64(time.Second), "", "", nil)
 			return
 		}
 	}
 	deadline, _ := a.ctx.Deadline()
 	ctx := metadata.AppendToOutgoingContext(a.ctx, "docksail-background", "1")
 	req := &pb.GenerateRequest{
-		Track: q.Body.Model, Tenant: a.b.Tenant, PromptTokens: uint32(q.Body.PromptTokens), MaxTokens: uint32(q.Body.MaxTokens),
+		Track: q.Body.Model, Tenant: a.record.Tenant, PromptTokens: uint32(q.Body.PromptTokens), MaxTokens: uint32(q.Body.MaxTokens),
 		Beginning: q.Body.Beginning, BeginningTokens: uint32(q.Body.BeginningTokens), Client: q.Body.User, Prompt: []byte(q.Body.Prompt),
-		Label: a.b.ID + "/" + q.Custom, PatienceNs: uint64(min(track.Patience, max(time.Until(deadline), time.Millisecond))),
+		Label: a.record.ID + "/" + q.CustomID, PatienceNs: uint64(min(track.Timeout, max(time.Until(deadline), time.Millisecond))),
 	}
 	stream, err := r.client.Generate(ctx, req)
 	var answer strings.Builder
@@ -543,7 +543,7 @@
 		if md, e := stream.Header(); e == nil && len(md.Get("docksail-job")) > 0 {
 			job = md.Get("docksail-job")[0]
 		}
-		r.ended(a, n, l, batchscheduler.Served, 0, "", "", doneText(a.b.ID, n, q, job, answer.String(), tokens))
+		r.lineEnded(a, n, l, batchscheduler.OutcomeServed, 0, "", "", encodeResult(a.record.ID, n, q, job, answer.String(), tokens))
 		return
 	}
 	var push []string
@@ -552,87 +552,87 @@
 	}
 	switch st := status.Convert(err); {
 	case a.ctx.Err() != nil && len(push) == 0: // called back: by a cancel, the window's end, or our own
-		r.ended(a, n, l, batchscheduler.Broken, 0, "called_back", "called back while it was out", nil)
+		r.lineEnded(a, n, l, batchscheduler.OutcomeConnectionLost, 0, "called_back", "called back while it was out", nil)
 	case (st.Code() == codes.Unavailable || st.Code() == codes.ResourceExhausted) && len(push) > 0:
 		ms, _ := strconv.ParseInt(push[0], 10, 64)
-		r.ended(a, n, l, batchscheduler.Nacked, max(ms, 0)*1e6, "", st.Message(), nil)
+		r.lineEnded(a, n, l, batchscheduler.OutcomeRejected, max(ms, 0)*1e6, "", st.Message(), nil)
 	case st.Code() == codes.Aborted:
-		r.ended(a, n, l, batchscheduler.Abandoned, 0, "abandoned", st.Message(), nil)
+		r.lineEnded(a, n, l, batchscheduler.OutcomeFailed, 0, "abandoned", st.Message(), nil)
 	case st.Code() == codes.InvalidArgument:
-		r.ended(a, n, l, batchscheduler.Bad, 0, "invalid_request", st.Message(), nil)
+		r.lineEnded(a, n, l, batchscheduler.OutcomeInvalid, 0, "invalid_request", st.Message(), nil)
 	default:
-		r.ended(a, n, l, batchscheduler.Broken, 0, "connection_lost", st.Message(), nil)
+		r.lineEnded(a, n, l, batchscheduler.OutcomeConnectionLost, 0, "connection_lost", st.Message(), nil)
 	}
 }
 
-// ended has the scheduler judge how a line ended, and keeps it if it is over. The result is on disk before the line
+// lineEnded has the scheduler judge how a line ended, and keeps it if it is over. The result is on disk before the line
 // counts as over.
-func (r *Runner) ended(a *active, n batchscheduler.Line, l batchstore.Line, how batchscheduler.How, after int64, code, why string, text []byte) {
-	if how == batchscheduler.Served {
-		if err := r.s.End(a.b.ID, n, true, text); err != nil {
-			r.log.Error("result not kept", "batch", a.b.ID, "line", n+1, "err", err)
-			how = batchscheduler.Broken // a redoable line is done anew; any other says that it may have run
+func (r *Runner) lineEnded(a *activeBatch, n batchscheduler.LineIndex, l batchstore.Line, how batchscheduler.Outcome, after int64, code, why string, text []byte) {
+	if how == batchscheduler.OutcomeServed {
+		if err := r.store.RecordResult(a.record.ID, n, true, text); err != nil {
+			r.log.Error("result not kept", "batch", a.record.ID, "line", n+1, "err", err)
+			how = batchscheduler.OutcomeConnectionLost // a redoable line is done anew; any other says that it may have run
 			code, why = "result_not_kept", err.Error()
 		}
 	}
 	r.mu.Lock()
-	verdict, reason := r.sch.Ended(r.now(), a.id, n, how, after)
+	verdict, reason := r.scheduler.ReportOutcome(r.now(), a.id, n, how, after)
 	switch {
-	case how == batchscheduler.Served:
-		r.Counts.Served++
-	case how == batchscheduler.Nacked:
-		r.Counts.Nacked++
+	case how == batchscheduler.OutcomeServed:
+		r.counters.Served++
+	case how == batchscheduler.OutcomeRejected:
+		r.counters.Rejected++
 	}
 	switch verdict {
-	case batchscheduler.GoAgain:
-		r.Counts.Again++
-	case batchscheduler.IsLost:
-		r.Counts.Lost++
-	}
-	a.ending++
-	cancelled := a.b.State == batchscheduler.Cancelling
-	stopping := a.parent.Err() != nil && !cancelled && !a.expired
+	case batchscheduler.VerdictRetry:
+		r.counters.Retried++
+	case batchscheduler.VerdictFailed:
+		r.counters.Failed++
+	}
+	a.unrecordedEnds++
+	cancelled := a.record.State == batchscheduler.StateCancelling
+	stopping := a.runnerCtx.Err() != nil && !cancelled && !a.expired
 	r.mu.Unlock()
 	switch {
-	case verdict == batchscheduler.IsLost && stopping: // the process ends: the next one takes it up by what is on disk
-	case verdict == batchscheduler.IsLost:
-		if reason == batchscheduler.MayHaveRun || reason == batchscheduler.LabelIsOver {
+	case verdict == batchscheduler.VerdictFailed && stopping: // the process ends: the next one takes it up by what is on disk
+	case verdict == batchscheduler.VerdictFailed:
+		if reason == batchscheduler.ReasonMayHaveRun || reason == batchscheduler.ReasonDeduplicationExpired {
 			code = "may_have_run"
 		} else if cancelled {
-			code, reason = "batch_cancelled", batchscheduler.ByCancel
-		} else if reason == batchscheduler.WindowOver {
+			code, reason = "batch_cancelled", batchscheduler.ReasonCancelled
+		} else if reason == batchscheduler.ReasonWindowExpired {
 			code = "batch_expired"
 		}
 		if why != "" {
 			reason += ": " + why
 		}
-		if err := r.s.End(a.b.ID, n, false, lostText(a.b.ID, n, l.Custom, code, reason)); err != nil {
-			r.log.Error("end not kept", "batch", a.b.ID, "line", n+1, "err", err)
+		if err := r.store.RecordResult(a.record.ID, n, false, encodeFailure(a.record.ID, n, l.CustomID, code, reason)); err != nil {
+			r.log.Error("end not kept", "batch", a.record.ID, "line", n+1, "err", err)
 		}
-	case verdict == batchscheduler.GoAgain && how == batchscheduler.Nacked && l.At != batchscheduler.Waiting:
-		if err := r.s.Mark(a.b.ID, n, batchscheduler.Waiting); err != nil {
-			r.log.Error("line not marked", "batch", a.b.ID, "line", n+1, "err", err)
+	case verdict == batchscheduler.VerdictRetry && how == batchscheduler.OutcomeRejected && l.State != batchscheduler.LineWaiting:
+		if err := r.store.SetLineState(a.record.ID, n, batchscheduler.LineWaiting); err != nil {
+			r.log.Error("line not marked", "batch", a.record.ID, "line", n+1, "err", err)
 		}
 	}
 	r.mu.Lock()
-	a.ending--
+	a.unrecordedEnds--
 	r.mu.Unlock()
-	r.nudge()
+	r.wakeLoop()
 }
 
-const finishAgain = 2 * time.Second // a disk that was full may have room then
+const finalizeRetryInterval = 2 * time.Second // a disk that was full may have room then
 
 // finish gives up the rest of a batch, if there is any, and writes its files.
-func (r *Runner) finish(ctx context.Context, a *active, rest []batchscheduler.Line) {
+func (r *Runner) finish(ctx context.Context, a *activeBatch, rest []batchscheduler.LineIndex) {
 	r.mu.Lock()
-	state, expired := a.b.State, a.expired
+	state, expired := a.record.State, a.expired
 	r.mu.Unlock()
-	final, code, why := batchscheduler.Completed, "", ""
+	final, code, why := batchscheduler.StateCompleted, "", ""
 	switch {
-	case state == batchscheduler.Cancelling:
-		final, code, why = batchscheduler.Cancelled, "batch_cancelled", batchscheduler.ByCancel
+	case state == batchscheduler.StateCancelling:
+		final, code, why = batchscheduler.StateCancelled, "batch_cancelled", batchscheduler.ReasonCancelled
 	case len(rest) > 0 || expired:
-		final, code, why = batchscheduler.Expired, "batch_expired", batchscheduler.WindowOver
+		final, code, why = batchscheduler.StateExpired, "batch_expired", batchscheduler.ReasonWindowExpired
 	}
 	if ctx.Err() != nil {
 		return
@@ -640,67 +640,67 @@
 	for {
 		err := r.finalize(a, rest, final, code, why)
 		if err == nil {
-			r.log.Info("batch over", "batch", a.b.ID, "state", final.String())
+			r.log.Info("batch over", "batch", a.record.ID, "state", final.String())
 			break
 		}
-		r.log.Error("batch not finalized yet", "batch", a.b.ID, "err", err)
+		r.log.Error("batch not finalized yet", "batch", a.record.ID, "err", err)
 		select {
-		case <-time.After(finishAgain):
+		case <-time.After(finalizeRetryInterval):
 		case <-ctx.Done():
 			return
 		}
 	}
 	r.mu.Lock()
 	a.cancel()
-	r.sch.Remove(a.id)
-	delete(r.active, a.b.ID)
+	r.scheduler.RemoveBatch(a.id)
+	delete(r.active, a.record.ID)
 	delete(r.byID, a.id)
 	r.mu.Unlock()
 }
 
-func (r *Runner) finalize(a *active, rest []batchscheduler.Line, final batchscheduler.State, code, why string) error {
-	if err := r.s.EndRest(a.b.ID, rest, func(n batchscheduler.Line, l batchstore.Line) []byte {
-		return lostText(a.b.ID, n, l.Custom, code, why)
+func (r *Runner) finalize(a *activeBatch, rest []batchscheduler.LineIndex, final batchscheduler.BatchState, code, why string) error {
+	if err := r.store.FailLines(a.record.ID, rest, func(n batchscheduler.LineIndex, l batchstore.Line) []byte {
+		return encodeFailure(a.record.ID, n, l.CustomID, code, why)
 	}); err != nil {
 		return err
 	}
-	b, err := r.s.Batch(a.b.Tenant, a.b.ID)
+	b, err := r.store.Batch(a.record.Tenant, a.record.ID)
 	if err != nil {
 		return err
 	}
-	if b.State != batchscheduler.Finalizing {
-		if b, err = r.s.Change(b.ID, batchscheduler.Finalizing, func(b *batchstore.Batch) { b.Final, b.Finalizing = final, time.Now().Unix() }); err != nil {
+	if b.State != batchscheduler.StateFinalizing {
+		if b, err = r.store.TransitionBatch(b.ID, batchscheduler.StateFinalizing, func(b *batchstore.Batch) { b.FinalState, b.FinalizingUnix = final, time.Now().Unix() }); err != nil {
 			return err
 		}
 	}
-	_, err = r.s.Finalize(time.Now(), b)
+	_, err = r.store.FinalizeBatch(time.Now(), b)
 	return err
 }
 
-func lineID(id string, n batchscheduler.Line) string {
+func lineID(id string, n batchscheduler.LineIndex) string {
 	return fmt.Sprintf("batch_req_%s_%d", strings.TrimPrefix(id, "batch_"), n+1)
 }
 
-type outLine struct {
-	ID       string    `json:"id"`
-	Custom   string    `json:"custom_id"`
-	Response *response `json:"response"`
-	Error    *outError `json:"error"`
+type resultLine struct {
+	ID       string          `json:"id"`
+	CustomID string          `json:"custom_id"`
+	Response *resultResponse `json:"response"`
+	Error    *resultError    `json:"error"`
 }
 
-type response struct {
-	Status  int            `json:"status_code"`
-	Request string         `json:"request_id"`
-	Body    map[string]any `json:"body"`
+type resultResponse struct {
+	Status    int            `json:"status_code"`
+	RequestID string         `json:"request_id"`
+	Body      map[string]any `json:"body"`
 }
 
-type outError struct {
+type resultError struct {
 	Code    string `json:"code"`
 	Message string `json:"message"`
 }
 
-func doneText(id string, n batchscheduler.Line, q *request, job, answer string, tokens int) []byte {
-	b, err := json.Marshal(outLine{ID: lineID(id, n), Custom: q.Custom, Response: &response{Status: 200, Request: job, Body: map[string]any{
+func encodeResult(id string, n batchscheduler.LineIndex, q *lineRequest, job, answer string, tokens int) []byte {
+	b, err := json.Marshal(resultLine{ID: lineID(id, n), CustomID: q.CustomID, Response: &resultResponse{Status: 200, RequestID: job, Body: map[string]any{
 		"id": "cmpl-" + job, "object": "text_completion", "model": q.Body.Model,
 		"choices": []any{map[string]any{"index": 0, "text": answer, "finish_reason": "stop", "logprobs": nil}},
 		"usage":   map[string]any{"prompt_tokens": q.Body.PromptTokens, "completion_tokens": tokens, "total_tokens": q.Body.PromptTokens + tokens},
@@ -711,8 +711,8 @@
 	return b
 }
 
-func lostText(id string, n batchscheduler.Line, custom, code, why string) []byte {
-	b, err := json.Marshal(outLine{ID: lineID(id, n), Custom: custom, Error: &outError{code, why}})
+func encodeFailure(id string, n batchscheduler.LineIndex, custom, code, why string) []byte {
+	b, err := json.Marshal(resultLine{ID: lineID(id, n), CustomID: custom, Error: &resultError{code, why}})
 	if err != nil {
 		panic(err)
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -139,7 +139,7 @@
 }
 
 // Effect says what a repeated run of a job would do: redoable, labelled or irreversible.
-type Effect policy.Effect
+type Effect policy.Idempotency
 
 func (e *Effect) UnmarshalText(b []byte) error {
 	i, err := oneOf(string(b), "idempotent", "deduplicated", "non_idempotent")
@@ -153,7 +153,7 @@
 }
 
 // Group is the set of servers that knows a deduplicated request's repeats: all, zone or cell.
-type Group policy.Group
+type Group policy.DedupScope
 
 func (g *Group) UnmarshalText(b []byte) error {
 	i, err := oneOf(string(b), "all", "zone", "cell")
@@ -224,7 +224,7 @@
 		if t.Timeout < t.Target {
 			d.bad(at+".timeout", "is %v, want at least the target, %v", t.Timeout, t.Target)
 		}
-		if policy.Effect(t.Effect) == policy.Deduplicated {
+		if policy.Idempotency(t.Effect) == policy.Deduplicated {
 			above(at+".window", float64(t.Window))
 		}
 	}
@@ -314,41 +314,41 @@
 }
 
 // TenantTerms gives what tenants may do at the door; where the settings name none, all jobs are one tenant's.
-func (s *Dispatcher) TenantTerms() []admission.Tenant {
+func (s *Dispatcher) TenantTerms() []admission.TenantLimits {
 	if len(s.Tenants) == 0 {
-		return []admission.Tenant{{Weight: 1}}
+		return []admission.TenantLimits{{Weight: 1}}
 	}
-	var ts []admission.Tenant
+	var ts []admission.TenantLimits
 	for _, t := range s.Tenants {
 		w := t.Weight
 		if w == 0 {
 			w = t.PerSecond
 		}
-		ts = append(ts, admission.Tenant{Weight: w, Rate: t.Rate, Waiting: t.Waiting, Running: t.Running, PromptMax: t.Prompt})
+		ts = append(ts, admission.TenantLimits{Weight: w, RequestsPerSecond: t.Rate, MaxWaiting: t.Waiting, MaxRunning: t.Running, MaxPromptTokens: t.Prompt})
 	}
 	return ts
 }
 
 // Module starts the decision module that the settings describe. zone numbers the dispatcher's own zone; kinds of
 // host are the roles in their order.
-func (s *Dispatcher) Module(seed uint64, zone policy.ZoneID) (*policy.Dispatcher, error) {
+func (s *Dispatcher) Module(seed uint64, zone policy.ZoneID) (*policy.Router, error) {
 	tracks := s.PolicyClasses()
 	var tenants []policy.Tenant
 	for _, t := range s.Tenants {
-		tenants = append(tenants, policy.Tenant{PerSecond: t.PerSecond})
+		tenants = append(tenants, policy.Tenant{RequestsPerSecond: t.PerSecond})
 	}
 	return policy.New(seed, policy.Identity{Number: s.Number, Count: s.Count, Zone: zone}, tracks, tenants,
 		[]policy.Role{policy.Prefill, policy.Decode, policy.Mixed},
-		policy.ColdStart{
-			From: s.Cold.From, Warm: policy.Nanos(s.Cold.Warm), Multiple: s.Cold.Multiple,
-			Window: policy.Nanos(s.Cold.Window),
+		policy.SlowStart{
+			InitialCapacity: s.Cold.From, WarmupTime: policy.Nanos(s.Cold.Warm), OverloadFactor: s.Cold.Multiple,
+			OverloadWindow: policy.Nanos(s.Cold.Window),
 		},
-		policy.AttemptLimits{Most: s.Attempts.Most, Cancel: s.Attempts.Cancel, DecodeReads: s.Attempts.DecodeReads},
-		policy.Answering{
-			Slack: 0, Round: policy.Nanos(s.Answers.Round), Advice: s.Answers.Advice,
-			MaxAdvice: policy.Nanos(s.Answers.MaxAdvice),
+		policy.AttemptLimits{MaxAttempts: s.Attempts.Most, CanCancel: s.Attempts.Cancel, DecodeCanPrefill: s.Attempts.DecodeReads},
+		policy.ResponseSettings{
+			DeadlineGrace: 0, RoundInterval: policy.Nanos(s.Answers.Round), SendRetryAfter: s.Answers.Advice,
+			MaxRetryAfter: policy.Nanos(s.Answers.MaxAdvice),
 		},
-		policy.Listing{Within: policy.Nanos(s.Fleet.Retry)}, policy.Nanos(s.Rules.Release))
+		policy.Discovery{MaxInterval: policy.Nanos(s.Fleet.Retry)}, policy.Nanos(s.Rules.Release))
 }
 
 // PolicyClasses gives the tracks as the decision module takes them.
@@ -356,10 +356,10 @@
 	var tracks []policy.Class
 	for _, t := range s.Classes {
 		tracks = append(tracks, policy.Class{
-			Target:      policy.Nanos(t.Target),
-			TargetPer1k: policy.Nanos(t.TargetPer1k), Timeout: policy.Nanos(t.Timeout), Value: t.Value,
-			LateValue: t.LateValue, TokenGap: policy.Nanos(t.TokenGap), Effect: policy.Effect(t.Effect),
-			Group: policy.Group(t.Group), Window: policy.Nanos(t.Window),
+			LatencyTarget:      policy.Nanos(t.Target),
+			LatencyTargetPer1k: policy.Nanos(t.TargetPer1k), Timeout: policy.Nanos(t.Timeout), Value: t.Value,
+			LateValue: t.LateValue, InterTokenTarget: policy.Nanos(t.TokenGap), Idempotency: policy.Idempotency(t.Effect),
+			DedupScope: policy.DedupScope(t.Group), DedupWindow: policy.Nanos(t.Window),
 		})
 	}
 	return tracks
@@ -427,7 +427,7 @@
 }
 
 // Servers reads a list of engines; name stands for the file in errors. The warnings are about names of the release before.
-func Servers(name string, text []byte) (list []endpointlist.Host, warnings []string, err error) {
+func Servers(name string, text []byte) (list []endpointlist.Endpoint, warnings []string, err error) {
 	var in serverList
 	d := &decoder{name: name, text: text, lines: map[string]int{}}
 	d.decode(&in)
@@ -437,9 +437,9 @@
 			d.bad(fmt.Sprintf("servers[%d].id", i), "%d is out of range or stands twice, want a number of its own above 0", h.ID)
 		}
 		seen[h.ID] = true
-		list = append(list, endpointlist.Host{
+		list = append(list, endpointlist.Endpoint{
 			ID: policy.ServerID(h.ID), Address: h.Address, Role: policy.Role(h.Role), Zone: h.Zone,
-			Cell: h.Cell, Health: policy.Health(h.Health), Started: h.Started,
+			Cell: h.Cell, Health: policy.Health(h.Health), StartedAt: h.Started,
 		})
 	}
 	if err := d.err(); err != nil {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Classes[1].Effect != Effect(policy.Deduplicated) || s.Classes[1].Group != Group(policy.GroupZone) || s.Classes[1].Window != 3*time.Second {
+	if s.Classes[1].Effect != Effect(policy.Deduplicated) || s.Classes[1].Group != Group(policy.DedupScopeZone) || s.Classes[1].Window != 3*time.Second {
 		t.Errorf("track read as %+v", s.Classes[1])
 	}
 	if s.Limits.Requests != Usual().Limits.Requests || s.Attempts.Most != Usual().Attempts.Most {
--- a/internal/config/print.go
+++ b/internal/config/print.go
@@ -15,7 +15,7 @@
 
 // MarshalText gives the name.
 func (g Group) MarshalText() ([]byte, error) {
-	return []byte([]string{policy.GroupAll: "all", policy.GroupZone: "zone", policy.GroupCell: "cell"}[g]), nil
+	return []byte([]string{policy.DedupScopeAll: "all", policy.DedupScopeZone: "zone", policy.DedupScopeCell: "cell"}[g]), nil
 }
 
 // Print gives what is in force, in the form in which Parse reads it: every field, lengths of time as texts.
--- a/internal/decide/abuse/abuse.go
+++ b/internal/decide/abuse/abuse.go
@@ -3,21 +3,21 @@
 // work; a peer that overdraws one is to be sent away. It does no I/O and reads no clock.
 package abuse
 
-// Act is something that a peer does that costs us and brings it nothing by itself.
-type Act uint8
+// Event is something that a peer does that costs us and brings it nothing by itself.
+type Event uint8
 
 const (
-	Reset    Act = iota // a stream reset by the peer before its answer ended
-	Ping                // a ping, or an acknowledgement that nobody asked for
-	Settings            // settings sent after the first
-	Empty               // an empty DATA or CONTINUATION frame, an unknown frame, PRIORITY
-	Update              // a window update
-	Fault               // a stream error of the peer's making
-	Crossed             // a reset of a stream that is over: it may have crossed with the end
-	acts
+	StreamReset       Event = iota // a stream reset by the peer before its answer ended
+	Ping                           // a ping, or an acknowledgement that nobody asked for
+	RepeatedSettings               // settings sent after the first
+	EmptyFrame                     // an empty DATA or CONTINUATION frame, an unknown frame, PRIORITY
+	WindowUpdate                   // a window update
+	StreamError                    // a stream error of the peer's making
+	ClosedStreamReset              // a reset of a stream that is over: it may have crossed with the end
+	eventCount
 )
 
-func (a Act) String() string {
+func (a Event) String() string {
 	return [...]string{"resets", "pings", "settings", "empty frames", "window updates", "stream errors", "resets of streams that are over"}[a]
 }
 
@@ -26,38 +26,38 @@
 // that resets as fast as it opens is let do so for one full set of streams. Each request that came whole may be reset once as
 // its end is under way: many whose time is up at once are.
 var (
-	burst     = [acts]float64{Reset: 200, Ping: 20, Settings: 10, Empty: 200, Update: 2000, Fault: 50, Crossed: 200}
-	perSecond = [acts]float64{Reset: 100, Ping: 2, Settings: 1, Empty: 50, Update: 1000, Fault: 10, Crossed: 50}
-	perUse    = [acts]float64{Reset: 0.5, Ping: 1, Settings: 0, Empty: 0.25, Update: 4, Fault: 0, Crossed: 1}
+	burst     = [eventCount]float64{StreamReset: 200, Ping: 20, RepeatedSettings: 10, EmptyFrame: 200, WindowUpdate: 2000, StreamError: 50, ClosedStreamReset: 200}
+	perSecond = [eventCount]float64{StreamReset: 100, Ping: 2, RepeatedSettings: 1, EmptyFrame: 50, WindowUpdate: 1000, StreamError: 10, ClosedStreamReset: 50}
+	perUse    = [eventCount]float64{StreamReset: 0.5, Ping: 1, RepeatedSettings: 0, EmptyFrame: 0.25, WindowUpdate: 4, StreamError: 0, ClosedStreamReset: 1}
 )
 
 // credit is how many of each use may bring ahead: streams that are open together may end, and be reset, together.
-var credit = [acts]float64{Crossed: 10000}
+var credit = [eventCount]float64{ClosedStreamReset: 10000}
 
-// Guard watches one connection. Its zero value is ready.
-type Guard struct {
-	used [acts]float64 // drawn from each allowance
-	at   int64         // allowances are filled up to then
+// Limiter watches one connection. Its zero value is ready.
+type Limiter struct {
+	used [eventCount]float64 // drawn from each allowance
+	at   int64               // allowances are filled up to then
 }
 
-// Used takes down useful work: a frame with content, either way. Clients measure their link with a ping for what they
+// AddCredit takes down useful work: a frame with content, either way. Clients measure their link with a ping for what they
 // are sent, so each piece of an answer pays for one.
-func (g *Guard) Used() {
-	for a := range g.used {
-		g.used[a] = max(-credit[a], g.used[a]-perUse[a])
+func (l *Limiter) AddCredit() {
+	for a := range l.used {
+		l.used[a] = max(-credit[a], l.used[a]-perUse[a])
 	}
 }
 
 // Allow takes down an act at a time in nanoseconds and tells whether the peer may stay. Time that runs
 // backwards fills nothing.
-func (g *Guard) Allow(now int64, a Act) bool {
-	if now > g.at {
-		s := float64(now-g.at) / 1e9
-		for b := range g.used {
-			g.used[b] = min(g.used[b], max(0, g.used[b]-s*perSecond[b]))
+func (l *Limiter) Allow(now int64, a Event) bool {
+	if now > l.at {
+		s := float64(now-l.at) / 1e9
+		for b := range l.used {
+			l.used[b] = min(l.used[b], max(0, l.used[b]-s*perSecond[b]))
 		}
-		g.at = now
+		l.at = now
 	}
-	g.used[a]++
-	return g.used[a] <= burst[a]
+	l.used[a]++
+	return l.used[a] <= burst[a]
 }
--- a/internal/decide/admission/bookings.go
+++ b/internal/decide/admission/bookings.go
@@ -74,11 +74,11 @@
 	mine, own := 1.0, cost
 	if f != nil {
 		mine = f.weight
-		for _, w := range f.requests.All() {
+		for _, w := range f.requests.Items() {
 			own += w.cost
 		}
 	}
-	for _, o := range t.active.All() {
+	for _, o := range t.active.Items() {
 		if o != f {
 			flows += o.weight
 		}
@@ -87,8 +87,8 @@
 	return Nanos(min(q.total+cost, own/share) / rate)
 }
 
-// Advice says when to come back.
-type Advice struct {
+// RetryAdvice says when to come back.
+type RetryAdvice struct {
 	RetryAfter Nanos
 	Ticket     *Ticket // to be brought then; nil if none could be booked
 }
@@ -103,19 +103,19 @@
 
 const ticketSize = 8 + 8 + 8 + 4 + 16
 
-// ErrTicket says that a ticket is none of ours.
-var ErrTicket = errors.New("ticket is not ours or was changed")
+// ErrInvalidTicket says that a ticket is none of ours.
+var ErrInvalidTicket = errors.New("ticket is not ours or was changed")
 
-// Signer signs tickets with a key that lives as long as its queue.
-type Signer struct {
+// TicketSigner signs tickets with a key that lives as long as its queue.
+type TicketSigner struct {
 	mac hash.Hash
 	sum []byte
 }
 
-// NewSigner makes a signer; the key should be 32 random bytes.
-func NewSigner(key []byte) *Signer { return &Signer{mac: hmac.New(sha256.New, key)} }
+// NewTicketSigner makes a signer; the key should be 32 random bytes.
+func NewTicketSigner(key []byte) *TicketSigner { return &TicketSigner{mac: hmac.New(sha256.New, key)} }
 
-func (s *Signer) sign(p []byte) []byte {
+func (s *TicketSigner) sign(p []byte) []byte {
 	s.mac.Reset()
 	s.mac.Write(p)
 	s.sum = s.mac.Sum(s.sum[:0])
@@ -123,7 +123,7 @@
 }
 
 // Encode gives a ticket as its client carries it.
-func (s *Signer) Encode(t *Ticket) []byte {
+func (s *TicketSigner) Encode(t *Ticket) []byte {
 	b := make([]byte, 0, ticketSize)
 	b = binary.BigEndian.AppendUint64(b, uint64(t.Tenant))
 	b = binary.BigEndian.AppendUint64(b, t.Client)
@@ -132,10 +132,10 @@
 	return append(b, s.sign(b)...)
 }
 
-// Decode reads what Encode wrote; ErrTicket if it was not this signer.
-func (s *Signer) Decode(b []byte) (*Ticket, error) {
+// Decode reads what Encode wrote; ErrInvalidTicket if it was not this signer.
+func (s *TicketSigner) Decode(b []byte) (*Ticket, error) {
 	if len(b) != ticketSize || !hmac.Equal(s.sign(b[:ticketSize-16]), b[ticketSize-16:]) {
-		return nil, ErrTicket
+		return nil, ErrInvalidTicket
 	}
 	return &Ticket{
 		Tenant: int(binary.BigEndian.Uint64(b)), Client: binary.BigEndian.Uint64(b[8:]),
@@ -164,7 +164,7 @@
 
 // bookings is what is promised: for each slot of time the cost booked and the tickets given and used.
 type bookings struct {
-	signer *Signer
+	signer *TicketSigner
 	len    Nanos // of a slot
 	slots  [slots]slot
 }
@@ -177,7 +177,7 @@
 	by     [holderBuckets]float64 // cost booked, by the hash of who has it
 }
 
-func (b *bookings) init(s *Signer, expected Nanos) {
+func (b *bookings) init(s *TicketSigner, expected Nanos) {
 	b.signer = s
 	b.len = max(Nanos(slotPart*float64(expected)), 1)
 	for i := range b.slots {
@@ -234,24 +234,24 @@
 
 // advise says when a refused client should come back, and books it in. Where a limit of the tenant's own was met,
 // not before that lets it in, nor before least from now.
-func (q *Queue) advise(now Nanos, t *tenant, c Cause, request *Request, cost float64, least Nanos) Advice {
+func (q *Queue) advise(now Nanos, t *tenant, c Verdict, request *Request, cost float64, least Nanos) RetryAdvice {
 	q.rate.pass(now)
 	rate := q.rate.rate()
 	from := now + least
 	if rate <= 0 {
 		from = max(from, now+Nanos(unknownWait*float64(q.target)))
 	}
-	if c == OverRate && t.Rate > 0 {
-		from = max(from, now+Nanos((1-t.tokens)/t.Rate*1e9))
-		rate = min(rate, t.Rate/1e9*cost) // its own pace bounds what can be promised
+	if c == TenantRateExceeded && t.RequestsPerSecond > 0 {
+		from = max(from, now+Nanos((1-t.tokens)/t.RequestsPerSecond*1e9))
+		rate = min(rate, t.RequestsPerSecond/1e9*cost) // its own pace bounds what can be promised
 		if rate <= 0 {
-			rate = t.Rate / 1e9 * cost
+			rate = t.RequestsPerSecond / 1e9 * cost
 		}
 	}
 	if rate <= 0 || q.book.signer == nil {
-		return Advice{RetryAfter: max(from-now, 1)}
+		return RetryAdvice{RetryAfter: max(from-now, 1)}
 	}
-	if c != OverRate { // what stands before it by its own share has to pass first, not all that waits
+	if c != TenantRateExceeded { // what stands before it by its own share has to pass first, not all that waits
 		ahead := q.wait(now, t, q.flowOf(now, t, request, false), cost)
 		from = max(from, now+min(ahead, Nanos(slots/2)*q.book.len))
 	}
@@ -261,13 +261,13 @@
 	}
 	n, serial, ok := q.book.take(now, from, who^uint64(t.n)*0x9e3779b97f4a7c15, weight, cost, rate)
 	if !ok {
-		return Advice{RetryAfter: slots * q.book.len}
+		return RetryAdvice{RetryAfter: slots * q.book.len}
 	}
 	// Within its slot they are spread by their serial, as evenly as the golden ratio does it.
 	const golden = 0.6180339887498949
 	_, part := math.Modf(float64(serial) * golden)
 	at := n*q.book.len + Nanos(part*float64(q.book.len))
-	return Advice{RetryAfter: max(at-now, 1), Ticket: &Ticket{Tenant: t.n, Client: request.Client, Slot: n, Serial: serial}}
+	return RetryAdvice{RetryAfter: max(at-now, 1), Ticket: &Ticket{Tenant: t.n, Client: request.Client, Slot: n, Serial: serial}}
 }
 
 // known remembers, for a bounded number of clients, how many of their requests were served, in sets of a few: of a
--- a/internal/decide/admission/flows.go
+++ b/internal/decide/admission/flows.go
@@ -38,7 +38,7 @@
 }
 
 type tenant struct {
-	Tenant
+	TenantLimits
 	n       int
 	flows   map[flowKey]*flow
 	active  indexedheap.Heap[*flow]
@@ -51,7 +51,7 @@
 	tokens  float64 // of its rate
 	tokenAt Nanos
 	gone    bool
-	Counts  Counts
+	Counts  TenantCounts
 }
 
 // displaced is a request that gave up its place and is not answered yet.
@@ -70,10 +70,10 @@
 	worst, load := from.heavy.Min(), 1.0
 	if mine != nil {
 		load = float64(mine.requests.Len()+1) / mine.weight
-	} else if !q.FirstCome && !(request.Client != 0 && q.known.is(now, t.n, request.Client)) {
+	} else if !q.FIFO && !(request.Client != 0 && q.known.is(now, t.n, request.Client)) {
 		load = 1.0 / newcomers
 	}
-	if q.FirstCome || worst == mine || load/t.Weight >= worst.load()/from.Weight {
+	if q.FIFO || worst == mine || load/t.Weight >= worst.load()/from.Weight {
 		return nil
 	}
 	return worst.newest(false)
@@ -96,7 +96,7 @@
 // newest gives the request of a flow that came last; those that are back as advised count only if told so.
 func (f *flow) newest(booked bool) *queuedRequest {
 	var newest *queuedRequest
-	for _, w := range f.requests.All() {
+	for _, w := range f.requests.Items() {
 		if (booked || !w.in) && (newest == nil || w.order > newest.order) {
 			newest = w
 		}
@@ -104,29 +104,29 @@
 	return newest
 }
 
-// Displaced gives a request that waited and made room for another, and how its client is to be answered; the server pulls
+// PopDisplaced gives a request that waited and made room for another, and how its client is to be answered; the server pulls
 // until there is none.
-func (q *Queue) Displaced(now Nanos) (RequestID, Advice, bool) {
+func (q *Queue) PopDisplaced(now Nanos) (RequestID, RetryAdvice, bool) {
 	if len(q.displacedRequests) == 0 {
 		if q.backgroundQueue != nil {
-			return q.backgroundQueue.Displaced(now)
+			return q.backgroundQueue.PopDisplaced(now)
 		}
-		return 0, Advice{}, false
+		return 0, RetryAdvice{}, false
 	}
 	w := q.displacedRequests[0]
 	q.displacedRequests = slices.Delete(q.displacedRequests, 0, 1)
 	t := q.tenants[w.Tenant]
-	a := q.advise(now, t, Full, &w.Request, w.cost, 0)
+	a := q.advise(now, t, QueueFull, &w.Request, w.cost, 0)
 	if a.Ticket != nil {
-		t.Counts.Booked++
+		t.Counts.ReservationsGranted++
 	}
 	return w.ID, a, true
 }
 
-// Heaviest gives the newest request of the flow that has most waiting for its weight, to be shed first.
-func (q *Queue) Heaviest() (RequestID, bool) {
+// NextToShed gives the newest request of the flow that has most waiting for its weight, to be shed first.
+func (q *Queue) NextToShed() (RequestID, bool) {
 	if q.backgroundQueue != nil && len(q.backgroundQueue.requests) > 0 { // what yields to all others goes first
-		return q.backgroundQueue.Heaviest()
+		return q.backgroundQueue.NextToShed()
 	}
 	t := q.heaviest()
 	if t == nil {
@@ -138,8 +138,8 @@
 // remove takes a request out of its flow.
 func (q *Queue) remove(now Nanos, w *queuedRequest) {
 	f, t := w.flow, w.flow.tenant
-	f.requests.Take(w)
-	q.overdue.Take(w)
+	f.requests.Remove(w)
+	q.overdue.Remove(w)
 	f.last = now
 	t.waiting--
 	q.total = max(q.total-w.cost, 0)
@@ -174,7 +174,7 @@
 func (q *Queue) flowOf(now Nanos, t *tenant, request *Request, create bool) *flow {
 	key := flowKey{known: request.Client != 0 && q.known.is(now, t.n, request.Client), key: request.Client}
 	weight := 1.0
-	if q.FirstCome {
+	if q.FIFO {
 		key = flowKey{}
 	} else if !key.known {
 		key.key, weight = request.Source, newcomers
@@ -225,8 +225,8 @@
 }
 
 func (t *tenant) fill(now Nanos) {
-	if t.Rate > 0 {
-		t.tokens = min(t.tokens+float64(now-t.tokenAt)/1e9*t.Rate, max(burstSeconds*t.Rate, 1))
+	if t.RequestsPerSecond > 0 {
+		t.tokens = min(t.tokens+float64(now-t.tokenAt)/1e9*t.RequestsPerSecond, max(burstSeconds*t.RequestsPerSecond, 1))
 	}
 	t.tokenAt = now
 }
--- a/internal/decide/admission/heaps.go
+++ b/internal/decide/admission/heaps.go
@@ -19,19 +19,19 @@
 func byTenant(a, b *tenant) bool { return a.start < b.start || a.start == b.start && a.n < b.n }
 
 func requestHeap() indexedheap.Heap[*queuedRequest] {
-	return indexedheap.Heap[*queuedRequest]{Less: byDue, Place: func(w *queuedRequest) *int { return &w.at }}
+	return indexedheap.Heap[*queuedRequest]{Less: byDue, Index: func(w *queuedRequest) *int { return &w.at }}
 }
 
 func lateHeap() indexedheap.Heap[*queuedRequest] {
-	return indexedheap.Heap[*queuedRequest]{Less: byLate, Place: func(w *queuedRequest) *int { return &w.overdueIndex }}
+	return indexedheap.Heap[*queuedRequest]{Less: byLate, Index: func(w *queuedRequest) *int { return &w.overdueIndex }}
 }
 
 func flowHeap() indexedheap.Heap[*flow] {
-	return indexedheap.Heap[*flow]{Less: byStart, Place: func(f *flow) *int { return &f.at }}
+	return indexedheap.Heap[*flow]{Less: byStart, Index: func(f *flow) *int { return &f.at }}
 }
 
 func tenantHeap() indexedheap.Heap[*tenant] {
-	return indexedheap.Heap[*tenant]{Less: byTenant, Place: func(t *tenant) *int { return &t.at }}
+	return indexedheap.Heap[*tenant]{Less: byTenant, Index: func(t *tenant) *int { return &t.at }}
 }
 
 // load is what a flow has waiting for its weight.
@@ -43,28 +43,28 @@
 }
 
 func heavyHeap() indexedheap.Heap[*flow] {
-	return indexedheap.Heap[*flow]{Less: byLoad, Place: func(f *flow) *int { return &f.heavyAt }}
+	return indexedheap.Heap[*flow]{Less: byLoad, Index: func(f *flow) *int { return &f.heavyAt }}
 }
 
 // placeFlow puts a flow where it belongs among its tenant's that have requests.
 func (q *Queue) placeFlow(f *flow) {
 	if f.requests.Len() > 0 {
-		f.tenant.active.Put(f)
-		f.tenant.heavy.Put(f)
+		f.tenant.active.PushOrFix(f)
+		f.tenant.heavy.PushOrFix(f)
 	} else {
-		f.tenant.active.Take(f)
-		f.tenant.heavy.Take(f)
+		f.tenant.active.Remove(f)
+		f.tenant.heavy.Remove(f)
 	}
 }
 
 // place puts a tenant where it belongs among those that may have a request let in.
 func (q *Queue) place(t *tenant) {
-	if t.active.Len() == 0 || t.Running > 0 && t.running >= t.Running {
-		q.active.Take(t)
+	if t.active.Len() == 0 || t.MaxRunning > 0 && t.running >= t.MaxRunning {
+		q.active.Remove(t)
 		return
 	}
 	if t.at == 0 {
 		t.start = max(t.start, q.virtual) // what it could not use is not saved up
 	}
-	q.active.Put(t)
+	q.active.PushOrFix(t)
 }
--- a/internal/decide/admission/queue.go
+++ b/internal/decide/admission/queue.go
@@ -23,47 +23,49 @@
 
 // Request is what is known of a request that comes.
 type Request struct {
-	ID       RequestID
-	Tenant   int
-	Client   uint64 // keyed hash of its client's name; 0 = none is named
-	Source   uint64 // keyed hash of where it comes from
-	Prompt   int64  // tokens to read
-	Answer   int64  // most tokens of the answer
-	Target   Nanos  // expected time of its first token
-	Deadline Nanos  // an answer has to have left by then
-	Ticket   *Ticket
+	ID               RequestID
+	Tenant           int
+	Client           uint64 // keyed hash of its client's name; 0 = none is named
+	Source           uint64 // keyed hash of where it comes from
+	PromptTokens     int64  // tokens to read
+	MaxAnswerTokens  int64  // most tokens of the answer
+	LatencyObjective Nanos  // expected time of its first token
+	Deadline         Nanos  // an answer has to have left by then
+	Ticket           *Ticket
 
 	Background bool // it fills what is idle, and yields to all others
 }
 
-// Cause says why a request is refused.
-type Cause uint8
+// Verdict says why a request is refused.
+type Verdict uint8
 
 const (
-	Admitted   Cause = iota
-	Full             // the queue holds all the requests it may
-	TenantFull       // this tenant's requests waiting are at their limit
-	OverRate         // the tenant asks faster than it may
-	TooLong          // the prompt is longer than the tenant's may be
-	TooLate          // it could not be let in in time
-	Unknown          // no such tenant
-	Shed             // the dispatcher itself is overloaded
-	causes
+	Queued             Verdict = iota
+	QueueFull                  // the queue holds all the requests it may
+	TenantQueueFull            // this tenant's requests waiting are at their limit
+	TenantRateExceeded         // the tenant asks faster than it may
+	PromptTooLong              // the prompt is longer than the tenant's may be
+	TooLate                    // it could not be let in in time
+	UnknownTenant              // no such tenant
+	Overloaded                 // the dispatcher itself is overloaded
+	verdictCount
 )
 
-func (c Cause) String() string {
+func (v Verdict) String() string {
 	return [...]string{
 		"admitted", "too many requests waiting", "too many requests of the tenant waiting", "faster than the tenant may ask",
 		"prompt longer than the tenant's may be", "no chance to be in time", "unknown tenant", "dispatcher overloaded",
-	}[c]
+	}[v]
 }
 
-// Own tells that a limit of the caller's own was met.
-func (c Cause) Own() bool { return c == TenantFull || c == OverRate || c == TooLong }
+// IsTenantLimit tells that a limit of the caller's own was met.
+func (v Verdict) IsTenantLimit() bool {
+	return v == TenantQueueFull || v == TenantRateExceeded || v == PromptTooLong
+}
 
-// PerTurn is how many requests may be let in within one turn of the server's loop: a turn that took long must be seen, and
+// MaxAdmissionsPerTurn is how many requests may be let in within one turn of the server's loop: a turn that took long must be seen, and
 // what has come meanwhile be heard, before the next.
-const PerTurn = 16
+const MaxAdmissionsPerTurn = 16
 
 const (
 	// answerCost is what a token of an answer costs, in tokens read: a token written takes a step of its own, a token
@@ -101,16 +103,16 @@
 	hopeless = 0.5
 )
 
-// Cost of a request in tokens read, as charged before its answer is known.
-func Cost(prompt, answer int64) float64 {
+// EstimatedCost of a request in tokens read, as charged before its answer is known.
+func EstimatedCost(prompt, answer int64) float64 {
 	return max(float64(prompt)+answerCost*expectedAnswerPart*float64(answer), 1)
 }
 
 // Queue is the queue. Make it with New.
 type Queue struct {
-	// FirstCome lets requests in as they came, whoever sent them: a baseline to measure against. It is set before the
+	// FIFO lets requests in as they came, whoever sent them: a baseline to measure against. It is set before the
 	// first request comes.
-	FirstCome bool
+	FIFO bool
 
 	limit             int
 	limitPerFlow      int
@@ -132,12 +134,12 @@
 	total             float64 // cost waiting
 	admitted          float64 // so many may be let in and not sent
 	backgroundQueue   *Queue  // where background requests wait; nil in that one itself
-	BackgroundLimit   *background.Limit
+	BackgroundLimiter *background.Limiter
 }
 
 // New makes a queue for so many waiting requests, with so many known clients remembered. expected is the shortest
 // expected time of the classes, by which spans are measured. tickets signs advice; nil gives none.
-func New(most, clients int, expected Nanos, tickets *Signer) (*Queue, error) {
+func New(most, clients int, expected Nanos, tickets *TicketSigner) (*Queue, error) {
 	if most < 1 || clients < 1 || expected < 1 {
 		return nil, fmt.Errorf("admission queue for %d requests, %d clients, target %d: want all above 0", most, clients, expected)
 	}
@@ -145,7 +147,7 @@
 		admitted: maxUnsent, limit: most, limitPerFlow: most + 1024, requests: make(map[RequestID]*queuedRequest), target: expected,
 		active: tenantHeap(), overdue: lateHeap(),
 	}
-	q.BackgroundLimit = background.New(expected)
+	q.BackgroundLimiter = background.New(expected)
 	q.known.init(clients)
 	q.rate.memory = rateMemory * expected
 	q.book.init(tickets, expected)
@@ -178,13 +180,13 @@
 	return q
 }
 
-// Flows counts flows that are remembered.
-func (q *Queue) Flows() int { return q.flows }
+// FlowCount counts flows that are remembered.
+func (q *Queue) FlowCount() int { return q.flows }
 
-// Admits tells whether another request may be let in, by how long ago those were that the module has not sent yet. One
+// CanAdmit tells whether another request may be let in, by how long ago those were that the module has not sent yet. One
 // is enough: the next follows within the same turn once it is sent, and the order stays the queue's. Those that
 // wait for long are such as the module can't place, or it is slow; the others need not stand behind them.
-func (q *Queue) Admits(inside []Nanos) bool {
+func (q *Queue) CanAdmit(inside []Nanos) bool {
 	fresh := 0
 	for _, t := range inside {
 		if t <= Nanos(unsentWait*float64(q.target)) {
@@ -194,48 +196,48 @@
 	return fresh == 0 && len(inside) < int(q.admitted)
 }
 
-// NotSent tells that the module refused a request that was let in and never sent: fewer stand before it at once, so
+// RecordNotSent tells that the module refused a request that was let in and never sent: fewer stand before it at once, so
 // that the next attempt is not fought over by requests that the queue has put in order already.
-func (q *Queue) NotSent() { q.admitted = max(q.admitted/2, 1) }
+func (q *Queue) RecordNotSent() { q.admitted = max(q.admitted/2, 1) }
 
-// Sent tells that the module has sent a request that was let in: this is the pace of what stands behind the queue.
-func (q *Queue) Sent(now Nanos, request Request) {
-	q.rate.taken(now, Cost(request.Prompt, request.Answer))
+// RecordSent tells that the module has sent a request that was let in: this is the pace of what stands behind the queue.
+func (q *Queue) RecordSent(now Nanos, request Request) {
+	q.rate.taken(now, EstimatedCost(request.PromptTokens, request.MaxAnswerTokens))
 	q.admitted = min(q.admitted+admittedStep, maxUnsent)
 }
 
 // tooLateAt is when it is too late to let a request in.
 func tooLateAt(now Nanos, request *Request) Nanos {
-	return now + Nanos(hopeless*float64(min(request.Target, request.Deadline-now)))
+	return now + Nanos(hopeless*float64(min(request.LatencyObjective, request.Deadline-now)))
 }
 
-// Arrive takes a request to wait, or refuses it with the time to stay away; a Ticket goes with advice if the queue gives
+// Enqueue takes a request to wait, or refuses it with the time to stay away; a Ticket goes with advice if the queue gives
 // any.
-func (q *Queue) Arrive(now Nanos, request Request) (Cause, Advice) {
+func (q *Queue) Enqueue(now Nanos, request Request) (Verdict, RetryAdvice) {
 	if request.Background && q.backgroundQueue != nil {
-		return q.backgroundQueue.Arrive(now, request)
+		return q.backgroundQueue.Enqueue(now, request)
 	}
 	if request.Tenant < 0 || request.Tenant >= len(q.tenants) || q.tenants[request.Tenant].gone {
-		return Unknown, Advice{}
+		return UnknownTenant, RetryAdvice{}
 	}
 	t := q.tenants[request.Tenant]
 	t.Counts.Arrived++
 	booked := q.redeem(now, t, &request)
-	cost := Cost(request.Prompt, request.Answer)
+	cost := EstimatedCost(request.PromptTokens, request.MaxAnswerTokens)
 	gives, cause := q.admission(now, t, &request, cost, booked)
-	if cause != Admitted {
+	if cause != Queued {
 		return q.turnAway(now, t, cause, &request, cost)
 	}
 	if gives != nil {
 		q.displacedRequests = append(q.displacedRequests, displaced{gives.Request, gives.cost})
-		gives.flow.tenant.Counts.Refused[Full]++
+		gives.flow.tenant.Counts.Rejected[QueueFull]++
 		q.remove(now, gives)
 	}
-	if t.Rate > 0 {
+	if t.RequestsPerSecond > 0 {
 		t.tokens--
 	}
 	q.insert(now, t, request, cost, booked)
-	return Admitted, Advice{}
+	return Queued, RetryAdvice{}
 }
 
 // redeem tells whether a request comes back with a ticket that holds.
@@ -244,26 +246,26 @@
 		return false
 	}
 	if q.book.redeem(now, request.Tenant, request.Client, request.Ticket) {
-		t.Counts.Returned++
+		t.Counts.ReservationsRedeemed++
 		return true
 	}
-	t.Counts.WithoutBooking++
+	t.Counts.ReservationsInvalid++
 	return false
 }
 
 // admission tells whether a request may wait, and which one has to make room for it; nil = none has to.
-func (q *Queue) admission(now Nanos, t *tenant, request *Request, cost float64, booked bool) (gives *queuedRequest, cause Cause) {
-	if t.PromptMax > 0 && request.Prompt > t.PromptMax {
-		return nil, TooLong
+func (q *Queue) admission(now Nanos, t *tenant, request *Request, cost float64, booked bool) (gives *queuedRequest, cause Verdict) {
+	if t.MaxPromptTokens > 0 && request.PromptTokens > t.MaxPromptTokens {
+		return nil, PromptTooLong
 	}
 	t.fill(now)
-	if t.Rate > 0 && t.tokens < 1 && !booked {
-		return nil, OverRate
+	if t.RequestsPerSecond > 0 && t.tokens < 1 && !booked {
+		return nil, TenantRateExceeded
 	}
 	mine := q.flowOf(now, t, request, false)
-	if t.Waiting > 0 && t.waiting >= t.Waiting {
+	if t.MaxWaiting > 0 && t.waiting >= t.MaxWaiting {
 		if gives = q.displaces(now, t, t, mine, request); gives == nil {
-			return nil, TenantFull
+			return nil, TenantQueueFull
 		}
 	}
 	room := q.limit
@@ -272,27 +274,27 @@
 	}
 	if len(q.requests) >= max(room, 1) && gives == nil {
 		if gives = q.displaces(now, t, q.heaviest(), mine, request); gives == nil {
-			return nil, Full
+			return nil, QueueFull
 		}
 	}
 	if !booked && q.wait(now, t, mine, cost) > tooLateAt(now, request)-now {
 		return nil, TooLate
 	}
-	return gives, Admitted
+	return gives, Queued
 }
 
 // turnAway counts a refusal and gives advice when to come back.
-func (q *Queue) turnAway(now Nanos, t *tenant, cause Cause, request *Request, cost float64) (Cause, Advice) {
-	t.Counts.Refused[cause]++
-	if cause == TooLong {
-		return cause, Advice{}
+func (q *Queue) turnAway(now Nanos, t *tenant, cause Verdict, request *Request, cost float64) (Verdict, RetryAdvice) {
+	t.Counts.Rejected[cause]++
+	if cause == PromptTooLong {
+		return cause, RetryAdvice{}
 	}
-	if !cause.Own() {
+	if !cause.IsTenantLimit() {
 		q.refused(now)
 	}
 	a := q.advise(now, t, cause, request, cost, 0)
 	if a.Ticket != nil {
-		t.Counts.Booked++
+		t.Counts.ReservationsGranted++
 	}
 	return cause, a
 }
@@ -302,16 +304,16 @@
 	f := q.flowOf(now, t, &request, true)
 	w := q.newRequest()
 	*w = queuedRequest{
-		Request: request, cost: cost, arrivedAt: now, flow: f, startBy: now + request.Target, order: q.nextOrder(),
+		Request: request, cost: cost, arrivedAt: now, flow: f, startBy: now + request.LatencyObjective, order: q.nextOrder(),
 		in: booked, tooLateAt: tooLateAt(now, &request),
 	}
 	w.Ticket = nil
-	if q.FirstCome || booked { // who comes back has waited its time elsewhere
+	if q.FIFO || booked { // who comes back has waited its time elsewhere
 		w.startBy = now
 	}
 	q.rate.begin(now, q.total > 0)
 	q.requests[request.ID] = w
-	q.overdue.Put(w)
+	q.overdue.PushOrFix(w)
 	q.total += cost
 	t.waiting++
 	if f.requests.Len() == 0 {
@@ -320,18 +322,18 @@
 			t.start = max(t.start, q.virtual)
 		}
 	}
-	f.requests.Put(w)
+	f.requests.PushOrFix(w)
 	q.placeFlow(f)
 	q.place(t)
 }
 
-// Next gives the next request to let in, if there is one, while so many that were let in are not sent yet. A background
+// NextAdmissible gives the next request to let in, if there is one, while so many that were let in are not sent yet. A background
 // request comes when no other may, the module has nothing to place, and there is something to spare. It changes nothing:
 // Let does.
-func (q *Queue) Next(now Nanos, inside int) (RequestID, bool) {
+func (q *Queue) NextAdmissible(now Nanos, inside int) (RequestID, bool) {
 	if q.active.Len() == 0 {
-		if q.backgroundQueue != nil && len(q.requests) == 0 && inside == 0 && q.BackgroundLimit.May(now) {
-			return q.backgroundQueue.Next(now, 0)
+		if q.backgroundQueue != nil && len(q.requests) == 0 && inside == 0 && q.BackgroundLimiter.CanAdmit(now) {
+			return q.backgroundQueue.NextAdmissible(now, 0)
 		}
 		return 0, false
 	}
@@ -342,7 +344,7 @@
 func (q *Queue) Admit(now Nanos, id RequestID) {
 	if b := q.of(id); b != q {
 		b.Admit(now, id)
-		q.BackgroundLimit.Admit()
+		q.BackgroundLimiter.RecordAdmitted()
 		return
 	}
 	w := q.requests[id]
@@ -355,26 +357,26 @@
 	f.start += w.cost / f.weight
 	t.start += w.cost / t.Weight
 	waited := now - w.arrivedAt
-	if q.BackgroundLimit != nil {
-		q.BackgroundLimit.Waited(now, waited)
+	if q.BackgroundLimiter != nil {
+		q.BackgroundLimiter.ObserveQueueWait(now, waited)
 	}
 	t.Counts.Admitted++
-	t.Counts.Waited += waited
-	t.Counts.Longest = max(t.Counts.Longest, waited)
-	t.Counts.Cost += w.cost
+	t.Counts.TotalWait += waited
+	t.Counts.MaxWait = max(t.Counts.MaxWait, waited)
+	t.Counts.AdmittedCost += w.cost
 	if w.in {
-		t.Counts.KeptBookings++
+		t.Counts.ReservationsAdmitted++
 	}
 	t.running++
 	q.remove(now, w)
 }
 
-// Finished tells that a request that was let in is over: tenant and what it was charged by, and what it truly took. The
+// RecordFinished tells that a request that was let in is over: tenant and what it was charged by, and what it truly took. The
 // difference is charged to its flow.
-func (q *Queue) Finished(now Nanos, request Request, served bool, answered int64) {
+func (q *Queue) RecordFinished(now Nanos, request Request, served bool, answered int64) {
 	if request.Background && q.backgroundQueue != nil {
-		q.backgroundQueue.Finished(now, request, served, answered)
-		q.BackgroundLimit.Finished(now, answered > 0, served)
+		q.backgroundQueue.RecordFinished(now, request, served, answered)
+		q.BackgroundLimiter.RecordFinished(now, answered > 0, served)
 		return
 	}
 	if request.Tenant < 0 || request.Tenant >= len(q.tenants) {
@@ -385,9 +387,9 @@
 	if served {
 		q.known.served(now, t.n, request.Client, forgetAfter*q.target)
 	}
-	truly := float64(request.Prompt) + answerCost*float64(answered)
+	truly := float64(request.PromptTokens) + answerCost*float64(answered)
 	if f := q.flowOf(now, t, &request, false); f != nil && served {
-		by := truly - Cost(request.Prompt, request.Answer)
+		by := truly - EstimatedCost(request.PromptTokens, request.MaxAnswerTokens)
 		f.start = max(f.start+by/f.weight, t.virtual)
 		t.start = max(t.start+by/t.Weight, q.virtual)
 		q.placeFlow(f)
@@ -415,93 +417,93 @@
 	return true
 }
 
-// Expired gives a waiting request for which it has become too late: the server refuses it, after Refuse has said how.
-func (q *Queue) Expired(now Nanos) (RequestID, bool) {
+// NextExpired gives a waiting request for which it has become too late: the server refuses it, after Refuse has said how.
+func (q *Queue) NextExpired(now Nanos) (RequestID, bool) {
 	if q.overdue.Len() == 0 || now < q.overdue.Min().tooLateAt {
 		if q.backgroundQueue != nil {
-			return q.backgroundQueue.Expired(now)
+			return q.backgroundQueue.NextExpired(now)
 		}
 		return 0, false
 	}
 	return q.overdue.Min().ID, true
 }
 
-// NextExpiry is when time alone changes something at the earliest: Expired has a request to give, or background work may go
+// NextWakeup is when time alone changes something at the earliest: Expired has a request to give, or background work may go
 // on; false if nothing waits.
-func (q *Queue) NextExpiry(now Nanos) (Nanos, bool) {
+func (q *Queue) NextWakeup(now Nanos) (Nanos, bool) {
 	at, some := Nanos(0), false
 	if q.overdue.Len() > 0 {
 		at, some = q.overdue.Min().tooLateAt, true
 	}
 	if q.backgroundQueue != nil && len(q.backgroundQueue.requests) > 0 {
-		if t, ok := q.backgroundQueue.NextExpiry(now); ok && (!some || t < at) {
+		if t, ok := q.backgroundQueue.NextWakeup(now); ok && (!some || t < at) {
 			at, some = t, true
 		}
-		if t, ok := q.BackgroundLimit.Until(now); ok && t < at {
+		if t, ok := q.BackgroundLimiter.PausedUntil(now); ok && t < at {
 			at = t
 		}
 	}
 	return at, some
 }
 
-// Refuse takes a waiting request out and says how its client is to be answered.
-func (q *Queue) Refuse(now Nanos, id RequestID, c Cause) Advice {
+// Reject takes a waiting request out and says how its client is to be answered.
+func (q *Queue) Reject(now Nanos, id RequestID, c Verdict) RetryAdvice {
 	if b := q.of(id); b != q {
-		return b.Refuse(now, id, c)
+		return b.Reject(now, id, c)
 	}
 	w := q.requests[id]
 	if w == nil {
-		return Advice{}
+		return RetryAdvice{}
 	}
 	q.refused(now)
 	t, request, cost := w.flow.tenant, w.Request, w.cost
-	t.Counts.Refused[c]++
+	t.Counts.Rejected[c]++
 	q.remove(now, w)
 	a := q.advise(now, t, c, &request, cost, 0)
 	if a.Ticket != nil {
-		t.Counts.Booked++
+		t.Counts.ReservationsGranted++
 	}
 	return a
 }
 
-// RetryAfter says when a request should come back that was let in and then refused by the module, which asks for least from
+// ReserveRetry says when a request should come back that was let in and then refused by the module, which asks for least from
 // now, and books it in.
-func (q *Queue) RetryAfter(now Nanos, request Request, least Nanos) Advice {
+func (q *Queue) ReserveRetry(now Nanos, request Request, least Nanos) RetryAdvice {
 	if request.Tenant < 0 || request.Tenant >= len(q.tenants) {
-		return Advice{}
+		return RetryAdvice{}
 	}
 	if request.Background && q.backgroundQueue != nil {
-		return q.backgroundQueue.RetryAfter(now, request, least)
+		return q.backgroundQueue.ReserveRetry(now, request, least)
 	}
 	q.refused(now)
 	t := q.tenants[request.Tenant]
-	a := q.advise(now, t, Full, &request, Cost(request.Prompt, request.Answer), least)
+	a := q.advise(now, t, QueueFull, &request, EstimatedCost(request.PromptTokens, request.MaxAnswerTokens), least)
 	if a.Ticket != nil {
-		t.Counts.Booked++
+		t.Counts.ReservationsGranted++
 	}
 	return a
 }
 
 // refused tells that a request that somebody waits for found no place.
 func (q *Queue) refused(now Nanos) {
-	if q.BackgroundLimit != nil {
-		q.BackgroundLimit.Refused(now)
+	if q.BackgroundLimiter != nil {
+		q.BackgroundLimiter.ObserveRejection(now)
 	}
 }
 
-// FirstToken tells of a request's first token, so long after it came.
-func (q *Queue) FirstToken(now Nanos, request Request, took Nanos) {
+// RecordFirstToken tells of a request's first token, so long after it came.
+func (q *Queue) RecordFirstToken(now Nanos, request Request, took Nanos) {
 	if request.Background {
-		q.BackgroundLimit.Began()
+		q.BackgroundLimiter.RecordStarted()
 	} else {
-		q.BackgroundLimit.FirstToken(now, took, request.Target)
+		q.BackgroundLimiter.ObserveFirstToken(now, took, request.LatencyObjective)
 	}
 }
 
-// ToShed is how many waiting requests the server should refuse, the heaviest flow's first, after a turn of its loop worked
+// ShedCount is how many waiting requests the server should refuse, the heaviest flow's first, after a turn of its loop worked
 // for so long: a loop that lags makes every request late, so what waits goes before what runs suffers.
 // The same holds while more memory is in use than there should be; most is 0 where that is not bounded.
-func (q *Queue) ToShed(worked Nanos, memory, most uint64) int {
+func (q *Queue) ShedCount(worked Nanos, memory, most uint64) int {
 	if worked < Nanos(shedLag*float64(q.target)) && (most == 0 || memory <= most) || q.Waiting() == 0 {
 		return 0
 	}
--- a/internal/decide/admission/queue_test.go
+++ b/internal/decide/admission/queue_test.go
@@ -15,9 +15,9 @@
 	sec = Nanos(1e9)
 )
 
-func newDoor(t testing.TB, most int, tenants ...Tenant) *Queue {
+func newDoor(t testing.TB, most int, tenants ...TenantLimits) *Queue {
 	t.Helper()
-	q, err := New(most, 1024, sec, NewSigner([]byte("a key")))
+	q, err := New(most, 1024, sec, NewTicketSigner([]byte("a key")))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,7 +42,7 @@
 
 func ask(tenant int, client uint64, prompt int64) Request {
 	orders++
-	return Request{ID: orders, Tenant: tenant, Client: client, Source: 1, Prompt: prompt, Answer: 0, Target: sec, Deadline: 1 << 60}
+	return Request{ID: orders, Tenant: tenant, Client: client, Source: 1, PromptTokens: prompt, MaxAnswerTokens: 0, LatencyObjective: sec, Deadline: 1 << 60}
 }
 
 // TestFairAgainstFluid: over any stretch in which a flow has requests waiting, what it is let in lies within its own largest
@@ -52,12 +52,12 @@
 		seed := rapid.Uint64().Draw(rt, "seed")
 		rng := rand.New(rand.NewPCG(seed, 0))
 		n := 2 + rng.IntN(5)
-		var ts []Tenant
+		var ts []TenantLimits
 		sum := 0.0
 		for range n {
 			w := float64(1 + rng.IntN(8))
 			sum += w
-			ts = append(ts, Tenant{Weight: w})
+			ts = append(ts, TenantLimits{Weight: w})
 		}
 		q := newDoor(t, 100000, ts...)
 		owner, cost := map[RequestID]int{}, map[RequestID]float64{}
@@ -65,16 +65,16 @@
 		for i := range n { // all have enough waiting for the whole stretch
 			for range 400 {
 				request := ask(i, 0, int64(1+rng.IntN(1000)))
-				if c, _ := q.Arrive(1, request); c != Admitted {
+				if c, _ := q.Enqueue(1, request); c != Queued {
 					rt.Fatalf("refused: %v", c)
 				}
-				owner[request.ID], cost[request.ID] = i, Cost(request.Prompt, 0)
+				owner[request.ID], cost[request.ID] = i, EstimatedCost(request.PromptTokens, 0)
 				largest = max(largest, cost[request.ID])
 			}
 		}
 		got, total := make([]float64, n), 0.0
 		for range 300 {
-			id, ok := q.Next(0, 0)
+			id, ok := q.NextAdmissible(0, 0)
 			if !ok {
 				rt.Fatal("nothing to let in while jobs wait")
 			}
@@ -102,7 +102,7 @@
 // request leaves exactly once, and nothing is left behind.
 func TestWorkConserving(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		q := newDoor(t, 50, Tenant{Weight: 1}, Tenant{Weight: 3, Running: 4}, Tenant{Weight: 2, Waiting: 5, Rate: 50})
+		q := newDoor(t, 50, TenantLimits{Weight: 1}, TenantLimits{Weight: 3, MaxRunning: 4}, TenantLimits{Weight: 2, MaxWaiting: 5, RequestsPerSecond: 50})
 		meet(q, 1, 0, 1, 2, 3)
 		waiting, running := map[RequestID]Request{}, []Request{}
 		now := Nanos(1)
@@ -112,9 +112,9 @@
 			case 0, 1:
 				request := ask(rapid.IntRange(0, 2).Draw(rt, "tenant"), uint64(rapid.IntRange(0, 5).Draw(rt, "client")), int64(rapid.IntRange(1, 5000).Draw(rt, "prompt")))
 				request.Deadline = now + 2*sec
-				if c, a := q.Arrive(now, request); c == Admitted {
+				if c, a := q.Enqueue(now, request); c == Queued {
 					waiting[request.ID] = request
-					if id, a, ok := q.Displaced(now); ok {
+					if id, a, ok := q.PopDisplaced(now); ok {
 						if _, here := waiting[id]; !here || id == request.ID || a.RetryAfter <= 0 {
 							rt.Fatalf("displaced %d, to come back after %d", id, a.RetryAfter)
 						}
@@ -124,10 +124,10 @@
 					rt.Fatalf("refused for %v with no time to come back", c)
 				}
 			case 2:
-				id, ok := q.Next(0, 0)
+				id, ok := q.NextAdmissible(0, 0)
 				may := false
 				for _, request := range waiting {
-					_, r := q.Tenant(request.Tenant)
+					_, r := q.TenantLoad(request.Tenant)
 					may = may || request.Tenant != 1 || r < 4
 				}
 				if ok != may {
@@ -144,7 +144,7 @@
 				}
 			case 3:
 				if len(running) > 0 {
-					q.Finished(now, running[0], rapid.Bool().Draw(rt, "served"), int64(rapid.IntRange(0, 100).Draw(rt, "answer")))
+					q.RecordFinished(now, running[0], rapid.Bool().Draw(rt, "served"), int64(rapid.IntRange(0, 100).Draw(rt, "answer")))
 					running = running[1:]
 				}
 			case 4:
@@ -157,17 +157,17 @@
 				}
 			case 5:
 				for {
-					id, ok := q.Expired(now)
+					id, ok := q.NextExpired(now)
 					if !ok {
 						break
 					}
 					if _, here := waiting[id]; !here {
 						rt.Fatalf("expired job %d does not wait", id)
 					}
-					q.Refuse(now, id, TooLate)
+					q.Reject(now, id, TooLate)
 					delete(waiting, id)
 				}
-				if err := q.SetTenant(0, Tenant{Weight: rapid.Float64Range(0.1, 10).Draw(rt, "weight")}); err != nil {
+				if err := q.SetTenant(0, TenantLimits{Weight: rapid.Float64Range(0.1, 10).Draw(rt, "weight")}); err != nil {
 					rt.Fatal(err)
 				}
 			}
@@ -176,7 +176,7 @@
 			}
 			sum := 0
 			for i := range 3 {
-				w, r := q.Tenant(i)
+				w, r := q.TenantLoad(i)
 				if r < 0 || w < 0 {
 					rt.Fatalf("tenant %d: %d waiting, %d running", i, w, r)
 				}
@@ -200,25 +200,25 @@
 	run := func() string {
 		orders = 1000000
 		rng := rand.New(rand.NewPCG(7, 7))
-		q := newDoor(t, 200, Tenant{Weight: 1}, Tenant{Weight: 2, Rate: 300})
+		q := newDoor(t, 200, TenantLimits{Weight: 1}, TenantLimits{Weight: 2, RequestsPerSecond: 300})
 		out := ""
 		for i := range 5000 {
 			now := Nanos(i) * ms
 			request := ask(rng.IntN(2), uint64(rng.IntN(40)), int64(1+rng.IntN(3000)))
 			request.Source, request.Deadline = uint64(rng.IntN(9)), now+sec
-			c, a := q.Arrive(now, request)
+			c, a := q.Enqueue(now, request)
 			out += fmt.Sprint(c, a.RetryAfter, " ")
 			for {
-				id, ok := q.Expired(now)
+				id, ok := q.NextExpired(now)
 				if !ok {
 					break
 				}
-				out += fmt.Sprint("x", id, q.Refuse(now, id, TooLate).RetryAfter, " ")
+				out += fmt.Sprint("x", id, q.Reject(now, id, TooLate).RetryAfter, " ")
 			}
-			if id, ok := q.Next(0, 0); ok && rng.IntN(3) > 0 {
+			if id, ok := q.NextAdmissible(0, 0); ok && rng.IntN(3) > 0 {
 				q.Admit(now, id)
 				out += fmt.Sprint("l", id, " ")
-				q.Finished(now, Request{Tenant: rng.IntN(2), Client: uint64(rng.IntN(40)), Prompt: 5}, true, 3)
+				q.RecordFinished(now, Request{Tenant: rng.IntN(2), Client: uint64(rng.IntN(40)), PromptTokens: 5}, true, 3)
 			}
 		}
 		return out
@@ -233,15 +233,15 @@
 	for now := from; now < to; now += ms {
 		*credit = min(*credit+perMS, 10*perMS)
 		for *credit > 0 {
-			id, ok := q.Next(0, 0)
+			id, ok := q.NextAdmissible(0, 0)
 			if !ok {
 				break
 			}
 			request := q.requests[id].Request
-			*credit -= Cost(request.Prompt, request.Answer)
-			q.Sent(now, request)
+			*credit -= EstimatedCost(request.PromptTokens, request.MaxAnswerTokens)
+			q.RecordSent(now, request)
 			q.Admit(now, id)
-			q.Finished(now, request, true, 0)
+			q.RecordFinished(now, request, true, 0)
 			done(id, now-came[id])
 		}
 	}
@@ -255,7 +255,7 @@
 		"many names": func(i int) uint64 { return 1000 + uint64(i) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			q := newDoor(t, 20000, Tenant{Weight: 1})
+			q := newDoor(t, 20000, TenantLimits{Weight: 1})
 			meet(q, 1, 0, 1, 2, 3, 77)
 			came, small := map[RequestID]Nanos{}, map[RequestID]bool{}
 			var worst, worstFlood Nanos
@@ -273,13 +273,13 @@
 					n++
 					request := ask(0, flooder(n), 100)
 					request.Source = 9
-					if c, _ := q.Arrive(now, request); c == Admitted {
+					if c, _ := q.Enqueue(now, request); c == Queued {
 						came[request.ID] = now
 					}
 				}
 				if now%(50*ms) == 0 {
 					request := ask(0, 1+uint64(now/(50*ms))%3, 100)
-					if c, _ := q.Arrive(now, request); c != Admitted {
+					if c, _ := q.Enqueue(now, request); c != Queued {
 						t.Fatalf("a small client was refused: %v", c)
 					}
 					came[request.ID], small[request.ID] = now, true
@@ -298,11 +298,11 @@
 
 // TestIdleTenant: an hour without a request saves nothing up.
 func TestIdleTenant(t *testing.T) {
-	q := newDoor(t, 1000, Tenant{Weight: 1}, Tenant{Weight: 1})
+	q := newDoor(t, 1000, TenantLimits{Weight: 1}, TenantLimits{Weight: 1})
 	for range 100 {
 		request := ask(0, 0, 100)
-		q.Arrive(1, request)
-		id, _ := q.Next(0, 0)
+		q.Enqueue(1, request)
+		id, _ := q.NextAdmissible(0, 0)
 		q.Admit(1, id)
 	}
 	now := 3600 * sec
@@ -310,13 +310,13 @@
 	for range 50 {
 		for i := range 2 {
 			request := ask(i, 0, 100)
-			q.Arrive(now, request)
+			q.Enqueue(now, request)
 			owner[request.ID] = i
 		}
 	}
 	got := [2]int{}
 	for range 40 {
-		id, _ := q.Next(0, 0)
+		id, _ := q.NextAdmissible(0, 0)
 		q.Admit(now, id)
 		got[owner[id]]++
 	}
@@ -327,17 +327,17 @@
 
 // TestHugeJob: one huge request between many small ones of another client delays them by itself at most once.
 func TestHugeJob(t *testing.T) {
-	q := newDoor(t, 1000, Tenant{Weight: 1})
+	q := newDoor(t, 1000, TenantLimits{Weight: 1})
 	meet(q, 1, 0, 1, 2)
 	huge := ask(0, 1, 100000)
-	q.Arrive(1, huge)
-	q.Arrive(1, ask(0, 1, 100000))
+	q.Enqueue(1, huge)
+	q.Enqueue(1, ask(0, 1, 100000))
 	small := 0
 	for range 200 {
-		q.Arrive(1, ask(0, 2, 100))
+		q.Enqueue(1, ask(0, 2, 100))
 	}
 	for i := range 150 {
-		id, _ := q.Next(0, 0)
+		id, _ := q.NextAdmissible(0, 0)
 		if q.requests[id].Client == 2 {
 			small++
 		}
@@ -351,19 +351,19 @@
 
 // TestWeightsChange: from the change on, service follows the new weights.
 func TestWeightsChange(t *testing.T) {
-	q := newDoor(t, 10000, Tenant{Weight: 1}, Tenant{Weight: 1})
+	q := newDoor(t, 10000, TenantLimits{Weight: 1}, TenantLimits{Weight: 1})
 	owner := map[RequestID]int{}
 	for range 2000 {
 		for i := range 2 {
 			request := ask(i, 0, 100)
-			q.Arrive(1, request)
+			q.Enqueue(1, request)
 			owner[request.ID] = i
 		}
 	}
 	count := func(n int) [2]int {
 		got := [2]int{}
 		for range n {
-			id, _ := q.Next(0, 0)
+			id, _ := q.NextAdmissible(0, 0)
 			q.Admit(2, id)
 			got[owner[id]]++
 		}
@@ -372,7 +372,7 @@
 	if got := count(200); got[0] < 99 || got[1] < 99 {
 		t.Errorf("evenly weighted: %v", got)
 	}
-	if err := q.SetTenant(1, Tenant{Weight: 4}); err != nil {
+	if err := q.SetTenant(1, TenantLimits{Weight: 4}); err != nil {
 		t.Fatal(err)
 	}
 	if got := count(500); got[1] < 396 || got[1] > 404 {
@@ -382,17 +382,17 @@
 
 // TestTickets: what is booked holds once, for its owner, at its time; nothing else does.
 func TestTickets(t *testing.T) {
-	q := newDoor(t, 16, Tenant{Weight: 1}, Tenant{Weight: 1})
+	q := newDoor(t, 16, TenantLimits{Weight: 1}, TenantLimits{Weight: 1})
 	now := sec
 	var refused []*Ticket
 	for i := range 200 {
 		request := ask(0, 5, 100)
-		c, a := q.Arrive(now, request)
-		if c != Admitted && a.Ticket != nil {
+		c, a := q.Enqueue(now, request)
+		if c != Queued && a.Ticket != nil {
 			refused = append(refused, a.Ticket)
 		}
-		if id, ok := q.Next(0, 0); ok && i%4 == 0 {
-			q.Sent(now, q.requests[id].Request)
+		if id, ok := q.NextAdmissible(0, 0); ok && i%4 == 0 {
+			q.RecordSent(now, q.requests[id].Request)
 			q.Admit(now, id)
 		}
 		now += 10 * ms
@@ -414,7 +414,7 @@
 			b[k] ^= 1
 		}
 	}
-	if _, err := NewSigner([]byte("another")).Decode(s.Encode(refused[0])); err == nil {
+	if _, err := NewTicketSigner([]byte("another")).Decode(s.Encode(refused[0])); err == nil {
 		t.Error("a ticket of another key was taken")
 	}
 	tk := refused[len(refused)-1]
@@ -454,7 +454,7 @@
 	}{{"as advised", 1, 0, 0.95}, {"clocks off", 1, 150 * ms, 0.95}, {"half the pace", 0.5, 0, 0.95}} {
 		t.Run(c.name, func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(3, 3))
-			q := newDoor(t, 256, Tenant{Weight: 1})
+			q := newDoor(t, 256, TenantLimits{Weight: 1})
 			came := map[RequestID]Nanos{}
 			type back struct {
 				at Nanos
@@ -467,11 +467,11 @@
 			now, credit := sec, 0.0
 			turn := func(pace float64) {
 				for {
-					id, ok := q.Expired(now)
+					id, ok := q.NextExpired(now)
 					if !ok {
 						break
 					}
-					q.Refuse(now, id, TooLate)
+					q.Reject(now, id, TooLate)
 				}
 				serve(q, &credit, now, now+ms, pace, came, done)
 				now += ms
@@ -480,7 +480,7 @@
 				for range 5 {
 					request := ask(0, uint64(1+rng.IntN(500)), 100)
 					request.Deadline = now + 2*sec
-					if cause, a := q.Arrive(now, request); cause != Admitted {
+					if cause, a := q.Enqueue(now, request); cause != Queued {
 						if a.Ticket == nil {
 							continue
 						}
@@ -497,7 +497,7 @@
 				}
 			}
 			if len(backs) < 100 {
-				t.Fatalf("%d refused with a booking, %+v", len(backs), q.Counts(0))
+				t.Fatalf("%d refused with a booking, %+v", len(backs), q.TenantCounts(0))
 			}
 			tried, kept := 0, map[RequestID]bool{}
 			for end := now + 80*sec; now < end; {
@@ -508,7 +508,7 @@
 						request.ID, request.Deadline, request.Ticket = orders, now+2*sec, b.t
 						b.t = nil
 						tried++
-						if cause, _ := q.Arrive(now, request); cause == Admitted {
+						if cause, _ := q.Enqueue(now, request); cause == Queued {
 							came[request.ID], kept[request.ID] = now, true
 						}
 					}
@@ -532,43 +532,43 @@
 
 // TestMemoryBound: ten thousand clients with one request each, then a flood of names: flows and requests stay bounded.
 func TestMemoryBound(t *testing.T) {
-	q := newDoor(t, 2000, Tenant{Weight: 1})
+	q := newDoor(t, 2000, TenantLimits{Weight: 1})
 	for i := range 200000 {
 		now := Nanos(i) * ms / 10
 		request := ask(0, uint64(i+1), 100)
 		request.Source = uint64(i % 50000)
-		q.Arrive(now, request)
-		if id, ok := q.Next(0, 0); ok && i%3 == 0 {
+		q.Enqueue(now, request)
+		if id, ok := q.NextAdmissible(0, 0); ok && i%3 == 0 {
 			q.Admit(now, id)
 		}
-		if q.Waiting() > 2000 || q.Flows() > 2000+1024+1 {
-			t.Fatalf("%d waiting in %d flows", q.Waiting(), q.Flows())
+		if q.Waiting() > 2000 || q.FlowCount() > 2000+1024+1 {
+			t.Fatalf("%d waiting in %d flows", q.Waiting(), q.FlowCount())
 		}
 	}
 }
 
 // TestQuickTracksFirst: within a client the request goes first whose expected time is up first.
 func TestQuickTracksFirst(t *testing.T) {
-	q := newDoor(t, 100, Tenant{Weight: 1})
+	q := newDoor(t, 100, TenantLimits{Weight: 1})
 	meet(q, 1, 0, 5)
 	slow, quick := ask(0, 5, 100), ask(0, 5, 100)
-	slow.Target, quick.Target = 10*sec, sec
-	q.Arrive(1, slow)
-	q.Arrive(2, quick)
-	if id, _ := q.Next(0, 0); id != quick.ID {
+	slow.LatencyObjective, quick.LatencyObjective = 10*sec, sec
+	q.Enqueue(1, slow)
+	q.Enqueue(2, quick)
+	if id, _ := q.NextAdmissible(0, 0); id != quick.ID {
 		t.Error("the draft goes before the question that came after it")
 	}
 }
 
 // TestHoarding: a client that asks a thousand times for a place leaves others places in each slot.
 func TestHoarding(t *testing.T) {
-	q := newDoor(t, 64, Tenant{Weight: 1})
+	q := newDoor(t, 64, TenantLimits{Weight: 1})
 	meet(q, 1, 0, 5, 6)
 	now := sec
 	for range 2000 { // a pace is known, and the queue is full
-		q.Arrive(now, ask(0, 7, 100))
-		if id, ok := q.Next(0, 0); ok && q.Waiting() > 50 {
-			q.Sent(now, q.requests[id].Request)
+		q.Enqueue(now, ask(0, 7, 100))
+		if id, ok := q.NextAdmissible(0, 0); ok && q.Waiting() > 50 {
+			q.RecordSent(now, q.requests[id].Request)
 			q.Admit(now, id)
 		}
 		now += ms
@@ -576,7 +576,7 @@
 	var first Nanos
 	hoarded := 0
 	for range 1000 {
-		if c, a := q.Arrive(now, ask(0, 5, 100)); c != Admitted && a.Ticket != nil {
+		if c, a := q.Enqueue(now, ask(0, 5, 100)); c != Queued && a.Ticket != nil {
 			hoarded++
 			if first == 0 {
 				first = a.RetryAfter
@@ -587,10 +587,10 @@
 		t.Fatalf("%d booked", hoarded)
 	}
 	other := ask(0, 6, 100)
-	if c, _ := q.Arrive(now, other); c != Admitted {
+	if c, _ := q.Enqueue(now, other); c != Queued {
 		t.Fatal(c)
 	}
-	a := q.Refuse(now, other.ID, Shed)
+	a := q.Reject(now, other.ID, Overloaded)
 	if a.Ticket == nil {
 		t.Fatalf("%+v: want a booking", a)
 	}
@@ -602,18 +602,18 @@
 // TestAllAtOnce: the refused come back together, too early for their tickets: they are refused as any others, what
 // waits stays bounded, and a small known client goes in at once.
 func TestAllAtOnce(t *testing.T) {
-	q := newDoor(t, 64, Tenant{Weight: 1})
+	q := newDoor(t, 64, TenantLimits{Weight: 1})
 	meet(q, 1, 0, 6)
 	now := sec
 	var backs []Request
 	for i := range 2000 {
 		request := ask(0, 7, 100)
-		if c, a := q.Arrive(now, request); c != Admitted && a.Ticket != nil && a.Ticket.Slot > (now+4*sec)/q.book.len {
+		if c, a := q.Enqueue(now, request); c != Queued && a.Ticket != nil && a.Ticket.Slot > (now+4*sec)/q.book.len {
 			request.Ticket = a.Ticket
 			backs = append(backs, request)
 		}
-		if id, ok := q.Next(0, 0); ok && i%2 == 0 {
-			q.Sent(now, q.requests[id].Request)
+		if id, ok := q.NextAdmissible(0, 0); ok && i%2 == 0 {
+			q.RecordSent(now, q.requests[id].Request)
 			q.Admit(now, id)
 		}
 		now += ms
@@ -621,23 +621,23 @@
 	if len(backs) < 50 {
 		t.Fatalf("%d to come back", len(backs))
 	}
-	before := q.Counts(0)
+	before := q.TenantCounts(0)
 	for _, request := range backs {
 		orders++
 		request.ID = orders
-		q.Arrive(now, request)
+		q.Enqueue(now, request)
 	}
-	after := q.Counts(0)
-	if after.Returned != before.Returned || q.Waiting() > 64 {
-		t.Errorf("%d tickets held before their time, %d wait", after.Returned-before.Returned, q.Waiting())
+	after := q.TenantCounts(0)
+	if after.ReservationsRedeemed != before.ReservationsRedeemed || q.Waiting() > 64 {
+		t.Errorf("%d tickets held before their time, %d wait", after.ReservationsRedeemed-before.ReservationsRedeemed, q.Waiting())
 	}
-	q.Admit(now, func() RequestID { id, _ := q.Next(0, 0); return id }())
+	q.Admit(now, func() RequestID { id, _ := q.NextAdmissible(0, 0); return id }())
 	small := ask(0, 6, 100)
-	if c, _ := q.Arrive(now, small); c != Admitted {
+	if c, _ := q.Enqueue(now, small); c != Queued {
 		t.Fatalf("a small client is refused: %v", c)
 	}
-	q.Admit(now, func() RequestID { id, _ := q.Next(0, 0); return id }())
-	if id, _ := q.Next(0, 0); id != small.ID {
+	q.Admit(now, func() RequestID { id, _ := q.NextAdmissible(0, 0); return id }())
+	if id, _ := q.NextAdmissible(0, 0); id != small.ID {
 		if _, waits := q.requests[small.ID]; waits {
 			t.Error("the small client is not among the next two")
 		}
@@ -646,22 +646,22 @@
 
 // TestUnplaced: after requests that the module could not place, fewer stand before it; attempts bring them back.
 func TestUnplaced(t *testing.T) {
-	q := newDoor(t, 10, Tenant{Weight: 1})
+	q := newDoor(t, 10, TenantLimits{Weight: 1})
 	old := []Nanos{sec, sec, sec, sec}
 	most := func() int {
 		n := 0
-		for n < len(old) && q.Admits(old[:n]) {
+		for n < len(old) && q.CanAdmit(old[:n]) {
 			n++
 		}
 		return n
 	}
 	got := []int{most()}
 	for range 3 {
-		q.NotSent()
+		q.RecordNotSent()
 		got = append(got, most())
 	}
 	for range 3 * 8 {
-		q.Sent(sec, Request{Prompt: 1})
+		q.RecordSent(sec, Request{PromptTokens: 1})
 	}
 	got = append(got, most())
 	if want := []int{4, 2, 1, 1, 4}; !slices.Equal(got, want) {
@@ -671,33 +671,33 @@
 
 // TestToShed: an overloaded dispatcher sheds an eighth of what waits, from the heaviest flow.
 func TestToShed(t *testing.T) {
-	q := newDoor(t, 1000, Tenant{Weight: 1}, Tenant{Weight: 1})
+	q := newDoor(t, 1000, TenantLimits{Weight: 1}, TenantLimits{Weight: 1})
 	for range 80 {
-		q.Arrive(1, ask(0, 0, 100))
+		q.Enqueue(1, ask(0, 0, 100))
 	}
-	q.Arrive(1, ask(1, 0, 100))
+	q.Enqueue(1, ask(1, 0, 100))
 	for _, c := range []struct {
 		worked       Nanos
 		memory, most uint64
 		want         int
 	}{{10 * ms, 0, 0, 0}, {200 * ms, 0, 0, 10}, {0, 100, 0, 0}, {0, 100, 100, 0}, {0, 101, 100, 10}} {
-		if got := q.ToShed(c.worked, c.memory, c.most); got != c.want {
+		if got := q.ShedCount(c.worked, c.memory, c.most); got != c.want {
 			t.Errorf("after %d ms with %d of %d bytes: %d to shed, want %d", c.worked/ms, c.memory, c.most, got, c.want)
 		}
 	}
 	for range 79 {
-		id, _ := q.Heaviest()
+		id, _ := q.NextToShed()
 		if q.requests[id].Tenant != 0 {
 			t.Fatal("shed from the lighter tenant")
 		}
-		q.Refuse(2, id, Shed)
+		q.Reject(2, id, Overloaded)
 	}
 }
 
 func BenchmarkDoor(b *testing.B) {
 	for _, flows := range []int{10, 1000, 100000} {
 		b.Run(fmt.Sprint(flows), func(b *testing.B) {
-			q := newDoor(b, flows*3, Tenant{Weight: 1})
+			q := newDoor(b, flows*3, TenantLimits{Weight: 1})
 			q.known.init(flows * 8)
 			for i := range flows {
 				meet(q, 1, 0, uint64(i+1))
@@ -706,7 +706,7 @@
 			come := func() {
 				next++
 				request := ask(0, 1+next%uint64(flows), 100)
-				q.Arrive(Nanos(next), request)
+				q.Enqueue(Nanos(next), request)
 			}
 			for range 2 * flows {
 				come()
@@ -714,10 +714,10 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				come()
-				id, _ := q.Next(0, 0)
+				id, _ := q.NextAdmissible(0, 0)
 				request := q.requests[id].Request
 				q.Admit(Nanos(next), id)
-				q.Finished(Nanos(next), request, true, 0)
+				q.RecordFinished(Nanos(next), request, true, 0)
 			}
 		})
 	}
@@ -726,21 +726,21 @@
 // TestSmallComeBackSoon: one who is refused while another's flood waits is told to stay away for what stands before
 // it by its own share, not until the flood has passed.
 func TestSmallComeBackSoon(t *testing.T) {
-	q := newDoor(t, 1000, Tenant{Weight: 1})
+	q := newDoor(t, 1000, TenantLimits{Weight: 1})
 	meet(q, 0, 0, 7, 8)
 	for range 100 {
-		if c, _ := q.Arrive(sec, ask(0, 7, 1000)); c != Admitted {
+		if c, _ := q.Enqueue(sec, ask(0, 7, 1000)); c != Queued {
 			t.Fatal(c)
 		}
 	}
 	now := sec
 	for range 20 {
 		now += 10 * ms
-		id, _ := q.Next(0, 0)
+		id, _ := q.NextAdmissible(0, 0)
 		q.Admit(now, id)
-		q.Sent(now, Request{Prompt: 1000})
+		q.RecordSent(now, Request{PromptTokens: 1000})
 	}
-	small, large := q.RetryAfter(now, ask(0, 8, 1000), 0), q.RetryAfter(now, ask(0, 7, 1000), 0)
+	small, large := q.ReserveRetry(now, ask(0, 8, 1000), 0), q.ReserveRetry(now, ask(0, 7, 1000), 0)
 	if small.Ticket == nil || large.Ticket == nil || small.RetryAfter > large.RetryAfter/2 || large.RetryAfter < 500*ms {
 		t.Errorf("the small one is to stay away for %d ms, the flooding one for %d ms of the 800 ms that wait", small.RetryAfter/ms, large.RetryAfter/ms)
 	}
@@ -749,13 +749,13 @@
 // TestDisplace: a queue full of one flood takes the requests of others in its stead, the newest first, down to an even
 // share and no further; those back as advised stay.
 func TestDisplace(t *testing.T) {
-	q := newDoor(t, 64, Tenant{Weight: 1, Waiting: 100}, Tenant{Weight: 1, Waiting: 4})
+	q := newDoor(t, 64, TenantLimits{Weight: 1, MaxWaiting: 100}, TenantLimits{Weight: 1, MaxWaiting: 4})
 	meet(q, 0, 0, 5, 6, 7)
 	meet(q, 0, 1, 8, 9)
 	last := RequestID(0)
 	for {
 		request := ask(0, 5, 100)
-		if c, _ := q.Arrive(0, request); c != Admitted {
+		if c, _ := q.Enqueue(0, request); c != Queued {
 			break
 		}
 		last = request.ID
@@ -763,12 +763,12 @@
 	full := q.Waiting()
 	for i := range full {
 		request := ask(0, 6, 100)
-		c, _ := q.Arrive(0, request)
-		if fair := i < full/2; fair != (c == Admitted) {
+		c, _ := q.Enqueue(0, request)
+		if fair := i < full/2; fair != (c == Queued) {
 			t.Fatalf("job %d of the other client, of %d that fit: %v", i, full, c)
 		}
-		id, _, ok := q.Displaced(0)
-		if ok != (c == Admitted) || ok && id != last-RequestID(i) {
+		id, _, ok := q.PopDisplaced(0)
+		if ok != (c == Queued) || ok && id != last-RequestID(i) {
 			t.Fatalf("job %d displaces %d, %v, want the newest, %d", i, id, ok, last-RequestID(i))
 		}
 		if q.Waiting() != full {
@@ -777,16 +777,16 @@
 	}
 	// Within a tenant's own limit as well, but not beyond it.
 	for range 5 {
-		q.Arrive(0, ask(1, 8, 100))
+		q.Enqueue(0, ask(1, 8, 100))
 	}
-	if w, _ := q.Tenant(1); w != 4 {
+	if w, _ := q.TenantLoad(1); w != 4 {
 		t.Fatalf("%d of the second tenant wait, want its 4", w)
 	}
 	q.displacedRequests = q.displacedRequests[:0]
-	if c, _ := q.Arrive(0, ask(1, 9, 100)); c != Admitted {
+	if c, _ := q.Enqueue(0, ask(1, 9, 100)); c != Queued {
 		t.Error(c)
 	}
-	if w, _ := q.Tenant(1); w != 4 || len(q.displacedRequests) != 1 || q.displacedRequests[0].Client != 8 {
+	if w, _ := q.TenantLoad(1); w != 4 || len(q.displacedRequests) != 1 || q.displacedRequests[0].Client != 8 {
 		t.Errorf("%d wait, %v displaced; want one of its heavier client", w, q.displacedRequests)
 	}
 	// One that leaves before it is answered is forgotten.
@@ -798,7 +798,7 @@
 // TestBackground: background work goes in when nobody else waits and nothing is unlaunched, is not counted among those
 // who fill the queue, is shed first, and comes back by bookings as any.
 func TestBackground(t *testing.T) {
-	q := newDoor(t, 40, Tenant{Weight: 1})
+	q := newDoor(t, 40, TenantLimits{Weight: 1})
 	back := func() Request {
 		request := ask(0, 0, 100)
 		request.Background = true
@@ -810,50 +810,50 @@
 		if i == 0 {
 			first = request
 		}
-		if c, a := q.Arrive(0, request); (c == Admitted) != (i < 9) || c != Admitted && a.RetryAfter <= 0 { // a quarter of the room, but for the returners' eighth
+		if c, a := q.Enqueue(0, request); (c == Queued) != (i < 9) || c != Queued && a.RetryAfter <= 0 { // a quarter of the room, but for the returners' eighth
 			t.Fatalf("background job %d: %v, %+v", i, c, a)
 		}
 	}
 	for range 35 {
-		if c, _ := q.Arrive(0, ask(0, 0, 100)); c != Admitted {
+		if c, _ := q.Enqueue(0, ask(0, 0, 100)); c != Queued {
 			t.Fatal("background work takes others' room")
 		}
 	}
 	for range 35 {
-		id, ok := q.Next(1, 0)
+		id, ok := q.NextAdmissible(1, 0)
 		if !ok || q.requests[id] == nil {
 			t.Fatal("background work goes before others")
 		}
 		q.Admit(1, id)
 	}
-	if _, ok := q.Next(1, 1); ok {
+	if _, ok := q.NextAdmissible(1, 1); ok {
 		t.Error("background work goes in while the module has something to place")
 	}
-	id, ok := q.Next(1, 0)
+	id, ok := q.NextAdmissible(1, 0)
 	if !ok || id != first.ID {
 		t.Fatalf("%d, %v: want the first background job", id, ok)
 	}
 	q.Admit(1, id)
-	if _, ok := q.Next(1, 0); ok || q.BackgroundLimit.Out() != 1 {
-		t.Errorf("a second one goes in while the first has not begun; %d out", q.BackgroundLimit.Out())
+	if _, ok := q.NextAdmissible(1, 0); ok || q.BackgroundLimiter.InFlight() != 1 {
+		t.Errorf("a second one goes in while the first has not begun; %d out", q.BackgroundLimiter.InFlight())
 	}
-	q.FirstToken(2, first, 1)
-	q.Finished(2, first, true, 10)
-	if q.BackgroundLimit.Out() != 0 {
-		t.Errorf("%d out", q.BackgroundLimit.Out())
+	q.RecordFirstToken(2, first, 1)
+	q.RecordFinished(2, first, true, 10)
+	if q.BackgroundLimiter.InFlight() != 0 {
+		t.Errorf("%d out", q.BackgroundLimiter.InFlight())
 	}
-	q.Arrive(3, ask(0, 0, 100))
-	if id, _ := q.Heaviest(); q.backgroundQueue.requests[id] == nil {
+	q.Enqueue(3, ask(0, 0, 100))
+	if id, _ := q.NextToShed(); q.backgroundQueue.requests[id] == nil {
 		t.Error("what somebody waits for is shed before background work")
 	}
 	now := 2 * sec
 	n := 0
 	for {
-		id, ok := q.Expired(now)
+		id, ok := q.NextExpired(now)
 		if !ok {
 			break
 		}
-		if a := q.Refuse(now, id, TooLate); a.RetryAfter <= 0 {
+		if a := q.Reject(now, id, TooLate); a.RetryAfter <= 0 {
 			t.Errorf("refused with %+v", a)
 		}
 		n++
--- a/internal/decide/background/background.go
+++ b/internal/decide/background/background.go
@@ -5,20 +5,20 @@
 // Nanos is a time or a span in nanoseconds.
 type Nanos = int64
 
-// Limit is the account of background requests that were let in. Make it with New.
-type Limit struct {
-	target      Nanos   // shortest expected time of the work that somebody waits for
-	allow       float64 // so many may be at hand
-	outstanding int     // so many are
-	starting    int     // of them, those that no token has come of yet
-	until       Nanos   // none is let in before
-	cutAt       Nanos   // the last time that the allowance was cut
-	full        bool    // one more would have gone in since the allowance last grew
-	Counts      Counts
+// Limiter is the account of background requests that were let in. Make it with New.
+type Limiter struct {
+	latencyObjective Nanos   // shortest expected time of the work that somebody waits for
+	limit            float64 // so many may be at hand
+	inFlight         int     // so many are
+	starting         int     // of them, those that no token has come of yet
+	pausedUntil      Nanos   // none is let in before
+	decreasedAt      Nanos   // the last time that the allowance was cut
+	limited          bool    // one more would have gone in since the allowance last grew
+	Counts           Counts
 }
 
 // Counts are what was counted.
-type Counts struct{ Begun, Served, Cuts, Stops uint64 }
+type Counts struct{ Admitted, Served, Decreases, Pauses uint64 }
 
 const (
 	// waitSign of the shortest expected time in the admission queue is a sign: an idle fleet takes a request at once.
@@ -39,83 +39,83 @@
 )
 
 // New makes an account; expected is the shortest expected time of the work that somebody waits for.
-func New(expected Nanos) *Limit { return &Limit{target: max(expected, 1), allow: 1} }
+func New(expected Nanos) *Limiter { return &Limiter{latencyObjective: max(expected, 1), limit: 1} }
 
-// May tells whether another background request, which waits, may be let in now.
-func (s *Limit) May(now Nanos) bool {
-	if now < s.until {
+// CanAdmit tells whether another background request, which waits, may be let in now.
+func (l *Limiter) CanAdmit(now Nanos) bool {
+	if now < l.pausedUntil {
 		return false
 	}
-	may := s.outstanding < max(int(s.allow), 1) && s.starting < max(int(s.allow*startPart), 1)
-	s.full = s.full || !may
+	may := l.inFlight < max(int(l.limit), 1) && l.starting < max(int(l.limit*startPart), 1)
+	l.limited = l.limited || !may
 	return may
 }
 
-// Until is when May can change by time alone; false if it does not.
-func (s *Limit) Until(now Nanos) (Nanos, bool) { return s.until, s.until > now }
+// PausedUntil is when May can change by time alone; false if it does not.
+func (l *Limiter) PausedUntil(now Nanos) (Nanos, bool) { return l.pausedUntil, l.pausedUntil > now }
 
-// Out counts the background requests at hand, Allowance how many there may be.
-func (s *Limit) Out() int { return s.outstanding }
+// InFlight counts the background requests at hand, Allowance how many there may be.
+func (l *Limiter) InFlight() int { return l.inFlight }
 
-// Allowance is how many background requests may be at hand.
-func (s *Limit) Allowance() float64 { return s.allow }
+// Limit is how many background requests may be at hand.
+func (l *Limiter) Limit() float64 { return l.limit }
 
-// Admit tells that a background request was let in.
-func (s *Limit) Admit() {
-	s.outstanding++
-	s.starting++
-	s.Counts.Begun++
+// RecordAdmitted tells that a background request was let in.
+func (l *Limiter) RecordAdmitted() {
+	l.inFlight++
+	l.starting++
+	l.Counts.Admitted++
 }
 
-// Began tells of a background request's first token.
-func (s *Limit) Began() { s.starting = max(s.starting-1, 0) }
+// RecordStarted tells of a background request's first token.
+func (l *Limiter) RecordStarted() { l.starting = max(l.starting-1, 0) }
 
-// Finished tells that a background request is over: whether its first token had come, and whether it was served.
-func (s *Limit) Finished(now Nanos, began, served bool) {
-	s.outstanding = max(s.outstanding-1, 0)
+// RecordFinished tells that a background request is over: whether its first token had come, and whether it was served.
+func (l *Limiter) RecordFinished(now Nanos, began, served bool) {
+	l.inFlight = max(l.inFlight-1, 0)
 	if !began {
-		s.starting = max(s.starting-1, 0)
+		l.starting = max(l.starting-1, 0)
 	}
 	if !served { // the fleet had no place for it
-		s.cut(now)
+		l.decrease(now)
 		return
 	}
-	s.Counts.Served++
-	if s.full { // what was not used says nothing
-		s.allow += grow / s.allow
-		s.full = false
+	l.Counts.Served++
+	if l.limited { // what was not used says nothing
+		l.limit += grow / l.limit
+		l.limited = false
 	}
 }
 
-// Waited tells how long a request that somebody waits for stood in the admission queue.
-func (s *Limit) Waited(now Nanos, by Nanos) {
-	if s.outstanding > 0 && float64(by) > waitSign*float64(s.target) {
-		s.cut(now)
+// ObserveQueueWait tells how long a request that somebody waits for stood in the admission queue.
+func (l *Limiter) ObserveQueueWait(now Nanos, by Nanos) {
+	if l.inFlight > 0 && float64(by) > waitSign*float64(l.latencyObjective) {
+		l.decrease(now)
 	}
 }
 
-// FirstToken tells how long such a request took to its first token, of its expected time.
-func (s *Limit) FirstToken(now Nanos, took, expected Nanos) {
+// ObserveFirstToken tells how long such a request took to its first token, of its expected time.
+func (l *Limiter) ObserveFirstToken(now Nanos, took, expected Nanos) {
 	switch part := float64(took) / float64(max(expected, 1)); {
 	case part > slowStop:
-		s.Refused(now)
-	case part > slowSign && s.outstanding > 0:
-		s.cut(now)
+		l.ObserveRejection(now)
+	case part > slowSign && l.inFlight > 0:
+		l.decrease(now)
 	}
 }
 
-// Refused tells that such a request was refused, or came late: there is nothing to spare.
-func (s *Limit) Refused(now Nanos) {
-	s.Counts.Stops++
-	s.until = max(s.until, now+rest*s.target)
-	s.cut(now)
+// ObserveRejection tells that such a request was refused, or came late: there is nothing to spare.
+func (l *Limiter) ObserveRejection(now Nanos) {
+	l.Counts.Pauses++
+	l.pausedUntil = max(l.pausedUntil, now+rest*l.latencyObjective)
+	l.decrease(now)
 }
 
-func (s *Limit) cut(now Nanos) {
-	if s.Counts.Cuts > 0 && now < s.cutAt+Nanos(cutEvery*float64(s.target)) {
+func (l *Limiter) decrease(now Nanos) {
+	if l.Counts.Decreases > 0 && now < l.decreasedAt+Nanos(cutEvery*float64(l.latencyObjective)) {
 		return
 	}
-	s.Counts.Cuts++
-	s.cutAt = now
-	s.allow, s.full = max(s.allow/2, 1), false
+	l.Counts.Decreases++
+	l.decreasedAt = now
+	l.limit, l.limited = max(l.limit/2, 1), false
 }
--- a/internal/decide/background/background_test.go
+++ b/internal/decide/background/background_test.go
@@ -16,18 +16,18 @@
 	running, now, refused, full := 0, Nanos(0), 0, 0
 	for range 4000 {
 		now += sec / 50
-		for s.May(now) {
-			s.Admit()
+		for s.CanAdmit(now) {
+			s.RecordAdmitted()
 			if running >= fits {
-				s.Finished(now, false, false)
+				s.RecordFinished(now, false, false)
 				refused++
 				break
 			}
-			s.Began()
+			s.RecordStarted()
 			running++
 		}
 		if running > 0 { // each runs for some time
-			s.Finished(now, true, true)
+			s.RecordFinished(now, true, true)
 			running--
 		}
 		if running >= fits*3/4 {
@@ -44,28 +44,28 @@
 func TestShortJobs(t *testing.T) {
 	s := New(sec)
 	for range 100 {
-		for s.May(0) {
-			s.Admit()
+		for s.CanAdmit(0) {
+			s.RecordAdmitted()
 		}
-		for s.Out() > 0 {
-			s.Finished(0, true, true)
-			s.starting = min(s.starting, s.Out())
+		for s.InFlight() > 0 {
+			s.RecordFinished(0, true, true)
+			s.starting = min(s.starting, s.InFlight())
 		}
 	}
-	was := s.Allowance()
+	was := s.Limit()
 	if was < 8 {
 		t.Errorf("after a hundred rounds %v are allowed", was)
 	}
 	for range 100 {
-		if !s.May(0) {
+		if !s.CanAdmit(0) {
 			t.Fatal("one may not go in")
 		}
-		s.Admit()
-		s.Began()
-		s.Finished(0, true, true)
+		s.RecordAdmitted()
+		s.RecordStarted()
+		s.RecordFinished(0, true, true)
 	}
-	if s.Allowance() > was+1 {
-		t.Errorf("one at a time brought it from %v to %v", was, s.Allowance())
+	if s.Limit() > was+1 {
+		t.Errorf("one at a time brought it from %v to %v", was, s.Limit())
 	}
 }
 
@@ -74,36 +74,36 @@
 func TestYields(t *testing.T) {
 	s := New(sec)
 	for range 200 {
-		s.Admit()
-		s.Began()
-		s.Finished(0, true, true)
-		s.allow = max(s.allow, 32)
+		s.RecordAdmitted()
+		s.RecordStarted()
+		s.RecordFinished(0, true, true)
+		s.limit = max(s.limit, 32)
 	}
-	was := s.Allowance()
+	was := s.Limit()
 	for range 8 {
-		s.Admit()
+		s.RecordAdmitted()
 	}
 	now := 10 * sec
 	for range 10 {
-		s.Waited(now, sec/10)
+		s.ObserveQueueWait(now, sec/10)
 	}
-	if got := s.Allowance(); got != was/2 {
+	if got := s.Limit(); got != was/2 {
 		t.Errorf("after ten signs at once %v of %v are allowed, want half", got, was)
 	}
-	s.Waited(now+sec, sec/100)
-	s.FirstToken(now+sec, sec/10, sec)
-	if got := s.Allowance(); got != was/2 {
+	s.ObserveQueueWait(now+sec, sec/100)
+	s.ObserveFirstToken(now+sec, sec/10, sec)
+	if got := s.Limit(); got != was/2 {
 		t.Errorf("after no sign %v", got)
 	}
-	s.FirstToken(now+sec, sec*4/10, sec)
-	if got := s.Allowance(); got != was/4 {
+	s.ObserveFirstToken(now+sec, sec*4/10, sec)
+	if got := s.Limit(); got != was/4 {
 		t.Errorf("after a late first token %v are allowed", got)
 	}
-	s.Refused(now + 2*sec)
-	if s.May(now + 3*sec) {
+	s.ObserveRejection(now + 2*sec)
+	if s.CanAdmit(now + 3*sec) {
 		t.Error("one is let in though others were refused")
 	}
-	if at, ok := s.Until(now + 3*sec); !ok || at != now+4*sec {
+	if at, ok := s.PausedUntil(now + 3*sec); !ok || at != now+4*sec {
 		t.Errorf("it goes on at %d, %v", at, ok)
 	}
 }
@@ -118,13 +118,13 @@
 			now += rng.Int64N(sec / 10)
 			switch rng.IntN(6) {
 			case 0, 1:
-				if s.May(now) {
-					s.Admit()
+				if s.CanAdmit(now) {
+					s.RecordAdmitted()
 					out++
 				}
 			case 2:
 				if out > began {
-					s.Began()
+					s.RecordStarted()
 					began++
 				}
 			case 3:
@@ -134,22 +134,22 @@
 						began--
 					}
 					out--
-					s.Finished(now, wasBegun, rng.IntN(3) > 0)
+					s.RecordFinished(now, wasBegun, rng.IntN(3) > 0)
 				}
 			case 4:
-				s.Waited(now, rng.Int64N(sec))
+				s.ObserveQueueWait(now, rng.Int64N(sec))
 			case 5:
-				s.FirstToken(now, rng.Int64N(sec), sec)
+				s.ObserveFirstToken(now, rng.Int64N(sec), sec)
 			}
-			if s.Out() != out || s.starting != out-began || s.Allowance() < 1 {
-				rt.Fatalf("%d out, %d starting, %v allowed; want %d and %d", s.Out(), s.starting, s.Allowance(), out, out-began)
+			if s.InFlight() != out || s.starting != out-began || s.Limit() < 1 {
+				rt.Fatalf("%d out, %d starting, %v allowed; want %d and %d", s.InFlight(), s.starting, s.Limit(), out, out-began)
 			}
 		}
 		for range out {
-			s.Finished(now, began > 0, true)
+			s.RecordFinished(now, began > 0, true)
 			began--
 		}
-		if !s.May(now + 10*sec) {
+		if !s.CanAdmit(now + 10*sec) {
 			rt.Fatal("after a quiet time none may go in")
 		}
 	})
--- a/internal/decide/batchscheduler/scheduler_test.go
+++ b/internal/decide/batchscheduler/scheduler_test.go
@@ -20,8 +20,8 @@
 	return s
 }
 
-func entries(n int) []Entry {
-	es := make([]Entry, n)
+func entries(n int) []LineSpec {
+	es := make([]LineSpec, n)
 	for i := range es {
 		es[i].Cost = 100
 	}
@@ -34,30 +34,30 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		effect := Effect(rapid.IntRange(0, 2).Draw(rt, "effect"))
 		n := rapid.IntRange(1, 40).Draw(rt, "lines")
-		b := Batch{ID: 7, Effect: effect, Window: 5 * sec, Ends: rapid.Int64Range(sec, 1000*sec).Draw(rt, "ends"), Lines: entries(n)}
+		b := Batch{ID: 7, Effect: effect, DeduplicationWindow: 5 * sec, Deadline: rapid.Int64Range(sec, 1000*sec).Draw(rt, "ends"), Lines: entries(n)}
 		s := newScheduler(t, 8, 1)
-		if err := s.Add(b); err != nil {
+		if err := s.AddBatch(b); err != nil {
 			rt.Fatal(err)
 		}
-		kept := make([]At, n) // what a store would have
+		kept := make([]LineState, n) // what a store would have
 		mayHaveRun := make([]bool, n)
 		ended := make([]int, n)
-		var out []Line
+		var out []LineIndex
 		now := Nanos(1)
-		finish := func(l Line, at At) {
+		finish := func(l LineIndex, at LineState) {
 			kept[l] = at
 			ended[l]++
 		}
 		for range 4000 {
 			now += rapid.Int64Range(0, sec/2).Draw(rt, "pass")
-			s.Expired(now)
+			s.ExpireNext(now)
 			switch what := rapid.IntRange(0, 19).Draw(rt, "what"); {
 			case what < 10:
-				if _, l, ok := s.Next(now); ok {
-					if effect == Irreversible && mayHaveRun[l] {
+				if _, l, ok := s.NextLine(now); ok {
+					if effect == NonIdempotent && mayHaveRun[l] {
 						rt.Fatalf("line %d goes out though it may have run", l)
 					}
-					kept[l] = Out
+					kept[l] = LineInFlight
 					out = append(out, l)
 				}
 			case what < 19:
@@ -66,17 +66,17 @@
 				}
 				l := out[0]
 				out = out[1:]
-				how := How(rapid.IntRange(0, 4).Draw(rt, "how"))
-				if how == Abandoned || how == Broken {
+				how := Outcome(rapid.IntRange(0, 4).Draw(rt, "how"))
+				if how == OutcomeFailed || how == OutcomeConnectionLost {
 					mayHaveRun[l] = true
 				}
-				switch v, why := s.Ended(now, 7, l, how, 0); {
-				case v == IsDone:
-					finish(l, Done)
-				case v == IsLost && why != "":
-					finish(l, Lost)
-				case v == GoAgain:
-					kept[l] = Waiting
+				switch v, why := s.ReportOutcome(now, 7, l, how, 0); {
+				case v == VerdictCompleted:
+					finish(l, LineCompleted)
+				case v == VerdictFailed && why != "":
+					finish(l, LineFailed)
+				case v == VerdictRetry:
+					kept[l] = LineWaiting
 				default:
 					rt.Fatalf("verdict %d without a reason", v)
 				}
@@ -84,28 +84,28 @@
 				again := newScheduler(t, 8, 1)
 				lines := entries(n)
 				for i := range kept {
-					at, lost := Recover(kept[i], effect)
+					at, lost := RecoverLine(kept[i], effect)
 					if lost {
 						ended[i]++
 					}
-					kept[i], lines[i].At = at, at
+					kept[i], lines[i].State = at, at
 				}
 				b.Lines, out, s = lines, nil, again
-				if err := s.Add(b); err != nil {
+				if err := s.AddBatch(b); err != nil {
 					rt.Fatal(err)
 				}
 			}
 			if s.Out() != len(out) || s.Out() > 8 {
 				rt.Fatalf("%d out, want %d", s.Out(), len(out))
 			}
-			if rest, over := s.Rest(7); over && len(out) == 0 {
+			if rest, over := s.UnsentLines(7); over && len(out) == 0 {
 				for _, l := range rest {
-					finish(l, Lost)
+					finish(l, LineFailed)
 				}
 				break
 			}
 		}
-		if _, over := s.Rest(7); !over {
+		if _, over := s.UnsentLines(7); !over {
 			return // it was cut short by the number of steps
 		}
 		for i, n := range ended {
@@ -121,23 +121,23 @@
 func TestFair(t *testing.T) {
 	s := newScheduler(t, 1, 1, 3)
 	for i, b := range []Batch{
-		{ID: 1, Tenant: 0, Ends: 1000 * sec, Lines: entries(5000)},
-		{ID: 2, Tenant: 1, Ends: 1000 * sec, Lines: entries(5000)},
-		{ID: 3, Tenant: 0, Ends: 100 * sec, Lines: entries(5000)},
-		{ID: 4, Tenant: 0, Ends: 1000 * sec, Lines: entries(5000)},
+		{ID: 1, Tenant: 0, Deadline: 1000 * sec, Lines: entries(5000)},
+		{ID: 2, Tenant: 1, Deadline: 1000 * sec, Lines: entries(5000)},
+		{ID: 3, Tenant: 0, Deadline: 100 * sec, Lines: entries(5000)},
+		{ID: 4, Tenant: 0, Deadline: 1000 * sec, Lines: entries(5000)},
 	} {
-		if err := s.Add(b); err != nil {
+		if err := s.AddBatch(b); err != nil {
 			t.Fatal(i, err)
 		}
 	}
-	sent := map[ID]int{}
+	sent := map[BatchID]int{}
 	for i := range 2000 {
-		id, l, ok := s.Next(Nanos(i + 1))
+		id, l, ok := s.NextLine(Nanos(i + 1))
 		if !ok {
 			t.Fatal("nothing goes out")
 		}
 		sent[id]++
-		s.Ended(Nanos(i+1), id, l, Served, 0)
+		s.ReportOutcome(Nanos(i+1), id, l, OutcomeServed, 0)
 	}
 	if got := float64(sent[2]) / 2000; math.Abs(got-0.75) > 0.01 {
 		t.Errorf("the tenant with three times the weight has %.3f", got)
@@ -152,12 +152,12 @@
 	s := newScheduler(t, 100, 1)
 	lines := entries(12)
 	for i := range lines {
-		lines[i].Group = uint64(i % 3) // 0 is none
+		lines[i].PrefixGroup = uint64(i % 3) // 0 is none
 	}
-	s.Add(Batch{ID: 1, Ends: sec, Lines: lines})
-	var got []Line
+	s.AddBatch(Batch{ID: 1, Deadline: sec, Lines: lines})
+	var got []LineIndex
 	for {
-		_, l, ok := s.Next(1)
+		_, l, ok := s.NextLine(1)
 		if !ok {
 			break
 		}
@@ -172,10 +172,10 @@
 // window is over; one that may have run a few times is given up.
 func TestWaits(t *testing.T) {
 	s := newScheduler(t, 1, 1)
-	s.Add(Batch{ID: 1, Ends: 1000 * sec, Lines: entries(1)})
+	s.AddBatch(Batch{ID: 1, Deadline: 1000 * sec, Lines: entries(1)})
 	now, last := Nanos(1), Nanos(0)
 	for i := range 8 {
-		_, l, ok := s.Next(now)
+		_, l, ok := s.NextLine(now)
 		if !ok {
 			t.Fatal(i)
 		}
@@ -183,25 +183,25 @@
 		if i == 5 {
 			after = 30 * sec
 		}
-		if v, _ := s.Ended(now, 1, l, Nacked, after); v != GoAgain {
+		if v, _ := s.ReportOutcome(now, 1, l, OutcomeRejected, after); v != VerdictRetry {
 			t.Fatal(v)
 		}
-		if _, _, ok := s.Next(now + last); ok {
+		if _, _, ok := s.NextLine(now + last); ok {
 			t.Errorf("try %d comes no later than the one before", i)
 		}
-		at, _ := s.NextAt(now)
+		at, _ := s.NextEventAt(now)
 		if at < now+after || at-now < last/2 || at-now > 40*sec {
 			t.Errorf("try %d waits %d ms", i, (at-now)/1e6)
 		}
 		now, last = at, 0
 	}
-	for i := range tries {
-		_, l, ok := s.Next(now)
+	for i := range maxUncertainAttempts {
+		_, l, ok := s.NextLine(now)
 		if !ok {
 			t.Fatal("nothing goes out")
 		}
-		v, why := s.Ended(now, 1, l, Abandoned, 0)
-		if (v == IsLost) != (i == tries-1) || v == IsLost && why != TooOften {
+		v, why := s.ReportOutcome(now, 1, l, OutcomeFailed, 0)
+		if (v == VerdictFailed) != (i == maxUncertainAttempts-1) || v == VerdictFailed && why != ReasonTooManyAttempts {
 			t.Fatalf("after %d tries that may have run: %v, %q", i+1, v, why)
 		}
 		now += 100 * sec
@@ -211,39 +211,39 @@
 // TestWindow: a window that ends halfway leaves what is done done and the rest by number; what is out ends by itself.
 func TestWindow(t *testing.T) {
 	s := newScheduler(t, 4, 1)
-	s.Add(Batch{ID: 1, Ends: 10 * sec, Lines: entries(10)})
+	s.AddBatch(Batch{ID: 1, Deadline: 10 * sec, Lines: entries(10)})
 	now := Nanos(1)
 	for range 20 {
-		id, l, ok := s.Next(now)
+		id, l, ok := s.NextLine(now)
 		if !ok {
 			break
 		}
 		if l < 4 {
-			s.Ended(now, id, l, Served, 0)
+			s.ReportOutcome(now, id, l, OutcomeServed, 0)
 		}
 	}
 	if _, ok := s.Forecast(now, 1); ok {
 		t.Error("a forecast from four results")
 	}
-	if id, ok := s.Expired(10 * sec); !ok || id != 1 {
+	if id, ok := s.ExpireNext(10 * sec); !ok || id != 1 {
 		t.Fatal("it does not expire")
 	}
-	if _, ok := s.Expired(11 * sec); ok {
+	if _, ok := s.ExpireNext(11 * sec); ok {
 		t.Error("it expires twice")
 	}
-	if _, _, ok := s.Next(10 * sec); ok {
+	if _, _, ok := s.NextLine(10 * sec); ok {
 		t.Error("a line goes out after the window")
 	}
-	if _, over := s.Rest(1); over {
+	if _, over := s.UnsentLines(1); over {
 		t.Error("it is over while lines are out")
 	}
-	s.Ended(10*sec, 1, 4, Served, 0)
-	for l := Line(5); l < 8; l++ {
-		if v, why := s.Ended(10*sec, 1, l, Nacked, 0); v != IsLost || why != WindowOver {
+	s.ReportOutcome(10*sec, 1, 4, OutcomeServed, 0)
+	for l := LineIndex(5); l < 8; l++ {
+		if v, why := s.ReportOutcome(10*sec, 1, l, OutcomeRejected, 0); v != VerdictFailed || why != ReasonWindowExpired {
 			t.Errorf("%v %q", v, why)
 		}
 	}
-	if rest, over := s.Rest(1); !over || fmt.Sprint(rest) != "[8 9]" {
+	if rest, over := s.UnsentLines(1); !over || fmt.Sprint(rest) != "[8 9]" {
 		t.Errorf("%v, %v", rest, over)
 	}
 }
@@ -251,12 +251,12 @@
 // TestForecast: at a steady pace it is the time that what is left takes.
 func TestForecast(t *testing.T) {
 	s := newScheduler(t, 1, 1)
-	s.Add(Batch{ID: 1, Ends: 1000 * sec, Lines: entries(300)})
+	s.AddBatch(Batch{ID: 1, Deadline: 1000 * sec, Lines: entries(300)})
 	now := Nanos(0)
 	for range 100 {
-		_, l, _ := s.Next(now)
+		_, l, _ := s.NextLine(now)
 		now += sec / 2
-		s.Ended(now, 1, l, Served, 0)
+		s.ReportOutcome(now, 1, l, OutcomeServed, 0)
 	}
 	if at, ok := s.Forecast(now, 1); !ok || math.Abs(float64(at-now)/float64(100*sec)-1) > 0.05 {
 		t.Errorf("through in %d s, want 100", (at-now)/sec)
@@ -266,17 +266,17 @@
 // TestStep: only what the public description names may follow.
 func TestStep(t *testing.T) {
 	ok := 0
-	for a := range states {
-		for b := range states {
-			if Step(a, b) == nil {
+	for a := range batchStateCount {
+		for b := range batchStateCount {
+			if CheckTransition(a, b) == nil {
 				ok++
-				if a.Over() {
+				if a.IsTerminal() {
 					t.Errorf("%v becomes %v", a, b)
 				}
 			}
 		}
 	}
-	if ok != 10 || Step(InProgress, Finalizing) != nil || Step(InProgress, Completed) == nil {
+	if ok != 10 || CheckTransition(StateInProgress, StateFinalizing) != nil || CheckTransition(StateInProgress, StateCompleted) == nil {
 		t.Errorf("%d steps", ok)
 	}
 }
--- a/internal/decide/clientconn/clientconn.go
+++ b/internal/decide/clientconn/clientconn.go
@@ -2,15 +2,15 @@
 // it is, which goes when descriptors are short, and how descriptors are shared out. It does no I/O and reads no clock.
 package clientconn
 
-// Stage is what a connection is about.
-type Stage uint8
+// ConnState is what a connection is about.
+type ConnState uint8
 
 const (
-	Silent    Stage = iota // nothing has come on it yet
-	Partial                // a request has come in part
-	Busy                   // a request of it is in hand
-	Resting                // between requests
-	Lingering              // it has had its last answer: what still comes is thrown away
+	StateNew            ConnState = iota // nothing has come on it yet
+	StateReadingRequest                  // a request has come in part
+	StateActive                          // a request of it is in hand
+	StateIdle                            // between requests
+	StateLingering                       // it has had its last answer: what still comes is thrown away
 )
 
 const (
@@ -34,61 +34,61 @@
 	minSilent = second / 4
 )
 
-// Discard is how many bytes are thrown away on a connection that is over.
-const Discard = 80 << 20
+// MaxDiscardBytes is how many bytes are thrown away on a connection that is over.
+const MaxDiscardBytes = 80 << 20
 
-// StageEnds tells when a connection that has stood as it is since then is to be ended; 0 = never.
-func StageEnds(stage Stage, since int64) int64 {
+// StateDeadline tells when a connection that has stood as it is since then is to be ended; 0 = never.
+func StateDeadline(stage ConnState, since int64) int64 {
 	switch stage {
-	case Silent:
+	case StateNew:
 		return since + firstByteTimeout
-	case Partial:
+	case StateReadingRequest:
 		return since + requestTimeout
-	case Resting:
+	case StateIdle:
 		return since + idleTimeout
-	case Lingering:
+	case StateLingering:
 		return since + lingerTimeout
 	}
 	return 0
 }
 
-// KeepLingering tells that a connection that is over stays beyond its time: so many bytes of its last answer still wait for the
+// MayKeepLingering tells that a connection that is over stays beyond its time: so many bytes of its last answer still wait for the
 // client, which last took some at that time; over is since when the connection is.
-func KeepLingering(now, over, taken int64, waiting int) bool {
+func MayKeepLingering(now, over, taken int64, waiting int) bool {
 	return waiting > 0 && now-taken < unreadTimeout && now-over < maxLinger
 }
 
-// UnreadAgain is how long after its time a connection is looked at again on which something came in that moment: by then it
+// UnreadRecheckDelay is how long after its time a connection is looked at again on which something came in that moment: by then it
 // is read.
-const UnreadAgain = second / 100
+const UnreadRecheckDelay = second / 100
 
-// CrowdTries is how many connections of a kind are looked at to find one that may end for a new one.
-const CrowdTries = 4
+// MaxEvictionCandidates is how many connections of a kind are looked at to find one that may end for a new one.
+const MaxEvictionCandidates = 4
 
-// Choice is what makes room for a new connection.
-type Choice uint8
+// Eviction is what makes room for a new connection.
+type Eviction uint8
 
 const (
-	Newest      Choice = iota // the new one goes
-	FirstSilent               // of those on which no whole request has come yet, the first
-	FirstResting
+	RejectNewConn         Eviction = iota // the new one goes
+	EvictOldestIncomplete                 // of those on which no whole request has come yet, the first
+	EvictOldestIdle
 )
 
-// Crowded decides who goes when there may be no more connections: silent and resting are since when the first of each
+// ChooseEviction decides who goes when there may be no more connections: silent and resting are since when the first of each
 // kind has stood so, of those that have neither unread bytes nor an answer that still waits; 0 = there is none. A client whose resting connection goes makes another for its next request; one
 // whose first request has not been read yet fails. It guards against crowds that would have usual clients shut out.
-func Crowded(now, silent, resting int64) Choice {
+func ChooseEviction(now, silent, resting int64) Eviction {
 	switch {
 	case silent > 0 && now-silent >= minSilent:
-		return FirstSilent
+		return EvictOldestIncomplete
 	case resting > 0 && now-resting >= minIdle:
-		return FirstResting
+		return EvictOldestIdle
 	case silent > 0 && resting == 0:
-		return FirstSilent
+		return EvictOldestIncomplete
 	case resting > 0:
-		return FirstResting
+		return EvictOldestIdle
 	}
-	return Newest
+	return RejectNewConn
 }
 
 const (
@@ -111,8 +111,8 @@
 // bodyShare of the memory may be filled with requests that have come in part.
 const bodyShare = 1.0 / 16
 
-// BodyMemory is how many bytes of requests may be kept that have come in part.
-func BodyMemory(memory int64) int64 { return int64(bodyShare * float64(memory)) }
+// MaxPartialRequestBytes is how many bytes of requests may be kept that have come in part.
+func MaxPartialRequestBytes(memory int64) int64 { return int64(bodyShare * float64(memory)) }
 
 const (
 	// listenFor is how long after a signal to leave new connections are still dealt out to us.
@@ -122,21 +122,21 @@
 	serveFor = listenFor / 4
 )
 
-// CloseListenerAfter tells when the listener closes after the signal to leave.
-func CloseListenerAfter(now int64) int64 { return now + listenFor }
+// ListenerCloseTime tells when the listener closes after the signal to leave.
+func ListenerCloseTime(now int64) int64 { return now + listenFor }
 
-// RefuseAfter tells from when on requests are refused after the listener has closed.
-func RefuseAfter(closed int64) int64 { return closed + serveFor }
+// RejectionStartTime tells from when on requests are refused after the listener has closed.
+func RejectionStartTime(closed int64) int64 { return closed + serveFor }
 
-// NextStage tells what a connection is about when its answer has ended, or at rest when the listener closes. last: the client was
+// NextState tells what a connection is about when its answer has ended, or at rest when the listener closes. last: the client was
 // told that the connection ends; closed: the listener is; unread: something has come on it that is not read. Who closes a connection over unread bytes
 // resets it, and what was written last may be lost with it: the output ends first, and what comes is thrown away.
-func NextStage(last, closed, unread bool) Stage {
+func NextState(last, closed, unread bool) ConnState {
 	switch {
 	case last, closed && !unread:
-		return Lingering
+		return StateLingering
 	case closed:
-		return Silent
+		return StateNew
 	}
-	return Resting
+	return StateIdle
 }
--- a/internal/decide/clientconn/clientconn_test.go
+++ b/internal/decide/clientconn/clientconn_test.go
@@ -6,16 +6,16 @@
 	const now = int64(100e9)
 	for what, c := range map[string]struct {
 		silent, resting int64
-		want            Choice
+		want            Eviction
 	}{
-		"nobody else":              {0, 0, Newest},
-		"long silent":              {now - 300e6, now - 10e9, FirstSilent},
-		"just come, long at rest":  {now - 1e6, now - 3e9, FirstResting},
-		"just come, just at rest":  {now - 1e6, now - 1e6, FirstResting},
-		"just come, nobody rests":  {now - 1e6, 0, FirstSilent},
-		"nobody silent, some rest": {0, now - 1e6, FirstResting},
+		"nobody else":              {0, 0, RejectNewConn},
+		"long silent":              {now - 300e6, now - 10e9, EvictOldestIncomplete},
+		"just come, long at rest":  {now - 1e6, now - 3e9, EvictOldestIdle},
+		"just come, just at rest":  {now - 1e6, now - 1e6, EvictOldestIdle},
+		"just come, nobody rests":  {now - 1e6, 0, EvictOldestIncomplete},
+		"nobody silent, some rest": {0, now - 1e6, EvictOldestIdle},
 	} {
-		if got := Crowded(now, c.silent, c.resting); got != c.want {
+		if got := ChooseEviction(now, c.silent, c.resting); got != c.want {
 			t.Errorf("%s: %d, want %d", what, got, c.want)
 		}
 	}
@@ -25,9 +25,9 @@
 func TestNext(t *testing.T) {
 	for _, c := range []struct {
 		last, closed, unread bool
-		want                 Stage
-	}{{false, false, false, Resting}, {true, false, false, Lingering}, {false, true, false, Lingering}, {false, true, true, Silent}, {true, true, true, Lingering}} {
-		if got := NextStage(c.last, c.closed, c.unread); got != c.want {
+		want                 ConnState
+	}{{false, false, false, StateIdle}, {true, false, false, StateLingering}, {false, true, false, StateLingering}, {false, true, true, StateNew}, {true, true, true, StateLingering}} {
+		if got := NextState(c.last, c.closed, c.unread); got != c.want {
 			t.Errorf("last %v, closed %v, unread %v: %d, want %d", c.last, c.closed, c.unread, got, c.want)
 		}
 	}
@@ -45,12 +45,12 @@
 
 // A first request is ended within 3 s of its client's connecting, as silence is.
 func TestUntil(t *testing.T) {
-	for _, stage := range []Stage{Silent, Partial} {
-		if at := StageEnds(stage, 5); at <= 5 || at > 5+3*second {
+	for _, stage := range []ConnState{StateNew, StateReadingRequest} {
+		if at := StateDeadline(stage, 5); at <= 5 || at > 5+3*second {
 			t.Errorf("stage %d ends at %d", stage, at)
 		}
 	}
-	if StageEnds(Busy, 5) != 0 {
+	if StateDeadline(StateActive, 5) != 0 {
 		t.Error("a connection with a job in hand has an end")
 	}
 }
@@ -69,7 +69,7 @@
 		{now - unreadTimeout, 1, false, now - 3*second},
 		{now - second, 1, false, now - maxLinger},
 	} {
-		if got := KeepLingering(now, c.over, c.taken, c.waiting); got != c.want {
+		if got := MayKeepLingering(now, c.over, c.taken, c.waiting); got != c.want {
 			t.Errorf("taken %d s ago, %d waiting: %v", (now-c.taken)/second, c.waiting, got)
 		}
 	}
--- a/internal/decide/connlimit/connlimit.go
+++ b/internal/decide/connlimit/connlimit.go
@@ -9,8 +9,8 @@
 // Source is an address, as bytes; an IPv6 source is its network of 64 bits, as one server has a whole one.
 type Source [16]byte
 
-// Cut gives the source of an address in its form of 16 bytes.
-func Cut(addr [16]byte) Source {
+// SourceOf gives the source of an address in its form of 16 bytes.
+func SourceOf(addr [16]byte) Source {
 	v4 := addr[10] == 0xff && addr[11] == 0xff
 	for _, b := range addr[:10] {
 		v4 = v4 && b == 0
@@ -21,17 +21,17 @@
 	return Source(addr)
 }
 
-// Cause says why a connection is not taken.
-type Cause uint8
+// Verdict says why a connection is not taken.
+type Verdict uint8
 
 const (
-	Accepted Cause = iota
-	Full           // there are as many as there may be
-	TooMany        // this source has its part of what there may be
-	TooFast        // this source connects faster than it may while room is short
+	Accepted           Verdict = iota
+	LimitReached               // there are as many as there may be
+	SourceLimitReached         // this source has its part of what there may be
+	SourceRateExceeded         // this source connects faster than it may while room is short
 )
 
-func (c Cause) String() string {
+func (c Verdict) String() string {
 	return [...]string{"taken", "too many connections", "too many connections from one address", "connects too fast"}[c]
 }
 
@@ -66,8 +66,11 @@
 
 // Counts are what was counted since the start.
 type Counts struct {
-	Accepted, Full, TooMany, TooFast uint64
-	Sources                          int // remembered now
+	Accepted           uint64
+	LimitReached       uint64 `json:"Full"`
+	SourceLimitReached uint64 `json:"TooMany"`
+	SourceRateExceeded uint64 `json:"TooFast"`
+	TrackedSources     int    `json:"Sources"` // sources remembered now
 }
 
 // New makes a crowd of so many connections at most.
@@ -78,74 +81,74 @@
 	return &Limiter{limit: most, sources: make(map[Source]*entry)}, nil
 }
 
-// Open counts the connections that are open.
-func (c *Limiter) Open() int { return c.open }
+// OpenConnections counts the connections that are open.
+func (l *Limiter) OpenConnections() int { return l.open }
 
-// Opened decides on a connection at a time in nanoseconds; Gone must follow for each that is taken.
-func (c *Limiter) Opened(now int64, from Source) Cause {
-	if c.open >= c.limit {
-		c.Counts.Full++
-		return Full
+// Accept decides on a connection at a time in nanoseconds; Gone must follow for each that is taken.
+func (l *Limiter) Accept(now int64, from Source) Verdict {
+	if l.open >= l.limit {
+		l.Counts.LimitReached++
+		return LimitReached
 	}
-	e := c.sources[from]
-	short := float64(c.open) >= shortAt*float64(c.limit)
+	e := l.sources[from]
+	short := float64(l.open) >= shortAt*float64(l.limit)
 	if e != nil {
 		if now > e.at {
 			e.used = max(0, e.used-float64(now-e.at)/1e9*perSecond)
 			e.at = now
 		}
 		if short {
-			if part := max(leastEach, int(sourcePart*float64(c.limit-c.open))); e.open >= part {
-				c.Counts.TooMany++
-				return TooMany
+			if part := max(leastEach, int(sourcePart*float64(l.limit-l.open))); e.open >= part {
+				l.Counts.SourceLimitReached++
+				return SourceLimitReached
 			}
 			if e.used >= burst {
-				c.Counts.TooFast++
-				return TooFast
+				l.Counts.SourceRateExceeded++
+				return SourceRateExceeded
 			}
 		}
 	}
 	if e == nil {
-		e = c.remember(now, from)
+		e = l.remember(now, from)
 	}
 	e.open++
 	e.used = min(e.used+1, burst)
-	c.open++
-	c.Counts.Accepted++
+	l.open++
+	l.Counts.Accepted++
 	return Accepted
 }
 
 // Closed tells that a connection which was taken is over.
-func (c *Limiter) Closed(now int64, from Source) {
-	e := c.sources[from]
+func (l *Limiter) Closed(now int64, from Source) {
+	e := l.sources[from]
 	if e == nil || e.open == 0 {
 		return
 	}
 	e.open--
-	c.open--
+	l.open--
 }
 
 // remember makes an entry. Sources without connections whose burst has filled again are forgotten once in a burst's
 // time, so there are at most as many as connections open and as may have come in that time.
-func (c *Limiter) remember(now int64, from Source) *entry {
-	if now >= c.sweepAt || len(c.sources) >= 2*c.limit {
-		c.sweepAt = now + burst/perSecond*1e9
-		for s, e := range c.sources {
-			if e.open == 0 && (len(c.sources) >= 2*c.limit || float64(now-e.at)/1e9*perSecond >= e.used) {
-				delete(c.sources, s)
-				c.free = append(c.free, e)
+func (l *Limiter) remember(now int64, from Source) *entry {
+	if now >= l.sweepAt || len(l.sources) >= 2*l.limit {
+		l.sweepAt = now + burst/perSecond*1e9
+		for s, e := range l.sources {
+			if e.open == 0 && (len(l.sources) >= 2*l.limit || float64(now-e.at)/1e9*perSecond >= e.used) {
+				delete(l.sources, s)
+				l.free = append(l.free, e)
 			}
 		}
 	}
 	var e *entry
-	if n := len(c.free); n > 0 {
-		e, c.free = c.free[n-1], c.free[:n-1]
+	if n := len(l.free); n > 0 {
+		e, l.free = l.free[n-1], l.free[:n-1]
 		*e = entry{}
 	} else {
 		e = new(entry)
 	}
 	e.at = now
-	c.sources[from] = e
-	c.Counts.Sources = len(c.sources)
+	l.sources[from] = e
+	l.Counts.TrackedSources = len(l.sources)
 	return e
 }
--- a/internal/decide/connlimit/connlimit_test.go
+++ b/internal/decide/connlimit/connlimit_test.go
@@ -8,7 +8,7 @@
 )
 
 func source(n int) Source {
-	return Cut(netip.AddrFrom4([4]byte{10, byte(n >> 16), byte(n >> 8), byte(n)}).As16())
+	return SourceOf(netip.AddrFrom4([4]byte{10, byte(n >> 16), byte(n >> 8), byte(n)}).As16())
 }
 
 // TestFloodFromOne: one address takes what it can; others still come in.
@@ -19,7 +19,7 @@
 	}
 	got := 0
 	for i := range 100000 {
-		if c.Opened(int64(i)*1e5, source(1)) == Accepted {
+		if c.Accept(int64(i)*1e5, source(1)) == Accepted {
 			got++
 		}
 	}
@@ -28,7 +28,7 @@
 	}
 	for i := range 50 {
 		for range leastEach {
-			if why := c.Opened(1e10, source(2+i)); why != Accepted {
+			if why := c.Accept(1e10, source(2+i)); why != Accepted {
 				t.Fatalf("address %d is refused: %v", i, why)
 			}
 		}
@@ -40,21 +40,21 @@
 	c, _ := New(1000)
 	for i := range 60 {
 		for range 1000 {
-			c.Opened(1, source(i))
+			c.Accept(1, source(i))
 		}
 	}
-	if c.Open() > 1000 {
-		t.Fatalf("%d open", c.Open())
+	if c.OpenConnections() > 1000 {
+		t.Fatalf("%d open", c.OpenConnections())
 	}
-	if c.Open() < 900 {
-		t.Errorf("%d of 1,000 used by 60 addresses that want more", c.Open())
+	if c.OpenConnections() < 900 {
+		t.Errorf("%d of 1,000 used by 60 addresses that want more", c.OpenConnections())
 	}
 }
 
 func TestRoomIsFree(t *testing.T) {
 	c, _ := New(1000)
 	for i := range 500 {
-		if why := c.Opened(1, source(1)); why != Accepted {
+		if why := c.Accept(1, source(1)); why != Accepted {
 			t.Fatalf("connection %d of 500 refused while there is room: %v", i, why)
 		}
 	}
@@ -62,10 +62,10 @@
 
 func TestCut(t *testing.T) {
 	a, b := netip.MustParseAddr("2001:db8::1").As16(), netip.MustParseAddr("2001:db8::ffff:1").As16()
-	if Cut(a) != Cut(b) {
+	if SourceOf(a) != SourceOf(b) {
 		t.Error("two addresses of one IPv6 network are two sources")
 	}
-	if Cut(netip.MustParseAddr("127.0.0.1").As16()) == Cut(netip.MustParseAddr("127.0.0.2").As16()) {
+	if SourceOf(netip.MustParseAddr("127.0.0.1").As16()) == SourceOf(netip.MustParseAddr("127.0.0.2").As16()) {
 		t.Error("two IPv4 addresses are one source")
 	}
 }
@@ -81,11 +81,11 @@
 			now += rapid.Int64Range(0, 2e9).Draw(t, "time")
 			if len(open) == 0 || rapid.IntRange(0, 2).Draw(t, "what") > 0 {
 				s := source(rapid.IntRange(0, 200).Draw(t, "source"))
-				why := c.Opened(now, s)
+				why := c.Accept(now, s)
 				if why == Accepted {
 					open = append(open, s)
 				}
-				if (why == Full) != (len(open) >= most && why != Accepted) {
+				if (why == LimitReached) != (len(open) >= most && why != Accepted) {
 					t.Fatalf("%v with %d of %d open", why, len(open), most)
 				}
 			} else {
@@ -93,8 +93,8 @@
 				c.Closed(now, open[k])
 				open = append(open[:k], open[k+1:]...)
 			}
-			if c.Open() != len(open) {
-				t.Fatalf("%d open by count, want %d", c.Open(), len(open))
+			if c.OpenConnections() != len(open) {
+				t.Fatalf("%d open by count, want %d", c.OpenConnections(), len(open))
 			}
 			if len(c.sources) > 2*most+1 {
 				t.Fatalf("%d addresses remembered for %d connections", len(c.sources), most)
