--- a/internal/decide/inflight/effects.go
+++ b/internal/decide/inflight/effects.go
@@ -9,54 +9,54 @@
 
 import "fmt"
 
-// Kind is what was sent.
-type Kind uint8
+// OperationKind is what was sent.
+type OperationKind uint8
 
 const (
-	Read    Kind = iota // an attempt at a prefill server
-	Write               // an attempt at a decode server
-	Release             // a call that has the state of a request dropped
+	PrefillAttempt OperationKind = iota // an attempt at a prefill server
+	DecodeAttempt                       // an attempt at a decode server
+	StateRelease                        // a call that has the state of a request dropped
 )
 
 var kindNames = [...]string{"read", "write", "release"}
 
 // String names a kind in logs.
-func (k Kind) String() string { return kindNames[k] }
+func (k OperationKind) String() string { return kindNames[k] }
 
-// Stage is how far an effect has come, as far as is known here.
-type Stage uint8
+// DeliveryState is how far an effect has come, as far as is known here.
+type DeliveryState uint8
 
 const (
-	Planned    Stage = iota // no connection carries it yet
-	Connecting              // its connection is coming up
-	Writing                 // its bytes are queued or in part with the system
-	Written                 // the system has its last byte; whether the server has it is not known
-	Arrived                 // something came back on the same connection
-	GivenUp                 // ended here; the server may not know yet
-	Over                    // over at the server, or known never to have come there whole
+	Planned      DeliveryState = iota // no connection carries it yet
+	Connecting                        // its connection is coming up
+	Sending                           // its bytes are queued or in part with the system
+	Sent                              // the system has its last byte; whether the server has it is not known
+	Acknowledged                      // something came back on the same connection
+	Abandoned                         // ended here; the server may not know yet
+	Completed                         // over at the server, or known never to have come there whole
 )
 
 var stageNames = [...]string{"planned", "connecting", "writing", "written", "arrived", "given up", "over"}
 
 // String names a stage in logs.
-func (s Stage) String() string { return stageNames[s] }
+func (s DeliveryState) String() string { return stageNames[s] }
 
-// Effect is one thing that is sent.
-type Effect struct {
-	Kind  Kind
-	stage Stage
+// Operation is one thing that is sent.
+type Operation struct {
+	Kind  OperationKind
+	stage DeliveryState
 }
 
-// New makes an effect that nothing carries yet.
-func New(kind Kind) Effect { return Effect{Kind: kind} }
+// NewOperation makes an effect that nothing carries yet.
+func NewOperation(kind OperationKind) Operation { return Operation{Kind: kind} }
 
-// Stage is how far it has come.
-func (e *Effect) Stage() Stage { return e.stage }
+// State is how far it has come.
+func (e *Operation) State() DeliveryState { return e.stage }
 
 // TransitionError is a change of stage that cannot be: a fault of the program.
 type TransitionError struct {
-	Kind     Kind
-	From, To Stage
+	Kind     OperationKind
+	From, To DeliveryState
 }
 
 // Error implements error.
@@ -65,7 +65,7 @@
 }
 
 // Advance takes down a new stage. Stages follow in their order; some may be left out, none comes again.
-func (e *Effect) Advance(to Stage) error {
+func (e *Operation) Advance(to DeliveryState) error {
 	if to <= e.stage {
 		return &TransitionError{e.Kind, e.stage, to}
 	}
@@ -73,30 +73,32 @@
 	return nil
 }
 
-// MayHaveArrived tells that the server may have all of it: only then can it have had an effect.
-func (e *Effect) MayHaveArrived() bool { return e.stage >= Written }
+// MayHaveBeenReceived tells that the server may have all of it: only then can it have had an effect.
+func (e *Operation) MayHaveBeenReceived() bool { return e.stage >= Sent }
 
-// KnownArrived tells that the server is known to have all of it. A connect that worked, bytes that the system took and signs of
+// IsAcknowledged tells that the server is known to have all of it. A connect that worked, bytes that the system took and signs of
 // life on other connections are no proof.
-func (e *Effect) KnownArrived() bool { return e.stage == Arrived }
+func (e *Operation) IsAcknowledged() bool { return e.stage == Acknowledged }
 
-// Parting is how the connection of an attempt that ends here is left.
-type Parting uint8
+// CloseMode is how the connection of an attempt that ends here is left.
+type CloseMode uint8
 
 const (
-	CloseAtOnce Parting = iota
-	// WatchForEnd ends the sending on it, which is how the server learns that the attempt is given up, and keeps it until the server's end shows that it has.
-	WatchForEnd
+	CloseImmediately CloseMode = iota
+	// AwaitPeerClose ends the sending on it, which is how the server learns that the attempt is given up, and keeps it until the server's end shows that it has.
+	AwaitPeerClose
 )
 
-// Parting tells how to leave the connection of an attempt. answered: something came back, so that its server is done with it; streaming: its answer has
+// CloseMode tells how to leave the connection of an attempt. answered: something came back, so that its server is done with it; streaming: its answer has
 // begun, and the state is taken.
-func (e *Effect) Parting(answered, streaming bool) Parting {
-	if e.MayHaveArrived() && !answered && !streaming {
-		return WatchForEnd
+func (e *Operation) CloseMode(answered, streaming bool) CloseMode {
+	if e.MayHaveBeenReceived() && !answered && !streaming {
+		return AwaitPeerClose
 	}
-	return CloseAtOnce
+	return CloseImmediately
 }
 
-// LeavesBehind tells that an attempt whose connection was lost may go on at its server, and leave a state or keep the one that it was to take.
-func (e *Effect) LeavesBehind(streaming bool) bool { return e.stage == GivenUp && !streaming }
+// MayContinueOnServer tells that an attempt whose connection was lost may go on at its server, and leave a state or keep the one that it was to take.
+func (e *Operation) MayContinueOnServer(streaming bool) bool {
+	return e.stage == Abandoned && !streaming
+}
--- a/internal/decide/inflight/settlement_test.go
+++ b/internal/decide/inflight/settlement_test.go
@@ -32,7 +32,7 @@
 			attempts = append(attempts, h)
 		}
 		latency := rapid.Int64Range(1, 90).Draw(t, "latency")
-		s := NewSettlement(testRelease, testIdle)
+		s := NewReleaseTracker(testRelease, testIdle)
 		var begun []int64
 		answerAt, answerOf := never, int64(0)
 		ended := false
@@ -40,33 +40,33 @@
 			active := false
 			for _, h := range attempts {
 				if h.givenUp == now {
-					s.GivenUp(now, h.until, h.watched)
-					s.Want(now, now)
+					s.AttemptAbandoned(now, h.until, h.watched)
+					s.RequestRelease(now, now)
 				}
 				if h.watched && !h.confirmed && now >= h.givenUp && now == max(h.over, h.givenUp+1) {
 					h.confirmed = true
-					s.Confirmed(now)
+					s.EndConfirmed(now)
 				}
 				active = active || h.givenUp >= now
 			}
 			if now == answerAt {
-				s.Answered(answerOf)
+				s.ReleaseAccepted(answerOf)
 				answerAt = never
 			}
-			if answerAt != never || !s.Wanted() {
+			if answerAt != never || !s.ReleaseRequested() {
 				continue
 			}
-			switch action, at := s.Next(now, Free, false); action {
-			case Send:
+			switch action, at := s.NextAction(now, ReleaseAllowed, false); action {
+			case ActionSend:
 				begun = append(begun, now)
 				answerAt, answerOf = now+latency, now
-			case Wait:
+			case ActionWait:
 				if at <= now {
 					t.Fatalf("at %d it waits until %d", now, at)
 				}
-			case Settled:
+			case ActionDone:
 				ended = !active
-			case Expired:
+			case ActionExpire:
 				t.Fatalf("expired at %d", now)
 			}
 		}
@@ -87,14 +87,14 @@
 
 // A release that no server takes is tried on, counts as lost once, and is given up in the end.
 func TestSettlementWithoutServers(t *testing.T) {
-	s := NewSettlement(testRelease, testIdle)
-	s.Want(0, 0)
+	s := NewReleaseTracker(testRelease, testIdle)
+	s.RequestRelease(0, 0)
 	lost := 0
 	for now := int64(0); now < 2*testIdle; now += 10 {
-		if s.Lost(now) {
+		if s.DetectLoss(now) {
 			lost++
 		}
-		if action, _ := s.Next(now, Free, false); action == Expired {
+		if action, _ := s.NextAction(now, ReleaseAllowed, false); action == ActionExpire {
 			if lost != 1 || now < testIdle {
 				t.Errorf("lost %d times, given up at %d", lost, now)
 			}
@@ -106,34 +106,34 @@
 
 // A release waits for the end of the attempt that was given up just before, not for long. One that was begun before the end was shown does not count.
 func TestSettlementWaitsForTheEnd(t *testing.T) {
-	s := NewSettlement(testRelease, testIdle)
-	s.GivenUp(0, 4000, true)
-	s.Want(0, 0)
-	if action, at := s.Next(0, Free, false); action != Wait || at != s.ReleaseTimeout() {
+	s := NewReleaseTracker(testRelease, testIdle)
+	s.AttemptAbandoned(0, 4000, true)
+	s.RequestRelease(0, 0)
+	if action, at := s.NextAction(0, ReleaseAllowed, false); action != ActionWait || at != s.ReleaseTimeout() {
 		t.Errorf("%d until %d, want a wait of %d", action, at, s.ReleaseTimeout())
 	}
-	if action, _ := s.Next(s.ReleaseTimeout(), Free, false); action != Send {
+	if action, _ := s.NextAction(s.ReleaseTimeout(), ReleaseAllowed, false); action != ActionSend {
 		t.Error("the end is not shown in time: it goes all the same")
 	}
-	s.Confirmed(107)
-	s.Answered(100)
-	if action, _ := s.Next(108, Free, false); action != Send || !s.Owed() {
+	s.EndConfirmed(107)
+	s.ReleaseAccepted(100)
+	if action, _ := s.NextAction(108, ReleaseAllowed, false); action != ActionSend || !s.ReleasePending() {
 		t.Error("the release passed before the end")
 	}
-	s.Answered(108)
-	if action, _ := s.Next(109, Free, false); action != Settled {
+	s.ReleaseAccepted(108)
+	if action, _ := s.NextAction(109, ReleaseAllowed, false); action != ActionDone {
 		t.Error("nothing is left")
 	}
 }
 
 // While an attempt needs the state nothing is sent.
 func TestSettlementBlocked(t *testing.T) {
-	s := NewSettlement(testRelease, testIdle)
-	s.Want(0, 0)
-	if action, at := s.Next(0, Forbidden, false); action != Wait || at <= 0 {
+	s := NewReleaseTracker(testRelease, testIdle)
+	s.RequestRelease(0, 0)
+	if action, at := s.NextAction(0, ReleaseForbidden, false); action != ActionWait || at <= 0 {
 		t.Errorf("%d until %d, want a wait", action, at)
 	}
-	if action, _ := s.Next(300, Free, false); action != Send {
+	if action, _ := s.NextAction(300, ReleaseAllowed, false); action != ActionSend {
 		t.Error("it may be sent now")
 	}
 	if held := s.HeldFor(300); held != 300 {
@@ -144,86 +144,86 @@
 // Beside a read that may be on its way an owed release waits, but not for longer than the clock of what is held allows; one that would be repeated, for what
 // may be nothing, waits for its end.
 func TestSettlementBesideARead(t *testing.T) {
-	s := NewSettlement(testRelease, testIdle)
-	s.GivenUp(0, 6000, false)
-	s.Want(0, 0)
-	if action, at := s.Next(0, Reluctantly, true); action != Wait || at != 100 {
+	s := NewReleaseTracker(testRelease, testIdle)
+	s.AttemptAbandoned(0, 6000, false)
+	s.RequestRelease(0, 0)
+	if action, at := s.NextAction(0, ReleaseIfUrgent, true); action != ActionWait || at != 100 {
 		t.Errorf("%d until %d, want a wait of 100", action, at)
 	}
-	if action, at := s.Next(580, Reluctantly, true); action != Wait || at != 600 {
+	if action, at := s.NextAction(580, ReleaseIfUrgent, true); action != ActionWait || at != 600 {
 		t.Errorf("%d until %d, want a wait until 600", action, at)
 	}
-	if action, _ := s.Next(600, Reluctantly, true); action != Send {
+	if action, _ := s.NextAction(600, ReleaseIfUrgent, true); action != ActionSend {
 		t.Error("the clock runs: it has to go")
 	}
-	s.Answered(600)
-	if action, at := s.Next(601, Reluctantly, true); action != Wait || at != 1400 {
+	s.ReleaseAccepted(600)
+	if action, at := s.NextAction(601, ReleaseIfUrgent, true); action != ActionWait || at != 1400 {
 		t.Errorf("%d until %d, want a wait until 1400", action, at)
 	}
-	if action, _ := s.Next(1400, Reluctantly, true); action != Wait {
+	if action, _ := s.NextAction(1400, ReleaseIfUrgent, true); action != ActionWait {
 		t.Error("a repeat beside a read")
 	}
-	if action, _ := s.Next(1500, Free, false); action != Send {
+	if action, _ := s.NextAction(1500, ReleaseAllowed, false); action != ActionSend {
 		t.Error("the read is over: a repeat is due")
 	}
 }
 
 // What an attempt may keep is watched also where nothing is to be released yet; it ends by itself.
 func TestSettlementUnwanted(t *testing.T) {
-	s := NewSettlement(testRelease, testIdle)
-	s.GivenUp(0, 3000, false)
-	if action, at := s.Next(0, Free, false); action != Wait || at != 3000 {
+	s := NewReleaseTracker(testRelease, testIdle)
+	s.AttemptAbandoned(0, 3000, false)
+	if action, at := s.NextAction(0, ReleaseAllowed, false); action != ActionWait || at != 3000 {
 		t.Errorf("%d until %d, want a wait until 3000", action, at)
 	}
-	s.Want(100, 0)
-	if action, _ := s.Next(100, Free, false); action != Send {
+	s.RequestRelease(100, 0)
+	if action, _ := s.NextAction(100, ReleaseAllowed, false); action != ActionSend {
 		t.Error("a release is wanted")
 	}
-	s.Answered(100)
-	if action, at := s.Next(101, Free, false); action != Wait || at != 900 {
+	s.ReleaseAccepted(100)
+	if action, at := s.NextAction(101, ReleaseAllowed, false); action != ActionWait || at != 900 {
 		t.Errorf("%d until %d: the server may work on it until 3000", action, at)
 	}
 	if s.RoundTimeout(0) != 100 || s.RoundTimeout(99) != 800 {
 		t.Error("rounds follow at a tenth of the release time, later at eight tenths of it")
 	}
-	if Parallel(0) != 1 || Parallel(1) != 2 || Parallel(9) != mostParallel || !MaySettle(0) || MaySettle(mostSettlements) {
+	if ParallelReleases(0) != 1 || ParallelReleases(1) != 2 || ParallelReleases(9) != mostParallel || !CanAddTracker(0) || CanAddTracker(mostSettlements) {
 		t.Error("bounds")
 	}
 }
 
 // A release that was sent while an attempt was out is followed by another when that is over.
 func TestSettlementBesideAnAttempt(t *testing.T) {
-	s := NewSettlement(testRelease, testIdle)
-	s.Want(0, 0)
-	if action, _ := s.Next(0, Free, true); action != Send {
+	s := NewReleaseTracker(testRelease, testIdle)
+	s.RequestRelease(0, 0)
+	if action, _ := s.NextAction(0, ReleaseAllowed, true); action != ActionSend {
 		t.Error("it may be sent beside the attempt")
 	}
-	s.Began(true)
-	s.Answered(0)
+	s.ReleaseStarted(true)
+	s.ReleaseAccepted(0)
 	for now := int64(10); now < 5000; now += 500 {
-		if action, at := s.Next(now, Free, true); action != Wait || at <= now || at > now+testRelease {
+		if action, at := s.NextAction(now, ReleaseAllowed, true); action != ActionWait || at <= now || at > now+testRelease {
 			t.Errorf("%d until %d, want a wait for the attempt's end", action, at)
 		}
 	}
-	if action, _ := s.Next(5000, Free, false); action != Send {
+	if action, _ := s.NextAction(5000, ReleaseAllowed, false); action != ActionSend {
 		t.Error("the attempt is over: the state that it may have kept is to be released")
 	}
-	s.Began(false)
-	s.Answered(5000)
-	if action, _ := s.Next(5001, Free, false); action != Settled {
+	s.ReleaseStarted(false)
+	s.ReleaseAccepted(5000)
+	if action, _ := s.NextAction(5001, ReleaseAllowed, false); action != ActionDone {
 		t.Error("nothing is left")
 	}
 }
 
 // A reset shows a server's end only where it follows at once.
 func TestShowsEnd(t *testing.T) {
-	s := NewSettlement(testRelease, testIdle)
+	s := NewReleaseTracker(testRelease, testIdle)
 	for name, c := range map[string]struct {
 		after   int64
 		orderly bool
 		want    bool
 	}{"orderly": {9000, true, true}, "reset at once": {100, false, true}, "reset later": {101, false, false}} {
-		if got := s.ShowsEnd(500+c.after, 500, c.orderly); got != c.want {
+		if got := s.ConfirmsEnd(500+c.after, 500, c.orderly); got != c.want {
 			t.Errorf("%s: %v, want %v", name, got, c.want)
 		}
 	}
--- a/internal/decide/streamwatch/streamwatch.go
+++ b/internal/decide/streamwatch/streamwatch.go
@@ -7,10 +7,10 @@
 type Verdict uint8
 
 const (
-	Continue Verdict = iota
-	Silent           // its decode server gives no more tokens: end it, the client is told that it is failed
-	Unread           // its client takes nothing: end it
-	TimeOut          // the client's time is nearly up: the final answer has to leave now
+	Continue         Verdict = iota
+	ServerSilent             // its decode server gives no more tokens: end it, the client is told that it is failed
+	ClientNotReading         // its client takes nothing: end it
+	DeadlineReached          // the client's time is nearly up: the final answer has to leave now
 )
 
 func (v Verdict) String() string {
@@ -32,34 +32,34 @@
 
 // Stream is what is known of one. Times are nanoseconds on one clock.
 type Stream struct {
-	FirstAt      int64 // its first token came
-	LastAt       int64 // its last token came
-	TokenGap     int64 // wanted between tokens
-	Target       int64 // expected time of its first token
-	CallEnds     int64 // the client's time is up; 0 = it has set none
-	AnswerAhead  int64 // the final answer leaves so long before that
-	SilenceLimit int64 // a client may be left waiting so long after its last token; 0 = not told
-	Unread       bool  // what came is still waiting for the client, since Last at least
+	FirstTokenAt     int64 // its first token came
+	LastTokenAt      int64 // its last token came
+	TargetTokenGap   int64 // wanted between tokens
+	FirstTokenTarget int64 // expected time of its first token
+	CallDeadline     int64 // the client's time is up; 0 = it has set none
+	AnswerLeadTime   int64 // the final answer leaves so long before that
+	MaxSilence       int64 // a client may be left waiting so long after its last token; 0 = not told
+	ClientBlocked    bool  // what came is still waiting for the client, since Last at least
 }
 
 // Check tells what to do now, and when to judge again at the latest.
 func Check(now int64, s Stream) (Verdict, int64) {
-	if s.CallEnds > 0 && now >= s.CallEnds-s.AnswerAhead {
-		return TimeOut, 0
+	if s.CallDeadline > 0 && now >= s.CallDeadline-s.AnswerLeadTime {
+		return DeadlineReached, 0
 	}
-	limit, verdict := max(silentGaps*s.TokenGap, silentLeast*s.Target), Silent
-	if s.SilenceLimit > 0 { // as long as is allowed: a slow server must not be taken for a dead one
-		limit = s.SilenceLimit - s.SilenceLimit/silenceMargin
+	limit, verdict := max(silentGaps*s.TargetTokenGap, silentLeast*s.FirstTokenTarget), ServerSilent
+	if s.MaxSilence > 0 { // as long as is allowed: a slow server must not be taken for a dead one
+		limit = s.MaxSilence - s.MaxSilence/silenceMargin
 	}
-	if s.Unread {
-		limit, verdict = unreadTimes*limit, Unread
+	if s.ClientBlocked {
+		limit, verdict = unreadTimes*limit, ClientNotReading
 	}
-	again := max(s.FirstAt, s.LastAt) + limit
+	again := max(s.FirstTokenAt, s.LastTokenAt) + limit
 	if now >= again {
 		return verdict, 0
 	}
-	if s.CallEnds > 0 {
-		again = min(again, s.CallEnds-s.AnswerAhead)
+	if s.CallDeadline > 0 {
+		again = min(again, s.CallDeadline-s.AnswerLeadTime)
 	}
 	return Continue, again
 }
--- a/internal/decide/streamwatch/streamwatch_test.go
+++ b/internal/decide/streamwatch/streamwatch_test.go
@@ -9,7 +9,7 @@
 const ms = int64(1e6)
 
 func TestJudge(t *testing.T) {
-	s := Stream{FirstAt: 1000 * ms, LastAt: 2000 * ms, TokenGap: 50 * ms, Target: 1000 * ms}
+	s := Stream{FirstTokenAt: 1000 * ms, LastTokenAt: 2000 * ms, TargetTokenGap: 50 * ms, FirstTokenTarget: 1000 * ms}
 	limit := silentGaps * 50 * ms
 	for _, c := range []struct {
 		name  string
@@ -20,13 +20,13 @@
 	}{
 		{"runs", 2100 * ms, func(*Stream) {}, Continue, 2000*ms + limit},
 		{"slow, not silent", 2000*ms + limit - 1, func(*Stream) {}, Continue, 2000*ms + limit},
-		{"silent", 2000*ms + limit, func(*Stream) {}, Silent, 0},
-		{"short gaps: an expected time at least", 2900 * ms, func(s *Stream) { s.TokenGap = ms }, Continue, 3000 * ms},
-		{"the client does not read: not the writer's fault", 2000*ms + limit, func(s *Stream) { s.Unread = true }, Continue, 2000*ms + unreadTimes*limit},
-		{"the client does not read for long", 2000*ms + unreadTimes*limit, func(s *Stream) { s.Unread = true }, Unread, 0},
-		{"time nearly up", 2500 * ms, func(s *Stream) { s.CallEnds, s.AnswerAhead = 2510*ms, 20*ms }, TimeOut, 0},
-		{"looked at before time is up", 2100 * ms, func(s *Stream) { s.CallEnds, s.AnswerAhead = 2510*ms, 20*ms }, Continue, 2490 * ms},
-		{"no token but the first", 1100 * ms, func(s *Stream) { s.LastAt = 0 }, Continue, 1000*ms + limit},
+		{"silent", 2000*ms + limit, func(*Stream) {}, ServerSilent, 0},
+		{"short gaps: an expected time at least", 2900 * ms, func(s *Stream) { s.TargetTokenGap = ms }, Continue, 3000 * ms},
+		{"the client does not read: not the writer's fault", 2000*ms + limit, func(s *Stream) { s.ClientBlocked = true }, Continue, 2000*ms + unreadTimes*limit},
+		{"the client does not read for long", 2000*ms + unreadTimes*limit, func(s *Stream) { s.ClientBlocked = true }, ClientNotReading, 0},
+		{"time nearly up", 2500 * ms, func(s *Stream) { s.CallDeadline, s.AnswerLeadTime = 2510*ms, 20*ms }, DeadlineReached, 0},
+		{"looked at before time is up", 2100 * ms, func(s *Stream) { s.CallDeadline, s.AnswerLeadTime = 2510*ms, 20*ms }, Continue, 2490 * ms},
+		{"no token but the first", 1100 * ms, func(s *Stream) { s.LastTokenAt = 0 }, Continue, 1000*ms + limit},
 	} {
 		s := s
 		c.with(&s)
@@ -40,18 +40,18 @@
 func TestEnds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := Stream{
-			FirstAt: 1, LastAt: 1, TokenGap: rapid.Int64Range(1, 1e9).Draw(t, "gap"), Target: rapid.Int64Range(1, 1e10).Draw(t, "expected"),
-			AnswerAhead: 1000, Unread: rapid.Bool().Draw(t, "unread"),
+			FirstTokenAt: 1, LastTokenAt: 1, TargetTokenGap: rapid.Int64Range(1, 1e9).Draw(t, "gap"), FirstTokenTarget: rapid.Int64Range(1, 1e10).Draw(t, "expected"),
+			AnswerLeadTime: 1000, ClientBlocked: rapid.Bool().Draw(t, "unread"),
 		}
 		if rapid.Bool().Draw(t, "ends") {
-			s.CallEnds = rapid.Int64Range(1, 1e12).Draw(t, "at")
+			s.CallDeadline = rapid.Int64Range(1, 1e12).Draw(t, "at")
 		}
 		now := int64(1)
 		for range 10 {
 			v, again := Check(now, s)
 			if v != Continue {
-				if s.CallEnds > 0 && now > max(s.CallEnds-s.AnswerAhead, 1) {
-					t.Fatalf("judged at %d, time was up at %d", now, s.CallEnds)
+				if s.CallDeadline > 0 && now > max(s.CallDeadline-s.AnswerLeadTime, 1) {
+					t.Fatalf("judged at %d, time was up at %d", now, s.CallDeadline)
 				}
 				return
 			}
--- a/internal/dispatch/admission.go
+++ b/internal/dispatch/admission.go
@@ -26,7 +26,7 @@
 	for _, u := range d.unsent {
 		d.ages = append(d.ages, now-u.admittedAt)
 	}
-	return d.queue.Admits(d.ages)
+	return d.queue.CanAdmit(d.ages)
 }
 
 // admit hands a request that waited in the admission queue to the module.
@@ -35,24 +35,24 @@
 	req := d.requests.Find(id)
 	req.queued, req.admitted = false, true
 	d.unsent = append(d.unsent, unsentRequest{id: id, admittedAt: now})
-	d.module.RequestArrived(d.Time(now), req.policyRequest)
+	d.module.RequestArrived(d.ModuleTime(now), req.policyRequest)
 }
 
 // refuseQueued refuses a request that waits in the admission queue.
-func (d *Dispatcher) refuseQueued(now eventloop.Nanos, id policy.RequestID, why admission.Cause) {
-	d.rejectQueued(id, why, d.queue.Refuse(now, admission.RequestID(id), why))
+func (d *Dispatcher) refuseQueued(now eventloop.Nanos, id policy.RequestID, why admission.Verdict) {
+	d.rejectQueued(id, why, d.queue.Reject(now, admission.RequestID(id), why))
 }
 
 // rejectQueued answers a request that the admission queue has given up.
-func (d *Dispatcher) rejectQueued(id policy.RequestID, why admission.Cause, a admission.Advice) {
+func (d *Dispatcher) rejectQueued(id policy.RequestID, why admission.Verdict, a admission.RetryAdvice) {
 	req := d.requests.Find(id)
 	req.queued = false
-	d.answer(req, func() { req.call.Reject(req.ID, d.refusal(why.String(), why.Own(), a)) }, &d.Counts.Rejected)
+	d.answer(req, func() { req.call.Reject(req.ID, d.refusal(why.String(), why.IsTenantLimit(), a)) }, &d.Counts.Rejected)
 	d.dropIfDone(req)
 }
 
-func (d *Dispatcher) refusal(why string, own bool, a admission.Advice) frontend.Refusal {
-	no := frontend.Refusal{Reason: why, TenantLimit: own, RetryAfter: min(a.RetryAfter, d.maxRetryAfter)}
+func (d *Dispatcher) refusal(why string, own bool, a admission.RetryAdvice) frontend.RejectionError {
+	no := frontend.RejectionError{Reason: why, TenantLimitExceeded: own, RetryAfter: min(a.RetryAfter, d.maxRetryAfter)}
 	if a.Ticket != nil && no.RetryAfter == a.RetryAfter {
 		no.Ticket = d.signer.Encode(a.Ticket)
 	}
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -25,19 +25,19 @@
 
 // Module is the decision module as the dispatcher calls it; a test may stand between.
 type Module interface {
-	ListBegin(full bool)
+	ListUpdateStarted(full bool)
 	ServerListed(id policy.ServerID, zone policy.ZoneID, kind policy.KindID, cell policy.CellID,
 		health policy.Health, launched policy.Nanos)
-	ListEnd(now policy.Nanos)
-	ListFailed(now policy.Nanos)
+	ListUpdateEnded(now policy.Nanos)
+	ListUpdateFailed(now policy.Nanos)
 	RequestArrived(now policy.Nanos, given policy.Request)
-	StreamBegan(now policy.Nanos, id policy.RequestID, shot policy.AttemptNumber, elapsed policy.Nanos)
+	StreamStarted(now policy.Nanos, id policy.RequestID, shot policy.AttemptNumber, elapsed policy.Nanos)
 	AttemptEnded(now policy.Nanos, id policy.RequestID, shot policy.AttemptNumber, how policy.Outcome, elapsed policy.Nanos,
-		over bool, load policy.Load)
-	ClientLeft(now policy.Nanos, id policy.RequestID)
-	HeldSince(now policy.Nanos, id policy.RequestID, since policy.Nanos)
-	Woken(now policy.Nanos)
-	Next(now policy.Nanos) (policy.Decision, bool)
+		over bool, load policy.LoadReport)
+	RequestCanceled(now policy.Nanos, id policy.RequestID)
+	StateHeldSince(now policy.Nanos, id policy.RequestID, since policy.Nanos)
+	TimerFired(now policy.Nanos)
+	NextDecision(now policy.Nanos) (policy.Decision, bool)
 }
 
 // Dispatcher is one dispatcher on one loop. All of it belongs to the loop.
@@ -48,15 +48,15 @@
 	log           *slog.Logger
 	debug         bool // the log takes lines of single requests
 	module        Module
-	entry         Entry
+	entry         Frontend
 	grpcEntry     *grpc.Server // the admission queue, where it is gRPC's
-	exit          Exit
+	exit          Backend
 	direct        bool // requests go to the module as they come: no admission queue holds them back
 	gate          intake.Limits
 	queue         *admission.Queue
-	signer        *admission.Signer
+	signer        *admission.TicketSigner
 	memory        memory
-	tenantTerms   []admission.Tenant // what tenants may do in the admission queue
+	tenantTerms   []admission.TenantLimits // what tenants may do in the admission queue
 	tenantNames   []string
 	secretKey     uint64 // keys the hashes of clients' names
 	expiryTimer   eventloop.Timer
@@ -89,12 +89,12 @@
 	idempotent                             bool
 }
 
-// New makes a dispatcher on a loop, whose clients and engines speak gRPC; Start sets it going. life must differ from
+// NewGRPC makes a dispatcher on a loop, whose clients and engines speak gRPC; Start sets it going. life must differ from
 // one start to the next; secrets is where it draws keys from that nobody may guess, crypto/rand's Reader but for
 // simulations.
-func New(l *eventloop.Loop, s *config.Dispatcher, log *slog.Logger, seed, incarnation uint64, secrets io.Reader, wrap func(Module) Module) (*Dispatcher, error) {
+func NewGRPC(l *eventloop.Loop, s *config.Dispatcher, log *slog.Logger, seed, incarnation uint64, secrets io.Reader, wrap func(Module) Module) (*Dispatcher, error) {
 	list := endpointlist.New()
-	module, err := s.Module(seed, list.Zone(s.Zone))
+	module, err := s.Module(seed, list.ZoneID(s.Zone))
 	if err != nil {
 		return nil, fmt.Errorf("decision module: %w", err)
 	}
@@ -110,23 +110,23 @@
 	for i, t := range s.Tenants {
 		d.tenants[t.Name] = policy.TenantID(i)
 	}
-	d.gate = intake.Limits{Requests: s.Limits.Requests, PromptTokens: int64(s.Limits.Prompt)}
+	d.gate = intake.Limits{MaxRequests: s.Limits.Requests, MaxPromptTokens: int64(s.Limits.Prompt)}
 	lim := h2.Limits{
-		Streams: uint32(s.Limits.Streams), StreamWindow: uint32(s.Limits.StreamWindow),
-		ConnWindow: h2.Usual.ConnWindow, HeaderBytes: uint32(s.Limits.Headers), MessageBytes: uint32(s.Limits.Message),
+		MaxStreams: uint32(s.Limits.Streams), StreamWindow: uint32(s.Limits.StreamWindow),
+		ConnWindow: h2.DefaultLimits.ConnWindow, MaxHeaderListBytes: uint32(s.Limits.Headers), MaxMessageBytes: uint32(s.Limits.Message),
 	}
 	var key [40]byte
 	if _, err := io.ReadFull(secrets, key[:]); err != nil {
 		return nil, fmt.Errorf("keys: %w", err)
 	}
-	d.signer, d.secretKey = admission.NewSigner(key[:32]), binary.LittleEndian.Uint64(key[32:])
+	d.signer, d.secretKey = admission.NewTicketSigner(key[:32]), binary.LittleEndian.Uint64(key[32:])
 	if !s.Answers.Advice {
 		d.signer = nil
 	}
 	if d.queue, err = admission.New(s.Limits.Waiting, s.Limits.Clients, shortest, d.signer); err != nil {
 		return nil, err
 	}
-	d.queue.FirstCome = s.FirstCome
+	d.queue.FIFO = s.FirstCome
 	d.memory.most = uint64(s.Limits.Memory)
 	d.tenantTerms, d.tenantNames = s.TenantTerms(), []string{""}
 	for i, t := range d.tenantTerms {
@@ -145,7 +145,7 @@
 	}
 	d.entry = d.grpcEntry
 	x := &grpcExit{
-		d: d, list: list, servers: make(map[policy.ServerID]*grpcServer), keeper: keepalive.Keeper{Target: shortest},
+		d: d, list: list, servers: make(map[policy.ServerID]*grpcServer), keeper: keepalive.Policy{LatencyTarget: shortest},
 		connect: int64(s.Attempts.Connect), lim: lim,
 	}
 	x.lister.init(x, s.Fleet)
@@ -153,40 +153,40 @@
 	return d, nil
 }
 
-// Direct makes a dispatcher whose requests go to the module as they come, at most so many in hand, with the classes and tenants
+// NewDirect makes a dispatcher whose requests go to the module as they come, at most so many in hand, with the classes and tenants
 // that the module was made with; a request without a tenant is nobody's. Ends gives it its entry and exit, Start sets it going. advises is the longest advice;
 // hush, how long a client may be left waiting after a token.
-func Direct(l *eventloop.Loop, log *slog.Logger, module Module, names []string, classes []policy.Class, tenants []string, maxRequests int, maxPrompt, maxRetryAfter, silenceLimit int64, incarnation uint64) (*Dispatcher, error) {
+func NewDirect(l *eventloop.Loop, log *slog.Logger, module Module, names []string, classes []policy.Class, tenants []string, maxRequests int, maxPrompt, maxRetryAfter, silenceLimit int64, incarnation uint64) (*Dispatcher, error) {
 	d, shortest := newDispatcher(l, log, module, names, classes, incarnation)
 	d.direct, d.maxRetryAfter, d.silenceLimit = true, maxRetryAfter, silenceLimit
 	for i, name := range tenants {
 		d.tenants[name] = policy.TenantID(i)
 	}
-	d.gate = intake.Limits{Requests: maxRequests, PromptTokens: maxPrompt}
+	d.gate = intake.Limits{MaxRequests: maxRequests, MaxPromptTokens: maxPrompt}
 	var err error
 	d.queue, err = admission.New(1, 1, shortest, nil) // nothing ever waits there
 	return d, err
 }
 
 // Attach gives a dispatcher made by Direct the ways in and out.
-func (d *Dispatcher) Attach(in Entry, out Exit) { d.entry, d.exit = in, out }
+func (d *Dispatcher) Attach(in Frontend, out Backend) { d.entry, d.exit = in, out }
 
 // newDispatcher makes what all dispatchers have, and gives the shortest expected time.
 func newDispatcher(l *eventloop.Loop, log *slog.Logger, module Module, names []string, classes []policy.Class, incarnation uint64) (*Dispatcher, int64) {
 	d := &Dispatcher{
-		loop: l, log: log, debug: log.Enabled(context.Background(), slog.LevelDebug), module: module, incarnation: incarnation, clockStart: l.Wall(), classes: make(map[string]policy.ClassID),
+		loop: l, log: log, debug: log.Enabled(context.Background(), slog.LevelDebug), module: module, incarnation: incarnation, clockStart: l.OriginUnixNanos(), classes: make(map[string]policy.ClassID),
 		tenants: make(map[string]policy.TenantID),
 	}
-	shortest := int64(classes[0].Target)
+	shortest := int64(classes[0].LatencyTarget)
 	for i, t := range classes {
 		d.classes[names[i]] = policy.ClassID(i)
 		d.classTimes = append(d.classTimes, classTimes{
-			int64(t.Target), int64(t.TargetPer1k), int64(t.Timeout),
-			int64(t.TokenGap), t.Effect == policy.Idempotent,
+			int64(t.LatencyTarget), int64(t.LatencyTargetPer1k), int64(t.Timeout),
+			int64(t.InterTokenTarget), t.Idempotency == policy.Idempotent,
 		})
-		shortest = min(shortest, int64(t.Target))
+		shortest = min(shortest, int64(t.LatencyTarget))
 	}
-	d.onWake = func(now eventloop.Nanos) { d.module.Woken(d.Time(now)) }
+	d.onWake = func(now eventloop.Nanos) { d.module.TimerFired(d.ModuleTime(now)) }
 	d.onExpiry = func(eventloop.Nanos) {} // the round looks
 	return d, shortest
 }
@@ -201,32 +201,32 @@
 	return addr, nil
 }
 
-// Round is what the loop calls once a turn: decisions are pulled until there is none, requests that wait in the admission queue are
+// RunIteration is what the loop calls once a turn: decisions are pulled until there is none, requests that wait in the admission queue are
 // let in as the module takes them, then output is queued.
-func (d *Dispatcher) Round(now eventloop.Nanos) {
-	for n := d.queue.ToShed(d.loop.Lag(), d.memory.inUse(now), d.memory.most); n > 0; n-- {
-		id, ok := d.queue.Heaviest()
+func (d *Dispatcher) RunIteration(now eventloop.Nanos) {
+	for n := d.queue.ShedCount(d.loop.LastIterationDuration(), d.memory.inUse(now), d.memory.most); n > 0; n-- {
+		id, ok := d.queue.NextToShed()
 		if !ok {
 			break
 		}
-		d.refuseQueued(now, policy.RequestID(id), admission.Shed)
+		d.refuseQueued(now, policy.RequestID(id), admission.Overloaded)
 	}
 	for let := 0; ; {
-		if decision, ok := d.module.Next(d.Time(now)); ok {
+		if decision, ok := d.module.NextDecision(d.ModuleTime(now)); ok {
 			d.carryOut(now, decision)
 			continue
 		}
-		if id, a, ok := d.queue.Displaced(now); ok {
-			d.rejectQueued(policy.RequestID(id), admission.Full, a)
+		if id, a, ok := d.queue.PopDisplaced(now); ok {
+			d.rejectQueued(policy.RequestID(id), admission.QueueFull, a)
 			continue
 		}
-		if id, ok := d.queue.Expired(now); ok {
+		if id, ok := d.queue.NextExpired(now); ok {
 			d.refuseQueued(now, policy.RequestID(id), admission.TooLate)
 			continue
 		}
-		if id, ok := d.queue.Next(now, len(d.unsent)); ok && d.admits(now) {
-			if let++; let > admission.PerTurn {
-				d.loop.Again()
+		if id, ok := d.queue.NextAdmissible(now, len(d.unsent)); ok && d.admits(now) {
+			if let++; let > admission.MaxAdmissionsPerTurn {
+				d.loop.SkipNextWait()
 				break
 			}
 			d.admit(now, policy.RequestID(id))
@@ -234,15 +234,17 @@
 		}
 		break
 	}
-	if at, ok := d.queue.NextExpiry(now); ok {
-		d.loop.At(&d.expiryTimer, max(at, now+1), d.onExpiry)
+	if at, ok := d.queue.NextWakeup(now); ok {
+		d.loop.SetTimer(&d.expiryTimer, max(at, now+1), d.onExpiry)
 	}
 	d.entry.Flush()
 	d.exit.Flush()
-	if d.draining && d.requests.Len() == 0 && d.entry.Idle() && d.exit.Idle() {
+	if d.draining && d.requests.Len() == 0 && d.entry.IsIdle() && d.exit.IsIdle() {
 		d.onDrained()
 	}
 }
 
-// Time is the module's: Unix nanoseconds by the loop's clock, so that servers' starts compare with it.
-func (d *Dispatcher) Time(now eventloop.Nanos) policy.Nanos { return policy.Nanos(d.clockStart + now) }
+// ModuleTime is the module's: Unix nanoseconds by the loop's clock, so that servers' starts compare with it.
+func (d *Dispatcher) ModuleTime(now eventloop.Nanos) policy.Nanos {
+	return policy.Nanos(d.clockStart + now)
+}
--- a/internal/dispatch/grpcconn.go
+++ b/internal/dispatch/grpcconn.go
@@ -37,10 +37,10 @@
 	onKeep   func(eventloop.Nanos)
 }
 
-func (k *serverConn) facts() keepalive.Conn {
-	return keepalive.Conn{
-		Ready: k.ready && !k.retired && k.http2.CanOpen(), Connecting: !k.ready && !k.gone && !k.retired, Streams: k.streams, HeardAt: k.heardAt,
-		PingedAt: k.pingedAt, Pings: k.pings, UsedAt: k.usedAt, SentAt: k.sentAt,
+func (k *serverConn) facts() keepalive.ConnStatus {
+	return keepalive.ConnStatus{
+		Ready: k.ready && !k.retired && k.http2.CanOpenStream(), Connecting: !k.ready && !k.gone && !k.retired, StreamCount: k.streams, LastReceivedAt: k.heardAt,
+		LastPingAt: k.pingedAt, PingsWithoutData: k.pings, LastUsedAt: k.usedAt, LastSentAt: k.sentAt,
 	}
 }
 
@@ -55,13 +55,13 @@
 	if k.gone {
 		return
 	}
-	if k.ready && k.http2.Waiting() {
-		k.conn.Write(k.http2.Take())
+	if k.ready && k.http2.HasOutput() {
+		k.conn.Write(k.http2.TakeOutput())
 	}
-	if k.http2.Over() != nil {
-		k.conn.CloseSoon()
-	} else if k.conn.Queued() > busyOutput {
-		k.http2.Congested(true)
+	if k.http2.Err() != nil {
+		k.conn.CloseAfterFlush()
+	} else if k.conn.QueuedBytes() > busyOutput {
+		k.http2.SetOutputPaused(true)
 	}
 }
 
@@ -72,23 +72,23 @@
 	}
 	verdict, again := k.server.exit.keeper.Check(now, k.facts())
 	switch verdict {
-	case keepalive.Ping:
+	case keepalive.SendPing:
 		k.d.Counts.Pings++
 		k.pingedAt = now
 		k.pings++
 		k.http2.Ping()
 		k.touch()
-	case keepalive.Dead:
+	case keepalive.CloseDead:
 		k.d.Counts.DeadConnections++
 		k.d.log.Warn("engine does not answer a ping", "server", k.server.id, "attempts", k.streams)
 		k.conn.Close()
 		return
-	case keepalive.Spare:
+	case keepalive.CloseUnused:
 		k.spare = true
 		k.conn.Close()
 		return
 	}
-	k.d.loop.At(&k.timer, again, k.onKeep)
+	k.d.loop.SetTimer(&k.timer, again, k.onKeep)
 }
 
 // ---- What the loop tells.
@@ -102,33 +102,33 @@
 		}
 	}
 	for _, o := range k.server.releases {
-		if k.http2.CanOpen() {
+		if k.http2.CanOpenStream() {
 			k.sendRelease(o.request, o.attempt)
 		}
 	}
 	k.server.releases = k.server.releases[:0]
 	k.touch()
-	k.d.loop.At(&k.timer, now+k.server.exit.keeper.Target, k.onKeep)
+	k.d.loop.SetTimer(&k.timer, now+k.server.exit.keeper.LatencyTarget, k.onKeep)
 }
 
-func (k *serverConn) Data(now eventloop.Nanos, p []byte) {
+func (k *serverConn) Received(now eventloop.Nanos, p []byte) {
 	k.now, k.heardAt = now, now
 	k.http2.Feed(now, p)
 	k.touch()
 }
 
-func (k *serverConn) PeerDone(eventloop.Nanos) { k.conn.Close() }
+func (k *serverConn) PeerHalfClosed(eventloop.Nanos) { k.conn.Close() }
 
-func (k *serverConn) Drained(now eventloop.Nanos) {
+func (k *serverConn) OutputFlushed(now eventloop.Nanos) {
 	k.now = now
-	k.http2.Congested(false)
+	k.http2.SetOutputPaused(false)
 	k.flush()
 }
 
 func (k *serverConn) Closed(now eventloop.Nanos, err error) {
 	k.now, k.gone = now, true
 	d := k.d
-	d.loop.Cancel(&k.timer)
+	d.loop.CancelTimer(&k.timer)
 	for i, other := range k.server.links {
 		if other == k {
 			k.server.links = append(k.server.links[:i], k.server.links[i+1:]...)
@@ -148,12 +148,12 @@
 	k.queue = nil
 	for _, id := range queue { // none of them was sent
 		if req := d.requests.Find(id); req != nil && req.grpcAttempt.conn == k && req.grpcAttempt.stream == nil {
-			d.attemptEnded(now, req, policy.Unreachable, false, policy.NoLoad)
+			d.attemptEnded(now, req, policy.Unreachable, false, policy.NoLoadReport)
 			d.dropIfDone(req)
 		}
 	}
 	k.ready = false
-	k.http2.Lost()
+	k.http2.TransportClosed()
 }
 
 // ---- What is sent.
@@ -162,16 +162,16 @@
 func (k *serverConn) send(now eventloop.Nanos, req *Request, attempt policy.AttemptNumber) {
 	d, x := k.d, k.server.exit
 	path, timeout := pathWrite, int64(0)
-	if req.Prefill {
-		path, timeout = pathRead, max(req.Timeout-(now-req.SentAt), 1)
+	if req.IsPrefill {
+		path, timeout = pathRead, max(req.AttemptTimeout-(now-req.SentAt), 1)
 	}
 	extra := [3]hpack.HeaderField{
 		{Name: "docksail-job", Value: d.requestName(req.ID), Sensitive: true},
 		{Name: "docksail-shot", Value: strconv.Itoa(int(attempt))},
 	}
 	n := 2
-	if req.Trace != "" {
-		extra[2] = hpack.HeaderField{Name: "traceparent", Value: req.Trace, Sensitive: true}
+	if req.TraceParent != "" {
+		extra[2] = hpack.HeaderField{Name: "traceparent", Value: req.TraceParent, Sensitive: true}
 		n = 3
 	}
 	s := k.http2.OpenStream(path, k.server.name, timeout, extra[:n]...)
@@ -184,23 +184,23 @@
 	b = protowire.AppendVarint(b, uint64(attempt))
 	b = protowire.AppendTag(b, 4, protowire.BytesType)
 	b = protowire.AppendBytes(b, req.Raw)
-	if at, held := req.StateHeld(); held && !req.Prefill {
+	if at, held := req.StateHolder(); held && !req.IsPrefill {
 		if srv := k.server.exit.servers[at]; srv != nil {
 			b = protowire.AppendTag(b, 5, protowire.BytesType)
 			b = protowire.AppendString(b, srv.name)
 		}
 	}
 	b = protowire.AppendTag(b, 6, protowire.VarintType)
-	b = protowire.AppendVarint(b, uint64(max(req.Timeout-(now-req.SentAt), 1)))
-	if req.Repeat > 0 {
+	b = protowire.AppendVarint(b, uint64(max(req.AttemptTimeout-(now-req.SentAt), 1)))
+	if req.PreviousAttempts > 0 {
 		b = protowire.AppendTag(b, 7, protowire.VarintType)
-		b = protowire.AppendVarint(b, uint64(req.Repeat))
+		b = protowire.AppendVarint(b, uint64(req.PreviousAttempts))
 	}
 	x.scratch = b
-	s.Ref = uint64(req.ID)
-	s.Send(b, true)
+	s.UserID = uint64(req.ID)
+	s.SendMessage(b, true)
 	req.grpcAttempt.stream, req.grpcAttempt.onWire = s, true
-	d.loop.At(&req.timer, max(req.SentAt+req.Timeout, now+1), req.onTimer)
+	d.loop.SetTimer(&req.timer, max(req.SentAt+req.AttemptTimeout, now+1), req.onTimer)
 	k.wired++
 	k.touch()
 }
@@ -208,7 +208,7 @@
 // sendRelease releases what a server holds. If it is lost with its connection it is sent again by another, as long as
 // the engine can be reached.
 func (k *serverConn) sendRelease(id policy.RequestID, attempt policy.AttemptNumber) {
-	s := k.http2.OpenStream(pathRelease, k.server.name, k.server.exit.keeper.Target)
+	s := k.http2.OpenStream(pathRelease, k.server.name, k.server.exit.keeper.LatencyTarget)
 	b := k.server.exit.scratch[:0]
 	b = protowire.AppendTag(b, 1, protowire.VarintType)
 	b = protowire.AppendVarint(b, k.d.incarnation)
@@ -217,8 +217,8 @@
 	b = protowire.AppendTag(b, 3, protowire.VarintType)
 	b = protowire.AppendVarint(b, uint64(attempt))
 	k.server.exit.scratch = b
-	s.Tag = pendingRelease{id, attempt}
-	s.Send(b, true)
+	s.UserData = pendingRelease{id, attempt}
+	s.SendMessage(b, true)
 	k.touch()
 }
 
@@ -235,36 +235,36 @@
 
 // request of a stream, if the stream is still its attempt.
 func (k *serverConn) request(s *h2.Stream) *Request {
-	if s.Ref == 0 {
+	if s.UserID == 0 {
 		return nil
 	}
-	if req := k.d.requests.Find(policy.RequestID(s.Ref)); req != nil && req.grpcAttempt.stream == s {
+	if req := k.d.requests.Find(policy.RequestID(s.UserID)); req != nil && req.grpcAttempt.stream == s {
 		return req
 	}
 	return nil
 }
 
-func (k *serverConn) Headers(*h2.Stream, *h2.Header) { k.pings = 0 }
+func (k *serverConn) HeadersReceived(*h2.Stream, *h2.Header) { k.pings = 0 }
 
-func (k *serverConn) Message(s *h2.Stream, p []byte) bool {
+func (k *serverConn) MessageReceived(s *h2.Stream, p []byte) bool {
 	k.pings = 0
 	req := k.request(s)
-	if req == nil || req.Prefill {
+	if req == nil || req.IsPrefill {
 		return false
 	}
-	if !req.Answered() && !req.Streaming() {
-		k.server.trial.Heard()
+	if !req.Answered() && !req.IsStreaming() {
+		k.server.trial.AnswerReceived()
 		k.server.sendQueued(k.now)
 	}
-	return k.d.Tokens(k.now, req, p, len(p)+5)
+	return k.d.RelayTokens(k.now, req, p, len(p)+5)
 }
 
-func (k *serverConn) HalfClosed(*h2.Stream) {}
+func (k *serverConn) RequestEnded(*h2.Stream) {}
 
-func (k *serverConn) Finished(s *h2.Stream, code codes.Code, _ string, trailer *h2.Header) {
+func (k *serverConn) StreamFinished(s *h2.Stream, code codes.Code, _ string, trailer *h2.Header) {
 	k.pings = 0
-	if release, ok := s.Tag.(pendingRelease); ok {
-		s.Tag = nil
+	if release, ok := s.UserData.(pendingRelease); ok {
+		s.UserData = nil
 		k.releaseAnswered(release, code)
 		return
 	}
@@ -272,32 +272,32 @@
 	if req == nil {
 		return
 	}
-	s.Ref = 0
+	s.UserID = 0
 	req.grpcAttempt.stream = nil // it is over by itself
-	_, held := req.StateHeld()
+	_, held := req.StateHolder()
 	outcome := policy.Failed
 	switch {
-	case code == codes.OK && req.Prefill:
-		outcome = policy.Read
-		k.server.trial.Heard()
+	case code == codes.OK && req.IsPrefill:
+		outcome = policy.Prefilled
+		k.server.trial.AnswerReceived()
 	case code == codes.OK:
 		outcome = policy.Served
-	case req.Streaming():
-		outcome = policy.Broken
+	case req.IsStreaming():
+		outcome = policy.ConnectionLost
 	case code == codes.ResourceExhausted:
 		outcome = policy.Rejected
 	case code == codes.FailedPrecondition && held:
-		outcome = policy.Stateless
+		outcome = policy.StateMissing
 	case code == codes.DeadlineExceeded:
-		outcome = policy.Late
+		outcome = policy.TimedOut
 	}
-	k.d.Finish(k.now, req, outcome, ": "+code.String(), k.server.exit.load(trailer))
+	k.d.FinishAttempt(k.now, req, outcome, ": "+code.String(), k.server.exit.load(trailer))
 	k.touch()
 }
 
-func (k *serverConn) Reset(s *h2.Stream, _ http2.ErrCode, refused bool) {
-	if o, ok := s.Tag.(pendingRelease); ok && k.gone {
-		s.Tag = nil
+func (k *serverConn) StreamReset(s *h2.Stream, _ http2.ErrCode, refused bool) {
+	if o, ok := s.UserData.(pendingRelease); ok && k.gone {
+		s.UserData = nil
 		k.server.releaseBy(k.now, nil, o.request, o.attempt)
 		return
 	}
@@ -305,18 +305,18 @@
 	if req == nil {
 		return
 	}
-	s.Ref = 0
+	s.UserID = 0
 	req.grpcAttempt.stream = nil
-	outcome := policy.Broken
+	outcome := policy.ConnectionLost
 	if refused { // nothing was done for it
 		outcome = policy.Rejected
 	}
-	k.d.Finish(k.now, req, outcome, "", policy.NoLoad)
+	k.d.FinishAttempt(k.now, req, outcome, "", policy.NoLoadReport)
 }
 
-func (k *serverConn) Room(*h2.Stream) {}
+func (k *serverConn) StreamFlushed(*h2.Stream) {}
 
 // GoingAway: the engine wants no more on this connection; what runs on it ends there.
-func (k *serverConn) GoingAway() { k.touch() }
+func (k *serverConn) GoAwayReceived() { k.touch() }
 
-func (k *serverConn) Pong() {}
+func (k *serverConn) PingAcked() {}
--- a/internal/dispatch/grpcexit.go
+++ b/internal/dispatch/grpcexit.go
@@ -27,20 +27,20 @@
 	servers map[policy.ServerID]*grpcServer
 	list    *endpointlist.List
 	lister  listWatch
-	keeper  keepalive.Keeper
+	keeper  keepalive.Policy
 	connect int64
 	lim     h2.Limits
 	dirty   []*serverConn
-	facts   []keepalive.Conn
+	facts   []keepalive.ConnStatus
 	scratch []byte
 }
 
-func (x *grpcExit) Start(eventloop.Nanos)     { x.lister.start() }
-func (x *grpcExit) Watch(now eventloop.Nanos) { x.lister.watch(now) }
-func (x *grpcExit) Close()                    { x.lister.close() }
+func (x *grpcExit) Start(eventloop.Nanos)              { x.lister.start() }
+func (x *grpcExit) WatchEndpoints(now eventloop.Nanos) { x.lister.watch(now) }
+func (x *grpcExit) Close()                             { x.lister.close() }
 
-// Idle implements Exit: releases that wait for a connection are left to the engines' own time.
-func (x *grpcExit) Idle() bool { return true }
+// IsIdle implements Exit: releases that wait for a connection are left to the engines' own time.
+func (x *grpcExit) IsIdle() bool { return true }
 
 func (x *grpcExit) IsPrefill(server policy.ServerID) (reads, known bool) {
 	srv := x.servers[server]
@@ -65,10 +65,10 @@
 	}
 }
 
-func (x *grpcExit) Send(now eventloop.Nanos, req *Request, attempt policy.AttemptNumber) Attempt {
+func (x *grpcExit) StartAttempt(now eventloop.Nanos, req *Request, attempt policy.AttemptNumber) Attempt {
 	srv := x.servers[req.Server]
 	k := srv.linkFor(now)
-	if k != nil && k.ready && req.grpcAttempt.queuedBehind && !srv.trial.May(srv.onWire()) { // once is enough: its time is the client's
+	if k != nil && k.ready && req.grpcAttempt.queuedBehind && !srv.trial.Allows(srv.onWire()) { // once is enough: its time is the client's
 		k = nil
 	}
 	if k == nil {
@@ -78,9 +78,9 @@
 	k.streams++
 	k.usedAt, k.sentAt = now, now
 	if k.streams == 1 && k.ready && k.pingedAt <= k.heardAt {
-		x.d.loop.At(&k.timer, x.keeper.Begin(now), k.onKeep)
+		x.d.loop.SetTimer(&k.timer, x.keeper.FirstCheck(now), k.onKeep)
 	}
-	if k.ready && srv.trial.May(srv.onWire()) {
+	if k.ready && srv.trial.Allows(srv.onWire()) {
 		k.send(now, req, attempt)
 		return &req.grpcAttempt
 	}
@@ -104,13 +104,13 @@
 // wait has an attempt wait for its engine's trial: not for long, as what it is to fetch is held meanwhile.
 func (s *grpcAttempt) wait(now eventloop.Nanos) {
 	s.queuedBehind = true
-	s.request.d.loop.At(&s.request.timer, min(s.request.SentAt+s.request.Timeout, now+s.conn.server.exit.keeper.Hold()), s.request.onTimer)
+	s.request.d.loop.SetTimer(&s.request.timer, min(s.request.SentAt+s.request.AttemptTimeout, now+s.conn.server.exit.keeper.MaxHoldTime()), s.request.onTimer)
 }
 
-func (s *grpcAttempt) End(now eventloop.Nanos) bool {
+func (s *grpcAttempt) Finish(now eventloop.Nanos) bool {
 	k, cut := s.conn, s.stream != nil
 	if cut {
-		s.stream.Ref = 0
+		s.stream.UserID = 0
 		s.stream.Reset(http2.ErrCodeCancel)
 	}
 	k.streams--
@@ -123,30 +123,30 @@
 	return cut
 }
 
-func (s *grpcAttempt) Ended(now eventloop.Nanos) {
+func (s *grpcAttempt) AfterFinish(now eventloop.Nanos) {
 	if k := s.last; k != nil && len(k.queue) > 0 {
 		k.server.sendQueued(now)
 	}
 }
 
-func (s *grpcAttempt) Credit(n int) {
+func (s *grpcAttempt) CreditWindow(n int) {
 	if s.stream != nil {
-		s.stream.Credit(n)
+		s.stream.CreditWindow(n)
 		s.conn.touch()
 	}
 }
 
-// Stage implements Attempt. On a connection that is asked for signs of life, what was written is taken to have come: a server that is cut
+// DeliveryState implements Attempt. On a connection that is asked for signs of life, what was written is taken to have come: a server that is cut
 // off is noticed, and frees what it holds by its own time.
-func (s *grpcAttempt) Stage() inflight.Stage {
+func (s *grpcAttempt) DeliveryState() inflight.DeliveryState {
 	switch {
 	case s.stream != nil:
-		return inflight.Arrived
+		return inflight.Acknowledged
 	case s.conn.ready:
 		return inflight.Planned
 	}
 	return inflight.Connecting
 }
 
-// ServerHeard implements Attempt: connections are asked for signs of life.
-func (s *grpcAttempt) ServerHeard() bool { return s.conn != nil && s.conn.ready }
+// ServerResponsive implements Attempt: connections are asked for signs of life.
+func (s *grpcAttempt) ServerResponsive() bool { return s.conn != nil && s.conn.ready }
--- a/internal/dispatch/grpcload.go
+++ b/internal/dispatch/grpcload.go
@@ -10,33 +10,33 @@
 )
 
 // load reads an ORCA report from a trailer; one that is too old counts as none.
-func (x *grpcExit) load(trailer *h2.Header) policy.Load {
+func (x *grpcExit) load(trailer *h2.Header) policy.LoadReport {
 	text := trailer.Get("endpoint-load-metrics-bin")
 	if text == "" {
-		return policy.NoLoad
+		return policy.NoLoadReport
 	}
 	b, err := base64.RawStdEncoding.DecodeString(trimPadding(text))
 	if err != nil {
-		return policy.NoLoad
+		return policy.NoLoadReport
 	}
 	var r orca.OrcaLoadReport
 	if proto.Unmarshal(b, &r) != nil {
-		return policy.NoLoad
+		return policy.NoLoadReport
 	}
-	x.d.Counts.Reports++
-	load := policy.NoLoad
+	x.d.Counts.LoadReports++
+	load := policy.NoLoadReport
 	if r.MemUtilization > 0 {
-		load.Memory = r.MemUtilization
+		load.MemoryUtilization = r.MemUtilization
 	}
 	if v, ok := r.NamedMetrics["requests"]; ok {
 		load.Requests = v
 	}
 	if v, ok := r.NamedMetrics["unread_tokens"]; ok {
-		load.Unread = v
+		load.QueuedPromptTokens = v
 	}
-	if age, ok := r.NamedMetrics["age_ms"]; ok && !x.keeper.Fresh(int64(age*1e6)) {
-		x.d.Counts.LateReports++
-		return policy.NoLoad
+	if age, ok := r.NamedMetrics["age_ms"]; ok && !x.keeper.IsLoadReportFresh(int64(age*1e6)) {
+		x.d.Counts.StaleLoadReports++
+		return policy.NoLoadReport
 	}
 	return load
 }
--- a/internal/dispatch/grpcrelease_test.go
+++ b/internal/dispatch/grpcrelease_test.go
@@ -13,7 +13,7 @@
 	for code, want := range map[codes.Code]uint64{codes.OK: 0, codes.Unavailable: 1, codes.Internal: 1} {
 		d := &Dispatcher{log: slog.New(slog.DiscardHandler)}
 		k := &serverConn{d: d, server: &grpcServer{d: d}}
-		k.Finished(&h2.Stream{Tag: pendingRelease{1, 0}}, code, "", nil)
+		k.StreamFinished(&h2.Stream{UserData: pendingRelease{1, 0}}, code, "", nil)
 		if d.Counts.ReleasesLost != want {
 			t.Errorf("%s: %d lost, want %d", code, d.Counts.ReleasesLost, want)
 		}
--- a/internal/dispatch/grpcserver.go
+++ b/internal/dispatch/grpcserver.go
@@ -18,7 +18,7 @@
 	role           policy.Role
 	links          []*serverConn
 	releases       []pendingRelease
-	trial          keepalive.Probe
+	trial          keepalive.RestartThrottle
 	lostConnection bool // its last connection ended, or could not be made
 }
 
@@ -34,20 +34,20 @@
 // sendQueued sends attempts that wait, as far as the engine's trial lets them.
 func (srv *grpcServer) sendQueued(now eventloop.Nanos) {
 	for _, k := range srv.links {
-		for k.ready && !k.gone && len(k.queue) > 0 && srv.trial.May(srv.onWire()) {
+		for k.ready && !k.gone && len(k.queue) > 0 && srv.trial.Allows(srv.onWire()) {
 			id := k.queue[0]
 			k.queue = k.queue[1:]
 			req := k.d.requests.Find(id)
 			if req == nil || req.grpcAttempt.conn != k || req.grpcAttempt.stream != nil {
 				continue
 			}
-			attempt, out := req.Outstanding()
+			attempt, out := req.OutstandingAttempt()
 			switch {
 			case !out:
-			case k.http2.CanOpen() && now < req.WriteBefore:
+			case k.http2.CanOpenStream() && now < req.StartDeadline:
 				k.send(now, req, attempt)
 			default:
-				k.d.attemptEnded(now, req, policy.NotSent, false, policy.NoLoad)
+				k.d.attemptEnded(now, req, policy.NotSent, false, policy.NoLoadReport)
 				k.d.dropIfDone(req)
 			}
 		}
@@ -61,7 +61,7 @@
 	for _, k := range srv.links {
 		srv.exit.facts = append(srv.exit.facts, k.facts())
 	}
-	i, dial, none := keepalive.Pick(srv.exit.facts)
+	i, dial, none := keepalive.SelectConn(srv.exit.facts)
 	switch {
 	case none:
 		return nil
@@ -70,16 +70,16 @@
 	}
 	k := &serverConn{d: d, server: srv, heardAt: now, usedAt: now}
 	k.onKeep = k.keep
-	k.http2 = h2.NewClient(srv.exit.lim, k)
+	k.http2 = h2.NewClientConn(srv.exit.lim, k)
 	lc, err := d.loop.Dial(srv.addr, srv.exit.connect, k)
 	if err != nil {
 		d.log.Warn("engine", "server", srv.id, "err", err)
 		return nil
 	}
 	k.conn = lc
-	lc.Bound(linkOutput)
+	lc.SetOutputLimit(linkOutput)
 	if len(srv.links) == 0 && (srv.lostConnection || srv.exit.lister.lost()) { // what was known of it may be over
-		srv.trial.Lost()
+		srv.trial.ConnLost()
 	}
 	srv.links = append(srv.links, k)
 	return k
@@ -87,7 +87,7 @@
 
 func (srv *grpcServer) readyLink() *serverConn {
 	for _, k := range srv.links {
-		if k.ready && !k.retired && k.http2.CanOpen() {
+		if k.ready && !k.retired && k.http2.CanOpenStream() {
 			return k
 		}
 	}
@@ -108,14 +108,14 @@
 
 // releaseBy sends a release by a connection that is fit, or remembers it until there is one.
 func (srv *grpcServer) releaseBy(now eventloop.Nanos, on *serverConn, id policy.RequestID, attempt policy.AttemptNumber) {
-	if on == nil || on.gone || on.retired || !on.http2.CanOpen() { // the attempt's own keeps the order
+	if on == nil || on.gone || on.retired || !on.http2.CanOpenStream() { // the attempt's own keeps the order
 		on = srv.readyLink()
 	}
 	if on != nil {
 		on.sendRelease(id, attempt)
 		return
 	}
-	if !keepalive.MayRelease(len(srv.releases)) || srv.linkFor(now) == nil {
+	if !keepalive.MayQueueRelease(len(srv.releases)) || srv.linkFor(now) == nil {
 		srv.d.Counts.ReleasesLost++
 		srv.d.log.Warn("release lost", "request", srv.d.requestName(id), "server", srv.id, "why", "no connection")
 		return
@@ -131,7 +131,7 @@
 		k.queue = nil
 		for _, id := range queue {
 			if req := srv.d.requests.Find(id); req != nil && req.grpcAttempt.conn == k && req.grpcAttempt.stream == nil {
-				srv.d.attemptEnded(now, req, policy.NotSent, false, policy.NoLoad)
+				srv.d.attemptEnded(now, req, policy.NotSent, false, policy.NoLoadReport)
 				srv.d.dropIfDone(req)
 			}
 		}
--- a/internal/dispatch/listwatch.go
+++ b/internal/dispatch/listwatch.go
@@ -92,15 +92,15 @@
 }
 
 // update hands news to the module.
-func (w *listWatch) update(now eventloop.Nanos, full bool, told []endpointlist.Host) {
+func (w *listWatch) update(now eventloop.Nanos, full bool, told []endpointlist.Endpoint) {
 	d := w.d
 	if full {
-		told = w.exit.list.Hosts() // the module forgets what a full list does not name
+		told = w.exit.list.Endpoints() // the module forgets what a full list does not name
 	}
-	d.ListUpdated(now, full, len(told) > 0, func(module Module) { w.hosts(now, module, told) })
+	d.EndpointListUpdated(now, full, len(told) > 0, func(module Module) { w.hosts(now, module, told) })
 }
 
-func (w *listWatch) hosts(now eventloop.Nanos, module Module, told []endpointlist.Host) {
+func (w *listWatch) hosts(now eventloop.Nanos, module Module, told []endpointlist.Endpoint) {
 	d := w.d
 	for _, h := range told {
 		srv := w.exit.servers[h.ID]
@@ -115,21 +115,21 @@
 				k.retired = true
 			}
 		}
-		if h.Health != policy.Serving || srv.trial.On() { // the module decides anew, by what it knows now
+		if h.Health != policy.Serving || srv.trial.IsActive() { // the module decides anew, by what it knows now
 			srv.dropQueued(now)
 		}
-		srv.trial.Listed()
+		srv.trial.ListUpdated()
 		started := policy.Nanos(0)
-		if h.Started > 0 {
-			started = min(policy.Nanos(h.Started), d.Time(now)) // a clock ahead of ours
+		if h.StartedAt > 0 {
+			started = min(policy.Nanos(h.StartedAt), d.ModuleTime(now)) // a clock ahead of ours
 		}
-		module.ServerListed(h.ID, w.exit.list.Zone(h.Zone), policy.KindID(h.Role), w.exit.list.Cell(h.Zone, h.Cell), h.Health, started)
+		module.ServerListed(h.ID, w.exit.list.ZoneID(h.Zone), policy.KindID(h.Role), w.exit.list.CellID(h.Zone, h.Cell), h.Health, started)
 		d.log.Info("server", "id", h.ID, "at", h.Address, "role", int(h.Role), "health", int(h.Health))
 	}
 }
 
-func (w *listWatch) take(now eventloop.Nanos, version uint64, full bool, servers []endpointlist.Host) error {
-	told, err := w.exit.list.Take(version, full, servers)
+func (w *listWatch) take(now eventloop.Nanos, version uint64, full bool, servers []endpointlist.Endpoint) error {
+	told, err := w.exit.list.Apply(version, full, servers)
 	if err != nil {
 		return err
 	}
@@ -145,11 +145,11 @@
 	if w.file != "" || w.conn != nil {
 		return
 	}
-	w.http2 = h2.NewClient(w.exit.lim, w)
+	w.http2 = h2.NewClientConn(w.exit.lim, w)
 	lc, err := w.d.loop.Dial(w.addr, w.exit.connect, w)
 	if err != nil {
 		w.d.log.Warn("lister", "err", err)
-		w.d.ListFailed(now)
+		w.d.EndpointListFailed(now)
 		return
 	}
 	w.conn = lc
@@ -165,9 +165,9 @@
 	if err != nil {
 		panic(err)
 	}
-	s.Send(b, true)
-	w.conn.Write(w.http2.Take())
-	w.d.loop.At(&w.timer, now+w.every, w.keepWatch)
+	s.SendMessage(b, true)
+	w.conn.Write(w.http2.TakeOutput())
+	w.d.loop.SetTimer(&w.timer, now+w.every, w.keepWatch)
 }
 
 // keepWatch pings a lister that is silent: on a half-open connection news would never come.
@@ -175,53 +175,53 @@
 	if w.conn == nil {
 		return
 	}
-	verdict, again := keepalive.Keeper{Target: w.every}.Check(now, keepalive.Conn{
-		Ready: true, Streams: 1, HeardAt: w.heardAt,
-		PingedAt: w.pingedAt, Pings: w.pings,
+	verdict, again := keepalive.Policy{LatencyTarget: w.every}.Check(now, keepalive.ConnStatus{
+		Ready: true, StreamCount: 1, LastReceivedAt: w.heardAt,
+		LastPingAt: w.pingedAt, PingsWithoutData: w.pings,
 	})
 	switch verdict {
-	case keepalive.Ping:
+	case keepalive.SendPing:
 		w.pingedAt = now
 		w.pings++
 		w.http2.Ping()
-		w.conn.Write(w.http2.Take())
-	case keepalive.Dead:
+		w.conn.Write(w.http2.TakeOutput())
+	case keepalive.CloseDead:
 		w.d.log.Warn("lister does not answer a ping")
 		w.conn.Close()
 		return
 	}
-	w.d.loop.At(&w.timer, again, w.keepWatch)
+	w.d.loop.SetTimer(&w.timer, again, w.keepWatch)
 }
 
-func (w *listWatch) Data(now eventloop.Nanos, p []byte) {
+func (w *listWatch) Received(now eventloop.Nanos, p []byte) {
 	w.now, w.heardAt = now, now
 	w.http2.Feed(now, p)
-	w.conn.Write(w.http2.Take())
-	if w.http2.Over() != nil {
-		w.conn.CloseSoon()
+	w.conn.Write(w.http2.TakeOutput())
+	if w.http2.Err() != nil {
+		w.conn.CloseAfterFlush()
 	}
 }
 
-func (w *listWatch) PeerDone(eventloop.Nanos) { w.conn.Close() }
-func (w *listWatch) Drained(eventloop.Nanos)  {}
+func (w *listWatch) PeerHalfClosed(eventloop.Nanos) { w.conn.Close() }
+func (w *listWatch) OutputFlushed(eventloop.Nanos)  {}
 
 func (w *listWatch) Closed(now eventloop.Nanos, err error) {
-	w.d.loop.Cancel(&w.timer)
+	w.d.loop.CancelTimer(&w.timer)
 	if w.open {
 		w.d.log.Warn("lister lost", "err", err)
 	}
 	w.conn, w.http2, w.open = nil, nil, false
-	w.d.ListFailed(now)
+	w.d.EndpointListFailed(now)
 }
 
-func (w *listWatch) Headers(*h2.Stream, *h2.Header) {}
+func (w *listWatch) HeadersReceived(*h2.Stream, *h2.Header) {}
 
-func (w *listWatch) Message(s *h2.Stream, p []byte) bool {
+func (w *listWatch) MessageReceived(s *h2.Stream, p []byte) bool {
 	w.pings = 0
 	var news pb.FleetNews
 	err := proto.Unmarshal(p, &news)
 	if err == nil {
-		var servers []endpointlist.Host
+		var servers []endpointlist.Endpoint
 		if servers, err = fromNews(&news); err == nil {
 			err = w.take(w.now, news.Version, news.Full, servers)
 		}
@@ -243,8 +243,8 @@
 	pb.Role_ROLE_MIXED: policy.Mixed,
 }
 
-func fromNews(news *pb.FleetNews) ([]endpointlist.Host, error) {
-	var servers []endpointlist.Host
+func fromNews(news *pb.FleetNews) ([]endpointlist.Endpoint, error) {
+	var servers []endpointlist.Endpoint
 	for _, h := range news.Hosts {
 		role, ok := roles[h.Role]
 		health, ok2 := healths[h.Health]
@@ -257,28 +257,28 @@
 		case err != nil:
 			return nil, err
 		}
-		servers = append(servers, endpointlist.Host{
+		servers = append(servers, endpointlist.Endpoint{
 			ID: policy.ServerID(h.Id), Address: addr, Role: role, Zone: h.Zone,
-			Cell: h.Cell, Health: health, Started: h.StartedUnixNs,
+			Cell: h.Cell, Health: health, StartedAt: h.StartedUnixNs,
 		})
 	}
 	return servers, nil
 }
 
-func (w *listWatch) HalfClosed(*h2.Stream) {}
-func (w *listWatch) Finished(_ *h2.Stream, code codes.Code, message string, _ *h2.Header) {
+func (w *listWatch) RequestEnded(*h2.Stream) {}
+func (w *listWatch) StreamFinished(_ *h2.Stream, code codes.Code, message string, _ *h2.Header) {
 	w.d.log.Warn("lister ended the watch", "code", code.String(), "message", message)
 	w.conn.Close()
 }
 
-func (w *listWatch) Reset(*h2.Stream, http2.ErrCode, bool) {
+func (w *listWatch) StreamReset(*h2.Stream, http2.ErrCode, bool) {
 	if w.conn != nil {
 		w.conn.Close()
 	}
 }
-func (w *listWatch) Room(*h2.Stream) {}
-func (w *listWatch) GoingAway()      {}
-func (w *listWatch) Pong()           {}
+func (w *listWatch) StreamFlushed(*h2.Stream) {}
+func (w *listWatch) GoAwayReceived()          {}
+func (w *listWatch) PingAcked()               {}
 
 // poll reads the file again when it has changed, beside the loop.
 func (w *listWatch) poll(now eventloop.Nanos) {
@@ -300,11 +300,11 @@
 			}
 		})
 	}()
-	w.d.loop.At(&w.timer, now+w.every, w.poll)
+	w.d.loop.SetTimer(&w.timer, now+w.every, w.poll)
 }
 
 // readServers reads a list of engines from a file, unless it is as old as was read before.
-func readServers(name string, stamp time.Time) (servers []endpointlist.Host, warnings []string, at time.Time, err error) {
+func readServers(name string, stamp time.Time) (servers []endpointlist.Endpoint, warnings []string, at time.Time, err error) {
 	info, err := os.Stat(name)
 	if err != nil || info.ModTime().Equal(stamp) {
 		return nil, nil, stamp, err
--- a/internal/dispatch/overdue_test.go
+++ b/internal/dispatch/overdue_test.go
@@ -22,15 +22,15 @@
 func (m *deafModule) RequestArrived(_ policy.Nanos, given policy.Request) {
 	m.arrived = append(m.arrived, given)
 }
-func (m *deafModule) Woken(policy.Nanos) {}
-func (m *deafModule) AttemptEnded(_ policy.Nanos, _ policy.RequestID, _ policy.AttemptNumber, outcome policy.Outcome, _ policy.Nanos, _ bool, _ policy.Load) {
+func (m *deafModule) TimerFired(policy.Nanos) {}
+func (m *deafModule) AttemptEnded(_ policy.Nanos, _ policy.RequestID, _ policy.AttemptNumber, outcome policy.Outcome, _ policy.Nanos, _ bool, _ policy.LoadReport) {
 	m.ended = append(m.ended, outcome)
 }
-func (m *deafModule) ClientLeft(policy.Nanos, policy.RequestID) { m.left++ }
-func (m *deafModule) HeldSince(policy.Nanos, policy.RequestID, policy.Nanos) {
+func (m *deafModule) RequestCanceled(policy.Nanos, policy.RequestID) { m.left++ }
+func (m *deafModule) StateHeldSince(policy.Nanos, policy.RequestID, policy.Nanos) {
 }
 
-func (m *deafModule) Next(policy.Nanos) (policy.Decision, bool) {
+func (m *deafModule) NextDecision(policy.Nanos) (policy.Decision, bool) {
 	if len(m.decisions) == 0 {
 		return policy.Decision{}, false
 	}
@@ -44,46 +44,46 @@
 
 func (noEntry) Listen(at netip.AddrPort, _ bool) (netip.AddrPort, error) { return at, nil }
 func (noEntry) Flush()                                                   {}
-func (noEntry) Conns() int                                               { return 0 }
-func (noEntry) Idle() bool                                               { return true }
+func (noEntry) ConnCount() int                                           { return 0 }
+func (noEntry) IsIdle() bool                                             { return true }
 func (noEntry) Drain()                                                   {}
 
 type silentExit struct{ closed int }
 
 func (*silentExit) Start(eventloop.Nanos) {}
 
-func (*silentExit) Watch(eventloop.Nanos) {}
+func (*silentExit) WatchEndpoints(eventloop.Nanos) {}
 
 func (*silentExit) IsPrefill(policy.ServerID) (reads, known bool) { return false, true }
 
-func (x *silentExit) Send(eventloop.Nanos, *Request, policy.AttemptNumber) Attempt { return x }
+func (x *silentExit) StartAttempt(eventloop.Nanos, *Request, policy.AttemptNumber) Attempt { return x }
 
 func (*silentExit) Release(eventloop.Nanos, *Request, policy.ServerID, policy.AttemptNumber, eventloop.Nanos) {
 }
 
 func (*silentExit) Flush() {}
 
-func (*silentExit) Idle() bool { return true }
+func (*silentExit) IsIdle() bool { return true }
 
 func (*silentExit) Close() {}
 
-func (x *silentExit) End(eventloop.Nanos) bool { x.closed++; return true }
+func (x *silentExit) Finish(eventloop.Nanos) bool { x.closed++; return true }
 
-func (*silentExit) Ended(eventloop.Nanos) {}
+func (*silentExit) AfterFinish(eventloop.Nanos) {}
 
-func (*silentExit) Credit(int) {}
+func (*silentExit) CreditWindow(int) {}
 
-func (*silentExit) ServerHeard() bool { return true }
+func (*silentExit) ServerResponsive() bool { return true }
 
-func (*silentExit) Stage() inflight.Stage { return inflight.Arrived }
+func (*silentExit) DeliveryState() inflight.DeliveryState { return inflight.Acknowledged }
 
 // answers counts what a client was told.
 type answers struct{ nacked, abandoned int }
 
-func (*answers) Tokens(policy.RequestID, []byte) bool        { return false }
-func (*answers) Served(policy.RequestID)                     {}
-func (a *answers) Fail(policy.RequestID, string)             { a.abandoned++ }
-func (a *answers) Reject(policy.RequestID, frontend.Refusal) { a.nacked++ }
+func (*answers) WriteTokens(policy.RequestID, []byte) bool          { return false }
+func (*answers) Complete(policy.RequestID)                          {}
+func (a *answers) Fail(policy.RequestID, string)                    { a.abandoned++ }
+func (a *answers) Reject(policy.RequestID, frontend.RejectionError) { a.nacked++ }
 
 // A request that the module forgets has its final answer by the dispatcher's own deadline, within half a second of its client's;
 // the attempt that is out is closed.
@@ -103,31 +103,31 @@
 				t.Fatal(err)
 			}
 			defer l.Close()
-			class := policy.Class{Target: 1e9, Timeout: 5e9}
+			class := policy.Class{LatencyTarget: 1e9, Timeout: 5e9}
 			if !c.redoable {
-				class.Effect = policy.NonIdempotent
+				class.Idempotency = policy.NonIdempotent
 			}
 			module, out, told := &deafModule{}, &silentExit{}, &answers{}
-			d, err := Direct(l, slog.New(slog.DiscardHandler), module, []string{"a"}, []policy.Class{class}, nil, 10, 1000, 0, 0, 1)
+			d, err := NewDirect(l, slog.New(slog.DiscardHandler), module, []string{"a"}, []policy.Class{class}, nil, 10, 1000, 0, 0, 1)
 			if err != nil {
 				t.Fatal(err)
 			}
 			d.gate.ListKnown = true
 			d.Attach(noEntry{}, out)
 			const left = 200e6
-			id, err := d.Arrive(l.Now(), told, &frontend.Request{Class: []byte("a"), Prompt: 10, WaitLimit: left})
+			id, err := d.Submit(l.Now(), told, &frontend.Request{Class: []byte("a"), PromptTokens: 10, FirstTokenTimeout: left})
 			if err != nil {
 				t.Fatal(err)
 			}
 			if c.launched {
-				module.decisions = []policy.Decision{{Verb: policy.Attempt, Request: id, Server: 1, For: 1e12}}
+				module.decisions = []policy.Decision{{Action: policy.SendAttempt, Request: id, Server: 1, Duration: 1e12}}
 			}
-			d.Round(l.Now())
+			d.RunIteration(l.Now())
 			var answered eventloop.Nanos
 			var end eventloop.Timer
-			l.At(&end, 5e9, func(eventloop.Nanos) { l.Stop() })
+			l.SetTimer(&end, 5e9, func(eventloop.Nanos) { l.Stop() })
 			l.Run(func(now eventloop.Nanos) {
-				if d.Round(now); told.nacked+told.abandoned > 0 {
+				if d.RunIteration(now); told.nacked+told.abandoned > 0 {
 					answered = now
 					l.Stop()
 				}
@@ -135,8 +135,8 @@
 			if *told != c.want || answered < left || answered > left+500e6 {
 				t.Errorf("%+v after %d ms, want %+v after 200 to 700 ms", *told, answered/1e6, c.want)
 			}
-			if d.Counts.Overdue != 1 || module.left != 1 || d.requests.Len() != 0 {
-				t.Errorf("counted %d, module told %d times, %d in hand", d.Counts.Overdue, module.left, d.requests.Len())
+			if d.Counts.MissedDeadlines != 1 || module.left != 1 || d.requests.Len() != 0 {
+				t.Errorf("counted %d, module told %d times, %d in hand", d.Counts.MissedDeadlines, module.left, d.requests.Len())
 			}
 			if c.launched && (out.closed != 1 || len(module.ended) != 1) {
 				t.Errorf("attempt closed %d times, its end told %d times", out.closed, len(module.ended))
@@ -153,15 +153,15 @@
 	}
 	defer l.Close()
 	module := &deafModule{}
-	tracks := []policy.Class{{Target: 1e9, Timeout: 5e9}}
-	d, err := Direct(l, slog.New(slog.DiscardHandler), module, []string{"a"}, tracks, []string{"north", "south"}, 10, 1000, 0, 0, 1)
+	tracks := []policy.Class{{LatencyTarget: 1e9, Timeout: 5e9}}
+	d, err := NewDirect(l, slog.New(slog.DiscardHandler), module, []string{"a"}, tracks, []string{"north", "south"}, 10, 1000, 0, 0, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	d.gate.ListKnown = true
 	for _, tenant := range []string{"south", "north", ""} {
-		r := frontend.Request{Class: []byte("a"), Tenant: []byte(tenant), Session: []byte("s"), Prefix: []byte("p"), Prompt: 10}
-		if _, err := d.Arrive(l.Now(), &answers{}, &r); err != nil {
+		r := frontend.Request{Class: []byte("a"), Tenant: []byte(tenant), Session: []byte("s"), Prefix: []byte("p"), PromptTokens: 10}
+		if _, err := d.Submit(l.Now(), &answers{}, &r); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/dispatch/requests.go
+++ b/internal/dispatch/requests.go
@@ -16,42 +16,42 @@
 
 // Request is one request in hand.
 type Request struct {
-	inflight.Record
-	call          frontend.Call // nil once it is answered
-	Raw           []byte        // the client's message
-	ClientID      []byte        // the client's name for it
-	Path          []byte        // where the client sent it
-	Header        []byte        // header fields that go with it, as lines
-	class         policy.ClassID
-	Repeat        uint32
-	Trace         string
-	arrivedAt     eventloop.Nanos
-	callEnds      eventloop.Nanos   // the call's own time is up; 0 = never
-	firstTokenAt  eventloop.Nanos   // the answer's first token came; 0 = not yet
-	lastTokenAt   eventloop.Nanos   // its last token
-	unread        int               // bytes of the engine's window that wait for the client
-	policyRequest policy.Request    // as the module is told of it
-	queueRequest  admission.Request // as the admission queue is
-	queued        bool
-	admitted      bool  // the admission queue has let it in, and not been told of its end
-	messages      int64 // messages relayed
-	mayHaveRun    bool  // an attempt was sent to a server that answers
+	inflight.RequestState
+	call             frontend.ResponseWriter // nil once it is answered
+	Raw              []byte                  // the client's message
+	ClientRequestID  []byte                  // the client's name for it
+	Path             []byte                  // where the client sent it
+	Header           []byte                  // header fields that go with it, as lines
+	class            policy.ClassID
+	PreviousAttempts uint32
+	TraceParent      string
+	arrivedAt        eventloop.Nanos
+	callEnds         eventloop.Nanos   // the call's own time is up; 0 = never
+	firstTokenAt     eventloop.Nanos   // the answer's first token came; 0 = not yet
+	lastTokenAt      eventloop.Nanos   // its last token
+	unread           int               // bytes of the engine's window that wait for the client
+	policyRequest    policy.Request    // as the module is told of it
+	queueRequest     admission.Request // as the admission queue is
+	queued           bool
+	admitted         bool  // the admission queue has let it in, and not been told of its end
+	messages         int64 // messages relayed
+	mayHaveRun       bool  // an attempt was sent to a server that answers
 
-	attempt        Attempt         // the attempt that is out; nil = it is none of the exit's
-	Server         policy.ServerID // where it goes
-	Prefill        bool            // it is a read
-	SentAt         eventloop.Nanos
-	Timeout        int64           // its time
-	WriteBefore    eventloop.Nanos // it may begin to be written until then
-	PrefilledAt    eventloop.Nanos // its last read ended
-	Stale          int             // attempts in a row that were lost with connections that had died unseen
-	ExpectedCached int64           // prompt tokens that the module expects to be kept where it is read
-	grpcAttempt    grpcAttempt     // how the gRPC exit holds it
-	timer          eventloop.Timer
-	onTimer        func(eventloop.Nanos)
-	overdueTimer   eventloop.Timer // set while the request is owed its first answer
-	onOverdue      func(eventloop.Nanos)
-	d              *Dispatcher
+	attempt               Attempt         // the attempt that is out; nil = it is none of the exit's
+	Server                policy.ServerID // where it goes
+	IsPrefill             bool            // it is a read
+	SentAt                eventloop.Nanos
+	AttemptTimeout        int64           // its time
+	StartDeadline         eventloop.Nanos // it may begin to be written until then
+	PrefilledAt           eventloop.Nanos // its last read ended
+	ConsecutiveStaleConns int             // attempts in a row that were lost with connections that had died unseen
+	ExpectedCachedTokens  int64           // prompt tokens that the module expects to be kept where it is read
+	grpcAttempt           grpcAttempt     // how the gRPC exit holds it
+	timer                 eventloop.Timer
+	onTimer               func(eventloop.Nanos)
+	overdueTimer          eventloop.Timer // set while the request is owed its first answer
+	onOverdue             func(eventloop.Nanos)
+	d                     *Dispatcher
 }
 
 // hashName hashes a name under the settings' key and its owner, the same at every dispatcher; 0 stands for no name.
@@ -71,8 +71,8 @@
 	return string(strconv.AppendUint(append(strconv.AppendUint(b[:0], d.incarnation, 16), '.'), uint64(id), 16))
 }
 
-// Name implements the admission queue's core.
-func (d *Dispatcher) Name(id policy.RequestID) string { return d.requestName(id) }
+// RequestName implements the admission queue's core.
+func (d *Dispatcher) RequestName(id policy.RequestID) string { return d.requestName(id) }
 
 // hashSecretly hashes a name that strangers choose, under a key of this life's own; 0 stands for no name.
 func (d *Dispatcher) hashSecretly(owner policy.TenantID, name []byte) uint64 {
@@ -84,15 +84,15 @@
 	return max(d.hash.Sum64(), 1)
 }
 
-// Arrive implements the fronts' core: it takes a request in, or tells why not.
-func (d *Dispatcher) Arrive(now eventloop.Nanos, call frontend.Call, r *frontend.Request) (policy.RequestID, error) {
+// Submit implements the fronts' core: it takes a request in, or tells why not.
+func (d *Dispatcher) Submit(now eventloop.Nanos, call frontend.ResponseWriter, r *frontend.Request) (policy.RequestID, error) {
 	class, tenant, err := d.classAndTenant(r)
 	if err != nil {
 		return 0, err
 	}
 	times := &d.classTimes[class]
 	left := times.timeLeft(r) - d.answerAhead
-	target := times.target + times.targetPer1k*r.Prompt/1000
+	target := times.target + times.targetPer1k*r.PromptTokens/1000
 	if err := d.checkIntake(r, left, target); err != nil {
 		return 0, err
 	}
@@ -101,7 +101,7 @@
 	waiting.ID = admission.RequestID(id)
 	if !d.direct {
 		if err := d.enqueue(now, waiting); err != nil {
-			d.requests.Drop(id)
+			d.requests.Remove(id)
 			return 0, err
 		}
 	}
@@ -109,10 +109,10 @@
 	d.Counts.Requests++
 	req.begin(d, id, class, call, r, now)
 	req.queueRequest, req.queued = waiting, !d.direct
-	req.policyRequest = d.policyRequest(id, class, tenant, r, d.Time(now+left))
-	d.loop.At(&req.overdueTimer, now+left+intake.OverdueAfter, req.onOverdue)
+	req.policyRequest = d.policyRequest(id, class, tenant, r, d.ModuleTime(now+left))
+	d.loop.SetTimer(&req.overdueTimer, now+left+intake.OverdueMargin, req.onOverdue)
 	if d.direct {
-		d.module.RequestArrived(d.Time(now), req.policyRequest)
+		d.module.RequestArrived(d.ModuleTime(now), req.policyRequest)
 	}
 	return id, nil
 }
@@ -121,14 +121,14 @@
 func (d *Dispatcher) classAndTenant(r *frontend.Request) (policy.ClassID, policy.TenantID, error) {
 	class, ok := d.classes[string(r.Class)]
 	if !ok {
-		return 0, -1, fmt.Errorf("class %q is unknown: %w", r.Class, frontend.ErrBad)
+		return 0, -1, fmt.Errorf("class %q is unknown: %w", r.Class, frontend.ErrInvalidRequest)
 	}
 	if len(d.tenants) == 0 || d.direct && len(r.Tenant) == 0 {
 		return class, -1, nil
 	}
 	tenant, ok := d.tenants[string(r.Tenant)]
 	if !ok {
-		return 0, -1, fmt.Errorf("tenant %q is unknown: %w", r.Tenant, frontend.ErrBad)
+		return 0, -1, fmt.Errorf("tenant %q is unknown: %w", r.Tenant, frontend.ErrInvalidRequest)
 	}
 	return class, tenant, nil
 }
@@ -136,34 +136,34 @@
 // timeLeft is how long a request's client waits: its class's time, or less if it says so.
 func (t *classTimes) timeLeft(r *frontend.Request) int64 {
 	left := t.timeout
-	if r.WaitLimit > 0 {
-		left = min(left, r.WaitLimit)
+	if r.FirstTokenTimeout > 0 {
+		left = min(left, r.FirstTokenTimeout)
 	}
-	if r.Timeout > 0 {
-		left = min(left, r.Timeout)
+	if r.CallTimeout > 0 {
+		left = min(left, r.CallTimeout)
 	}
 	return left
 }
 
 // checkIntake tells why a request is not taken at all; nil if it is.
 func (d *Dispatcher) checkIntake(r *frontend.Request, left, target int64) error {
-	cause, after := d.gate.Check(d.requests.Len(), r.Prompt, left, target)
+	cause, after := d.gate.Check(d.requests.Len(), r.PromptTokens, left, target)
 	if cause == intake.Accepted {
 		return nil
 	}
-	d.Counts.Refused++
-	if cause.Harmless() {
-		return frontend.Refusal{Reason: cause.String(), RetryAfter: min(after, d.maxRetryAfter)}
+	d.Counts.RejectedAtIntake++
+	if cause.IsRetryable() {
+		return frontend.RejectionError{Reason: cause.String(), RetryAfter: min(after, d.maxRetryAfter)}
 	}
-	return fmt.Errorf("%s, %d tokens of at most %d: %w", cause, r.Prompt, d.gate.PromptTokens, frontend.ErrBad)
+	return fmt.Errorf("%s, %d tokens of at most %d: %w", cause, r.PromptTokens, d.gate.MaxPromptTokens, frontend.ErrInvalidRequest)
 }
 
 // admissionRequest is a request as the admission queue is told of it.
 func (d *Dispatcher) admissionRequest(r *frontend.Request, tenant policy.TenantID, deadline eventloop.Nanos, target int64) admission.Request {
 	waiting := admission.Request{
 		Tenant: max(int(tenant), 0), Client: d.hashSecretly(tenant, r.Client),
-		Source: d.hashSecretly(-1, r.Source[:]), Prompt: r.Prompt, Background: r.Background, Answer: r.MaxTokens,
-		Target: target, Deadline: deadline,
+		Source: d.hashSecretly(-1, r.Source[:]), PromptTokens: r.PromptTokens, Background: r.Background, MaxAnswerTokens: r.MaxTokens,
+		LatencyObjective: target, Deadline: deadline,
 	}
 	if r.Ticket != nil && d.signer != nil {
 		if ticket, err := d.signer.Decode(r.Ticket); err == nil {
@@ -175,32 +175,32 @@
 
 // enqueue has a request wait in the admission queue, or tells why it may not.
 func (d *Dispatcher) enqueue(now eventloop.Nanos, waiting admission.Request) error {
-	cause, advice := d.queue.Arrive(now, waiting)
-	if cause == admission.Admitted {
+	cause, advice := d.queue.Enqueue(now, waiting)
+	if cause == admission.Queued {
 		return nil
 	}
-	d.Counts.Refused++
-	if cause == admission.TooLong {
-		return fmt.Errorf("%s, %d tokens: %w", cause, waiting.Prompt, frontend.ErrBad)
+	d.Counts.RejectedAtIntake++
+	if cause == admission.PromptTooLong {
+		return fmt.Errorf("%s, %d tokens: %w", cause, waiting.PromptTokens, frontend.ErrInvalidRequest)
 	}
-	return d.refusal(cause.String(), cause.Own(), advice)
+	return d.refusal(cause.String(), cause.IsTenantLimit(), advice)
 }
 
 // begin makes a record that may have been used before that of a new request; its buffers and timers stay.
-func (req *Request) begin(d *Dispatcher, id policy.RequestID, class policy.ClassID, call frontend.Call, r *frontend.Request, now eventloop.Nanos) {
+func (req *Request) begin(d *Dispatcher, id policy.RequestID, class policy.ClassID, call frontend.ResponseWriter, r *frontend.Request, now eventloop.Nanos) {
 	*req = Request{
-		Record: inflight.Record{ID: id}, call: call, class: class, d: d,
-		Raw: append(req.Raw[:0], r.Raw...), ClientID: append(req.ClientID[:0], r.ClientID...),
+		RequestState: inflight.RequestState{ID: id}, call: call, class: class, d: d,
+		Raw: append(req.Raw[:0], r.Raw...), ClientRequestID: append(req.ClientRequestID[:0], r.ClientID...),
 		Path: append(req.Path[:0], r.Path...), Header: append(req.Header[:0], r.Header...),
-		Repeat: uint32(r.Repeat), Trace: r.Trace, arrivedAt: now,
+		PreviousAttempts: uint32(r.PreviousAttempts), TraceParent: r.TraceParent, arrivedAt: now,
 		timer: req.timer, onTimer: req.onTimer, overdueTimer: req.overdueTimer, onOverdue: req.onOverdue,
 	}
 	req.grpcAttempt.request = req
 	if req.onTimer == nil {
 		req.onTimer, req.onOverdue = req.timerDue, req.deadlineMissed
 	}
-	if r.Timeout > 0 {
-		req.callEnds = now + r.Timeout
+	if r.CallTimeout > 0 {
+		req.callEnds = now + r.CallTimeout
 	}
 }
 
@@ -214,21 +214,21 @@
 	}
 	return policy.Request{
 		ID: id, Class: class, Tenant: tenant,
-		Session: policy.SessionKey(d.hashName('s', owner, r.Session)),
-		Prefix:  policy.PrefixKey(d.hashName('b', owner, r.Prefix)),
-		Prompt:  r.Prompt, Shared: r.Shared, Cap: r.MaxTokens, Deadline: deadline, Hint: policy.Nanos(r.Hint),
-		Repeat: r.Repeat > 0,
+		Session:      policy.SessionKey(d.hashName('s', owner, r.Session)),
+		Prefix:       policy.PrefixKey(d.hashName('b', owner, r.Prefix)),
+		PromptTokens: r.PromptTokens, PrefixTokens: r.PrefixTokens, MaxOutputTokens: r.MaxTokens, Deadline: deadline, ExpectedDuration: policy.Nanos(r.LengthHint),
+		IsRetry: r.PreviousAttempts > 0,
 	}
 }
 
-// ClientLeft tells that a client is gone.
-func (d *Dispatcher) ClientLeft(now eventloop.Nanos, id policy.RequestID) {
+// ClientDisconnected tells that a client is gone.
+func (d *Dispatcher) ClientDisconnected(now eventloop.Nanos, id policy.RequestID) {
 	if req := d.requests.Find(id); req != nil && !req.Answered() {
 		if d.debug {
-			attempt, out := req.Outstanding()
-			d.log.Debug("client left", "request", string(req.ClientID), "out", out, "attempt", attempt, "begun", req.firstTokenAt > 0)
+			attempt, out := req.OutstandingAttempt()
+			d.log.Debug("client left", "request", string(req.ClientRequestID), "out", out, "attempt", attempt, "begun", req.firstTokenAt > 0)
 		}
-		d.answer(req, func() {}, &d.Counts.ClientsLeft)
+		d.answer(req, func() {}, &d.Counts.ClientDisconnects)
 		d.clientLeft(now, req)
 	}
 }
@@ -241,36 +241,36 @@
 		d.dropIfDone(req)
 		return
 	}
-	d.module.ClientLeft(d.Time(now), req.ID)
+	d.module.RequestCanceled(d.ModuleTime(now), req.ID)
 	switch {
 	case req.firstTokenAt > 0:
-		d.attemptEnded(now, req, policy.Canceled, true, policy.NoLoad)
-	case req.attempt != nil && req.attempt.Stage() < inflight.Writing: // it is not to begin any more, also where what has begun may not be withdrawn
-		d.attemptEnded(now, req, policy.NotSent, true, policy.NoLoad)
+		d.attemptEnded(now, req, policy.Canceled, true, policy.NoLoadReport)
+	case req.attempt != nil && req.attempt.DeliveryState() < inflight.Sending: // it is not to begin any more, also where what has begun may not be withdrawn
+		d.attemptEnded(now, req, policy.NotSent, true, policy.NoLoadReport)
 	}
 	d.dropIfDone(req)
 }
 
-// Room lets an engine go on that was held back for its client.
-func (d *Dispatcher) Room(now eventloop.Nanos, id policy.RequestID) {
+// ClientWritable lets an engine go on that was held back for its client.
+func (d *Dispatcher) ClientWritable(now eventloop.Nanos, id policy.RequestID) {
 	req := d.requests.Find(id)
 	if req == nil || req.unread == 0 || req.attempt == nil {
 		return
 	}
 	n := req.unread
 	req.unread, req.lastTokenAt = 0, now
-	req.attempt.Credit(n)
-	d.loop.Again()
+	req.attempt.CreditWindow(n)
+	d.loop.SkipNextWait()
 }
 
 // answer gives a request its final answer, if it has none yet.
 func (d *Dispatcher) answer(req *Request, give func(), count *uint64) {
-	if err := req.Answer(); err != nil {
+	if err := req.MarkAnswered(); err != nil {
 		d.Counts.InvalidDecisions++
 		d.log.Error("decision refused", "request", req.ID, "err", err)
 		return
 	}
-	d.loop.Cancel(&req.overdueTimer)
+	d.loop.CancelTimer(&req.overdueTimer)
 	give()
 	req.call = nil
 	*count++
@@ -281,7 +281,7 @@
 func (d *Dispatcher) leaveQueue(req *Request, served bool) {
 	if req.admitted {
 		req.admitted = false
-		d.queue.Finished(d.loop.Now(), req.queueRequest, served, req.messages)
+		d.queue.RecordFinished(d.loop.Now(), req.queueRequest, served, req.messages)
 		if i := d.unsentIndex(req.ID); i >= 0 {
 			d.unsent = slices.Delete(d.unsent, i, i+1)
 		}
@@ -291,9 +291,9 @@
 // dropIfDone frees the place of a request for which nothing is owed, out or held.
 func (d *Dispatcher) dropIfDone(req *Request) {
 	if req.Done() {
-		d.loop.Cancel(&req.timer)
-		d.loop.Cancel(&req.overdueTimer)
-		d.requests.Drop(req.ID)
+		d.loop.CancelTimer(&req.timer)
+		d.loop.CancelTimer(&req.overdueTimer)
+		d.requests.Remove(req.ID)
 	}
 }
 
@@ -301,13 +301,13 @@
 // before; this guards against a fault by which it does not.
 func (req *Request) deadlineMissed(now eventloop.Nanos) {
 	d := req.d
-	_, out := req.Outstanding()
-	d.Counts.Overdue++
-	d.log.Error("request without an answer at its deadline", "request", req.ID, "name", string(req.ClientID), "attempts", req.Attempts(), "out", out, "server", req.Server)
+	_, out := req.OutstandingAttempt()
+	d.Counts.MissedDeadlines++
+	d.log.Error("request without an answer at its deadline", "request", req.ID, "name", string(req.ClientRequestID), "attempts", req.AttemptCount(), "out", out, "server", req.Server)
 	id := req.ID
 	d.abort(now, req, "its time is up")
 	if req = d.requests.Find(id); req != nil && out {
-		d.attemptEnded(now, req, policy.Canceled, true, policy.NoLoad)
+		d.attemptEnded(now, req, policy.Canceled, true, policy.NoLoadReport)
 		d.dropIfDone(req)
 	}
 }
--- a/internal/dispatch/serve.go
+++ b/internal/dispatch/serve.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// Running is a dispatcher that runs on a loop of its own goroutine.
-type Running struct {
+// Node is a dispatcher that runs on a loop of its own goroutine.
+type Node struct {
 	Addr netip.AddrPort
 
 	l    *eventloop.Loop
@@ -22,8 +22,8 @@
 	err  error
 }
 
-// Run starts a dispatcher by its settings. wrap, if not nil, stands between the dispatcher and its module.
-func Run(s *config.Dispatcher, log *slog.Logger, wrap func(Module) Module) (*Running, error) {
+// Start starts a dispatcher by its settings. wrap, if not nil, stands between the dispatcher and its module.
+func Start(s *config.Dispatcher, log *slog.Logger, wrap func(Module) Module) (*Node, error) {
 	l, err := eventloop.New()
 	if err != nil {
 		return nil, err
@@ -33,19 +33,19 @@
 	if seed == 0 {
 		seed = incarnation
 	}
-	d, err := New(l, s, log, seed, incarnation, rand.Reader, wrap)
+	d, err := NewGRPC(l, s, log, seed, incarnation, rand.Reader, wrap)
 	if err != nil {
 		l.Close()
 		return nil, err
 	}
-	r := &Running{l: l, d: d, done: make(chan struct{})}
+	r := &Node{l: l, d: d, done: make(chan struct{})}
 	if r.Addr, err = d.Start(s.Listen, s.SharePort); err != nil {
 		l.Close()
 		return nil, fmt.Errorf("dispatcher: %w", err)
 	}
 	go func() {
 		defer close(r.done)
-		r.err = l.Run(d.Round)
+		r.err = l.Run(d.RunIteration)
 		l.Close()
 		d.exit.Close()
 	}()
@@ -53,27 +53,27 @@
 }
 
 // Drain asks the dispatcher to leave; Wait tells when it has.
-func (r *Running) Drain(within time.Duration) {
+func (r *Node) Drain(within time.Duration) {
 	r.l.Post(func() { r.d.Drain(int64(within), r.l.Stop) })
 }
 
 // Kill ends the dispatcher at once: nothing is answered, every socket closes.
-func (r *Running) Kill() {
+func (r *Node) Kill() {
 	r.l.Stop()
 	<-r.done
 }
 
 // Wait waits for the end.
-func (r *Running) Wait() error {
+func (r *Node) Wait() error {
 	<-r.done
 	return r.err
 }
 
 // Done is closed at the end.
-func (r *Running) Done() <-chan struct{} { return r.done }
+func (r *Node) Done() <-chan struct{} { return r.done }
 
-// Ask runs f on the loop and waits for it; false if the loop has ended.
-func (r *Running) Ask(f func(d *Dispatcher)) bool {
+// RunOnLoop runs f on the loop and waits for it; false if the loop has ended.
+func (r *Node) RunOnLoop(f func(d *Dispatcher)) bool {
 	got := make(chan struct{})
 	if !r.l.Post(func() { f(r.d); close(got) }) {
 		return false
@@ -88,9 +88,9 @@
 
 const logRoom = 4096 // records that may wait for the log's writer
 
-// LogBeside gives a handler that writes its records beside the caller: a log whose writer is slow loses records,
+// NewAsyncLogHandler gives a handler that writes its records beside the caller: a log whose writer is slow loses records,
 // which Lost counts, and holds nobody up. It ends with the context.
-func LogBeside(ctx context.Context, to slog.Handler) *BesideHandler {
+func NewAsyncLogHandler(ctx context.Context, to slog.Handler) *AsyncLogHandler {
 	b := &besideQueue{records: make(chan besideRecord, logRoom)}
 	go func() {
 		for {
@@ -109,7 +109,7 @@
 			}
 		}
 	}()
-	return &BesideHandler{to: to, q: b}
+	return &AsyncLogHandler{to: to, q: b}
 }
 
 type besideRecord struct {
@@ -122,22 +122,22 @@
 	lost    atomic.Uint64
 }
 
-// BesideHandler is the handler that LogBeside gives.
-type BesideHandler struct {
+// AsyncLogHandler is the handler that NewAsyncLogHandler gives.
+type AsyncLogHandler struct {
 	to slog.Handler
 	q  *besideQueue
 }
 
-// Lost counts records that found no room.
-func (b *BesideHandler) Lost() uint64 { return b.q.lost.Load() }
+// Dropped counts records that found no room.
+func (b *AsyncLogHandler) Dropped() uint64 { return b.q.lost.Load() }
 
 // Enabled implements slog.Handler.
-func (b *BesideHandler) Enabled(ctx context.Context, level slog.Level) bool {
+func (b *AsyncLogHandler) Enabled(ctx context.Context, level slog.Level) bool {
 	return b.to.Enabled(ctx, level)
 }
 
 // Handle implements slog.Handler.
-func (b *BesideHandler) Handle(_ context.Context, r slog.Record) error {
+func (b *AsyncLogHandler) Handle(_ context.Context, r slog.Record) error {
 	select {
 	case b.q.records <- besideRecord{b.to, r.Clone()}:
 	default:
@@ -147,11 +147,11 @@
 }
 
 // WithAttrs implements slog.Handler.
-func (b *BesideHandler) WithAttrs(attrs []slog.Attr) slog.Handler {
-	return &BesideHandler{to: b.to.WithAttrs(attrs), q: b.q}
+func (b *AsyncLogHandler) WithAttrs(attrs []slog.Attr) slog.Handler {
+	return &AsyncLogHandler{to: b.to.WithAttrs(attrs), q: b.q}
 }
 
 // WithGroup implements slog.Handler.
-func (b *BesideHandler) WithGroup(name string) slog.Handler {
-	return &BesideHandler{to: b.to.WithGroup(name), q: b.q}
+func (b *AsyncLogHandler) WithGroup(name string) slog.Handler {
+	return &AsyncLogHandler{to: b.to.WithGroup(name), q: b.q}
 }
--- a/internal/dispatch/view.go
+++ b/internal/dispatch/view.go
@@ -13,32 +13,43 @@
 
 // Counts are what a dispatcher counted since its start.
 type Counts struct {
-	Requests, Served, Rejected, Failed, ClientsLeft, Refused uint64
-	Attempts, Cancels, TimedOut, Broken                      uint64
-	Releases, ReleasesLost                                   uint64
-	Messages                                                 uint64 // messages relayed
-	LateReports, Reports                                     uint64
-	InvalidDecisions                                         uint64 // decisions that the account of a request refused: faults of the program
-	Overdue                                                  uint64 // requests that had to be answered by the dispatcher's own deadline: faults of the program
-	Pings, DeadConnections                                   uint64
+	Requests          uint64
+	Served            uint64
+	Rejected          uint64
+	Failed            uint64
+	ClientDisconnects uint64 `json:"ClientsLeft"`
+	RejectedAtIntake  uint64 `json:"Refused"`
+	Attempts          uint64
+	Cancels           uint64
+	TimedOut          uint64
+	Broken            uint64
+	Releases          uint64
+	ReleasesLost      uint64
+	Messages          uint64 // messages relayed
+	StaleLoadReports  uint64 `json:"LateReports"`
+	LoadReports       uint64 `json:"Reports"`
+	InvalidDecisions  uint64 // decisions that the request's state does not allow: faults of the program
+	MissedDeadlines   uint64 `json:"Overdue"` // requests answered only by the dispatcher's own deadline: faults of the program
+	Pings             uint64
+	DeadConnections   uint64
 }
 
-// InHand counts requests in hand, Clients open connections of clients.
-func (d *Dispatcher) InHand() int { return d.requests.Len() }
+// InFlight counts requests in hand, Clients open connections of clients.
+func (d *Dispatcher) InFlight() int { return d.requests.Len() }
 
-// Clients counts open connections of clients.
-func (d *Dispatcher) Clients() int { return d.entry.Conns() }
+// ClientConnCount counts open connections of clients.
+func (d *Dispatcher) ClientConnCount() int { return d.entry.ConnCount() }
 
-// Front gives what the front counted.
-func (d *Dispatcher) Front() grpc.Counts {
+// FrontendCounts gives what the front counted.
+func (d *Dispatcher) FrontendCounts() grpc.Counts {
 	if d.grpcEntry == nil {
 		return grpc.Counts{}
 	}
-	return d.grpcEntry.Count()
+	return d.grpcEntry.Counts()
 }
 
-// Known tells that a list of engines is known.
-func (d *Dispatcher) Known() bool { return d.gate.ListKnown }
+// HasEndpointList tells that a list of engines is known.
+func (d *Dispatcher) HasEndpointList() bool { return d.gate.ListKnown }
 
 // Add adds up counts.
 func (c *Counts) Add(o Counts) {
@@ -50,8 +61,8 @@
 		{&c.Served, o.Served},
 		{&c.Rejected, o.Rejected},
 		{&c.Failed, o.Failed},
-		{&c.ClientsLeft, o.ClientsLeft},
-		{&c.Refused, o.Refused},
+		{&c.ClientDisconnects, o.ClientDisconnects},
+		{&c.RejectedAtIntake, o.RejectedAtIntake},
 		{&c.Attempts, o.Attempts},
 		{&c.Cancels, o.Cancels},
 		{&c.TimedOut, o.TimedOut},
@@ -59,10 +70,10 @@
 		{&c.Releases, o.Releases},
 		{&c.ReleasesLost, o.ReleasesLost},
 		{&c.Messages, o.Messages},
-		{&c.LateReports, o.LateReports},
-		{&c.Reports, o.Reports},
+		{&c.StaleLoadReports, o.StaleLoadReports},
+		{&c.LoadReports, o.LoadReports},
 		{&c.InvalidDecisions, o.InvalidDecisions},
-		{&c.Overdue, o.Overdue},
+		{&c.MissedDeadlines, o.MissedDeadlines},
 		{&c.Pings, o.Pings},
 		{&c.DeadConnections, o.DeadConnections},
 	} {
@@ -89,41 +100,45 @@
 	return m.used
 }
 
-// TenantView is how a tenant does in the admission queue.
-type TenantView struct {
+// TenantStatus is how a tenant does in the admission queue.
+type TenantStatus struct {
 	Name             string
 	Weight           float64
 	Waiting, Running int
-	Counts           admission.Counts
+	Counts           admission.TenantCounts
 }
 
-// View is a dispatcher's state as people see it.
-type View struct {
-	InHand, Clients, Waiting, Flows int
-	Background, BackgroundOut       int     // waiting and at hand
-	Spare                           float64 // so many may be at hand
-	Counts                          Counts
-	Front                           grpc.Counts
-	Tenants                         []TenantView // in the settings' order; one without a name where they name none
+// Status is a dispatcher's state as people see it.
+type Status struct {
+	InFlight           int `json:"InHand"`
+	ClientConns        int `json:"Clients"`
+	Waiting            int
+	Flows              int
+	BackgroundWaiting  int     `json:"Background"`
+	BackgroundInFlight int     `json:"BackgroundOut"`
+	BackgroundLimit    float64 `json:"Spare"` // how many background requests may be in flight
+	Counts             Counts
+	Frontend           grpc.Counts    `json:"Front"`
+	Tenants            []TenantStatus // in the settings' order; one without a name where they name none
 }
 
-// View gives the state of now.
-func (d *Dispatcher) View() View {
-	v := View{
-		InHand: d.requests.Len(), Clients: d.entry.Conns(), Waiting: d.queue.Waiting(), Flows: d.queue.Flows(), Counts: d.Counts,
-		Background: d.queue.BackgroundWaiting(), BackgroundOut: d.queue.BackgroundLimit.Out(), Spare: d.queue.BackgroundLimit.Allowance(),
-		Front: d.Front(),
+// Status gives the state of now.
+func (d *Dispatcher) Status() Status {
+	v := Status{
+		InFlight: d.requests.Len(), ClientConns: d.entry.ConnCount(), Waiting: d.queue.Waiting(), Flows: d.queue.FlowCount(), Counts: d.Counts,
+		BackgroundWaiting: d.queue.BackgroundWaiting(), BackgroundInFlight: d.queue.BackgroundLimiter.InFlight(), BackgroundLimit: d.queue.BackgroundLimiter.Limit(),
+		Frontend: d.FrontendCounts(),
 	}
 	for i, t := range d.tenantTerms {
-		w, r := d.queue.Tenant(i)
-		v.Tenants = append(v.Tenants, TenantView{Name: d.tenantNames[i], Weight: t.Weight, Waiting: w, Running: r, Counts: d.queue.Counts(i)})
+		w, r := d.queue.TenantLoad(i)
+		v.Tenants = append(v.Tenants, TenantStatus{Name: d.tenantNames[i], Weight: t.Weight, Waiting: w, Running: r, Counts: d.queue.TenantCounts(i)})
 	}
 	return v
 }
 
-// Terms changes what tenants may do in the admission queue, for requests that wait too: all of them or, with an error, none. The
+// SetTenantLimits changes what tenants may do in the admission queue, for requests that wait too: all of them or, with an error, none. The
 // tenants must be those of the start.
-func (d *Dispatcher) Terms(s *config.Dispatcher) error {
+func (d *Dispatcher) SetTenantLimits(s *config.Dispatcher) error {
 	if len(s.Tenants) != len(d.tenants) {
 		return fmt.Errorf("%d tenants, want the %d of the start", len(s.Tenants), len(d.tenants))
 	}
@@ -134,7 +149,7 @@
 	}
 	terms := s.TenantTerms()
 	for _, t := range terms {
-		if err := t.Check(); err != nil {
+		if err := t.Validate(); err != nil {
 			return err
 		}
 	}
--- a/internal/e2e/batchapi_test.go
+++ b/internal/e2e/batchapi_test.go
@@ -157,15 +157,15 @@
 }
 
 // openAPI serves the batch API of a stage's dispatcher for the tenants of the keys.
-func openAPI(t *testing.T, st *scenario.Stage, dir string, change func(p *batchrunner.Plan)) *api {
+func openAPI(t *testing.T, st *scenario.Stage, dir string, change func(p *batchrunner.Config)) *api {
 	t.Helper()
 	s, err := batchstore.Open(dir, 1<<20)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := batchrunner.Plan{
-		Tenants: []batchrunner.Tenant{{Name: "", Weight: 1}, {Name: "other", Weight: 1}}, Target: st.Targets()[0], Out: 16, First: 50 * time.Millisecond, Lines: 1000, Line: 4096, Seed: 1,
-		Tracks: map[string]batchrunner.Track{"question": {Patience: 2 * time.Second}, "booking": {Effect: batchscheduler.Irreversible, Patience: 2 * time.Second}},
+	p := batchrunner.Config{
+		Tenants: []batchrunner.Tenant{{Name: "", Weight: 1}, {Name: "other", Weight: 1}}, DispatcherAddress: st.Targets()[0], MaxLinesInFlight: 16, InitialBackoff: 50 * time.Millisecond, MaxLines: 1000, MaxLineBytes: 4096, Seed: 1,
+		Classes: map[string]batchrunner.Class{"question": {Timeout: 2 * time.Second}, "booking": {Effect: batchscheduler.NonIdempotent, Timeout: 2 * time.Second}},
 	}
 	if change != nil {
 		change(&p)
@@ -175,7 +175,7 @@
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	srv, err := frontend.New(ctx, s, r, frontend.Limits{File: 200 << 10, Window: time.Hour, Headers: 16 << 10}, map[string]string{hashOf("k1"): "", hashOf("k2"): "other"}, quiet)
+	srv, err := frontend.New(ctx, s, r, frontend.Limits{MaxFileBytes: 200 << 10, MaxCompletionWindow: time.Hour, MaxHeaderBytes: 16 << 10}, map[string]string{hashOf("k1"): "", hashOf("k2"): "other"}, quiet)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -246,7 +246,7 @@
 func TestBatchBadFiles(t *testing.T) {
 	t.Parallel()
 	st, _ := stage(t, nil)
-	a := openAPI(t, st, t.TempDir(), func(p *batchrunner.Plan) { p.Lines = 200 })
+	a := openAPI(t, st, t.TempDir(), func(p *batchrunner.Config) { p.MaxLines = 200 })
 	good := jsonl(100, "question")
 	lines := strings.SplitAfter(good, "\n")
 	replace := func(n int, text string) string {
@@ -305,7 +305,7 @@
 func TestBatchEndsEarly(t *testing.T) {
 	t.Parallel()
 	st, _ := stage(t, nil)
-	a := openAPI(t, st, t.TempDir(), func(p *batchrunner.Plan) { p.Out = 4 })
+	a := openAPI(t, st, t.TempDir(), func(p *batchrunner.Config) { p.MaxLinesInFlight = 4 })
 	check := func(b map[string]any, n int, want string) {
 		t.Helper()
 		all := map[string]map[string]any{}
--- a/internal/e2e/door_test.go
+++ b/internal/e2e/door_test.go
@@ -175,10 +175,10 @@
 		runtime.GC() // what the clients' pools keep (sync.Pool) outlives one collection
 		runtime.ReadMemStats(&m)
 		heap = m.HeapAlloc
-		st.Dispatcher(0).Ask(func(d *dispatch.Dispatcher) {
-			v := d.View()
-			if v.Waiting != 0 || v.InHand != 0 {
-				t.Errorf("%d wait and %d are in hand when all are answered", v.Waiting, v.InHand)
+		st.Dispatcher(0).RunOnLoop(func(d *dispatch.Dispatcher) {
+			v := d.Status()
+			if v.Waiting != 0 || v.InFlight != 0 {
+				t.Errorf("%d wait and %d are in hand when all are answered", v.Waiting, v.InFlight)
 			}
 			flows = v.Flows
 		})
@@ -249,8 +249,8 @@
 		runtime.GC()
 		runtime.ReadMemStats(&m)
 		heap = append(heap, m.HeapAlloc)
-		st.Dispatcher(0).Ask(func(d *dispatch.Dispatcher) {
-			if v := d.View(); v.Waiting > 200 || v.Flows > 1300 {
+		st.Dispatcher(0).RunOnLoop(func(d *dispatch.Dispatcher) {
+			if v := d.Status(); v.Waiting > 200 || v.Flows > 1300 {
 				t.Errorf("%d wait of 200, %d flows", v.Waiting, v.Flows)
 			}
 		})
@@ -359,11 +359,11 @@
 			t.Errorf("client %d of another address: %v", i, s)
 		}
 	}
-	st.Dispatcher(0).Ask(func(d *dispatch.Dispatcher) {
-		c := d.Front().Connections
-		t.Logf("%+v, %d open", c, d.Clients())
-		if d.Clients() > 200 || c.TooMany == 0 {
-			t.Errorf("%d connections open of 200, %d refused for their address", d.Clients(), c.TooMany)
+	st.Dispatcher(0).RunOnLoop(func(d *dispatch.Dispatcher) {
+		c := d.FrontendCounts().Connections
+		t.Logf("%+v, %d open", c, d.ClientConnCount())
+		if d.ClientConnCount() > 200 || c.SourceLimitReached == 0 {
+			t.Errorf("%d connections open of 200, %d refused for their address", d.ClientConnCount(), c.SourceLimitReached)
 		}
 	})
 	clean(t, st)
@@ -417,7 +417,7 @@
 	terms := st.Settings(0)
 	terms.Tenants[0].Rate = 0
 	apply := func() (err error) {
-		st.Dispatcher(0).Ask(func(d *dispatch.Dispatcher) { err = d.Terms(terms) })
+		st.Dispatcher(0).RunOnLoop(func(d *dispatch.Dispatcher) { err = d.SetTenantLimits(terms) })
 		return err
 	}
 	if err := apply(); err != nil {
@@ -490,9 +490,9 @@
 			if ends[codes.OK]+ends[codes.Unavailable]+ends[codes.Aborted] != 80 {
 				t.Errorf("ended as %v, want honoured, nacked or abandoned", ends)
 			}
-			st.Dispatcher(0).Ask(func(d *dispatch.Dispatcher) {
-				if n := d.View().Tenants[0].Counts.Refused[admission.Shed]; n == 0 {
-					t.Errorf("nothing was shed; refused %v", d.View().Tenants[0].Counts.Refused)
+			st.Dispatcher(0).RunOnLoop(func(d *dispatch.Dispatcher) {
+				if n := d.Status().Tenants[0].Counts.Rejected[admission.Overloaded]; n == 0 {
+					t.Errorf("nothing was shed; refused %v", d.Status().Tenants[0].Counts.Rejected)
 				}
 			})
 			clean(t, st)
--- a/internal/e2e/hard_test.go
+++ b/internal/e2e/hard_test.go
@@ -98,9 +98,9 @@
 				what += fmt.Sprintf(" host %d runs %d, has %d waiting, holds %d;", e.Spec.ID, running, waiting, e.Held())
 			}
 		}
-		st.Dispatcher(0).Ask(func(d *dispatch.Dispatcher) {
-			if d.InHand() > 0 {
-				what += fmt.Sprintf(" dispatcher has %d in hand", d.InHand())
+		st.Dispatcher(0).RunOnLoop(func(d *dispatch.Dispatcher) {
+			if d.InFlight() > 0 {
+				what += fmt.Sprintf(" dispatcher has %d in hand", d.InFlight())
 			}
 		})
 		if what == "" {
@@ -115,7 +115,7 @@
 	for _, v := range st.Check() {
 		t.Error(v)
 	}
-	st.Dispatcher(0).Ask(func(d *dispatch.Dispatcher) {
+	st.Dispatcher(0).RunOnLoop(func(d *dispatch.Dispatcher) {
 		if d.Counts.InvalidDecisions > 0 {
 			t.Errorf("the account of a job refused %d decisions", d.Counts.InvalidDecisions)
 		}
@@ -256,10 +256,10 @@
 		t.Fatal(err)
 	}
 	defer raw.Close()
-	lim := h2.Usual
+	lim := h2.DefaultLimits
 	lim.StreamWindow = 2048
 	app := &still{}
-	c := h2.NewClient(lim, app)
+	c := h2.NewClientConn(lim, app)
 	s := c.OpenStream("/docksail.v1.Generation/Generate", "there", 0)
 	req := job("still")
 	req.MaxTokens = 60000
@@ -267,8 +267,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Send(b, true)
-	raw.Write(c.Take())
+	s.SendMessage(b, true)
+	raw.Write(c.TakeOutput())
 	go func() { // reads frames, but credits nothing
 		buf := make([]byte, 32<<10)
 		for {
@@ -278,7 +278,7 @@
 			}
 			app.mu.Lock()
 			c.Feed(1, buf[:n])
-			raw.Write(c.Take())
+			raw.Write(c.TakeOutput())
 			app.mu.Unlock()
 		}
 	}()
@@ -326,14 +326,14 @@
 	got int
 }
 
-func (a *still) Headers(*h2.Stream, *h2.Header)                      {}
-func (a *still) Message(_ *h2.Stream, p []byte) bool                 { a.got += len(p) + 5; return true }
-func (a *still) HalfClosed(*h2.Stream)                               {}
-func (a *still) Finished(*h2.Stream, codes.Code, string, *h2.Header) {}
-func (a *still) Reset(*h2.Stream, http2.ErrCode, bool)               {}
-func (a *still) Room(*h2.Stream)                                     {}
-func (a *still) GoingAway()                                          {}
-func (a *still) Pong()                                               {}
+func (a *still) HeadersReceived(*h2.Stream, *h2.Header)                    {}
+func (a *still) MessageReceived(_ *h2.Stream, p []byte) bool               { a.got += len(p) + 5; return true }
+func (a *still) RequestEnded(*h2.Stream)                                   {}
+func (a *still) StreamFinished(*h2.Stream, codes.Code, string, *h2.Header) {}
+func (a *still) StreamReset(*h2.Stream, http2.ErrCode, bool)               {}
+func (a *still) StreamFlushed(*h2.Stream)                                  {}
+func (a *still) GoAwayReceived()                                           {}
+func (a *still) PingAcked()                                                {}
 
 // TestAnswerAndDeadlineCross: with patience about as long as an answer takes, each job still ends once, in time.
 func TestAnswerAndDeadlineCross(t *testing.T) {
--- a/internal/e2e/rules_test.go
+++ b/internal/e2e/rules_test.go
@@ -94,26 +94,26 @@
 	cancels []policy.Decision
 }
 
-func (m *dropsAnswers) StreamBegan(now policy.Nanos, id policy.RequestID, attempt policy.AttemptNumber, elapsed policy.Nanos) {
-	m.Module.StreamBegan(now, id, attempt, elapsed)
+func (m *dropsAnswers) StreamStarted(now policy.Nanos, id policy.RequestID, attempt policy.AttemptNumber, elapsed policy.Nanos) {
+	m.Module.StreamStarted(now, id, attempt, elapsed)
 	if m.n++; m.n%7 == 0 {
-		m.cancels = append(m.cancels, policy.Decision{Verb: policy.Cancel, Request: id, Attempt: attempt})
+		m.cancels = append(m.cancels, policy.Decision{Action: policy.CancelAttempt, Request: id, Attempt: attempt})
 	}
 }
 
-func (m *dropsAnswers) Next(now policy.Nanos) (policy.Decision, bool) {
+func (m *dropsAnswers) NextDecision(now policy.Nanos) (policy.Decision, bool) {
 	if n := len(m.cancels); n > 0 {
 		what := m.cancels[n-1]
 		m.cancels = m.cancels[:n-1]
 		return what, true
 	}
-	return m.Module.Next(now)
+	return m.Module.NextDecision(now)
 }
 
 type runsTwice struct{ dispatch.Module }
 
-func (m runsTwice) AttemptEnded(now policy.Nanos, id policy.RequestID, shot policy.AttemptNumber, how policy.Outcome, elapsed policy.Nanos, over bool, load policy.Load) {
-	if how == policy.Failed || how == policy.Broken || how == policy.Late {
+func (m runsTwice) AttemptEnded(now policy.Nanos, id policy.RequestID, shot policy.AttemptNumber, how policy.Outcome, elapsed policy.Nanos, over bool, load policy.LoadReport) {
+	if how == policy.Failed || how == policy.ConnectionLost || how == policy.TimedOut {
 		how = policy.Unreachable // as if it had never run
 	}
 	m.Module.AttemptEnded(now, id, shot, how, elapsed, over, load)
@@ -138,9 +138,9 @@
 	m.Module.ServerListed(id, zone, kind, cell, h, at)
 }
 
-func (m *floodsCold) Next(now policy.Nanos) (policy.Decision, bool) {
-	what, ok := m.Module.Next(now)
-	if m.cold && what.Verb == policy.Attempt && what.Server == 2 {
+func (m *floodsCold) NextDecision(now policy.Nanos) (policy.Decision, bool) {
+	what, ok := m.Module.NextDecision(now)
+	if m.cold && what.Action == policy.SendAttempt && what.Server == 2 {
 		what.Server = 1 // all that the warm reader should read goes to the cold one
 	}
 	return what, ok
@@ -148,10 +148,10 @@
 
 type neverLetsGo struct{ dispatch.Module }
 
-func (m neverLetsGo) Next(now policy.Nanos) (policy.Decision, bool) {
+func (m neverLetsGo) NextDecision(now policy.Nanos) (policy.Decision, bool) {
 	for {
-		what, ok := m.Module.Next(now)
-		if !ok || what.Verb != policy.Release {
+		what, ok := m.Module.NextDecision(now)
+		if !ok || what.Action != policy.ReleaseState {
 			return what, ok
 		}
 	}
@@ -209,8 +209,8 @@
 func TestForgottenRequestsAreAnswered(t *testing.T) {
 	t.Parallel()
 	rep := playChanged(t, ``, func(m dispatch.Module) dispatch.Module { return &forgetsRequests{Module: m} }, nil)
-	if len(rep.Violations) > 0 || rep.Counts.Overdue == 0 {
-		t.Errorf("rules broken: %v, %d requests answered by the dispatcher's deadline", rep.Violations, rep.Counts.Overdue)
+	if len(rep.Violations) > 0 || rep.Counts.MissedDeadlines == 0 {
+		t.Errorf("rules broken: %v, %d requests answered by the dispatcher's deadline", rep.Violations, rep.Counts.MissedDeadlines)
 	}
 }
 
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -10,50 +10,50 @@
 
 // Conn is one connection. Output is queued by Write and written at the end of the turn.
 type Conn struct {
-	l          *Loop
-	fd         int
-	handler    Handler
-	err        error
-	out        []byte // queued; taken from the loop's pool while there is any
-	sent       int    // of out, written already
-	bound      int    // most bytes queued; 0 = no bound
-	interest   uint32
-	connecting bool
-	dirty      bool
-	counted    bool
-	paused     bool
-	endFirst   bool // the peer's end is told also while reading is paused
-	closing    bool // to be closed once all is written
-	ending     bool // its output is to be ended once all is written
-	blocked    bool // the socket took less than there was
-	reads      bool // the peer has not ended its half
-	deadline   Timer
+	loop                       *Loop
+	fd                         int
+	handler                    Handler
+	closeErr                   error
+	output                     []byte // queued; taken from the loop's pool while there is any
+	written                    int    // of out, written already
+	outputLimit                int    // most bytes queued; 0 = no bound
+	interest                   uint32
+	connecting                 bool
+	flushQueued                bool
+	counted                    bool
+	readPaused                 bool
+	notifyHalfCloseWhilePaused bool // the peer's end is told also while reading is paused
+	closeAfterFlush            bool // to be closed once all is written
+	closeWriteAfterFlush       bool // its output is to be ended once all is written
+	writeBlocked               bool // the socket took less than there was
+	readOpen                   bool // the peer has not ended its half
+	connectTimer               Timer
 
 	// In a world:
-	peer     *Conn
-	made     uint64
-	place    int
-	lastSent Nanos
-	flying   int // bytes that the peer has not taken
-	inbox    []byte
-	handed   bool
-	mute     bool
-	tap      Tap
+	peer              *Conn
+	simulatedID       uint64
+	heapIndex         int
+	lastArrival       Nanos
+	inFlightBytes     int // bytes that the peer has not taken
+	unreadInput       []byte
+	deliveryScheduled bool
+	blackholed        bool
+	tap               Tap
 }
 
 func newConn(l *Loop, fd int) *Conn {
 	unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
-	return &Conn{l: l, fd: fd, interest: unix.EPOLLIN | unix.EPOLLRDHUP, reads: true}
+	return &Conn{loop: l, fd: fd, interest: unix.EPOLLIN | unix.EPOLLRDHUP, readOpen: true}
 }
 
 // Dial begins a connection; the handler's Opened or Closed tells what became of it, the latter with
 // os.ErrDeadlineExceeded if it was not made within the time. An error is returned if it could not even begin for want of
 // something of this machine's own.
 func (l *Loop) Dial(to netip.AddrPort, within Nanos, h Handler) (*Conn, error) {
-	if l.world != nil {
-		return l.simDial(to, within, h)
+	if l.network != nil {
+		return l.dialSimulated(to, within, h)
 	}
-	fd, err := socket(to)
+	fd, err := newSocket(to)
 	if err != nil {
 		return nil, fmt.Errorf("connect to %s: %w", to, err)
 	}
@@ -63,165 +63,165 @@
 	switch err {
 	case nil, unix.EINPROGRESS:
 	case unix.ECONNREFUSED, unix.ECONNRESET, unix.ENETUNREACH, unix.EHOSTUNREACH, unix.ETIMEDOUT: // the peer's answer, at once
-		c.die(os.NewSyscallError("connect", err))
+		c.terminate(os.NewSyscallError("connect", err))
 		return c, nil
 	default: // a want of ours, as of ports
 		unix.Close(fd)
 		return nil, fmt.Errorf("connect to %s: %w", to, os.NewSyscallError("connect", err))
 	}
-	if err := l.watch(fd, c.interest, c); err != nil {
+	if err := l.register(fd, c.interest, c); err != nil {
 		unix.Close(fd)
 		return nil, err
 	}
-	l.conns++
+	l.connCount++
 	c.counted = true
-	l.At(&c.deadline, l.now+within, func(Nanos) { c.die(os.ErrDeadlineExceeded) })
+	l.SetTimer(&c.connectTimer, l.now+within, func(Nanos) { c.terminate(os.ErrDeadlineExceeded) })
 	return c, nil
 }
 
-// Bound sets how many bytes of output may be queued; at the bound the connection ends with ErrOutputBound.
-func (c *Conn) Bound(n int) { c.bound = n }
+// SetOutputLimit sets how many bytes of output may be queued; at the bound the connection ends with ErrOutputLimit.
+func (c *Conn) SetOutputLimit(limit int) { c.outputLimit = limit }
 
-// Queued is how many bytes of output wait.
-func (c *Conn) Queued() int { return len(c.out) - c.sent }
+// QueuedBytes is how many bytes of output wait.
+func (c *Conn) QueuedBytes() int { return len(c.output) - c.written }
 
-// Blocked tells that the peer has not taken all that was written so far.
-func (c *Conn) Blocked() bool { return c.blocked }
+// WriteBlocked tells that the peer has not taken all that was written so far.
+func (c *Conn) WriteBlocked() bool { return c.writeBlocked }
 
-// Open tells that the connection is neither under way nor over.
-func (c *Conn) Open() bool { return c.fd >= 0 && !c.connecting }
+// IsOpen tells that the connection is neither under way nor over.
+func (c *Conn) IsOpen() bool { return c.fd >= 0 && !c.connecting }
 
 // Write queues bytes; it copies them.
 func (c *Conn) Write(p []byte) {
-	if c.fd < 0 || c.closing || c.ending || len(p) == 0 {
+	if c.fd < 0 || c.closeAfterFlush || c.closeWriteAfterFlush || len(p) == 0 {
 		return
 	}
-	if c.out == nil {
-		c.out = c.l.pool.get()
+	if c.output == nil {
+		c.output = c.loop.buffers.get()
 	}
-	c.out = append(c.out, p...)
-	if c.bound > 0 && c.Queued() > c.bound {
-		c.die(ErrOutputBound)
+	c.output = append(c.output, p...)
+	if c.outputLimit > 0 && c.QueuedBytes() > c.outputLimit {
+		c.terminate(ErrOutputLimit)
 		return
 	}
-	c.touch()
+	c.queueFlush()
 }
 
-func (c *Conn) touch() {
-	if !c.dirty {
-		c.dirty = true
-		c.l.dirty = append(c.l.dirty, c)
+func (c *Conn) queueFlush() {
+	if !c.flushQueued {
+		c.flushQueued = true
+		c.loop.flushQueue = append(c.loop.flushQueue, c)
 	}
 }
 
 // Close ends the connection at once; queued output is lost.
-func (c *Conn) Close() { c.die(nil) }
+func (c *Conn) Close() { c.terminate(nil) }
 
-// CloseSoon ends the connection once all output is written.
-func (c *Conn) CloseSoon() {
+// CloseAfterFlush ends the connection once all output is written.
+func (c *Conn) CloseAfterFlush() {
 	if c.fd >= 0 {
-		c.closing = true
-		c.touch()
+		c.closeAfterFlush = true
+		c.queueFlush()
 	}
 }
 
-// EndOutput ends the half of the connection that we write once all output is written; the peer may go on to send, and
+// CloseWriteAfterFlush ends the half of the connection that we write once all output is written; the peer may go on to send, and
 // whoever has unread input closed on it would lose what we wrote.
-func (c *Conn) EndOutput() {
+func (c *Conn) CloseWriteAfterFlush() {
 	if c.fd >= 0 {
-		c.ending = true
-		c.touch()
+		c.closeWriteAfterFlush = true
+		c.queueFlush()
 	}
 }
 
-// Quiet tells that the peer has sent nothing that is not read yet, its end included.
-func (c *Conn) Quiet() bool {
+// InputEmpty tells that the peer has sent nothing that is not read yet, its end included.
+func (c *Conn) InputEmpty() bool {
 	if c.fd < 0 || c.connecting {
 		return false
 	}
-	if c.l.world != nil {
-		return len(c.inbox) == 0
+	if c.loop.network != nil {
+		return len(c.unreadInput) == 0
 	}
 	var b [1]byte
 	_, _, err := unix.Recvfrom(c.fd, b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 	return err == unix.EAGAIN
 }
 
-// EndFirst has the peer's end told while reading is paused, ahead of what it sent before and is not read yet: who asks and
+// NotifyHalfCloseWhilePaused has the peer's end told while reading is paused, ahead of what it sent before and is not read yet: who asks and
 // goes need not be read to the end.
-func (c *Conn) EndFirst() { c.endFirst = true }
+func (c *Conn) NotifyHalfCloseWhilePaused() { c.notifyHalfCloseWhilePaused = true }
 
-// Pause stops, or lets go on, reading from the peer.
-func (c *Conn) Pause(yes bool) {
-	if c.paused = yes; c.fd >= 0 && !c.connecting {
-		c.setInterest()
+// SetReadPaused stops, or lets go on, reading from the peer.
+func (c *Conn) SetReadPaused(paused bool) {
+	if c.readPaused = paused; c.fd >= 0 && !c.connecting {
+		c.updateInterest()
 	}
 }
 
-func (c *Conn) setInterest() {
-	if c.l.world != nil {
-		c.resume()
+func (c *Conn) updateInterest() {
+	if c.loop.network != nil {
+		c.resumeSimulated()
 		return
 	}
 	want := uint32(0)
-	if c.reads && !c.paused {
+	if c.readOpen && !c.readPaused {
 		want |= unix.EPOLLIN | unix.EPOLLRDHUP
-	} else if c.reads && c.endFirst {
+	} else if c.readOpen && c.notifyHalfCloseWhilePaused {
 		want |= unix.EPOLLRDHUP
 	}
-	if c.blocked {
+	if c.writeBlocked {
 		want |= unix.EPOLLOUT
 	}
 	if want != c.interest {
 		c.interest = want
-		c.l.rewatch(c.fd, want)
+		c.loop.setInterest(c.fd, want)
 	}
 }
 
-// die ends a connection; its handler is told at the end of the turn, never from inside its own call.
-func (c *Conn) die(err error) {
+// terminate ends a connection; its handler is told at the end of the turn, never from inside its own call.
+func (c *Conn) terminate(err error) {
 	if c.fd < 0 {
 		return
 	}
-	c.l.Cancel(&c.deadline)
-	if c.l.world != nil {
-		c.hang()
+	c.loop.CancelTimer(&c.connectTimer)
+	if c.loop.network != nil {
+		c.closeSimulated()
 	} else {
-		c.l.unwatch(c.fd)
-		if err == ErrOutputBound { // what the peer did not take must not linger in the kernel
+		c.loop.unregister(c.fd)
+		if err == ErrOutputLimit { // what the peer did not take must not linger in the kernel
 			unix.SetsockoptLinger(c.fd, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
 		}
 		unix.Close(c.fd)
 	}
-	c.fd, c.err = -1, err
-	c.l.pool.put(c.out)
-	c.out, c.sent = nil, 0
+	c.fd, c.closeErr = -1, err
+	c.loop.buffers.put(c.output)
+	c.output, c.written = nil, 0
 	if c.counted {
 		c.counted = false
-		c.l.conns--
+		c.loop.connCount--
 	}
-	c.l.dead = append(c.l.dead, c)
+	c.loop.closedConns = append(c.loop.closedConns, c)
 }
 
-func (c *Conn) ready(l *Loop, events uint32) {
+func (c *Conn) handleEvents(l *Loop, events uint32) {
 	if c.connecting {
 		code, err := unix.GetsockoptInt(c.fd, unix.SOL_SOCKET, unix.SO_ERROR)
 		if err == nil && code != 0 {
 			err = unix.Errno(code)
 		}
 		if err != nil {
-			c.die(os.NewSyscallError("connect", err))
+			c.terminate(os.NewSyscallError("connect", err))
 			return
 		}
 		if events&unix.EPOLLOUT == 0 {
 			return
 		}
-		l.Cancel(&c.deadline)
+		l.CancelTimer(&c.connectTimer)
 		c.connecting, c.interest = false, 0
-		c.setInterest()
+		c.updateInterest()
 		c.handler.Opened(l.now)
 		if c.fd >= 0 {
-			c.touch()
+			c.queueFlush()
 		}
 		return
 	}
@@ -231,14 +231,14 @@
 	if events&(unix.EPOLLIN|unix.EPOLLRDHUP|unix.EPOLLHUP|unix.EPOLLERR) == 0 || c.fd < 0 {
 		return
 	}
-	if c.paused || !c.reads {
+	if c.readPaused || !c.readOpen {
 		switch {
 		case events&(unix.EPOLLHUP|unix.EPOLLERR) != 0:
-			c.die(unix.ECONNRESET)
-		case events&unix.EPOLLRDHUP != 0 && c.reads && c.endFirst:
-			c.reads = false
-			c.setInterest()
-			c.handler.PeerDone(l.now)
+			c.terminate(unix.ECONNRESET)
+		case events&unix.EPOLLRDHUP != 0 && c.readOpen && c.notifyHalfCloseWhilePaused:
+			c.readOpen = false
+			c.updateInterest()
+			c.handler.PeerHalfClosed(l.now)
 		}
 		return
 	}
@@ -246,7 +246,7 @@
 		c.read()
 		return
 	}
-	for n := 0; n < readsToEnd && c.fd >= 0 && c.reads && !c.paused; n++ {
+	for n := 0; n < maxReadsAtHalfClose && c.fd >= 0 && c.readOpen && !c.readPaused; n++ {
 		if !c.read() {
 			return
 		}
@@ -255,105 +255,105 @@
 
 // read hands over what has come, a bounded part of it; false: there is no more.
 func (c *Conn) read() bool {
-	n, err := unix.Read(c.fd, c.l.buf)
+	n, err := unix.Read(c.fd, c.loop.readBuffer)
 	switch {
 	case err == unix.EAGAIN || err == unix.EINTR:
 		return false
 	case err != nil:
-		c.die(os.NewSyscallError("read", err))
+		c.terminate(os.NewSyscallError("read", err))
 		return false
 	case n == 0:
-		c.reads = false
-		c.setInterest()
-		c.handler.PeerDone(c.l.now)
+		c.readOpen = false
+		c.updateInterest()
+		c.handler.PeerHalfClosed(c.loop.now)
 		return false
 	}
-	c.handler.Data(c.l.now, c.l.buf[:n])
+	c.handler.Received(c.loop.now, c.loop.readBuffer[:n])
 	return true
 }
 
 func (c *Conn) flush() {
-	for c.l.world != nil && c.sent < len(c.out) {
-		n := c.simFlush(c.out[c.sent:])
-		c.sent += n
+	for c.loop.network != nil && c.written < len(c.output) {
+		n := c.writeSimulated(c.output[c.written:])
+		c.written += n
 		if n == 0 {
-			c.blocked = true
-			c.compact()
+			c.writeBlocked = true
+			c.compactOutput()
 			return
 		}
 	}
-	for c.sent < len(c.out) {
-		n, err := unix.Write(c.fd, c.out[c.sent:])
+	for c.written < len(c.output) {
+		n, err := unix.Write(c.fd, c.output[c.written:])
 		if err == unix.EINTR {
 			continue
 		}
 		if err == unix.EAGAIN {
-			c.blocked = true
-			c.setInterest()
-			c.compact()
+			c.writeBlocked = true
+			c.updateInterest()
+			c.compactOutput()
 			return
 		}
 		if err != nil {
-			c.die(os.NewSyscallError("write", err))
+			c.terminate(os.NewSyscallError("write", err))
 			return
 		}
-		c.sent += n
+		c.written += n
 	}
-	had := c.out != nil
-	c.l.pool.put(c.out)
-	c.out, c.sent = nil, 0
-	if c.blocked {
-		c.blocked = false
-		c.setInterest()
+	had := c.output != nil
+	c.loop.buffers.put(c.output)
+	c.output, c.written = nil, 0
+	if c.writeBlocked {
+		c.writeBlocked = false
+		c.updateInterest()
 	}
-	if c.closing {
-		if c.l.world == nil {
+	if c.closeAfterFlush {
+		if c.loop.network == nil {
 			unix.Shutdown(c.fd, unix.SHUT_WR)
 		}
-		c.die(nil)
+		c.terminate(nil)
 		return
 	}
-	if c.ending {
-		c.ending = false
-		if c.l.world != nil {
-			c.send(ends, nil)
+	if c.closeWriteAfterFlush {
+		c.closeWriteAfterFlush = false
+		if c.loop.network != nil {
+			c.sendToPeer(eventPeerClosed, nil)
 		} else {
 			unix.Shutdown(c.fd, unix.SHUT_WR)
 		}
 	}
 	if had {
-		c.handler.Drained(c.l.now)
+		c.handler.OutputFlushed(c.loop.now)
 	}
 }
 
-// compact moves what is left to the front once more than half has been written.
-func (c *Conn) compact() {
-	if c.sent > len(c.out)/2 {
-		c.out = c.out[:copy(c.out, c.out[c.sent:])]
-		c.sent = 0
+// compactOutput moves what is left to the front once more than half has been written.
+func (c *Conn) compactOutput() {
+	if c.written > len(c.output)/2 {
+		c.output = c.output[:copy(c.output, c.output[c.written:])]
+		c.written = 0
 	}
 }
 
 const (
-	poolSize  = 4 << 10  // a pooled buffer starts with this much
-	poolMost  = 32 << 10 // larger ones are not kept
-	poolCount = 128      // nor more of them: more are rarely queued in one turn
+	pooledBufferBytes    = 4 << 10  // a pooled buffer starts with this much
+	maxPooledBufferBytes = 32 << 10 // larger ones are not kept
+	maxPooledBuffers     = 128      // nor more of them: more are rarely queued in one turn
 )
 
-// bufPool keeps buffers for reuse.
-type bufPool struct{ free [][]byte }
+// bufferPool keeps buffers for reuse.
+type bufferPool struct{ free [][]byte }
 
-func (p *bufPool) get() []byte {
+func (p *bufferPool) get() []byte {
 	if n := len(p.free); n > 0 {
 		b := p.free[n-1]
 		p.free = p.free[:n-1]
 		return b
 	}
-	return make([]byte, 0, poolSize)
+	return make([]byte, 0, pooledBufferBytes)
 }
 
-func (p *bufPool) put(b []byte) {
-	if cap(b) > 0 && cap(b) <= poolMost && len(p.free) < poolCount {
+func (p *bufferPool) put(b []byte) {
+	if cap(b) > 0 && cap(b) <= maxPooledBufferBytes && len(p.free) < maxPooledBuffers {
 		p.free = append(p.free, b[:0])
 	}
 }
--- a/internal/eventloop/listener.go
+++ b/internal/eventloop/listener.go
@@ -10,25 +10,25 @@
 
 // Listener accepts connections.
 type Listener struct {
-	l      *Loop
-	fd     int
-	addr   netip.AddrPort
-	accept func(c *Conn, from netip.AddrPort) Handler
-	system func(fd, flags int) (int, unix.Sockaddr, error) // accept4; a test may stand in for it
-	rest   Timer
+	loop        *Loop
+	fd          int
+	addr        netip.AddrPort
+	onAccept    func(c *Conn, from netip.AddrPort) Handler
+	accept4     func(fd, flags int) (int, unix.Sockaddr, error) // accept4; a test may stand in for it
+	resumeTimer Timer
 
 	// In a world:
-	held    bool
-	waiting []*Conn // that dialed while it was held
+	acceptPaused bool
+	pendingDials []*Conn // that dialed while it was held
 }
 
 // Listen opens a listener; port 0 takes any. accept is called for each new connection and gives its handler,
 // or nil to close it at once. With share, several processes may listen on the port.
 func (l *Loop) Listen(at netip.AddrPort, share bool, accept func(c *Conn, from netip.AddrPort) Handler) (*Listener, error) {
-	if l.world != nil {
-		return l.simListen(at, accept)
+	if l.network != nil {
+		return l.listenSimulated(at, accept)
 	}
-	fd, err := socket(at)
+	fd, err := newSocket(at)
 	if err != nil {
 		return nil, err
 	}
@@ -45,15 +45,15 @@
 	if err := unix.Bind(fd, sockaddr(at)); err != nil {
 		return fail("bind", err)
 	}
-	if err := unix.Listen(fd, backlog); err != nil {
+	if err := unix.Listen(fd, listenBacklog); err != nil {
 		return fail("listen", err)
 	}
 	bound, err := unix.Getsockname(fd)
 	if err != nil {
 		return fail("getsockname", err)
 	}
-	ln := &Listener{l: l, fd: fd, addr: addrPort(bound), accept: accept, system: unix.Accept4}
-	if err := l.watch(fd, unix.EPOLLIN, ln); err != nil {
+	ln := &Listener{loop: l, fd: fd, addr: addrPort(bound), onAccept: accept, accept4: unix.Accept4}
+	if err := l.register(fd, unix.EPOLLIN, ln); err != nil {
 		unix.Close(fd)
 		return nil, err
 	}
@@ -65,77 +65,77 @@
 
 // Close stops listening; connections already accepted stay.
 func (ln *Listener) Close() {
-	if w := ln.l.world; w != nil {
+	if w := ln.loop.network; w != nil {
 		if w.listeners[ln.addr] == ln {
 			delete(w.listeners, ln.addr)
 		}
 		return
 	}
 	if ln.fd >= 0 {
-		ln.l.Cancel(&ln.rest)
-		ln.l.unwatch(ln.fd)
+		ln.loop.CancelTimer(&ln.resumeTimer)
+		ln.loop.unregister(ln.fd)
 		unix.Close(ln.fd)
 		ln.fd = -1
 	}
 }
 
-// Hold has connections wait in the kernel's queue, or takes them again.
-func (ln *Listener) Hold(yes bool) {
-	if ln.l.world != nil {
-		ln.simHold(yes)
+// SetAcceptPaused has connections wait in the kernel's queue, or takes them again.
+func (ln *Listener) SetAcceptPaused(paused bool) {
+	if ln.loop.network != nil {
+		ln.setAcceptPausedSimulated(paused)
 		return
 	}
 	if ln.fd < 0 {
 		return
 	}
 	events := uint32(unix.EPOLLIN)
-	if yes {
+	if paused {
 		events = 0
 	}
-	ln.l.rewatch(ln.fd, events)
+	ln.loop.setInterest(ln.fd, events)
 }
 
-// Finish accepts whoever waits, and stops listening.
-func (ln *Listener) Finish() {
+// AcceptPendingAndClose accepts whoever waits, and stops listening.
+func (ln *Listener) AcceptPendingAndClose() {
 	switch {
-	case ln.l.world != nil:
-		ln.simFinish()
+	case ln.loop.network != nil:
+		ln.acceptPendingSimulated()
 	case ln.fd >= 0:
-		ln.take(backlog)
+		ln.acceptPending(listenBacklog)
 	}
 	ln.Close()
 }
 
-func (ln *Listener) ready(*Loop, uint32) { ln.take(acceptTurn) }
+func (ln *Listener) handleEvents(*Loop, uint32) { ln.acceptPending(maxAcceptsPerIteration) }
 
-// take accepts connections that wait, a bounded number of them.
-func (ln *Listener) take(most int) {
-	l := ln.l
-	for range most {
-		fd, from, err := ln.system(ln.fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
+// acceptPending accepts connections that wait, a bounded number of them.
+func (ln *Listener) acceptPending(limit int) {
+	l := ln.loop
+	for range limit {
+		fd, from, err := ln.accept4(ln.fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 		switch err {
 		case nil:
 		case unix.EINTR, unix.ECONNABORTED:
 			continue
 		case unix.EMFILE:
-			ln.shed()
+			ln.closeOnePending()
 			return
 		case unix.ENFILE, unix.ENOBUFS, unix.ENOMEM: // the machine's want, which may be over in a moment: whoever waits goes on waiting
-			ln.pause()
+			ln.pauseAccepting()
 			return
 		default: // EAGAIN: nobody waits
 			return
 		}
 		c := newConn(l, fd)
-		if c.handler = ln.accept(c, addrPort(from)); c.handler == nil {
+		if c.handler = ln.onAccept(c, addrPort(from)); c.handler == nil {
 			unix.Close(fd)
 			continue
 		}
-		if err := l.watch(fd, unix.EPOLLIN|unix.EPOLLRDHUP, c); err != nil {
-			c.die(err)
+		if err := l.register(fd, unix.EPOLLIN|unix.EPOLLRDHUP, c); err != nil {
+			c.terminate(err)
 			continue
 		}
-		l.conns++
+		l.connCount++
 		c.counted = true
 		c.handler.Opened(l.now)
 		if ln.fd < 0 {
@@ -144,28 +144,28 @@
 	}
 }
 
-// shed closes one waiting connection with the spare descriptor, so that its client learns at once, and rests.
-func (ln *Listener) shed() {
-	l := ln.l
-	if l.spare >= 0 {
-		unix.Close(l.spare)
+// closeOnePending closes one waiting connection with the spare descriptor, so that its client learns at once, and rests.
+func (ln *Listener) closeOnePending() {
+	l := ln.loop
+	if l.spareFD >= 0 {
+		unix.Close(l.spareFD)
 	}
-	if fd, _, err := ln.system(ln.fd, unix.SOCK_CLOEXEC); err == nil {
+	if fd, _, err := ln.accept4(ln.fd, unix.SOCK_CLOEXEC); err == nil {
 		unix.Close(fd)
 	}
-	l.spare, _ = unix.Open("/dev/null", unix.O_RDONLY|unix.O_CLOEXEC, 0)
-	ln.pause()
+	l.spareFD, _ = unix.Open("/dev/null", unix.O_RDONLY|unix.O_CLOEXEC, 0)
+	ln.pauseAccepting()
 }
 
-// pause has the listener rest for a while: one that is left ready would spin the loop.
-func (ln *Listener) pause() {
-	l := ln.l
-	l.rests++
-	l.rewatch(ln.fd, 0)
-	l.At(&ln.rest, l.now+int64(acceptRest), func(Nanos) { l.rewatch(ln.fd, unix.EPOLLIN) })
+// pauseAccepting has the listener rest for a while: one that is left ready would spin the loop.
+func (ln *Listener) pauseAccepting() {
+	l := ln.loop
+	l.acceptPauseCount++
+	l.setInterest(ln.fd, 0)
+	l.SetTimer(&ln.resumeTimer, l.now+int64(acceptPause), func(Nanos) { l.setInterest(ln.fd, unix.EPOLLIN) })
 }
 
-func socket(at netip.AddrPort) (int, error) {
+func newSocket(at netip.AddrPort) (int, error) {
 	family := unix.AF_INET
 	if at.Addr().Is6() && !at.Addr().Is4In6() {
 		family = unix.AF_INET6
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -27,15 +27,15 @@
 }
 
 func (p *peer) Opened(Nanos) { p.opened++ }
-func (p *peer) Data(_ Nanos, b []byte) {
+func (p *peer) Received(_ Nanos, b []byte) {
 	if p.onData != nil {
 		p.onData(b)
 		return
 	}
 	p.got = append(p.got, b...)
 }
-func (p *peer) PeerDone(Nanos)            { p.done = true }
-func (p *peer) Drained(Nanos)             { p.drained++ }
+func (p *peer) PeerHalfClosed(Nanos)      { p.done = true }
+func (p *peer) OutputFlushed(Nanos)       { p.drained++ }
 func (p *peer) Closed(_ Nanos, err error) { p.closed++; p.err = err }
 
 var any4 = netip.MustParseAddrPort("127.0.0.1:0")
@@ -92,9 +92,9 @@
 	}
 	there.c.Write([]byte("x"))
 	var end Timer
-	l.At(&end, int64(5*time.Second), func(Nanos) { l.Stop() })
+	l.SetTimer(&end, int64(5*time.Second), func(Nanos) { l.Stop() })
 	l.Run(func(Nanos) {
-		late += len(l.dead)
+		late += len(l.closedConns)
 		if gone += here.closed; gone > 0 {
 			l.Stop()
 		}
@@ -168,7 +168,7 @@
 	var peers []*peer
 	ln := listen(t, l, on, func(c *Conn) Handler {
 		p := &peer{c: c}
-		c.Bound(1 << 20)
+		c.SetOutputLimit(1 << 20)
 		p.onData = func(b []byte) { c.Write(b) }
 		peers = append(peers, p)
 		return p
@@ -192,7 +192,7 @@
 	for i := 0; i < 2000 && !over; i++ {
 		on(func() {
 			peers[0].c.Write(chunk)
-			if q := peers[0].c.Queued(); q > 1<<20+len(chunk) {
+			if q := peers[0].c.QueuedBytes(); q > 1<<20+len(chunk) {
 				t.Errorf("%d bytes queued, bound is %d", q, 1<<20)
 			}
 			over = peers[0].closed > 0
@@ -209,8 +209,8 @@
 		t.Fatal("the stuck peer was never given up")
 	}
 	on(func() {
-		if !errors.Is(peers[0].err, ErrOutputBound) {
-			t.Errorf("closed with %v, want %v", peers[0].err, ErrOutputBound)
+		if !errors.Is(peers[0].err, ErrOutputLimit) {
+			t.Errorf("closed with %v, want %v", peers[0].err, ErrOutputLimit)
 		}
 		if peers[1].closed > 0 {
 			t.Error("the quick peer was closed too")
@@ -251,8 +251,8 @@
 			t.Error(err)
 			return
 		}
-		if c.Open() || p.closed != 0 {
-			t.Errorf("open %v, told %d times within the call", c.Open(), p.closed)
+		if c.IsOpen() || p.closed != 0 {
+			t.Errorf("open %v, told %d times within the call", c.IsOpen(), p.closed)
 		}
 	})
 	until(t, on, "told", func() bool { return p.closed == 1 })
@@ -319,7 +319,7 @@
 			t.Errorf("got %q, closed %d times: want all bytes and an open half", p.got, p.closed)
 		}
 		p.c.Write([]byte("answer"))
-		p.c.CloseSoon()
+		p.c.CloseAfterFlush()
 	})
 	c.SetDeadline(time.Now().Add(5 * time.Second))
 	buf := make([]byte, 16)
@@ -391,10 +391,10 @@
 	if n, err := unix.Read(client, b[:]); n > 0 || err == unix.EAGAIN {
 		t.Errorf("read %d, %v: want the connection closed at once", n, err)
 	}
-	until(t, on, "rest", func() bool { return l.Rests() > 0 })
+	until(t, on, "rest", func() bool { return l.AcceptPauseCount() > 0 })
 	time.Sleep(120 * time.Millisecond)
 	var rests uint64
-	on(func() { rests = l.Rests() })
+	on(func() { rests = l.AcceptPauseCount() })
 	if rests > 10 {
 		t.Errorf("shed %d times in 120 ms: the loop spins", rests)
 	}
@@ -417,7 +417,7 @@
 			ln := listen(t, l, on, func(c *Conn) Handler { accepted.Add(1); return &peer{c: c} })
 			calls := 0
 			on(func() {
-				ln.system = func(fd, flags int) (int, unix.Sockaddr, error) {
+				ln.accept4 = func(fd, flags int) (int, unix.Sockaddr, error) {
 					if calls++; calls == 1 {
 						return -1, nil, want
 					}
@@ -435,7 +435,7 @@
 }
 
 func TestTimers(t *testing.T) {
-	ts := newTimers()
+	ts := newTimerQueue()
 	var fired []int
 	mk := make([]Timer, 3000)
 	for i := range mk {
@@ -447,7 +447,7 @@
 	for i := 1; i < len(mk); i += 3 {
 		ts.set(&mk[i], int64(20000+i), func(Nanos) { fired = append(fired, i) })
 	}
-	ts.fire(10000)
+	ts.fireDue(10000)
 	if len(fired) != 1000 {
 		t.Fatalf("%d fired at 10000, want the 1000 that were neither moved nor taken back", len(fired))
 	}
@@ -457,7 +457,7 @@
 		}
 	}
 	fired = nil
-	ts.fire(1 << 40)
+	ts.fireDue(1 << 40)
 	if len(fired) != 1000 || fired[0] != 1 {
 		t.Fatalf("%d fired later, first %v, want 1000 from 1 on", len(fired), fired[:1])
 	}
@@ -467,7 +467,7 @@
 	var f func(Nanos)
 	f = func(Nanos) { n++; ts.set(&again, 0, f) }
 	ts.set(&again, 0, f)
-	ts.fire(1 << 41)
+	ts.fireDue(1 << 41)
 	if n != 1 {
 		t.Fatalf("fired %d times in one turn", n)
 	}
@@ -490,7 +490,7 @@
 	for range 8 {
 		<-done
 	}
-	dropped := int64(l.Dropped()) // before what the test itself posts
+	dropped := int64(l.DroppedPosts()) // before what the test itself posts
 	until(t, on, "all calls that were taken have run", func() bool { return ran.Load() == taken.Load() })
 	if taken.Load()+dropped != 40000 {
 		t.Errorf("%d taken and %d dropped of 40000", taken.Load(), dropped)
@@ -507,17 +507,17 @@
 	var group sync.WaitGroup
 	for range 8 {
 		group.Go(func() {
-			for range postRoom / 8 {
+			for range maxPendingPosts / 8 {
 				l.Post(func() {})
 			}
 		})
 	}
 	group.Wait()
-	if n := l.Dropped(); n != 0 {
+	if n := l.DroppedPosts(); n != 0 {
 		t.Errorf("%d calls were refused while there was room", n)
 	}
-	if l.Post(func() {}) || l.Dropped() != 1 {
-		t.Errorf("with no room left: %d refused, want 1", l.Dropped())
+	if l.Post(func() {}) || l.DroppedPosts() != 1 {
+		t.Errorf("with no room left: %d refused, want 1", l.DroppedPosts())
 	}
 }
 
@@ -528,16 +528,16 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	if got := l.waitTime(); got != 100 {
+	if got := l.waitMillis(); got != 100 {
 		t.Errorf("without timers it waits %d ms, want 100", got)
 	}
 	var timer Timer
-	l.At(&timer, l.Clock()+3600e9, func(Nanos) {})
-	if got := l.waitTime(); got != 100 {
+	l.SetTimer(&timer, l.ReadClock()+3600e9, func(Nanos) {})
+	if got := l.waitMillis(); got != 100 {
 		t.Errorf("with a timer far off it waits %d ms, want 100", got)
 	}
-	l.At(&timer, l.Clock(), func(Nanos) {})
-	if got := l.waitTime(); got != 0 {
+	l.SetTimer(&timer, l.ReadClock(), func(Nanos) {})
+	if got := l.waitMillis(); got != 0 {
 		t.Errorf("with a timer due it waits %d ms, want 0", got)
 	}
 }
@@ -579,16 +579,16 @@
 	t.Helper()
 	var end Timer
 	late := false
-	l.At(&end, l.Clock()+int64(10*time.Second), func(Nanos) { late = true; l.Stop() })
+	l.SetTimer(&end, l.ReadClock()+int64(10*time.Second), func(Nanos) { late = true; l.Stop() })
 	if err := l.Run(func(Nanos) {
-		if l.Again(); until() {
+		if l.SkipNextWait(); until() {
 			l.Stop()
 		}
 	}); err != nil {
 		t.Fatal(err)
 	}
-	l.Cancel(&end)
-	l.stop.Store(false)
+	l.CancelTimer(&end)
+	l.stopped.Store(false)
 	if late {
 		t.Fatal("not within 10 s")
 	}
@@ -654,7 +654,7 @@
 	for _, p := range []*peer{first, second} {                             // they wait for room, so that room is reported
 		p.c.Write(make([]byte, 16<<20))
 	}
-	turn(t, l, func() bool { return first.c.Blocked() && second.c.Blocked() })
+	turn(t, l, func() bool { return first.c.WriteBlocked() && second.c.WriteBlocked() })
 	for _, c := range ends {
 		c.Write([]byte("x"))
 		go func() {
--- a/internal/eventloop/posts.go
+++ b/internal/eventloop/posts.go
@@ -9,39 +9,39 @@
 // Post has the loop call f in its next turn; false if too many calls wait already, which Dropped counts.
 // Any goroutine may call it.
 func (l *Loop) Post(f func()) bool {
-	if l.world != nil { // a world has one goroutine
-		l.world.push(l.world.now, l, calls).call = f
+	if l.network != nil { // a world has one goroutine
+		l.network.schedule(l.network.now, l, eventCall).callback = f
 		return true
 	}
-	taken, first := l.posts.put(f)
+	taken, first := l.posts.push(f)
 	if first {
-		l.wakeUp()
+		l.wake()
 	}
 	return taken
 }
 
-// Dropped counts calls that Post could not take.
-func (l *Loop) Dropped() uint64 { return l.posts.droppedCount() }
+// DroppedPosts counts calls that Post could not take.
+func (l *Loop) DroppedPosts() uint64 { return l.posts.droppedCount() }
 
-// wakeUp ends the loop's wait for events.
-func (l *Loop) wakeUp() {
+// wake ends the loop's wait for events.
+func (l *Loop) wake() {
 	one := [8]byte{1}
-	unix.Write(l.wake, one[:])
+	unix.Write(l.wakeFD, one[:])
 }
 
 // postQueue holds the calls from other goroutines until the loop takes them all at once.
 type postQueue struct {
 	mu      sync.Mutex
 	calls   []func()
-	taken   []func() // those of the last turn: its memory is used again
+	running []func() // those of the last turn: its memory is used again
 	dropped uint64
 }
 
-// put adds a call if there is room; first tells that none waited before it.
-func (q *postQueue) put(call func()) (taken, first bool) {
+// push adds a call if there is room; first tells that none waited before it.
+func (q *postQueue) push(call func()) (taken, first bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if len(q.calls) >= postRoom {
+	if len(q.calls) >= maxPendingPosts {
 		q.dropped++
 		return false, false
 	}
@@ -53,8 +53,8 @@
 func (q *postQueue) takeAll() []func() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.calls, q.taken = q.taken[:0], q.calls
-	return q.taken
+	q.calls, q.running = q.running[:0], q.calls
+	return q.running
 }
 
 func (q *postQueue) droppedCount() uint64 {
@@ -66,9 +66,9 @@
 // waker is the descriptor by which other goroutines wake the loop.
 type waker struct{}
 
-func (waker) ready(l *Loop, _ uint32) {
+func (waker) handleEvents(l *Loop, _ uint32) {
 	var b [8]byte
-	unix.Read(l.wake, b[:])
+	unix.Read(l.wakeFD, b[:])
 	calls := l.posts.takeAll()
 	for _, call := range calls {
 		call()
--- a/internal/eventloop/world.go
+++ b/internal/eventloop/world.go
@@ -9,471 +9,473 @@
 	"golang.org/x/sys/unix"
 )
 
-// World is simulated time with loops in it: their sockets are pipes in memory, a fixed time long, their clock is the
+// SimulatedNetwork is simulated time with loops in it: their sockets are pipes in memory, a fixed time long, their clock is the
 // world's, and one goroutine turns them all. Equal calls give equal runs.
-type World struct {
-	// Delay is how long bytes are under way between two loops, in nanoseconds. It is set before the first loop is made.
-	Delay Nanos
+type SimulatedNetwork struct {
+	// Latency is how long bytes are under way between two loops, in nanoseconds. It is set before the first loop is made.
+	Latency Nanos
 	// Tap, if not nil, is asked about each connection as it is dialed, and sees what passes on the dialer's side.
-	Tap func(from *Loop, to netip.AddrPort) Tap
-
-	now       Nanos
-	wall      int64
-	events    indexedheap.Heap[*event]
-	free      []*event
-	n         uint64
-	loops     int
-	listeners map[netip.AddrPort]*Listener
-	cuts      map[[2]int]bool
-	parked    []*event // that were to pass where there is a cut
-	ports     uint16
-	Turns     uint64 // of all loops
+	NewTap func(from *Loop, to netip.AddrPort) Tap
+
+	now             Nanos
+	originUnixNanos int64
+	events          indexedheap.Heap[*event]
+	freeEvents      []*event
+	lastSequence    uint64
+	loopCount       int
+	listeners       map[netip.AddrPort]*Listener
+	partitions      map[[2]int]bool
+	heldEvents      []*event // that were to pass where there is a cut
+	lastPort        uint16
+	Iterations      uint64 // of all loops
 }
 
 // Tap sees one connection on its dialer's side: bytes that leave, bytes that come, and its end.
 type Tap interface {
-	Ahead(p []byte)
-	Back(p []byte)
+	Sent(p []byte)
+	Received(p []byte)
 	Closed()
 }
 
 // event is something that happens to a loop.
 type event struct {
-	at   Nanos
-	n    uint64
-	kind eventKind
-	l    *Loop
-	c    *Conn
-	from int // number of the loop that it comes from; -1 = none
-	p    []byte
-	call func()
-	i    int
+	at        Nanos
+	sequence  uint64
+	kind      eventKind
+	loop      *Loop
+	conn      *Conn
+	fromLoop  int // number of the loop that it comes from; -1 = none
+	data      []byte
+	callback  func()
+	heapIndex int
 }
 
 type eventKind uint8
 
 const (
-	wakes   eventKind = iota // timers are due
-	calls                    // Post
-	dials                    // c wants to reach a listener of this world
-	accepts                  // c's dial was taken
-	refuses                  // c's dial was not
-	bytes_                   // bytes for c
-	ends                     // c's peer has closed
-	takes                    // c's peer has taken bytes
+	eventTimersDue    eventKind = iota // timers are due
+	eventCall                          // Post
+	eventDial                          // c wants to reach a listener of this world
+	eventDialAccepted                  // c's dial was taken
+	eventDialRefused                   // c's dial was not
+	eventData                          // bytes for c
+	eventPeerClosed                    // c's peer has closed
+	eventPeerRead                      // c's peer has taken bytes
 )
 
-// pipeRoom bytes may be under way and untaken on one side of a connection, as a socket's buffers have it.
-const pipeRoom = 256 << 10
+// maxInFlightBytes bytes may be under way and untaken on one side of a connection, as a socket's buffers have it.
+const maxInFlightBytes = 256 << 10
 
-// NewWorld makes a world whose clock stands at 0 at a wall-clock time in Unix nanoseconds.
-func NewWorld(wall int64, delay Nanos) *World {
-	return &World{
-		Delay: delay, wall: wall, listeners: map[netip.AddrPort]*Listener{}, cuts: map[[2]int]bool{}, ports: 1024,
-		events: indexedheap.Heap[*event]{Place: func(e *event) *int { return &e.i }, Less: func(a, b *event) bool {
+// NewSimulatedNetwork makes a world whose clock stands at 0 at a wall-clock time in Unix nanoseconds.
+func NewSimulatedNetwork(originUnixNanos int64, latency Nanos) *SimulatedNetwork {
+	return &SimulatedNetwork{
+		Latency: latency, originUnixNanos: originUnixNanos, listeners: map[netip.AddrPort]*Listener{}, partitions: map[[2]int]bool{}, lastPort: 1024,
+		events: indexedheap.Heap[*event]{Index: func(e *event) *int { return &e.heapIndex }, Less: func(a, b *event) bool {
 			if a.at != b.at {
 				return a.at < b.at
 			}
-			return a.n < b.n
+			return a.sequence < b.sequence
 		}},
 	}
 }
 
 // Now is the world's time.
-func (w *World) Now() Nanos { return w.now }
+func (sn *SimulatedNetwork) Now() Nanos { return sn.now }
 
-// Wall is the wall-clock time of now, in Unix nanoseconds.
-func (w *World) Wall() int64 { return w.wall + w.now }
+// UnixNanos is the wall-clock time of now, in Unix nanoseconds.
+func (sn *SimulatedNetwork) UnixNanos() int64 { return sn.originUnixNanos + sn.now }
 
-// Loop makes a loop in the world at an address; round is what Run calls once a turn.
-func (w *World) Loop(at netip.Addr, round func(now Nanos)) *Loop {
-	w.loops++
-	return &Loop{world: w, number: w.loops, at: at, round: round, now: w.now, timers: newTimers(), wakeAt: never, live: map[*Conn]uint64{}}
+// NewLoop makes a loop in the world at an address; round is what Run calls once a turn.
+func (sn *SimulatedNetwork) NewLoop(addr netip.Addr, onIteration func(now Nanos)) *Loop {
+	sn.loopCount++
+	return &Loop{network: sn, id: sn.loopCount, addr: addr, onIteration: onIteration, now: sn.now, timers: newTimerQueue(), nextWake: noWake, openConns: map[*Conn]uint64{}}
 }
 
-// SetRound sets what a simulated loop calls once a turn.
-func (l *Loop) SetRound(round func(now Nanos)) { l.round = round }
+// SetOnIteration sets what a simulated loop calls once a turn.
+func (l *Loop) SetOnIteration(onIteration func(now Nanos)) { l.onIteration = onIteration }
 
-const never = Nanos(1) << 62
+const noWake = Nanos(1) << 62
 
-// Cut stops, or lets pass again, all that is under way between two loops, either way. What was sent meanwhile passes
+// SetPartitioned stops, or lets pass again, all that is under way between two loops, either way. What was sent meanwhile passes
 // when the cut is over.
-func (w *World) Cut(a, b *Loop, yes bool) {
-	k := [2]int{min(a.number, b.number), max(a.number, b.number)}
-	if yes {
-		w.cuts[k] = true
+func (sn *SimulatedNetwork) SetPartitioned(a, b *Loop, partitioned bool) {
+	pair := [2]int{min(a.id, b.id), max(a.id, b.id)}
+	if partitioned {
+		sn.partitions[pair] = true
 		return
 	}
-	delete(w.cuts, k)
-	parked := w.parked
-	w.parked = nil
+	delete(sn.partitions, pair)
+	parked := sn.heldEvents
+	sn.heldEvents = nil
 	for _, e := range parked {
-		if e.at = max(e.at, w.now); w.isCut(e) {
-			w.parked = append(w.parked, e)
+		if e.at = max(e.at, sn.now); sn.crossesPartition(e) {
+			sn.heldEvents = append(sn.heldEvents, e)
 		} else {
-			w.events.Put(e)
+			sn.events.PushOrFix(e)
 		}
 	}
 }
 
-func (w *World) isCut(e *event) bool {
-	return e.from > 0 && len(w.cuts) > 0 && w.cuts[[2]int{min(e.from, e.l.number), max(e.from, e.l.number)}]
+func (sn *SimulatedNetwork) crossesPartition(e *event) bool {
+	return e.fromLoop > 0 && len(sn.partitions) > 0 && sn.partitions[[2]int{min(e.fromLoop, e.loop.id), max(e.fromLoop, e.loop.id)}]
 }
 
-func (w *World) push(at Nanos, l *Loop, kind eventKind) *event {
+func (sn *SimulatedNetwork) schedule(at Nanos, l *Loop, kind eventKind) *event {
 	var e *event
-	if n := len(w.free); n > 0 {
-		e, w.free = w.free[n-1], w.free[:n-1]
+	if n := len(sn.freeEvents); n > 0 {
+		e, sn.freeEvents = sn.freeEvents[n-1], sn.freeEvents[:n-1]
 	} else {
 		e = new(event)
 	}
-	w.n++
-	*e = event{at: max(at, w.now), n: w.n, kind: kind, l: l, from: -1, p: e.p[:0]}
-	w.events.Put(e)
+	sn.lastSequence++
+	*e = event{at: max(at, sn.now), sequence: sn.lastSequence, kind: kind, loop: l, fromLoop: -1, data: e.data[:0]}
+	sn.events.PushOrFix(e)
 	return e
 }
 
-// send has something happen to a connection on another loop, a delay from now, after all that was sent before it.
-func (c *Conn) send(kind eventKind, p []byte) {
-	if c.peer == nil || c.mute {
+// sendToPeer has something happen to a connection on another loop, a delay from now, after all that was sent before it.
+func (c *Conn) sendToPeer(kind eventKind, p []byte) {
+	if c.peer == nil || c.blackholed {
 		return
 	}
-	w := c.l.world
-	e := w.push(max(w.now+w.Delay+c.l.extra+c.peer.l.extra, c.lastSent), c.peer.l, kind)
-	c.lastSent = e.at
-	e.c, e.from, e.p = c.peer, c.l.number, append(e.p, p...)
+	w := c.loop.network
+	e := w.schedule(max(w.now+w.Latency+c.loop.extraLatency+c.peer.loop.extraLatency, c.lastArrival), c.peer.loop, kind)
+	c.lastArrival = e.at
+	e.conn, e.fromLoop, e.data = c.peer, c.loop.id, append(e.data, p...)
 }
 
-// Run turns the world's loops until its clock stands at a time or nothing is left to happen.
-func (w *World) Run(until Nanos) {
-	for w.events.Len() > 0 && w.events.Min().at <= until {
-		e := w.events.Min()
-		w.now = max(w.now, e.at)
-		l := e.l
-		l.begin()
+// RunUntil turns the world's loops until its clock stands at a time or nothing is left to happen.
+func (sn *SimulatedNetwork) RunUntil(until Nanos) {
+	for sn.events.Len() > 0 && sn.events.Min().at <= until {
+		e := sn.events.Min()
+		sn.now = max(sn.now, e.at)
+		l := e.loop
+		l.beginIteration()
 		// All that happens to this loop now and stands next is one turn, as epoll would give it.
-		for w.events.Len() > 0 && w.events.Min().at <= w.now && w.events.Min().l == l {
-			e := w.events.Min()
-			w.events.Take(e)
-			if w.isCut(e) {
-				w.parked = append(w.parked, e)
+		for sn.events.Len() > 0 && sn.events.Min().at <= sn.now && sn.events.Min().loop == l {
+			e := sn.events.Min()
+			sn.events.Remove(e)
+			if sn.crossesPartition(e) {
+				sn.heldEvents = append(sn.heldEvents, e)
 				continue
 			}
-			l.happen(e)
-			w.free = append(w.free, e)
+			l.handleEvent(e)
+			sn.freeEvents = append(sn.freeEvents, e)
 		}
-		l.turn()
+		l.finishIteration()
 	}
-	w.now = max(w.now, until)
+	sn.now = max(sn.now, until)
 }
 
-func (l *Loop) begin() { l.now = l.world.now }
+func (l *Loop) beginIteration() { l.now = l.network.now }
 
-// turn ends a turn of a simulated loop.
-func (l *Loop) turn() {
-	w := l.world
-	w.Turns++
-	if l.stop.Load() {
-		l.end()
+// finishIteration ends a turn of a simulated loop.
+func (l *Loop) finishIteration() {
+	w := l.network
+	w.Iterations++
+	if l.stopped.Load() {
+		l.terminate()
 		return
 	}
-	if l.wakeAt <= l.now {
-		l.wakeAt = never
+	if l.nextWake <= l.now {
+		l.nextWake = noWake
 	}
-	l.timers.fire(l.now)
-	l.bury()
-	if l.round != nil {
-		l.round(l.now)
+	l.timers.fireDue(l.now)
+	l.notifyClosed()
+	if l.onIteration != nil {
+		l.onIteration(l.now)
 	}
-	l.flush()
-	if l.stop.Load() {
-		l.end()
+	l.flushOutput()
+	if l.stopped.Load() {
+		l.terminate()
 		return
 	}
-	at := never
-	if next, ok := l.timers.next(); ok {
+	at := noWake
+	if next, ok := l.timers.nextDue(); ok {
 		at = max(next, l.now)
 	}
-	if l.again || len(l.dirty) > 0 || len(l.dead) > 0 {
-		l.again = false
+	if l.skipNextWait || len(l.flushQueue) > 0 || len(l.closedConns) > 0 {
+		l.skipNextWait = false
 		at = l.now + 1
 	}
-	if at < l.wakeAt {
-		l.wakeAt = at
-		w.push(at, l, wakes)
+	if at < l.nextWake {
+		l.nextWake = at
+		w.schedule(at, l, eventTimersDue)
 	}
 }
 
-// end takes a stopped loop out of the world: its connections end, its listeners close.
-func (l *Loop) end() {
-	if l.ended {
+// terminate takes a stopped loop out of the world: its connections end, its listeners close.
+func (l *Loop) terminate() {
+	if l.terminated {
 		return
 	}
-	l.ended = true
-	w := l.world
+	l.terminated = true
+	w := l.network
 	for at, ln := range w.listeners {
-		if ln.l == l {
+		if ln.loop == l {
 			delete(w.listeners, at)
 		}
 	}
-	for _, c := range l.open() {
-		c.hang()
+	for _, c := range l.sortedConns() {
+		c.closeSimulated()
 	}
 }
 
-// open gives the loop's connections in the order of their making.
-func (l *Loop) open() []*Conn {
-	heap := indexedheap.Heap[*Conn]{Place: func(c *Conn) *int { return &c.place }, Less: func(a, b *Conn) bool { return a.made < b.made }}
-	for c := range l.live {
-		heap.Put(c)
+// sortedConns gives the loop's connections in the order of their making.
+func (l *Loop) sortedConns() []*Conn {
+	heap := indexedheap.Heap[*Conn]{Index: func(c *Conn) *int { return &c.heapIndex }, Less: func(a, b *Conn) bool { return a.simulatedID < b.simulatedID }}
+	for c := range l.openConns {
+		heap.PushOrFix(c)
 	}
 	var list []*Conn
 	for heap.Len() > 0 {
 		list = append(list, heap.Min())
-		heap.Take(heap.Min())
+		heap.Remove(heap.Min())
 	}
 	return list
 }
 
-// Reset closes every connection of a simulated loop; its listeners stay.
-func (l *Loop) Reset() {
-	for _, c := range l.open() {
-		c.die(unix.ECONNRESET)
+// ResetConnections closes every connection of a simulated loop; its listeners stay.
+func (l *Loop) ResetConnections() {
+	for _, c := range l.sortedConns() {
+		c.terminate(unix.ECONNRESET)
 	}
-	l.world.push(l.world.now, l, wakes)
+	l.network.schedule(l.network.now, l, eventTimersDue)
 }
 
-// Mute has the connections that a simulated loop has swallow all that is sent on them from now on, either way, their
+// BlackholeConnections has the connections that a simulated loop has swallow all that is sent on them from now on, either way, their
 // end included; new ones pass.
-func (l *Loop) Mute() {
-	for c := range l.live {
-		c.mute = true
+func (l *Loop) BlackholeConnections() {
+	for c := range l.openConns {
+		c.blackholed = true
 		if c.peer != nil {
-			c.peer.mute = true
+			c.peer.blackholed = true
 		}
 	}
 }
 
-// Slow has bytes to and from a simulated loop be under way so much longer, and with trickle reach handlers one by one.
-func (l *Loop) Slow(by Nanos, trickle bool) { l.extra, l.trickle = by, trickle }
+// SetSlowdown has bytes to and from a simulated loop be under way so much longer, and with trickle reach handlers one by one.
+func (l *Loop) SetSlowdown(extraLatency Nanos, byteByByte bool) {
+	l.extraLatency, l.byteByByte = extraLatency, byteByByte
+}
 
 // Kill ends a simulated loop at once, as the end of its process would: every connection closes, nothing is said.
 func (l *Loop) Kill() {
-	l.stop.Store(true)
-	l.end()
+	l.stopped.Store(true)
+	l.terminate()
 }
 
-// hang closes a connection of a simulated loop on the wire.
-func (c *Conn) hang() {
+// closeSimulated closes a connection of a simulated loop on the wire.
+func (c *Conn) closeSimulated() {
 	if c.tap != nil {
 		c.tap.Closed()
 		c.tap = nil
 	}
-	c.send(ends, nil)
-	delete(c.l.live, c)
+	c.sendToPeer(eventPeerClosed, nil)
+	delete(c.loop.openConns, c)
 	c.fd = -1
-	c.inbox = nil
+	c.unreadInput = nil
 }
 
-// Number tells connections of a world apart, in the order of their making.
-func (c *Conn) Number() uint64 { return c.made }
+// SimulatedID tells connections of a world apart, in the order of their making.
+func (c *Conn) SimulatedID() uint64 { return c.simulatedID }
 
-func (l *Loop) simConn() *Conn {
-	l.world.n++
-	c := &Conn{l: l, reads: true, made: l.world.n}
-	l.live[c] = c.made
+func (l *Loop) newSimulatedConn() *Conn {
+	l.network.lastSequence++
+	c := &Conn{loop: l, readOpen: true, simulatedID: l.network.lastSequence}
+	l.openConns[c] = c.simulatedID
 	return c
 }
 
-func (l *Loop) simListen(at netip.AddrPort, accept func(c *Conn, from netip.AddrPort) Handler) (*Listener, error) {
-	w := l.world
+func (l *Loop) listenSimulated(at netip.AddrPort, accept func(c *Conn, from netip.AddrPort) Handler) (*Listener, error) {
+	w := l.network
 	if at.Port() == 0 {
-		w.ports++
-		at = netip.AddrPortFrom(l.at, w.ports)
+		w.lastPort++
+		at = netip.AddrPortFrom(l.addr, w.lastPort)
 	}
 	if w.listeners[at] != nil {
 		return nil, fmt.Errorf("listen on %s: %w", at, os.NewSyscallError("bind", unix.EADDRINUSE))
 	}
-	ln := &Listener{l: l, addr: at, accept: accept}
+	ln := &Listener{loop: l, addr: at, onAccept: accept}
 	w.listeners[at] = ln
 	return ln, nil
 }
 
-// simHold has connections wait before they are accepted, or accepts those that wait.
-func (ln *Listener) simHold(yes bool) {
-	ln.held = yes
+// setAcceptPausedSimulated has connections wait before they are accepted, or accepts those that wait.
+func (ln *Listener) setAcceptPausedSimulated(yes bool) {
+	ln.acceptPaused = yes
 	if yes {
 		return
 	}
-	w := ln.l.world
-	for _, from := range ln.waiting {
-		w.push(w.now, ln.l, dials).c = from
+	w := ln.loop.network
+	for _, from := range ln.pendingDials {
+		w.schedule(w.now, ln.loop, eventDial).conn = from
 	}
-	ln.waiting = nil
+	ln.pendingDials = nil
 }
 
-// simFinish accepts the connections that wait.
-func (ln *Listener) simFinish() {
-	ln.held = false
-	waiting := ln.waiting
-	ln.waiting = nil
+// acceptPendingSimulated accepts the connections that wait.
+func (ln *Listener) acceptPendingSimulated() {
+	ln.acceptPaused = false
+	waiting := ln.pendingDials
+	ln.pendingDials = nil
 	for _, from := range waiting {
-		ln.l.taken(from)
+		ln.loop.acceptSimulated(from)
 	}
 }
 
-func (l *Loop) simDial(to netip.AddrPort, within Nanos, h Handler) (*Conn, error) {
-	w := l.world
-	c := l.simConn()
+func (l *Loop) dialSimulated(to netip.AddrPort, within Nanos, h Handler) (*Conn, error) {
+	w := l.network
+	c := l.newSimulatedConn()
 	c.handler, c.connecting, c.counted = h, true, true
-	l.conns++
-	if w.Tap != nil {
-		c.tap = w.Tap(l, to)
+	l.connCount++
+	if w.NewTap != nil {
+		c.tap = w.NewTap(l, to)
 	}
-	l.At(&c.deadline, l.now+within, func(Nanos) { c.die(os.ErrDeadlineExceeded) })
+	l.SetTimer(&c.connectTimer, l.now+within, func(Nanos) { c.terminate(os.ErrDeadlineExceeded) })
 	ln := w.listeners[to]
 	if ln == nil {
-		w.push(w.now+2*w.Delay, l, refuses).c = c
+		w.schedule(w.now+2*w.Latency, l, eventDialRefused).conn = c
 		return c, nil
 	}
-	e := w.push(w.now+w.Delay, ln.l, dials)
-	c.lastSent = e.at
-	e.c, e.from = c, l.number
+	e := w.schedule(w.now+w.Latency, ln.loop, eventDial)
+	c.lastArrival = e.at
+	e.conn, e.fromLoop = c, l.id
 	return c, nil
 }
 
-// happen does what an event says.
-func (l *Loop) happen(e *event) {
-	c := e.c
-	if l.ended {
-		if e.kind == dials && c.fd >= 0 { // its process is gone
-			l.world.push(l.world.now+l.world.Delay, c.l, refuses).c = c
+// handleEvent does what an event says.
+func (l *Loop) handleEvent(e *event) {
+	c := e.conn
+	if l.terminated {
+		if e.kind == eventDial && c.fd >= 0 { // its process is gone
+			l.network.schedule(l.network.now+l.network.Latency, c.loop, eventDialRefused).conn = c
 		}
 		return
 	}
 	switch e.kind {
-	case calls:
-		e.call()
-	case dials:
-		l.taken(c)
-	case accepts:
+	case eventCall:
+		e.callback()
+	case eventDial:
+		l.acceptSimulated(c)
+	case eventDialAccepted:
 		if c.fd < 0 || !c.connecting {
 			return
 		}
-		l.Cancel(&c.deadline)
+		l.CancelTimer(&c.connectTimer)
 		c.connecting = false
 		c.handler.Opened(l.now)
 		if c.fd >= 0 {
-			c.touch()
+			c.queueFlush()
 		}
-	case refuses:
+	case eventDialRefused:
 		if c.fd >= 0 && c.connecting {
-			c.die(os.NewSyscallError("connect", unix.ECONNREFUSED))
+			c.terminate(os.NewSyscallError("connect", unix.ECONNREFUSED))
 		}
-	case bytes_:
+	case eventData:
 		if c.fd < 0 {
 			return
 		}
-		if c.paused || len(c.inbox) > 0 {
-			c.inbox = append(c.inbox, e.p...)
+		if c.readPaused || len(c.unreadInput) > 0 {
+			c.unreadInput = append(c.unreadInput, e.data...)
 			return
 		}
-		c.hear(e.p)
-	case ends:
-		if c.fd >= 0 && c.reads {
-			c.reads = false
-			if c.paused || len(c.inbox) > 0 {
-				c.die(unix.ECONNRESET)
+		c.deliverSimulated(e.data)
+	case eventPeerClosed:
+		if c.fd >= 0 && c.readOpen {
+			c.readOpen = false
+			if c.readPaused || len(c.unreadInput) > 0 {
+				c.terminate(unix.ECONNRESET)
 				return
 			}
-			c.handler.PeerDone(l.now)
+			c.handler.PeerHalfClosed(l.now)
 		}
-	case takes:
-		if c.fd >= 0 && c.blocked {
-			c.touch()
+	case eventPeerRead:
+		if c.fd >= 0 && c.writeBlocked {
+			c.queueFlush()
 		}
 	}
 }
 
-// taken hands a dial to the listener that stands at its address now.
-func (l *Loop) taken(from *Conn) {
-	w := l.world
+// acceptSimulated hands a dial to the listener that stands at its address now.
+func (l *Loop) acceptSimulated(from *Conn) {
+	w := l.network
 	var ln *Listener
 	for _, x := range w.listeners {
-		if x.l == l { // a simulated loop has one listener
+		if x.loop == l { // a simulated loop has one listener
 			ln = x
 		}
 	}
 	if from.fd < 0 || ln == nil {
-		w.push(w.now+w.Delay, from.l, refuses).c = from
+		w.schedule(w.now+w.Latency, from.loop, eventDialRefused).conn = from
 		return
 	}
-	if ln.held && len(ln.waiting) < backlog {
-		ln.waiting = append(ln.waiting, from)
+	if ln.acceptPaused && len(ln.pendingDials) < listenBacklog {
+		ln.pendingDials = append(ln.pendingDials, from)
 		return
 	}
-	c := l.simConn()
+	c := l.newSimulatedConn()
 	c.peer, from.peer = from, c
-	e := w.push(w.now+w.Delay, from.l, accepts)
-	e.c, e.from = from, l.number
-	c.lastSent = e.at
-	if c.handler = ln.accept(c, netip.AddrPortFrom(from.l.at, 1)); c.handler == nil {
-		c.hang()
+	e := w.schedule(w.now+w.Latency, from.loop, eventDialAccepted)
+	e.conn, e.fromLoop = from, l.id
+	c.lastArrival = e.at
+	if c.handler = ln.onAccept(c, netip.AddrPortFrom(from.loop.addr, 1)); c.handler == nil {
+		c.closeSimulated()
 		return
 	}
 	c.counted = true
-	l.conns++
+	l.connCount++
 	c.handler.Opened(l.now)
 }
 
-// hear hands bytes that came to the handler and lets the peer send on.
-func (c *Conn) hear(p []byte) {
+// deliverSimulated hands bytes that came to the handler and lets the peer send on.
+func (c *Conn) deliverSimulated(p []byte) {
 	if c.tap != nil {
-		c.tap.Back(p)
+		c.tap.Received(p)
 	}
-	n, most := len(p), readSize
-	if c.l.trickle || c.peer != nil && c.peer.l.trickle {
+	n, most := len(p), maxReadBytes
+	if c.loop.byteByByte || c.peer != nil && c.peer.loop.byteByByte {
 		most = 1
 	}
 	for len(p) > 0 && c.fd >= 0 {
 		part := p[:min(len(p), most)]
 		p = p[len(part):]
-		c.handler.Data(c.l.now, part)
+		c.handler.Received(c.loop.now, part)
 	}
 	if peer := c.peer; peer != nil {
-		if peer.flying -= n; peer.blocked {
-			e := c.l.world.push(c.l.world.now+c.l.world.Delay, peer.l, takes)
-			e.c, e.from = peer, c.l.number
+		if peer.inFlightBytes -= n; peer.writeBlocked {
+			e := c.loop.network.schedule(c.loop.network.now+c.loop.network.Latency, peer.loop, eventPeerRead)
+			e.conn, e.fromLoop = peer, c.loop.id
 		}
 	}
 }
 
-// simFlush writes what the pipe has room for; it tells how much.
-func (c *Conn) simFlush(p []byte) int {
-	n := min(len(p), max(pipeRoom-c.flying, 0))
+// writeSimulated writes what the pipe has room for; it tells how much.
+func (c *Conn) writeSimulated(p []byte) int {
+	n := min(len(p), max(maxInFlightBytes-c.inFlightBytes, 0))
 	if n > 0 {
-		c.flying += n
+		c.inFlightBytes += n
 		if c.tap != nil {
-			c.tap.Ahead(p[:n])
+			c.tap.Sent(p[:n])
 		}
-		c.send(bytes_, p[:n])
+		c.sendToPeer(eventData, p[:n])
 	}
 	return n
 }
 
-// resume hands over what came while reading was paused.
-func (c *Conn) resume() {
-	if c.paused || len(c.inbox) == 0 || c.handed {
+// resumeSimulated hands over what came while reading was paused.
+func (c *Conn) resumeSimulated() {
+	if c.readPaused || len(c.unreadInput) == 0 || c.deliveryScheduled {
 		return
 	}
-	c.handed = true
-	w := c.l.world
-	e := w.push(w.now, c.l, calls)
-	e.call = func() {
-		c.handed = false
-		if p := c.inbox; c.fd >= 0 && !c.paused {
-			c.inbox = nil
-			c.hear(p)
+	c.deliveryScheduled = true
+	w := c.loop.network
+	e := w.schedule(w.now, c.loop, eventCall)
+	e.callback = func() {
+		c.deliveryScheduled = false
+		if p := c.unreadInput; c.fd >= 0 && !c.readPaused {
+			c.unreadInput = nil
+			c.deliverSimulated(p)
 		}
 	}
 }
--- a/internal/frontend/batch/batch.go
+++ b/internal/frontend/batch/batch.go
@@ -25,53 +25,53 @@
 
 // Limits bound what one call may bring.
 type Limits struct {
-	File    int64         // bytes of a file
-	Window  time.Duration // longest completion window
-	Headers int
+	MaxFileBytes        int64         // bytes of a file
+	MaxCompletionWindow time.Duration // longest completion window
+	MaxHeaderBytes      int
 }
 
 // Server is the front.
 type Server struct {
-	s    *batchstore.Store
-	r    *batchrunner.Runner
-	lim  Limits
-	keys map[[sha256.Size]byte]string // tenant by the hash of its key
-	log  *slog.Logger
-	ctx  context.Context // of batches under way
+	store  *batchstore.Store
+	runner *batchrunner.Runner
+	limits Limits
+	keys   map[[sha256.Size]byte]string // tenant by the hash of its key
+	log    *slog.Logger
+	ctx    context.Context // of batches under way
 }
 
 // New makes a front; keys are the hex SHA-256 of each key, by which its tenant is known. Batches run until ctx ends.
-func New(ctx context.Context, s *batchstore.Store, r *batchrunner.Runner, lim Limits, keys map[string]string, log *slog.Logger) (*Server, error) {
-	x := &Server{s: s, r: r, lim: lim, keys: map[[sha256.Size]byte]string{}, log: log, ctx: ctx}
+func New(ctx context.Context, store *batchstore.Store, batchRunner *batchrunner.Runner, limits Limits, keys map[string]string, log *slog.Logger) (*Server, error) {
+	s := &Server{store: store, runner: batchRunner, limits: limits, keys: map[[sha256.Size]byte]string{}, log: log, ctx: ctx}
 	for hash, tenant := range keys {
 		b, err := hex.DecodeString(hash)
 		if err != nil || len(b) != sha256.Size {
 			return nil, fmt.Errorf("key of tenant %q: %q is no SHA-256 in hex", tenant, hash)
 		}
-		x.keys[[sha256.Size]byte(b)] = tenant
+		s.keys[[sha256.Size]byte(b)] = tenant
 	}
-	return x, nil
+	return s, nil
 }
 
 const (
-	headTime  = 10 * time.Second // a caller has so long for its headers
-	idleTime  = 2 * time.Minute
-	jsonBytes = 64 << 10 // of a call that is no file
-	mostList  = 100
-	usualList = 20
-	mostMeta  = 16 // entries of a batch's metadata
-	metaKey   = 64 // characters
-	metaValue = 512
+	headerTimeout         = 10 * time.Second // a caller has so long for its headers
+	idleTimeout           = 2 * time.Minute
+	maxJSONBytes          = 64 << 10 // of a call that is no file
+	maxPageSize           = 100
+	defaultPageSize       = 20
+	maxMetadataEntries    = 16 // entries of a batch's metadata
+	maxMetadataKeyChars   = 64 // characters
+	maxMetadataValueChars = 512
 )
 
 // Serve takes calls until the context ends; calls under way have a moment to end.
-func (x *Server) Serve(ctx context.Context, ln net.Listener) error {
+func (s *Server) Serve(ctx context.Context, ln net.Listener) error {
 	var protocols http.Protocols
 	protocols.SetHTTP1(true)
 	protocols.SetUnencryptedHTTP2(true)
 	srv := &http.Server{
-		Handler: x.Handler(), ReadHeaderTimeout: headTime, IdleTimeout: idleTime, MaxHeaderBytes: x.lim.Headers, Protocols: &protocols,
-		ErrorLog: slog.NewLogLogger(x.log.Handler(), slog.LevelInfo),
+		Handler: s.Handler(), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: s.limits.MaxHeaderBytes, Protocols: &protocols,
+		ErrorLog: slog.NewLogLogger(s.log.Handler(), slog.LevelInfo),
 	}
 	stopped := make(chan struct{})
 	go func() {
@@ -92,37 +92,37 @@
 }
 
 // Handler is the API.
-func (x *Server) Handler() http.Handler {
+func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	for pattern, h := range map[string]func(w http.ResponseWriter, r *http.Request, tenant string) error{
-		"POST /v1/files": x.upload, "GET /v1/files": x.files, "GET /v1/files/{id}": x.file, "GET /v1/files/{id}/content": x.content,
-		"DELETE /v1/files/{id}": x.remove, "POST /v1/batches": x.create, "GET /v1/batches": x.batches, "GET /v1/batches/{id}": x.batch,
-		"POST /v1/batches/{id}/cancel": x.cancel,
+		"POST /v1/files": s.uploadFile, "GET /v1/files": s.listFiles, "GET /v1/files/{id}": s.getFile, "GET /v1/files/{id}/content": s.getContent,
+		"DELETE /v1/files/{id}": s.deleteFile, "POST /v1/batches": s.createBatch, "GET /v1/batches": s.listBatches, "GET /v1/batches/{id}": s.getBatch,
+		"POST /v1/batches/{id}/cancel": s.cancelBatch,
 	} {
 		mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) {
-			tenant, ok := x.tenant(r)
+			tenant, ok := s.authenticate(r)
 			if !ok {
-				x.fail(w, apiError{http.StatusUnauthorized, "invalid_request_error", "", "invalid_api_key", "no such key"})
+				s.writeError(w, apiError{http.StatusUnauthorized, "invalid_request_error", "", "invalid_api_key", "no such key"})
 				return
 			}
 			if err := h(w, r, tenant); err != nil {
-				x.fail(w, err)
+				s.writeError(w, err)
 			}
 		})
 	}
 	mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) {
-		x.fail(w, apiError{http.StatusNotFound, "invalid_request_error", "", "unknown_url", "no such call: " + r.Method + " " + r.URL.Path})
+		s.writeError(w, apiError{http.StatusNotFound, "invalid_request_error", "", "unknown_url", "no such call: " + r.Method + " " + r.URL.Path})
 	})
 	return mux
 }
 
-// tenant knows a caller by its key. What is compared is a hash that nobody can choose, so the time taken says nothing.
-func (x *Server) tenant(r *http.Request) (string, bool) {
+// authenticate knows a caller by its key. What is compared is a hash that nobody can choose, so the time taken says nothing.
+func (s *Server) authenticate(r *http.Request) (string, bool) {
 	key, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok {
 		return "", false
 	}
-	tenant, ok := x.keys[sha256.Sum256([]byte(key))]
+	tenant, ok := s.keys[sha256.Sum256([]byte(key))]
 	return tenant, ok
 }
 
@@ -134,37 +134,37 @@
 
 func (e apiError) Error() string { return e.message }
 
-func bad(param, format string, args ...any) error {
+func invalidValue(param, format string, args ...any) error {
 	return apiError{http.StatusBadRequest, "invalid_request_error", param, "invalid_value", fmt.Sprintf(format, args...)}
 }
 
-func (x *Server) fail(w http.ResponseWriter, err error) {
+func (s *Server) writeError(w http.ResponseWriter, err error) {
 	var e apiError
 	switch {
 	case errors.As(err, &e):
-	case errors.Is(err, batchstore.ErrNone):
+	case errors.Is(err, batchstore.ErrNotFound):
 		e = apiError{http.StatusNotFound, "invalid_request_error", "id", "not_found", err.Error()}
-	case errors.Is(err, batchstore.ErrState):
+	case errors.Is(err, batchstore.ErrInvalidState):
 		e = apiError{http.StatusConflict, "invalid_request_error", "", "invalid_state", err.Error()}
-	case errors.Is(err, batchstore.ErrLarge):
+	case errors.Is(err, batchstore.ErrFileTooLarge):
 		e = apiError{http.StatusRequestEntityTooLarge, "invalid_request_error", "file", "file_too_large", err.Error()}
-	case errors.Is(err, batchstore.ErrQuota):
+	case errors.Is(err, batchstore.ErrQuotaExceeded):
 		e = apiError{http.StatusForbidden, "insufficient_quota", "file", "quota_exceeded", err.Error()}
 	default:
-		x.log.Error("batch API", "err", err)
+		s.log.Error("batch API", "err", err)
 		e = apiError{http.StatusInternalServerError, "server_error", "", "", "the call failed here; its log says why"}
 	}
-	x.answer(w, e.status, map[string]any{"error": map[string]any{"message": e.message, "type": e.kind, "param": orNull(e.param), "code": orNull(e.code)}})
+	s.writeJSON(w, e.status, map[string]any{"error": map[string]any{"message": e.message, "type": e.kind, "param": nullIfEmpty(e.param), "code": nullIfEmpty(e.code)}})
 }
 
-func orNull(s string) any {
+func nullIfEmpty(s string) any {
 	if s == "" {
 		return nil
 	}
 	return s
 }
 
-func (x *Server) answer(w http.ResponseWriter, status int, v any) error {
+func (s *Server) writeJSON(w http.ResponseWriter, status int, v any) error {
 	b, err := json.Marshal(v)
 	if err != nil {
 		return err
@@ -175,68 +175,68 @@
 	return nil
 }
 
-func showFile(f batchstore.File) map[string]any {
+func fileJSON(f batchstore.File) map[string]any {
 	return map[string]any{
-		"id": f.ID, "object": "file", "bytes": f.Bytes, "created_at": f.Created, "filename": f.Name, "purpose": f.Purpose,
+		"id": f.ID, "object": "file", "bytes": f.SizeBytes, "created_at": f.CreatedUnix, "filename": f.Name, "purpose": f.Purpose,
 		"status": "processed",
 	}
 }
 
-// upload takes a file as multipart/form-data, without holding it in memory.
-func (x *Server) upload(w http.ResponseWriter, r *http.Request, tenant string) error {
+// uploadFile takes a file as multipart/form-data, without holding it in memory.
+func (s *Server) uploadFile(w http.ResponseWriter, r *http.Request, tenant string) error {
 	const partsRoom = 64 << 10 // for the form's own text
-	r.Body = http.MaxBytesReader(w, r.Body, x.lim.File+partsRoom)
+	r.Body = http.MaxBytesReader(w, r.Body, s.limits.MaxFileBytes+partsRoom)
 	form, err := r.MultipartReader()
 	if err != nil {
-		return bad("file", "want multipart/form-data: %v", err)
+		return invalidValue("file", "want multipart/form-data: %v", err)
 	}
 	purpose := ""
 	for {
 		part, err := form.NextPart()
 		if errors.Is(err, io.EOF) {
-			return bad("file", "the form has no file")
+			return invalidValue("file", "the form has no file")
 		}
 		if err != nil {
-			return bad("file", "form cut off: %v", err)
+			return invalidValue("file", "form cut off: %v", err)
 		}
 		switch part.FormName() {
 		case "purpose":
-			b, err := io.ReadAll(io.LimitReader(part, metaValue))
+			b, err := io.ReadAll(io.LimitReader(part, maxMetadataValueChars))
 			if err != nil {
-				return bad("purpose", "form cut off: %v", err)
+				return invalidValue("purpose", "form cut off: %v", err)
 			}
 			purpose = string(b)
 		case "file":
 			if purpose != "" && purpose != "batch" {
-				return bad("purpose", "%q, want batch", purpose)
+				return invalidValue("purpose", "%q, want batch", purpose)
 			}
-			f, err := x.s.Upload(time.Now(), tenant, part.FileName(), "batch", part, x.lim.File)
+			f, err := s.store.UploadFile(time.Now(), tenant, part.FileName(), "batch", part, s.limits.MaxFileBytes)
 			var large *http.MaxBytesError
 			switch {
 			case errors.As(err, &large):
-				return fmt.Errorf("more than %d bytes: %w", x.lim.File, batchstore.ErrLarge)
+				return fmt.Errorf("more than %d bytes: %w", s.limits.MaxFileBytes, batchstore.ErrFileTooLarge)
 			case errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, context.Canceled):
-				return bad("file", "the file was cut off: %v", err)
+				return invalidValue("file", "the file was cut off: %v", err)
 			case err != nil:
 				return err
 			}
-			return x.answer(w, http.StatusOK, showFile(f))
+			return s.writeJSON(w, http.StatusOK, fileJSON(f))
 		}
 	}
 }
 
-// page reads a list's limits.
-func page(r *http.Request) (after string, most int, err error) {
-	most = usualList
+// pageParams reads a list's limits.
+func pageParams(r *http.Request) (after string, most int, err error) {
+	most = defaultPageSize
 	if v := r.URL.Query().Get("limit"); v != "" {
-		if most, err = strconv.Atoi(v); err != nil || most < 1 || most > mostList {
-			return "", 0, bad("limit", "%q, want 1 to %d", v, mostList)
+		if most, err = strconv.Atoi(v); err != nil || most < 1 || most > maxPageSize {
+			return "", 0, invalidValue("limit", "%q, want 1 to %d", v, maxPageSize)
 		}
 	}
 	return r.URL.Query().Get("after"), most, nil
 }
 
-func shown[T any](xs []T, more bool, show func(T) map[string]any) map[string]any {
+func listJSON[T any](xs []T, more bool, show func(T) map[string]any) map[string]any {
 	data := make([]any, 0, len(xs))
 	for _, x := range xs {
 		data = append(data, show(x))
@@ -248,28 +248,28 @@
 	return l
 }
 
-func (x *Server) files(w http.ResponseWriter, r *http.Request, tenant string) error {
-	after, most, err := page(r)
+func (s *Server) listFiles(w http.ResponseWriter, r *http.Request, tenant string) error {
+	after, most, err := pageParams(r)
 	if err != nil {
 		return err
 	}
-	fs, more, err := x.s.Files(tenant, after, most)
+	fs, more, err := s.store.Files(tenant, after, most)
 	if err != nil {
 		return err
 	}
-	return x.answer(w, http.StatusOK, shown(fs, more, showFile))
+	return s.writeJSON(w, http.StatusOK, listJSON(fs, more, fileJSON))
 }
 
-func (x *Server) file(w http.ResponseWriter, r *http.Request, tenant string) error {
-	f, err := x.s.File(tenant, r.PathValue("id"))
+func (s *Server) getFile(w http.ResponseWriter, r *http.Request, tenant string) error {
+	f, err := s.store.File(tenant, r.PathValue("id"))
 	if err != nil {
 		return err
 	}
-	return x.answer(w, http.StatusOK, showFile(f))
+	return s.writeJSON(w, http.StatusOK, fileJSON(f))
 }
 
-func (x *Server) content(w http.ResponseWriter, r *http.Request, tenant string) error {
-	f, err := x.s.Content(tenant, r.PathValue("id"))
+func (s *Server) getContent(w http.ResponseWriter, r *http.Request, tenant string) error {
+	f, err := s.store.OpenContent(tenant, r.PathValue("id"))
 	if err != nil {
 		return err
 	}
@@ -279,108 +279,108 @@
 	return nil
 }
 
-func (x *Server) remove(w http.ResponseWriter, r *http.Request, tenant string) error {
+func (s *Server) deleteFile(w http.ResponseWriter, r *http.Request, tenant string) error {
 	id := r.PathValue("id")
-	if err := x.s.Delete(tenant, id); err != nil {
+	if err := s.store.DeleteFile(tenant, id); err != nil {
 		return err
 	}
-	return x.answer(w, http.StatusOK, map[string]any{"id": id, "object": "file", "deleted": true})
+	return s.writeJSON(w, http.StatusOK, map[string]any{"id": id, "object": "file", "deleted": true})
 }
 
-func (x *Server) create(w http.ResponseWriter, r *http.Request, tenant string) error {
+func (s *Server) createBatch(w http.ResponseWriter, r *http.Request, tenant string) error {
 	var q struct {
 		Input    string            `json:"input_file_id"`
 		Endpoint string            `json:"endpoint"`
 		Window   string            `json:"completion_window"`
 		Metadata map[string]string `json:"metadata"`
 	}
-	dec := json.NewDecoder(http.MaxBytesReader(w, r.Body, jsonBytes))
+	dec := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxJSONBytes))
 	if err := dec.Decode(&q); err != nil {
-		return bad("", "the body is no batch: %v", err)
+		return invalidValue("", "the body is no batch: %v", err)
 	}
 	window, err := time.ParseDuration(q.Window)
 	switch {
-	case q.Endpoint != batchrunner.Endpoint:
-		return bad("endpoint", "%q, want %s", q.Endpoint, batchrunner.Endpoint)
-	case err != nil || window <= 0 || window > x.lim.Window:
-		return bad("completion_window", "%q, want a time of at most %v, as 24h", q.Window, x.lim.Window)
-	case len(q.Metadata) > mostMeta:
-		return bad("metadata", "%d entries, want %d at most", len(q.Metadata), mostMeta)
+	case q.Endpoint != batchrunner.CompletionsEndpoint:
+		return invalidValue("endpoint", "%q, want %s", q.Endpoint, batchrunner.CompletionsEndpoint)
+	case err != nil || window <= 0 || window > s.limits.MaxCompletionWindow:
+		return invalidValue("completion_window", "%q, want a time of at most %v, as 24h", q.Window, s.limits.MaxCompletionWindow)
+	case len(q.Metadata) > maxMetadataEntries:
+		return invalidValue("metadata", "%d entries, want %d at most", len(q.Metadata), maxMetadataEntries)
 	}
 	for k, v := range q.Metadata {
-		if len(k) > metaKey || len(v) > metaValue {
-			return bad("metadata", "%.64q is longer than %d, or what it says than %d", k, metaKey, metaValue)
+		if len(k) > maxMetadataKeyChars || len(v) > maxMetadataValueChars {
+			return invalidValue("metadata", "%.64q is longer than %d, or what it says than %d", k, maxMetadataKeyChars, maxMetadataValueChars)
 		}
 	}
-	b, err := x.s.Create(time.Now(), batchstore.Batch{Tenant: tenant, Input: q.Input, Endpoint: q.Endpoint, Window: q.Window, Metadata: q.Metadata}, window)
+	b, err := s.store.CreateBatch(time.Now(), batchstore.Batch{Tenant: tenant, InputFileID: q.Input, Endpoint: q.Endpoint, CompletionWindow: q.Window, Metadata: q.Metadata}, window)
 	if err != nil {
 		return err
 	}
-	x.r.Submit(x.ctx, b)
-	return x.answer(w, http.StatusOK, x.show(b))
+	s.runner.Submit(s.ctx, b)
+	return s.writeJSON(w, http.StatusOK, s.batchJSON(b))
 }
 
-func (x *Server) show(b batchstore.Batch) map[string]any {
+func (s *Server) batchJSON(b batchstore.Batch) map[string]any {
 	time0 := func(t int64) any {
 		if t == 0 {
 			return nil
 		}
 		return t
 	}
-	at := func(s decide.State) any {
+	at := func(s decide.BatchState) any {
 		if b.State == s {
-			return time0(b.Ended)
+			return time0(b.EndedUnix)
 		}
 		return nil
 	}
 	m := map[string]any{
-		"id": b.ID, "object": "batch", "endpoint": b.Endpoint, "input_file_id": b.Input, "completion_window": b.Window,
-		"status": b.State.String(), "output_file_id": orNull(b.Output), "error_file_id": orNull(b.Errors), "created_at": b.Created,
-		"expires_at": b.Expires, "in_progress_at": time0(b.InProgress), "finalizing_at": time0(b.Finalizing), "cancelling_at": time0(b.Cancelling),
-		"completed_at": at(decide.Completed), "failed_at": at(decide.Failed), "expired_at": at(decide.Expired), "cancelled_at": at(decide.Cancelled),
-		"request_counts": map[string]any{"total": b.Total, "completed": b.Done, "failed": b.Lost}, "metadata": b.Metadata, "errors": nil,
+		"id": b.ID, "object": "batch", "endpoint": b.Endpoint, "input_file_id": b.InputFileID, "completion_window": b.CompletionWindow,
+		"status": b.State.String(), "output_file_id": nullIfEmpty(b.OutputFileID), "error_file_id": nullIfEmpty(b.ErrorFileID), "created_at": b.CreatedUnix,
+		"expires_at": b.ExpiresUnix, "in_progress_at": time0(b.InProgressUnix), "finalizing_at": time0(b.FinalizingUnix), "cancelling_at": time0(b.CancellingUnix),
+		"completed_at": at(decide.StateCompleted), "failed_at": at(decide.StateFailed), "expired_at": at(decide.StateExpired), "cancelled_at": at(decide.StateCancelled),
+		"request_counts": map[string]any{"total": b.TotalLines, "completed": b.CompletedLines, "failed": b.FailedLines}, "metadata": b.Metadata, "errors": nil,
 	}
-	if len(b.Faults) > 0 {
+	if len(b.ValidationErrors) > 0 {
 		var data []any
-		for _, f := range b.Faults {
+		for _, f := range b.ValidationErrors {
 			e := map[string]any{"code": f.Code, "message": f.Message, "param": nil, "line": nil}
-			if f.Line > 0 {
-				e["line"] = f.Line
+			if f.LineNumber > 0 {
+				e["line"] = f.LineNumber
 			}
 			data = append(data, e)
 		}
 		m["errors"] = map[string]any{"object": "list", "data": data}
 	}
-	if through, ok := x.r.Forecast(b.ID); ok && b.State == decide.InProgress {
+	if through, ok := s.runner.Forecast(b.ID); ok && b.State == decide.StateInProgress {
 		m["forecast_at"] = through.Unix() // ours: when it will be through at its present pace
 	}
 	return m
 }
 
-func (x *Server) batch(w http.ResponseWriter, r *http.Request, tenant string) error {
-	b, err := x.s.Batch(tenant, r.PathValue("id"))
+func (s *Server) getBatch(w http.ResponseWriter, r *http.Request, tenant string) error {
+	b, err := s.store.Batch(tenant, r.PathValue("id"))
 	if err != nil {
 		return err
 	}
-	return x.answer(w, http.StatusOK, x.show(b))
+	return s.writeJSON(w, http.StatusOK, s.batchJSON(b))
 }
 
-func (x *Server) batches(w http.ResponseWriter, r *http.Request, tenant string) error {
-	after, most, err := page(r)
+func (s *Server) listBatches(w http.ResponseWriter, r *http.Request, tenant string) error {
+	after, most, err := pageParams(r)
 	if err != nil {
 		return err
 	}
-	bs, more, err := x.s.Batches(tenant, after, most)
+	bs, more, err := s.store.Batches(tenant, after, most)
 	if err != nil {
 		return err
 	}
-	return x.answer(w, http.StatusOK, shown(bs, more, x.show))
+	return s.writeJSON(w, http.StatusOK, listJSON(bs, more, s.batchJSON))
 }
 
-func (x *Server) cancel(w http.ResponseWriter, r *http.Request, tenant string) error {
-	b, err := x.r.Cancel(tenant, r.PathValue("id"))
+func (s *Server) cancelBatch(w http.ResponseWriter, r *http.Request, tenant string) error {
+	b, err := s.runner.Cancel(tenant, r.PathValue("id"))
 	if err != nil {
 		return err
 	}
-	return x.answer(w, http.StatusOK, x.show(b))
+	return s.writeJSON(w, http.StatusOK, s.batchJSON(b))
 }
--- a/internal/frontend/grpc/aside.go
+++ b/internal/frontend/grpc/aside.go
@@ -33,21 +33,21 @@
 func (c *conn) aside(s *h2.Stream, path string) {
 	switch path {
 	case healthCheck, healthWatch, reflectV1, reflectOld:
-		s.Tag = &aside{c, path}
+		s.UserData = &aside{c, path}
 	default:
-		s.End(codes.Unimplemented, "unknown method "+path)
+		s.EndWithStatus(codes.Unimplemented, "unknown method "+path)
 	}
 }
 
-// HalfClosed ends what waits for nothing more.
-func (c *conn) HalfClosed(s *h2.Stream) {
-	switch tag := s.Tag.(type) {
+// RequestEnded ends what waits for nothing more.
+func (c *conn) RequestEnded(s *h2.Stream) {
+	switch tag := s.UserData.(type) {
 	case *waiting:
-		c.s.Counts.Bad++
-		s.End(codes.InvalidArgument, "no message: Generate takes one")
+		c.s.counts.InvalidCalls++
+		s.EndWithStatus(codes.InvalidArgument, "no message: Generate takes one")
 	case *aside:
 		if tag.path != healthWatch {
-			s.End(codes.OK, "")
+			s.EndWithStatus(codes.OK, "")
 		}
 	}
 }
@@ -73,24 +73,24 @@
 	}
 	if req.Service != "" && req.Service != services[0] {
 		if a.path == healthCheck {
-			s.End(codes.NotFound, "unknown service "+req.Service)
+			s.EndWithStatus(codes.NotFound, "unknown service "+req.Service)
 			return
 		}
 		state = grpc_health_v1.HealthCheckResponse_SERVICE_UNKNOWN
 	}
 	send(s, &grpc_health_v1.HealthCheckResponse{Status: state})
 	if a.path == healthCheck {
-		s.End(codes.OK, "")
+		s.EndWithStatus(codes.OK, "")
 	}
 }
 
 func send(s *h2.Stream, m proto.Message) {
 	b, err := proto.Marshal(m)
 	if err != nil {
-		s.End(codes.Internal, err.Error())
+		s.EndWithStatus(codes.Internal, err.Error())
 		return
 	}
-	s.Send(b, false)
+	s.SendMessage(b, false)
 }
 
 // reflect answers one question of server reflection.
