--- a/internal/frontend/grpc/grpc.go
+++ b/internal/frontend/grpc/grpc.go
@@ -34,36 +34,38 @@
 
 // Server accepts clients on a loop.
 type Server struct {
-	l       *eventloop.Loop
-	core    frontend.Core
-	lim     h2.Limits
-	crowd   *connlimit.Limiter
-	budget  *h2.Budget
-	output  int // bytes queued for one
-	conns   map[*conn]struct{}
-	dirty   []*conn
-	ln      *eventloop.Listener
-	leaving bool
-	req     frontend.Request
-	Counts  Counts
+	l          *eventloop.Loop
+	dispatcher frontend.Dispatcher
+	lim        h2.Limits
+	crowd      *connlimit.Limiter
+	budget     *h2.PartialMessageBudget
+	output     int // bytes queued for one
+	conns      map[*conn]struct{}
+	dirty      []*conn
+	ln         *eventloop.Listener
+	leaving    bool
+	req        frontend.Request
+	counts     Counts
 }
 
 // Counts are what the front counted since its start.
 type Counts struct {
-	Calls, Bad, Overflows uint64
-	Connections           connlimit.Counts
-	PartialRefused        uint64 // messages refused because too much had come in part
+	Calls                  uint64
+	InvalidCalls           uint64 `json:"Bad"`
+	OutputOverflows        uint64 `json:"Overflows"`
+	Connections            connlimit.Counts
+	PartialMessagesRefused uint64 `json:"PartialRefused"` // messages refused because too many bytes had come in part
 }
 
 // New makes a front; it opens with Listen. partial bounds the bytes of messages that have come in part, over all
 // connections.
-func New(l *eventloop.Loop, core frontend.Core, lim h2.Limits, connections, output, partial int) (*Server, error) {
+func New(l *eventloop.Loop, core frontend.Dispatcher, lim h2.Limits, connections, output, partial int) (*Server, error) {
 	c, err := connlimit.New(connections)
 	if err != nil {
 		return nil, err
 	}
 	return &Server{
-		l: l, core: core, lim: lim, crowd: c, budget: &h2.Budget{Most: int64(partial)}, output: output,
+		l: l, dispatcher: core, lim: lim, crowd: c, budget: &h2.PartialMessageBudget{MaxBytes: int64(partial)}, output: output,
 		conns: make(map[*conn]struct{}),
 	}, nil
 }
@@ -78,30 +80,30 @@
 	return ln.Addr(), nil
 }
 
-// Count gives what was counted.
-func (s *Server) Count() Counts {
-	c := s.Counts
-	c.Connections, c.PartialRefused = s.crowd.Counts, s.budget.Refused
+// Counts gives what was counted.
+func (s *Server) Counts() Counts {
+	c := s.counts
+	c.Connections, c.PartialMessagesRefused = s.crowd.Counts, s.budget.RejectedStreams
 	return c
 }
 
-// Conns counts open connections.
-func (s *Server) Conns() int { return len(s.conns) }
+// ConnCount counts open connections.
+func (s *Server) ConnCount() int { return len(s.conns) }
 
 // Drain closes the listener: no new connections, no new streams on those there are.
 func (s *Server) Drain() {
 	s.leaving = true
 	s.ln.Close()
 	for c := range s.conns {
-		c.h.Each(func(st *h2.Stream) {
-			if a, ok := st.Tag.(*aside); ok { // what only watches must not keep us
+		c.h.ForEachStream(func(st *h2.Stream) {
+			if a, ok := st.UserData.(*aside); ok { // what only watches must not keep us
 				if a.path == healthWatch {
 					send(st, &grpc_health_v1.HealthCheckResponse{Status: grpc_health_v1.HealthCheckResponse_NOT_SERVING})
 				}
-				st.End(codes.Unavailable, "dispatcher leaves")
+				st.EndWithStatus(codes.Unavailable, "dispatcher leaves")
 			}
 		})
-		c.h.Leave()
+		c.h.StartDrain()
 		c.touch()
 	}
 }
@@ -115,10 +117,10 @@
 	s.dirty = s.dirty[:0]
 }
 
-// Idle tells that no connection has output waiting.
-func (s *Server) Idle() bool {
+// IsIdle tells that no connection has output waiting.
+func (s *Server) IsIdle() bool {
 	for c := range s.conns {
-		if c.h.Open() > 0 || c.lc.Queued() > 0 {
+		if c.h.OpenStreamCount() > 0 || c.lc.QueuedBytes() > 0 {
 			return false
 		}
 	}
@@ -126,14 +128,14 @@
 }
 
 func (s *Server) accept(lc *eventloop.Conn, from netip.AddrPort) eventloop.Handler {
-	source := connlimit.Cut(from.Addr().As16())
-	if s.crowd.Opened(s.l.Now(), source) != connlimit.Accepted {
+	source := connlimit.SourceOf(from.Addr().As16())
+	if s.crowd.Accept(s.l.Now(), source) != connlimit.Accepted {
 		return nil
 	}
 	c := &conn{s: s, lc: lc, from: source}
-	c.h = h2.NewServer(s.lim, c)
-	c.h.SetBudget(s.budget)
-	lc.Bound(s.output)
+	c.h = h2.NewServerConn(s.lim, c)
+	c.h.SetPartialMessageBudget(s.budget)
+	lc.SetOutputLimit(s.output)
 	s.conns[c] = struct{}{}
 	return c
 }
@@ -158,56 +160,56 @@
 }
 
 func (c *conn) Opened(now eventloop.Nanos) {
-	c.s.l.At(&c.greet, now+greetWithin, func(eventloop.Nanos) { c.lc.Close() })
+	c.s.l.SetTimer(&c.greet, now+greetWithin, func(eventloop.Nanos) { c.lc.Close() })
 	c.touch()
 }
 
-func (c *conn) Data(now eventloop.Nanos, p []byte) {
+func (c *conn) Received(now eventloop.Nanos, p []byte) {
 	c.now = now
 	if !c.heard {
 		c.heard = true
-		c.s.l.Cancel(&c.greet)
+		c.s.l.CancelTimer(&c.greet)
 	}
 	c.h.Feed(now, p)
 	c.touch()
 }
 
-func (c *conn) PeerDone(eventloop.Nanos) { c.lc.Close() } // HTTP/2 has no use for half a connection
+func (c *conn) PeerHalfClosed(eventloop.Nanos) { c.lc.Close() } // HTTP/2 has no use for half a connection
 
-func (c *conn) Drained(now eventloop.Nanos) {
+func (c *conn) OutputFlushed(now eventloop.Nanos) {
 	c.now = now
-	c.h.Congested(false)
+	c.h.SetOutputPaused(false)
 	c.flush()
 	if c.s.leaving { // this may have been the last that we waited for
-		c.s.l.Again()
+		c.s.l.SkipNextWait()
 	}
 }
 
 func (c *conn) Closed(now eventloop.Nanos, err error) {
 	c.now = now
-	if errors.Is(err, eventloop.ErrOutputBound) {
-		c.s.Counts.Overflows++
+	if errors.Is(err, eventloop.ErrOutputLimit) {
+		c.s.counts.OutputOverflows++
 	}
-	c.s.l.Cancel(&c.greet)
-	c.h.Lost()
+	c.s.l.CancelTimer(&c.greet)
+	c.h.TransportClosed()
 	delete(c.s.conns, c)
 	c.s.crowd.Closed(now, c.from)
 }
 
 func (c *conn) flush() {
-	if c.h.Waiting() {
-		c.lc.Write(c.h.Take())
+	if c.h.HasOutput() {
+		c.lc.Write(c.h.TakeOutput())
 	}
-	if c.h.Over() != nil {
-		c.lc.CloseSoon()
-	} else if c.lc.Queued() > busyOutput {
-		c.h.Congested(true)
+	if c.h.Err() != nil {
+		c.lc.CloseAfterFlush()
+	} else if c.lc.QueuedBytes() > busyOutput {
+		c.h.SetOutputPaused(true)
 	}
 }
 
 // ---- What HTTP/2 tells.
 
-func (c *conn) Headers(s *h2.Stream, h *h2.Header) {
+func (c *conn) HeadersReceived(s *h2.Stream, h *h2.Header) {
 	path := h.Get(":path")
 	if path != generate {
 		c.aside(s, path)
@@ -221,12 +223,12 @@
 			return
 		}
 		if call.timeout = t; t == 0 {
-			s.End(codes.DeadlineExceeded, "the call's time is up")
+			s.EndWithStatus(codes.DeadlineExceeded, "the call's time is up")
 			return
 		}
 	}
 	if v := h.Get("grpc-encoding"); v != "" && v != "identity" {
-		s.End(codes.Unimplemented, "grpc-encoding "+v+": this server takes none but identity")
+		s.EndWithStatus(codes.Unimplemented, "grpc-encoding "+v+": this server takes none but identity")
 		return
 	}
 	if v := h.Get("grpc-previous-rpc-attempts"); v != "" {
@@ -245,12 +247,12 @@
 	call.background = h.Get(backgroundHeader) != ""
 	call.trace = h.Get("traceparent")
 	call.came = c.now
-	s.Tag = call
+	s.UserData = call
 }
 
 // waiting is a call whose message has not come yet.
 type waiting struct {
-	call            Call
+	call            responseWriter
 	timeout, repeat int64
 	came            eventloop.Nanos
 	trace           string
@@ -259,12 +261,12 @@
 }
 
 func (c *conn) bad(s *h2.Stream, err error) {
-	c.s.Counts.Bad++
-	s.End(codes.InvalidArgument, err.Error())
+	c.s.counts.InvalidCalls++
+	s.EndWithStatus(codes.InvalidArgument, err.Error())
 }
 
-func (c *conn) Message(s *h2.Stream, p []byte) bool {
-	switch tag := s.Tag.(type) {
+func (c *conn) MessageReceived(s *h2.Stream, p []byte) bool {
+	switch tag := s.UserData.(type) {
 	case *aside:
 		tag.message(c, s, p)
 	case *waiting:
@@ -273,82 +275,82 @@
 			c.bad(s, err)
 			return false
 		}
-		r.Timeout, r.Repeat, r.Trace, r.Ticket, r.Background, r.Source = tag.timeout, tag.repeat, tag.trace, tag.ticket, tag.background, c.from
-		if r.Timeout > 0 {
-			r.Timeout = max(1, r.Timeout-(c.now-tag.came))
+		r.CallTimeout, r.PreviousAttempts, r.TraceParent, r.Ticket, r.Background, r.Source = tag.timeout, tag.repeat, tag.trace, tag.ticket, tag.background, c.from
+		if r.CallTimeout > 0 {
+			r.CallTimeout = max(1, r.CallTimeout-(c.now-tag.came))
 		}
-		s.Tag = nil
-		c.s.Counts.Calls++
-		tag.call = Call{c, s}
-		id, err := c.s.core.Arrive(c.now, &tag.call, r)
-		var no frontend.Refusal
+		s.UserData = nil
+		c.s.counts.Calls++
+		tag.call = responseWriter{c, s}
+		id, err := c.s.dispatcher.Submit(c.now, &tag.call, r)
+		var no frontend.RejectionError
 		switch {
 		case err == nil:
-			s.Ref = uint64(id)
+			s.UserID = uint64(id)
 		case errors.As(err, &no):
 			tag.call.Reject(0, no)
 		default:
 			c.bad(s, err)
 		}
 	default:
-		if s.Ref != 0 {
-			id := policy.RequestID(s.Ref)
+		if s.UserID != 0 {
+			id := policy.RequestID(s.UserID)
 			c.bad(s, errors.New("a second message: Generate takes one"))
-			c.s.core.ClientLeft(c.now, id)
+			c.s.dispatcher.ClientDisconnected(c.now, id)
 		}
 	}
 	return false
 }
 
-func (c *conn) Finished(*h2.Stream, codes.Code, string, *h2.Header) {}
+func (c *conn) StreamFinished(*h2.Stream, codes.Code, string, *h2.Header) {}
 
-func (c *conn) Reset(s *h2.Stream, _ http2.ErrCode, _ bool) {
-	if id := policy.RequestID(s.Ref); id != 0 {
-		s.Ref = 0
-		c.s.core.ClientLeft(c.now, id)
+func (c *conn) StreamReset(s *h2.Stream, _ http2.ErrCode, _ bool) {
+	if id := policy.RequestID(s.UserID); id != 0 {
+		s.UserID = 0
+		c.s.dispatcher.ClientDisconnected(c.now, id)
 	}
 }
 
-func (c *conn) Room(s *h2.Stream) {
-	if s.Ref != 0 {
-		c.s.core.Room(c.now, policy.RequestID(s.Ref))
+func (c *conn) StreamFlushed(s *h2.Stream) {
+	if s.UserID != 0 {
+		c.s.dispatcher.ClientWritable(c.now, policy.RequestID(s.UserID))
 	}
 }
 
-func (c *conn) GoingAway() {}
-func (c *conn) Pong()      {}
+func (c *conn) GoAwayReceived() {}
+func (c *conn) PingAcked()      {}
 
-// Call is the client's end of a request.
-type Call struct {
+// responseWriter is the client's end of a request.
+type responseWriter struct {
 	c *conn
 	s *h2.Stream
 }
 
-// Tokens relays one message. True says that it waits for the client: the engine is to be held back until the
+// WriteTokens relays one message. True says that it waits for the client: the engine is to be held back until the
 // core's Room.
-func (a *Call) Tokens(id policy.RequestID, p []byte) (waits bool) {
-	if !a.s.Headed() {
-		a.s.SendHeaders(hpack.HeaderField{Name: "docksail-job", Value: a.c.s.core.Name(id)})
+func (a *responseWriter) WriteTokens(id policy.RequestID, p []byte) (waits bool) {
+	if !a.s.HeadersSent() {
+		a.s.SendHeaders(hpack.HeaderField{Name: "docksail-job", Value: a.c.s.dispatcher.RequestName(id)})
 	}
-	a.s.Send(p, false)
+	a.s.SendMessage(p, false)
 	a.c.touch()
-	return a.s.Pending() > 0
+	return a.s.PendingBytes() > 0
 }
 
-// Served ends the call with OK.
-func (a *Call) Served(id policy.RequestID) { a.end(id, codes.OK, "") }
+// Complete ends the call with OK.
+func (a *responseWriter) Complete(id policy.RequestID) { a.end(id, codes.OK, "") }
 
 // Fail ends the call with ABORTED: nothing is promised.
-func (a *Call) Fail(id policy.RequestID, why string) {
+func (a *responseWriter) Fail(id policy.RequestID, why string) {
 	a.end(id, codes.Aborted, "abandoned: "+why, hpack.HeaderField{Name: "grpc-retry-pushback-ms", Value: "-1"})
 }
 
 // Reject ends the call with UNAVAILABLE, or RESOURCE_EXHAUSTED where a limit of the caller's own was met: trying again
 // is harmless, best after so many nanoseconds.
-func (a *Call) Reject(id policy.RequestID, no frontend.Refusal) {
+func (a *responseWriter) Reject(id policy.RequestID, no frontend.RejectionError) {
 	ms := (no.RetryAfter + 1e6 - 1) / 1e6
 	why, code := "nacked: "+no.Reason, codes.Unavailable
-	if no.TenantLimit {
+	if no.TenantLimitExceeded {
 		code = codes.ResourceExhausted
 	}
 	extra := []hpack.HeaderField{
@@ -366,11 +368,11 @@
 	backgroundHeader = "docksail-background" // any value: the request fills what is idle and yields to all others
 )
 
-func (a *Call) end(id policy.RequestID, code codes.Code, why string, extra ...hpack.HeaderField) {
-	if id != 0 && !a.s.Headed() {
-		extra = append(extra, hpack.HeaderField{Name: "docksail-job", Value: a.c.s.core.Name(id)})
+func (a *responseWriter) end(id policy.RequestID, code codes.Code, why string, extra ...hpack.HeaderField) {
+	if id != 0 && !a.s.HeadersSent() {
+		extra = append(extra, hpack.HeaderField{Name: "docksail-job", Value: a.c.s.dispatcher.RequestName(id)})
 	}
-	a.s.End(code, why, extra...)
+	a.s.EndWithStatus(code, why, extra...)
 	a.c.touch()
 }
 
--- a/internal/frontend/grpc/request.go
+++ b/internal/frontend/grpc/request.go
@@ -30,19 +30,19 @@
 		case 4:
 			to = &r.Prefix
 		case 5:
-			val = &r.Prompt
+			val = &r.PromptTokens
 		case 6:
-			val = &r.Shared
+			val = &r.PrefixTokens
 		case 7:
 			val = &r.MaxTokens
 		case 8:
-			to = &r.Label
+			to = &r.IdempotencyKey
 		case 12:
 			to = &r.Client
 		case 9:
-			val, most = &r.WaitLimit, 1<<62
+			val, most = &r.FirstTokenTimeout, 1<<62
 		case 10:
-			val, most = &r.Hint, 1<<62
+			val, most = &r.LengthHint, 1<<62
 		}
 		switch {
 		case to != nil && typ == protowire.BytesType:
@@ -73,8 +73,8 @@
 			p = p[n:]
 		}
 	}
-	if r.Shared > r.Prompt {
-		return fmt.Errorf("beginning_tokens is %d, want at most prompt_tokens, %d", r.Shared, r.Prompt)
+	if r.PrefixTokens > r.PromptTokens {
+		return fmt.Errorf("beginning_tokens is %d, want at most prompt_tokens, %d", r.PrefixTokens, r.PromptTokens)
 	}
 	return nil
 }
--- a/internal/frontend/platform/answer.go
+++ b/internal/frontend/platform/answer.go
@@ -12,14 +12,14 @@
 
 // refuse answers a request that cannot be taken, whatever still comes of it, and ends the connection.
 func (c *conn) refuse(status int, why string) {
-	c.server.Counts.Bad++
+	c.server.Counts.InvalidRequests++
 	c.closeAfter = true
 	c.answer(status, 0, why)
 }
 
 // answer gives an answer that is no stream; after is when to come back, 0 = not told.
 func (c *conn) answer(status int, after eventloop.Nanos, why string) {
-	c.server.Counts.Answers[status/100]++
+	c.server.Counts.ResponsesByStatusClass[status/100]++
 	c.closeAfter = c.closeAfter || c.isLastAnswer()
 	b := append(c.server.scratch[:0], "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(status), 10)
@@ -63,23 +63,23 @@
 	}
 	c.dropBody()
 	c.headSent = false
-	if c.answerDone(); c.stage == clientconn.Lingering {
+	if c.answerDone(); c.stage == clientconn.StateLingering {
 		return
 	}
 	if !c.requestOpen { // what has come meanwhile
-		c.conn.Pause(false)
+		c.conn.SetReadPaused(false)
 		c.parse(nil)
 	}
 }
 
-// Tokens implements front.Call.
-func (c *conn) Tokens(_ policy.RequestID, p []byte) bool {
+// WriteTokens implements front.Call.
+func (c *conn) WriteTokens(_ policy.RequestID, p []byte) bool {
 	if c.gone {
 		return false
 	}
 	if !c.headSent {
 		c.headSent = true
-		c.server.Counts.Answers[2]++
+		c.server.Counts.ResponsesByStatusClass[2]++
 		c.closeAfter = c.closeAfter || c.isLastAnswer()
 		c.conn.Write([]byte("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nCache-Control: no-cache\r\n"))
 		if c.closeAfter {
@@ -91,11 +91,11 @@
 	b = append(append(append(b, "\r\n"...), p...), "\r\n"...)
 	c.server.scratch = b
 	c.conn.Write(b)
-	return c.conn.Queued() > outputBusy
+	return c.conn.QueuedBytes() > outputBusy
 }
 
-// Served implements front.Call.
-func (c *conn) Served(policy.RequestID) {
+// Complete implements front.Call.
+func (c *conn) Complete(policy.RequestID) {
 	if c.gone {
 		return
 	}
@@ -108,7 +108,7 @@
 	switch {
 	case c.gone:
 	case c.headSent:
-		c.server.Counts.CutOff++
+		c.server.Counts.StreamsTruncated++
 		c.closeAfter = true
 		c.endAnswer()
 	default:
@@ -117,7 +117,7 @@
 }
 
 // Reject implements front.Call.
-func (c *conn) Reject(_ policy.RequestID, no frontend.Refusal) {
+func (c *conn) Reject(_ policy.RequestID, no frontend.RejectionError) {
 	if !c.gone {
 		c.answer(503, no.RetryAfter, no.Reason)
 	}
--- a/internal/frontend/platform/request.go
+++ b/internal/frontend/platform/request.go
@@ -274,13 +274,13 @@
 	}
 	*r = frontend.Request{
 		Raw: raw, ClientID: a.id, Path: a.path, Header: a.fields, Class: a.class, Tenant: a.tenant, Session: a.session, Prefix: a.prefix,
-		Prompt: a.promptTokens, Shared: a.prefixTokens, MaxTokens: a.maxTokens, Hint: a.hint, WaitLimit: max(a.remaining-age, 1),
+		PromptTokens: a.promptTokens, PrefixTokens: a.prefixTokens, MaxTokens: a.maxTokens, LengthHint: a.hint, FirstTokenTimeout: max(a.remaining-age, 1),
 	}
 	if a.resent {
-		r.Repeat = 1
+		r.PreviousAttempts = 1
 	}
-	if r.Prompt == 0 {
-		r.Prompt = int64(len(raw)) / tokenBytes
+	if r.PromptTokens == 0 {
+		r.PromptTokens = int64(len(raw)) / tokenBytes
 	}
 	return nil
 }
--- a/internal/frontend/platform/server.go
+++ b/internal/frontend/platform/server.go
@@ -29,40 +29,40 @@
 
 // Counts are what the front counted since its start.
 type Counts struct {
-	Requests, Bad, DuplicateIDs, Crowded, ClosedUnread, Overflows, CutOff uint64
-	Answers                                                               [6]uint64 // by the first digit of their status
+	Requests, InvalidRequests, DuplicateIDs, ConnectionLimitHits, ConnectionsRefused, OutputOverflows, StreamsTruncated uint64
+	ResponsesByStatusClass                                                                                              [6]uint64 // by the first digit of their status
 }
 
 // Server accepts clients on a loop.
 type Server struct {
 	Counts Counts
 
-	loop      *eventloop.Loop
-	core      frontend.Core
-	log       *slog.Logger
-	maxConns  int   // connections
-	bodies    int64 // bytes of requests that have come in part, over all connections
-	partial   int64
-	ready     func() bool
-	listener  *eventloop.Listener
-	phase     phase
-	phaseEnds eventloop.Timer
-	conns     int
-	number    uint64                     // of the last connection
-	byStage   [3]indexedheap.Heap[*conn] // silent or in part, resting, over: by since when
-	byRequest map[string]struct{}        // names of the requests in hand
-	req       frontend.Request
-	bodyPool  [][]byte // room for bodies
-	scratch   []byte
+	loop       *eventloop.Loop
+	dispatcher frontend.Dispatcher
+	log        *slog.Logger
+	maxConns   int   // connections
+	bodies     int64 // bytes of requests that have come in part, over all connections
+	partial    int64
+	ready      func() bool
+	listener   *eventloop.Listener
+	phase      phase
+	phaseEnds  eventloop.Timer
+	conns      int
+	number     uint64                     // of the last connection
+	byStage    [3]indexedheap.Heap[*conn] // silent or in part, resting, over: by since when
+	byRequest  map[string]struct{}        // names of the requests in hand
+	req        frontend.Request
+	bodyPool   [][]byte // room for bodies
+	scratch    []byte
 }
 
 // New makes a front for at most so many connections and bytes of requests in part; it opens with Listen. ready tells
 // whether the dispatcher can take requests.
-func New(l *eventloop.Loop, core frontend.Core, log *slog.Logger, most int, bodies int64, ready func() bool) *Server {
-	s := &Server{loop: l, core: core, log: log, maxConns: most, bodies: bodies, ready: ready, byRequest: make(map[string]struct{})}
+func New(l *eventloop.Loop, core frontend.Dispatcher, log *slog.Logger, most int, bodies int64, ready func() bool) *Server {
+	s := &Server{loop: l, dispatcher: core, log: log, maxConns: most, bodies: bodies, ready: ready, byRequest: make(map[string]struct{})}
 	for i := range s.byStage {
 		s.byStage[i] = indexedheap.Heap[*conn]{
-			Place: func(c *conn) *int { return &c.heapIndex },
+			Index: func(c *conn) *int { return &c.heapIndex },
 			Less: func(a, b *conn) bool {
 				return a.stageSince < b.stageSince || a.stageSince == b.stageSince && a.number < b.number
 			},
@@ -81,63 +81,63 @@
 	return ln.Addr(), nil
 }
 
-// Hold has clients that connect wait, or takes them again.
-func (s *Server) Hold(yes bool) { s.listener.Hold(yes) }
+// PauseAccepting has clients that connect wait, or takes them again.
+func (s *Server) PauseAccepting(yes bool) { s.listener.SetAcceptPaused(yes) }
 
-// Flush implements dispatch.Entry; what is written is queued already.
+// Flush implements dispatch.Frontend; what is written is queued already.
 func (s *Server) Flush() {}
 
-// Conns counts open connections.
-func (s *Server) Conns() int { return s.conns }
+// ConnCount counts open connections.
+func (s *Server) ConnCount() int { return s.conns }
 
 // pipelinedWaiting is how many bytes have come behind the request that is or was in hand.
 func (c *conn) pipelinedWaiting() int {
 	if c.requestOpen {
 		return c.pipelinedBytes
 	}
-	return c.feed.Waiting()
+	return c.feed.Len()
 }
 
 // answerDone has the connection stand for what follows when no request of it is in hand.
 func (c *conn) answerDone() {
 	closed := c.server.phase >= closed
-	unread := closed && (c.pipelinedWaiting() > 0 || !c.conn.Quiet())
-	stage := clientconn.NextStage(c.closeAfter, closed, unread)
+	unread := closed && (c.pipelinedWaiting() > 0 || !c.conn.InputEmpty())
+	stage := clientconn.NextState(c.closeAfter, closed, unread)
 	c.setStage(stage)
-	if stage == clientconn.Lingering {
-		c.conn.EndOutput()
-		c.conn.Pause(false)
+	if stage == clientconn.StateLingering {
+		c.conn.CloseWriteAfterFlush()
+		c.conn.SetReadPaused(false)
 	}
 }
 
 func (s *Server) accept(lc *eventloop.Conn, _ netip.AddrPort) eventloop.Handler {
 	if s.conns >= s.maxConns && !s.makeRoom() {
-		s.Counts.ClosedUnread++
+		s.Counts.ConnectionsRefused++
 		return nil
 	}
 	s.conns++
 	s.number++
-	c := &conn{server: s, conn: lc, decoder: h1.NewServer(h1.Limits{Head: headMost, Body: bodyMost}), number: s.number}
+	c := &conn{server: s, conn: lc, decoder: h1.NewRequestDecoder(h1.Limits{HeadBytes: headMost, BodyBytes: bodyMost}), number: s.number}
 	c.onTimer = c.timerDue
-	lc.Bound(outputMost)
-	lc.EndFirst()
+	lc.SetOutputLimit(outputMost)
+	lc.NotifyHalfCloseWhilePaused()
 	return c
 }
 
 // makeRoom ends a connection for a new one, if there is one to end.
 func (s *Server) makeRoom() bool {
-	s.Counts.Crowded++
+	s.Counts.ConnectionLimitHits++
 	silent, resting := s.firstQuiet(&s.byStage[0]), s.firstQuiet(&s.byStage[1])
 	var c *conn
-	switch clientconn.Crowded(s.loop.Now(), silent.inStageSince(), resting.inStageSince()) {
-	case clientconn.FirstSilent:
+	switch clientconn.ChooseEviction(s.loop.Now(), silent.inStageSince(), resting.inStageSince()) {
+	case clientconn.EvictOldestIncomplete:
 		c = silent
-	case clientconn.FirstResting:
+	case clientconn.EvictOldestIdle:
 		c = resting
 	default:
 		return false
 	}
-	s.heap(c.stage).Take(c)
+	s.heap(c.stage).Remove(c)
 	c.conn.Close()
 	return true
 }
@@ -145,19 +145,19 @@
 // firstQuiet gives the connection of a kind that has stood longest, passing over those with bytes that are not read or an
 // answer that is not taken yet: to close one would reset it. nil if there is none among the first few.
 func (s *Server) firstQuiet(stage *indexedheap.Heap[*conn]) (found *conn) {
-	var passed [clientconn.CrowdTries]*conn
+	var passed [clientconn.MaxEvictionCandidates]*conn
 	n := 0
-	for ; n < clientconn.CrowdTries && stage.Len() > 0 && found == nil; n++ {
+	for ; n < clientconn.MaxEvictionCandidates && stage.Len() > 0 && found == nil; n++ {
 		c := stage.Min()
-		if c.conn.Quiet() && c.conn.Queued() == 0 {
+		if c.conn.InputEmpty() && c.conn.QueuedBytes() == 0 {
 			found = c
 			break
 		}
-		stage.Take(c)
+		stage.Remove(c)
 		passed[n] = c
 	}
 	for _, c := range passed[:n] {
-		stage.Put(c)
+		stage.PushOrFix(c)
 	}
 	return found
 }
@@ -175,9 +175,9 @@
 	server         *Server
 	conn           *eventloop.Conn
 	decoder        h1.Decoder
-	feed           h1.Feeder
+	feed           h1.InputBuffer
 	number         uint64
-	stage          clientconn.Stage
+	stage          clientconn.ConnState
 	stageSince     eventloop.Nanos // it has stood so
 	requestSince   eventloop.Nanos // the first byte of the request under way, or of what waits behind the one in hand
 	unsent         int             // bytes of the last answer that waited when it was looked at last ...
@@ -199,36 +199,36 @@
 }
 
 // heap in which a connection of a stage stands; nil = none.
-func (s *Server) heap(stage clientconn.Stage) *indexedheap.Heap[*conn] {
+func (s *Server) heap(stage clientconn.ConnState) *indexedheap.Heap[*conn] {
 	switch stage {
-	case clientconn.Silent, clientconn.Partial:
+	case clientconn.StateNew, clientconn.StateReadingRequest:
 		return &s.byStage[0]
-	case clientconn.Resting:
+	case clientconn.StateIdle:
 		return &s.byStage[1]
-	case clientconn.Lingering:
+	case clientconn.StateLingering:
 		return &s.byStage[2]
 	}
 	return nil
 }
 
 // setStage takes down what the connection is about from now on: the turn's time, as it may be a server that brought it about.
-func (c *conn) setStage(stage clientconn.Stage) {
+func (c *conn) setStage(stage clientconn.ConnState) {
 	c.now = c.server.loop.Now()
 	if h := c.server.heap(c.stage); h != nil && c.heapIndex > 0 {
-		h.Take(c)
+		h.Remove(c)
 	}
-	if c.stage != clientconn.Silent || stage != clientconn.Partial { // a first request counts from when its client connected
+	if c.stage != clientconn.StateNew || stage != clientconn.StateReadingRequest { // a first request counts from when its client connected
 		c.stageSince = c.now
 	}
 	c.stage = stage
-	c.unsent, c.readAt = c.conn.Queued(), c.now
+	c.unsent, c.readAt = c.conn.QueuedBytes(), c.now
 	if h := c.server.heap(stage); h != nil {
-		h.Put(c)
+		h.PushOrFix(c)
 	}
-	if at := clientconn.StageEnds(stage, c.stageSince); at > 0 {
-		c.server.loop.At(&c.timer, max(at, c.now+1), c.onTimer)
+	if at := clientconn.StateDeadline(stage, c.stageSince); at > 0 {
+		c.server.loop.SetTimer(&c.timer, max(at, c.now+1), c.onTimer)
 	} else {
-		c.server.loop.Cancel(&c.timer)
+		c.server.loop.CancelTimer(&c.timer)
 	}
 }
 
@@ -236,15 +236,15 @@
 func (c *conn) timerDue(now eventloop.Nanos) {
 	c.now = now
 	switch {
-	case c.stage == clientconn.Partial:
+	case c.stage == clientconn.StateReadingRequest:
 		c.refuse(408, "the request did not come in time")
-	case c.stage == clientconn.Resting:
+	case c.stage == clientconn.StateIdle:
 		c.closeAfter = true
 		c.answerDone()
-	case c.stage == clientconn.Silent && !c.conn.Quiet():
-		c.server.loop.At(&c.timer, now+clientconn.UnreadAgain, c.onTimer)
-	case c.stage == clientconn.Lingering && c.lingers():
-		c.server.loop.At(&c.timer, clientconn.StageEnds(clientconn.Lingering, now), c.onTimer)
+	case c.stage == clientconn.StateNew && !c.conn.InputEmpty():
+		c.server.loop.SetTimer(&c.timer, now+clientconn.UnreadRecheckDelay, c.onTimer)
+	case c.stage == clientconn.StateLingering && c.lingers():
+		c.server.loop.SetTimer(&c.timer, clientconn.StateDeadline(clientconn.StateLingering, now), c.onTimer)
 	default:
 		c.conn.Close()
 	}
@@ -252,66 +252,66 @@
 
 // lingers tells that the client still takes its last answer.
 func (c *conn) lingers() bool {
-	waiting := c.conn.Queued()
+	waiting := c.conn.QueuedBytes()
 	if waiting < c.unsent {
 		c.unsent, c.readAt = waiting, c.now
 	}
-	return clientconn.KeepLingering(c.now, c.stageSince, c.readAt, waiting)
+	return clientconn.MayKeepLingering(c.now, c.stageSince, c.readAt, waiting)
 }
 
 func (c *conn) Opened(now eventloop.Nanos) {
 	c.now = now
-	c.setStage(clientconn.Silent)
+	c.setStage(clientconn.StateNew)
 }
 
-func (c *conn) Data(now eventloop.Nanos, p []byte) {
+func (c *conn) Received(now eventloop.Nanos, p []byte) {
 	c.now = now
-	if c.stage == clientconn.Lingering {
-		if c.discarded += int64(len(p)); c.discarded > clientconn.Discard {
+	if c.stage == clientconn.StateLingering {
+		if c.discarded += int64(len(p)); c.discarded > clientconn.MaxDiscardBytes {
 			c.conn.Close()
 		}
 		return
 	}
-	if c.stage != clientconn.Partial && c.feed.Waiting() == 0 {
+	if c.stage != clientconn.StateReadingRequest && c.feed.Len() == 0 {
 		c.requestSince = now
 	}
-	if c.stage == clientconn.Busy && c.feed.Waiting()+len(p) > pipelined {
-		c.conn.Pause(true)
+	if c.stage == clientconn.StateActive && c.feed.Len()+len(p) > pipelined {
+		c.conn.SetReadPaused(true)
 	}
 	c.parse(p)
 }
 
 func (c *conn) parse(p []byte) {
 	c.requestOpen = true
-	c.feed.Feed(p, c.takeRequests)
+	c.feed.Process(p, c.takeRequests)
 	c.requestOpen = false
 }
 
 // takeRequests takes requests from the front of p as long as none is in hand.
 func (c *conn) takeRequests(p []byte) (n int) {
-	for !c.gone && c.stage != clientconn.Busy {
-		if c.stage == clientconn.Lingering {
+	for !c.gone && c.stage != clientconn.StateActive {
+		if c.stage == clientconn.StateLingering {
 			return len(p)
 		}
-		if n < len(p) && c.decoder.Between() && c.stage != clientconn.Partial {
-			c.setStage(clientconn.Partial)
+		if n < len(p) && c.decoder.AtMessageStart() && c.stage != clientconn.StateReadingRequest {
+			c.setStage(clientconn.StateReadingRequest)
 		}
 		piece, data, k, err := c.decoder.Next(p[n:])
 		n += k
 		switch {
-		case errors.Is(err, h1.ErrHead):
+		case errors.Is(err, h1.ErrHeadTooLarge):
 			c.refuse(431, err.Error())
-		case errors.Is(err, h1.ErrTooLarge):
+		case errors.Is(err, h1.ErrBodyTooLarge):
 			c.refuse(413, err.Error())
 		case err != nil:
 			c.refuse(400, err.Error())
-		case piece == h1.None:
+		case piece == h1.NeedData:
 			return n
-		case piece == h1.Start:
+		case piece == h1.MessageHead:
 			c.requestHead()
-		case piece == h1.Data:
+		case piece == h1.BodyData:
 			c.addBody(data)
-		case piece == h1.Whole:
+		case piece == h1.MessageEnd:
 			c.pipelinedBytes = len(p) - n
 			c.requestComplete()
 		}
@@ -349,7 +349,7 @@
 	target, _, _ := cut(h.Target, '?')
 	switch {
 	case string(target) == pathReady || string(target) == pathHealthy:
-		if string(h.Method) != "GET" || h.Length > 0 || h.Chunked {
+		if string(h.Method) != "GET" || h.ContentLength > 0 || h.Chunked {
 			c.refuse(405, "want GET without a body")
 			return
 		}
@@ -361,16 +361,16 @@
 		c.refuse(404, "no such path")
 	case string(h.Method) != "POST":
 		c.refuse(405, "want POST")
-	case h.Old:
+	case h.HTTP10:
 		c.refuse(505, "want HTTP/1.1")
-	case h.Length < 0 && !h.Chunked:
+	case h.ContentLength < 0 && !h.Chunked:
 		c.refuse(411, "want Content-Length")
 	default:
 		if err := c.parsed.head(h); err != nil {
 			c.refuse(400, err.Error())
 			return
 		}
-		if h.Expect {
+		if h.ExpectContinue {
 			c.conn.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 		}
 	}
@@ -397,15 +397,15 @@
 		return
 	}
 	c.server.Counts.Requests++
-	c.setStage(clientconn.Busy)
+	c.setStage(clientconn.StateActive)
 	if c.server.phase == refusing {
 		c.dropBody()
-		c.Reject(0, frontend.Refusal{Reason: "the dispatcher leaves"})
+		c.Reject(0, frontend.RejectionError{Reason: "the dispatcher leaves"})
 		return
 	}
-	id, err := c.server.core.Arrive(c.now, c, r)
+	id, err := c.server.dispatcher.Submit(c.now, c, r)
 	c.dropBody()
-	var no frontend.Refusal
+	var no frontend.RejectionError
 	switch {
 	case err == nil:
 		c.id = id
@@ -417,35 +417,35 @@
 	}
 }
 
-func (c *conn) PeerDone(now eventloop.Nanos) {
+func (c *conn) PeerHalfClosed(now eventloop.Nanos) {
 	c.now = now
 	c.conn.Close()
 }
 
-func (c *conn) Drained(now eventloop.Nanos) {
+func (c *conn) OutputFlushed(now eventloop.Nanos) {
 	c.now = now
 	if c.id != 0 {
-		c.server.core.Room(now, c.id)
+		c.server.dispatcher.ClientWritable(now, c.id)
 	}
 }
 
 func (c *conn) Closed(now eventloop.Nanos, err error) {
 	c.now, c.gone = now, true
-	if errors.Is(err, eventloop.ErrOutputBound) {
-		c.server.Counts.Overflows++
+	if errors.Is(err, eventloop.ErrOutputLimit) {
+		c.server.Counts.OutputOverflows++
 	}
 	if h := c.server.heap(c.stage); h != nil && c.heapIndex > 0 {
-		h.Take(c)
+		h.Remove(c)
 	}
-	c.server.loop.Cancel(&c.timer)
+	c.server.loop.CancelTimer(&c.timer)
 	c.dropBody()
 	c.server.conns--
 	if id := c.id; id != 0 {
 		c.forgetRequest()
-		c.server.core.ClientLeft(now, id)
+		c.server.dispatcher.ClientDisconnected(now, id)
 	}
 	if c.server.phase >= draining {
-		c.server.loop.Again()
+		c.server.loop.SkipNextWait()
 	}
 }
 
--- a/internal/frontend/platform/server_test.go
+++ b/internal/frontend/platform/server_test.go
@@ -18,15 +18,15 @@
 )
 
 // core takes every request and leaves its answer to the test.
-type core struct{ calls []frontend.Call }
+type core struct{ calls []frontend.ResponseWriter }
 
-func (k *core) Arrive(_ eventloop.Nanos, call frontend.Call, _ *frontend.Request) (policy.RequestID, error) {
+func (k *core) Submit(_ eventloop.Nanos, call frontend.ResponseWriter, _ *frontend.Request) (policy.RequestID, error) {
 	k.calls = append(k.calls, call)
 	return policy.RequestID(len(k.calls)), nil
 }
-func (*core) ClientLeft(eventloop.Nanos, policy.RequestID) {}
-func (*core) Room(eventloop.Nanos, policy.RequestID)       {}
-func (*core) Name(policy.RequestID) string                 { return "" }
+func (*core) ClientDisconnected(eventloop.Nanos, policy.RequestID) {}
+func (*core) ClientWritable(eventloop.Nanos, policy.RequestID)     {}
+func (*core) RequestName(policy.RequestID) string                  { return "" }
 
 // served is a Server on a loop of its own, before a core that the test plays.
 type served struct {
@@ -102,11 +102,11 @@
 	piece := make([]byte, 60<<10)
 	call := v.core.calls[0]
 	for queued := 0; queued == 0; {
-		v.on(func() { call.Tokens(1, piece) })
+		v.on(func() { call.WriteTokens(1, piece) })
 		length += len(piece)
-		v.on(func() { queued = call.(*conn).conn.Queued() })
+		v.on(func() { queued = call.(*conn).conn.QueuedBytes() })
 	}
-	v.on(func() { call.Served(1) })
+	v.on(func() { call.Complete(1) })
 	return length
 }
 
@@ -131,13 +131,13 @@
 	length := v.stuffed(c, "Connection: close\r\n")
 	call := v.core.calls[0].(*conn)
 	v.until("the connection's time is up", func() bool {
-		return call.gone || v.l.Now() > clientconn.StageEnds(clientconn.Lingering, call.stageSince)+100e6
+		return call.gone || v.l.Now() > clientconn.StateDeadline(clientconn.StateLingering, call.stageSince)+100e6
 	})
 	if got := wholeAnswer(t, c); got != length {
 		t.Errorf("%d bytes, want %d", got, length)
 	}
 	c.Close()
-	v.until("the connection goes", func() bool { return v.s.Conns() == 0 })
+	v.until("the connection goes", func() bool { return v.s.ConnCount() == 0 })
 }
 
 // In a crowd a connection at rest whose answer still waits for its client is not ended.
@@ -158,13 +158,13 @@
 func TestRequestAsSilenceEnds(t *testing.T) {
 	v := serve(t, 10)
 	c := v.client()
-	v.until("it is connected", func() bool { return v.s.Conns() == 1 })
+	v.until("it is connected", func() bool { return v.s.ConnCount() == 1 })
 	v.on(func() {
 		var first eventloop.Timer // fires in the same turn, before the connection's own
 		silent := v.s.byStage[0].Min()
-		v.l.At(&first, clientconn.StageEnds(clientconn.Silent, silent.stageSince)-1, func(eventloop.Nanos) { io.WriteString(c, request("")) })
+		v.l.SetTimer(&first, clientconn.StateDeadline(clientconn.StateNew, silent.stageSince)-1, func(eventloop.Nanos) { io.WriteString(c, request("")) })
 	})
-	v.until("the request", func() bool { return len(v.core.calls) == 1 || v.s.Conns() == 0 })
+	v.until("the request", func() bool { return len(v.core.calls) == 1 || v.s.ConnCount() == 0 })
 	if len(v.core.calls) != 1 {
 		t.Error("the connection was closed over it")
 	}
@@ -182,9 +182,9 @@
 	var came, now eventloop.Nanos
 	v.on(func() { came = v.l.Now() })
 	v.until("some time", func() bool { now = v.l.Now(); return now > came+50e6 })
-	v.on(func() { first.Reject(1, frontend.Refusal{}) })
+	v.on(func() { first.Reject(1, frontend.RejectionError{}) })
 	v.until("the second", func() bool { return len(v.core.calls) == 2 })
-	if left := v.s.req.WaitLimit; left > int64(5e9)-50e6 {
+	if left := v.s.req.FirstTokenTimeout; left > int64(5e9)-50e6 {
 		t.Errorf("%d ms left of 5 s after 50 ms", left/1e6)
 	}
 }
--- a/internal/frontend/platform/shutdown.go
+++ b/internal/frontend/platform/shutdown.go
@@ -15,25 +15,25 @@
 	refusing              // requests are refused: the process may be killed before it could answer them
 )
 
-// Drain implements dispatch.Entry: it has clients told to go elsewhere, and closes the listener after the time in which
+// Drain implements dispatch.Frontend: it has clients told to go elsewhere, and closes the listener after the time in which
 // new ones still come. It is called once.
 func (s *Server) Drain() {
 	s.phase = draining
-	s.loop.At(&s.phaseEnds, clientconn.CloseListenerAfter(s.loop.Now()), s.closeListener)
+	s.loop.SetTimer(&s.phaseEnds, clientconn.ListenerCloseTime(s.loop.Now()), s.closeListener)
 }
 
 // closeListener accepts whoever waits, then takes no new connections and ends those that rest.
 func (s *Server) closeListener(now eventloop.Nanos) {
-	s.listener.Finish()
+	s.listener.AcceptPendingAndClose()
 	s.phase = closed
 	s.endResting(now)
-	s.loop.At(&s.phaseEnds, clientconn.RefuseAfter(now), s.refuseRequests)
-	s.loop.Again()
+	s.loop.SetTimer(&s.phaseEnds, clientconn.RejectionStartTime(now), s.refuseRequests)
+	s.loop.SkipNextWait()
 }
 
 // endResting ends the connections between requests. One whose next request has come already has an answer first.
 func (s *Server) endResting(now eventloop.Nanos) {
-	resting := s.heap(clientconn.Resting)
+	resting := s.heap(clientconn.StateIdle)
 	for n := resting.Len(); n > 0; n-- {
 		c := resting.Min()
 		c.now = now
@@ -43,5 +43,5 @@
 
 func (s *Server) refuseRequests(eventloop.Nanos) { s.phase = refusing }
 
-// Idle implements dispatch.Entry: nobody is connected any more, and nobody can connect.
-func (s *Server) Idle() bool { return s.phase >= closed && s.conns == 0 }
+// IsIdle implements dispatch.Frontend: nobody is connected any more, and nobody can connect.
+func (s *Server) IsIdle() bool { return s.phase >= closed && s.conns == 0 }
--- a/internal/h1/decoder.go
+++ b/internal/h1/decoder.go
@@ -2,14 +2,14 @@
 
 import "bytes"
 
-// Piece is what a decoder found.
-type Piece uint8
+// Event is what a decoder found.
+type Event uint8
 
 const (
-	None  Piece = iota // more bytes are needed
-	Start              // a head: Decoder.Head holds it
-	Data               // a part of the body
-	Whole              // the message is at its end
+	NeedData    Event = iota // more bytes are needed
+	MessageHead              // a head: Decoder.Head holds it
+	BodyData                 // a part of the body
+	MessageEnd               // the message is at its end
 )
 
 type state uint8
@@ -38,119 +38,119 @@
 	odd     int // 1xx answers in front
 }
 
-// NewServer makes a decoder of requests, NewClient one of answers.
-func NewServer(lim Limits) Decoder { return Decoder{lim: lim, request: true} }
+// NewRequestDecoder makes a decoder of requests, NewResponseDecoder one of answers.
+func NewRequestDecoder(lim Limits) Decoder { return Decoder{lim: lim, request: true} }
 
-// NewClient makes a decoder of answers.
-func NewClient(lim Limits) Decoder { return Decoder{lim: lim} }
+// NewResponseDecoder makes a decoder of answers.
+func NewResponseDecoder(lim Limits) Decoder { return Decoder{lim: lim} }
 
-// Between tells that nothing of a message has been taken.
-func (d *Decoder) Between() bool { return d.state == inHead }
+// AtMessageStart tells that nothing of a message has been taken.
+func (d *Decoder) AtMessageStart() bool { return d.state == inHead }
 
 const mostOdd = 16 // 1xx answers that may come before one
 
 // Next takes the next piece from the front of p: n bytes of it are done with. data, and the Head's slices, point into
 // p. After an error the connection is of no more use.
-func (d *Decoder) Next(p []byte) (piece Piece, data []byte, n int, err error) {
+func (d *Decoder) Next(p []byte) (piece Event, data []byte, n int, err error) {
 	for {
 		switch d.state {
 		case inHead:
 			k, err := d.headEnd(p[n:])
 			if err != nil || k == 0 {
-				return None, nil, n, err
+				return NeedData, nil, n, err
 			}
 			if err := d.Head.parse(p[n:n+k], d.request); err != nil {
-				return None, nil, n, err
+				return NeedData, nil, n, err
 			}
 			n += k
-			if !d.request && d.Head.Status < 200 {
-				if d.odd++; d.odd > mostOdd || d.Head.Status == 101 {
-					return None, nil, n, bad("status %d", d.Head.Status)
+			if !d.request && d.Head.StatusCode < 200 {
+				if d.odd++; d.odd > mostOdd || d.Head.StatusCode == 101 {
+					return NeedData, nil, n, bad("status %d", d.Head.StatusCode)
 				}
 				continue
 			}
 			if err := d.begin(); err != nil {
-				return None, nil, n, err
+				return NeedData, nil, n, err
 			}
-			return Start, nil, n, nil
+			return MessageHead, nil, n, nil
 		case inLength:
 			k := int(min(int64(len(p)-n), d.left))
 			if k == 0 {
-				return None, nil, n, nil
+				return NeedData, nil, n, nil
 			}
 			if d.left -= int64(k); d.left == 0 {
 				d.state = atEnd
 			}
-			return Data, p[n : n+k], n + k, nil
+			return BodyData, p[n : n+k], n + k, nil
 		case untilEnd:
 			k := len(p) - n
-			if d.total += int64(k); d.lim.Body > 0 && d.total > d.lim.Body {
-				return None, nil, n, ErrTooLarge
+			if d.total += int64(k); d.lim.BodyBytes > 0 && d.total > d.lim.BodyBytes {
+				return NeedData, nil, n, ErrBodyTooLarge
 			}
 			if k == 0 {
-				return None, nil, n, nil
+				return NeedData, nil, n, nil
 			}
-			return Data, p[n:], len(p), nil
+			return BodyData, p[n:], len(p), nil
 		case inSize:
 			k, err := d.size(p[n:])
 			if err != nil || k == 0 {
-				return None, nil, n, err
+				return NeedData, nil, n, err
 			}
 			n += k
 		case inChunk:
 			rest := p[n:]
-			if d.lim.Chunk > 0 { // whole, so that what does not fit is known before any of it is given out
+			if d.lim.ChunkBytes > 0 { // whole, so that what does not fit is known before any of it is given out
 				if int64(len(rest)) < d.left+2 {
-					return None, nil, n, nil
+					return NeedData, nil, n, nil
 				}
 				if rest[d.left] != '\r' || rest[d.left+1] != '\n' {
-					return None, nil, n, bad("a chunk does not fit its size")
+					return NeedData, nil, n, bad("a chunk does not fit its size")
 				}
 				k := int(d.left)
 				d.state = inSize
-				return Data, rest[:k], n + k + 2, nil
+				return BodyData, rest[:k], n + k + 2, nil
 			}
 			k := int(min(int64(len(rest)), d.left))
 			if k == 0 {
-				return None, nil, n, nil
+				return NeedData, nil, n, nil
 			}
 			if d.left -= int64(k); d.left == 0 {
 				d.state = inChunkEnd
 			}
-			return Data, rest[:k], n + k, nil
+			return BodyData, rest[:k], n + k, nil
 		case inChunkEnd:
 			rest := p[n:]
 			if len(rest) > 0 && rest[0] != '\r' || len(rest) > 1 && rest[1] != '\n' {
-				return None, nil, n, bad("a chunk does not fit its size")
+				return NeedData, nil, n, bad("a chunk does not fit its size")
 			}
 			if len(rest) < 2 {
-				return None, nil, n, nil
+				return NeedData, nil, n, nil
 			}
 			d.state, n = inSize, n+2
 		case inTrailer:
 			k, err := d.trailerEnd(p[n:])
 			if err != nil || k == 0 {
-				return None, nil, n, err
+				return NeedData, nil, n, err
 			}
 			n += k
 			d.state = atEnd
 		case atEnd:
 			d.state, d.odd, d.total = inHead, 0, 0
-			return Whole, nil, n, nil
+			return MessageEnd, nil, n, nil
 		}
 	}
 }
 
-// End tells the decoder that no more bytes come: Whole if that is how the message ends.
-func (d *Decoder) End() (Piece, error) {
+// EndOfInput tells the decoder that no more bytes come: Whole if that is how the message ends.
+func (d *Decoder) EndOfInput() (Event, error) {
 	switch d.state {
 	case untilEnd:
 		d.state = inHead
-		return Whole, nil
+		return MessageEnd, nil
 	case inHead:
-		return None, nil
+		return NeedData, nil
 	}
-	return None, ErrEnded
+	return NeedData, ErrTruncated
 }
 
 // headEnd finds the end of a head; 0 while it has not come.
@@ -158,7 +158,7 @@
 	if len(p) > 0 && !d.request && !bytes.HasPrefix([]byte("HTTP/1."), p[:min(len(p), 7)]) {
 		return 0, bad("an answer begins with %.20q", p)
 	}
-	return blankLine(p, d.lim.Head)
+	return blankLine(p, d.lim.HeadBytes)
 }
 
 func blankLine(p []byte, most int) (int, error) {
@@ -167,7 +167,7 @@
 	case i >= 0 && i+4 <= most:
 		return i + 4, nil
 	case i >= 0 || len(p) > most:
-		return 0, ErrHead
+		return 0, ErrHeadTooLarge
 	}
 	return 0, nil
 }
@@ -180,7 +180,7 @@
 	if len(p) < 2 {
 		return 0, nil
 	}
-	k, err := blankLine(p, d.lim.Head)
+	k, err := blankLine(p, d.lim.HeadBytes)
 	if err != nil || k == 0 {
 		return 0, err
 	}
@@ -195,11 +195,11 @@
 	switch {
 	case h.Chunked:
 		d.state = inSize
-	case h.Length > 0 && !(h.Status == 204 || h.Status == 304):
-		if d.state, d.left = inLength, h.Length; d.lim.Body > 0 && h.Length > d.lim.Body {
-			return ErrTooLarge
+	case h.ContentLength > 0 && !(h.StatusCode == 204 || h.StatusCode == 304):
+		if d.state, d.left = inLength, h.ContentLength; d.lim.BodyBytes > 0 && h.ContentLength > d.lim.BodyBytes {
+			return ErrBodyTooLarge
 		}
-	case h.Length < 0 && !d.request && h.Status != 204 && h.Status != 304:
+	case h.ContentLength < 0 && !d.request && h.StatusCode != 204 && h.StatusCode != 304:
 		d.state, h.Close = untilEnd, true
 	default:
 		d.state = atEnd
@@ -241,8 +241,8 @@
 		}
 		n = n<<4 | x
 	}
-	if d.total += n; d.lim.Body > 0 && d.total > d.lim.Body || d.lim.Chunk > 0 && n > int64(d.lim.Chunk) {
-		return 0, ErrTooLarge
+	if d.total += n; d.lim.BodyBytes > 0 && d.total > d.lim.BodyBytes || d.lim.ChunkBytes > 0 && n > int64(d.lim.ChunkBytes) {
+		return 0, ErrBodyTooLarge
 	}
 	if d.state, d.left = inChunk, n; n == 0 {
 		d.state = inTrailer
@@ -262,15 +262,15 @@
 	return 0, false
 }
 
-// Feeder keeps what a decoder has not taken yet between one arrival of bytes and the next.
-type Feeder struct{ rest []byte }
+// InputBuffer keeps what a decoder has not taken yet between one arrival of bytes and the next.
+type InputBuffer struct{ rest []byte }
 
-// Waiting is how many bytes are kept.
-func (f *Feeder) Waiting() int { return len(f.rest) }
+// Len is how many bytes are kept.
+func (f *InputBuffer) Len() int { return len(f.rest) }
 
-// Feed hands over what has come to take, which gives how many bytes from the front it is done with. Too little for
+// Process hands over what has come to take, which gives how many bytes from the front it is done with. Too little for
 // take is kept.
-func (f *Feeder) Feed(p []byte, take func(p []byte) int) {
+func (f *InputBuffer) Process(p []byte, take func(p []byte) int) {
 	if len(f.rest) > 0 {
 		f.rest = append(f.rest, p...)
 		p = f.rest
@@ -288,7 +288,7 @@
 
 const keepRoom = 1 << 10 // a buffer that has grown beyond this is not kept once it is empty
 
-func (f *Feeder) drop() {
+func (f *InputBuffer) drop() {
 	if cap(f.rest) > keepRoom {
 		f.rest = nil
 	}
--- a/internal/h1/head.go
+++ b/internal/h1/head.go
@@ -13,17 +13,17 @@
 
 // Limits bound a message.
 type Limits struct {
-	Head  int   // bytes of a head, and of trailers
-	Body  int64 // bytes of a body; 0 = no bound
-	Chunk int   // bytes of one chunk, where chunks are given out whole; 0 = they are given out as they come
+	HeadBytes  int   // bytes of a head, and of trailers
+	BodyBytes  int64 // bytes of a body; 0 = no bound
+	ChunkBytes int   // bytes of one chunk, where chunks are given out whole; 0 = they are given out as they come
 }
 
-// Errors that callers tell apart; others are wrapped in ErrBad.
+// Errors that callers tell apart; others are wrapped in ErrMalformed.
 var (
-	ErrBad      = errors.New("message cannot be read")
-	ErrHead     = errors.New("head too long")
-	ErrTooLarge = errors.New("body too large")
-	ErrEnded    = errors.New("connection ended inside a message")
+	ErrMalformed    = errors.New("message cannot be read")
+	ErrHeadTooLarge = errors.New("head too long")
+	ErrBodyTooLarge = errors.New("body too large")
+	ErrTruncated    = errors.New("connection ended inside a message")
 )
 
 // Field is one line of a head. Its slices are valid as long as the head's.
@@ -32,11 +32,11 @@
 // Head is the first part of a message. Its slices point into what was fed and are valid until the next call.
 type Head struct {
 	Method, Target []byte // of a request
-	Status         int    // of an answer
-	Old            bool   // HTTP/1.0
+	StatusCode     int    // of an answer
+	HTTP10         bool   // HTTP/1.0
 	Close          bool   // the connection ends with this message
-	Expect         bool   // the client waits for 100 Continue
-	Length         int64  // of the body; -1 = not told
+	ExpectContinue bool   // the client waits for 100 Continue
+	ContentLength  int64  // of the body; -1 = not told
 	Chunked        bool
 	Fields         []Field
 }
@@ -79,7 +79,7 @@
 }
 
 func bad(format string, args ...any) error {
-	return fmt.Errorf("%w: %s", ErrBad, fmt.Sprintf(format, args...))
+	return fmt.Errorf("%w: %s", ErrMalformed, fmt.Sprintf(format, args...))
 }
 
 // cutLine gives the next line of p without its end; an error if a line ends in anything but CR LF.
@@ -93,7 +93,7 @@
 
 // parse reads a whole head, which ends in an empty line.
 func (h *Head) parse(p []byte, request bool) error {
-	*h = Head{Length: -1, Fields: h.Fields[:0]}
+	*h = Head{ContentLength: -1, Fields: h.Fields[:0]}
 	line, p, err := cutLine(p)
 	if err != nil {
 		return err
@@ -116,7 +116,7 @@
 	switch string(v) {
 	case "HTTP/1.1":
 	case "HTTP/1.0":
-		h.Old, h.Close = true, true
+		h.HTTP10, h.Close = true, true
 	default:
 		return bad("version %.20q", v)
 	}
@@ -146,10 +146,10 @@
 		if c < '0' || c > '9' {
 			return bad("status line %.40q", line)
 		}
-		h.Status = 10*h.Status + int(c-'0')
+		h.StatusCode = 10*h.StatusCode + int(c-'0')
 	}
-	if h.Status < 100 {
-		return bad("status %d", h.Status)
+	if h.StatusCode < 100 {
+		return bad("status %d", h.StatusCode)
 	}
 	return h.version(line[:8])
 }
@@ -208,9 +208,9 @@
 			if !ok {
 				return bad("Content-Length %.20q", f.Value)
 			}
-			h.Length = n
+			h.ContentLength = n
 		case equalFold(f.Name, "transfer-encoding"):
-			if codings++; codings > 1 || !equalFold(f.Value, "chunked") || h.Old {
+			if codings++; codings > 1 || !equalFold(f.Value, "chunked") || h.HTTP10 {
 				return bad("Transfer-Encoding %.20q", f.Value)
 			}
 			h.Chunked = true
@@ -224,7 +224,7 @@
 			if !equalFold(f.Value, "100-continue") {
 				return bad("Expect %.20q", f.Value)
 			}
-			h.Expect = true
+			h.ExpectContinue = true
 		case equalFold(f.Name, "host"):
 			hosts++
 		}
@@ -232,7 +232,7 @@
 	switch {
 	case lengths > 0 && h.Chunked:
 		return bad("both Content-Length and Transfer-Encoding")
-	case request && (hosts > 1 || hosts == 0 && !h.Old):
+	case request && (hosts > 1 || hosts == 0 && !h.HTTP10):
 		return bad("%d Host fields, want one", hosts)
 	}
 	return nil
--- a/internal/h2/frames.go
+++ b/internal/h2/frames.go
@@ -16,432 +16,432 @@
 	slices.SortFunc(list, func(a, b *Stream) int { return cmp.Compare(a.id, b.id) })
 }
 
-var calm = func(a abuse.Act) error {
-	return connError{http2.ErrCodeEnhanceYourCalm, "too many " + a.String()}
+var abuseError = func(a abuse.Event) error {
+	return connectionError{http2.ErrCodeEnhanceYourCalm, "too many " + a.String()}
 }
 
-// frame takes one frame of the peer's.
-func (c *Conn) frame(f http2.Frame) error {
-	if !c.settled {
+// handleFrame takes one frame of the peer's.
+func (c *Conn) handleFrame(f http2.Frame) error {
+	if !c.settingsReceived {
 		if s, ok := f.(*http2.SettingsFrame); !ok || s.IsAck() {
-			return connError{http2.ErrCodeProtocol, "first frame is no settings"}
+			return connectionError{http2.ErrCodeProtocol, "first frame is no settings"}
 		}
 	}
 	switch f := f.(type) {
 	case *http2.DataFrame:
-		return c.data(f)
+		return c.handleData(f)
 	case *http2.HeadersFrame:
 		if f.HasPriority() && f.Priority.StreamDep == f.StreamID {
 			return http2.StreamError{StreamID: f.StreamID, Code: http2.ErrCodeProtocol}
 		}
-		if c.server && f.StreamID%2 == 0 {
-			return connError{http2.ErrCodeProtocol, "even number for a client's stream"}
+		if c.isServer && f.StreamID%2 == 0 {
+			return connectionError{http2.ErrCodeProtocol, "even number for a client's stream"}
 		}
-		c.head.Fields, c.headSize, c.headBad, c.regular = c.head.Fields[:0], 0, "", false
-		c.headID, c.headEnd = f.StreamID, f.StreamEnded()
-		return c.fragment(f.HeaderBlockFragment(), f.HeadersEnded())
+		c.header.Fields, c.headerListBytes, c.headerFault, c.regularFieldSeen = c.header.Fields[:0], 0, "", false
+		c.headerStreamID, c.headerEndsStream = f.StreamID, f.StreamEnded()
+		return c.handleHeaderFragment(f.HeaderBlockFragment(), f.HeadersEnded())
 	case *http2.ContinuationFrame:
-		if len(f.HeaderBlockFragment()) == 0 && !c.guard.Allow(c.now, abuse.Empty) {
-			return calm(abuse.Empty)
+		if len(f.HeaderBlockFragment()) == 0 && !c.abuseGuard.Allow(c.now, abuse.EmptyFrame) {
+			return abuseError(abuse.EmptyFrame)
 		}
-		return c.fragment(f.HeaderBlockFragment(), f.HeadersEnded())
+		return c.handleHeaderFragment(f.HeaderBlockFragment(), f.HeadersEnded())
 	case *http2.SettingsFrame:
-		return c.settings(f)
+		return c.handleSettings(f)
 	case *http2.WindowUpdateFrame:
-		return c.update(f)
+		return c.handleWindowUpdate(f)
 	case *http2.RSTStreamFrame:
-		return c.reset(f)
+		return c.handleReset(f)
 	case *http2.PingFrame:
-		return c.ping(f)
+		return c.handlePing(f)
 	case *http2.GoAwayFrame:
-		c.left = true
-		if !c.server {
-			for _, s := range c.sorted() {
-				if s.used && s.id > f.LastStreamID {
-					c.drop(s)
-					c.app.Reset(s, http2.ErrCodeRefusedStream, true)
+		c.goAwayReceived = true
+		if !c.isServer {
+			for _, s := range c.sortedStreams() {
+				if s.active && s.id > f.LastStreamID {
+					c.removeStream(s)
+					c.handler.StreamReset(s, http2.ErrCodeRefusedStream, true)
 				}
 			}
 		}
-		c.app.GoingAway()
+		c.handler.GoAwayReceived()
 		return nil
 	case *http2.PushPromiseFrame:
-		return connError{http2.ErrCodeProtocol, "push is not allowed"}
+		return connectionError{http2.ErrCodeProtocol, "push is not allowed"}
 	default: // PRIORITY, unknown kinds
-		if !c.guard.Allow(c.now, abuse.Empty) {
-			return calm(abuse.Empty)
+		if !c.abuseGuard.Allow(c.now, abuse.EmptyFrame) {
+			return abuseError(abuse.EmptyFrame)
 		}
 		return nil
 	}
 }
 
-func (c *Conn) settings(f *http2.SettingsFrame) error {
+func (c *Conn) handleSettings(f *http2.SettingsFrame) error {
 	if f.IsAck() {
-		if !c.acked {
-			c.acked = true
+		if !c.settingsAcked {
+			c.settingsAcked = true
 			for _, s := range c.streams {
-				s.recvWin -= max(0, 65535-int64(c.lim.StreamWindow))
+				s.recvWindow -= max(0, 65535-int64(c.limits.StreamWindow))
 			}
 		}
 		return nil
 	}
-	if c.settled && !c.guard.Allow(c.now, abuse.Settings) {
-		return calm(abuse.Settings)
+	if c.settingsReceived && !c.abuseGuard.Allow(c.now, abuse.RepeatedSettings) {
+		return abuseError(abuse.RepeatedSettings)
 	}
-	c.settled = true
+	c.settingsReceived = true
 	err := f.ForeachSetting(func(s http2.Setting) error {
 		if err := s.Valid(); err != nil {
 			return err
 		}
 		switch s.ID {
 		case http2.SettingInitialWindowSize:
-			by := int64(s.Val) - c.peerWin
-			c.peerWin = int64(s.Val)
+			by := int64(s.Val) - c.peerInitialWindow
+			c.peerInitialWindow = int64(s.Val)
 			for _, st := range c.streams {
-				if st.sendWin += by; st.sendWin > 1<<31-1 {
-					return connError{http2.ErrCodeFlowControl, "window above its most"}
+				if st.sendWindow += by; st.sendWindow > 1<<31-1 {
+					return connectionError{http2.ErrCodeFlowControl, "window above its most"}
 				}
 			}
-			for _, st := range c.sorted() {
-				if len(st.pend) > 0 {
-					c.wait(st)
+			for _, st := range c.sortedStreams() {
+				if len(st.pendingOutput) > 0 {
+					c.enqueue(st)
 				}
 			}
 		case http2.SettingMaxFrameSize:
-			c.peerFrame = min(s.Val, 16384)
+			c.peerMaxFrameBytes = min(s.Val, 16384)
 		case http2.SettingMaxConcurrentStreams:
-			c.peerMost = s.Val
+			c.peerMaxStreams = s.Val
 		case http2.SettingHeaderTableSize:
-			c.enc.SetMaxDynamicTableSizeLimit(min(s.Val, 4096))
+			c.headerEncoder.SetMaxDynamicTableSizeLimit(min(s.Val, 4096))
 		}
 		return nil
 	})
 	if err != nil {
 		return err
 	}
-	c.fr.WriteSettingsAck()
-	c.pump()
+	c.framer.WriteSettingsAck()
+	c.flushStreams()
 	return nil
 }
 
-func (c *Conn) update(f *http2.WindowUpdateFrame) error {
-	if !c.guard.Allow(c.now, abuse.Update) {
-		return calm(abuse.Update)
+func (c *Conn) handleWindowUpdate(f *http2.WindowUpdateFrame) error {
+	if !c.abuseGuard.Allow(c.now, abuse.WindowUpdate) {
+		return abuseError(abuse.WindowUpdate)
 	}
 	if f.StreamID == 0 {
-		if c.sendWin += int64(f.Increment); c.sendWin > 1<<31-1 {
-			return connError{http2.ErrCodeFlowControl, "window above its most"}
+		if c.sendWindow += int64(f.Increment); c.sendWindow > 1<<31-1 {
+			return connectionError{http2.ErrCodeFlowControl, "window above its most"}
 		}
 	} else if s := c.streams[f.StreamID]; s != nil {
-		if s.sendWin += int64(f.Increment); s.sendWin > 1<<31-1 {
+		if s.sendWindow += int64(f.Increment); s.sendWindow > 1<<31-1 {
 			return http2.StreamError{StreamID: f.StreamID, Code: http2.ErrCodeFlowControl}
 		}
-		if len(s.pend) > 0 {
-			c.wait(s)
+		if len(s.pendingOutput) > 0 {
+			c.enqueue(s)
 		}
-	} else if c.idle(f.StreamID) {
-		return connError{http2.ErrCodeProtocol, "window update on an idle stream"}
+	} else if c.isIdleStream(f.StreamID) {
+		return connectionError{http2.ErrCodeProtocol, "window update on an idle stream"}
 	}
-	c.pump()
+	c.flushStreams()
 	return nil
 }
 
-// idle tells that a stream number has not been used yet.
-func (c *Conn) idle(id uint32) bool {
-	if c.server == (id%2 == 1) {
-		return id > c.lastID
+// isIdleStream tells that a stream number has not been used yet.
+func (c *Conn) isIdleStream(id uint32) bool {
+	if c.isServer == (id%2 == 1) {
+		return id > c.lastPeerStreamID
 	}
-	return id >= c.nextID
+	return id >= c.nextStreamID
 }
 
-func (c *Conn) reset(f *http2.RSTStreamFrame) error {
+func (c *Conn) handleReset(f *http2.RSTStreamFrame) error {
 	s := c.streams[f.StreamID]
 	if s == nil {
-		if c.idle(f.StreamID) {
-			return connError{http2.ErrCodeProtocol, "reset of an idle stream"}
+		if c.isIdleStream(f.StreamID) {
+			return connectionError{http2.ErrCodeProtocol, "reset of an idle stream"}
 		}
-		if !c.guard.Allow(c.now, abuse.Crossed) {
-			return calm(abuse.Crossed)
+		if !c.abuseGuard.Allow(c.now, abuse.ClosedStreamReset) {
+			return abuseError(abuse.ClosedStreamReset)
 		}
 		return nil
 	}
-	c.resets++
-	ending := s.Ending()
-	c.drop(s)
+	c.peerResetCount++
+	ending := s.IsEnding()
+	c.removeStream(s)
 	if !ending {
-		c.app.Reset(s, f.ErrCode, f.ErrCode == http2.ErrCodeRefusedStream)
+		c.handler.StreamReset(s, f.ErrCode, f.ErrCode == http2.ErrCodeRefusedStream)
 	}
-	if c.server && !c.guard.Allow(c.now, abuse.Reset) {
-		return calm(abuse.Reset)
+	if c.isServer && !c.abuseGuard.Allow(c.now, abuse.StreamReset) {
+		return abuseError(abuse.StreamReset)
 	}
 	return nil
 }
 
-func (c *Conn) ping(f *http2.PingFrame) error {
+func (c *Conn) handlePing(f *http2.PingFrame) error {
 	if !f.IsAck() {
-		if !c.guard.Allow(c.now, abuse.Ping) {
-			return calm(abuse.Ping)
+		if !c.abuseGuard.Allow(c.now, abuse.Ping) {
+			return abuseError(abuse.Ping)
 		}
-		return c.fr.WritePing(true, f.Data)
+		return c.framer.WritePing(true, f.Data)
 	}
 	switch f.Data {
-	case drainPing:
-		if c.draining && !c.leaving {
-			c.leaving = true
-			c.fr.WriteGoAway(c.lastID, http2.ErrCodeNo, nil)
+	case drainPingData:
+		if c.draining && !c.finalGoAwaySent {
+			c.finalGoAwaySent = true
+			c.framer.WriteGoAway(c.lastPeerStreamID, http2.ErrCodeNo, nil)
 		}
-	case alivePing:
-		c.app.Pong()
+	case keepalivePingData:
+		c.handler.PingAcked()
 	default:
-		if !c.guard.Allow(c.now, abuse.Ping) {
-			return calm(abuse.Ping)
+		if !c.abuseGuard.Allow(c.now, abuse.Ping) {
+			return abuseError(abuse.Ping)
 		}
 	}
 	return nil
 }
 
-func (c *Conn) data(f *http2.DataFrame) error {
+func (c *Conn) handleData(f *http2.DataFrame) error {
 	n := int64(f.Length)
-	if c.recvWin -= n; c.recvWin < 0 {
-		return connError{http2.ErrCodeFlowControl, "more than the connection's window"}
+	if c.recvWindow -= n; c.recvWindow < 0 {
+		return connectionError{http2.ErrCodeFlowControl, "more than the connection's window"}
 	}
 	// The connection's window is given back at once: a stream whose reader is slow must not stop the others.
 	// What they hold is bounded by their own windows.
-	if c.recvOwed += n; c.recvOwed >= int64(c.lim.ConnWindow)/4 {
-		c.fr.WriteWindowUpdate(0, uint32(c.recvOwed))
-		c.recvWin += c.recvOwed
-		c.recvOwed = 0
+	if c.uncredited += n; c.uncredited >= int64(c.limits.ConnWindow)/4 {
+		c.framer.WriteWindowUpdate(0, uint32(c.uncredited))
+		c.recvWindow += c.uncredited
+		c.uncredited = 0
 	}
 	s := c.streams[f.StreamID]
 	if s == nil {
-		if c.idle(f.StreamID) {
-			return connError{http2.ErrCodeProtocol, "data on an idle stream"}
+		if c.isIdleStream(f.StreamID) {
+			return connectionError{http2.ErrCodeProtocol, "data on an idle stream"}
 		}
 		return nil // crossed with our reset
 	}
-	if s.remoteDone {
+	if s.remoteClosed {
 		return http2.StreamError{StreamID: s.id, Code: http2.ErrCodeStreamClosed}
 	}
-	if !s.gotHead {
+	if !s.headersReceived {
 		return http2.StreamError{StreamID: s.id, Code: http2.ErrCodeProtocol}
 	}
-	if s.recvWin -= n; s.recvWin < 0 {
+	if s.recvWindow -= n; s.recvWindow < 0 {
 		return http2.StreamError{StreamID: s.id, Code: http2.ErrCodeFlowControl}
 	}
 	p := f.Data()
 	if len(p) > 0 {
-		c.guard.Used()
-	} else if !f.StreamEnded() && !c.guard.Allow(c.now, abuse.Empty) {
-		return calm(abuse.Empty)
+		c.abuseGuard.AddCredit()
+	} else if !f.StreamEnded() && !c.abuseGuard.Allow(c.now, abuse.EmptyFrame) {
+		return abuseError(abuse.EmptyFrame)
 	}
-	s.credit(n - int64(len(p))) // padding
-	if s.got += int64(len(p)); s.length >= 0 && (s.got > s.length || f.StreamEnded() && s.got != s.length) {
+	s.creditWindow(n - int64(len(p))) // padding
+	if s.receivedBytes += int64(len(p)); s.contentLength >= 0 && (s.receivedBytes > s.contentLength || f.StreamEnded() && s.receivedBytes != s.contentLength) {
 		return http2.StreamError{StreamID: s.id, Code: http2.ErrCodeProtocol}
 	}
 	id := s.id
-	if !s.messages(p) || !s.used || s.id != id {
+	if !s.receiveData(p) || !s.active || s.id != id {
 		return nil
 	}
 	if f.StreamEnded() {
-		return c.ended(s)
+		return c.handleStreamEnd(s)
 	}
 	return nil
 }
 
-// messages cuts the bytes of a stream into messages; false if that ended the stream.
-func (s *Stream) messages(p []byte) bool {
+// receiveData cuts the bytes of a stream into messages; false if that ended the stream.
+func (s *Stream) receiveData(p []byte) bool {
 	id := s.id
 	for len(p) > 0 {
-		if len(s.part) == 0 && len(p) >= 5 { // whole in this frame: no copy
-			if size := length(p); size <= s.c.lim.MessageBytes && int(size) <= len(p)-5 {
-				if !s.deliver(p[:5+size], 0) || !s.used || s.id != id {
+		if len(s.partialMessage) == 0 && len(p) >= 5 { // whole in this frame: no copy
+			if size := messageLength(p); size <= s.conn.limits.MaxMessageBytes && int(size) <= len(p)-5 {
+				if !s.deliverMessage(p[:5+size], 0) || !s.active || s.id != id {
 					return false
 				}
 				p = p[5+size:]
 				continue
 			}
 		}
-		had := len(s.part)
+		had := len(s.partialMessage)
 		want := 5
 		if had >= 5 {
-			want = 5 + int(length(s.part))
+			want = 5 + int(messageLength(s.partialMessage))
 		}
 		take := min(want-had, len(p))
-		if !s.c.hold(int64(take)) {
-			s.refuse(codes.ResourceExhausted, "too many messages have come in part")
+		if !s.conn.reservePartialBytes(int64(take)) {
+			s.rejectMessage(codes.ResourceExhausted, "too many messages have come in part")
 			return false
 		}
-		s.part = append(s.part, p[:take]...)
+		s.partialMessage = append(s.partialMessage, p[:take]...)
 		p = p[take:]
-		if len(s.part) >= 5 && length(s.part) > s.c.lim.MessageBytes {
-			s.refuse(codes.ResourceExhausted, "message of "+strconv.Itoa(int(length(s.part)))+" bytes, at most "+
-				strconv.Itoa(int(s.c.lim.MessageBytes)))
+		if len(s.partialMessage) >= 5 && messageLength(s.partialMessage) > s.conn.limits.MaxMessageBytes {
+			s.rejectMessage(codes.ResourceExhausted, "message of "+strconv.Itoa(int(messageLength(s.partialMessage)))+" bytes, at most "+
+				strconv.Itoa(int(s.conn.limits.MaxMessageBytes)))
 			return false
 		}
-		if len(s.part) < 5 || len(s.part) < 5+int(length(s.part)) {
-			s.debt += int64(take) // credited before its use, or a message longer than the window never came
-			s.credit(int64(take))
+		if len(s.partialMessage) < 5 || len(s.partialMessage) < 5+int(messageLength(s.partialMessage)) {
+			s.creditedAhead += int64(take) // credited before its use, or a message longer than the window never came
+			s.creditWindow(int64(take))
 			continue
 		}
-		ahead := int64(len(s.part) - take)
-		s.debt -= ahead
-		whole := s.part
-		s.part = nil // its bytes are no longer in part, whatever becomes of the stream in the call
-		s.c.hold(-int64(len(whole)))
-		if !s.deliver(whole, ahead) || !s.used || s.id != id {
+		ahead := int64(len(s.partialMessage) - take)
+		s.creditedAhead -= ahead
+		whole := s.partialMessage
+		s.partialMessage = nil // its bytes are no longer in part, whatever becomes of the stream in the call
+		s.conn.reservePartialBytes(-int64(len(whole)))
+		if !s.deliverMessage(whole, ahead) || !s.active || s.id != id {
 			return false
 		}
-		if s.part = whole[:0]; cap(whole) > 64<<10 {
-			s.part = nil
+		if s.partialMessage = whole[:0]; cap(whole) > 64<<10 {
+			s.partialMessage = nil
 		}
 	}
 	return true
 }
 
-// deliver hands over one message with its prefix, of which ahead bytes have been credited.
-func (s *Stream) deliver(p []byte, ahead int64) bool {
+// deliverMessage hands over one message with its prefix, of which ahead bytes have been credited.
+func (s *Stream) deliverMessage(p []byte, ahead int64) bool {
 	if p[0] != 0 {
-		s.refuse(codes.Unimplemented, "compressed message: this end takes none")
+		s.rejectMessage(codes.Unimplemented, "compressed message: this end takes none")
 		return false
 	}
 	id := s.id
-	if s.c.app.Message(s, p[5:]) {
-		if s.used && s.id == id {
-			s.debt += ahead
+	if s.conn.handler.MessageReceived(s, p[5:]) {
+		if s.active && s.id == id {
+			s.creditedAhead += ahead
 		}
 		return true
 	}
-	if s.used && s.id == id {
-		s.credit(int64(len(p)) - ahead)
+	if s.active && s.id == id {
+		s.creditWindow(int64(len(p)) - ahead)
 	}
 	return true
 }
 
-// refuse ends a stream whose messages can't be taken. The App learns of it as a reset.
-func (s *Stream) refuse(code codes.Code, why string) {
-	c := s.c
-	if c.server {
-		c.app.Reset(s, http2.ErrCodeCancel, false)
-		s.End(code, why)
+// rejectMessage ends a stream whose messages can't be taken. The App learns of it as a reset.
+func (s *Stream) rejectMessage(code codes.Code, why string) {
+	c := s.conn
+	if c.isServer {
+		c.handler.StreamReset(s, http2.ErrCodeCancel, false)
+		s.EndWithStatus(code, why)
 		return
 	}
 	s.Reset(http2.ErrCodeCancel)
-	c.app.Finished(s, code, why, &Header{})
+	c.handler.StreamFinished(s, code, why, &Header{})
 }
 
-func length(p []byte) uint32 {
+func messageLength(p []byte) uint32 {
 	return uint32(p[1])<<24 | uint32(p[2])<<16 | uint32(p[3])<<8 | uint32(p[4])
 }
 
 // ended: the peer's half is over.
-func (c *Conn) ended(s *Stream) error {
-	s.remoteDone = true
-	if c.server {
-		if len(s.part) > 0 {
-			s.refuse(codes.Internal, "message cut off")
+func (c *Conn) handleStreamEnd(s *Stream) error {
+	s.remoteClosed = true
+	if c.isServer {
+		if len(s.partialMessage) > 0 {
+			s.rejectMessage(codes.Internal, "message cut off")
 			return nil
 		}
-		c.app.HalfClosed(s)
+		c.handler.RequestEnded(s)
 		return nil
 	}
-	c.drop(s) // a response must end in trailers
-	c.app.Finished(s, codes.Internal, "stream ended without a status", &Header{})
+	c.removeStream(s) // a response must end in trailers
+	c.handler.StreamFinished(s, codes.Internal, "stream ended without a status", &Header{})
 	return nil
 }
 
-// field takes one decoded header field.
-func (c *Conn) field(f hpack.HeaderField) {
-	c.headSize += f.Size()
-	if c.headSize > c.lim.HeaderBytes {
-		c.headBad = "too long"
+// addHeaderField takes one decoded header field.
+func (c *Conn) addHeaderField(f hpack.HeaderField) {
+	c.headerListBytes += f.Size()
+	if c.headerListBytes > c.limits.MaxHeaderListBytes {
+		c.headerFault = "too long"
 		return
 	}
 	if f.IsPseudo() {
-		if c.regular {
-			c.headBad = "pseudo field after others"
+		if c.regularFieldSeen {
+			c.headerFault = "pseudo field after others"
 		}
-		for i := range c.head.Fields {
-			if c.head.Fields[i].Name == f.Name {
-				c.headBad = "field twice: " + f.Name
+		for i := range c.header.Fields {
+			if c.header.Fields[i].Name == f.Name {
+				c.headerFault = "field twice: " + f.Name
 			}
 		}
 	} else {
-		c.regular = true
+		c.regularFieldSeen = true
 		switch f.Name {
 		case "connection", "keep-alive", "proxy-connection", "transfer-encoding", "upgrade":
-			c.headBad = "field not allowed: " + f.Name
+			c.headerFault = "field not allowed: " + f.Name
 		case "grpc-timeout", "content-type", "content-length":
-			for i := range c.head.Fields {
-				if c.head.Fields[i].Name == f.Name {
-					c.headBad = "field twice: " + f.Name
+			for i := range c.header.Fields {
+				if c.header.Fields[i].Name == f.Name {
+					c.headerFault = "field twice: " + f.Name
 				}
 			}
 		}
 		if strings.ToLower(f.Name) != f.Name || f.Name == "" {
-			c.headBad = "field name not in lower case"
+			c.headerFault = "field name not in lower case"
 		}
 	}
-	c.head.Fields = append(c.head.Fields, f)
+	c.header.Fields = append(c.header.Fields, f)
 }
 
-// fragment takes a piece of a header block.
-func (c *Conn) fragment(p []byte, last bool) error {
-	if _, err := c.dec.Write(p); err != nil {
-		return connError{http2.ErrCodeCompression, err.Error()}
+// handleHeaderFragment takes a piece of a header block.
+func (c *Conn) handleHeaderFragment(p []byte, last bool) error {
+	if _, err := c.headerDecoder.Write(p); err != nil {
+		return connectionError{http2.ErrCodeCompression, err.Error()}
 	}
-	if c.headSize > 4*c.lim.HeaderBytes { // decoded only to keep the table right; not without end
-		return connError{http2.ErrCodeEnhanceYourCalm, "endless headers"}
+	if c.headerListBytes > 4*c.limits.MaxHeaderListBytes { // decoded only to keep the table right; not without end
+		return connectionError{http2.ErrCodeEnhanceYourCalm, "endless headers"}
 	}
 	if !last {
 		// Pieces that decode to little are bounded as well: each is worth a frame.
-		if c.headSize += 32; c.headSize > 4*c.lim.HeaderBytes {
-			return connError{http2.ErrCodeEnhanceYourCalm, "endless headers"}
+		if c.headerListBytes += 32; c.headerListBytes > 4*c.limits.MaxHeaderListBytes {
+			return connectionError{http2.ErrCodeEnhanceYourCalm, "endless headers"}
 		}
 		return nil
 	}
-	if err := c.dec.Close(); err != nil {
-		return connError{http2.ErrCodeCompression, err.Error()}
+	if err := c.headerDecoder.Close(); err != nil {
+		return connectionError{http2.ErrCodeCompression, err.Error()}
 	}
-	if c.server {
-		return c.request()
+	if c.isServer {
+		return c.handleRequestHeaders()
 	}
-	return c.response()
+	return c.handleResponseHeaders()
 }
 
-func (c *Conn) request() error {
-	id := c.headID
+func (c *Conn) handleRequestHeaders() error {
+	id := c.headerStreamID
 	if s := c.streams[id]; s != nil { // trailers of a request
-		if !c.headEnd || s.remoteDone || c.headBad != "" {
+		if !c.headerEndsStream || s.remoteClosed || c.headerFault != "" {
 			return http2.StreamError{StreamID: id, Code: http2.ErrCodeProtocol}
 		}
-		return c.ended(s)
+		return c.handleStreamEnd(s)
 	}
-	if id <= c.lastID {
+	if id <= c.lastPeerStreamID {
 		return nil // crossed with our reset or end
 	}
-	c.lastID = id
-	if c.leaving {
-		c.fr.WriteRSTStream(id, http2.ErrCodeRefusedStream)
+	c.lastPeerStreamID = id
+	if c.finalGoAwaySent {
+		c.framer.WriteRSTStream(id, http2.ErrCodeRefusedStream)
 		return nil
 	}
-	if uint32(len(c.streams)) >= c.lim.Streams {
-		if !c.guard.Allow(c.now, abuse.Fault) {
-			return calm(abuse.Fault)
+	if uint32(len(c.streams)) >= c.limits.MaxStreams {
+		if !c.abuseGuard.Allow(c.now, abuse.StreamError) {
+			return abuseError(abuse.StreamError)
 		}
-		c.fr.WriteRSTStream(id, http2.ErrCodeRefusedStream)
+		c.framer.WriteRSTStream(id, http2.ErrCodeRefusedStream)
 		return nil
 	}
-	s := c.place(id)
-	s.gotHead, s.remoteDone = true, c.headEnd
-	h := &c.head
-	if c.headBad == "" && (h.Get(":path") == "" || h.Get(":scheme") == "" || h.Get(":method") == "") {
-		c.headBad = "pseudo field missing"
+	s := c.allocateStream(id)
+	s.headersReceived, s.remoteClosed = true, c.headerEndsStream
+	h := &c.header
+	if c.headerFault == "" && (h.Get(":path") == "" || h.Get(":scheme") == "" || h.Get(":method") == "") {
+		c.headerFault = "pseudo field missing"
 	}
-	if c.headBad == "too long" {
-		s.End(codes.ResourceExhausted, "headers longer than "+strconv.Itoa(int(c.lim.HeaderBytes))+" bytes")
+	if c.headerFault == "too long" {
+		s.EndWithStatus(codes.ResourceExhausted, "headers longer than "+strconv.Itoa(int(c.limits.MaxHeaderListBytes))+" bytes")
 		return nil
 	}
-	if c.headBad != "" {
+	if c.headerFault != "" {
 		return http2.StreamError{StreamID: id, Code: http2.ErrCodeProtocol}
 	}
 	if v := h.Get("content-length"); v != "" {
@@ -449,75 +449,75 @@
 		if err != nil {
 			return http2.StreamError{StreamID: id, Code: http2.ErrCodeProtocol}
 		}
-		s.length = n
+		s.contentLength = n
 	}
 	if h.Get(":method") != "POST" {
 		return http2.StreamError{StreamID: id, Code: http2.ErrCodeProtocol}
 	}
 	if t := h.Get("content-type"); t != "application/grpc" && t != "application/grpc+proto" {
-		c.encBuf.Reset()
-		c.put(":status", "415")
+		c.headerBuffer.Reset()
+		c.encodeField(":status", "415")
 		c.writeHeaders(s, true)
-		c.drop(s)
+		c.removeStream(s)
 		return nil
 	}
-	c.app.Headers(s, h)
-	if s.used && s.id == id && c.headEnd {
-		return c.ended(s)
+	c.handler.HeadersReceived(s, h)
+	if s.active && s.id == id && c.headerEndsStream {
+		return c.handleStreamEnd(s)
 	}
 	return nil
 }
 
-func (c *Conn) response() error {
-	s := c.streams[c.headID]
+func (c *Conn) handleResponseHeaders() error {
+	s := c.streams[c.headerStreamID]
 	if s == nil {
-		if c.idle(c.headID) {
-			return connError{http2.ErrCodeProtocol, "headers on an idle stream"}
+		if c.isIdleStream(c.headerStreamID) {
+			return connectionError{http2.ErrCodeProtocol, "headers on an idle stream"}
 		}
 		return nil // crossed with our reset
 	}
-	if c.headBad != "" {
+	if c.headerFault != "" {
 		return http2.StreamError{StreamID: s.id, Code: http2.ErrCodeProtocol}
 	}
-	h := &c.head
-	if !s.gotHead {
+	h := &c.header
+	if !s.headersReceived {
 		status := h.Get(":status")
-		if len(status) == 3 && status[0] == '1' && !c.headEnd {
+		if len(status) == 3 && status[0] == '1' && !c.headerEndsStream {
 			return nil
 		}
-		s.gotHead = true
+		s.headersReceived = true
 		if status != "200" {
 			s.Reset(http2.ErrCodeCancel)
-			c.app.Finished(s, httpCode(status), "HTTP status "+status, h)
+			c.handler.StreamFinished(s, codeFromHTTPStatus(status), "HTTP status "+status, h)
 			return nil
 		}
-		if !c.headEnd {
-			c.app.Headers(s, h)
+		if !c.headerEndsStream {
+			c.handler.HeadersReceived(s, h)
 			return nil
 		}
-	} else if !c.headEnd {
+	} else if !c.headerEndsStream {
 		return http2.StreamError{StreamID: s.id, Code: http2.ErrCodeProtocol}
 	}
 	code, message := codes.Unknown, "no grpc-status in the trailers"
 	if v := h.Get("grpc-status"); v != "" {
 		if n, err := strconv.ParseUint(v, 10, 31); err == nil && n <= uint64(codes.Unauthenticated) {
-			code, message = codes.Code(n), unpercent(h.Get("grpc-message"))
+			code, message = codes.Code(n), percentDecode(h.Get("grpc-message"))
 		}
 	}
-	if len(s.part) > 0 && code == codes.OK {
+	if len(s.partialMessage) > 0 && code == codes.OK {
 		code, message = codes.Internal, "message cut off"
 	}
-	s.remoteDone = true
-	if !s.localDone { // nobody reads what we would still send
-		c.fr.WriteRSTStream(s.id, http2.ErrCodeNo)
+	s.remoteClosed = true
+	if !s.localClosed { // nobody reads what we would still send
+		c.framer.WriteRSTStream(s.id, http2.ErrCodeNo)
 	}
-	c.drop(s)
-	c.app.Finished(s, code, message, h)
+	c.removeStream(s)
+	c.handler.StreamFinished(s, code, message, h)
 	return nil
 }
 
-// httpCode is the status that gRPC gives a plain HTTP answer.
-func httpCode(status string) codes.Code {
+// codeFromHTTPStatus is the status that gRPC gives a plain HTTP answer.
+func codeFromHTTPStatus(status string) codes.Code {
 	switch status {
 	case "400":
 		return codes.Internal
--- a/internal/h2/h2_test.go
+++ b/internal/h2/h2_test.go
@@ -22,22 +22,22 @@
 	last   *Stream
 }
 
-func (a *echo) Headers(s *Stream, h *Header) { a.last = s }
-func (a *echo) Message(s *Stream, p []byte) bool {
+func (a *echo) HeadersReceived(s *Stream, h *Header) { a.last = s }
+func (a *echo) MessageReceived(s *Stream, p []byte) bool {
 	a.got = append(a.got, bytes.Clone(p))
 	if a.hold {
 		a.held += len(p) + 5
 		return true
 	}
-	s.Send(p, false)
+	s.SendMessage(p, false)
 	return false
 }
-func (a *echo) HalfClosed(s *Stream)                          { s.End(codes.OK, "") }
-func (a *echo) Finished(*Stream, codes.Code, string, *Header) {}
-func (a *echo) Reset(*Stream, http2.ErrCode, bool)            { a.resets++ }
-func (a *echo) Room(*Stream)                                  {}
-func (a *echo) GoingAway()                                    {}
-func (a *echo) Pong()                                         {}
+func (a *echo) RequestEnded(s *Stream)                              { s.EndWithStatus(codes.OK, "") }
+func (a *echo) StreamFinished(*Stream, codes.Code, string, *Header) {}
+func (a *echo) StreamReset(*Stream, http2.ErrCode, bool)            { a.resets++ }
+func (a *echo) StreamFlushed(*Stream)                               {}
+func (a *echo) GoAwayReceived()                                     {}
+func (a *echo) PingAcked()                                          {}
 
 // asker is a client's App that keeps what comes back.
 type asker struct {
@@ -50,32 +50,32 @@
 
 func newAsker() *asker { return &asker{got: map[uint32][][]byte{}, done: map[uint32]string{}} }
 
-func (a *asker) Headers(*Stream, *Header) {}
-func (a *asker) Message(s *Stream, p []byte) bool {
+func (a *asker) HeadersReceived(*Stream, *Header) {}
+func (a *asker) MessageReceived(s *Stream, p []byte) bool {
 	a.got[s.ID()] = append(a.got[s.ID()], bytes.Clone(p))
 	return false
 }
-func (a *asker) HalfClosed(*Stream) {}
-func (a *asker) Finished(s *Stream, code codes.Code, message string, _ *Header) {
+func (a *asker) RequestEnded(*Stream) {}
+func (a *asker) StreamFinished(s *Stream, code codes.Code, message string, _ *Header) {
 	a.done[s.ID()] += code.String() + " " + message
 }
 
-func (a *asker) Reset(s *Stream, _ http2.ErrCode, refused bool) {
+func (a *asker) StreamReset(s *Stream, _ http2.ErrCode, refused bool) {
 	a.resets++
 	if refused {
 		a.refused++
 	}
 }
-func (a *asker) Room(*Stream) {}
-func (a *asker) GoingAway()   { a.away = true }
-func (a *asker) Pong()        {}
+func (a *asker) StreamFlushed(*Stream) {}
+func (a *asker) GoAwayReceived()       { a.away = true }
+func (a *asker) PingAcked()            {}
 
 // carry moves bytes between two ends until neither has any, in pieces of at most n bytes.
 func carry(t *testing.T, a, b *Conn, piece func() int) {
 	t.Helper()
-	for a.Waiting() || b.Waiting() {
+	for a.HasOutput() || b.HasOutput() {
 		for _, way := range [][2]*Conn{{a, b}, {b, a}} {
-			p := bytes.Clone(way[0].Take())
+			p := bytes.Clone(way[0].TakeOutput())
 			for len(p) > 0 {
 				n := min(len(p), piece())
 				if err := way[1].Feed(1, p[:n]); err != nil {
@@ -93,9 +93,9 @@
 func TestSplitAnywhere(t *testing.T) {
 	for seed := range uint64(30) {
 		rng := rand.New(rand.NewPCG(seed, 0))
-		lim := Limits{Streams: 100, StreamWindow: uint32(1 + rng.IntN(70000)), ConnWindow: 65535, HeaderBytes: 16 << 10, MessageBytes: 1 << 20}
+		lim := Limits{MaxStreams: 100, StreamWindow: uint32(1 + rng.IntN(70000)), ConnWindow: 65535, MaxHeaderListBytes: 16 << 10, MaxMessageBytes: 1 << 20}
 		ask, srv := newAsker(), &echo{t: t}
-		c, s := NewClient(lim, ask), NewServer(lim, srv)
+		c, s := NewClientConn(lim, ask), NewServerConn(lim, srv)
 		piece := func() int { return 1 + rng.IntN(1+rng.IntN(5000)) }
 		carry(t, c, s, piece)
 		want := map[uint32][][]byte{}
@@ -106,14 +106,14 @@
 			for range rng.IntN(4) {
 				m := bytes.Repeat([]byte{byte(rng.IntN(256))}, rng.IntN(100000))
 				want[st.ID()] = append(want[st.ID()], m)
-				st.Send(m, false)
+				st.SendMessage(m, false)
 				if rng.IntN(2) == 0 {
 					carry(t, c, s, piece)
 				}
 			}
 		}
 		for _, st := range open {
-			st.Close()
+			st.CloseSend()
 		}
 		carry(t, c, s, piece)
 		for _, st := range open {
@@ -130,39 +130,39 @@
 				}
 			}
 		}
-		if c.Open() != 0 || s.Open() != 0 {
-			t.Fatalf("seed %d: %d and %d streams left open", seed, c.Open(), s.Open())
+		if c.OpenStreamCount() != 0 || s.OpenStreamCount() != 0 {
+			t.Fatalf("seed %d: %d and %d streams left open", seed, c.OpenStreamCount(), s.OpenStreamCount())
 		}
 	}
 }
 
 // TestHeldMessagesHoldThePeerBack: what the App holds shrinks the stream's window, and only that stream's.
 func TestHeldMessagesHoldThePeerBack(t *testing.T) {
-	lim := Limits{Streams: 100, StreamWindow: 65535, ConnWindow: 1 << 20, HeaderBytes: 16 << 10, MessageBytes: 1 << 20}
+	lim := Limits{MaxStreams: 100, StreamWindow: 65535, ConnWindow: 1 << 20, MaxHeaderListBytes: 16 << 10, MaxMessageBytes: 1 << 20}
 	ask, srv := newAsker(), &echo{t: t, hold: true}
-	c, s := NewClient(lim, ask), NewServer(lim, srv)
+	c, s := NewClientConn(lim, ask), NewServerConn(lim, srv)
 	carry(t, c, s, whole)
 	slow := c.OpenStream("/x/Y", "there", 0)
 	for range 100 {
-		slow.Send(make([]byte, 2000), false)
+		slow.SendMessage(make([]byte, 2000), false)
 	}
 	carry(t, c, s, whole)
 	if srv.held == 0 || srv.held > 65535 {
 		t.Fatalf("%d bytes came through for a stream that is held, want up to its window of 65535", srv.held)
 	}
-	if slow.Pending() == 0 {
+	if slow.PendingBytes() == 0 {
 		t.Fatal("nothing waits at the sender")
 	}
 	held, before := srv.last, len(srv.got)
 	srv.hold = false
 	quick := c.OpenStream("/x/Y", "there", 0)
-	quick.Send([]byte("quick"), true)
+	quick.SendMessage([]byte("quick"), true)
 	carry(t, c, s, whole)
 	if ask.done[quick.ID()] != "OK " || len(srv.got) != before+1 {
 		t.Fatalf("another stream of the connection did not get through: %q", ask.done[quick.ID()])
 	}
-	held.Credit(srv.held)
-	slow.Close()
+	held.CreditWindow(srv.held)
+	slow.CloseSend()
 	carry(t, c, s, whole)
 	if n := len(srv.got) - 1; n != 100 || ask.done[slow.ID()] != "OK " {
 		t.Fatalf("after credit %d of 100 messages came, ended %q", n, ask.done[slow.ID()])
@@ -182,7 +182,7 @@
 
 func newRaw(t *testing.T) *raw {
 	r := &raw{app: &echo{t: t}, dec: hpack.NewDecoder(4096, nil)}
-	r.c = NewServer(Limits{Streams: 100, StreamWindow: 65535, ConnWindow: 1 << 20, HeaderBytes: 8 << 10, MessageBytes: 1 << 16}, r.app)
+	r.c = NewServerConn(Limits{MaxStreams: 100, StreamWindow: 65535, ConnWindow: 1 << 20, MaxHeaderListBytes: 8 << 10, MaxMessageBytes: 1 << 16}, r.app)
 	r.fr = http2.NewFramer(&r.out, nil)
 	r.fr.AllowIllegalWrites = true
 	r.enc = hpack.NewEncoder(&r.blk)
@@ -216,7 +216,7 @@
 
 // answers reads what the server sent: frames by kind, and the last GOAWAY's code.
 func (r *raw) answers(t *testing.T) (kinds map[http2.FrameType]int, goaway http2.ErrCode, resets map[uint32]http2.ErrCode, statuses map[uint32]string) {
-	fr := http2.NewFramer(nil, bytes.NewReader(bytes.Clone(r.c.Take())))
+	fr := http2.NewFramer(nil, bytes.NewReader(bytes.Clone(r.c.TakeOutput())))
 	fr.ReadMetaHeaders = r.dec
 	kinds, resets, statuses = map[http2.FrameType]int{}, map[uint32]http2.ErrCode{}, map[uint32]string{}
 	goaway = 999
@@ -283,7 +283,7 @@
 			for ; n < 20000 && err == nil; n++ {
 				one(r, n)
 				err = r.feed(int64(n) * 1000) // a microsecond each
-				if len(r.c.out) > 4<<20 {
+				if len(r.c.output) > 4<<20 {
 					t.Fatal("output grows without bound")
 				}
 			}
@@ -291,8 +291,8 @@
 			if err == nil || code != http2.ErrCodeEnhanceYourCalm {
 				t.Fatalf("after %d: %v, GOAWAY %v, want ENHANCE_YOUR_CALM", n, err, code)
 			}
-			if r.c.Open() > 100 {
-				t.Fatalf("%d streams open", r.c.Open())
+			if r.c.OpenStreamCount() > 100 {
+				t.Fatalf("%d streams open", r.c.OpenStreamCount())
 			}
 		})
 	}
@@ -311,7 +311,7 @@
 		if err := r.feed(int64(i) * 20e6); err != nil {
 			t.Fatalf("cancelling fifty times a second: %v after %d", err, i)
 		}
-		r.c.Take()
+		r.c.TakeOutput()
 	}
 }
 
@@ -435,7 +435,7 @@
 func TestOtherProtocol(t *testing.T) {
 	r := newRaw(t)
 	err := r.c.Feed(1, []byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"))
-	if out := string(r.c.Take()); err == nil || !strings.HasPrefix(out, "HTTP/1.1 400") || !strings.Contains(out, "HTTP/2") {
+	if out := string(r.c.TakeOutput()); err == nil || !strings.HasPrefix(out, "HTTP/1.1 400") || !strings.Contains(out, "HTTP/2") {
 		t.Fatalf("got %v, %q", err, out)
 	}
 }
@@ -443,17 +443,17 @@
 // TestLeaving: streams that cross with a GOAWAY are served, later ones refused, and the client hears which.
 func TestLeaving(t *testing.T) {
 	ask, srv := newAsker(), &echo{t: t}
-	c, s := NewClient(Usual, ask), NewServer(Usual, srv)
+	c, s := NewClientConn(DefaultLimits, ask), NewServerConn(DefaultLimits, srv)
 	carry(t, c, s, whole)
 	a := c.OpenStream("/x/Y", "there", 0)
-	s.Leave()
+	s.StartDrain()
 	b := c.OpenStream("/x/Y", "there", 0) // crosses
 	carry(t, c, s, whole)
-	if !ask.away || !s.Leaving() || c.CanOpen() {
+	if !ask.away || !s.FinalGoAwaySent() || c.CanOpenStream() {
 		t.Fatal("the client does not know that the server leaves")
 	}
 	for _, st := range []*Stream{a, b} {
-		st.Send([]byte("x"), true)
+		st.SendMessage([]byte("x"), true)
 	}
 	ids := []uint32{a.ID(), b.ID()}
 	carry(t, c, s, whole)
@@ -463,7 +463,7 @@
 		}
 	}
 	late := c.OpenStream("/x/Y", "there", 0) // in spite of it
-	late.Send([]byte("x"), true)
+	late.SendMessage([]byte("x"), true)
 	carry(t, c, s, whole)
 	if ask.refused != 1 {
 		t.Errorf("%d streams refused, want the one opened after GOAWAY", ask.refused)
@@ -472,7 +472,7 @@
 
 func TestTimeouts(t *testing.T) {
 	for _, ns := range []int64{1, 999, 99999999, 100000000, 123456789012, 5e9, 3600e9, 1 << 61} {
-		got, err := ParseTimeout(Timeout(ns))
+		got, err := ParseTimeout(FormatTimeout(ns))
 		if err != nil || got < ns || float64(got) > 1.01*float64(ns)+1 {
 			t.Errorf("%d ns came back as %d, %v", ns, got, err)
 		}
@@ -487,18 +487,18 @@
 // TestRelayAllocates: the ordinary path of a token through a connection allocates nothing.
 func TestRelayAllocates(t *testing.T) {
 	srv := &holder{}
-	c, s := NewClient(Usual, newDiscard()), NewServer(Usual, srv)
+	c, s := NewClientConn(DefaultLimits, newDiscard()), NewServerConn(DefaultLimits, srv)
 	carry(t, c, s, whole)
-	c.OpenStream("/x/Y", "there", 0).Send([]byte("x"), true)
+	c.OpenStream("/x/Y", "there", 0).SendMessage([]byte("x"), true)
 	carry(t, c, s, whole)
 	token := make([]byte, 24)
 	run := func() {
-		srv.s.Send(token, false)
-		if err := c.Feed(1, s.Take()); err != nil {
+		srv.s.SendMessage(token, false)
+		if err := c.Feed(1, s.TakeOutput()); err != nil {
 			t.Fatal(err)
 		}
-		if c.Waiting() {
-			if err := s.Feed(1, c.Take()); err != nil {
+		if c.HasOutput() {
+			if err := s.Feed(1, c.TakeOutput()); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -516,14 +516,14 @@
 	s *Stream
 }
 
-func (h *holder) Headers(s *Stream, _ *Header) { h.s = s }
-func (h *holder) Message(*Stream, []byte) bool { return false }
-func (h *holder) HalfClosed(*Stream)           {}
+func (h *holder) HeadersReceived(s *Stream, _ *Header) { h.s = s }
+func (h *holder) MessageReceived(*Stream, []byte) bool { return false }
+func (h *holder) RequestEnded(*Stream)                 {}
 
 type discard struct{ asker }
 
-func newDiscard() *discard                   { return &discard{} }
-func (discard) Message(*Stream, []byte) bool { return false }
+func newDiscard() *discard                           { return &discard{} }
+func (discard) MessageReceived(*Stream, []byte) bool { return false }
 
 func FuzzFeed(f *testing.F) {
 	f.Add([]byte("PRI"), uint8(3))
@@ -536,9 +536,9 @@
 		var ends [2]string
 		for i := range ends {
 			app := &echo{t: t}
-			c := NewServer(Limits{Streams: 10, StreamWindow: 65535, ConnWindow: 65535, HeaderBytes: 1 << 10, MessageBytes: 1 << 10}, app)
+			c := NewServerConn(Limits{MaxStreams: 10, StreamWindow: 65535, ConnWindow: 65535, MaxHeaderListBytes: 1 << 10, MaxMessageBytes: 1 << 10}, app)
 			rest := p
-			for len(rest) > 0 && c.Over() == nil {
+			for len(rest) > 0 && c.Err() == nil {
 				n := len(rest)
 				if i == 1 {
 					n = min(n, int(cut)+1)
@@ -546,7 +546,7 @@
 				c.Feed(1, rest[:n])
 				rest = rest[n:]
 			}
-			ends[i] = fmt.Sprint(c.Over(), c.Open(), len(app.got), app.resets)
+			ends[i] = fmt.Sprint(c.Err(), c.OpenStreamCount(), len(app.got), app.resets)
 		}
 		if ends[0] != ends[1] {
 			t.Fatalf("in one piece %s, in pieces %s", ends[0], ends[1])
@@ -557,10 +557,10 @@
 // TestPartialMessagesAreBounded: a peer that begins many large messages and ends none is refused at its part of the
 // budget; another connection on the same budget goes on, and nothing stays in use.
 func TestPartialMessagesAreBounded(t *testing.T) {
-	b := &Budget{Most: 64 << 10}
+	b := &PartialMessageBudget{MaxBytes: 64 << 10}
 	bad, good := newRaw(t), newRaw(t)
-	bad.c.SetBudget(b)
-	good.c.SetBudget(b)
+	bad.c.SetPartialMessageBudget(b)
+	good.c.SetPartialMessageBudget(b)
 	for i := range 50 {
 		id := uint32(2*i + 1)
 		bad.headers(id, bad.usual(), false)
@@ -568,11 +568,11 @@
 		if err := bad.feed(1); err != nil {
 			t.Fatal(err)
 		}
-		if b.Used() > b.Most/8 {
-			t.Fatalf("one connection holds %d bytes, want at most an eighth of %d", b.Used(), b.Most)
+		if b.UsedBytes() > b.MaxBytes/8 {
+			t.Fatalf("one connection holds %d bytes, want at most an eighth of %d", b.UsedBytes(), b.MaxBytes)
 		}
 	}
-	if b.Refused == 0 {
+	if b.RejectedStreams == 0 {
 		t.Error("nothing was refused")
 	}
 	good.headers(1, good.usual(), false)
@@ -584,8 +584,8 @@
 	if _, _, _, statuses := good.answers(t); statuses[1] != "0" || string(good.app.got[0]) != "ok" {
 		t.Errorf("another connection's message in two parts ended with %q", statuses[1])
 	}
-	bad.c.Lost()
-	if b.Used() != 0 {
-		t.Errorf("%d bytes in use when all connections are gone", b.Used())
+	bad.c.TransportClosed()
+	if b.UsedBytes() != 0 {
+		t.Errorf("%d bytes in use when all connections are gone", b.UsedBytes())
 	}
 }
--- a/internal/indexedheap/heap.go
+++ b/internal/indexedheap/heap.go
@@ -7,7 +7,7 @@
 // where a thing notes its place in the heap, from 1; 0 says that it is not there.
 type Heap[T any] struct {
 	Less  func(a, b T) bool
-	Place func(T) *int
+	Index func(T) *int
 	list  []T
 }
 
@@ -17,21 +17,21 @@
 // Min is the least; the heap must not be empty.
 func (h *Heap[T]) Min() T { return h.list[0] }
 
-// All gives the things in no order that means anything; it is valid until the next change.
-func (h *Heap[T]) All() []T { return h.list }
+// Items gives the things in no order that means anything; it is valid until the next change.
+func (h *Heap[T]) Items() []T { return h.list }
 
-// Put puts a thing where it belongs, whether or not it is there already.
-func (h *Heap[T]) Put(x T) {
-	if i := *h.Place(x); i > 0 {
+// PushOrFix puts a thing where it belongs, whether or not it is there already.
+func (h *Heap[T]) PushOrFix(x T) {
+	if i := *h.Index(x); i > 0 {
 		heap.Fix(inner[T]{h}, i-1)
 	} else {
 		heap.Push(inner[T]{h}, x)
 	}
 }
 
-// Take takes a thing out, if it is there.
-func (h *Heap[T]) Take(x T) {
-	if i := *h.Place(x); i > 0 {
+// Remove takes a thing out, if it is there.
+func (h *Heap[T]) Remove(x T) {
+	if i := *h.Index(x); i > 0 {
 		heap.Remove(inner[T]{h}, i-1)
 	}
 }
@@ -39,7 +39,7 @@
 // Reset empties the heap and keeps its room.
 func (h *Heap[T]) Reset() {
 	for _, x := range h.list {
-		*h.Place(x) = 0
+		*h.Index(x) = 0
 	}
 	clear(h.list)
 	h.list = h.list[:0]
@@ -53,12 +53,12 @@
 func (n inner[T]) Swap(i, j int) {
 	l := n.h.list
 	l[i], l[j] = l[j], l[i]
-	*n.h.Place(l[i]), *n.h.Place(l[j]) = i+1, j+1
+	*n.h.Index(l[i]), *n.h.Index(l[j]) = i+1, j+1
 }
 
 func (n inner[T]) Push(x any) {
 	n.h.list = append(n.h.list, x.(T))
-	*n.h.Place(x.(T)) = len(n.h.list)
+	*n.h.Index(x.(T)) = len(n.h.list)
 }
 
 func (n inner[T]) Pop() any {
@@ -67,6 +67,6 @@
 	var none T
 	n.h.list[last] = none
 	n.h.list = n.h.list[:last]
-	*n.h.Place(x) = 0
+	*n.h.Index(x) = 0
 	return x
 }
--- a/internal/indexedheap/heap_test.go
+++ b/internal/indexedheap/heap_test.go
@@ -12,22 +12,22 @@
 // TestHeap plays puts, moves and takes against a sorted list.
 func TestHeap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		h := Heap[*thing]{Less: func(a, b *thing) bool { return a.key < b.key }, Place: func(x *thing) *int { return &x.at }}
+		h := Heap[*thing]{Less: func(a, b *thing) bool { return a.key < b.key }, Index: func(x *thing) *int { return &x.at }}
 		var model []*thing
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			switch what := rapid.IntRange(0, 3).Draw(t, "what"); {
 			case what < 2 || len(model) == 0:
 				x := &thing{key: rapid.IntRange(0, 50).Draw(t, "key")}
-				h.Put(x)
+				h.PushOrFix(x)
 				model = append(model, x)
 			case what == 2:
 				x := model[rapid.IntRange(0, len(model)-1).Draw(t, "which")]
 				x.key = rapid.IntRange(0, 50).Draw(t, "key")
-				h.Put(x)
+				h.PushOrFix(x)
 			default:
 				i := rapid.IntRange(0, len(model)-1).Draw(t, "which")
-				h.Take(model[i])
-				h.Take(model[i]) // does no harm
+				h.Remove(model[i])
+				h.Remove(model[i]) // does no harm
 				model = slices.Delete(model, i, i+1)
 			}
 			if h.Len() != len(model) {
@@ -46,7 +46,7 @@
 				t.Fatal("out of order")
 			}
 			last = x.key
-			h.Take(x)
+			h.Remove(x)
 		}
 	})
 }
--- a/internal/lab/baselinepolicy/policy.go
+++ b/internal/lab/baselinepolicy/policy.go
@@ -63,7 +63,7 @@
 	return &Module{name: name, sight: sight, rng: rand.New(rand.NewPCG(seed, 3)), hosts: map[policy.ServerID]*host{}, jobs: map[policy.RequestID]*job{}}, nil
 }
 
-func (m *Module) ListBegin(full bool) {
+func (m *Module) ListUpdateStarted(full bool) {
 	m.listed = nil
 	if full {
 		m.listed = map[policy.ServerID]bool{}
@@ -84,7 +84,7 @@
 	}
 }
 
-func (m *Module) ListEnd(policy.Nanos) {
+func (m *Module) ListUpdateEnded(policy.Nanos) {
 	if m.listed != nil {
 		for _, h := range m.order {
 			h.there = h.there && m.listed[h.id]
@@ -92,15 +92,15 @@
 	}
 }
 
-func (m *Module) ListFailed(policy.Nanos) {
+func (m *Module) ListUpdateFailed(policy.Nanos) {
 	m.watch = true
-	m.say(policy.Decision{Verb: policy.Wake, For: askAgain})
+	m.say(policy.Decision{Action: policy.SetTimer, Duration: askAgain})
 }
 
-func (m *Module) Woken(policy.Nanos) {
+func (m *Module) TimerFired(policy.Nanos) {
 	if m.watch {
 		m.watch = false
-		m.say(policy.Decision{Verb: policy.Watch})
+		m.say(policy.Decision{Action: policy.WatchEndpoints})
 	}
 }
 
@@ -122,7 +122,7 @@
 	h.out++
 	j.tried, j.out, j.isOut = append(j.tried, h.id), h.id, true
 	j.shots++
-	m.say(policy.Decision{Verb: policy.Attempt, Request: id, Server: h.id, For: j.given.Deadline - now})
+	m.say(policy.Decision{Action: policy.SendAttempt, Request: id, Server: h.id, Duration: j.given.Deadline - now})
 }
 
 func (m *Module) pick(j *job) *host {
@@ -168,25 +168,25 @@
 func (m *Module) giveUp(id policy.RequestID, harmless bool) {
 	j := m.jobs[id]
 	if j.held {
-		m.say(policy.Decision{Verb: policy.Release, Request: id})
+		m.say(policy.Decision{Action: policy.ReleaseState, Request: id})
 	}
-	verb := policy.Fail
+	verb := policy.FailRequest
 	if harmless {
-		verb = policy.Reject
+		verb = policy.RejectRequest
 	}
-	m.say(policy.Decision{Verb: verb, Request: id, For: askAgain})
+	m.say(policy.Decision{Action: verb, Request: id, Duration: askAgain})
 	delete(m.jobs, id)
 }
 
-func (m *Module) StreamBegan(_ policy.Nanos, id policy.RequestID, _ policy.AttemptNumber, _ policy.Nanos) {
+func (m *Module) StreamStarted(_ policy.Nanos, id policy.RequestID, _ policy.AttemptNumber, _ policy.Nanos) {
 	if j := m.jobs[id]; j != nil {
 		j.begun, j.held = true, false
 	}
 }
 
-func (m *Module) HeldSince(policy.Nanos, policy.RequestID, policy.Nanos) {}
+func (m *Module) StateHeldSince(policy.Nanos, policy.RequestID, policy.Nanos) {}
 
-func (m *Module) AttemptEnded(now policy.Nanos, id policy.RequestID, _ policy.AttemptNumber, how policy.Outcome, _ policy.Nanos, over bool, _ policy.Load) {
+func (m *Module) AttemptEnded(now policy.Nanos, id policy.RequestID, _ policy.AttemptNumber, how policy.Outcome, _ policy.Nanos, over bool, _ policy.LoadReport) {
 	j := m.jobs[id]
 	if j == nil || !j.isOut {
 		return
@@ -199,13 +199,13 @@
 	switch {
 	case over || j.answer:
 		if j.held {
-			m.say(policy.Decision{Verb: policy.Release, Request: id})
+			m.say(policy.Decision{Action: policy.ReleaseState, Request: id})
 		}
 		delete(m.jobs, id)
-	case how == policy.Read:
+	case how == policy.Prefilled:
 		j.reads, j.held, j.tried = false, true, j.tried[:0]
 		m.launch(now, id)
-	case how == policy.Stateless:
+	case how == policy.StateMissing:
 		j.reads, j.held, j.tried = true, false, j.tried[:0]
 		m.launch(now, id)
 	case read || how == policy.Rejected || how == policy.Unreachable || how == policy.NotSent:
@@ -215,24 +215,24 @@
 	}
 }
 
-func (m *Module) ClientLeft(_ policy.Nanos, id policy.RequestID) {
+func (m *Module) RequestCanceled(_ policy.Nanos, id policy.RequestID) {
 	j := m.jobs[id]
 	if j == nil {
 		return
 	}
 	j.answer = true
 	if j.isOut && !j.begun {
-		m.say(policy.Decision{Verb: policy.Cancel, Request: id, Attempt: j.shots - 1})
+		m.say(policy.Decision{Action: policy.CancelAttempt, Request: id, Attempt: j.shots - 1})
 	}
 	if !j.isOut {
 		if j.held {
-			m.say(policy.Decision{Verb: policy.Release, Request: id})
+			m.say(policy.Decision{Action: policy.ReleaseState, Request: id})
 		}
 		delete(m.jobs, id)
 	}
 }
 
-func (m *Module) Next(policy.Nanos) (policy.Decision, bool) {
+func (m *Module) NextDecision(policy.Nanos) (policy.Decision, bool) {
 	if len(m.queue) == 0 {
 		return policy.Decision{}, false
 	}
--- a/internal/lab/engine/batch/blocks.go
+++ b/internal/lab/engine/batch/blocks.go
@@ -43,7 +43,7 @@
 func NewMemory(tokens, size int) *Memory {
 	m := &Memory{Size: size, blocks: make([]block, tokens/size), byHash: make(map[Hash]int32)}
 	m.idle.Less = func(a, b *block) bool { return a.used < b.used }
-	m.idle.Place = func(b *block) *int { return &b.at }
+	m.idle.Index = func(b *block) *int { return &b.at }
 	for i := len(m.blocks) - 1; i >= 0; i-- {
 		m.free = append(m.free, int32(i))
 	}
@@ -84,7 +84,7 @@
 	}
 	for _, h := range chain[:kept] { // first, lest they be evicted for the others
 		i := m.byHash[h]
-		m.idle.Take(&m.blocks[i])
+		m.idle.Remove(&m.blocks[i])
 		m.blocks[i].refs++
 		into = append(into, i)
 	}
@@ -100,7 +100,7 @@
 		i, m.free = m.free[n-1], m.free[:n-1]
 	} else {
 		b := m.idle.Min()
-		m.idle.Take(b)
+		m.idle.Remove(b)
 		i = m.byHash[b.hash]
 		delete(m.byHash, b.hash)
 		m.Evicted++
@@ -133,7 +133,7 @@
 		}
 		m.clock++
 		b.used = m.clock
-		m.idle.Put(b)
+		m.idle.PushOrFix(b)
 	}
 }
 
@@ -141,7 +141,7 @@
 func (m *Memory) Clear() {
 	for m.idle.Len() > 0 {
 		b := m.idle.Min()
-		m.idle.Take(b)
+		m.idle.Remove(b)
 		i := m.byHash[b.hash]
 		delete(m.byHash, b.hash)
 		m.blocks[i] = block{}
--- a/internal/lab/faultproxy/proxy.go
+++ b/internal/lab/faultproxy/proxy.go
@@ -142,7 +142,7 @@
 	cut := r.cut
 	r.mu.Unlock()
 	if cut != nil { // taken, and nothing comes of it
-		p.pass(in, nil, p.tap.Ahead)
+		p.pass(in, nil, p.tap.Sent)
 		return
 	}
 	out, err := net.DialTimeout("tcp", r.to, time.Second)
@@ -153,8 +153,8 @@
 	r.mu.Lock()
 	p.out = out.(*net.TCPConn)
 	r.mu.Unlock()
-	go p.pass(p.out, in, p.tap.Back)
-	p.pass(in, p.out, p.tap.Ahead)
+	go p.pass(p.out, in, p.tap.Received)
+	p.pass(in, p.out, p.tap.Sent)
 }
 
 // pass moves bytes one way until either end is done.
--- a/internal/lab/faultproxy/tap.go
+++ b/internal/lab/faultproxy/tap.go
@@ -40,11 +40,11 @@
 	}
 }
 
-// Ahead sees bytes for the host.
-func (t *Tap) Ahead(p []byte) { t.see(&t.to, p, true) }
+// Sent sees bytes for the host.
+func (t *Tap) Sent(p []byte) { t.see(&t.to, p, true) }
 
-// Back sees bytes from the host.
-func (t *Tap) Back(p []byte) { t.see(&t.from, p, false) }
+// Received sees bytes from the host.
+func (t *Tap) Received(p []byte) { t.see(&t.from, p, false) }
 
 func (t *Tap) see(h *half, p []byte, ahead bool) {
 	if t.book == nil {
--- a/internal/lab/invariants/invariants.go
+++ b/internal/lab/invariants/invariants.go
@@ -13,8 +13,8 @@
 
 // Class is what the rules need to know of a class of requests.
 type Class struct {
-	Effect policy.Effect
-	Group  policy.Group
+	Effect policy.Idempotency
+	Group  policy.DedupScope
 	Window time.Duration
 }
 
@@ -127,7 +127,7 @@
 		c.checkRepeat(name, class, ran, again)
 	}
 	rejected := t.final != nil && t.final.Kind == eventlog.Final && (t.final.Code == "Unavailable" || t.final.Code == "ResourceExhausted")
-	if rejected && (class.Effect == policy.NonIdempotent || class.Group != policy.GroupAll) && ran.sent < t.final.At {
+	if rejected && (class.Effect == policy.NonIdempotent || class.Group != policy.DedupScopeAll) && ran.sent < t.final.At {
 		c.broken(2, t.final.At, "%s request %s was rejected though it may have run at server %d", effectName(class.Effect), name, ran.server)
 	}
 }
@@ -137,9 +137,9 @@
 	switch {
 	case class.Effect == policy.NonIdempotent:
 		c.broken(2, again.sent, "non-idempotent request %s was sent to server %d after it may have run at server %d", name, again.server, ran.server)
-	case class.Group == policy.GroupZone && again.decode && was.Zone != is.Zone:
+	case class.Group == policy.DedupScopeZone && again.decode && was.Zone != is.Zone:
 		c.broken(2, again.sent, "deduplicated request %s was sent to server %d, outside the zone of server %d", name, again.server, ran.server)
-	case class.Group == policy.GroupCell && again.decode && was != is:
+	case class.Group == policy.DedupScopeCell && again.decode && was != is:
 		c.broken(2, again.sent, "deduplicated request %s was sent to server %d, outside the cell of server %d", name, again.server, ran.server)
 	case again.decode && again.sent > ran.sent+int64(class.Window)+c.slack:
 		c.broken(2, again.sent, "deduplicated request %s was sent again after its window", name)
@@ -183,6 +183,6 @@
 
 func milliseconds(span int64) time.Duration { return time.Duration(span).Round(time.Millisecond) }
 
-func effectName(e policy.Effect) string {
-	return map[policy.Effect]string{policy.Idempotent: "idempotent", policy.Deduplicated: "deduplicated", policy.NonIdempotent: "non-idempotent"}[e]
+func effectName(e policy.Idempotency) string {
+	return map[policy.Idempotency]string{policy.Idempotent: "idempotent", policy.Deduplicated: "deduplicated", policy.NonIdempotent: "non-idempotent"}[e]
 }
--- a/internal/lab/invariants/invariants_test.go
+++ b/internal/lab/invariants/invariants_test.go
@@ -12,7 +12,7 @@
 var facts = Facts{
 	Classes: map[string]Class{
 		"r": {Effect: policy.Idempotent}, "i": {Effect: policy.NonIdempotent},
-		"z": {Effect: policy.Deduplicated, Group: policy.GroupZone, Window: time.Second}, "l": {Effect: policy.Deduplicated, Window: time.Second},
+		"z": {Effect: policy.Deduplicated, Group: policy.DedupScopeZone, Window: time.Second}, "l": {Effect: policy.Deduplicated, Window: time.Second},
 	},
 	Servers: map[int]Server{1: {"a", "a1"}, 2: {"a", "a2"}, 3: {"b", "b1"}, 4: {"a", "a1"}},
 	Release: 500 * time.Millisecond, Grace: 500 * time.Millisecond, Slack: 50 * time.Millisecond,
--- a/internal/lab/scenario/import.go
+++ b/internal/lab/scenario/import.go
@@ -203,7 +203,7 @@
 			Prompt: max(1, int(t.New/2)), PromptMost: int(1.5 * t.New), PrefixTokens: int(t.Prefix), Prefixes: 8,
 			Answer: max(1, int(min(1.33*t.Out, float64(t.MaxOut)))), Retries: d.Clients.Retries, Idle: time.Second,
 		}
-		effect := map[string]policy.Effect{"safe": policy.Idempotent, "keyed": policy.Deduplicated, "unsafe": policy.NonIdempotent}
+		effect := map[string]policy.Idempotency{"safe": policy.Idempotent, "keyed": policy.Deduplicated, "unsafe": policy.NonIdempotent}
 		e, ok := effect[c.Effect]
 		if !ok {
 			cannot = append(cannot, fmt.Sprintf("class %s: effect %q, played as idempotent", c.Name, c.Effect))
@@ -211,9 +211,9 @@
 		tr.Effect = config.Effect(e)
 		switch c.Group {
 		case "zone":
-			tr.Group = config.Group(policy.GroupZone)
+			tr.Group = config.Group(policy.DedupScopeZone)
 		case "cell":
-			tr.Group = config.Group(policy.GroupCell)
+			tr.Group = config.Group(policy.DedupScopeCell)
 		}
 		s.Load = append(s.Load, tr)
 	}
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -306,7 +306,7 @@
 			PromptMost: t.PromptMost, PrefixTokens: t.PrefixTokens, Prefixes: t.Prefixes, Answer: t.Answer, Expected: t.Target,
 			Per1k: t.Per1k, Timeout: t.Timeout, Value: max(t.Value, 1), Retries: t.Retries, Leave: t.Leave, Idle: t.Idle,
 			Clients: t.Clients, Deaf: t.Deaf, Made: t.Made, Conns: t.Conns, Background: t.Background,
-			NonIdempotent: policy.Effect(t.Effect) != policy.Idempotent,
+			NonIdempotent: policy.Idempotency(t.Effect) != policy.Idempotent,
 		})
 	}
 	return ts
@@ -319,7 +319,7 @@
 		Grace: config.Usual().Rules.Drain, Slack: 250 * time.Millisecond,
 	}
 	for _, t := range s.Load {
-		f.Classes[t.Name] = invariants.Class{Effect: policy.Effect(t.Effect), Group: policy.Group(t.Group), Window: t.Window}
+		f.Classes[t.Name] = invariants.Class{Effect: policy.Idempotency(t.Effect), Group: policy.DedupScope(t.Group), Window: t.Window}
 	}
 	for _, h := range s.Hosts() {
 		f.Servers[h.ID] = invariants.Server{Zone: h.Zone, Cell: h.Cell}
--- a/internal/lab/scenario/stage.go
+++ b/internal/lab/scenario/stage.go
@@ -37,7 +37,7 @@
 	listers []*discoveryserver.Lister
 	relays  [][]*faultproxy.Relay // by dispatcher, by host
 	mu      sync.Mutex
-	disp    []*dispatch.Running
+	disp    []*dispatch.Node
 	addrs   []netip.AddrPort
 	sets    []*config.Dispatcher
 	health  map[int]pb.Health
@@ -109,7 +109,7 @@
 	deadline := time.Now().Add(5 * time.Second)
 	for n := range st.disp { // until each knows the list
 		for known := false; !known; {
-			st.disp[n].Ask(func(d *dispatch.Dispatcher) { known = d.Known() })
+			st.disp[n].RunOnLoop(func(d *dispatch.Dispatcher) { known = d.HasEndpointList() })
 			if time.Now().After(deadline) {
 				return st, fmt.Errorf("dispatcher %d has no list of engines after 5 s", n)
 			}
@@ -128,7 +128,7 @@
 	if st.Wrap != nil {
 		wrap = st.Wrap(n)
 	}
-	r, err := dispatch.Run(&d, st.log.With("dispatcher", n), wrap)
+	r, err := dispatch.Start(&d, st.log.With("dispatcher", n), wrap)
 	if err != nil {
 		return err
 	}
@@ -184,7 +184,7 @@
 	st.disp[n] = nil
 	st.mu.Unlock()
 	if r != nil {
-		r.Ask(func(d *dispatch.Dispatcher) { add(&st.counts[n], d.Counts) })
+		r.RunOnLoop(func(d *dispatch.Dispatcher) { add(&st.counts[n], d.Counts) })
 		st.Book.Add(eventlog.Entry{Kind: eventlog.Down, Disp: n})
 		r.Kill()
 	}
@@ -211,7 +211,7 @@
 }
 
 // Dispatcher gives dispatcher n; nil while it is down.
-func (st *Stage) Dispatcher(n int) *dispatch.Running {
+func (st *Stage) Dispatcher(n int) *dispatch.Node {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	return st.disp[n]
@@ -223,7 +223,7 @@
 	for n := range st.disp {
 		add(&sum, st.counts[n])
 		if r := st.Dispatcher(n); r != nil {
-			r.Ask(func(d *dispatch.Dispatcher) { add(&sum, d.Counts) })
+			r.RunOnLoop(func(d *dispatch.Dispatcher) { add(&sum, d.Counts) })
 		}
 	}
 	return sum
@@ -316,7 +316,7 @@
 	Entries    []eventlog.Entry
 	Counts     dispatch.Counts
 	Launches   int
-	Doors      []admission.Counts // by dispatcher, by tenant
+	Doors      []admission.TenantCounts // by dispatcher, by tenant
 	Took       time.Duration
 }
 
@@ -371,11 +371,11 @@
 	}
 	wg.Wait()
 	time.Sleep(s.Release + 300*time.Millisecond) // what is held has to have gone by then
-	var doors []admission.Counts
+	var doors []admission.TenantCounts
 	for n := range st.disp {
 		if r := st.Dispatcher(n); r != nil {
-			r.Ask(func(d *dispatch.Dispatcher) {
-				for _, t := range d.View().Tenants {
+			r.RunOnLoop(func(d *dispatch.Dispatcher) {
+				for _, t := range d.Status().Tenants {
 					doors = append(doors, t.Counts)
 				}
 			})
@@ -579,19 +579,19 @@
 	}
 	c := r.Counts
 	fmt.Fprintf(w, "dispatchers: %d launches, %d recalled, %d late, %d broken, %d releases, %d reports (%d late), %d refused at the gate, "+
-		"%d guarded\n", c.Attempts, c.Cancels, c.TimedOut, c.Broken, c.Releases, c.Reports, c.LateReports, c.Refused, c.InvalidDecisions)
+		"%d guarded\n", c.Attempts, c.Cancels, c.TimedOut, c.Broken, c.Releases, c.LoadReports, c.StaleLoadReports, c.RejectedAtIntake, c.InvalidDecisions)
 	doors := r.Doors
 	if len(doors) > 8 { // their sum tells more than a page of them
-		var sum admission.Counts
+		var sum admission.TenantCounts
 		for _, c := range doors {
 			sum.Add(c)
 		}
-		doors = []admission.Counts{sum}
+		doors = []admission.TenantCounts{sum}
 	}
 	for i, c := range doors {
 		if c.Arrived > 0 {
 			fmt.Fprintf(w, "door %d: %d came, %d admitted, %d cancelled, refused %v, mean wait %d ms, longest %d ms, booked %d, returned %d, kept %d, not honoured %d\n",
-				i, c.Arrived, c.Admitted, c.Cancelled, c.Refused, c.Waited/int64(max(c.Admitted, 1))/1e6, c.Longest/1e6, c.Booked, c.Returned, c.KeptBookings, c.WithoutBooking)
+				i, c.Arrived, c.Admitted, c.Cancelled, c.Rejected, c.TotalWait/int64(max(c.Admitted, 1))/1e6, c.MaxWait/1e6, c.ReservationsGranted, c.ReservationsRedeemed, c.ReservationsAdmitted, c.ReservationsInvalid)
 		}
 	}
 	back, kept := 0, 0
--- a/internal/lab/simulation/client.go
+++ b/internal/lab/simulation/client.go
@@ -81,7 +81,7 @@
 	call     eventloop.Timer
 }
 
-func (k *crowd) now() eventloop.Nanos { return k.l.Clock() }
+func (k *crowd) now() eventloop.Nanos { return k.l.ReadClock() }
 
 // begin starts a session.
 func (k *crowd) begin(n, heavy int, rng *rand.Rand) {
@@ -141,20 +141,20 @@
 		call = s.left + int64(s.req.MaxTokens)*writeTime
 	}
 	a := &attempt{
-		s: s, leaves: -1, ticketed: s.ticket != "", by: k.d.world.Wall() + s.left,
+		s: s, leaves: -1, ticketed: s.ticket != "", by: k.d.world.UnixNanos() + s.left,
 		entry: eventlog.Entry{Label: s.req.Label, Try: s.try, Class: t.Name, Tenant: t.Tenant},
 	}
 	s.now = a
 	if s.rng.Float64() < t.Leave {
 		if s.rng.IntN(2) == 0 { // at some time, or after some tokens
-			k.l.At(&s.quits, now+int64(s.rng.Float64()*float64(t.Expected)), func(eventloop.Nanos) { a.quit() })
+			k.l.SetTimer(&s.quits, now+int64(s.rng.Float64()*float64(t.Expected)), func(eventloop.Nanos) { a.quit() })
 		} else {
 			a.leaves = 1 + s.rng.IntN(max(int(s.req.MaxTokens)/2, 1))
 		}
 	}
 	s.req.PatienceNs = uint64(s.left)
 	a.note(eventlog.Asked, "")
-	k.l.At(&a.call, now+call, func(eventloop.Nanos) {
+	k.l.SetTimer(&a.call, now+call, func(eventloop.Nanos) {
 		a.cancel()
 		a.note(eventlog.NoAnswer, "DeadlineExceeded: the client's own clock")
 		a.end(codes.DeadlineExceeded, outcome{})
@@ -177,11 +177,11 @@
 // wire gives a connection to a dispatcher, made anew where the last was lost.
 func (k *crowd) wire(disp, i int) *wire {
 	w := k.wires[disp][i]
-	if w != nil && !w.gone && (!w.open || w.h.CanOpen()) {
+	if w != nil && !w.gone && (!w.open || w.h.CanOpenStream()) {
 		return w
 	}
 	w = &wire{l: k.l, on: &ends{}}
-	w.h = h2.NewClient(h2.Usual, w)
+	w.h = h2.NewClientConn(h2.DefaultLimits, w)
 	lc, err := k.l.Dial(k.d.disp[disp].addr, connectTime, w)
 	if err != nil {
 		return nil
@@ -207,8 +207,8 @@
 		panic(err)
 	}
 	a.st = a.w.h.OpenStream(pathGenerate, "docksail", call, extra...)
-	a.st.Tag = a
-	a.st.Send(b, true)
+	a.st.UserData = a
+	a.st.SendMessage(b, true)
 	a.w.flush()
 }
 
@@ -222,7 +222,7 @@
 func (a *attempt) cancel() {
 	if a.st != nil {
 		st := a.st
-		a.st, st.Tag = nil, nil
+		a.st, st.UserData = nil, nil
 		st.Reset(http2.ErrCodeCancel)
 		a.w.flush()
 	}
@@ -256,8 +256,8 @@
 	s, k := a.s, a.s.k
 	t, sum, now := &k.t, k.sum, k.now()
 	a.over = true
-	k.l.Cancel(&a.call)
-	k.l.Cancel(&s.quits)
+	k.l.CancelTimer(&a.call)
+	k.l.CancelTimer(&s.quits)
 	if a.ticketed {
 		sum.Back++
 		if code == codes.OK {
@@ -279,7 +279,7 @@
 			sum.Value += s.worth
 		}
 		s.prompt += a.tokens
-		k.l.At(&s.timer, now+int64(float64(t.Idle)*s.rng.Float64()), func(eventloop.Nanos) { s.next() })
+		k.l.SetTimer(&s.timer, now+int64(float64(t.Idle)*s.rng.Float64()), func(eventloop.Nanos) { s.next() })
 		return
 	case o.left:
 		sum.Left++
@@ -315,7 +315,7 @@
 		return
 	}
 	s.try++
-	k.l.At(&s.timer, now+wait, func(eventloop.Nanos) { s.send() })
+	k.l.SetTimer(&s.timer, now+wait, func(eventloop.Nanos) { s.send() })
 }
 
 // ends is what a crowd does about a connection.
@@ -342,13 +342,13 @@
 }
 
 func (e *ends) headers(_ *wire, s *h2.Stream, h *h2.Header) {
-	if a, ok := s.Tag.(*attempt); ok && a.job == "" {
+	if a, ok := s.UserData.(*attempt); ok && a.job == "" {
 		a.job = h.Get("docksail-job")
 	}
 }
 
 func (e *ends) message(_ *wire, s *h2.Stream, p []byte) {
-	a, ok := s.Tag.(*attempt)
+	a, ok := s.UserData.(*attempt)
 	if !ok {
 		return
 	}
@@ -373,11 +373,11 @@
 }
 
 func (e *ends) finished(s *h2.Stream, code codes.Code, message string, trailer *h2.Header) {
-	a, ok := s.Tag.(*attempt)
+	a, ok := s.UserData.(*attempt)
 	if !ok || a.over {
 		return
 	}
-	a.st, s.Tag = nil, nil
+	a.st, s.UserData = nil, nil
 	if v := trailer.Get("docksail-job"); a.job == "" {
 		a.job = v
 	}
@@ -430,8 +430,8 @@
 }
 
 func (e *ends) reset(s *h2.Stream) {
-	if a, ok := s.Tag.(*attempt); ok && !a.over {
-		a.st, s.Tag = nil, nil
+	if a, ok := s.UserData.(*attempt); ok && !a.over {
+		a.st, s.UserData = nil, nil
 		a.lost("the stream broke")
 	}
 }
--- a/internal/lab/simulation/discoveryserver.go
+++ b/internal/lab/simulation/discoveryserver.go
@@ -27,7 +27,7 @@
 	if w.l != nil {
 		return nil
 	}
-	w.l, w.watch = w.d.world.Loop(w.addr.Addr(), nil), map[*wire]*h2.Stream{}
+	w.l, w.watch = w.d.world.NewLoop(w.addr.Addr(), nil), map[*wire]*h2.Stream{}
 	_, err := w.l.Listen(w.addr, false, func(c *eventloop.Conn, _ netip.AddrPort) eventloop.Handler { return serveWire(w.l, c, w) })
 	return err
 }
@@ -53,7 +53,7 @@
 
 // tell sends news to who watches: there is one dispatcher, with one connection but for the moments of a new one.
 func (w *lister) tell(news *pb.FleetNews) {
-	for _, to := range sortedBy(w.watch, func(a *wire) uint64 { return a.lc.Number() }) {
+	for _, to := range sortedBy(w.watch, func(a *wire) uint64 { return a.lc.SimulatedID() }) {
 		w.send(to, w.watch[to], news)
 	}
 }
@@ -63,7 +63,7 @@
 	if err != nil {
 		panic(err)
 	}
-	s.Send(b, false)
+	s.SendMessage(b, false)
 	to.flush()
 	for _, h := range news.Hosts {
 		w.d.Book.Add(eventlog.Entry{Kind: eventlog.Told, Server: int(h.Id), Disp: w.disp, Note: h.Health.String(), N: h.StartedUnixNs})
--- a/internal/lab/simulation/host.go
+++ b/internal/lab/simulation/host.go
@@ -75,7 +75,7 @@
 	if h.rep, err = batch.NewReporter(uint64(h.spec.ID), int64(h.spec.ReportEvery), int64(h.faults.ReportLate), h.spec.ReportNoise); err != nil {
 		return err
 	}
-	h.l = h.d.world.Loop(h.addr.Addr(), nil)
+	h.l = h.d.world.NewLoop(h.addr.Addr(), nil)
 	h.began = h.d.world.Now() - ago
 	h.calls, h.states, h.parked = map[batch.ID]*call{}, map[string]*state{}, nil
 	h.step, h.inStep, h.toppled, h.arrived = eventloop.Timer{}, false, false, nil
@@ -138,14 +138,14 @@
 	took, h.events, h.inStep = h.model.Begin(h.events[:0])
 	h.tell()
 	if h.inStep {
-		h.l.At(&h.step, h.l.Now()+max(eventloop.Nanos(float64(took)/h.warmth()*max(h.faults.Slow, 1)), 1), h.onStep)
+		h.l.SetTimer(&h.step, h.l.Now()+max(eventloop.Nanos(float64(took)/h.warmth()*max(h.faults.Slow, 1)), 1), h.onStep)
 	}
 }
 
 func (h *host) stepped(now eventloop.Nanos) {
 	if h.stands() { // until fail says that it goes on
 		h.inStep = false
-		h.l.At(&h.step, now+int64(engine.StandCheck), h.onStep)
+		h.l.SetTimer(&h.step, now+int64(engine.StandCheck), h.onStep)
 		h.inStep = true
 		return
 	}
@@ -204,7 +204,7 @@
 		if err != nil {
 			panic(err)
 		}
-		c.s.Send(b, false)
+		c.s.SendMessage(b, false)
 		c.late = c.late[1:]
 	}
 	c.w.flush()
@@ -242,14 +242,14 @@
 	}
 	s := c.s
 	h.forget(c)
-	s.End(code, why, extra...)
+	s.EndWithStatus(code, why, extra...)
 	c.w.flush()
 }
 
 // forget takes a call out of the model; a read's state stays if it is held.
 func (h *host) forget(c *call) {
 	if c.s != nil {
-		c.s.Tag, c.s = nil, nil
+		c.s.UserData, c.s = nil, nil
 	}
 	if c.move != 0 {
 		h.d.net.stop(c.move)
@@ -273,12 +273,12 @@
 	h.states[c.name] = st
 	h.d.Book.Add(eventlog.Entry{Kind: eventlog.Held, Server: h.spec.ID, Request: c.name, Attempt: int(st.shot), N: int64(st.tokens)})
 	name := c.name
-	h.l.At(&st.ends, h.l.Now()+int64(h.spec.Hold), func(eventloop.Nanos) { h.drop(name, "ran out") })
+	h.l.SetTimer(&st.ends, h.l.Now()+int64(h.spec.Hold), func(eventloop.Nanos) { h.drop(name, "ran out") })
 	b, err := proto.Marshal(&pb.ReadDone{ReadTokens: uint32(unread), KeptTokens: req.PromptTokens - min(uint32(unread), req.PromptTokens)})
 	if err != nil {
 		panic(err)
 	}
-	c.s.Send(b, false)
+	c.s.SendMessage(b, false)
 	h.end(c, codes.OK, "")
 }
 
@@ -289,7 +289,7 @@
 		return
 	}
 	delete(h.states, name)
-	h.l.Cancel(&st.ends)
+	h.l.CancelTimer(&st.ends)
 	h.model.Drop(st.id)
 	h.d.Book.Add(eventlog.Entry{Kind: eventlog.Released, Server: h.spec.ID, Request: name, Attempt: int(st.shot), Note: why})
 	h.l.Post(h.kick)
@@ -298,7 +298,7 @@
 // fetch gets the state of a call's job from the host that holds it.
 func (h *host) fetch(c *call) {
 	from := h.d.byAddr[c.launch.StateAddress]
-	l, delay := h.l, h.d.world.Delay
+	l, delay := h.l, h.d.world.Latency
 	none := func(why string) {
 		l.Post(func() { h.end(c, codes.FailedPrecondition, "no state: "+why) })
 	}
@@ -308,7 +308,7 @@
 	}
 	there := from.l
 	ask := &eventloop.Timer{}
-	l.At(ask, l.Now()+delay, func(eventloop.Nanos) {
+	l.SetTimer(ask, l.Now()+delay, func(eventloop.Nanos) {
 		st := from.states[c.name]
 		if c.s == nil {
 			return
@@ -329,7 +329,7 @@
 					none("it was let go meanwhile")
 				case from.stands():
 					again := &eventloop.Timer{}
-					from.l.At(again, from.l.Now()+int64(engine.StandCheck), func(eventloop.Nanos) { took() })
+					from.l.SetTimer(again, from.l.Now()+int64(engine.StandCheck), func(eventloop.Nanos) { took() })
 				default:
 					from.drop(c.name, "fetched")
 					l.Post(func() {
@@ -406,11 +406,11 @@
 
 func (h *host) opened(*wire) {}
 func (h *host) headers(w *wire, s *h2.Stream, hd *h2.Header) {
-	s.Tag = &call{h: h, w: w, s: s, path: hd.Get(":path")}
+	s.UserData = &call{h: h, w: w, s: s, path: hd.Get(":path")}
 }
 
 func (h *host) message(w *wire, s *h2.Stream, p []byte) {
-	c, ok := s.Tag.(*call)
+	c, ok := s.UserData.(*call)
 	if !ok || c.came > 0 {
 		return
 	}
@@ -424,7 +424,7 @@
 			}
 			h.callBack(name, r.Shot)
 		}
-		s.Send(nil, false)
+		s.SendMessage(nil, false)
 		h.end(c, codes.OK, "")
 		return
 	}
@@ -467,7 +467,7 @@
 
 func (h *host) finished(*h2.Stream, codes.Code, string, *h2.Header) {}
 func (h *host) reset(s *h2.Stream) {
-	if c, ok := s.Tag.(*call); ok && c.s != nil {
+	if c, ok := s.UserData.(*call); ok && c.s != nil {
 		h.forget(c)
 		h.l.Post(h.kick)
 	}
@@ -522,7 +522,7 @@
 	return m.last
 }
 
-func (m *moves) now() eventloop.Nanos { return m.l.Clock() }
+func (m *moves) now() eventloop.Nanos { return m.l.ReadClock() }
 
 func (m *moves) stop(id batch.Move) {
 	delete(m.ended, id)
@@ -540,6 +540,6 @@
 		}
 	}
 	if at, ok := m.net.Next(); ok {
-		m.l.Post(func() { m.l.At(&m.timer, max(at, m.now()), func(eventloop.Nanos) { m.settle() }) })
+		m.l.Post(func() { m.l.SetTimer(&m.timer, max(at, m.now()), func(eventloop.Nanos) { m.settle() }) })
 	}
 }
--- a/internal/lab/simulation/simulation.go
+++ b/internal/lab/simulation/simulation.go
@@ -44,7 +44,7 @@
 	Log    *slog.Logger
 	Sample time.Duration // the figures of all hosts are written down so often; 0 = never
 
-	world   *eventloop.World
+	world   *eventloop.SimulatedNetwork
 	ctl     *eventloop.Loop // on which the script's times come
 	net     *moves
 	hosts   []*host
@@ -74,11 +74,11 @@
 		Script: s, Book: &eventlog.Book{}, Log: slog.New(slog.DiscardHandler), byAddr: map[string]*host{}, began: start,
 		rng: rand.New(rand.NewPCG(uint64(s.Seed), 2)),
 	}
-	d.world = eventloop.NewWorld(wall, delay)
-	d.Book.Clock = d.world.Wall
-	d.ctl = d.world.Loop(addr(0, 0), nil)
+	d.world = eventloop.NewSimulatedNetwork(wall, delay)
+	d.Book.Clock = d.world.UnixNanos
+	d.ctl = d.world.NewLoop(addr(0, 0), nil)
 	d.net = &moves{
-		l: d.world.Loop(addr(0, 1), nil), net: batch.NewNet(), ports: map[int]int{}, cells: map[string]int{},
+		l: d.world.NewLoop(addr(0, 1), nil), net: batch.NewNet(), ports: map[int]int{}, cells: map[string]int{},
 		ended: map[batch.Move]func(){},
 	}
 	var list []*pb.Host
@@ -104,7 +104,7 @@
 		set.Listen, set.Fleet.Watch, set.Limits.Memory = at, w.addr, 0
 		d.disp = append(d.disp, &dispatcher{n: n, addr: at, set: set})
 	}
-	d.world.Tap = func(from *eventloop.Loop, to netip.AddrPort) eventloop.Tap {
+	d.world.NewTap = func(from *eventloop.Loop, to netip.AddrPort) eventloop.Tap {
 		h := d.byAddr[to.String()]
 		if h == nil {
 			return nil
@@ -117,7 +117,7 @@
 		return nil
 	}
 	for i, t := range s.Clients() {
-		k := &crowd{d: d, t: t, l: d.world.Loop(addr(4, i), nil), sum: &userclient.Sum{}}
+		k := &crowd{d: d, t: t, l: d.world.NewLoop(addr(4, i), nil), sum: &userclient.Sum{}}
 		for range d.disp {
 			k.wires = append(k.wires, make([]*wire, max(connsEach, t.Conns)))
 		}
@@ -132,14 +132,14 @@
 		return nil
 	}
 	x.lives++
-	x.l = d.world.Loop(x.addr.Addr(), nil)
+	x.l = d.world.NewLoop(x.addr.Addr(), nil)
 	life := uint64(x.n+1)<<16 | x.lives
 	var wrap func(dispatch.Module) dispatch.Module
 	if d.Wrap != nil {
 		wrap = d.Wrap(x.n)
 	}
 	secrets := rand.NewChaCha8([32]byte{byte(life), byte(life >> 8), byte(life >> 16), byte(x.set.Seed)})
-	disp, err := dispatch.New(x.l, x.set, d.Log.With("dispatcher", x.n), x.set.Seed, life, secrets, wrap)
+	disp, err := dispatch.NewGRPC(x.l, x.set, d.Log.With("dispatcher", x.n), x.set.Seed, life, secrets, wrap)
 	if err != nil {
 		return err
 	}
@@ -147,7 +147,7 @@
 		return err
 	}
 	x.d = disp
-	x.l.SetRound(disp.Round)
+	x.l.SetOnIteration(disp.RunIteration)
 	x.l.Post(func() {})
 	d.Book.Add(eventlog.Entry{Kind: eventlog.Up, Disp: x.n})
 	return nil
@@ -166,7 +166,7 @@
 // at has f called at a time of the world, after on the way to it.
 func (d *Day) at(t eventloop.Nanos, f func()) {
 	timer := &eventloop.Timer{}
-	d.ctl.Post(func() { d.ctl.At(timer, max(t, d.world.Now()), func(eventloop.Nanos) { f() }) })
+	d.ctl.Post(func() { d.ctl.SetTimer(timer, max(t, d.world.Now()), func(eventloop.Nanos) { f() }) })
 }
 
 func (d *Day) after(t eventloop.Nanos, f func()) { d.at(d.world.Now()+t, f) }
@@ -211,7 +211,7 @@
 			return nil, err
 		}
 	}
-	d.world.Run(d.began)
+	d.world.RunUntil(d.began)
 	last := s.For
 	for _, t := range s.Troubles {
 		hosts := d.on(t)
@@ -256,13 +256,13 @@
 	most := end + int64(10*time.Minute) // a client that waits for longer is a fault, which rule one shows
 	for t := d.began; t < end || t < most && !idle(); {
 		t += step
-		d.world.Run(t)
+		d.world.RunUntil(t)
 		if ctx.Err() != nil {
 			return nil, ctx.Err()
 		}
 	}
-	d.world.Run(d.world.Now() + int64(s.Release+300*time.Millisecond))
-	rep := &Report{Turns: d.world.Turns, Simulated: time.Duration(d.world.Now())}
+	d.world.RunUntil(d.world.Now() + int64(s.Release+300*time.Millisecond))
+	rep := &Report{Turns: d.world.Iterations, Simulated: time.Duration(d.world.Now())}
 	rep.Sums, rep.Counts, rep.Entries = map[string]*userclient.Sum{}, d.counts, d.Book.Entries()
 	for _, k := range d.crowds {
 		rep.Sums[k.t.Name] = k.sum
@@ -272,7 +272,7 @@
 			continue
 		}
 		rep.Counts.Add(x.d.Counts)
-		for _, t := range x.d.View().Tenants {
+		for _, t := range x.d.Status().Tenants {
 			rep.Doors = append(rep.Doors, t.Counts)
 		}
 	}
@@ -360,7 +360,7 @@
 		each(func(h *host) {
 			for _, x := range d.disp {
 				if which(x) && h.l != nil {
-					d.world.Cut(x.l, h.l, yes)
+					d.world.SetPartitioned(x.l, h.l, yes)
 				}
 			}
 			d.Book.Add(eventlog.Entry{Kind: eventlog.Trouble, Note: note, Server: h.spec.ID})
@@ -371,7 +371,7 @@
 		set := func(by int64, trickle bool) {
 			each(func(h *host) {
 				if h.l != nil {
-					h.l.Slow(by, trickle)
+					h.l.SetSlowdown(by, trickle)
 				}
 			})
 		}
@@ -409,7 +409,7 @@
 				h.crash()
 				for _, x := range d.disp { // now its machine answers for the process that is gone
 					if was != nil && x.l != nil {
-						d.world.Cut(x.l, was, false)
+						d.world.SetPartitioned(x.l, was, false)
 					}
 				}
 				d.Book.Add(eventlog.Entry{Kind: eventlog.Trouble, Note: "uncut", Server: h.spec.ID})
@@ -474,13 +474,13 @@
 	case "reset":
 		each(func(h *host) {
 			if h.l != nil {
-				h.l.Reset()
+				h.l.ResetConnections()
 			}
 		})
 	case "halfopen":
 		each(func(h *host) {
 			if h.l != nil {
-				h.l.Mute()
+				h.l.BlackholeConnections()
 			}
 			d.Book.Add(eventlog.Entry{Kind: eventlog.Trouble, Note: "cut", Server: h.spec.ID})
 		})
--- a/internal/lab/simulation/simulation_test.go
+++ b/internal/lab/simulation/simulation_test.go
@@ -89,10 +89,10 @@
 // keepsStates keeps what is held: it lets nothing go.
 type keepsStates struct{ dispatch.Module }
 
-func (m keepsStates) Next(now policy.Nanos) (policy.Decision, bool) {
+func (m keepsStates) NextDecision(now policy.Nanos) (policy.Decision, bool) {
 	for {
-		what, ok := m.Module.Next(now)
-		if !ok || what.Verb != policy.Release {
+		what, ok := m.Module.NextDecision(now)
+		if !ok || what.Action != policy.ReleaseState {
 			return what, ok
 		}
 	}
@@ -168,7 +168,7 @@
 	n *[policy.Canceled + 1]int
 }
 
-func (m outcomes) AttemptEnded(now policy.Nanos, id policy.RequestID, shot policy.AttemptNumber, how policy.Outcome, elapsed policy.Nanos, over bool, load policy.Load) {
+func (m outcomes) AttemptEnded(now policy.Nanos, id policy.RequestID, shot policy.AttemptNumber, how policy.Outcome, elapsed policy.Nanos, over bool, load policy.LoadReport) {
 	m.n[how]++
 	m.Module.AttemptEnded(now, id, shot, how, elapsed, over, load)
 }
@@ -184,8 +184,8 @@
 	}
 	var n [policy.Canceled + 1]int
 	rep := play(t, s, func(m dispatch.Module) dispatch.Module { return outcomes{m, &n} })
-	if n[policy.Stateless] < 3 || len(rep.Violations) > 0 {
-		t.Errorf("%d launches found no state; %v", n[policy.Stateless], rep.Violations)
+	if n[policy.StateMissing] < 3 || len(rep.Violations) > 0 {
+		t.Errorf("%d launches found no state; %v", n[policy.StateMissing], rep.Violations)
 	}
 	for name, sum := range rep.Sums {
 		if sum.Wrong > 0 || sum.Served < sum.Requests*4/10 {
--- a/internal/lab/simulation/wire.go
+++ b/internal/lab/simulation/wire.go
@@ -30,7 +30,7 @@
 
 func serveWire(l *eventloop.Loop, lc *eventloop.Conn, on end) *wire {
 	w := &wire{l: l, lc: lc, on: on}
-	w.h = h2.NewServer(h2.Usual, w)
+	w.h = h2.NewServerConn(h2.DefaultLimits, w)
 	return w
 }
 
@@ -38,11 +38,11 @@
 	if w.gone || !w.open {
 		return
 	}
-	if w.h.Waiting() {
-		w.lc.Write(w.h.Take())
+	if w.h.HasOutput() {
+		w.lc.Write(w.h.TakeOutput())
 	}
-	if w.h.Over() != nil {
-		w.lc.CloseSoon()
+	if w.h.Err() != nil {
+		w.lc.CloseAfterFlush()
 	}
 }
 
@@ -54,33 +54,33 @@
 	w.flush()
 }
 
-func (w *wire) Data(now eventloop.Nanos, p []byte) {
+func (w *wire) Received(now eventloop.Nanos, p []byte) {
 	w.h.Feed(now, p)
 	w.flush()
 }
 
-func (w *wire) PeerDone(eventloop.Nanos) { w.lc.Close() }
-func (w *wire) Drained(eventloop.Nanos)  {}
+func (w *wire) PeerHalfClosed(eventloop.Nanos) { w.lc.Close() }
+func (w *wire) OutputFlushed(eventloop.Nanos)  {}
 
 func (w *wire) Closed(eventloop.Nanos, error) {
 	w.gone = true
-	w.h.Lost()
+	w.h.TransportClosed()
 	w.on.closed(w)
 }
 
 // What HTTP/2 tells.
 
-func (w *wire) Headers(s *h2.Stream, h *h2.Header) { w.on.headers(w, s, h) }
+func (w *wire) HeadersReceived(s *h2.Stream, h *h2.Header) { w.on.headers(w, s, h) }
 
-func (w *wire) Message(s *h2.Stream, p []byte) bool {
+func (w *wire) MessageReceived(s *h2.Stream, p []byte) bool {
 	w.on.message(w, s, p)
 	return false
 }
-func (w *wire) HalfClosed(*h2.Stream) {}
-func (w *wire) Finished(s *h2.Stream, code codes.Code, message string, trailer *h2.Header) {
+func (w *wire) RequestEnded(*h2.Stream) {}
+func (w *wire) StreamFinished(s *h2.Stream, code codes.Code, message string, trailer *h2.Header) {
 	w.on.finished(s, code, message, trailer)
 }
-func (w *wire) Reset(s *h2.Stream, _ http2.ErrCode, _ bool) { w.on.reset(s) }
-func (w *wire) Room(*h2.Stream)                             {}
-func (w *wire) GoingAway()                                  {}
-func (w *wire) Pong()                                       {}
+func (w *wire) StreamReset(s *h2.Stream, _ http2.ErrCode, _ bool) { w.on.reset(s) }
+func (w *wire) StreamFlushed(*h2.Stream)                          {}
+func (w *wire) GoAwayReceived()                                   {}
+func (w *wire) PingAcked()                                        {}
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -25,12 +25,12 @@
 		Memory  int64   `json:"memory_mb"`
 		Sockets int     `json:"sockets"`
 	} `json:"limits"`
-	Known    backend.List    `json:"known"`
-	Settings json.RawMessage `json:"settings"`
+	InitialList backend.EndpointList `json:"known"`
+	Settings    json.RawMessage      `json:"settings"`
 }
 
-// Load reads the file that RELAY_CONFIG names; the other variables stand in for what it leaves out.
-func Load(getenv func(string) string) (*Config, error) {
+// LoadConfig reads the file that RELAY_CONFIG names; the other variables stand in for what it leaves out.
+func LoadConfig(getenv func(string) string) (*Config, error) {
 	name := getenv("RELAY_CONFIG")
 	if name == "" {
 		return nil, fmt.Errorf("RELAY_CONFIG names no file")
@@ -46,19 +46,19 @@
 	if err := json.Unmarshal(text, &file); err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
-	t := file.Config
+	config := file.Config
 	if len(file.Known) > 0 {
-		if err := json.Unmarshal(file.Known, &t.Known); err != nil { // discovery is asked all the same
-			t.Known = backend.List{Unreadable: []error{fmt.Errorf("%s: known: %w", name, err)}}
+		if err := json.Unmarshal(file.Known, &config.InitialList); err != nil { // discovery is asked all the same
+			config.InitialList = backend.EndpointList{InvalidEntries: []error{fmt.Errorf("%s: known: %w", name, err)}}
 		}
 	}
-	if t.Name == "" {
-		t.Name = getenv("RELAY_NAME")
+	if config.Name == "" {
+		config.Name = getenv("RELAY_NAME")
 	}
 	for _, a := range []struct {
 		to   *netip.AddrPort
 		from string
-	}{{&t.Listen, "RELAY_LISTEN"}, {&t.Discovery, "RELAY_DISCOVERY"}} {
+	}{{&config.Listen, "RELAY_LISTEN"}, {&config.Discovery, "RELAY_DISCOVERY"}} {
 		if a.to.IsValid() {
 			continue
 		}
@@ -66,23 +66,23 @@
 			return nil, fmt.Errorf("%s: no address in the file, and %s: %w", name, a.from, err)
 		}
 	}
-	if len(t.Settings) == 0 {
+	if len(config.Settings) == 0 {
 		return nil, fmt.Errorf("%s: no settings", name)
 	}
-	if t.Limits.Sockets <= 0 {
-		t.Limits.Sockets = 256
+	if config.Limits.Sockets <= 0 {
+		config.Limits.Sockets = 256
 	}
-	if t.Limits.Memory <= 0 {
-		t.Limits.Memory = 32
+	if config.Limits.Memory <= 0 {
+		config.Limits.Memory = 32
 	}
-	return &t, nil
+	return &config, nil
 }
 
 // seed is the number that feeds all chance; a text that is no hexadecimal number stands for its hash.
-func (t *Config) seed() uint64 {
-	n, err := strconv.ParseUint(t.Seed, 16, 64)
+func (c *Config) seed() uint64 {
+	n, err := strconv.ParseUint(c.Seed, 16, 64)
 	if err != nil {
-		return xxhash.Sum64String(t.Seed)
+		return xxhash.Sum64String(c.Seed)
 	}
 	return n
 }
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -32,7 +32,7 @@
 		if err := os.WriteFile(name, []byte(c.text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		told, err := Load(func(key string) string {
+		told, err := LoadConfig(func(key string) string {
 			if key == "RELAY_CONFIG" {
 				return name
 			}
@@ -42,8 +42,8 @@
 			t.Errorf("%s: %v", c.what, err)
 			continue
 		}
-		if err == nil && (len(told.Known.Servers) != c.known || len(told.Known.Unreadable) != c.unreadable || told.seed() == 0) {
-			t.Errorf("%s: %+v, seed %d", c.what, told.Known, told.seed())
+		if err == nil && (len(told.InitialList.Endpoints) != c.known || len(told.InitialList.InvalidEntries) != c.unreadable || told.seed() == 0) {
+			t.Errorf("%s: %+v, seed %d", c.what, told.InitialList, told.seed())
 		}
 	}
 }
--- a/internal/node/crossing_test.go
+++ b/internal/node/crossing_test.go
@@ -30,7 +30,7 @@
 			t.Fatalf("%q, want a release", line)
 		}
 		h.untilOut("r1")
-		h.tell(watch, backend.List{Version: 43, Servers: []backend.Server{h.draining("r1")}})
+		h.tell(watch, backend.EndpointList{Version: 43, Endpoints: []backend.Endpoint{h.draining("r1")}})
 		release.send(noContent)
 		if status := client.expect("\r\n"); !strings.Contains(status, " 503 ") {
 			t.Errorf("the client got %q, want 503", status)
@@ -49,7 +49,7 @@
 		leftOut := h.server("w2", "decode")
 		watch := h.startInService()
 		taken := h.news()
-		list := listText(backend.List{Version: 43, Full: true, Servers: h.servers[:2]})
+		list := listText(backend.EndpointList{Version: 43, Full: true, Endpoints: h.servers[:2]})
 		watch.send(chunk(strings.Replace(list, `"cell":0`, `"cell":"x"`, 1))) // of r1
 		h.untilNews(taken)
 		for n := range 4 {
@@ -114,7 +114,7 @@
 	client.send(request(jobName(1)))
 	attempt := first.accept()
 	attempt.request()
-	h.tell(watch, backend.List{Version: 43, Servers: h.servers[2:]}) // only now: the first attempt is to go to w1
+	h.tell(watch, backend.EndpointList{Version: 43, Endpoints: h.servers[2:]}) // only now: the first attempt is to go to w1
 	second.cut(true)
 	attempt.send("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
 	h.untilOut("w2")
@@ -138,7 +138,7 @@
 	client.send(request(jobName(1)))
 	h.untilOut("r1")
 	client.close()
-	h.until("its client is gone", func() bool { return h.node.dispatcher.Counts.ClientsLeft == 1 })
+	h.until("its client is gone", func() bool { return h.node.dispatcher.Counts.ClientDisconnects == 1 })
 	reader.cut(false)
 	reader.wantNoRequest()
 }
@@ -152,7 +152,7 @@
 	client := h.client()
 	client.send(request(jobName(1)))
 	h.untilOut("r1")
-	h.tell(watch, backend.List{Version: 43, Servers: []backend.Server{h.draining("r1")}})
+	h.tell(watch, backend.EndpointList{Version: 43, Endpoints: []backend.Endpoint{h.draining("r1")}})
 	reader.cut(false)
 	if status := client.expect("\r\n"); !strings.Contains(status, " 503 ") {
 		t.Errorf("the client got %q, want 503", status)
@@ -175,8 +175,8 @@
 			conn.send(decodeAnswer)
 			client.expect("0\r\n\r\n")
 			anew := h.servers[1]
-			anew.Started = started
-			h.tell(watch, backend.List{Version: 43 + int64(n), Servers: []backend.Server{anew}})
+			anew.StartedMS = started
+			h.tell(watch, backend.EndpointList{Version: 43 + int64(n), Endpoints: []backend.Endpoint{anew}})
 			conn.untilEnd()
 		}
 	})
@@ -262,8 +262,8 @@
 	if _, err := http.ReadRequest(bufio.NewReader(watch)); err != nil {
 		t.Fatal(err)
 	}
-	had, _ := s.node.View()
-	say(watch, watchHead+chunk(listText(backend.List{Version: 3, Full: true, Servers: s.hosts})))
-	until(t, "the list", func() bool { v, _ := s.node.View(); return v.Exit.ListUpdates > had.Exit.ListUpdates })
+	had, _ := s.node.Status()
+	say(watch, watchHead+chunk(listText(backend.EndpointList{Version: 3, Full: true, Endpoints: s.hosts})))
+	until(t, "the list", func() bool { v, _ := s.node.Status(); return v.Backend.ListUpdates > had.Backend.ListUpdates })
 	s.served(s.dial(), 1)
 }
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -23,14 +23,14 @@
 // network the same script runs over real connections.
 type harness struct {
 	t         *testing.T
-	world     *eventloop.World // nil = loopback
-	loop      *eventloop.Loop  // the dispatcher's; on loopback, that of all
+	world     *eventloop.SimulatedNetwork // nil = loopback
+	loop      *eventloop.Loop             // the dispatcher's; on loopback, that of all
 	round     func(eventloop.Nanos)
 	began     time.Time
 	node      *Node
 	config    *Config
 	discovery *scriptedServer
-	servers   []backend.Server
+	servers   []backend.Endpoint
 	replaced  []string // pieces of the settings and what stands in their place, pairwise
 	addresses byte     // given out so far
 	sockets   int      // descriptors of the dispatcher
@@ -62,7 +62,7 @@
 	t.Helper()
 	h := &harness{t: t, began: time.Now(), replaced: replaced, sockets: 1024}
 	if on == simulated {
-		h.world = eventloop.NewWorld(simulationStart, int64(transitTime))
+		h.world = eventloop.NewSimulatedNetwork(simulationStart, int64(transitTime))
 	} else {
 		h.runLoop()
 	}
@@ -117,7 +117,7 @@
 	}
 	h.addresses++
 	at := netip.AddrFrom4([4]byte{127, 0, 1, h.addresses})
-	return h.world.Loop(at, nil), netip.AddrPortFrom(at, simulationPort)
+	return h.world.NewLoop(at, nil), netip.AddrPortFrom(at, simulationPort)
 }
 
 // newServer makes a scripted server.
@@ -146,7 +146,7 @@
 func (h *harness) server(name, kind string) *scriptedServer {
 	h.t.Helper()
 	p := h.newServer()
-	h.servers = append(h.servers, backend.Server{ID: name, Addr: p.addr.String(), Zone: "z", Kind: kind, State: "Ready"})
+	h.servers = append(h.servers, backend.Endpoint{ID: name, Addr: p.addr.String(), Zone: "z", Kind: kind, State: "Ready"})
 	return p
 }
 
@@ -158,7 +158,7 @@
 		Settings: json.RawMessage(strings.NewReplacer(h.replaced...).Replace(settings)),
 	}
 	h.config.Limits.Sockets, h.config.Limits.Memory = h.sockets, 96
-	h.config.Known = backend.List{Version: 41, Full: true, Servers: h.servers}
+	h.config.InitialList = backend.EndpointList{Version: 41, Full: true, Endpoints: h.servers}
 	h.loop, h.config.Listen = h.endpoint()
 	h.do(func() {
 		var err error
@@ -166,10 +166,10 @@
 			h.t.Error(err)
 			return
 		}
-		h.round = h.node.dispatcher.Round
+		h.round = h.node.dispatcher.RunIteration
 	})
 	if h.world != nil {
-		h.loop.SetRound(h.node.dispatcher.Round)
+		h.loop.SetOnIteration(h.node.dispatcher.RunIteration)
 		h.loop.Post(func() {})
 	}
 	watch = h.discovery.accept()
@@ -182,7 +182,7 @@
 	h.t.Helper()
 	watch = h.start()
 	watch.send(watchHead)
-	h.tell(watch, backend.List{Version: 42, Full: true, Servers: h.servers})
+	h.tell(watch, backend.EndpointList{Version: 42, Full: true, Endpoints: h.servers})
 	return watch
 }
 
@@ -200,7 +200,7 @@
 // run has time pass.
 func (h *harness) run(span time.Duration) {
 	if h.world != nil {
-		h.world.Run(h.world.Now() + int64(span))
+		h.world.RunUntil(h.world.Now() + int64(span))
 		return
 	}
 	time.Sleep(span)
@@ -234,7 +234,7 @@
 }
 
 // tell sends a list over a watch and waits until it has been taken.
-func (h *harness) tell(watch *scriptedConn, list backend.List) {
+func (h *harness) tell(watch *scriptedConn, list backend.EndpointList) {
 	h.t.Helper()
 	had := h.news()
 	watch.send(chunk(listText(list)))
@@ -275,9 +275,9 @@
 	h.t.Helper()
 	h.until("an attempt is out to "+name, func() bool {
 		out := 0
-		h.node.backend.Each(h.loop.Now(), func(v backend.ServerView) {
+		h.node.backend.EachServer(h.loop.Now(), func(v backend.ServerStats) {
 			if v.Name == name {
-				out = v.Out
+				out = v.InFlightAttempts
 			}
 		})
 		return out == 1
@@ -285,7 +285,7 @@
 }
 
 // draining gives a server's entry with the state in which it takes nothing new.
-func (h *harness) draining(name string) backend.Server {
+func (h *harness) draining(name string) backend.Endpoint {
 	for _, server := range h.servers {
 		if server.ID == name {
 			server.State = "Terminating"
@@ -293,7 +293,7 @@
 		}
 	}
 	h.t.Fatalf("no server %q", name)
-	return backend.Server{}
+	return backend.Endpoint{}
 }
 
 // wantRefused asks for something, which no server may be there for.
@@ -310,9 +310,9 @@
 func (h *harness) rest() { h.run(15 * time.Millisecond) }
 
 // listText is the text of a list as discovery writes it: an empty fleet is an empty array.
-func listText(list backend.List) string {
-	if list.Servers == nil {
-		list.Servers = []backend.Server{}
+func listText(list backend.EndpointList) string {
+	if list.Endpoints == nil {
+		list.Endpoints = []backend.Endpoint{}
 	}
 	text, err := json.Marshal(list)
 	if err != nil {
--- a/internal/node/heldstate_test.go
+++ b/internal/node/heldstate_test.go
@@ -132,7 +132,7 @@
 		}
 	}
 	watch := h.startInService()
-	h.tell(watch, backend.List{Version: 43, Servers: []backend.Server{h.draining("w2")}}) // it takes releases alone
+	h.tell(watch, backend.EndpointList{Version: 43, Endpoints: []backend.Endpoint{h.draining("w2")}}) // it takes releases alone
 	client := h.client()
 	client.send(request(jobName(1)))
 	writing := writer.accept()
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -45,7 +45,7 @@
 		time.Sleep(20 * time.Millisecond)
 	}
 	c.(*net.TCPConn).CloseWrite()
-	until(t, "the job is over", func() bool { v, _ := s.node.View(); return v.Dispatch.ClientsLeft == 1 && v.Requests == 0 })
+	until(t, "the job is over", func() bool { v, _ := s.node.Status(); return v.Dispatch.ClientDisconnects == 1 && v.Requests == 0 })
 }
 
 // A dispatcher told to leave serves who has come and still comes, and ends when nobody is left.
@@ -106,7 +106,7 @@
 		c := s.dial()
 		s.served(c, n)
 	}
-	if v, _ := s.node.View(); v.Clients > 64 || v.Front.Crowded == 0 {
-		t.Errorf("%d connections, %d times crowded", v.Clients, v.Front.Crowded)
+	if v, _ := s.node.Status(); v.Clients > 64 || v.Frontend.ConnectionLimitHits == 0 {
+		t.Errorf("%d connections, %d times crowded", v.Clients, v.Frontend.ConnectionLimitHits)
 	}
 }
--- a/internal/node/scripted_test.go
+++ b/internal/node/scripted_test.go
@@ -96,7 +96,7 @@
 func (r *scriptedRequest) say(text string) { r.conn.conn.Write([]byte(text)) }
 
 // end closes the connection once all is written, as a server does that answers once a connection.
-func (r *scriptedRequest) end() { r.conn.conn.CloseSoon() }
+func (r *scriptedRequest) end() { r.conn.conn.CloseAfterFlush() }
 
 // posts counts the requests but releases that a server has replied to.
 func (p *scriptedServer) posts() (count int) {
@@ -164,7 +164,7 @@
 }
 
 // cut stops, or lets pass again, all that is under way between the dispatcher and this peer.
-func (p *scriptedServer) cut(yes bool) { p.h.world.Cut(p.h.loop, p.loop, yes) }
+func (p *scriptedServer) cut(yes bool) { p.h.world.SetPartitioned(p.h.loop, p.loop, yes) }
 
 // scriptedConn is one connection of a scripted peer in simulated time.
 type scriptedConn struct {
@@ -178,15 +178,15 @@
 }
 
 func (c *scriptedConn) Opened(eventloop.Nanos) { c.opened = true }
-func (c *scriptedConn) Data(_ eventloop.Nanos, p []byte) {
+func (c *scriptedConn) Received(_ eventloop.Nanos, p []byte) {
 	c.in = append(c.in, p...)
 	if c.server != nil && (c.server.reply != "" || c.server.answer != nil) {
 		c.reply()
 	}
 }
-func (c *scriptedConn) PeerDone(eventloop.Nanos)      { c.ended = true }
-func (c *scriptedConn) Drained(eventloop.Nanos)       {}
-func (c *scriptedConn) Closed(eventloop.Nanos, error) { c.ended = true }
+func (c *scriptedConn) PeerHalfClosed(eventloop.Nanos) { c.ended = true }
+func (c *scriptedConn) OutputFlushed(eventloop.Nanos)  {}
+func (c *scriptedConn) Closed(eventloop.Nanos, error)  { c.ended = true }
 
 // reply answers the requests that have come whole as its peer does.
 func (c *scriptedConn) reply() {
--- a/internal/node/serve_test.go
+++ b/internal/node/serve_test.go
@@ -309,7 +309,7 @@
 		}
 		h.do(func() {
 			k := h.node.backend.Counts.PrefixCache
-			if k.Reads != 2 || k.Prompt != 2*5120 || k.Shared != 2*2048 || k.Expected != 5120 || k.Found != 2100 || k.Unforeseen != 100 || k.Missed != 3120 {
+			if k.Prefills != 2 || k.Prompt != 2*5120 || k.Shared != 2*2048 || k.Expected != 5120 || k.Found != 2100 || k.Unexpected != 100 || k.Missed != 3120 {
 				t.Errorf("%+v", k) // the second read's whole prompt was read there before
 			}
 		})
@@ -338,7 +338,7 @@
 		w1.reply, w2.reply = decodeAnswer, decodeAnswer
 		old := h.startInService()
 		h.client().served(1)
-		h.tell(old, backend.List{Version: 43, Servers: []backend.Server{h.draining("w1")}})
+		h.tell(old, backend.EndpointList{Version: 43, Endpoints: []backend.Endpoint{h.draining("w1")}})
 		had := w1.posts()
 		for n := 2; n < 8; n++ {
 			h.client().served(n)
@@ -353,7 +353,7 @@
 			t.Errorf("%q, want a whole list asked for", line)
 		}
 		watch.send(watchHead)
-		h.tell(watch, backend.List{Version: 44, Full: true, Servers: h.servers})
+		h.tell(watch, backend.EndpointList{Version: 44, Full: true, Endpoints: h.servers})
 		old.untilEnd()
 	})
 }
@@ -365,13 +365,13 @@
 	watch := h.startInService()
 	c := h.client()
 	for n := range 200 {
-		list := backend.List{Version: int64(43 + n)}
+		list := backend.EndpointList{Version: int64(43 + n)}
 		for i, server := range h.servers {
 			gone := server
 			gone.State = "Gone"
 			server.ID = "h" + jobName(2*n+i)
 			h.servers[i] = server
-			list.Servers = append(list.Servers, gone, server)
+			list.Endpoints = append(list.Endpoints, gone, server)
 		}
 		h.tell(watch, list)
 		if n%20 == 0 {
@@ -461,15 +461,15 @@
 		h.startInService()
 		agree := func() (out int) {
 			h.do(func() {
-				beliefs := h.node.beliefs()
+				beliefs := h.node.serverStatuses()
 				if len(beliefs) != 4 {
 					t.Errorf("beliefs of %d servers", len(beliefs))
 				}
 				for _, b := range beliefs {
-					if b.Differs() {
-						t.Errorf("%s: %d unanswered and %d streams are believed, %d are out", b.Name, b.Waiting, b.Writing, b.Out)
+					if b.HasMismatch() {
+						t.Errorf("%s: %d unanswered and %d streams are believed, %d are out", b.Name, b.UnansweredAttempts, b.Streams, b.InFlightAttempts)
 					}
-					out += b.Out
+					out += b.InFlightAttempts
 				}
 			})
 			return out
--- a/internal/node/slow_test.go
+++ b/internal/node/slow_test.go
@@ -141,7 +141,7 @@
 		h := newHarness(t, on)
 		h.server("r1", "prefill")
 		watch := h.startInService()
-		text, err := json.MarshalIndent(backend.List{Version: 43, Servers: []backend.Server{h.draining("r1")}}, "", "\t")
+		text, err := json.MarshalIndent(backend.EndpointList{Version: 43, Endpoints: []backend.Endpoint{h.draining("r1")}}, "", "\t")
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/node/stage_test.go
+++ b/internal/node/stage_test.go
@@ -31,13 +31,13 @@
 	t     *testing.T
 	node  *Node
 	told  *Config
-	hosts []backend.Server
+	hosts []backend.Endpoint
 	mu    sync.Mutex
 	seen  []seen
 	conns int
-	watch chan backend.List // news for whoever watches
-	froms []string          // what watches asked for
-	terms []string          // pieces of the settings and what stands in their place, pairwise
+	watch chan backend.EndpointList // news for whoever watches
+	froms []string                  // what watches asked for
+	terms []string                  // pieces of the settings and what stands in their place, pairwise
 }
 
 // script answers a request; false: the connection is to be closed.
@@ -72,7 +72,7 @@
 		s.t.Fatal(err)
 	}
 	s.t.Cleanup(func() { ln.Close() })
-	s.hosts = append(s.hosts, backend.Server{ID: name, Addr: ln.Addr().String(), Zone: "z", Kind: kind, State: "Ready"})
+	s.hosts = append(s.hosts, backend.Endpoint{ID: name, Addr: ln.Addr().String(), Zone: "z", Kind: kind, State: "Ready"})
 	go func() {
 		nth := 0
 		for {
@@ -141,7 +141,7 @@
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	watch := make(chan backend.List)
+	watch := make(chan backend.EndpointList)
 	s.watch = watch
 	ctx, cancel := context.WithCancel(context.Background())
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -178,8 +178,8 @@
 		Name: "n0", Listen: netip.MustParseAddrPort("127.0.0.1:0"), Discovery: s.discovery(), Seed: "8c1f30d27a5be964",
 		Settings: json.RawMessage(strings.NewReplacer(s.terms...).Replace(settings)),
 	}
-	s.told.Limits.Sockets, s.told.Limits.Memory, s.told.Known = sockets, 96, backend.List{Version: 41, Full: true, Servers: s.hosts}
-	n, err := Run(s.told, slog.New(slog.DiscardHandler))
+	s.told.Limits.Sockets, s.told.Limits.Memory, s.told.InitialList = sockets, 96, backend.EndpointList{Version: 41, Full: true, Endpoints: s.hosts}
+	n, err := Start(s.told, slog.New(slog.DiscardHandler))
 	if err != nil {
 		s.t.Fatal(err)
 	}
--- a/internal/node/watch_test.go
+++ b/internal/node/watch_test.go
@@ -84,7 +84,7 @@
 	call := h.start()
 	h.run(2 * time.Second)
 	call.send(watchHead)
-	h.tell(call, backend.List{Version: 42, Full: true})
+	h.tell(call, backend.EndpointList{Version: 42, Full: true})
 	if !call.stands() || !h.discovery.idle() {
 		t.Error("the call was given up, or another one came meanwhile")
 	}
@@ -115,8 +115,8 @@
 		watch := fresh.accept()
 		watch.request()
 		watch.send(watchHead)
-		h.tell(old, backend.List{Version: 43, Full: true, Servers: h.servers})
-		h.tell(watch, backend.List{Version: 3, Full: true, Servers: h.servers})
+		h.tell(old, backend.EndpointList{Version: 43, Full: true, Endpoints: h.servers})
+		h.tell(watch, backend.EndpointList{Version: 3, Full: true, Endpoints: h.servers})
 		old.untilEnd()
 	})
 }
@@ -135,8 +135,8 @@
 			t.Errorf("%q, want a whole list asked for", line)
 		}
 		watch.send(watchHead)
-		h.tell(watch, backend.List{Version: 3, Full: true, Servers: h.servers})
-		h.tell(watch, backend.List{Version: 4, Servers: []backend.Server{h.draining("r1")}})
+		h.tell(watch, backend.EndpointList{Version: 3, Full: true, Endpoints: h.servers})
+		h.tell(watch, backend.EndpointList{Version: 4, Endpoints: []backend.Endpoint{h.draining("r1")}})
 		h.wantRefused()
 	})
 }
@@ -147,7 +147,7 @@
 		h := newHarness(t, on)
 		h.server("r1", "prefill")
 		watch := h.startInService()
-		change := chunk(listText(backend.List{Version: 43, Servers: []backend.Server{h.draining("r1")}}))
+		change := chunk(listText(backend.EndpointList{Version: 43, Endpoints: []backend.Endpoint{h.draining("r1")}}))
 		watch.send(change[:40])
 		h.run(transitTime)
 		watch.close()
@@ -174,7 +174,7 @@
 		t.Fatal("a request went out before the list was known")
 	}
 	watch.send(watchHead)
-	h.tell(watch, backend.List{Version: 50, Full: true, Servers: []backend.Server{h.servers[0], h.draining("r2")}})
+	h.tell(watch, backend.EndpointList{Version: 50, Full: true, Endpoints: []backend.Endpoint{h.servers[0], h.draining("r2")}})
 	reader.accept().request()
 	if !stale.idle() {
 		t.Error("a server that drains got a request")
--- a/internal/platformconfig/platformconfig.go
+++ b/internal/platformconfig/platformconfig.go
@@ -59,19 +59,19 @@
 
 var (
 	roles   = map[string]policy.Role{"read": policy.Prefill, "write": policy.Decode, "both": policy.Mixed}
-	effects = map[string]policy.Effect{
+	effects = map[string]policy.Idempotency{
 		"idempotent": policy.Idempotent, "deduplicated": policy.Deduplicated,
 		"at_most_once": policy.NonIdempotent,
 	}
-	groups = map[string]policy.Group{
-		"": policy.GroupAll, "all": policy.GroupAll, "zone": policy.GroupZone,
-		"cell": policy.GroupCell,
+	groups = map[string]policy.DedupScope{
+		"": policy.DedupScopeAll, "all": policy.DedupScopeAll, "zone": policy.DedupScopeZone,
+		"cell": policy.DedupScopeCell,
 	}
 )
 
 // Config is a decision module and what the server that drives it has to know beside.
 type Config struct {
-	Policy     *policy.Dispatcher
+	Policy     *policy.Router
 	Zones      []string // names by number
 	Kinds      []string
 	Roles      []policy.Role // of the kinds
@@ -117,36 +117,36 @@
 			return nil, fmt.Errorf("setup: request class %q has unknown dedup_scope %q", c.Name, c.Scope)
 		}
 		t := policy.Class{
-			Target: policy.Nanos(c.OnTime), Timeout: policy.Nanos(c.GiveUp), Value: c.Points,
-			LateValue: c.Late, Effect: effect, Group: group, Window: policy.Nanos(c.Windows),
+			LatencyTarget: policy.Nanos(c.OnTime), Timeout: policy.Nanos(c.GiveUp), Value: c.Points,
+			LateValue: c.Late, Idempotency: effect, DedupScope: group, DedupWindow: policy.Nanos(c.Windows),
 		}
 		if i < len(s.Family.AimPer1k) {
-			t.TargetPer1k = policy.Nanos(s.Family.AimPer1k[i] * 1000)
+			t.LatencyTargetPer1k = policy.Nanos(s.Family.AimPer1k[i] * 1000)
 		}
 		if i < len(s.Family.TokenGap) {
-			t.TokenGap = policy.Nanos(s.Family.TokenGap[i])
+			t.InterTokenTarget = policy.Nanos(s.Family.TokenGap[i])
 		}
 		m.Classes = append(m.Classes, t)
 		m.ClassNames = append(m.ClassNames, c.Name)
 	}
 	var tenants []policy.Tenant
 	for _, t := range s.Tenants {
-		tenants = append(tenants, policy.Tenant{PerSecond: t.Allowance})
+		tenants = append(tenants, policy.Tenant{RequestsPerSecond: t.Allowance})
 		m.Tenant = append(m.Tenant, t.Name)
 	}
 	d, err := policy.New(seed,
 		policy.Identity{Number: s.Me, Count: s.Siblings, Zone: policy.ZoneID(slices.Index(s.Zones, s.Zone))},
 		m.Classes, tenants, m.Roles,
-		policy.ColdStart{
-			From: s.Rules.ColdFrom, Warm: policy.Nanos(s.Rules.Cold), Multiple: s.Rules.Multiple,
-			Window: policy.Nanos(s.Rules.Fall),
+		policy.SlowStart{
+			InitialCapacity: s.Rules.ColdFrom, WarmupTime: policy.Nanos(s.Rules.Cold), OverloadFactor: s.Rules.Multiple,
+			OverloadWindow: policy.Nanos(s.Rules.Fall),
 		},
-		policy.AttemptLimits{Most: s.Limits.Most, Cancel: s.Limits.Cancel, DecodeReads: s.Family.PensRead},
-		policy.Answering{
-			Slack: policy.Nanos(s.Rules.Slack), Round: policy.Nanos(s.Round),
-			Advice: s.Limits.RetryAfter, MaxAdvice: policy.Nanos(s.Limits.MaxAdvice),
+		policy.AttemptLimits{MaxAttempts: s.Limits.Most, CanCancel: s.Limits.Cancel, DecodeCanPrefill: s.Family.PensRead},
+		policy.ResponseSettings{
+			DeadlineGrace: policy.Nanos(s.Rules.Slack), RoundInterval: policy.Nanos(s.Round),
+			SendRetryAfter: s.Limits.RetryAfter, MaxRetryAfter: policy.Nanos(s.Limits.MaxAdvice),
 		},
-		policy.Listing{Asked: s.Mode == "on_request", Within: policy.Nanos(s.Rules.Within)},
+		policy.Discovery{OnRequest: s.Mode == "on_request", MaxInterval: policy.Nanos(s.Rules.Within)},
 		policy.Nanos(*s.Family.Release))
 	if err != nil {
 		return nil, fmt.Errorf("setup: %w", err)
@@ -157,13 +157,13 @@
 }
 
 // Report takes one figure of a server's load report by its name; others are passed over.
-func Report(load *policy.Load, name string, x float64) {
+func Report(load *policy.LoadReport, name string, x float64) {
 	switch name {
 	case "inflight":
 		load.Requests = x
 	case "x0":
-		load.Memory = x
+		load.MemoryUtilization = x
 	case "x1":
-		load.Unread = 1000 * x
+		load.QueuedPromptTokens = 1000 * x
 	}
 }
--- a/internal/simulatorwire/wire.go
+++ b/internal/simulatorwire/wire.go
@@ -19,7 +19,7 @@
 // instance is one dispatcher and the names it was given, by their numbers.
 type instance struct {
 	*platformconfig.Config
-	d       *policy.Dispatcher
+	d       *policy.Router
 	touched bool
 	failed  string
 }
@@ -118,7 +118,7 @@
 func (h *host) pull(n int64, in *instance) {
 	in.guarded(func() {
 		for {
-			what, ok := in.d.Next(h.now)
+			what, ok := in.d.NextDecision(h.now)
 			if !ok {
 				return
 			}
@@ -131,29 +131,29 @@
 }
 
 func (h *host) encode(n int64, what policy.Decision) {
-	switch what.Verb {
-	case policy.Attempt:
-		h.write("ATTEMPT", n, int64(what.Request), int64(what.Server), int64(what.For))
-	case policy.Cancel:
+	switch what.Action {
+	case policy.SendAttempt:
+		h.write("ATTEMPT", n, int64(what.Request), int64(what.Server), int64(what.Duration))
+	case policy.CancelAttempt:
 		h.write("RECALL", n, int64(what.Request), int64(what.Attempt))
-	case policy.Reject:
-		h.write("BUSY", n, int64(what.Request), int64(what.For))
-	case policy.Fail:
+	case policy.RejectRequest:
+		h.write("BUSY", n, int64(what.Request), int64(what.Duration))
+	case policy.FailRequest:
 		h.write("ABORT", n, int64(what.Request))
-	case policy.Release:
+	case policy.ReleaseState:
 		h.write("CLEAR_STATE", n, int64(what.Request))
-	case policy.Wake:
-		h.write("NOTIFY_ME", n, int64(what.For), 0)
-	case policy.Watch:
+	case policy.SetTimer:
+		h.write("NOTIFY_ME", n, int64(what.Duration), 0)
+	case policy.WatchEndpoints:
 		h.write("OBSERVE", n, 1)
-	case policy.Log:
+	case policy.LogMessage:
 		h.out.WriteString("EMIT ")
 		h.out.WriteString(strconv.FormatInt(n, 10))
 		h.out.WriteByte(' ')
 		h.out.WriteString(what.Text)
 		h.out.WriteByte('\n')
 	default:
-		panic(fmt.Sprintf("decision with unknown verb %d", what.Verb))
+		panic(fmt.Sprintf("decision with unknown verb %d", what.Action))
 	}
 }
 
@@ -250,14 +250,14 @@
 
 var outcomes = map[string]policy.Outcome{
 	"Ok": policy.Served, "Failed": policy.Failed, "QueueFull": policy.Rejected,
-	"TimedOut": policy.Late, "ConnectError": policy.Unreachable, "ResetByPeer": policy.Broken,
-	"Canceled": policy.Canceled, "Ignored": policy.NotSent, "handover": policy.Read,
+	"TimedOut": policy.TimedOut, "ConnectError": policy.Unreachable, "ResetByPeer": policy.ConnectionLost,
+	"Canceled": policy.Canceled, "Ignored": policy.NotSent, "handover": policy.Prefilled,
 }
 
 var healths = map[string]policy.Health{"IN": policy.Serving, "LAME": policy.Draining, "OUT": policy.Gone}
 
-func (f *fields) load() policy.Load {
-	load := policy.NoLoad
+func (f *fields) load() policy.LoadReport {
+	load := policy.NoLoadReport
 	v := f.h.word()
 	if len(v) == 0 || string(v) == "-" {
 		return load
@@ -316,7 +316,7 @@
 		id, shot, _, elapsed := f.whole("txn"), f.whole("shot"), f.whole("host"), f.whole("elapsed_ns")
 		if f.err == nil && in != nil {
 			in.guarded(func() {
-				in.d.StreamBegan(h.now, policy.RequestID(id), policy.AttemptNumber(shot), policy.Nanos(elapsed))
+				in.d.StreamStarted(h.now, policy.RequestID(id), policy.AttemptNumber(shot), policy.Nanos(elapsed))
 			})
 		}
 	case "VERDICT":
@@ -328,7 +328,7 @@
 		}
 		elapsed, over, remark, load := f.whole("elapsed_ns"), f.flag("complete"), f.maybe("remark"), f.load()
 		if how == policy.Rejected && remark == 1 {
-			how = policy.Stateless
+			how = policy.StateMissing
 		}
 		if f.err == nil && in != nil {
 			in.guarded(func() {
@@ -338,12 +338,12 @@
 	case "VANISHED":
 		id := f.whole("txn")
 		if f.err == nil && in != nil {
-			in.guarded(func() { in.d.ClientLeft(h.now, policy.RequestID(id)) })
+			in.guarded(func() { in.d.RequestCanceled(h.now, policy.RequestID(id)) })
 		}
 	case "DEADLINE_HIT":
 		f.whole("label")
 		if f.err == nil && in != nil {
-			in.guarded(func() { in.d.Woken(h.now) })
+			in.guarded(func() { in.d.TimerFired(h.now) })
 		}
 	case "HOLD_RESULT", "HEALTH", "MAIL": // answers to what the module never asks for
 	default:
@@ -354,16 +354,16 @@
 
 func (h *host) jobIn(f *fields, in *instance) error {
 	job := policy.Request{
-		ID: policy.RequestID(f.whole("txn")), Cap: f.maybe("output_cap"),
+		ID: policy.RequestID(f.whole("txn")), MaxOutputTokens: f.maybe("output_cap"),
 		Prefix: policy.PrefixKey(f.hex("template")),
 	}
 	project := h.word()
 	job.Deadline = policy.Nanos(f.whole("client_deadline_ns"))
 	f.flag("returned")
-	job.Session, job.Repeat = policy.SessionKey(f.hex("session")), f.flag("again_by_client")
-	job.Shared, job.Hint = f.maybe("n_prefix"), policy.Nanos(f.maybe("weight_hint_ns"))
-	job.Prompt = f.maybe("n_prompt")
-	if job.Prompt < 0 || job.Shared < 0 {
+	job.Session, job.IsRetry = policy.SessionKey(f.hex("session")), f.flag("again_by_client")
+	job.PrefixTokens, job.ExpectedDuration = f.maybe("n_prefix"), policy.Nanos(f.maybe("weight_hint_ns"))
+	job.PromptTokens = f.maybe("n_prompt")
+	if job.PromptTokens < 0 || job.PrefixTokens < 0 {
 		f.bad("n_prompt or n_prefix", []byte("below 0"))
 	}
 	if in == nil {
@@ -393,9 +393,9 @@
 	if in != nil {
 		in.guarded(func() {
 			if scope == "unavailable" {
-				in.d.ListFailed(h.now)
+				in.d.ListUpdateFailed(h.now)
 			} else {
-				in.d.ListBegin(scope != "update")
+				in.d.ListUpdateStarted(scope != "update")
 			}
 		})
 	}
@@ -430,7 +430,7 @@
 		})
 	}
 	if in != nil && scope != "unavailable" {
-		in.guarded(func() { in.d.ListEnd(h.now) })
+		in.guarded(func() { in.d.ListUpdateEnded(h.now) })
 	}
 	return nil
 }
--- a/internal/state/batchstore/linear_test.go
+++ b/internal/state/batchstore/linear_test.go
@@ -84,10 +84,10 @@
 
 func plainly(s *Store, id string, o op) (seen, error) {
 	if o.what == "end" {
-		return seen{}, s.End(id, batchscheduler.Line(o.n), o.done, []byte("{}"))
+		return seen{}, s.RecordResult(id, batchscheduler.LineIndex(o.n), o.done, []byte("{}"))
 	}
 	b, err := s.Batch("a", id)
-	return seen{b.Done, b.Lost}, err
+	return seen{b.CompletedLines, b.FailedLines}, err
 }
 
 // TestLinearizable: what the store shows many at once could have come one after another; of a store that counts each end
@@ -136,30 +136,30 @@
 	defer s.Close()
 	b := begun(t, s, 3)
 	for n := range 3 {
-		if err := s.End(b.ID, batchscheduler.Line(n), n > 0, fmt.Appendf(nil, `{"n":%d}`, n)); err != nil {
+		if err := s.RecordResult(b.ID, batchscheduler.LineIndex(n), n > 0, fmt.Appendf(nil, `{"n":%d}`, n)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	b, err := s.Change(b.ID, batchscheduler.Finalizing, func(b *Batch) { b.Final = batchscheduler.Expired })
+	b, err := s.TransitionBatch(b.ID, batchscheduler.StateFinalizing, func(b *Batch) { b.FinalState = batchscheduler.StateExpired })
 	if err != nil {
 		t.Fatal(err)
 	}
 	full := errors.New("no space left on device")
-	s.fail = func(at string) error {
+	s.failpoint = func(at string) error {
 		if at == "content written" {
 			return full
 		}
 		return nil
 	}
-	used := s.used["a"]
-	if _, err := s.Finalize(t0, b); !errors.Is(err, full) {
+	used := s.usedBytes["a"]
+	if _, err := s.FinalizeBatch(t0, b); !errors.Is(err, full) {
 		t.Errorf("%v, want that the disk is full", err)
 	}
-	if again, _ := s.Batch("a", b.ID); again.State != batchscheduler.Finalizing || s.used["a"] != used {
-		t.Errorf("%v, %d bytes used, want finalizing and %d", again.State, s.used["a"], used)
+	if again, _ := s.Batch("a", b.ID); again.State != batchscheduler.StateFinalizing || s.usedBytes["a"] != used {
+		t.Errorf("%v, %d bytes used, want finalizing and %d", again.State, s.usedBytes["a"], used)
 	}
-	s.fail = func(string) error { return nil }
-	if b, err = s.Finalize(t0, b); err != nil || b.State != batchscheduler.Expired || b.Output == "" || b.Errors == "" {
+	s.failpoint = func(string) error { return nil }
+	if b, err = s.FinalizeBatch(t0, b); err != nil || b.State != batchscheduler.StateExpired || b.OutputFileID == "" || b.ErrorFileID == "" {
 		t.Errorf("%+v, %v", b, err)
 	}
 }
