--- a/internal/state/batchstore/store.go
+++ b/internal/state/batchstore/store.go
@@ -26,88 +26,88 @@
 
 // Errors that callers tell apart.
 var (
-	ErrNone   = errors.New("no such file or batch")
-	ErrQuota  = errors.New("over the quota of the tenant")
-	ErrLarge  = errors.New("larger than a file may be")
-	ErrState  = errors.New("not in its present state")
-	ErrRotten = errors.New("not what was written")
+	ErrNotFound      = errors.New("no such file or batch")
+	ErrQuotaExceeded = errors.New("over the quota of the tenant")
+	ErrFileTooLarge  = errors.New("larger than a file may be")
+	ErrInvalidState  = errors.New("not in its present state")
+	ErrCorrupt       = errors.New("not what was written")
 )
 
 // File is a file of a tenant's.
 type File struct {
-	ID      string `json:"id"`
-	Tenant  string `json:"tenant"`
-	Name    string `json:"name"`
-	Purpose string `json:"purpose"`
-	Bytes   int64  `json:"bytes"`
-	Created int64  `json:"created"`           // Unix seconds
-	Deleted bool   `json:"deleted,omitempty"` // gone for its tenant; a batch still reads it
+	ID          string `json:"id"`
+	Tenant      string `json:"tenant"`
+	Name        string `json:"name"`
+	Purpose     string `json:"purpose"`
+	SizeBytes   int64  `json:"bytes"`
+	CreatedUnix int64  `json:"created"`           // Unix seconds
+	Deleted     bool   `json:"deleted,omitempty"` // gone for its tenant; a batch still reads it
 }
 
 // Batch is a batch of a tenant's. Times are Unix seconds; 0 = not yet.
 type Batch struct {
-	ID         string               `json:"id"`
-	Tenant     string               `json:"tenant"`
-	Input      string               `json:"input"`
-	Endpoint   string               `json:"endpoint"`
-	Window     string               `json:"window"`
-	Metadata   map[string]string    `json:"metadata,omitempty"`
-	State      batchscheduler.State `json:"state"`
-	Total      int                  `json:"total"`
-	Done       int                  `json:"done"`
-	Lost       int                  `json:"lost"`
-	Output     string               `json:"output,omitempty"` // files
-	Errors     string               `json:"errors,omitempty"`
-	Created    int64                `json:"created"`
-	Expires    int64                `json:"expires"`
-	InProgress int64                `json:"in_progress,omitempty"`
-	Finalizing int64                `json:"finalizing,omitempty"`
-	Ended      int64                `json:"ended,omitempty"`
-	Cancelling int64                `json:"cancelling,omitempty"`
-	Final      batchscheduler.State `json:"final,omitempty"` // what it becomes when it is finalized
-	Faults     []Fault              `json:"faults,omitempty"`
-}
-
-// Fault is what is wrong with a batch's file.
-type Fault struct {
-	Line    int    `json:"line"` // from 1; 0 = the whole file
-	Code    string `json:"code"`
-	Message string `json:"message"`
+	ID               string                    `json:"id"`
+	Tenant           string                    `json:"tenant"`
+	InputFileID      string                    `json:"input"`
+	Endpoint         string                    `json:"endpoint"`
+	CompletionWindow string                    `json:"window"`
+	Metadata         map[string]string         `json:"metadata,omitempty"`
+	State            batchscheduler.BatchState `json:"state"`
+	TotalLines       int                       `json:"total"`
+	CompletedLines   int                       `json:"done"`
+	FailedLines      int                       `json:"lost"`
+	OutputFileID     string                    `json:"output,omitempty"` // files
+	ErrorFileID      string                    `json:"errors,omitempty"`
+	CreatedUnix      int64                     `json:"created"`
+	ExpiresUnix      int64                     `json:"expires"`
+	InProgressUnix   int64                     `json:"in_progress,omitempty"`
+	FinalizingUnix   int64                     `json:"finalizing,omitempty"`
+	EndedUnix        int64                     `json:"ended,omitempty"`
+	CancellingUnix   int64                     `json:"cancelling,omitempty"`
+	FinalState       batchscheduler.BatchState `json:"final,omitempty"` // what it becomes when it is finalized
+	ValidationErrors []ValidationError         `json:"faults,omitempty"`
+}
+
+// ValidationError is what is wrong with a batch's file.
+type ValidationError struct {
+	LineNumber int    `json:"line"` // from 1; 0 = the whole file
+	Code       string `json:"code"`
+	Message    string `json:"message"`
 }
 
 // Line is a line of a batch: where it lies in its file, and where it stands.
 type Line struct {
-	At     batchscheduler.At
-	Offset int64
-	Length int32
-	Sum    uint32
-	Cost   float32
-	Group  uint64
-	Custom string // its user's name for it
+	State       batchscheduler.LineState
+	Offset      int64
+	Length      int32
+	Checksum    uint32
+	Cost        float32
+	PrefixGroup uint64
+	CustomID    string // its user's name for it
 }
 
 const (
-	setFiles, setBatches = "files", "batches"
+	filesSet, batchesSet = "files", "batches"
 	idBytes              = 12
-	lineHeader           = 1 + 8 + 4 + 4 + 4 + 8
-	chunkLines           = 2000 // of a change: memory stays flat however many lines there are
+	lineHeaderBytes      = 1 + 8 + 4 + 4 + 4 + 8
+	maxLinesPerUpdate    = 2000 // of a change: memory stays flat however many lines there are
 )
 
-func lines(id string) string   { return "lines/" + id }
-func results(id string) string { return "results/" + id }
+func linesSet(id string) string   { return "lines/" + id }
+func resultsSet(id string) string { return "results/" + id }
 
-func key(n batchscheduler.Line) []byte { return binary.BigEndian.AppendUint32(nil, uint32(n)) }
+func lineKey(n batchscheduler.LineIndex) []byte { return binary.BigEndian.AppendUint32(nil, uint32(n)) }
 
 // Store is the files and batches of one directory.
 type Store struct {
-	v     *recordstore.Vault
-	dir   string
-	quota int64 // bytes of files for a tenant
-	ids   io.Reader
-	fail  func(at string) error // tests end the process here
+	records          *recordstore.Store
+	dir              string
+	tenantQuotaBytes int64 // bytes of files for a tenant
+	idSource         io.Reader
+	failpoint        func(at string) error // tests end the process here
 
-	mu   sync.Mutex
-	used map[string]int64 // by tenant; with what is being uploaded
+	mu        sync.Mutex
+	usedBytes map[string]int64 // by tenant; with what is being uploaded
 }
 
 // Open opens the store of a directory, or makes it; quota bounds the bytes of each tenant's files. What an end in
@@ -122,8 +122,8 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Store{v: v, dir: dir, quota: quota, ids: rand.Reader, used: map[string]int64{}, fail: func(string) error { return nil }}
-	if err := s.tidy(); err != nil {
+	s := &Store{records: v, dir: dir, tenantQuotaBytes: quota, idSource: rand.Reader, usedBytes: map[string]int64{}, failpoint: func(string) error { return nil }}
+	if err := s.removeOrphans(); err != nil {
 		v.Close()
 		return nil, fmt.Errorf("store %s: %w", dir, err)
 	}
@@ -131,17 +131,17 @@
 }
 
 // Close closes the store.
-func (s *Store) Close() error { return s.v.Close() }
+func (s *Store) Close() error { return s.records.Close() }
 
-// tidy removes contents that no record names, and counts what tenants use.
-func (s *Store) tidy() error {
+// removeOrphans removes contents that no record names, and counts what tenants use.
+func (s *Store) removeOrphans() error {
 	known := map[string]bool{}
-	if err := s.v.View(func(tx *recordstore.Tx) error {
-		return tx.Each(setFiles, nil, func(k, value []byte, err error) error {
+	if err := s.records.View(func(tx *recordstore.Tx) error {
+		return tx.ForEach(filesSet, nil, func(k, value []byte, err error) error {
 			known[string(k)] = true // also if its record has rotted: a person may still want what lies there
 			var f File
 			if err == nil && json.Unmarshal(value, &f) == nil {
-				s.used[f.Tenant] += f.Bytes
+				s.usedBytes[f.Tenant] += f.SizeBytes
 			}
 			return nil
 		})
@@ -158,7 +158,7 @@
 	}
 	for _, f := range files {
 		if !known[f.Name()] {
-			left = append(left, s.content(f.Name()))
+			left = append(left, s.contentPath(f.Name()))
 		}
 	}
 	for _, name := range left {
@@ -169,17 +169,17 @@
 	return nil
 }
 
-func (s *Store) content(id string) string { return filepath.Join(s.dir, "files", id) }
+func (s *Store) contentPath(id string) string { return filepath.Join(s.dir, "files", id) }
 
 func (s *Store) newID(kind string) (string, error) {
 	b := make([]byte, idBytes)
-	if _, err := io.ReadFull(s.ids, b); err != nil {
+	if _, err := io.ReadFull(s.idSource, b); err != nil {
 		return "", err
 	}
 	return kind + hex.EncodeToString(b), nil
 }
 
-func put(tx *recordstore.Tx, set, id string, v any) error {
+func putJSON(tx *recordstore.Tx, set, id string, v any) error {
 	b, err := json.Marshal(v)
 	if err != nil {
 		return err
@@ -187,10 +187,10 @@
 	return tx.Put(set, []byte(id), b)
 }
 
-func get(tx *recordstore.Tx, set, id string, v any) error {
+func getJSON(tx *recordstore.Tx, set, id string, v any) error {
 	b, err := tx.Get(set, []byte(id))
-	if errors.Is(err, recordstore.ErrNone) {
-		return fmt.Errorf("%s: %w", id, ErrNone)
+	if errors.Is(err, recordstore.ErrNotFound) {
+		return fmt.Errorf("%s: %w", id, ErrNotFound)
 	}
 	if err != nil {
 		return err
@@ -198,88 +198,88 @@
 	return json.Unmarshal(b, v)
 }
 
-// reserve takes bytes of a tenant's quota.
-func (s *Store) reserve(tenant string, n int64) error {
+// reserveQuota takes bytes of a tenant's quota.
+func (s *Store) reserveQuota(tenant string, n int64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if n > 0 && s.quota > 0 && s.used[tenant]+n > s.quota {
-		return fmt.Errorf("%d bytes beside %d of %d: %w", n, s.used[tenant], s.quota, ErrQuota)
+	if n > 0 && s.tenantQuotaBytes > 0 && s.usedBytes[tenant]+n > s.tenantQuotaBytes {
+		return fmt.Errorf("%d bytes beside %d of %d: %w", n, s.usedBytes[tenant], s.tenantQuotaBytes, ErrQuotaExceeded)
 	}
-	s.used[tenant] += n
+	s.usedBytes[tenant] += n
 	return nil
 }
 
-// keeper writes a file's content: beside, then whole in its place.
-type keeper struct {
-	s      *Store
-	tenant string
-	f      *os.File
-	w      *bufio.Writer
-	n      int64
-	taken  int64
-	most   int64
+// contentWriter writes a file's content: beside, then whole in its place.
+type contentWriter struct {
+	store    *Store
+	tenant   string
+	file     *os.File
+	buffer   *bufio.Writer
+	written  int64
+	reserved int64
+	maxBytes int64
 }
 
-const takeAhead = 1 << 20 // bytes of quota that a writer takes at a time
+const quotaReserveBytes = 1 << 20 // bytes of quota that a writer takes at a time
 
-func (s *Store) keeper(tenant string, most int64) (*keeper, error) {
+func (s *Store) newContentWriter(tenant string, most int64) (*contentWriter, error) {
 	f, err := os.CreateTemp(filepath.Join(s.dir, "tmp"), "*")
 	if err != nil {
 		return nil, err
 	}
-	return &keeper{s: s, tenant: tenant, f: f, w: bufio.NewWriterSize(f, 64<<10), most: most}, nil
+	return &contentWriter{store: s, tenant: tenant, file: f, buffer: bufio.NewWriterSize(f, 64<<10), maxBytes: most}, nil
 }
 
-func (k *keeper) Write(p []byte) (int, error) {
-	if k.most > 0 && k.n+int64(len(p)) > k.most {
-		return 0, fmt.Errorf("more than %d bytes: %w", k.most, ErrLarge)
+func (w *contentWriter) Write(p []byte) (int, error) {
+	if w.maxBytes > 0 && w.written+int64(len(p)) > w.maxBytes {
+		return 0, fmt.Errorf("more than %d bytes: %w", w.maxBytes, ErrFileTooLarge)
 	}
-	if need := k.n + int64(len(p)) - k.taken; need > 0 {
-		n := max(need, takeAhead)
-		if err := k.s.reserve(k.tenant, n); err != nil {
-			if err = k.s.reserve(k.tenant, need); err != nil {
+	if need := w.written + int64(len(p)) - w.reserved; need > 0 {
+		n := max(need, quotaReserveBytes)
+		if err := w.store.reserveQuota(w.tenant, n); err != nil {
+			if err = w.store.reserveQuota(w.tenant, need); err != nil {
 				return 0, err
 			}
 			n = need
 		}
-		k.taken += n
+		w.reserved += n
 	}
-	n, err := k.w.Write(p)
-	k.n += int64(n)
+	n, err := w.buffer.Write(p)
+	w.written += int64(n)
 	return n, err
 }
 
-// drop forgets what was written.
-func (k *keeper) drop() {
-	k.f.Close()
-	os.Remove(k.f.Name())
-	k.s.reserve(k.tenant, -k.taken)
+// discard forgets what was written.
+func (w *contentWriter) discard() {
+	w.file.Close()
+	os.Remove(w.file.Name())
+	w.store.reserveQuota(w.tenant, -w.reserved)
 }
 
-// keep puts what was written in its place, for good.
-func (k *keeper) keep(id string) error {
-	err := k.w.Flush()
+// commit puts what was written in its place, for good.
+func (w *contentWriter) commit(id string) error {
+	err := w.buffer.Flush()
 	if err == nil {
-		err = k.f.Sync()
+		err = w.file.Sync()
 	}
 	if err == nil {
-		err = k.f.Close()
+		err = w.file.Close()
 	}
 	if err == nil {
-		err = k.s.fail("content written")
+		err = w.store.failpoint("content written")
 	}
 	if err == nil {
-		err = os.Rename(k.f.Name(), k.s.content(id))
+		err = os.Rename(w.file.Name(), w.store.contentPath(id))
 	}
 	if err == nil {
-		err = syncDir(filepath.Dir(k.s.content(id)))
+		err = syncDir(filepath.Dir(w.store.contentPath(id)))
 	}
 	if err != nil {
-		k.drop()
+		w.discard()
 		return err
 	}
-	k.s.reserve(k.tenant, k.n-k.taken)
-	return k.s.fail("content in place")
+	w.store.reserveQuota(w.tenant, w.written-w.reserved)
+	return w.store.failpoint("content in place")
 }
 
 func syncDir(name string) error {
@@ -291,47 +291,47 @@
 	return d.Sync()
 }
 
-// Upload takes a file of at most so many bytes; what ends in the middle leaves nothing.
-func (s *Store) Upload(now time.Time, tenant, name, purpose string, r io.Reader, most int64) (File, error) {
-	k, err := s.keeper(tenant, most)
+// UploadFile takes a file of at most so many bytes; what ends in the middle leaves nothing.
+func (s *Store) UploadFile(now time.Time, tenant, name, purpose string, r io.Reader, most int64) (File, error) {
+	k, err := s.newContentWriter(tenant, most)
 	if err != nil {
 		return File{}, err
 	}
 	if _, err := io.Copy(k, r); err != nil {
-		k.drop()
+		k.discard()
 		return File{}, err
 	}
-	f := File{Tenant: tenant, Name: name, Purpose: purpose, Bytes: k.n, Created: now.Unix()}
+	f := File{Tenant: tenant, Name: name, Purpose: purpose, SizeBytes: k.written, CreatedUnix: now.Unix()}
 	if f.ID, err = s.newID("file-"); err != nil {
-		k.drop()
+		k.discard()
 		return File{}, err
 	}
-	if err := k.keep(f.ID); err != nil {
+	if err := k.commit(f.ID); err != nil {
 		return File{}, err
 	}
-	return f, s.v.Update(func(tx *recordstore.Tx) error { return put(tx, setFiles, f.ID, f) })
+	return f, s.records.Update(func(tx *recordstore.Tx) error { return putJSON(tx, filesSet, f.ID, f) })
 }
 
 // File gives a tenant's file.
 func (s *Store) File(tenant, id string) (f File, err error) {
-	err = s.v.View(func(tx *recordstore.Tx) error { return get(tx, setFiles, id, &f) })
+	err = s.records.View(func(tx *recordstore.Tx) error { return getJSON(tx, filesSet, id, &f) })
 	if err == nil && (f.Tenant != tenant || f.Deleted) {
-		err = fmt.Errorf("%s: %w", id, ErrNone)
+		err = fmt.Errorf("%s: %w", id, ErrNotFound)
 	}
 	return f, err
 }
 
 // list gives a tenant's things by their IDs, after one.
 func list[T any](s *Store, set, after string, most int, mine func(*T) bool) (all []T, more bool, err error) {
-	err = s.v.View(func(tx *recordstore.Tx) error {
-		return tx.Each(set, []byte(after), func(k, value []byte, err error) error {
+	err = s.records.View(func(tx *recordstore.Tx) error {
+		return tx.ForEach(set, []byte(after), func(k, value []byte, err error) error {
 			var x T
 			if string(k) == after || err != nil || json.Unmarshal(value, &x) != nil || !mine(&x) {
 				return nil
 			}
 			if len(all) == most {
 				more = true
-				return recordstore.ErrStop
+				return recordstore.ErrStopIteration
 			}
 			all = append(all, x)
 			return nil
@@ -342,69 +342,69 @@
 
 // Files gives a tenant's files, so many after one; more tells that there are others.
 func (s *Store) Files(tenant, after string, most int) (fs []File, more bool, err error) {
-	return list(s, setFiles, after, most, func(f *File) bool { return f.Tenant == tenant && !f.Deleted })
+	return list(s, filesSet, after, most, func(f *File) bool { return f.Tenant == tenant && !f.Deleted })
 }
 
-// Content opens what a file holds.
-func (s *Store) Content(tenant, id string) (*os.File, error) {
+// OpenContent opens what a file holds.
+func (s *Store) OpenContent(tenant, id string) (*os.File, error) {
 	if _, err := s.File(tenant, id); err != nil {
 		return nil, err
 	}
-	return os.Open(s.content(id))
+	return os.Open(s.contentPath(id))
 }
 
-// Delete takes a file from its tenant; its content goes once no batch reads it.
-func (s *Store) Delete(tenant, id string) error {
+// DeleteFile takes a file from its tenant; its content goes once no batch reads it.
+func (s *Store) DeleteFile(tenant, id string) error {
 	f, err := s.File(tenant, id)
 	if err != nil {
 		return err
 	}
 	used := false
-	if err := s.v.Update(func(tx *recordstore.Tx) error {
+	if err := s.records.Update(func(tx *recordstore.Tx) error {
 		if used, err = s.inUse(tx, id); err != nil {
 			return err
 		}
 		if !used {
-			return tx.Delete(setFiles, []byte(id))
+			return tx.Delete(filesSet, []byte(id))
 		}
 		f.Deleted = true
-		return put(tx, setFiles, id, f)
+		return putJSON(tx, filesSet, id, f)
 	}); err != nil || used {
 		return err
 	}
-	return s.remove(f)
+	return s.removeContent(f)
 }
 
-func (s *Store) remove(f File) error {
-	s.reserve(f.Tenant, -f.Bytes)
-	return os.Remove(s.content(f.ID))
+func (s *Store) removeContent(f File) error {
+	s.reserveQuota(f.Tenant, -f.SizeBytes)
+	return os.Remove(s.contentPath(f.ID))
 }
 
 // inUse tells whether a batch that is not over reads a file.
 func (s *Store) inUse(tx *recordstore.Tx, id string) (bool, error) {
 	used := false
-	err := tx.Each(setBatches, nil, func(_, value []byte, err error) error {
+	err := tx.ForEach(batchesSet, nil, func(_, value []byte, err error) error {
 		var b Batch
-		if err == nil && json.Unmarshal(value, &b) == nil && b.Input == id && !b.State.Over() {
+		if err == nil && json.Unmarshal(value, &b) == nil && b.InputFileID == id && !b.State.IsTerminal() {
 			used = true
-			return recordstore.ErrStop
+			return recordstore.ErrStopIteration
 		}
 		return nil
 	})
 	return used, err
 }
 
-// Sweep deletes files that are older than a retention and not in use; it gives how many.
-func (s *Store) Sweep(now time.Time, keep time.Duration) (int, error) {
-	old, _, err := list(s, setFiles, "", 1<<30, func(f *File) bool { return !f.Deleted && now.Unix()-f.Created > int64(keep/time.Second) })
+// DeleteFilesOlderThan deletes files that are older than a retention and not in use; it gives how many.
+func (s *Store) DeleteFilesOlderThan(now time.Time, keep time.Duration) (int, error) {
+	old, _, err := list(s, filesSet, "", 1<<30, func(f *File) bool { return !f.Deleted && now.Unix()-f.CreatedUnix > int64(keep/time.Second) })
 	n := 0
 	for _, f := range old {
 		used := false
 		if err == nil {
-			err = s.v.View(func(tx *recordstore.Tx) error { used, err = s.inUse(tx, f.ID); return err })
+			err = s.records.View(func(tx *recordstore.Tx) error { used, err = s.inUse(tx, f.ID); return err })
 		}
 		if err == nil && !used {
-			if err = s.Delete(f.Tenant, f.ID); err == nil {
+			if err = s.DeleteFile(f.Tenant, f.ID); err == nil {
 				n++
 			}
 		}
@@ -412,75 +412,75 @@
 	return n, err
 }
 
-// Create makes a batch over a file; it is validating.
-func (s *Store) Create(now time.Time, b Batch, window time.Duration) (Batch, error) {
-	if _, err := s.File(b.Tenant, b.Input); err != nil {
+// CreateBatch makes a batch over a file; it is validating.
+func (s *Store) CreateBatch(now time.Time, b Batch, window time.Duration) (Batch, error) {
+	if _, err := s.File(b.Tenant, b.InputFileID); err != nil {
 		return Batch{}, err
 	}
 	var err error
 	if b.ID, err = s.newID("batch_"); err != nil {
 		return Batch{}, err
 	}
-	b.State, b.Created, b.Expires = batchscheduler.Validating, now.Unix(), now.Add(window).Unix()
-	return b, s.v.Update(func(tx *recordstore.Tx) error { return put(tx, setBatches, b.ID, b) })
+	b.State, b.CreatedUnix, b.ExpiresUnix = batchscheduler.StateValidating, now.Unix(), now.Add(window).Unix()
+	return b, s.records.Update(func(tx *recordstore.Tx) error { return putJSON(tx, batchesSet, b.ID, b) })
 }
 
 // Batch gives a tenant's batch.
 func (s *Store) Batch(tenant, id string) (b Batch, err error) {
-	err = s.v.View(func(tx *recordstore.Tx) error { return get(tx, setBatches, id, &b) })
+	err = s.records.View(func(tx *recordstore.Tx) error { return getJSON(tx, batchesSet, id, &b) })
 	if err == nil && b.Tenant != tenant {
-		err = fmt.Errorf("%s: %w", id, ErrNone)
+		err = fmt.Errorf("%s: %w", id, ErrNotFound)
 	}
 	return b, err
 }
 
 // Batches gives a tenant's batches, so many after one.
 func (s *Store) Batches(tenant, after string, most int) (bs []Batch, more bool, err error) {
-	return list(s, setBatches, after, most, func(b *Batch) bool { return b.Tenant == tenant })
+	return list(s, batchesSet, after, most, func(b *Batch) bool { return b.Tenant == tenant })
 }
 
-// Open gives the batches of all tenants that are not over.
-func (s *Store) Open() ([]Batch, error) {
-	bs, _, err := list(s, setBatches, "", 1<<30, func(b *Batch) bool { return !b.State.Over() })
+// UnfinishedBatches gives the batches of all tenants that are not over.
+func (s *Store) UnfinishedBatches() ([]Batch, error) {
+	bs, _, err := list(s, batchesSet, "", 1<<30, func(b *Batch) bool { return !b.State.IsTerminal() })
 	return bs, err
 }
 
-// Change changes a batch whose state may follow; f sees it as it is and has it at that state.
-func (s *Store) Change(id string, to batchscheduler.State, f func(b *Batch)) (b Batch, err error) {
-	err = s.v.Update(func(tx *recordstore.Tx) error {
-		if err := get(tx, setBatches, id, &b); err != nil {
+// TransitionBatch changes a batch whose state may follow; f sees it as it is and has it at that state.
+func (s *Store) TransitionBatch(id string, to batchscheduler.BatchState, f func(b *Batch)) (b Batch, err error) {
+	err = s.records.Update(func(tx *recordstore.Tx) error {
+		if err := getJSON(tx, batchesSet, id, &b); err != nil {
 			return err
 		}
 		if b.State != to {
-			if err := batchscheduler.Step(b.State, to); err != nil {
-				return fmt.Errorf("%w: %w", ErrState, err)
+			if err := batchscheduler.CheckTransition(b.State, to); err != nil {
+				return fmt.Errorf("%w: %w", ErrInvalidState, err)
 			}
 		}
 		b.State = to
 		f(&b)
-		if b.State.Over() {
+		if b.State.IsTerminal() {
 			if err := dropLines(tx, id); err != nil {
 				return err
 			}
 		}
-		return put(tx, setBatches, id, b)
+		return putJSON(tx, batchesSet, id, b)
 	})
-	if err == nil && b.State.Over() {
-		err = s.letGo(b.Input)
+	if err == nil && b.State.IsTerminal() {
+		err = s.removeIfUnused(b.InputFileID)
 	}
 	return b, err
 }
 
 func dropLines(tx *recordstore.Tx, id string) error {
-	return errors.Join(tx.Drop(lines(id)), tx.Drop(results(id)))
+	return errors.Join(tx.DropSet(linesSet(id)), tx.DropSet(resultsSet(id)))
 }
 
-// letGo removes a file that was deleted while a batch read it.
-func (s *Store) letGo(id string) error {
+// removeIfUnused removes a file that was deleted while a batch read it.
+func (s *Store) removeIfUnused(id string) error {
 	var f File
 	gone := false
-	err := s.v.Update(func(tx *recordstore.Tx) error {
-		if err := get(tx, setFiles, id, &f); errors.Is(err, ErrNone) {
+	err := s.records.Update(func(tx *recordstore.Tx) error {
+		if err := getJSON(tx, filesSet, id, &f); errors.Is(err, ErrNotFound) {
 			return nil
 		} else if err != nil {
 			return err
@@ -490,44 +490,44 @@
 			return err
 		}
 		gone = true
-		return tx.Delete(setFiles, []byte(id))
+		return tx.Delete(filesSet, []byte(id))
 	})
 	if err == nil && gone {
-		err = s.remove(f)
+		err = s.removeContent(f)
 	}
 	return err
 }
 
 func (l *Line) encode() []byte {
-	b := make([]byte, 0, lineHeader+len(l.Custom))
-	b = append(b, byte(l.At))
+	b := make([]byte, 0, lineHeaderBytes+len(l.CustomID))
+	b = append(b, byte(l.State))
 	b = binary.BigEndian.AppendUint64(b, uint64(l.Offset))
 	b = binary.BigEndian.AppendUint32(b, uint32(l.Length))
-	b = binary.BigEndian.AppendUint32(b, l.Sum)
+	b = binary.BigEndian.AppendUint32(b, l.Checksum)
 	b = binary.BigEndian.AppendUint32(b, uint32(l.Cost))
-	b = binary.BigEndian.AppendUint64(b, l.Group)
-	return append(b, l.Custom...)
+	b = binary.BigEndian.AppendUint64(b, l.PrefixGroup)
+	return append(b, l.CustomID...)
 }
 
 func decodeLine(b []byte) (Line, error) {
-	if len(b) < lineHeader {
-		return Line{}, fmt.Errorf("line of %d bytes: %w", len(b), ErrRotten)
+	if len(b) < lineHeaderBytes {
+		return Line{}, fmt.Errorf("line of %d bytes: %w", len(b), ErrCorrupt)
 	}
 	return Line{
-		At: batchscheduler.At(b[0]), Offset: int64(binary.BigEndian.Uint64(b[1:])), Length: int32(binary.BigEndian.Uint32(b[9:])),
-		Sum: binary.BigEndian.Uint32(b[13:]), Cost: float32(binary.BigEndian.Uint32(b[17:])), Group: binary.BigEndian.Uint64(b[21:]),
-		Custom: string(b[lineHeader:]),
+		State: batchscheduler.LineState(b[0]), Offset: int64(binary.BigEndian.Uint64(b[1:])), Length: int32(binary.BigEndian.Uint32(b[9:])),
+		Checksum: binary.BigEndian.Uint32(b[13:]), Cost: float32(binary.BigEndian.Uint32(b[17:])), PrefixGroup: binary.BigEndian.Uint64(b[21:]),
+		CustomID: string(b[lineHeaderBytes:]),
 	}, nil
 }
 
 // AddLines writes lines of a batch that is validating, from a number on; those that an earlier, cut off validation wrote
 // are written over.
-func (s *Store) AddLines(id string, from batchscheduler.Line, ls []Line) error {
+func (s *Store) AddLines(id string, from batchscheduler.LineIndex, ls []Line) error {
 	for len(ls) > 0 {
-		some := ls[:min(len(ls), chunkLines)]
-		if err := s.v.Update(func(tx *recordstore.Tx) error {
+		some := ls[:min(len(ls), maxLinesPerUpdate)]
+		if err := s.records.Update(func(tx *recordstore.Tx) error {
 			for i := range some {
-				if err := tx.Put(lines(id), key(from+batchscheduler.Line(i)), some[i].encode()); err != nil {
+				if err := tx.Put(linesSet(id), lineKey(from+batchscheduler.LineIndex(i)), some[i].encode()); err != nil {
 					return err
 				}
 			}
@@ -535,28 +535,28 @@
 		}); err != nil {
 			return err
 		}
-		from, ls = from+batchscheduler.Line(len(some)), ls[len(some):]
+		from, ls = from+batchscheduler.LineIndex(len(some)), ls[len(some):]
 	}
 	return nil
 }
 
-// Lines gives a batch's lines by their numbers; one whose record has rotted comes with an error and nothing else.
-func (s *Store) Lines(id string, f func(n batchscheduler.Line, l Line, rotten error) error) error {
-	return s.v.View(func(tx *recordstore.Tx) error {
-		return tx.Each(lines(id), nil, func(k, value []byte, err error) error {
+// ForEachLine gives a batch's lines by their numbers; one whose record has rotted comes with an error and nothing else.
+func (s *Store) ForEachLine(id string, f func(n batchscheduler.LineIndex, l Line, rotten error) error) error {
+	return s.records.View(func(tx *recordstore.Tx) error {
+		return tx.ForEach(linesSet(id), nil, func(k, value []byte, err error) error {
 			var l Line
 			if err == nil {
 				l, err = decodeLine(value)
 			}
-			return f(batchscheduler.Line(binary.BigEndian.Uint32(k)), l, err)
+			return f(batchscheduler.LineIndex(binary.BigEndian.Uint32(k)), l, err)
 		})
 	})
 }
 
 // Line gives one line of a batch.
-func (s *Store) Line(id string, n batchscheduler.Line) (l Line, err error) {
-	err = s.v.View(func(tx *recordstore.Tx) error {
-		b, err := tx.Get(lines(id), key(n))
+func (s *Store) Line(id string, n batchscheduler.LineIndex) (l Line, err error) {
+	err = s.records.View(func(tx *recordstore.Tx) error {
+		b, err := tx.Get(linesSet(id), lineKey(n))
 		if err != nil {
 			return err
 		}
@@ -566,12 +566,12 @@
 	return l, err
 }
 
-// Input opens the file that a batch reads, also after its tenant has deleted it.
-func (s *Store) Input(id string) (*os.File, error) { return os.Open(s.content(id)) }
+// OpenInput opens the file that a batch reads, also after its tenant has deleted it.
+func (s *Store) OpenInput(id string) (*os.File, error) { return os.Open(s.contentPath(id)) }
 
-// Text reads what a line says; the error wraps ErrRotten if it is not what was handed in.
-func (s *Store) Text(input string, n batchscheduler.Line, l Line) ([]byte, error) {
-	f, err := os.Open(s.content(input))
+// LineText reads what a line says; the error wraps ErrCorrupt if it is not what was handed in.
+func (s *Store) LineText(input string, n batchscheduler.LineIndex, l Line) ([]byte, error) {
+	f, err := os.Open(s.contentPath(input))
 	if err != nil {
 		return nil, err
 	}
@@ -580,16 +580,16 @@
 	if _, err := f.ReadAt(b, l.Offset); err != nil {
 		return nil, fmt.Errorf("%s, line %d: %w", input, n+1, err)
 	}
-	if crc32.ChecksumIEEE(b) != l.Sum {
-		return nil, fmt.Errorf("%s, line %d, at byte %d: %w", input, n+1, l.Offset, ErrRotten)
+	if crc32.ChecksumIEEE(b) != l.Checksum {
+		return nil, fmt.Errorf("%s, line %d, at byte %d: %w", input, n+1, l.Offset, ErrCorrupt)
 	}
 	return b, nil
 }
 
-// Mark has it on disk where a line stands, before a launch of it goes out or after it came back unheard.
-func (s *Store) Mark(id string, n batchscheduler.Line, at batchscheduler.At) error {
-	return s.v.Batch(func(tx *recordstore.Tx) error {
-		b, err := tx.Get(lines(id), key(n))
+// SetLineState has it on disk where a line stands, before a launch of it goes out or after it came back unheard.
+func (s *Store) SetLineState(id string, n batchscheduler.LineIndex, at batchscheduler.LineState) error {
+	return s.records.UpdateBatched(func(tx *recordstore.Tx) error {
+		b, err := tx.Get(linesSet(id), lineKey(n))
 		if err != nil {
 			return err
 		}
@@ -597,24 +597,26 @@
 		if err != nil {
 			return err
 		}
-		l.At = at
-		return tx.Put(lines(id), key(n), l.encode())
+		l.State = at
+		return tx.Put(linesSet(id), lineKey(n), l.encode())
 	})
 }
 
-// End keeps what a line came to, once: done with its result, or lost with its error, as the output or the error file is
+// RecordResult keeps what a line came to, once: done with its result, or lost with its error, as the output or the error file is
 // to have it. A line that has ended stays as it ended.
-func (s *Store) End(id string, n batchscheduler.Line, done bool, text []byte) error {
-	return s.v.Batch(func(tx *recordstore.Tx) error { return end(tx, id, n, done, func(Line) []byte { return text }) })
+func (s *Store) RecordResult(id string, n batchscheduler.LineIndex, done bool, text []byte) error {
+	return s.records.UpdateBatched(func(tx *recordstore.Tx) error {
+		return recordResult(tx, id, n, done, func(Line) []byte { return text })
+	})
 }
 
-// EndRest keeps that lines were lost, with what text says of each.
-func (s *Store) EndRest(id string, ns []batchscheduler.Line, text func(n batchscheduler.Line, l Line) []byte) error {
+// FailLines keeps that lines were lost, with what text says of each.
+func (s *Store) FailLines(id string, ns []batchscheduler.LineIndex, text func(n batchscheduler.LineIndex, l Line) []byte) error {
 	for len(ns) > 0 {
-		some := ns[:min(len(ns), chunkLines)]
-		if err := s.v.Update(func(tx *recordstore.Tx) error {
+		some := ns[:min(len(ns), maxLinesPerUpdate)]
+		if err := s.records.Update(func(tx *recordstore.Tx) error {
 			for _, n := range some {
-				if err := end(tx, id, n, false, func(l Line) []byte { return text(n, l) }); err != nil {
+				if err := recordResult(tx, id, n, false, func(l Line) []byte { return text(n, l) }); err != nil {
 					return err
 				}
 			}
@@ -627,51 +629,51 @@
 	return nil
 }
 
-func end(tx *recordstore.Tx, id string, n batchscheduler.Line, done bool, text func(l Line) []byte) error {
-	if _, err := tx.Get(results(id), key(n)); !errors.Is(err, recordstore.ErrNone) {
+func recordResult(tx *recordstore.Tx, id string, n batchscheduler.LineIndex, done bool, text func(l Line) []byte) error {
+	if _, err := tx.Get(resultsSet(id), lineKey(n)); !errors.Is(err, recordstore.ErrNotFound) {
 		return err
 	}
 	var b Batch
-	if err := get(tx, setBatches, id, &b); err != nil {
+	if err := getJSON(tx, batchesSet, id, &b); err != nil {
 		return err
 	}
-	if b.State.Over() {
-		return fmt.Errorf("%s is %v: %w", id, b.State, ErrState)
+	if b.State.IsTerminal() {
+		return fmt.Errorf("%s is %v: %w", id, b.State, ErrInvalidState)
 	}
-	kind, at := byte(0), batchscheduler.Lost
+	kind, at := byte(0), batchscheduler.LineFailed
 	if done {
-		kind, at = 1, batchscheduler.Done
-		b.Done++
+		kind, at = 1, batchscheduler.LineCompleted
+		b.CompletedLines++
 	} else {
-		b.Lost++
+		b.FailedLines++
 	}
 	var l Line
-	if old, err := tx.Get(lines(id), key(n)); err == nil {
+	if old, err := tx.Get(linesSet(id), lineKey(n)); err == nil {
 		if l, err = decodeLine(old); err == nil {
-			l.At = at
-			if err := tx.Put(lines(id), key(n), l.encode()); err != nil {
+			l.State = at
+			if err := tx.Put(linesSet(id), lineKey(n), l.encode()); err != nil {
 				return err
 			}
 		}
 	}
-	if err := tx.Put(results(id), key(n), append([]byte{kind}, text(l)...)); err != nil {
+	if err := tx.Put(resultsSet(id), lineKey(n), append([]byte{kind}, text(l)...)); err != nil {
 		return err
 	}
-	return put(tx, setBatches, id, b)
+	return putJSON(tx, batchesSet, id, b)
 }
 
-// Finalize writes the output and the error file of a batch that is finalizing and ends it as it was to end. Cut off
+// FinalizeBatch writes the output and the error file of a batch that is finalizing and ends it as it was to end. Cut off
 // anywhere, it is begun anew.
-func (s *Store) Finalize(now time.Time, b Batch) (Batch, error) {
+func (s *Store) FinalizeBatch(now time.Time, b Batch) (Batch, error) {
 	files := [2]File{} // lost, done
 	for kind := range files {
-		k, err := s.keeper(b.Tenant, 0)
+		k, err := s.newContentWriter(b.Tenant, 0)
 		if err != nil {
 			return b, err
 		}
 		some := false
-		err = s.v.View(func(tx *recordstore.Tx) error {
-			return tx.Each(results(b.ID), nil, func(n, value []byte, err error) error {
+		err = s.records.View(func(tx *recordstore.Tx) error {
+			return tx.ForEach(resultsSet(b.ID), nil, func(n, value []byte, err error) error {
 				if err != nil { // it is named in the error file, and harms no other
 					value = append([]byte{0}, fmt.Appendf(nil, `{"id":null,"custom_id":null,"response":null,"error":{"code":"rotten","message":%q}}`, err.Error())...)
 				}
@@ -684,75 +686,75 @@
 			})
 		})
 		if err != nil {
-			k.drop()
+			k.discard()
 			return b, err
 		}
 		if !some {
-			k.drop()
+			k.discard()
 			continue
 		}
 		name := []string{"errors", "output"}[kind]
 		f := File{
 			ID: "file-" + strings.TrimPrefix(b.ID, "batch_") + name[:1], Tenant: b.Tenant, Name: b.ID + "_" + name + ".jsonl",
-			Purpose: "batch_output", Bytes: k.n, Created: now.Unix(),
+			Purpose: "batch_output", SizeBytes: k.written, CreatedUnix: now.Unix(),
 		}
-		if err := k.keep(f.ID); err != nil {
+		if err := k.commit(f.ID); err != nil {
 			return b, err
 		}
 		files[kind] = f
 	}
-	if err := s.fail("files written"); err != nil {
+	if err := s.failpoint("files written"); err != nil {
 		return b, err
 	}
-	err := s.v.Update(func(tx *recordstore.Tx) error {
-		if err := get(tx, setBatches, b.ID, &b); err != nil {
+	err := s.records.Update(func(tx *recordstore.Tx) error {
+		if err := getJSON(tx, batchesSet, b.ID, &b); err != nil {
 			return err
 		}
-		if err := batchscheduler.Step(b.State, b.Final); err != nil {
-			return fmt.Errorf("%w: %w", ErrState, err)
+		if err := batchscheduler.CheckTransition(b.State, b.FinalState); err != nil {
+			return fmt.Errorf("%w: %w", ErrInvalidState, err)
 		}
 		for kind, f := range files {
 			if f.ID == "" {
 				continue
 			}
-			if err := put(tx, setFiles, f.ID, f); err != nil {
+			if err := putJSON(tx, filesSet, f.ID, f); err != nil {
 				return err
 			}
 			if kind == 1 {
-				b.Output = f.ID
+				b.OutputFileID = f.ID
 			} else {
-				b.Errors = f.ID
+				b.ErrorFileID = f.ID
 			}
 		}
-		b.State, b.Ended = b.Final, now.Unix()
+		b.State, b.EndedUnix = b.FinalState, now.Unix()
 		if err := dropLines(tx, b.ID); err != nil {
 			return err
 		}
-		return put(tx, setBatches, b.ID, b)
+		return putJSON(tx, batchesSet, b.ID, b)
 	})
 	if err != nil {
 		return b, err
 	}
-	return b, s.letGo(b.Input)
+	return b, s.removeIfUnused(b.InputFileID)
 }
 
 // Verify looks at every record and every line's content; it names what has rotted.
 func (s *Store) Verify() (all int, rotten []string, err error) {
-	all, damaged, err := s.v.Verify()
+	all, damaged, err := s.records.Verify()
 	for _, d := range damaged {
 		rotten = append(rotten, d.Error())
 	}
 	if err != nil {
 		return all, rotten, err
 	}
-	open, err := s.Open()
+	open, err := s.UnfinishedBatches()
 	for _, b := range open {
 		if err != nil {
 			break
 		}
-		err = s.Lines(b.ID, func(n batchscheduler.Line, l Line, e error) error {
+		err = s.ForEachLine(b.ID, func(n batchscheduler.LineIndex, l Line, e error) error {
 			if e == nil {
-				if _, e = s.Text(b.Input, n, l); e != nil {
+				if _, e = s.LineText(b.InputFileID, n, l); e != nil {
 					rotten = append(rotten, e.Error())
 				}
 			}
@@ -764,4 +766,4 @@
 }
 
 // Snapshot writes the vault as it is; contents are plain files that never change, to be copied beside.
-func (s *Store) Snapshot(w io.Writer) error { return s.v.Snapshot(w) }
+func (s *Store) Snapshot(w io.Writer) error { return s.records.Snapshot(w) }
--- a/internal/state/batchstore/store_test.go
+++ b/internal/state/batchstore/store_test.go
@@ -46,19 +46,19 @@
 	var ls []Line
 	for i := range n {
 		line := fmt.Sprintf(`{"custom_id": "c%d"}`, i)
-		ls = append(ls, Line{Offset: int64(text.Len()), Length: int32(len(line)), Sum: crc32.ChecksumIEEE([]byte(line)), Cost: 10, Custom: fmt.Sprint("c", i)})
+		ls = append(ls, Line{Offset: int64(text.Len()), Length: int32(len(line)), Checksum: crc32.ChecksumIEEE([]byte(line)), Cost: 10, CustomID: fmt.Sprint("c", i)})
 		text.WriteString(line + "\n")
 	}
-	f, err := s.Upload(t0, "a", "f", "batch", strings.NewReader(text.String()), 1<<20)
+	f, err := s.UploadFile(t0, "a", "f", "batch", strings.NewReader(text.String()), 1<<20)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, err := s.Create(t0, Batch{Tenant: "a", Input: f.ID}, time.Hour)
+	b, err := s.CreateBatch(t0, Batch{Tenant: "a", InputFileID: f.ID}, time.Hour)
 	if err == nil {
 		err = s.AddLines(b.ID, 0, ls)
 	}
 	if err == nil {
-		b, err = s.Change(b.ID, batchscheduler.InProgress, func(b *Batch) { b.Total = n })
+		b, err = s.TransitionBatch(b.ID, batchscheduler.StateInProgress, func(b *Batch) { b.TotalLines = n })
 	}
 	if err != nil {
 		t.Fatal(err)
@@ -82,9 +82,9 @@
 			s.Close()
 			s = openStore(t, dir)
 		}
-		ends := map[batchscheduler.Line]string{}
+		ends := map[batchscheduler.LineIndex]string{}
 		for len(ends) < n {
-			l := batchscheduler.Line(rapid.IntRange(0, n-1).Draw(rt, "line"))
+			l := batchscheduler.LineIndex(rapid.IntRange(0, n-1).Draw(rt, "line"))
 			done := rapid.Bool().Draw(rt, "done")
 			text := fmt.Sprintf(`{"n":%d,"done":%v,"try":%d}`, l, done, len(ends))
 			switch rapid.IntRange(0, 5).Draw(rt, "what") {
@@ -92,12 +92,12 @@
 				reopen()
 			case 1:
 				if _, over := ends[l]; !over {
-					if err := s.Mark(b.ID, l, batchscheduler.Out); err != nil {
+					if err := s.SetLineState(b.ID, l, batchscheduler.LineInFlight); err != nil {
 						rt.Fatal(err)
 					}
 				}
 			default:
-				if err := s.End(b.ID, l, done, []byte(text)); err != nil {
+				if err := s.RecordResult(b.ID, l, done, []byte(text)); err != nil {
 					rt.Fatal(err)
 				}
 				if _, over := ends[l]; !over {
@@ -105,12 +105,12 @@
 				}
 			}
 		}
-		if b, err = s.Change(b.ID, batchscheduler.Finalizing, func(b *Batch) { b.Final = batchscheduler.Completed }); err != nil {
+		if b, err = s.TransitionBatch(b.ID, batchscheduler.StateFinalizing, func(b *Batch) { b.FinalState = batchscheduler.StateCompleted }); err != nil {
 			rt.Fatal(err)
 		}
 		for range rapid.IntRange(0, 4).Draw(rt, "crashes") {
 			where, k := rapid.SampledFrom([]string{"content written", "content in place", "files written"}).Draw(rt, "where"), rapid.IntRange(0, 1).Draw(rt, "which")
-			s.fail = func(at string) error {
+			s.failpoint = func(at string) error {
 				if at == where {
 					if k--; k < 0 {
 						return errDied
@@ -118,37 +118,37 @@
 				}
 				return nil
 			}
-			if _, err := s.Finalize(t0, b); err == nil {
+			if _, err := s.FinalizeBatch(t0, b); err == nil {
 				break
 			} else if !errors.Is(err, errDied) {
 				rt.Fatal(err)
 			}
 			reopen()
 		}
-		s.fail = func(string) error { return nil }
+		s.failpoint = func(string) error { return nil }
 		if b, err = s.Batch("a", b.ID); err != nil {
 			rt.Fatal(err)
 		}
-		if !b.State.Over() {
-			if b, err = s.Finalize(t0, b); err != nil {
+		if !b.State.IsTerminal() {
+			if b, err = s.FinalizeBatch(t0, b); err != nil {
 				rt.Fatal(err)
 			}
 		}
 		reopen()
 		got, files := map[string]bool{}, 1
-		for _, id := range []string{b.Output, b.Errors} {
+		for _, id := range []string{b.OutputFileID, b.ErrorFileID} {
 			if id == "" {
 				continue
 			}
 			files++
-			f, err := s.Content("a", id)
+			f, err := s.OpenContent("a", id)
 			if err != nil {
 				rt.Fatal(err)
 			}
 			text, _ := io.ReadAll(f)
 			f.Close()
 			for _, line := range strings.Split(strings.TrimSpace(string(text)), "\n") {
-				if got[line] || strings.Contains(line, `"done":true`) != (id == b.Output) {
+				if got[line] || strings.Contains(line, `"done":true`) != (id == b.OutputFileID) {
 					rt.Fatalf("%s stands twice, or in the wrong file", line)
 				}
 				got[line] = true
@@ -166,7 +166,7 @@
 		if err != nil || len(here) != files {
 			rt.Fatalf("%d files lie there, want %d", len(here), files)
 		}
-		if b, _ = s.Batch("a", b.ID); b.Done+b.Lost != n || b.State != batchscheduler.Completed {
+		if b, _ = s.Batch("a", b.ID); b.CompletedLines+b.FailedLines != n || b.State != batchscheduler.StateCompleted {
 			rt.Fatalf("%+v", b)
 		}
 		if all, rotten, err := s.Verify(); err != nil || len(rotten) > 0 || all != files+1 {
@@ -180,7 +180,7 @@
 	dir := t.TempDir()
 	s := openStore(t, dir)
 	defer s.Close()
-	if _, err := Open(dir, 0); !errors.Is(err, recordstore.ErrOwned) {
+	if _, err := Open(dir, 0); !errors.Is(err, recordstore.ErrLocked) {
 		t.Errorf("%v, want that another has it", err)
 	}
 }
@@ -191,34 +191,34 @@
 	dir := t.TempDir()
 	s := openStore(t, dir)
 	up := func(n int) (File, error) {
-		return s.Upload(t0, "a", "f", "batch", bytes.NewReader(make([]byte, n)), 1<<20)
+		return s.UploadFile(t0, "a", "f", "batch", bytes.NewReader(make([]byte, n)), 1<<20)
 	}
 	f, err := up(600 << 10)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := up(600 << 10); !errors.Is(err, ErrQuota) {
+	if _, err := up(600 << 10); !errors.Is(err, ErrQuotaExceeded) {
 		t.Errorf("%v, want over the quota", err)
 	}
-	if _, err := s.Upload(t0, "a", "f", "batch", io.MultiReader(bytes.NewReader(make([]byte, 100<<10)), failing{}), 1<<20); err == nil {
+	if _, err := s.UploadFile(t0, "a", "f", "batch", io.MultiReader(bytes.NewReader(make([]byte, 100<<10)), failing{}), 1<<20); err == nil {
 		t.Error("what was cut off is kept")
 	}
-	if _, err := s.Upload(t0, "b", "f", "batch", bytes.NewReader(make([]byte, 600<<10)), 1<<20); err != nil {
+	if _, err := s.UploadFile(t0, "b", "f", "batch", bytes.NewReader(make([]byte, 600<<10)), 1<<20); err != nil {
 		t.Errorf("another tenant: %v", err)
 	}
 	s.Close()
 	s = openStore(t, dir)
 	defer s.Close()
-	if _, err := up(600 << 10); !errors.Is(err, ErrQuota) {
+	if _, err := up(600 << 10); !errors.Is(err, ErrQuotaExceeded) {
 		t.Errorf("after a restart: %v, want over the quota", err)
 	}
-	if err := s.Delete("a", f.ID); err != nil {
+	if err := s.DeleteFile("a", f.ID); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := up(600 << 10); err != nil {
 		t.Errorf("after a deletion: %v", err)
 	}
-	if n, err := s.Sweep(t0.Add(2*time.Hour), time.Hour); err != nil || n != 2 {
+	if n, err := s.DeleteFilesOlderThan(t0.Add(2*time.Hour), time.Hour); err != nil || n != 2 {
 		t.Errorf("%d files swept: %v", n, err)
 	}
 	if left, _ := os.ReadDir(filepath.Join(dir, "files")); len(left) != 0 {
@@ -236,7 +236,7 @@
 	s := openStore(t, dir)
 	defer s.Close()
 	b := begun(t, s, 5)
-	name := s.content(b.Input)
+	name := s.contentPath(b.InputFileID)
 	text, err := os.ReadFile(name)
 	if err != nil {
 		t.Fatal(err)
@@ -245,8 +245,8 @@
 	text[at] ^= 2
 	os.WriteFile(name, text, 0o600)
 	bad := 0
-	if err := s.Lines(b.ID, func(n batchscheduler.Line, l Line, rotten error) error {
-		if _, err := s.Text(b.Input, n, l); errors.Is(err, ErrRotten) && n == 3 && strings.Contains(err.Error(), "line 4") {
+	if err := s.ForEachLine(b.ID, func(n batchscheduler.LineIndex, l Line, rotten error) error {
+		if _, err := s.LineText(b.InputFileID, n, l); errors.Is(err, ErrCorrupt) && n == 3 && strings.Contains(err.Error(), "line 4") {
 			bad++
 		} else if err != nil || rotten != nil {
 			t.Error(n, err, rotten)
@@ -266,34 +266,34 @@
 	s := openStore(t, t.TempDir())
 	defer s.Close()
 	b := begun(t, s, 1)
-	c, err := s.Create(t0, Batch{Tenant: "a", Input: b.Input}, time.Hour)
+	c, err := s.CreateBatch(t0, Batch{Tenant: "a", InputFileID: b.InputFileID}, time.Hour)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Delete("a", b.Input); err != nil {
+	if err := s.DeleteFile("a", b.InputFileID); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := s.File("a", b.Input); !errors.Is(err, ErrNone) {
+	if _, err := s.File("a", b.InputFileID); !errors.Is(err, ErrNotFound) {
 		t.Error(err)
 	}
-	if _, err := s.Create(t0, Batch{Tenant: "a", Input: b.Input}, time.Hour); !errors.Is(err, ErrNone) {
+	if _, err := s.CreateBatch(t0, Batch{Tenant: "a", InputFileID: b.InputFileID}, time.Hour); !errors.Is(err, ErrNotFound) {
 		t.Errorf("a batch on a deleted file: %v", err)
 	}
 	for i, id := range []string{b.ID, c.ID} {
-		if _, err := os.Stat(s.content(b.Input)); err != nil {
+		if _, err := os.Stat(s.contentPath(b.InputFileID)); err != nil {
 			t.Errorf("before batch %d is over its file is gone: %v", i, err)
 		}
-		if _, err := s.Change(id, batchscheduler.Cancelling, func(*Batch) {}); err != nil {
+		if _, err := s.TransitionBatch(id, batchscheduler.StateCancelling, func(*Batch) {}); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := s.Change(id, batchscheduler.Cancelled, func(*Batch) {}); err != nil {
+		if _, err := s.TransitionBatch(id, batchscheduler.StateCancelled, func(*Batch) {}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if _, err := os.Stat(s.content(b.Input)); !errors.Is(err, os.ErrNotExist) {
+	if _, err := os.Stat(s.contentPath(b.InputFileID)); !errors.Is(err, os.ErrNotExist) {
 		t.Errorf("nobody reads it, and it lies there: %v", err)
 	}
-	if _, err := s.Change(b.ID, batchscheduler.InProgress, func(*Batch) {}); !errors.Is(err, ErrState) {
+	if _, err := s.TransitionBatch(b.ID, batchscheduler.StateInProgress, func(*Batch) {}); !errors.Is(err, ErrInvalidState) {
 		t.Errorf("a cancelled batch goes on: %v", err)
 	}
 }
--- a/internal/state/endpointlist/list.go
+++ b/internal/state/endpointlist/list.go
@@ -16,25 +16,25 @@
 	"slices"
 )
 
-// Host is one engine of the list.
-type Host struct {
-	ID      policy.ServerID `json:"id"`
-	Address netip.AddrPort  `json:"address"`
-	Role    policy.Role     `json:"role"`
-	Zone    string          `json:"zone"`
-	Cell    string          `json:"cell"`
-	Health  policy.Health   `json:"health"`
-	Started int64           `json:"started_unix_ns"` // 0 = long ago, or not told
+// Endpoint is one engine of the list.
+type Endpoint struct {
+	ID        policy.ServerID `json:"id"`
+	Address   netip.AddrPort  `json:"address"`
+	Role      policy.Role     `json:"role"`
+	Zone      string          `json:"zone"`
+	Cell      string          `json:"cell"`
+	Health    policy.Health   `json:"health"`
+	StartedAt int64           `json:"started_unix_ns"` // 0 = long ago, or not told
 }
 
-// ErrGap says that changes were missed: only a full list helps.
-var ErrGap = errors.New("changes of the list were missed")
+// ErrMissedUpdates says that changes were missed: only a full list helps.
+var ErrMissedUpdates = errors.New("changes of the list were missed")
 
 // List is what is known. Make it with New.
 type List struct {
 	version uint64
 	whole   bool // a full list has come
-	hosts   map[policy.ServerID]Host
+	hosts   map[policy.ServerID]Endpoint
 	zones   map[string]policy.ZoneID
 	cells   map[[2]string]policy.CellID
 }
@@ -42,13 +42,13 @@
 // New makes a list that knows nothing.
 func New() *List {
 	return &List{
-		hosts: make(map[policy.ServerID]Host), zones: make(map[string]policy.ZoneID),
+		hosts: make(map[policy.ServerID]Endpoint), zones: make(map[string]policy.ZoneID),
 		cells: make(map[[2]string]policy.CellID),
 	}
 }
 
-// Zone is the number of a zone's name, given at its first mention.
-func (l *List) Zone(name string) policy.ZoneID {
+// ZoneID is the number of a zone's name, given at its first mention.
+func (l *List) ZoneID(name string) policy.ZoneID {
 	n, ok := l.zones[name]
 	if !ok {
 		n = policy.ZoneID(len(l.zones))
@@ -57,8 +57,8 @@
 	return n
 }
 
-// Cell is the number of a cell's name within its zone.
-func (l *List) Cell(zone, cell string) policy.CellID {
+// CellID is the number of a cell's name within its zone.
+func (l *List) CellID(zone, cell string) policy.CellID {
 	n, ok := l.cells[[2]string{zone, cell}]
 	if !ok {
 		n = policy.CellID(len(l.cells))
@@ -68,7 +68,7 @@
 }
 
 // Find gives a host that was ever listed.
-func (l *List) Find(id policy.ServerID) (Host, bool) {
+func (l *List) Find(id policy.ServerID) (Endpoint, bool) {
 	h, ok := l.hosts[id]
 	return h, ok
 }
@@ -76,25 +76,25 @@
 // Version is that of the last news.
 func (l *List) Version() uint64 { return l.version }
 
-// Hosts gives all that were ever listed, by id.
-func (l *List) Hosts() []Host {
-	hs := make([]Host, 0, len(l.hosts))
+// Endpoints gives all that were ever listed, by id.
+func (l *List) Endpoints() []Endpoint {
+	hs := make([]Endpoint, 0, len(l.hosts))
 	for _, h := range l.hosts {
 		hs = append(hs, h)
 	}
-	slices.SortFunc(hs, func(a, b Host) int { return int(int64(a.ID) - int64(b.ID)) })
+	slices.SortFunc(hs, func(a, b Endpoint) int { return int(int64(a.ID) - int64(b.ID)) })
 	return hs
 }
 
-// Take applies news whole or not at all: ErrGap where changes before it were missed or no full list has come
+// Apply applies news whole or not at all: ErrMissedUpdates where changes before it were missed or no full list has come
 // yet; changes that are known already are no error and change nothing. It gives the entries that are to be told
 // on, those that a full list no longer names as gone. An entry older than what is known of its host's start is
 // left out: it crossed with the news of a restart.
-func (l *List) Take(version uint64, full bool, hosts []Host) ([]Host, error) {
+func (l *List) Apply(version uint64, full bool, hosts []Endpoint) ([]Endpoint, error) {
 	if !full {
 		switch {
 		case !l.whole || version > l.version+1:
-			return nil, ErrGap
+			return nil, ErrMissedUpdates
 		case version <= l.version:
 			return nil, nil
 		}
@@ -107,14 +107,14 @@
 			return nil, fmt.Errorf("host %d: role %d is unknown", h.ID, h.Role)
 		}
 	}
-	var told []Host
+	var told []Endpoint
 	named := make(map[policy.ServerID]bool, len(hosts))
 	for _, h := range hosts {
 		named[h.ID] = true
 		if was, ok := l.hosts[h.ID]; ok {
-			if h.Started == 0 { // not told, as of a host that is gone
-				h.Started = was.Started
-			} else if h.Started < was.Started {
+			if h.StartedAt == 0 { // not told, as of a host that is gone
+				h.StartedAt = was.StartedAt
+			} else if h.StartedAt < was.StartedAt {
 				continue
 			}
 		}
@@ -122,7 +122,7 @@
 		told = append(told, h)
 	}
 	if full {
-		for _, h := range l.Hosts() {
+		for _, h := range l.Endpoints() {
 			if !named[h.ID] && h.Health != policy.Gone {
 				h.Health = policy.Gone
 				l.hosts[h.ID] = h
@@ -137,16 +137,16 @@
 
 // kept is the list as a file has it.
 type kept struct {
-	Format  int    `json:"format"`
-	Version uint64 `json:"version"`
-	Hosts   []Host `json:"hosts"`
+	Format  int        `json:"format"`
+	Version uint64     `json:"version"`
+	Hosts   []Endpoint `json:"hosts"`
 }
 
 const format = 1
 
 // Encode gives the list as Load reads it: a line with a digest, then the list.
 func (l *List) Encode() []byte {
-	body, err := json.Marshal(kept{format, l.version, l.Hosts()})
+	body, err := json.Marshal(kept{format, l.version, l.Endpoints()})
 	if err != nil {
 		panic(err) // no type in it can fail
 	}
@@ -188,7 +188,7 @@
 
 // Load reads what Save wrote into an empty list and gives its hosts. A file that is damaged or of another
 // format is named in the error, and nothing of it is taken.
-func (l *List) Load(name string) ([]Host, error) {
+func (l *List) Load(name string) ([]Endpoint, error) {
 	text, err := os.ReadFile(name)
 	if err != nil {
 		return nil, err
@@ -208,7 +208,7 @@
 	if k.Format != format {
 		return nil, fmt.Errorf("%s: format %d, want %d", name, k.Format, format)
 	}
-	told, err := l.Take(k.Version, true, k.Hosts)
+	told, err := l.Apply(k.Version, true, k.Hosts)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
--- a/internal/state/endpointlist/list_test.go
+++ b/internal/state/endpointlist/list_test.go
@@ -12,46 +12,46 @@
 	"pgregory.net/rapid"
 )
 
-func host(id policy.ServerID, started int64, health policy.Health) Host {
-	return Host{
+func host(id policy.ServerID, started int64, health policy.Health) Endpoint {
+	return Endpoint{
 		ID: id, Address: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(1000+id)), Role: policy.Decode, Zone: "a",
-		Cell: "c", Health: health, Started: started,
+		Cell: "c", Health: health, StartedAt: started,
 	}
 }
 
 func TestVersions(t *testing.T) {
 	l := New()
-	if _, err := l.Take(1, false, []Host{host(1, 5, policy.Serving)}); !errors.Is(err, ErrGap) {
-		t.Fatalf("changes before a full list: %v, want %v", err, ErrGap)
+	if _, err := l.Apply(1, false, []Endpoint{host(1, 5, policy.Serving)}); !errors.Is(err, ErrMissedUpdates) {
+		t.Fatalf("changes before a full list: %v, want %v", err, ErrMissedUpdates)
 	}
-	if _, err := l.Take(7, true, []Host{host(1, 5, policy.Serving), host(2, 5, policy.Serving)}); err != nil {
+	if _, err := l.Apply(7, true, []Endpoint{host(1, 5, policy.Serving), host(2, 5, policy.Serving)}); err != nil {
 		t.Fatal(err)
 	}
-	if told, err := l.Take(7, false, []Host{host(1, 5, policy.Gone)}); err != nil || told != nil {
+	if told, err := l.Apply(7, false, []Endpoint{host(1, 5, policy.Gone)}); err != nil || told != nil {
 		t.Errorf("changes known already: %v, %v", told, err)
 	}
-	if _, err := l.Take(9, false, []Host{host(1, 5, policy.Gone)}); !errors.Is(err, ErrGap) {
-		t.Errorf("a version left out: %v, want %v", err, ErrGap)
+	if _, err := l.Apply(9, false, []Endpoint{host(1, 5, policy.Gone)}); !errors.Is(err, ErrMissedUpdates) {
+		t.Errorf("a version left out: %v, want %v", err, ErrMissedUpdates)
 	}
 	if h, _ := l.Find(1); h.Health != policy.Serving {
 		t.Error("refused changes were taken")
 	}
-	if _, err := l.Take(8, false, []Host{host(3, 5, policy.Serving), {ID: 4}}); err == nil {
+	if _, err := l.Apply(8, false, []Endpoint{host(3, 5, policy.Serving), {ID: 4}}); err == nil {
 		t.Error("a host without address was taken")
 	}
 	if _, ok := l.Find(3); ok || l.Version() != 7 {
 		t.Error("half of refused news was taken")
 	}
-	if _, err := l.Take(8, false, []Host{host(1, 0, policy.Gone)}); err != nil {
+	if _, err := l.Apply(8, false, []Endpoint{host(1, 0, policy.Gone)}); err != nil {
 		t.Fatal(err)
 	}
-	if h, _ := l.Find(1); h.Health != policy.Gone || h.Started != 5 {
+	if h, _ := l.Find(1); h.Health != policy.Gone || h.StartedAt != 5 {
 		t.Errorf("after news without a start: %+v", h)
 	}
-	if told, err := l.Take(9, false, []Host{host(1, 4, policy.Serving)}); err != nil || len(told) != 0 {
+	if told, err := l.Apply(9, false, []Endpoint{host(1, 4, policy.Serving)}); err != nil || len(told) != 0 {
 		t.Errorf("news of a process before the known one: %v, %v", told, err)
 	}
-	if told, _ := l.Take(20, true, []Host{host(1, 9, policy.Serving)}); len(told) != 2 || told[1].ID != 2 || told[1].Health != policy.Gone {
+	if told, _ := l.Apply(20, true, []Endpoint{host(1, 9, policy.Serving)}); len(told) != 2 || told[1].ID != 2 || told[1].Health != policy.Gone {
 		t.Errorf("a full list without host 2 told %+v, want it gone", told)
 	}
 }
@@ -59,7 +59,7 @@
 // TestFollow: full lists and changes in any mixture leave the same as the last of each host's states.
 func TestFollow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l, truth := New(), map[policy.ServerID]Host{}
+		l, truth := New(), map[policy.ServerID]Endpoint{}
 		version := uint64(0)
 		for i := range rapid.IntRange(1, 50).Draw(t, "steps") {
 			h := host(policy.ServerID(rapid.IntRange(1, 6).Draw(t, "id")), int64(i+1), policy.Health(rapid.IntRange(0, 2).Draw(t, "health")))
@@ -68,15 +68,15 @@
 			if rapid.IntRange(0, 3).Draw(t, "lost") == 0 {
 				continue // this news is lost
 			}
-			if _, err := l.Take(version, false, []Host{h}); err != nil {
-				if !errors.Is(err, ErrGap) {
+			if _, err := l.Apply(version, false, []Endpoint{h}); err != nil {
+				if !errors.Is(err, ErrMissedUpdates) {
 					t.Fatal(err)
 				}
-				var all []Host
+				var all []Endpoint
 				for _, h := range truth {
 					all = append(all, h)
 				}
-				if _, err := l.Take(version, true, all); err != nil {
+				if _, err := l.Apply(version, true, all); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -92,18 +92,18 @@
 func TestKept(t *testing.T) {
 	name := filepath.Join(t.TempDir(), "list")
 	l := New()
-	if _, err := l.Take(3, true, []Host{host(1, 5, policy.Serving), host(2, 0, policy.Draining)}); err != nil {
+	if _, err := l.Apply(3, true, []Endpoint{host(1, 5, policy.Serving), host(2, 0, policy.Draining)}); err != nil {
 		t.Fatal(err)
 	}
 	if err := Save(name, l.Encode()); err != nil {
 		t.Fatal(err)
 	}
 	again := New()
-	if told, err := again.Load(name); err != nil || len(told) != 2 || !reflect.DeepEqual(again.Hosts(), l.Hosts()) {
-		t.Fatalf("came back as %+v, %v", again.Hosts(), err)
+	if told, err := again.Load(name); err != nil || len(told) != 2 || !reflect.DeepEqual(again.Endpoints(), l.Endpoints()) {
+		t.Fatalf("came back as %+v, %v", again.Endpoints(), err)
 	}
-	if _, err := again.Take(4, false, nil); !errors.Is(err, ErrGap) {
-		t.Errorf("changes after a kept list: %v, want %v: what was missed is not known", err, ErrGap)
+	if _, err := again.Apply(4, false, nil); !errors.Is(err, ErrMissedUpdates) {
+		t.Errorf("changes after a kept list: %v, want %v: what was missed is not known", err, ErrMissedUpdates)
 	}
 	text, err := os.ReadFile(name)
 	if err != nil {
--- a/internal/state/recordstore/store.go
+++ b/internal/state/recordstore/store.go
@@ -18,51 +18,53 @@
 	berrors "go.etcd.io/bbolt/errors"
 )
 
-// ErrOwned says that another process has the vault open.
-var ErrOwned = errors.New("another process has it open")
+// ErrLocked says that another process has the vault open.
+var ErrLocked = errors.New("another process has it open")
 
-// ErrNone says that there is no such record.
-var ErrNone = errors.New("no such record")
+// ErrNotFound says that there is no such record.
+var ErrNotFound = errors.New("no such record")
 
-// Damage is a record that is not what was written, or that a later version of the program wrote.
-type Damage struct {
-	Set  string
-	Key  []byte
-	What string
+// CorruptRecordError is a record that is not what was written, or that a later version of the program wrote.
+type CorruptRecordError struct {
+	Set     string
+	Key     []byte
+	Problem string
 }
 
-func (d *Damage) Error() string { return fmt.Sprintf("record %q of %s: %s", d.Key, d.Set, d.What) }
+func (e *CorruptRecordError) Error() string {
+	return fmt.Sprintf("record %q of %s: %s", e.Key, e.Set, e.Problem)
+}
 
 const (
-	version  = 1
-	header   = 5 // version, checksum
-	lockWait = time.Second
-	mode     = 0o600
+	recordVersion = 1
+	headerBytes   = 5 // version, checksum
+	lockTimeout   = time.Second
+	fileMode      = 0o600
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Vault is such a file, open.
-type Vault struct {
+// Store is such a file, open.
+type Store struct {
 	db   *bbolt.DB
 	path string
 }
 
-// Open opens a vault, or makes it. The error wraps ErrOwned if another process has it.
-func Open(path string) (v *Vault, err error) {
-	defer guard(path, &err)()
-	db, err := bbolt.Open(path, mode, &bbolt.Options{Timeout: lockWait, FreelistType: bbolt.FreelistMapType})
+// Open opens a vault, or makes it. The error wraps ErrLocked if another process has it.
+func Open(path string) (v *Store, err error) {
+	defer recoverFault(path, &err)()
+	db, err := bbolt.Open(path, fileMode, &bbolt.Options{Timeout: lockTimeout, FreelistType: bbolt.FreelistMapType})
 	if errors.Is(err, berrors.ErrTimeout) {
-		return nil, fmt.Errorf("vault %s: %w", path, ErrOwned)
+		return nil, fmt.Errorf("vault %s: %w", path, ErrLocked)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("vault %s: %w", path, err)
 	}
-	return &Vault{db, path}, nil
+	return &Store{db, path}, nil
 }
 
-// guard turns panics and faults over pages that make no sense into an error; the function that it gives is deferred.
-func guard(path string, err *error) func() {
+// recoverFault turns panics and faults over pages that make no sense into an error; the function that it gives is deferred.
+func recoverFault(path string, err *error) func() {
 	was := debug.SetPanicOnFault(true)
 	return func() {
 		debug.SetPanicOnFault(was)
@@ -73,14 +75,14 @@
 }
 
 // Close closes it.
-func (v *Vault) Close() (err error) {
-	defer guard(v.path, &err)()
-	return v.db.Close()
+func (s *Store) Close() (err error) {
+	defer recoverFault(s.path, &err)()
+	return s.db.Close()
 }
 
 // Size is the length of its file in bytes.
-func (v *Vault) Size() (int64, error) {
-	info, err := os.Stat(v.path)
+func (s *Store) Size() (int64, error) {
+	info, err := os.Stat(s.path)
 	if err != nil {
 		return 0, err
 	}
@@ -91,25 +93,25 @@
 type Tx struct{ tx *bbolt.Tx }
 
 // Update makes a change: all of it, durable when it returns, or with an error none.
-func (v *Vault) Update(f func(tx *Tx) error) (err error) {
-	defer guard(v.path, &err)()
-	return v.db.Update(func(tx *bbolt.Tx) error { return f(&Tx{tx}) })
+func (s *Store) Update(f func(tx *Tx) error) (err error) {
+	defer recoverFault(s.path, &err)()
+	return s.db.Update(func(tx *bbolt.Tx) error { return f(&Tx{tx}) })
 }
 
-// Batch is Update, made together with others that come at the same time: one sync serves many. f may be called more than
+// UpdateBatched is Update, made together with others that come at the same time: one sync serves many. f may be called more than
 // once.
-func (v *Vault) Batch(f func(tx *Tx) error) (err error) {
-	defer guard(v.path, &err)()
-	return v.db.Batch(func(tx *bbolt.Tx) error { return f(&Tx{tx}) })
+func (s *Store) UpdateBatched(f func(tx *Tx) error) (err error) {
+	defer recoverFault(s.path, &err)()
+	return s.db.Batch(func(tx *bbolt.Tx) error { return f(&Tx{tx}) })
 }
 
 // View looks at one moment of the vault.
-func (v *Vault) View(f func(tx *Tx) error) (err error) {
-	defer guard(v.path, &err)()
-	return v.db.View(func(tx *bbolt.Tx) error { return f(&Tx{tx}) })
+func (s *Store) View(f func(tx *Tx) error) (err error) {
+	defer recoverFault(s.path, &err)()
+	return s.db.View(func(tx *bbolt.Tx) error { return f(&Tx{tx}) })
 }
 
-func sum(set string, key, value []byte) uint32 {
+func recordChecksum(set string, key, value []byte) uint32 {
 	c := crc32.Update(0, castagnoli, []byte(set))
 	c = crc32.Update(c, castagnoli, []byte{0})
 	c = crc32.Update(c, castagnoli, key)
@@ -123,38 +125,38 @@
 	if err != nil {
 		return fmt.Errorf("set %s: %w", set, err)
 	}
-	r := make([]byte, header, header+len(value))
-	r[0] = version
-	binary.BigEndian.PutUint32(r[1:], sum(set, key, value))
+	r := make([]byte, headerBytes, headerBytes+len(value))
+	r[0] = recordVersion
+	binary.BigEndian.PutUint32(r[1:], recordChecksum(set, key, value))
 	if err := b.Put(key, append(r, value...)); err != nil {
 		return fmt.Errorf("record %q of %s: %w", key, set, err)
 	}
 	return nil
 }
 
-func open(set string, key, r []byte) ([]byte, error) {
+func decodeRecord(set string, key, r []byte) ([]byte, error) {
 	switch {
-	case len(r) < header:
-		return nil, &Damage{set, bytes.Clone(key), "shorter than a record can be"}
-	case r[0] != version:
-		return nil, &Damage{set, bytes.Clone(key), fmt.Sprintf("version %d, want %d", r[0], version)}
-	case binary.BigEndian.Uint32(r[1:]) != sum(set, key, r[header:]):
-		return nil, &Damage{set, bytes.Clone(key), "its checksum does not fit"}
+	case len(r) < headerBytes:
+		return nil, &CorruptRecordError{set, bytes.Clone(key), "shorter than a record can be"}
+	case r[0] != recordVersion:
+		return nil, &CorruptRecordError{set, bytes.Clone(key), fmt.Sprintf("version %d, want %d", r[0], recordVersion)}
+	case binary.BigEndian.Uint32(r[1:]) != recordChecksum(set, key, r[headerBytes:]):
+		return nil, &CorruptRecordError{set, bytes.Clone(key), "its checksum does not fit"}
 	}
-	return r[header:], nil
+	return r[headerBytes:], nil
 }
 
-// Get gives a record, valid until the end of the change or look; its error wraps ErrNone, or is a *Damage.
+// Get gives a record, valid until the end of the change or look; its error wraps ErrNotFound, or is a *Damage.
 func (t *Tx) Get(set string, key []byte) ([]byte, error) {
 	b := t.tx.Bucket([]byte(set))
 	if b == nil {
-		return nil, fmt.Errorf("%q of %s: %w", key, set, ErrNone)
+		return nil, fmt.Errorf("%q of %s: %w", key, set, ErrNotFound)
 	}
 	r := b.Get(key)
 	if r == nil {
-		return nil, fmt.Errorf("%q of %s: %w", key, set, ErrNone)
+		return nil, fmt.Errorf("%q of %s: %w", key, set, ErrNotFound)
 	}
-	return open(set, key, r)
+	return decodeRecord(set, key, r)
 }
 
 // Delete takes a record out, if it is there.
@@ -165,25 +167,25 @@
 	return nil
 }
 
-// Drop takes a whole set out, if it is there.
-func (t *Tx) Drop(set string) error {
+// DropSet takes a whole set out, if it is there.
+func (t *Tx) DropSet(set string) error {
 	if t.tx.Bucket([]byte(set)) == nil {
 		return nil
 	}
 	return t.tx.DeleteBucket([]byte(set))
 }
 
-// Each gives the records of a set by their keys, from one on; a record that is damaged comes with its error. It ends
-// with f's first error, of which ErrStop ends it well.
-func (t *Tx) Each(set string, from []byte, f func(key, value []byte, damaged error) error) error {
+// ForEach gives the records of a set by their keys, from one on; a record that is damaged comes with its error. It ends
+// with f's first error, of which ErrStopIteration ends it well.
+func (t *Tx) ForEach(set string, from []byte, f func(key, value []byte, damaged error) error) error {
 	b := t.tx.Bucket([]byte(set))
 	if b == nil {
 		return nil
 	}
 	c := b.Cursor()
 	for k, r := c.Seek(from); k != nil; k, r = c.Next() {
-		value, err := open(set, k, r)
-		if err := f(k, value, err); errors.Is(err, ErrStop) {
+		value, err := decodeRecord(set, k, r)
+		if err := f(k, value, err); errors.Is(err, ErrStopIteration) {
 			return nil
 		} else if err != nil {
 			return err
@@ -192,11 +194,11 @@
 	return nil
 }
 
-// ErrStop ends Each.
-var ErrStop = errors.New("stop")
+// ErrStopIteration ends Each.
+var ErrStopIteration = errors.New("stop")
 
-// Sets are the names of all sets.
-func (t *Tx) Sets() []string {
+// SetNames are the names of all sets.
+func (t *Tx) SetNames() []string {
 	var names []string
 	t.tx.ForEach(func(name []byte, _ *bbolt.Bucket) error {
 		names = append(names, string(name))
@@ -206,12 +208,12 @@
 }
 
 // Verify reads every record and gives those that are damaged, and how many there are.
-func (v *Vault) Verify() (all int, damaged []*Damage, err error) {
-	err = v.View(func(tx *Tx) error {
-		for _, set := range tx.Sets() {
-			if err := tx.Each(set, nil, func(_, _ []byte, err error) error {
+func (s *Store) Verify() (all int, damaged []*CorruptRecordError, err error) {
+	err = s.View(func(tx *Tx) error {
+		for _, set := range tx.SetNames() {
+			if err := tx.ForEach(set, nil, func(_, _ []byte, err error) error {
 				all++
-				var d *Damage
+				var d *CorruptRecordError
 				if errors.As(err, &d) {
 					damaged = append(damaged, d)
 				}
@@ -226,20 +228,20 @@
 }
 
 // Snapshot writes the vault as it is at one moment; changes go on meanwhile.
-func (v *Vault) Snapshot(w io.Writer) (err error) {
-	defer guard(v.path, &err)()
-	return v.db.View(func(tx *bbolt.Tx) error {
+func (s *Store) Snapshot(w io.Writer) (err error) {
+	defer recoverFault(s.path, &err)()
+	return s.db.View(func(tx *bbolt.Tx) error {
 		_, err := tx.WriteTo(w)
 		return err
 	})
 }
 
-const compactTx = 1 << 20 // bytes of a change while a vault is compacted
+const compactTxBytes = 1 << 20 // bytes of a change while a vault is compacted
 
 // Compact writes what a vault that nobody has open holds into a new file and puts that in its place; it gives the bytes
 // before and after. If it is cut off the old file stands.
 func Compact(path string) (before, after int64, err error) {
-	defer guard(path, &err)()
+	defer recoverFault(path, &err)()
 	old, err := Open(path)
 	if err != nil {
 		return 0, 0, err
@@ -249,11 +251,11 @@
 	if err := os.Remove(next); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return 0, 0, err
 	}
-	db, err := bbolt.Open(next, mode, &bbolt.Options{Timeout: lockWait})
+	db, err := bbolt.Open(next, fileMode, &bbolt.Options{Timeout: lockTimeout})
 	if err != nil {
 		return 0, 0, err
 	}
-	if err := bbolt.Compact(db, old.db, compactTx); err != nil {
+	if err := bbolt.Compact(db, old.db, compactTxBytes); err != nil {
 		db.Close()
 		return 0, 0, err
 	}
--- a/internal/state/recordstore/store_test.go
+++ b/internal/state/recordstore/store_test.go
@@ -64,8 +64,8 @@
 			}
 			got := map[string]string{}
 			v.View(func(tx *Tx) error {
-				for _, set := range tx.Sets() {
-					tx.Each(set, nil, func(k, x []byte, err error) error {
+				for _, set := range tx.SetNames() {
+					tx.ForEach(set, nil, func(k, x []byte, err error) error {
 						got[set+"/"+string(k)] = string(x)
 						return err
 					})
@@ -96,7 +96,7 @@
 	}); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Open(path); !errors.Is(err, ErrOwned) {
+	if _, err := Open(path); !errors.Is(err, ErrLocked) {
 		t.Errorf("opened twice: %v", err)
 	}
 	v.Close()
@@ -135,7 +135,7 @@
 			continue
 		}
 		err = v.View(func(tx *Tx) error {
-			return tx.Each("set", nil, func(k, x []byte, err error) error {
+			return tx.ForEach("set", nil, func(k, x []byte, err error) error {
 				if err != nil {
 					return err
 				}
@@ -184,7 +184,7 @@
 	}); err != nil {
 		t.Fatal(err)
 	}
-	if err := v.Update(func(tx *Tx) error { return tx.Drop("big") }); err != nil {
+	if err := v.Update(func(tx *Tx) error { return tx.DropSet("big") }); err != nil {
 		t.Fatal(err)
 	}
 	v.Close()
--- a/internal/state/requesttable/table.go
+++ b/internal/state/requesttable/table.go
@@ -43,8 +43,8 @@
 	return nil
 }
 
-// Drop frees the place of an id.
-func (t *Table[T]) Drop(id policy.RequestID) {
+// Remove frees the place of an id.
+func (t *Table[T]) Remove(id policy.RequestID) {
 	if t.Find(id) != nil {
 		t.slots[uint32(id)].used = false
 		t.free = append(t.free, uint32(id))
--- a/internal/state/requesttable/table_test.go
+++ b/internal/state/requesttable/table_test.go
@@ -24,7 +24,7 @@
 				ids = append(ids, id)
 			} else {
 				k := rapid.IntRange(0, len(ids)-1).Draw(t, "which")
-				table.Drop(ids[k])
+				table.Remove(ids[k])
 				delete(model, ids[k])
 				old = append(old, ids[k])
 				ids = append(ids[:k], ids[k+1:]...)
@@ -44,7 +44,7 @@
 			if table.Find(id) != nil {
 				t.Fatalf("old id %d finds a request", id)
 			}
-			table.Drop(id) // does no harm
+			table.Remove(id) // does no harm
 		}
 		if table.Len() != len(model) {
 			t.Fatal("dropping an old id took another request")
@@ -56,7 +56,7 @@
 	var table Table[[4]int]
 	use := func() {
 		id, _ := table.Add()
-		table.Drop(id)
+		table.Remove(id)
 	}
 	use()
 	if n := testing.AllocsPerRun(1000, use); n != 0 {
--- a/policy/classes_test.go
+++ b/policy/classes_test.go
@@ -9,55 +9,55 @@
 // and gives all that it decides.
 func play(t *testing.T, seed uint64, tracks []Class, place []ClassID) (decided []Decision) {
 	t.Helper()
-	d, err := New(7, Identity{Count: 3}, tracks, nil, []Role{Prefill, Decode}, ColdStart{From: 0.3, Warm: 5e9, Multiple: 2.5, Window: 3e9},
-		AttemptLimits{Most: 4, Cancel: true}, Answering{Slack: 16e6, Round: 4e6, Advice: true, MaxAdvice: 1e9}, Listing{}, 1e9)
+	d, err := New(7, Identity{Count: 3}, tracks, nil, []Role{Prefill, Decode}, SlowStart{InitialCapacity: 0.3, WarmupTime: 5e9, OverloadFactor: 2.5, OverloadWindow: 3e9},
+		AttemptLimits{MaxAttempts: 4, CanCancel: true}, ResponseSettings{DeadlineGrace: 16e6, RoundInterval: 4e6, SendRetryAfter: true, MaxRetryAfter: 1e9}, Discovery{}, 1e9)
 	if err != nil {
 		t.Fatal(err)
 	}
 	now, rng, out := Nanos(10e9), rand.New(rand.NewPCG(seed, 0)), []Decision{}
-	d.ListBegin(true)
+	d.ListUpdateStarted(true)
 	for id := range ServerID(8) {
 		d.ServerListed(id+1, 0, KindID(id%2), CellID(id%4/2), Serving, 0)
 	}
-	d.ListEnd(now)
+	d.ListUpdateEnded(now)
 	wake := Never
 	for n := range 4000 {
 		now += Nanos(rng.Int64N(20e6))
 		if now >= wake {
 			wake = Never
-			d.Woken(now)
+			d.TimerFired(now)
 		}
 		if rng.Int64N(2) == 0 {
 			d.RequestArrived(now, Request{
 				ID: RequestID(n + 1), Class: place[rng.IntN(2)], Tenant: -1, Session: SessionKey(rng.IntN(50) + 1),
-				Prefix: PrefixKey(rng.IntN(5) + 1), Prompt: 1000 + rng.Int64N(3000), Shared: 800, Deadline: now + Nanos(1e9+rng.Int64N(4e9)),
+				Prefix: PrefixKey(rng.IntN(5) + 1), PromptTokens: 1000 + rng.Int64N(3000), PrefixTokens: 800, Deadline: now + Nanos(1e9+rng.Int64N(4e9)),
 			})
 		}
 		if k := rng.IntN(max(len(out), 1)); len(out) > 0 && rng.IntN(3) > 0 {
 			what := out[k]
 			out = append(out[:k], out[k+1:]...)
-			outcome := []Outcome{Read, Read, Read, Failed, Late, Rejected}[rng.IntN(6)]
-			if what.Server%2 == 0 && outcome == Read {
+			outcome := []Outcome{Prefilled, Prefilled, Prefilled, Failed, TimedOut, Rejected}[rng.IntN(6)]
+			if what.Server%2 == 0 && outcome == Prefilled {
 				outcome = Served
 			}
-			d.AttemptEnded(now, what.Request, what.Attempt, outcome, Nanos(rng.Int64N(800e6)), outcome == Served, NoLoad)
+			d.AttemptEnded(now, what.Request, what.Attempt, outcome, Nanos(rng.Int64N(800e6)), outcome == Served, NoLoadReport)
 		}
-		for what, ok := d.Next(now); ok; what, ok = d.Next(now) {
-			switch what.Verb {
-			case Attempt:
+		for what, ok := d.NextDecision(now); ok; what, ok = d.NextDecision(now) {
+			switch what.Action {
+			case SendAttempt:
 				_, req := d.requests.find(what.Request)
 				what.Attempt = AttemptNumber(req.attempts - 1)
 				out = append(out, what)
-			case Wake:
-				wake = now + what.For
-			case Cancel:
+			case SetTimer:
+				wake = now + what.Duration
+			case CancelAttempt:
 				for k := range out {
 					if out[k].Request == what.Request {
 						out = append(out[:k], out[k+1:]...)
 						break
 					}
 				}
-				d.AttemptEnded(now, what.Request, what.Attempt, Canceled, 1e6, false, NoLoad)
+				d.AttemptEnded(now, what.Request, what.Attempt, Canceled, 1e6, false, NoLoadReport)
 			}
 			what.Text = ""
 			decided = append(decided, what)
@@ -68,8 +68,8 @@
 
 // No decision goes by the place of a class in the settings.
 func TestClassOrder(t *testing.T) {
-	quick := Class{Target: 1e9, TargetPer1k: 40e6, Timeout: 5e9, Value: 1}
-	slow := Class{Target: 4e9, TargetPer1k: 40e6, Timeout: 9e9, Value: 3, Effect: Deduplicated, Window: 3e9}
+	quick := Class{LatencyTarget: 1e9, LatencyTargetPer1k: 40e6, Timeout: 5e9, Value: 1}
+	slow := Class{LatencyTarget: 4e9, LatencyTargetPer1k: 40e6, Timeout: 9e9, Value: 3, Idempotency: Deduplicated, DedupWindow: 3e9}
 	for seed := range uint64(5) {
 		a := play(t, seed, []Class{quick, slow}, []ClassID{0, 1})
 		b := play(t, seed, []Class{slow, quick}, []ClassID{1, 0})
@@ -86,34 +86,34 @@
 
 // A server that has not answered a class whose target is long is not taken for silent at the pace of a quicker one.
 func TestSilenceByOwnTarget(t *testing.T) {
-	quick, slow := Class{Target: 1e9, Timeout: 20e9}, Class{Target: 6e9, Timeout: 20e9}
-	d, err := New(7, Identity{Count: 1}, []Class{quick, slow}, nil, []Role{Prefill, Decode}, ColdStart{}, AttemptLimits{Most: 4, Cancel: true},
-		Answering{Slack: 16e6, Round: 4e6}, Listing{}, 5e9)
+	quick, slow := Class{LatencyTarget: 1e9, Timeout: 20e9}, Class{LatencyTarget: 6e9, Timeout: 20e9}
+	d, err := New(7, Identity{Count: 1}, []Class{quick, slow}, nil, []Role{Prefill, Decode}, SlowStart{}, AttemptLimits{MaxAttempts: 4, CanCancel: true},
+		ResponseSettings{DeadlineGrace: 16e6, RoundInterval: 4e6}, Discovery{}, 5e9)
 	if err != nil {
 		t.Fatal(err)
 	}
 	now := Nanos(1e9)
-	d.ListBegin(true)
+	d.ListUpdateStarted(true)
 	d.ServerListed(1, 0, 0, 0, Serving, 0)
 	d.ServerListed(2, 0, 1, 0, Serving, 0)
 	d.ServerListed(3, 0, 1, 0, Serving, 0)
-	d.ListEnd(now)
+	d.ListUpdateEnded(now)
 	recalled := func() (n int) {
-		for what, ok := d.Next(now); ok; what, ok = d.Next(now) {
-			if what.Verb == Cancel {
+		for what, ok := d.NextDecision(now); ok; what, ok = d.NextDecision(now) {
+			if what.Action == CancelAttempt {
 				n++
 			}
 		}
 		return n
 	}
 	for id, class := range []ClassID{0, 1} {
-		d.RequestArrived(now, Request{ID: RequestID(id), Class: class, Tenant: -1, Prompt: 100, Deadline: now + 20e9})
+		d.RequestArrived(now, Request{ID: RequestID(id), Class: class, Tenant: -1, PromptTokens: 100, Deadline: now + 20e9})
 		recalled()
-		d.AttemptEnded(now, RequestID(id), 0, Read, 1e6, false, NoLoad)
+		d.AttemptEnded(now, RequestID(id), 0, Prefilled, 1e6, false, NoLoadReport)
 		recalled()
 	}
 	now += 1500e6 // over a sixth of twice the quick target, under that of the slow one
-	d.Woken(now)
+	d.TimerFired(now)
 	if n := recalled(); n != 1 {
 		t.Errorf("%d launches withdrawn, want that of the quick class alone", n)
 	}
--- a/policy/events.go
+++ b/policy/events.go
@@ -8,16 +8,16 @@
 // Events are recorded here as far as that needs no judgement; the rest is in policy.go.
 
 // New makes a dispatcher that knows nothing but its settings. All its random choices follow from the seed.
-func New(seed uint64, self Identity, classes []Class, tenants []Tenant, roles []Role, coldStart ColdStart,
-	limits AttemptLimits, answering Answering, listing Listing, releaseTime Nanos,
-) (*Dispatcher, error) {
+func New(seed uint64, self Identity, classes []Class, tenants []Tenant, roles []Role, coldStart SlowStart,
+	limits AttemptLimits, answering ResponseSettings, listing Discovery, releaseTime Nanos,
+) (*Router, error) {
 	switch {
 	case len(classes) == 0:
 		return nil, fmt.Errorf("no classes")
 	case len(roles) == 0:
 		return nil, fmt.Errorf("no kinds of server")
-	case limits.Most < 1:
-		return nil, fmt.Errorf("attempts of a request: %d, want 1 or more", limits.Most)
+	case limits.MaxAttempts < 1:
+		return nil, fmt.Errorf("attempts of a request: %d, want 1 or more", limits.MaxAttempts)
 	case releaseTime <= 0:
 		return nil, fmt.Errorf("release time: %d, want more than 0", releaseTime)
 	case self.Count < 1:
@@ -25,13 +25,13 @@
 	}
 	shortestWait, shortestTarget := releaseTime, Never
 	for i, t := range classes {
-		if t.Target <= 0 || t.Timeout <= 0 {
+		if t.LatencyTarget <= 0 || t.Timeout <= 0 {
 			return nil, fmt.Errorf("class %d: target %d and timeout %d: want both above 0",
-				i, t.Target, t.Timeout)
+				i, t.LatencyTarget, t.Timeout)
 		}
-		shortestWait, shortestTarget = min(shortestWait, t.Target), min(shortestTarget, t.Target)
+		shortestWait, shortestTarget = min(shortestWait, t.LatencyTarget), min(shortestTarget, t.LatencyTarget)
 	}
-	d := &Dispatcher{
+	d := &Router{
 		requestPart: requestPart{
 			classes: classes, shortestTarget: shortestTarget, tenants: tenants,
 			answering: answering, requests: newRequestTable(), shares: make([]tokenBucket, len(tenants)),
@@ -43,8 +43,8 @@
 		limitPart: limitPart{coldStart: coldStart, attemptLimits: limits, releaseTime: releaseTime},
 		loadPart:  loadPart{requestLimit: math.MaxInt32},
 		schedulePart: schedulePart{
-			listing: listing, watching: !listing.Asked, wakeAt: Never, reviewAt: Never,
-			reviewInterval: max(shortestWait/reviewsPerTarget, answering.Round, 1),
+			listing: listing, watching: !listing.OnRequest, wakeAt: Never, reviewAt: Never,
+			reviewInterval: max(shortestWait/reviewsPerTarget, answering.RoundInterval, 1),
 		},
 		rng: pcg{seed},
 	}
@@ -52,8 +52,8 @@
 	return d, nil
 }
 
-// ListBegin begins an update of the list; a full one names every server that there is.
-func (d *Dispatcher) ListBegin(full bool) {
+// ListUpdateStarted begins an update of the list; a full one names every server that there is.
+func (d *Router) ListUpdateStarted(full bool) {
 	d.listUpdates++
 	d.countsStale = true
 	if full {
@@ -66,7 +66,7 @@
 }
 
 // ServerListed reports one entry of the update.
-func (d *Dispatcher) ServerListed(id ServerID, zone ZoneID, kind KindID, cell CellID, health Health,
+func (d *Router) ServerListed(id ServerID, zone ZoneID, kind KindID, cell CellID, health Health,
 	startedAt Nanos,
 ) {
 	i, ok := d.byID[id]
@@ -76,7 +76,7 @@
 		}
 		i = d.freeServerSlot()
 		d.byID[id] = i
-		d.servers[i] = server{id: id, cellIndex: noCell, load: NoLoad, byClass: make([]serverClass, len(d.classes))}
+		d.servers[i] = server{id: id, cellIndex: noCell, load: NoLoadReport, byClass: make([]serverClass, len(d.classes))}
 	}
 	srv := &d.servers[i]
 	if health == Gone && srv.health != Gone {
@@ -93,17 +93,17 @@
 	}
 }
 
-// ListEnd ends the update.
-func (d *Dispatcher) ListEnd(now Nanos) { d.review(now) }
+// ListUpdateEnded ends the update.
+func (d *Router) ListUpdateEnded(now Nanos) { d.review(now) }
 
 // RequestArrived hands over a request, which is owed one final answer from now on.
-func (d *Dispatcher) RequestArrived(now Nanos, request Request) {
+func (d *Router) RequestArrived(now Nanos, request Request) {
 	slot := d.requests.add(request)
 	req, t := &d.requests.entries[slot], &d.classes[request.Class]
 	req.arrivedAt = now
-	req.target = t.Target + t.TargetPer1k*Nanos(req.Prompt)/1000
+	req.target = t.LatencyTarget + t.LatencyTargetPer1k*Nanos(req.PromptTokens)/1000
 	if request.Tenant >= 0 {
-		perSecond := d.tenants[request.Tenant].PerSecond / float64(d.self.Count)
+		perSecond := d.tenants[request.Tenant].RequestsPerSecond / float64(d.self.Count)
 		req.overShare = d.shares[request.Tenant].take(now, perSecond)
 	}
 	if req.Prefix != 0 {
@@ -112,8 +112,8 @@
 	d.requests.enqueue(slot)
 }
 
-// StreamBegan reports that the answer to an attempt has begun: it has no deadline any more.
-func (d *Dispatcher) StreamBegan(now Nanos, id RequestID, attempt AttemptNumber, elapsed Nanos) {
+// StreamStarted reports that the answer to an attempt has begun: it has no deadline any more.
+func (d *Router) StreamStarted(now Nanos, id RequestID, attempt AttemptNumber, elapsed Nanos) {
 	_, req := d.requests.find(id)
 	if req == nil || !req.attemptOut || req.phase == streaming || attempt != AttemptNumber(req.attempts-1) {
 		return
@@ -123,20 +123,20 @@
 }
 
 // AttemptEnded reports the outcome of an attempt; over tells that the request has its final answer.
-func (d *Dispatcher) AttemptEnded(now Nanos, id RequestID, attempt AttemptNumber, outcome Outcome,
-	elapsed Nanos, over bool, load Load,
+func (d *Router) AttemptEnded(now Nanos, id RequestID, attempt AttemptNumber, outcome Outcome,
+	elapsed Nanos, over bool, load LoadReport,
 ) {
 	slot, req := d.requests.find(id)
 	if req == nil || !req.attemptOut || attempt != AttemptNumber(req.attempts-1) {
 		return
 	}
 	srv := &d.servers[req.attemptServer]
-	if load != NoLoad {
+	if load != NoLoadReport {
 		srv.load, srv.loadAt = load, now
 	}
 	d.recordOutcome(now, srv, req, outcome)
 	if req.phase != streaming {
-		good, slow := outcome == Read || outcome == Served, outcome == Late || req.canceled
+		good, slow := outcome == Prefilled || outcome == Served, outcome == TimedOut || req.canceled
 		d.recordFirstResponse(now, req, elapsed, good, slow)
 	}
 	if req.phase != toRead || req.combined {
@@ -145,13 +145,13 @@
 	if outcome.mayHaveRun() && srv.role != Prefill && !req.mayHaveRun {
 		req.mayHaveRun, req.ranOn, req.ranSince = true, req.attemptServer, req.sentAt
 	}
-	if outcome.blamesServer() && (outcome != Broken || d.failsMoreThanPeers(srv)) {
+	if outcome.blamesServer() && (outcome != ConnectionLost || d.failsMoreThanPeers(srv)) {
 		req.avoid(req.attemptServer)
 	}
 	switch {
-	case outcome == Read:
+	case outcome == Prefilled:
 		req.phase, req.prefillServer, req.stateHeld, req.heldSince = toWrite, req.attemptServer, true, now
-	case outcome == Stateless: // the state may be cut off rather than gone: released before the next read
+	case outcome == StateMissing: // the state may be cut off rather than gone: released before the next read
 		req.phase, req.heldSince = toRead, now
 		req.avoid(req.prefillServer)
 	case req.phase == streaming:
@@ -168,24 +168,24 @@
 
 // mayHaveRun tells that after an attempt with this outcome its request may have been executed.
 func (o Outcome) mayHaveRun() bool {
-	return o == Failed || o == Late || o == Broken || o == Canceled || o == StaleConnection
+	return o == Failed || o == TimedOut || o == ConnectionLost || o == Canceled || o == StaleConnection
 }
 
 // blamesServer tells that the request should rather not go to the same server again.
 func (o Outcome) blamesServer() bool {
-	return o != Read && o != Stateless && o != StaleConnection
+	return o != Prefilled && o != StateMissing && o != StaleConnection
 }
 
-// ClientLeft reports that nothing more is owed for a request.
-func (d *Dispatcher) ClientLeft(now Nanos, id RequestID) {
+// RequestCanceled reports that nothing more is owed for a request.
+func (d *Router) RequestCanceled(now Nanos, id RequestID) {
 	if slot, req := d.requests.find(id); req != nil {
 		req.finished = true
 		d.requests.enqueue(slot)
 	}
 }
 
-// Woken reports that a Wake is due.
-func (d *Dispatcher) Woken(now Nanos) {
+// TimerFired reports that a Wake is due.
+func (d *Router) TimerFired(now Nanos) {
 	d.wakeAt = Never
 	if now >= d.reviewAt {
 		d.review(now)
@@ -194,7 +194,7 @@
 
 // recordFirstResponse records the first response to the outstanding attempt: a read that ended, a stream that
 // began, or a failure.
-func (d *Dispatcher) recordFirstResponse(now Nanos, req *requestState, elapsed Nanos, good, slow bool) {
+func (d *Router) recordFirstResponse(now Nanos, req *requestState, elapsed Nanos, good, slow bool) {
 	srv := &d.servers[req.attemptServer]
 	srv.attemptAnswered(now, req.Class)
 	d.roleLimits[srv.role].outstanding--
@@ -231,23 +231,23 @@
 	d.recordFirstAnswer(now, req, srv, latency)
 }
 
-// Belief is what a dispatcher assumes of a server, to be compared with what is true.
-type Belief struct {
-	Unread  int64 // own prompt tokens sent there and not yet read
-	Waiting int32 // own attempts there that have not answered
-	Writing int32 // own requests there as a decode server, begun or not
-	Aside   bool  // kept from new requests, or on trial
+// ServerEstimate is what a dispatcher assumes of a server, to be compared with what is true.
+type ServerEstimate struct {
+	QueuedPromptTokens int64 // own prompt tokens sent there and not yet read
+	UnansweredAttempts int32 // own attempts there that have not answered
+	Streams            int32 // own requests there as a decode server, begun or not
+	Ejected            bool  // kept from new requests, or on trial
 }
 
-// Believes gives what is assumed of a server; false if it is not known.
-func (d *Dispatcher) Believes(now Nanos, id ServerID) (Belief, bool) {
+// EstimateServer gives what is assumed of a server; false if it is not known.
+func (d *Router) EstimateServer(now Nanos, id ServerID) (ServerEstimate, bool) {
 	i, ok := d.byID[id]
 	if !ok {
-		return Belief{}, false
+		return ServerEstimate{}, false
 	}
 	srv := &d.servers[i]
-	return Belief{
-		Unread: srv.queuedTokens, Waiting: srv.outstanding, Writing: srv.streams,
-		Aside: now < srv.ejectedUntil || srv.halfOpen,
+	return ServerEstimate{
+		QueuedPromptTokens: srv.queuedTokens, UnansweredAttempts: srv.outstanding, Streams: srv.streams,
+		Ejected: now < srv.ejectedUntil || srv.halfOpen,
 	}, true
 }
--- a/policy/fair_test.go
+++ b/policy/fair_test.go
@@ -10,7 +10,7 @@
 
 // shop is a few modules before prefill servers that work off what they get one after another, at a rate in prompt tokens.
 type shop struct {
-	modules []*Dispatcher
+	modules []*Router
 	wakes   []Nanos
 	now     Nanos
 	free    map[ServerID]Nanos // when a prefill server is through with what it has
@@ -40,22 +40,22 @@
 )
 
 // shopClass is the class of a shop in which there is but one.
-var shopClass = Class{Target: 1500e6, TargetPer1k: 40e6, Timeout: shopPatience, Value: 1}
+var shopClass = Class{LatencyTarget: 1500e6, LatencyTargetPer1k: 40e6, Timeout: shopPatience, Value: 1}
 
 func newShop(t *testing.T, modules int, tenants []Tenant, classes ...Class) *shop {
 	t.Helper()
 	s := &shop{now: 10e9, free: map[ServerID]Nanos{}}
 	for n := range modules {
-		d, err := New(uint64(n), Identity{Number: int32(n), Count: int32(modules)}, classes, tenants, []Role{Prefill}, ColdStart{},
-			AttemptLimits{Most: 6, Cancel: true}, Answering{Slack: 16e6, Round: 4e6, Advice: true, MaxAdvice: 1e9}, Listing{}, 1e9)
+		d, err := New(uint64(n), Identity{Number: int32(n), Count: int32(modules)}, classes, tenants, []Role{Prefill}, SlowStart{},
+			AttemptLimits{MaxAttempts: 6, CanCancel: true}, ResponseSettings{DeadlineGrace: 16e6, RoundInterval: 4e6, SendRetryAfter: true, MaxRetryAfter: 1e9}, Discovery{}, 1e9)
 		if err != nil {
 			t.Fatal(err)
 		}
-		d.ListBegin(true)
+		d.ListUpdateStarted(true)
 		for id := ServerID(1); id <= shopReaders; id++ {
 			d.ServerListed(id, 0, 0, 0, Serving, 0)
 		}
-		d.ListEnd(s.now)
+		d.ListUpdateEnded(s.now)
 		s.modules, s.wakes = append(s.modules, d), append(s.wakes, Never)
 	}
 	return s
@@ -69,23 +69,23 @@
 
 func (s *shop) pull(n int) {
 	d := s.modules[n]
-	for what, ok := d.Next(s.now); ok; what, ok = d.Next(s.now) {
-		switch what.Verb {
-		case Wake:
-			s.wakes[n] = s.now + what.For
-		case Attempt:
+	for what, ok := d.NextDecision(s.now); ok; what, ok = d.NextDecision(s.now) {
+		switch what.Action {
+		case SetTimer:
+			s.wakes[n] = s.now + what.Duration
+		case SendAttempt:
 			_, req := d.requests.find(what.Request)
 			job := &s.jobs[what.Request-1]
 			job.sent = s.now
 			done := max(s.now, s.free[what.Server]) + Nanos(float64(job.prompt)/shopRate*1e9)
-			if done <= s.now+what.For {
+			if done <= s.now+what.Duration {
 				s.free[what.Server] = done
-				s.end(done, n, what.Request, AttemptNumber(req.attempts-1), Read)
+				s.end(done, n, what.Request, AttemptNumber(req.attempts-1), Prefilled)
 			} else { // withdrawn from the queue before its turn
-				s.end(s.now+what.For, n, what.Request, AttemptNumber(req.attempts-1), Late)
+				s.end(s.now+what.Duration, n, what.Request, AttemptNumber(req.attempts-1), TimedOut)
 			}
-		case Cancel:
-			d.AttemptEnded(s.now, what.Request, what.Attempt, Canceled, s.now-s.jobs[what.Request-1].sent, false, NoLoad)
+		case CancelAttempt:
+			d.AttemptEnded(s.now, what.Request, what.Attempt, Canceled, s.now-s.jobs[what.Request-1].sent, false, NoLoadReport)
 		}
 	}
 }
@@ -99,8 +99,8 @@
 			e := s.ends[0]
 			s.ends = s.ends[1:]
 			job := &s.jobs[e.job-1]
-			job.answered = job.answered || e.how == Read
-			s.modules[e.module].AttemptEnded(s.now, e.job, e.shot, e.how, s.now-job.sent, e.how == Read, NoLoad)
+			job.answered = job.answered || e.how == Prefilled
+			s.modules[e.module].AttemptEnded(s.now, e.job, e.shot, e.how, s.now-job.sent, e.how == Prefilled, NoLoadReport)
 			s.pull(e.module)
 		}
 		for owed += rate * float64(tick) / 1e9; owed >= 1 && s.now < until; owed-- {
@@ -108,13 +108,13 @@
 			job := shopJob{prompt: int64(200 + rng.ExpFloat64()*(shopPrompt-200)), session: SessionKey(rng.IntN(120) + 1)}
 			job.class, job.tenant = whose()
 			s.jobs = append(s.jobs, job)
-			s.modules[n].RequestArrived(s.now, Request{ID: RequestID(len(s.jobs)), Class: job.class, Tenant: job.tenant, Session: job.session, Prompt: job.prompt, Deadline: s.now + shopPatience})
+			s.modules[n].RequestArrived(s.now, Request{ID: RequestID(len(s.jobs)), Class: job.class, Tenant: job.tenant, Session: job.session, PromptTokens: job.prompt, Deadline: s.now + shopPatience})
 			s.pull(n)
 		}
 		for n, at := range s.wakes {
 			if at <= s.now {
 				s.wakes[n] = Never
-				s.modules[n].Woken(s.now)
+				s.modules[n].TimerFired(s.now)
 				s.pull(n)
 			}
 		}
@@ -170,7 +170,7 @@
 
 // Beyond what the prefill servers bear no class is left out, whatever its target, its worth and its place in the settings.
 func TestNoClassIsLeftOut(t *testing.T) {
-	slow := Class{Target: 4e9, TargetPer1k: 40e6, Timeout: shopPatience, Value: 5}
+	slow := Class{LatencyTarget: 4e9, LatencyTargetPer1k: 40e6, Timeout: shopPatience, Value: 5}
 	for what, classes := range map[string][]Class{"quick first": {shopClass, slow}, "slow first": {slow, shopClass}} {
 		rng := rand.New(rand.NewPCG(2, 0))
 		s := newShop(t, 4, nil, classes...)
@@ -190,7 +190,7 @@
 func TestTenantWithinItsShare(t *testing.T) {
 	const bears = shopReaders * shopRate / shopPrompt // requests a second
 	rng := rand.New(rand.NewPCG(3, 0))
-	s := newShop(t, 4, []Tenant{{PerSecond: bears / 2}, {PerSecond: bears / 2}}, shopClass)
+	s := newShop(t, 4, []Tenant{{RequestsPerSecond: bears / 2}, {RequestsPerSecond: bears / 2}}, shopClass)
 	s.play(60e9, 1.5, rng, func() (ClassID, TenantID) {
 		if rng.IntN(4) == 0 {
 			return 0, 0
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -3,8 +3,8 @@
 // All routing decisions are made in this file. types.go is the interface, events.go records events without
 // judging them, state.go holds the state.
 //
-// A caller makes a Dispatcher with New and reports events to it: ListBegin, ServerListed, ListEnd,
-// ListFailed, RequestArrived, StreamBegan, AttemptEnded, HeldSince, ClientLeft, Woken. These only update
+// A caller makes a Dispatcher with New and reports events to it: ListUpdateStarted, ServerListed, ListUpdateEnded,
+// ListUpdateFailed, RequestArrived, StreamStarted, AttemptEnded, StateHeldSince, RequestCanceled, Woken. These only update
 // state. After them it calls Next until that has no further decision. The package reads no clock.
 
 import (
@@ -97,17 +97,17 @@
 
 // ---- Events.
 
-// ListFailed reports that the list of servers could not be had.
-func (d *Dispatcher) ListFailed(now Nanos) {
-	d.watching, d.watchAt = false, now+d.listing.Within/8 // early enough for several more tries
+// ListUpdateFailed reports that the list of servers could not be had.
+func (d *Router) ListUpdateFailed(now Nanos) {
+	d.watching, d.watchAt = false, now+d.listing.MaxInterval/8 // early enough for several more tries
 	d.reviewAt = min(d.reviewAt, d.watchAt)
 }
 
-// HeldSince reports, after the end of an attempt that may never have reached its server, since when the KV
+// StateHeldSince reports, after the end of an attempt that may never have reached its server, since when the KV
 // state of its request counts as held; Never: it has been released. Where decode servers fall silent,
 // attempts in vain must not extend the time in which a state has to be released (rule five). A state that
 // is too old for another attempt is released and its prompt read anew.
-func (d *Dispatcher) HeldSince(now Nanos, id RequestID, since Nanos) {
+func (d *Router) StateHeldSince(now Nanos, id RequestID, since Nanos) {
 	_, req := d.requests.find(id)
 	switch {
 	case req == nil || !req.stateHeld || req.attemptOut:
@@ -122,7 +122,7 @@
 
 // review goes over everything in hand: requests that are due, expired prefix marks, servers against their
 // peers, concurrency limits.
-func (d *Dispatcher) review(now Nanos) {
+func (d *Router) review(now Nanos) {
 	d.reviewAt = Never
 	for i := range d.requests.entries {
 		if req := &d.requests.entries[i]; !req.used || req.reviewAt >= Never {
@@ -137,7 +137,7 @@
 	d.reviewedAt = now
 	measured := d.summarizeLatencies(now - latencyTargets*d.shortestTarget)
 	recounted := d.countServers(now)
-	d.measureThroughput(now, before, 2*d.coldStart.Warm) // outlasts any warm-up
+	d.measureThroughput(now, before, 2*d.coldStart.WarmupTime) // outlasts any warm-up
 	for i := range measured {
 		srv := &d.servers[i]
 		if srv.highLatency <= max(slowFloor, slowFactor*d.medianHighLatency[srv.role]) {
@@ -158,7 +158,7 @@
 // requestLimitFor is the request limit that applies to a request. The last part of it is kept from requests
 // beyond their tenant's share, so that tenants within theirs find room. Without pressure the share has no
 // effect.
-func (d *Dispatcher) requestLimitFor(req *requestState) float64 {
+func (d *Router) requestLimitFor(req *requestState) float64 {
 	if req.overShare {
 		return overShareLimit * d.requestLimit
 	}
@@ -171,7 +171,7 @@
 // slow each other down until none ends in time. The limit is set by the first late answer and is cut to no
 // less than what lets all dispatchers together keep a few attempts waiting at each server. A limit below
 // one means pauses between attempts.
-func (d *Dispatcher) adjustLimit(limit *concurrencyLimit, latency, servers float64) {
+func (d *Router) adjustLimit(limit *concurrencyLimit, latency, servers float64) {
 	if latency > queuedRead {
 		if limit.limit == 0 {
 			limit.limit = float64(limit.outstanding + 1)
@@ -183,7 +183,7 @@
 }
 
 // limitAllows tells whether a concurrency limit admits one more attempt.
-func (d *Dispatcher) limitAllows(now Nanos, limit *concurrencyLimit) bool {
+func (d *Router) limitAllows(now Nanos, limit *concurrencyLimit) bool {
 	switch {
 	case limit.limit == 0:
 		return true
@@ -198,7 +198,7 @@
 // multiplicative decrease): it is cut when many answers are late or rejected, else it grows. It guards
 // against overload, whether load has grown or capacity has shrunk. It may do harm when answers are late for
 // a reason that fewer requests do not cure.
-func (d *Dispatcher) adjustRequestLimit(now Nanos) {
+func (d *Router) adjustRequestLimit(now Nanos) {
 	if now < d.limitReviewAt {
 		return
 	}
@@ -212,7 +212,7 @@
 
 // recordLateness records whether an answer was late or missing; the average is short so that a few answers
 // already show.
-func (d *Dispatcher) recordLateness(late bool) {
+func (d *Router) recordLateness(late bool) {
 	d.answered = true
 	if d.lateShare -= d.lateShare * lateWeight; late {
 		d.lateShare += lateWeight
@@ -221,7 +221,7 @@
 
 // recordFirstAnswer takes the latency of a first answer, x as a share of its request's target, as a sign of
 // the load and of its server's health.
-func (d *Dispatcher) recordFirstAnswer(now Nanos, req *requestState, srv *server, latency float64) {
+func (d *Router) recordFirstAnswer(now Nanos, req *requestState, srv *server, latency float64) {
 	d.adjustLimit(&d.roleLimits[srv.role], latency, d.serving[srv.role])
 	d.latencies[srv.role].add(now, latency)
 	if d.transferSlow(now, req) {
@@ -233,15 +233,15 @@
 
 // recordOutcome updates a server's share of failures. It guards against servers that fail fast, hang, or
 // are gone before the list says so. A rejection is no failure: the server is full and says so.
-func (d *Dispatcher) recordOutcome(now Nanos, srv *server, req *requestState, outcome Outcome) {
+func (d *Router) recordOutcome(now Nanos, srv *server, req *requestState, outcome Outcome) {
 	failure, reason := 0.0, "failing"
 	switch outcome {
-	case Failed, Broken:
+	case Failed, ConnectionLost:
 		failure = 1
-	case Late, Canceled:
+	case TimedOut, Canceled:
 		excused := d.transferSlow(now, req) || req.phase == streaming || req.finished
 		if excused || !d.stalled(now, srv, req.Class) && !req.canceled {
-			if outcome == Late {
+			if outcome == TimedOut {
 				d.recordLateness(true)
 			}
 			return
@@ -257,7 +257,7 @@
 		d.adjustLimit(&d.roleLimits[srv.role], 1, d.serving[srv.role])
 		srv.fullUntil = now + req.target/8
 		return
-	case NotSent, Stateless, StaleConnection: // a kept connection that died is no sign
+	case NotSent, StateMissing, StaleConnection: // a kept connection that died is no sign
 		return
 	default:
 		srv.halfOpen = false
@@ -268,14 +268,14 @@
 	srv.failureShare = srv.failureShare*failureDecay + failure*(1-failureDecay)
 	suspect := failure > 0 && srv.failureShare > failureLimit && now >= srv.ejectedUntil
 	if suspect && (outcome == Unreachable || d.failsMoreThanPeers(srv)) {
-		d.eject(now, srv, reason, outcome == Failed || outcome == Broken)
+		d.eject(now, srv, reason, outcome == Failed || outcome == ConnectionLost)
 	}
 }
 
 // failsMoreThanPeers tells that a server fails far more often than its peers. Where attempts fail at all
 // servers alike, because of the network or of what is sent, ejecting some only leaves fewer; and a server
 // that has begun to read a prompt keeps its prefix, so a request whose read broke may go there again.
-func (d *Dispatcher) failsMoreThanPeers(srv *server) bool {
+func (d *Router) failsMoreThanPeers(srv *server) bool {
 	typical := d.median(srv.role, func(o *server) float64 { return o.failureShare + 1e-9 })
 	return srv.failureShare > failureFactor*typical
 }
@@ -283,14 +283,14 @@
 // eject keeps new requests from a server for a time; after that, one request at a time probes it. An
 // ejection that soon follows another lasts twice as long, up to the time in which a server warms up, so
 // that a long outage costs few probes.
-func (d *Dispatcher) eject(now Nanos, srv *server, reason string, keepsOthers bool) {
+func (d *Router) eject(now Nanos, srv *server, reason string, keepsOthers bool) {
 	if keepsOthers && d.tooManyEjected(now, srv.role) {
 		return
 	}
 	if now > srv.ejectedUntil+4*srv.ejectionTime {
 		srv.ejectionTime = 0
 	}
-	srv.ejectionTime = min(max(2*srv.ejectionTime, d.shortestTarget/2), max(d.coldStart.Warm, d.shortestTarget))
+	srv.ejectionTime = min(max(2*srv.ejectionTime, d.shortestTarget/2), max(d.coldStart.WarmupTime, d.shortestTarget))
 	srv.ejectedUntil, srv.halfOpen, d.countsStale = now+srv.ejectionTime, true, true
 	srv.forgetLatencies()
 	d.logLines = append(d.logLines,
@@ -298,7 +298,7 @@
 }
 
 // tooManyEjected tells that no more servers of a stage may be ejected but those that cannot be reached.
-func (d *Dispatcher) tooManyEjected(now Nanos, role Role) bool {
+func (d *Router) tooManyEjected(now Nanos, role Role) bool {
 	ejected, total := 1, 0
 	for i := range d.servers {
 		srv := &d.servers[i]
@@ -315,13 +315,13 @@
 // ejectForClass keeps requests of one class from a server that did not answer one, for times that double;
 // it may well serve other classes. All requests are kept from it for a moment, unless it has answered
 // another since.
-func (d *Dispatcher) ejectForClass(now Nanos, srv *server, req *requestState) {
+func (d *Router) ejectForClass(now Nanos, srv *server, req *requestState) {
 	b := &srv.byClass[req.Class]
 	if now > b.ejectedUntil+4*b.ejectionTime {
 		b.ejectionTime = 0
 	}
 	b.ejectionTime = max(2*b.ejectionTime, d.shortestTarget/2, d.answerInterval(srv.role))
-	b.ejectionTime = min(b.ejectionTime, max(d.coldStart.Warm, d.shortestTarget))
+	b.ejectionTime = min(b.ejectionTime, max(d.coldStart.WarmupTime, d.shortestTarget))
 	b.ejectedUntil, srv.halfOpen = now+b.ejectionTime, true
 	if srv.lastAnswerAt <= req.sentAt {
 		srv.ejectedUntil, d.countsStale = max(srv.ejectedUntil, now+d.shortestTarget/2), true
@@ -332,21 +332,21 @@
 
 // answerInterval is the usual time between two answers of a server to this dispatcher: a shorter ejection
 // would never be noticed.
-func (d *Dispatcher) answerInterval(role Role) Nanos {
+func (d *Router) answerInterval(role Role) Nanos {
 	if d.answersPerWindow[role] == 0 {
 		return 0
 	}
-	return Nanos(float64(d.coldStart.Window) / d.answersPerWindow[role])
+	return Nanos(float64(d.coldStart.OverloadWindow) / d.answersPerWindow[role])
 }
 
 // ---- Decisions.
 
-// Next gives the next decision, until there is none.
-func (d *Dispatcher) Next(now Nanos) (Decision, bool) {
+// NextDecision gives the next decision, until there is none.
+func (d *Router) NextDecision(now Nanos) (Decision, bool) {
 	if n := len(d.logLines); n > 0 {
 		text := d.logLines[n-1]
 		d.logLines = d.logLines[:n-1]
-		return Decision{Verb: Log, Text: text}, true
+		return Decision{Action: LogMessage, Text: text}, true
 	}
 	for {
 		slot, ok := d.requests.peek()
@@ -366,21 +366,21 @@
 	}
 	if !d.watching && now >= d.watchAt {
 		d.watching = true
-		return Decision{Verb: Watch}, true
+		return Decision{Action: WatchEndpoints}, true
 	}
 	if d.reviewAt < d.wakeAt {
 		d.wakeAt = max(d.reviewAt, now+1)
-		return Decision{Verb: Wake, For: d.wakeAt - now}, true
+		return Decision{Action: SetTimer, Duration: d.wakeAt - now}, true
 	}
 	return Decision{}, false
 }
 
-func (d *Dispatcher) decide(now Nanos, slot int32) (Decision, bool) {
+func (d *Router) decide(now Nanos, slot int32) (Decision, bool) {
 	req := &d.requests.entries[slot]
 	switch {
 	case req.finished:
 		req.reviewAt = Never
-		if req.attemptOut && req.phase != streaming && d.attemptLimits.Cancel && !req.canceled {
+		if req.attemptOut && req.phase != streaming && d.attemptLimits.CanCancel && !req.canceled {
 			return d.cancel(req)
 		}
 		if !req.attemptOut && req.stateHeld { // rule five: whatever ended it, nothing stays held
@@ -390,11 +390,11 @@
 	case req.phase == streaming:
 		return Decision{}, false
 	case req.attemptOut:
-		last := req.Deadline + d.answering.Slack/2
+		last := req.Deadline + d.answering.DeadlineGrace/2
 		if now >= last { // an outcome that never comes must not cost the final answer
 			return d.giveUp(now, req)
 		}
-		if srv := &d.servers[req.attemptServer]; d.attemptLimits.Cancel && !req.canceled && d.mayRetry(now, req) &&
+		if srv := &d.servers[req.attemptServer]; d.attemptLimits.CanCancel && !req.canceled && d.mayRetry(now, req) &&
 			(srv.role != Prefill || srv.outstanding >= manyUnanswered) && d.stalled(now, srv, req.Class) {
 			return d.cancel(req)
 		}
@@ -402,7 +402,7 @@
 		return Decision{}, false
 	case req.phase == toRead && req.stateHeld:
 		return d.releaseState(req)
-	case req.givenUp, now+d.answering.Round >= req.Deadline, req.attempts >= d.attemptLimits.Most,
+	case req.givenUp, now+d.answering.RoundInterval >= req.Deadline, req.attempts >= d.attemptLimits.MaxAttempts,
 		!d.mayAttempt(now, req):
 		return d.giveUp(now, req)
 	case req.phase == toRead && d.tooShort(now, req):
@@ -411,7 +411,7 @@
 		if now >= req.arrivedAt+Nanos(waitLimit*float64(req.target)) {
 			return d.giveUp(now, req)
 		}
-		d.reviewLater(now, req, min(now+d.reviewInterval, req.Deadline-d.answering.Round))
+		d.reviewLater(now, req, min(now+d.reviewInterval, req.Deadline-d.answering.RoundInterval))
 		return Decision{}, false
 	}
 	to := noServer
@@ -429,62 +429,62 @@
 		if d.waitedTooLong(now, req) {
 			return d.giveUp(now, req)
 		}
-		d.reviewLater(now, req, min(now+d.reviewInterval, req.Deadline-d.answering.Round))
+		d.reviewLater(now, req, min(now+d.reviewInterval, req.Deadline-d.answering.RoundInterval))
 		return Decision{}, false
 	}
 	return d.attempt(now, req, to), true
 }
 
-func (d *Dispatcher) reviewLater(now Nanos, req *requestState, at Nanos) {
+func (d *Router) reviewLater(now Nanos, req *requestState, at Nanos) {
 	req.reviewAt = max(at, now+1)
 	d.reviewAt = min(d.reviewAt, req.reviewAt)
 }
 
-func (d *Dispatcher) cancel(req *requestState) (Decision, bool) {
+func (d *Router) cancel(req *requestState) (Decision, bool) {
 	req.canceled = true
-	return Decision{Verb: Cancel, Request: req.ID, Attempt: AttemptNumber(req.attempts - 1)}, true
+	return Decision{Action: CancelAttempt, Request: req.ID, Attempt: AttemptNumber(req.attempts - 1)}, true
 }
 
-func (d *Dispatcher) releaseState(req *requestState) (Decision, bool) {
+func (d *Router) releaseState(req *requestState) (Decision, bool) {
 	req.stateHeld = false
-	return Decision{Verb: Release, Request: req.ID}, true
+	return Decision{Action: ReleaseState, Request: req.ID}, true
 }
 
 // mayAttempt keeps rule two: a request that may have run is sent again only where a repeat does no harm.
-func (d *Dispatcher) mayAttempt(now Nanos, req *requestState) bool {
+func (d *Router) mayAttempt(now Nanos, req *requestState) bool {
 	t := &d.classes[req.Class]
-	return !req.mayHaveRun || t.Effect == Idempotent || t.Effect == Deduplicated && now < req.ranSince+t.Window
+	return !req.mayHaveRun || t.Idempotency == Idempotent || t.Idempotency == Deduplicated && now < req.ranSince+t.DedupWindow
 }
 
 // repeatBefore tells until when an attempt may begin to be written. A repeat has to arrive while its group
 // still remembers the first run, and its connection may take longer than that to be established.
-func (d *Dispatcher) repeatBefore(req *requestState, srv *server) Nanos {
+func (d *Router) repeatBefore(req *requestState, srv *server) Nanos {
 	t := &d.classes[req.Class]
-	if req.mayHaveRun && t.Effect == Deduplicated && srv.role != Prefill {
-		return req.ranSince + t.Window
+	if req.mayHaveRun && t.Idempotency == Deduplicated && srv.role != Prefill {
+		return req.ranSince + t.DedupWindow
 	}
 	return 0
 }
 
 // mayRetry tells whether the request may be sent again once the attempt that is out is cancelled.
-func (d *Dispatcher) mayRetry(now Nanos, req *requestState) bool {
+func (d *Router) mayRetry(now Nanos, req *requestState) bool {
 	t := &d.classes[req.Class]
-	harmless := t.Effect == Idempotent || d.servers[req.attemptServer].role == Prefill
-	return req.attempts < d.attemptLimits.Most && harmless
+	harmless := t.Idempotency == Idempotent || d.servers[req.attemptServer].role == Prefill
+	return req.attempts < d.attemptLimits.MaxAttempts && harmless
 }
 
 // knowsRepeats tells whether a server recognises a repeat of a deduplicated request that may have run.
-func (d *Dispatcher) knowsRepeats(req *requestState, srv *server) bool {
+func (d *Router) knowsRepeats(req *requestState, srv *server) bool {
 	t := &d.classes[req.Class]
-	if !req.mayHaveRun || t.Effect != Deduplicated || t.Group == GroupAll {
+	if !req.mayHaveRun || t.Idempotency != Deduplicated || t.DedupScope == DedupScopeAll {
 		return true
 	}
 	ran := &d.servers[req.ranOn]
-	return t.Group == GroupZone && srv.zone == ran.zone || t.Group == GroupCell && srv.cell == ran.cell
+	return t.DedupScope == DedupScopeZone && srv.zone == ran.zone || t.DedupScope == DedupScopeCell && srv.cell == ran.cell
 }
 
 // waitedTooLong tells that a request without an eligible server should stop waiting for one.
-func (d *Dispatcher) waitedTooLong(now Nanos, req *requestState) bool {
+func (d *Router) waitedTooLong(now Nanos, req *requestState) bool {
 	if req.stateHeld && now >= req.heldSince+Nanos(heldLimit*float64(d.releaseTime)) {
 		return true
 	}
@@ -497,14 +497,14 @@
 // tooShort tells that the client will be gone before servers as quick as usual could begin to answer. It
 // guards against clients with hardly any time left, which come back at once and in numbers: the work begun
 // for them is wasted.
-func (d *Dispatcher) tooShort(now Nanos, req *requestState) bool {
+func (d *Router) tooShort(now Nanos, req *requestState) bool {
 	usual := (d.medianLatency[Prefill] + d.medianLatency[Decode]) * float64(req.target)
 	return req.Deadline-now < Nanos(usual)
 }
 
 // giveUp ends a request: first its held state is released, then the client is answered; with a rejection
 // where that is true, and a failure where the request may have run or its time is over.
-func (d *Dispatcher) giveUp(now Nanos, req *requestState) (Decision, bool) {
+func (d *Router) giveUp(now Nanos, req *requestState) (Decision, bool) {
 	req.givenUp = true
 	if req.stateHeld && !req.attemptOut {
 		return d.releaseState(req)
@@ -512,22 +512,22 @@
 	t := &d.classes[req.Class]
 	req.finished = true
 	unsafe := req.mayHaveRun || req.attemptOut && d.servers[req.attemptServer].role != Prefill
-	unsafe = unsafe && (t.Effect == NonIdempotent || t.Effect == Deduplicated && t.Group != GroupAll)
+	unsafe = unsafe && (t.Idempotency == NonIdempotent || t.Idempotency == Deduplicated && t.DedupScope != DedupScopeAll)
 	if unsafe || now >= req.Deadline {
-		return Decision{Verb: Fail, Request: req.ID}, true
+		return Decision{Action: FailRequest, Request: req.ID}, true
 	}
 	advice := Nanos(0)
-	if d.answering.Advice {
-		advice = min(t.Target/2, d.answering.MaxAdvice) // about the length of a burst
+	if d.answering.SendRetryAfter {
+		advice = min(t.LatencyTarget/2, d.answering.MaxRetryAfter) // about the length of a burst
 	}
-	return Decision{Verb: Reject, Request: req.ID, For: advice}, true
+	return Decision{Action: RejectRequest, Request: req.ID, Duration: advice}, true
 }
 
-func (d *Dispatcher) attempt(now Nanos, req *requestState, to int32) Decision {
+func (d *Router) attempt(now Nanos, req *requestState, to int32) Decision {
 	srv := &d.servers[to]
 	srv.attemptSent(now, req.Class)
 	d.roleLimits[srv.role].attemptSent(now)
-	srv.longestAllowance = max(srv.longestAllowance, req.target-d.classes[req.Class].Target)
+	srv.longestAllowance = max(srv.longestAllowance, req.target-d.classes[req.Class].LatencyTarget)
 	srv.creditSpent++
 	if srv.role != Prefill {
 		srv.streams++
@@ -539,13 +539,13 @@
 	if req.phase == toRead {
 		kept = d.expectedCached(now, req, to)
 		req.combined = srv.role != Prefill
-		req.queuedTokens = req.Prompt - kept
+		req.queuedTokens = req.PromptTokens - kept
 		srv.queuedTokens += req.queuedTokens
-		if req.Prefix != 0 && req.Shared > 0 {
-			d.prefixes.mark(uint64(req.Prefix), to, req.Shared, now+markLifetime)
+		if req.Prefix != 0 && req.PrefixTokens > 0 {
+			d.prefixes.mark(uint64(req.Prefix), to, req.PrefixTokens, now+markLifetime)
 		}
 		if req.Session != 0 {
-			d.prefixes.mark(^uint64(req.Session), to, req.Prompt, now+markLifetime)
+			d.prefixes.mark(^uint64(req.Session), to, req.PromptTokens, now+markLifetime)
 		}
 	}
 	req.attemptOut, req.canceled, req.attemptServer, req.sentAt = true, false, to, now
@@ -553,17 +553,17 @@
 		d.active++
 	}
 	return Decision{
-		Verb: Attempt, Request: req.ID, Server: srv.id, Kept: kept,
-		For: d.attemptTimeout(now, req, srv.role), Before: d.repeatBefore(req, srv),
+		Action: SendAttempt, Request: req.ID, Server: srv.id, CachedTokens: kept,
+		Duration: d.attemptTimeout(now, req, srv.role), SendBefore: d.repeatBefore(req, srv),
 	}
 }
 
 // attemptTimeout bounds an attempt. Where attempts can be cancelled, a stalled decode server is noticed by
 // other means and the timeout only keeps the last quarter of the time for a retry; else it is several usual
 // latencies, at most half of what is left.
-func (d *Dispatcher) attemptTimeout(now Nanos, req *requestState, role Role) Nanos {
+func (d *Router) attemptTimeout(now Nanos, req *requestState, role Role) Nanos {
 	left := req.Deadline - now
-	if d.attemptLimits.Cancel {
+	if d.attemptLimits.CanCancel {
 		return left - left/4
 	}
 	usual := Nanos(stallFactor * max(d.highLatency[role], stallFloor) * float64(req.target))
@@ -573,7 +573,7 @@
 // eligible tells whether a server may and should be sent a request now. Later passes, used when no other
 // server is left, lift what is only advice: first that this request has failed there, then probing and
 // stalls.
-func (d *Dispatcher) eligible(now Nanos, req *requestState, i int32, pass int) bool {
+func (d *Router) eligible(now Nanos, req *requestState, i int32, pass int) bool {
 	srv := &d.servers[i]
 	switch {
 	case srv.health != Serving, !d.knowsRepeats(req, srv), !d.slowStartAllows(now, srv):
@@ -592,14 +592,14 @@
 // takes: hung, cut off, or gone while the list is still silent. Its first answer ends the stall. A stalled
 // prefill server gets no new request, but a read is cancelled only where many are outstanding: a few have
 // mostly queued, and read again elsewhere they lengthen that queue too.
-func (d *Dispatcher) stalled(now Nanos, srv *server, class ClassID) bool {
-	usual := stallFactor * max(d.highLatency[srv.role], stallFloor) * float64(d.classes[class].Target)
+func (d *Router) stalled(now Nanos, srv *server, class ClassID) bool {
+	usual := stallFactor * max(d.highLatency[srv.role], stallFloor) * float64(d.classes[class].LatencyTarget)
 	c := &srv.byClass[class]
 	return c.outstanding > 0 && now-c.lastAnswerAt > Nanos(usual)+srv.longestAllowance
 }
 
-func (d *Dispatcher) inSlowStart(now Nanos, srv *server) bool {
-	return d.coldStart.Window > 0 && srv.startedAt > 0 && now < srv.startedAt+d.coldStart.Warm
+func (d *Router) inSlowStart(now Nanos, srv *server) bool {
+	return d.coldStart.OverloadWindow > 0 && srv.startedAt > 0 && now < srv.startedAt+d.coldStart.WarmupTime
 }
 
 // slowStartAllows keeps rule four. All dispatchers together may send a server that has just started only a
@@ -610,7 +610,7 @@
 // credit goes before locality and prefix affinity: a dispatcher with little traffic has some only now and
 // then, and where half of the servers warm up, the other half would be overloaded while credit stays
 // unused. Where few warm up, prompts that they hold nothing of are better read by the others.
-func (d *Dispatcher) slowStartAllows(now Nanos, srv *server) bool {
+func (d *Router) slowStartAllows(now Nanos, srv *server) bool {
 	if !d.inSlowStart(now, srv) {
 		return true
 	}
@@ -619,8 +619,8 @@
 		srv.creditStart, srv.creditedAt, srv.creditSpent = srv.startedAt, srv.startedAt, 0
 		_, srv.credit = math.Modf(float64(d.self.Number)/n + float64(mixBits(uint64(srv.id))>>11)/(1<<53))
 	}
-	share := max(slowStartMargin*d.coldStart.Multiple*d.coldStart.From*d.answersPerWindow[srv.role], 1/n)
-	srv.credit += share * float64(now-srv.creditedAt) / float64(d.coldStart.Window)
+	share := max(slowStartMargin*d.coldStart.OverloadFactor*d.coldStart.InitialCapacity*d.answersPerWindow[srv.role], 1/n)
+	srv.credit += share * float64(now-srv.creditedAt) / float64(d.coldStart.OverloadWindow)
 	srv.creditedAt = now
 	srv.creditSpent = max(srv.creditSpent, math.Floor(srv.credit-2*share))
 	return srv.credit >= srv.creditSpent+1
@@ -630,8 +630,8 @@
 // reads them itself. While own streams are too few to compare, it does so only under pressure: hundreds of
 // dispatchers would each find it empty, and what it reads slows its streams. It also serves where no
 // prefill server is listed.
-func (d *Dispatcher) pickMixed(now Nanos, req *requestState, pass int) int32 {
-	if req.Prompt-req.Shared >= shortPromptTokens {
+func (d *Router) pickMixed(now Nanos, req *requestState, pass int) int32 {
+	if req.PromptTokens-req.PrefixTokens >= shortPromptTokens {
 		return noServer
 	}
 	fewest := d.lowestEligible(now, req, pass, func(srv *server) (int64, bool) {
@@ -648,7 +648,7 @@
 	return d.pickLowestRank(func(i int32, srv *server) (rank, bool) {
 		willing := srv.role == Mixed && streams(srv) <= bound && (pressed || srv.highLatency <= slowFloor)
 		distance := d.prefixDistance(now, req, i)
-		willing = willing && (distance < 2 || req.Prompt < shortPromptTokens)
+		willing = willing && (distance < 2 || req.PromptTokens < shortPromptTokens)
 		return rank{distance, streams(srv)}, willing && d.eligible(now, req, i, pass)
 	})
 }
@@ -656,16 +656,16 @@
 // prefillOverloaded tells that no prefill server is likely to read this request in good time: each is being
 // probed, has more tokens queued than the class's allowance for prompt length gives time for, or has
 // answered late. It guards against pools that shrink and against load that this dispatcher cannot see.
-func (d *Dispatcher) prefillOverloaded(now Nanos, req *requestState, pass int) bool {
+func (d *Router) prefillOverloaded(now Nanos, req *requestState, pass int) bool {
 	t := &d.classes[req.Class]
-	wait := Nanos(queuedRead * float64(t.Target))
+	wait := Nanos(queuedRead * float64(t.LatencyTarget))
 	for i := range d.servers {
 		srv := &d.servers[i]
 		if srv.role != Prefill || srv.halfOpen || !d.eligible(now, req, int32(i), pass) {
 			continue
 		}
 		late := srv.outstanding > 0 && (srv.lastLatency > queuedRead || now-srv.lastAnswerAt > wait)
-		if !late && Nanos(d.backlog(now, srv))*t.TargetPer1k/1000 < wait {
+		if !late && Nanos(d.backlog(now, srv))*t.LatencyTargetPer1k/1000 < wait {
 			return false
 		}
 	}
@@ -675,18 +675,18 @@
 // pickWithoutPrefill places a request while there is no prefill server at all: at a mixed server whatever
 // its length, or at a decode server where those may read. It guards against the loss of the whole prefill
 // pool.
-func (d *Dispatcher) pickWithoutPrefill(now Nanos, req *requestState, pass int) int32 {
+func (d *Router) pickWithoutPrefill(now Nanos, req *requestState, pass int) int32 {
 	if d.serving[Prefill] > 0 {
 		return noServer
 	}
 	return d.pickLowestRank(func(i int32, srv *server) (rank, bool) {
-		reads := srv.role == Mixed || srv.role == Decode && d.attemptLimits.DecodeReads
+		reads := srv.role == Mixed || srv.role == Decode && d.attemptLimits.DecodeCanPrefill
 		return rank{streams(srv)}, reads && d.eligible(now, req, i, pass)
 	})
 }
 
 // lowestEligible is the least value of a figure among the eligible servers that have it.
-func (d *Dispatcher) lowestEligible(now Nanos, req *requestState, pass int,
+func (d *Router) lowestEligible(now Nanos, req *requestState, pass int,
 	of func(srv *server) (int64, bool),
 ) int64 {
 	low := int64(Never)
@@ -702,10 +702,10 @@
 
 // backlog is the design's load signal of a prefill server: the own queued prompt tokens, plus what the
 // server reported lately.
-func (d *Dispatcher) backlog(now Nanos, srv *server) int64 {
+func (d *Router) backlog(now Nanos, srv *server) int64 {
 	age := float64(now-srv.loadAt) / float64(loadReportTargets*d.shortestTarget)
-	if srv.load.Unread > 0 && age < 1 {
-		return srv.queuedTokens + int64(srv.load.Unread*(1-age))
+	if srv.load.QueuedPromptTokens > 0 && age < 1 {
+		return srv.queuedTokens + int64(srv.load.QueuedPromptTokens*(1-age))
 	}
 	return srv.queuedTokens
 }
@@ -714,18 +714,18 @@
 // with the fewest queued prompt tokens, the uncached ones of this prompt included. A server that has read
 // this session before holds the longest prefix and goes first: a session that moves is read anew each time,
 // and what it leaves behind evicts what others need.
-func (d *Dispatcher) pickPrefill(now Nanos, req *requestState, pass int) int32 {
+func (d *Router) pickPrefill(now Nanos, req *requestState, pass int) int32 {
 	lowest := d.lowestEligible(now, req, pass, func(srv *server) (int64, bool) {
 		return d.backlog(now, srv), srv.role == Prefill
 	})
-	d.findReplicas(now, req, Prefill, pass, affinityYield*(lowest+req.Prompt))
+	d.findReplicas(now, req, Prefill, pass, affinityYield*(lowest+req.PromptTokens))
 	return d.pickLowestRank(func(i int32, srv *server) (rank, bool) {
 		if srv.role != Prefill || !d.eligible(now, req, i, pass) {
 			return rank{}, false
 		}
 		queue, cached := d.backlog(now, srv), d.expectedCached(now, req, i)
 		distance, remote := int64(2), int64(1)
-		if queue < affinityYield*(lowest+req.Prompt) {
+		if queue < affinityYield*(lowest+req.PromptTokens) {
 			distance = d.prefixDistance(now, req, i)
 		}
 		if srv.zone == d.self.Zone {
@@ -739,7 +739,7 @@
 		if d.inSlowStart(now, srv) && d.warming[Prefill] > manyWarming*d.serving[Prefill] {
 			distance = -1 // see slowStartAllows
 		}
-		return rank{distance, queue + req.Prompt - cached, remote}, true
+		return rank{distance, queue + req.PromptTokens - cached, remote}, true
 	})
 }
 
@@ -748,7 +748,7 @@
 // to. The turns of a session come to many dispatchers, none of which could remember it. A prefix has more
 // replicas the more requests share it. Overloaded servers are left out, so that the next in the same order
 // takes over at every dispatcher that knows.
-func (d *Dispatcher) findReplicas(now Nanos, req *requestState, role Role, pass int, fullQueue int64) {
+func (d *Router) findReplicas(now Nanos, req *requestState, role Role, pass int, fullQueue int64) {
 	d.replicas, d.sessionReplica = d.replicas[:0], noServer
 	d.replicaPick++
 	d.loadMarks(req)
@@ -780,7 +780,7 @@
 }
 
 // replicaCount is how many replicas a request's prefix has; without a prefix any server is one.
-func (d *Dispatcher) replicaCount(req *requestState) int {
+func (d *Router) replicaCount(req *requestState) int {
 	if req.Prefix == 0 {
 		return len(d.servers)
 	}
@@ -793,10 +793,10 @@
 
 // prefixDistance tells how much of a request's prefix a server holds: 0, that of its session; 1, what it
 // shares with others; 2, nothing.
-func (d *Dispatcher) prefixDistance(now Nanos, req *requestState, i int32) int64 {
+func (d *Router) prefixDistance(now Nanos, req *requestState, i int32) int64 {
 	held := d.expectedCached(now, req, i)
 	switch {
-	case i == d.sessionReplica || held > req.Shared:
+	case i == d.sessionReplica || held > req.PrefixTokens:
 		return 0
 	case held > 0 || d.servers[i].replicaPick == d.replicaPick:
 		return 1
@@ -806,7 +806,7 @@
 
 // remoteTransfersSlow tells that KV transfers from other cells take far longer than those within one, and
 // long enough to matter. It ends with a few quick ones, or when none was seen for some time.
-func (d *Dispatcher) remoteTransfersSlow(now Nanos) bool {
+func (d *Router) remoteTransfersSlow(now Nanos) bool {
 	since := now - 4*d.shortestTarget
 	far := d.transferLatencies[1].quantile(since, 0.5)
 	return far > slowFloor/2 && far > affinityYield*d.transferLatencies[0].quantile(since, 0.5)
@@ -814,7 +814,7 @@
 
 // transferSlow tells that the outstanding attempt transfers its state over slow links: neither its decode
 // server nor the load is to blame for its latency.
-func (d *Dispatcher) transferSlow(now Nanos, req *requestState) bool {
+func (d *Router) transferSlow(now Nanos, req *requestState) bool {
 	if req.phase != toWrite {
 		return false
 	}
@@ -827,7 +827,7 @@
 // a near server has twice the fewest. While own streams are too few to compare, locality is chosen at
 // random, as often as the near decode servers can bear if all dispatchers do so; the rest goes where there
 // are more decode servers than their prefill servers need.
-func (d *Dispatcher) pickDecode(now Nanos, req *requestState, pass int) int32 {
+func (d *Router) pickDecode(now Nanos, req *requestState, pass int) int32 {
 	from := &d.servers[req.prefillServer]
 	linkFull := !d.limitAllows(now, &d.cells[from.cellIndex].link)
 	fewest := d.lowestEligible(now, req, pass, func(srv *server) (int64, bool) {
@@ -849,7 +849,7 @@
 		} else if srv.zone == from.zone {
 			distance = 1
 		}
-		order := rank{distance, 2 * streams(srv), int64(srv.load.Memory * 100)}
+		order := rank{distance, 2 * streams(srv), int64(srv.load.MemoryUtilization * 100)}
 		if d.inSlowStart(now, srv) && d.warming[srv.role] > manyWarming*d.serving[srv.role] { // too
 			order[1]--
 		}
@@ -865,7 +865,7 @@
 // shareCapacity computes, from the servers in service, how much of what a cell's prefill servers read its
 // own decode servers, or those of its zone, can take, if all servers of a role are alike; and how much
 // decode capacity is left for others.
-func (d *Dispatcher) shareCapacity() {
+func (d *Router) shareCapacity() {
 	for i := range d.cells {
 		c := &d.cells[i]
 		z := &d.zones[c.zone]
--- a/policy/ramp_test.go
+++ b/policy/ramp_test.go
@@ -10,7 +10,7 @@
 // ramp is a fleet of modules that share servers of one role, of which the last has just started, with traffic spread
 // unevenly: the first modules get several times the mean.
 type ramp struct {
-	modules []*Dispatcher
+	modules []*Router
 	wakes   []Nanos
 	now     Nanos
 	ends    []ending // in the order in which they fall due
@@ -35,18 +35,18 @@
 	rampCarried = rampRate / rampHosts * 3. // a warm server, over the window
 )
 
-var rampTerms = ColdStart{From: 0.3, Warm: 10e9, Multiple: 2.5, Window: 3e9}
+var rampTerms = SlowStart{InitialCapacity: 0.3, WarmupTime: 10e9, OverloadFactor: 2.5, OverloadWindow: 3e9}
 
 // join starts a module, or starts it anew.
 func (r *ramp) join(t *testing.T, n int) {
 	t.Helper()
-	d, err := New(uint64(n)+uint64(r.now), Identity{Number: int32(n), Count: int32(len(r.modules))}, []Class{{Target: 1e9, Timeout: 5e9}}, nil,
-		[]Role{Prefill}, rampTerms, AttemptLimits{Most: 3}, Answering{Round: rampTick}, Listing{}, 1e9)
+	d, err := New(uint64(n)+uint64(r.now), Identity{Number: int32(n), Count: int32(len(r.modules))}, []Class{{LatencyTarget: 1e9, Timeout: 5e9}}, nil,
+		[]Role{Prefill}, rampTerms, AttemptLimits{MaxAttempts: 3}, ResponseSettings{RoundInterval: rampTick}, Discovery{}, 1e9)
 	if err != nil {
 		t.Fatal(err)
 	}
 	r.modules[n], r.wakes[n] = d, Never
-	d.ListBegin(true)
+	d.ListUpdateStarted(true)
 	for id := ServerID(1); id <= rampHosts; id++ {
 		launched := Nanos(0)
 		if id == rampColdID && r.now >= rampStart {
@@ -54,17 +54,17 @@
 		}
 		d.ServerListed(id, 0, 0, 0, Serving, launched)
 	}
-	d.ListEnd(r.now)
+	d.ListUpdateEnded(r.now)
 }
 
 // pull carries out what a module decides.
 func (r *ramp) pull(n int) {
 	d := r.modules[n]
-	for what, ok := d.Next(r.now); ok; what, ok = d.Next(r.now) {
-		switch what.Verb {
-		case Wake:
-			r.wakes[n] = r.now + what.For
-		case Attempt:
+	for what, ok := d.NextDecision(r.now); ok; what, ok = d.NextDecision(r.now) {
+		switch what.Action {
+		case SetTimer:
+			r.wakes[n] = r.now + what.Duration
+		case SendAttempt:
 			_, req := d.requests.find(what.Request)
 			r.ends = append(r.ends, ending{r.now + rampTook, n, what.Request, AttemptNumber(req.attempts - 1)})
 			if what.Server == rampColdID && r.now >= rampStart {
@@ -81,19 +81,19 @@
 		for len(r.ends) > 0 && r.ends[0].at <= r.now {
 			e := r.ends[0]
 			r.ends = r.ends[1:]
-			r.modules[e.module].AttemptEnded(r.now, e.job, e.shot, Read, rampTook, true, NoLoad)
+			r.modules[e.module].AttemptEnded(r.now, e.job, e.shot, Prefilled, rampTook, true, NoLoadReport)
 			r.pull(e.module)
 		}
 		for owed += rampRate * float64(rampTick) / 1e9; owed >= 1; owed-- {
 			n := int(float64(len(r.modules)) * math.Pow(rng.Float64(), 2)) // the first tenth gets a third of all
 			r.next++
-			r.modules[n].RequestArrived(r.now, Request{ID: r.next, Tenant: -1, Session: SessionKey(r.next), Prompt: 1000, Deadline: r.now + 5e9})
+			r.modules[n].RequestArrived(r.now, Request{ID: r.next, Tenant: -1, Session: SessionKey(r.next), PromptTokens: 1000, Deadline: r.now + 5e9})
 			r.pull(n)
 		}
 		for n, at := range r.wakes {
 			if at <= r.now {
 				r.wakes[n] = Never
-				r.modules[n].Woken(r.now)
+				r.modules[n].TimerFired(r.now)
 				r.pull(n)
 			}
 		}
@@ -105,16 +105,16 @@
 func TestColdRamp(t *testing.T) {
 	for _, count := range []int{1, 25, 300} {
 		t.Run(fmt.Sprint(count), func(t *testing.T) {
-			r := &ramp{modules: make([]*Dispatcher, count), wakes: make([]Nanos, count), now: rampStart - 15e9}
+			r := &ramp{modules: make([]*Router, count), wakes: make([]Nanos, count), now: rampStart - 15e9}
 			rng := rand.New(rand.NewPCG(uint64(count), 0))
 			for n := range r.modules {
 				r.join(t, n)
 			}
 			r.run(rampStart, rng)
 			for _, d := range r.modules {
-				d.ListBegin(false)
+				d.ListUpdateStarted(false)
 				d.ServerListed(rampColdID, 0, 0, 0, Serving, rampStart)
-				d.ListEnd(r.now)
+				d.ListUpdateEnded(r.now)
 			}
 			r.run(rampStart+3e9, rng)
 			for n := 0; n < count; n += 3 {
@@ -123,12 +123,12 @@
 			r.run(rampStart+9e9, rng)
 			most, from := 0, 0
 			for to, at := range r.cold {
-				for r.cold[from] <= at-rampTerms.Window {
+				for r.cold[from] <= at-rampTerms.OverloadWindow {
 					from++
 				}
 				most = max(most, to-from+1)
 			}
-			budget := rampTerms.Multiple * rampTerms.From * rampCarried
+			budget := rampTerms.OverloadFactor * rampTerms.InitialCapacity * rampCarried
 			if bound := budget + 2*math.Sqrt(budget) + 2; float64(most) > bound || most == 0 {
 				t.Errorf("%d launches in a window, want some and at most %.0f", most, bound)
 			}
--- a/policy/replace_test.go
+++ b/policy/replace_test.go
@@ -4,25 +4,25 @@
 
 // Servers that are replaced under new names, each in a cell of its own, leave nothing behind.
 func TestReplacedHostsLeaveNothing(t *testing.T) {
-	d, err := New(1, Identity{Count: 2}, []Class{{Target: 1e9, Timeout: 5e9, Value: 1}}, nil, []Role{Prefill, Decode},
-		ColdStart{From: 0.3, Warm: 1e9, Multiple: 2.5, Window: 1e9}, AttemptLimits{Most: 6, Cancel: true},
-		Answering{Round: 4e6}, Listing{}, 1e9)
+	d, err := New(1, Identity{Count: 2}, []Class{{LatencyTarget: 1e9, Timeout: 5e9, Value: 1}}, nil, []Role{Prefill, Decode},
+		SlowStart{InitialCapacity: 0.3, WarmupTime: 1e9, OverloadFactor: 2.5, OverloadWindow: 1e9}, AttemptLimits{MaxAttempts: 6, CanCancel: true},
+		ResponseSettings{RoundInterval: 4e6}, Discovery{}, 1e9)
 	if err != nil {
 		t.Fatal(err)
 	}
 	now, next := Nanos(1e9), ServerID(1)
-	d.ListBegin(true)
+	d.ListUpdateStarted(true)
 	for ; next <= 14; next++ {
 		d.ServerListed(next, ZoneID(next%3), KindID(next%2), CellID(next), Serving, 0)
 	}
-	d.ListEnd(now)
+	d.ListUpdateEnded(now)
 	drain := func() (launched ServerID) {
 		for {
-			what, ok := d.Next(now)
+			what, ok := d.NextDecision(now)
 			if !ok {
 				return launched
 			}
-			if what.Verb == Attempt {
+			if what.Action == SendAttempt {
 				launched = what.Server
 			}
 		}
@@ -31,25 +31,25 @@
 	for n := range 10000 {
 		now += 50e6
 		id := RequestID(n + 1)
-		d.RequestArrived(now, Request{ID: id, Tenant: -1, Session: SessionKey(n/3 + 1), Prompt: 3000, Deadline: now + 5e9})
+		d.RequestArrived(now, Request{ID: id, Tenant: -1, Session: SessionKey(n/3 + 1), PromptTokens: 3000, Deadline: now + 5e9})
 		reader := drain()
 		if reader == 0 {
 			t.Fatalf("job %d finds no reader", n)
 		}
-		d.ListBegin(false) // the prefill server goes while the request's state is there; its successor has another name and cell
+		d.ListUpdateStarted(false) // the prefill server goes while the request's state is there; its successor has another name and cell
 		d.ServerListed(reader, ZoneID(reader%3), 0, CellID(reader), Gone, 0)
 		for next%2 != 0 {
 			next++
 		}
 		d.ServerListed(next, ZoneID(next%3), 0, CellID(next), Serving, 0)
 		next++
-		d.ListEnd(now)
-		d.AttemptEnded(now, id, 0, Read, 1e6, false, NoLoad)
+		d.ListUpdateEnded(now)
+		d.AttemptEnded(now, id, 0, Prefilled, 1e6, false, NoLoadReport)
 		if writer := drain(); writer == 0 || writer%2 == 0 {
 			t.Fatalf("job %d: writer %d", n, writer)
 		}
-		d.StreamBegan(now, id, 1, 1e6)
-		d.AttemptEnded(now, id, 1, Served, 1e6, true, NoLoad)
+		d.StreamStarted(now, id, 1, 1e6)
+		d.AttemptEnded(now, id, 1, Served, 1e6, true, NoLoadReport)
 		drain()
 	}
 	if len(d.servers) > 20 || len(d.byID) > 20 || len(d.cells) > 20 {
--- a/policy/replicas_test.go
+++ b/policy/replicas_test.go
@@ -8,28 +8,28 @@
 	const prefix = PrefixKey(99)
 	at := map[ServerID]bool{}
 	for session := range 40 {
-		d, err := New(1, Identity{Number: int32(session), Count: 40}, []Class{{Target: 1e9, Timeout: 5e9, Value: 1}}, nil, []Role{Prefill},
-			ColdStart{}, AttemptLimits{Most: 3}, Answering{Round: 1e6}, Listing{}, 1e9)
+		d, err := New(1, Identity{Number: int32(session), Count: 40}, []Class{{LatencyTarget: 1e9, Timeout: 5e9, Value: 1}}, nil, []Role{Prefill},
+			SlowStart{}, AttemptLimits{MaxAttempts: 3}, ResponseSettings{RoundInterval: 1e6}, Discovery{}, 1e9)
 		if err != nil {
 			t.Fatal(err)
 		}
 		now := Nanos(1e9)
-		d.ListBegin(true)
+		d.ListUpdateStarted(true)
 		for id := range ServerID(20) {
 			d.ServerListed(id+1, 0, 0, 0, Serving, 0)
 		}
-		d.ListEnd(now)
+		d.ListUpdateEnded(now)
 		send := func(id RequestID, s SessionKey, p PrefixKey) ServerID {
 			now += 1e6
-			d.RequestArrived(now, Request{ID: id, Tenant: -1, Session: s, Prefix: p, Prompt: 1500, Shared: 1000, Deadline: now + 5e9})
+			d.RequestArrived(now, Request{ID: id, Tenant: -1, Session: s, Prefix: p, PromptTokens: 1500, PrefixTokens: 1000, Deadline: now + 5e9})
 			server := ServerID(0)
-			for what, ok := d.Next(now); ok; what, ok = d.Next(now) {
-				if what.Verb == Attempt {
+			for what, ok := d.NextDecision(now); ok; what, ok = d.NextDecision(now) {
+				if what.Action == SendAttempt {
 					server = what.Server
 				}
 			}
-			d.AttemptEnded(now, id, 0, Read, 1e6, true, NoLoad)
-			for _, ok := d.Next(now); ok; _, ok = d.Next(now) {
+			d.AttemptEnded(now, id, 0, Prefilled, 1e6, true, NoLoadReport)
+			for _, ok := d.NextDecision(now); ok; _, ok = d.NextDecision(now) {
 			}
 			return server
 		}
--- a/policy/scale_test.go
+++ b/policy/scale_test.go
@@ -11,7 +11,7 @@
 
 // fleetPlay has one module route a steady traffic over a fleet of any size.
 type fleetPlay struct {
-	module *Dispatcher
+	module *Router
 	now    Nanos
 	wake   Nanos
 	next   RequestID
@@ -35,14 +35,14 @@
 // newFleetPlay makes a module before half as many prefill servers as decode servers.
 func newFleetPlay(tb testing.TB, servers, perSecond int) *fleetPlay {
 	tb.Helper()
-	module, err := New(1, Identity{Count: 300}, []Class{{Target: 1e9, TargetPer1k: 60e6, Timeout: 5e9}}, nil, []Role{Prefill, Decode},
-		ColdStart{From: 0.3, Warm: 10e9, Multiple: 2.5, Window: 3e9}, AttemptLimits{Most: 4, Cancel: true}, Answering{Slack: 50e6, Round: 4e6},
-		Listing{}, 1e9)
+	module, err := New(1, Identity{Count: 300}, []Class{{LatencyTarget: 1e9, LatencyTargetPer1k: 60e6, Timeout: 5e9}}, nil, []Role{Prefill, Decode},
+		SlowStart{InitialCapacity: 0.3, WarmupTime: 10e9, OverloadFactor: 2.5, OverloadWindow: 3e9}, AttemptLimits{MaxAttempts: 4, CanCancel: true}, ResponseSettings{DeadlineGrace: 50e6, RoundInterval: 4e6},
+		Discovery{}, 1e9)
 	if err != nil {
 		tb.Fatal(err)
 	}
 	play := &fleetPlay{module: module, now: 1e9, wake: Never, every: 1e9 / Nanos(perSecond)}
-	module.ListBegin(true)
+	module.ListUpdateStarted(true)
 	for i := range servers {
 		kind := KindID(0)
 		if i%3 > 0 {
@@ -50,20 +50,20 @@
 		}
 		module.ServerListed(ServerID(i+1), ZoneID(i%4), kind, CellID(i/8), Serving, 0)
 	}
-	module.ListEnd(play.now)
+	module.ListUpdateEnded(play.now)
 	play.pull()
 	return play
 }
 
 // pull carries out what the module decides.
 func (p *fleetPlay) pull() {
-	for decision, ok := p.module.Next(p.now); ok; decision, ok = p.module.Next(p.now) {
-		switch decision.Verb {
-		case Wake:
-			p.wake = p.now + decision.For
-		case Attempt:
+	for decision, ok := p.module.NextDecision(p.now); ok; decision, ok = p.module.NextDecision(p.now) {
+		switch decision.Action {
+		case SetTimer:
+			p.wake = p.now + decision.Duration
+		case SendAttempt:
 			_, req := p.module.requests.find(decision.Request)
-			outcome := Read
+			outcome := Prefilled
 			if req.phase == toWrite {
 				outcome = Served
 			}
@@ -78,7 +78,7 @@
 		for len(p.ends) > 0 && p.ends[0].at <= p.now {
 			end := p.ends[0]
 			p.ends = p.ends[1:]
-			p.module.AttemptEnded(p.now, end.request, end.attempt, end.outcome, fleetLatency, end.outcome == Served, NoLoad)
+			p.module.AttemptEnded(p.now, end.request, end.attempt, end.outcome, fleetLatency, end.outcome == Served, NoLoadReport)
 			p.pull()
 		}
 		if p.now >= p.due {
@@ -86,13 +86,13 @@
 			p.next++
 			p.module.RequestArrived(p.now, Request{
 				ID: p.next, Tenant: -1, Session: SessionKey(p.next), Prefix: PrefixKey(p.next%50 + 1),
-				Prompt: 4000, Shared: 1000, Deadline: p.now + 5e9,
+				PromptTokens: 4000, PrefixTokens: 1000, Deadline: p.now + 5e9,
 			})
 			p.pull()
 		}
 		if p.wake <= p.now {
 			p.wake = Never
-			p.module.Woken(p.now)
+			p.module.TimerFired(p.now)
 			p.pull()
 		}
 	}
@@ -131,7 +131,7 @@
 	play.run(5e9)
 	d := play.module
 	for n := range 200 {
-		req := &requestState{Request: Request{ID: RequestID(1e6 + n), Prefix: PrefixKey(n % 70), Session: SessionKey(n + 1), Prompt: 4000}}
+		req := &requestState{Request: Request{ID: RequestID(1e6 + n), Prefix: PrefixKey(n % 70), Session: SessionKey(n + 1), PromptTokens: 4000}}
 		d.findReplicas(play.now, req, Prefill, 0, int64(Never))
 		want := []int32{}
 		for i := range d.servers {
@@ -171,9 +171,9 @@
 			if rng.IntN(2) == 0 {
 				started = play.now - Nanos(rng.IntN(12))*1e9
 			}
-			d.ListBegin(false)
+			d.ListUpdateStarted(false)
 			d.ServerListed(id, ZoneID(rng.IntN(3)), KindID(rng.IntN(2)), CellID(rng.IntN(6)), Health(rng.IntN(3)), max(started, 0))
-			d.ListEnd(play.now)
+			d.ListUpdateEnded(play.now)
 		case 1:
 			if i, ok := d.byID[id]; ok {
 				d.eject(play.now, &d.servers[i], "test", false)
--- a/policy/scenario_test.go
+++ b/policy/scenario_test.go
@@ -36,7 +36,7 @@
 	t        *testing.T
 	at       string
 	set      map[string]int
-	d        *Dispatcher
+	d        *Router
 	now      Nanos
 	wake     Nanos
 	queue    []Decision
@@ -105,17 +105,17 @@
 	s := func(name string) Nanos { return Nanos(p.set[name]) * ms }
 	var err error
 	p.d, err = New(1, Identity{Number: int32(p.set["number"]), Count: int32(p.set["count"])}, []Class{{
-		Target: s("target"), TargetPer1k: s("per1k"),
-		Timeout: s("timeout"), Value: 1, TokenGap: 50 * ms, Effect: Effect(p.set["effect"]), Group: Group(p.set["group"]),
-		Window: s("memory"),
-	}}, []Tenant{{PerSecond: float64(p.set["share"])}}, []Role{Prefill, Decode, Mixed},
-		ColdStart{
-			From: float64(p.set["from"]) / 100, Warm: s("warm"), Multiple: float64(p.set["multiple"]) / 100,
-			Window: s("window"),
+		LatencyTarget: s("target"), LatencyTargetPer1k: s("per1k"),
+		Timeout: s("timeout"), Value: 1, InterTokenTarget: 50 * ms, Idempotency: Idempotency(p.set["effect"]), DedupScope: DedupScope(p.set["group"]),
+		DedupWindow: s("memory"),
+	}}, []Tenant{{RequestsPerSecond: float64(p.set["share"])}}, []Role{Prefill, Decode, Mixed},
+		SlowStart{
+			InitialCapacity: float64(p.set["from"]) / 100, WarmupTime: s("warm"), OverloadFactor: float64(p.set["multiple"]) / 100,
+			OverloadWindow: s("window"),
 		},
-		AttemptLimits{Most: int32(p.set["most"]), Cancel: p.set["cancel"] == 1, DecodeReads: p.set["pens"] == 1},
-		Answering{Slack: s("slack"), Round: s("round"), Advice: p.set["advice"] == 1, MaxAdvice: s("maxadvice")},
-		Listing{Asked: p.set["asked"] == 1, Within: 10000 * ms}, s("release"))
+		AttemptLimits{MaxAttempts: int32(p.set["most"]), CanCancel: p.set["cancel"] == 1, DecodeCanPrefill: p.set["pens"] == 1},
+		ResponseSettings{DeadlineGrace: s("slack"), RoundInterval: s("round"), SendRetryAfter: p.set["advice"] == 1, MaxRetryAfter: s("maxadvice")},
+		Discovery{OnRequest: p.set["asked"] == 1, MaxInterval: 10000 * ms}, s("release"))
 	if err != nil {
 		p.t.Fatal(err)
 	}
@@ -125,15 +125,15 @@
 func (p *player) settle() {
 	if p.listing {
 		p.listing = false
-		p.d.ListEnd(p.now)
+		p.d.ListUpdateEnded(p.now)
 	}
-	for what, ok := p.d.Next(p.now); ok; what, ok = p.d.Next(p.now) {
-		switch what.Verb {
-		case Wake:
-			p.wake = min(p.wake, p.now+what.For)
-		case Log:
+	for what, ok := p.d.NextDecision(p.now); ok; what, ok = p.d.NextDecision(p.now) {
+		switch what.Action {
+		case SetTimer:
+			p.wake = min(p.wake, p.now+what.Duration)
+		case LogMessage:
 			p.log = append(p.log, what.Text)
-		case Attempt:
+		case SendAttempt:
 			if _, again := p.attempts[int(what.Request)]; again {
 				p.attempts[int(what.Request)]++
 			} else {
@@ -176,7 +176,7 @@
 		return
 	case "server", "full":
 		if !p.listing || w[0] == "full" {
-			p.d.ListBegin(w[0] == "full")
+			p.d.ListUpdateStarted(w[0] == "full")
 		}
 		if p.listing = true; w[0] == "server" {
 			role := map[string]KindID{"prefill": 0, "decode": 1, "mixed": 2}[w[2]]
@@ -185,12 +185,12 @@
 		}
 		return
 	case "restored-failed":
-		p.d.ListFailed(p.now)
+		p.d.ListUpdateFailed(p.now)
 	case "at":
 		p.settle()
 		for to := Nanos(id) * ms; p.wake <= to; {
 			p.now, p.wake = max(p.wake, p.now), Never
-			p.d.Woken(p.now)
+			p.d.TimerFired(p.now)
 			p.settle()
 		}
 		p.now = Nanos(id) * ms
@@ -198,34 +198,34 @@
 		p.settle()
 		p.d.RequestArrived(p.now, Request{
 			ID: RequestID(id), Tenant: TenantID(opts["tenant"]), Session: SessionKey(opts["session"]),
-			Prefix: PrefixKey(opts["prefix"]), Prompt: int64(opts["prompt"]), Shared: int64(opts["shared"]), Cap: 200,
+			Prefix: PrefixKey(opts["prefix"]), PromptTokens: int64(opts["prompt"]), PrefixTokens: int64(opts["shared"]), MaxOutputTokens: 200,
 			Deadline: p.now + Nanos(opts["timeout"])*ms,
 		})
 	case "began":
-		p.d.StreamBegan(p.now, RequestID(id), p.attempts[id], Nanos(opts["after"])*ms)
+		p.d.StreamStarted(p.now, RequestID(id), p.attempts[id], Nanos(opts["after"])*ms)
 	case "ended":
 		outcome, ok := map[string]Outcome{
-			"served": Served, "read": Read, "rejected": Rejected, "stateless": Stateless,
-			"unreachable": Unreachable, "notsent": NotSent, "failed": Failed, "late": Late, "broken": Broken,
+			"served": Served, "read": Prefilled, "rejected": Rejected, "stateless": StateMissing,
+			"unreachable": Unreachable, "notsent": NotSent, "failed": Failed, "late": TimedOut, "broken": ConnectionLost,
 			"canceled": Canceled, "stale": StaleConnection,
 		}[w[2]]
 		if !ok {
 			p.t.Fatalf("%s: unknown outcome", p.at)
 		}
-		p.d.AttemptEnded(p.now, RequestID(id), p.attempts[id], outcome, Nanos(opts["after"])*ms, over, NoLoad)
+		p.d.AttemptEnded(p.now, RequestID(id), p.attempts[id], outcome, Nanos(opts["after"])*ms, over, NoLoadReport)
 		if held := opts["held"]; held == 0 {
-			p.d.HeldSince(p.now, RequestID(id), Never)
+			p.d.StateHeldSince(p.now, RequestID(id), Never)
 		} else if held > 0 {
-			p.d.HeldSince(p.now, RequestID(id), Nanos(held)*ms)
+			p.d.StateHeldSince(p.now, RequestID(id), Nanos(held)*ms)
 		}
 	case "left":
-		p.d.ClientLeft(p.now, RequestID(id))
+		p.d.RequestCanceled(p.now, RequestID(id))
 	case "expect":
 		p.expect(w[1:])
 	case "tally":
 		p.settle()
 		for _, what := range p.queue {
-			if what.Verb == Attempt && int(what.Server) == id {
+			if what.Action == SendAttempt && int(what.Server) == id {
 				p.count++
 			}
 		}
@@ -259,21 +259,21 @@
 	}
 	got := p.queue[0]
 	p.queue = p.queue[1:]
-	name := map[Verb]string{
-		Attempt: "attempt", Cancel: "cancel", Reject: "reject", Fail: "fail", Release: "release",
-		Watch: "watch",
-	}[got.Verb]
+	name := map[Action]string{
+		SendAttempt: "attempt", CancelAttempt: "cancel", RejectRequest: "reject", FailRequest: "fail", ReleaseState: "release",
+		WatchEndpoints: "watch",
+	}[got.Action]
 	ok := name == w[0] && (len(w) < 2 || fmt.Sprint(got.Request) == w[1])
 	if n := len(w) - 2; n > 0 && w[n] == "before" {
 		before := "never"
-		if got.Before > 0 {
-			before = fmt.Sprint(int64(got.Before / ms))
+		if got.SendBefore > 0 {
+			before = fmt.Sprint(int64(got.SendBefore / ms))
 		}
 		ok = ok && before == w[n+1]
 		w = w[:n]
 	}
 	if ok && len(w) > 3 && w[2] == "for" {
-		ok = fmt.Sprint(int64(got.For/ms)) == w[3]
+		ok = fmt.Sprint(int64(got.Duration/ms)) == w[3]
 	} else if ok && len(w) > 3 {
 		ok = false
 		for _, srv := range strings.Split(w[3], "|") {
@@ -296,23 +296,23 @@
 func TestOrdinaryPathAllocatesNothing(t *testing.T) {
 	p := &player{t: t, set: map[string]int{"target": 1000, "timeout": 5000, "most": 6, "release": 500, "count": 1}}
 	p.start()
-	p.d.ListBegin(true)
+	p.d.ListUpdateStarted(true)
 	p.d.ServerListed(1, 0, 0, 0, Serving, 0)
 	p.d.ServerListed(2, 0, 1, 0, Serving, 0)
-	p.d.ListEnd(0)
+	p.d.ListUpdateEnded(0)
 	now, id := 1000*ms, RequestID(0)
 	pull := func() {
-		for _, ok := p.d.Next(now); ok; _, ok = p.d.Next(now) {
+		for _, ok := p.d.NextDecision(now); ok; _, ok = p.d.NextDecision(now) {
 		}
 	}
 	one := func() {
 		now, id = now+10*ms, id+1
-		p.d.RequestArrived(now, Request{ID: id, Tenant: -1, Session: 5, Prefix: 7, Prompt: 500, Shared: 400, Deadline: now + 5e9})
+		p.d.RequestArrived(now, Request{ID: id, Tenant: -1, Session: 5, Prefix: 7, PromptTokens: 500, PrefixTokens: 400, Deadline: now + 5e9})
 		pull()
-		p.d.AttemptEnded(now, id, 0, Read, 5*ms, false, NoLoad)
+		p.d.AttemptEnded(now, id, 0, Prefilled, 5*ms, false, NoLoadReport)
 		pull()
-		p.d.StreamBegan(now, id, 1, 5*ms)
-		p.d.AttemptEnded(now, id, 1, Served, 5*ms, true, NoLoad)
+		p.d.StreamStarted(now, id, 1, 5*ms)
+		p.d.AttemptEnded(now, id, 1, Served, 5*ms, true, NoLoadReport)
 		pull()
 	}
 	for range 100 {
--- a/policy/state.go
+++ b/policy/state.go
@@ -143,7 +143,7 @@
 	failureShare     float64 // share of recent attempts that failed
 	byClass          []serverClass
 	ejectionTime     Nanos // length of the last ejection
-	load             Load
+	load             LoadReport
 	loadAt           Nanos
 	creditStart      Nanos   // start that the slow-start grants are for
 	creditedAt       Nanos   // granted up to then
@@ -183,7 +183,7 @@
 func (srv *server) resetHistory() {
 	srv.failureShare, srv.halfOpen, srv.unreachable = 0, false, false
 	srv.ejectedUntil, srv.ejectionTime = 0, 0
-	srv.load = NoLoad
+	srv.load = NoLoadReport
 	srv.forgetLatencies()
 	for t := range srv.byClass {
 		srv.byClass[t].ejectedUntil, srv.byClass[t].ejectionTime = 0, 0
@@ -208,7 +208,7 @@
 // freeServerSlot gives the slot for a new server: that of one which earlier news said is gone and to which
 // nothing in hand refers, else another. It guards against fleets that are replaced again and again under
 // new names.
-func (d *Dispatcher) freeServerSlot() int32 {
+func (d *Router) freeServerSlot() int32 {
 	for i := range d.servers {
 		srv, at := &d.servers[i], int32(i)
 		old := srv.health == Gone && srv.goneInUpdate < d.listUpdates
@@ -226,14 +226,14 @@
 }
 
 // serverInUse tells whether a request in hand has an attempt or a state at a server, or may have run there.
-func (d *Dispatcher) serverInUse(server int32) bool {
+func (d *Router) serverInUse(server int32) bool {
 	return slices.ContainsFunc(d.requests.entries, func(req requestState) bool {
 		return req.used && (req.attemptServer == server || req.prefillServer == server || req.ranOn == server)
 	})
 }
 
 // clearAvoided forgets that requests have failed at a server.
-func (d *Dispatcher) clearAvoided(server int32) {
+func (d *Router) clearAvoided(server int32) {
 	for i := range d.requests.entries {
 		req := &d.requests.entries[i]
 		for k := range min(req.avoidedCount, int32(len(req.avoided))) {
@@ -254,7 +254,7 @@
 const noCell = int32(-1)
 
 // joinCell has a server belong to a cell. A new cell takes the place of one without any server.
-func (d *Dispatcher) joinCell(srv *server, key cellKey) {
+func (d *Router) joinCell(srv *server, key cellKey) {
 	d.leaveCell(srv)
 	at, known := d.cellIndex[key]
 	if !known {
@@ -273,7 +273,7 @@
 }
 
 // leaveCell has a server belong to no cell.
-func (d *Dispatcher) leaveCell(srv *server) {
+func (d *Router) leaveCell(srv *server) {
 	if srv.cellIndex != noCell {
 		d.cells[srv.cellIndex].servers--
 		srv.cellIndex = noCell
@@ -316,7 +316,7 @@
 
 // summarizeLatencies takes the quantiles of the latencies since a time, of each server and of all of a role. It
 // gives the servers up to the last that has enough of them: in a large fleet, hardly any has.
-func (d *Dispatcher) summarizeLatencies(since Nanos) (measured []server) {
+func (d *Router) summarizeLatencies(since Nanos) (measured []server) {
 	last := 0
 	for i := range d.servers {
 		if srv := &d.servers[i]; srv.latencies != nil {
@@ -473,9 +473,9 @@
 // float is a number in [0, 1).
 func (c *pcg) float() float64 { return float64(c.intn(1<<30)) / (1 << 30) }
 
-// Dispatcher decides for one dispatcher. It shares nothing with others. Each of its parts keeps the few
+// Router decides for one dispatcher. It shares nothing with others. Each of its parts keeps the few
 // settings that it works by.
-type Dispatcher struct {
+type Router struct {
 	requestPart
 	serverPart
 	limitPart
@@ -522,7 +522,7 @@
 	classes        []Class
 	shortestTarget Nanos // of all classes, whatever their order: how fast news of the pool goes stale
 	tenants        []Tenant
-	answering      Answering
+	answering      ResponseSettings
 	requests       requestTable
 	shares         []tokenBucket // of the tenants
 }
@@ -560,7 +560,7 @@
 
 // limitPart is what bounds attempts and what is held.
 type limitPart struct {
-	coldStart     ColdStart
+	coldStart     SlowStart
 	attemptLimits AttemptLimits
 	releaseTime   Nanos
 }
@@ -577,7 +577,7 @@
 
 // schedulePart is when to look again, and at what.
 type schedulePart struct {
-	listing        Listing
+	listing        Discovery
 	reviewInterval Nanos // longest time between two looks at everything in hand
 	reviewedAt     Nanos
 	reviewAt       Nanos // next look at everything in hand
@@ -587,7 +587,7 @@
 }
 
 // median of a figure over the servers of a role that have one.
-func (d *Dispatcher) median(role Role, figure func(srv *server) float64) float64 {
+func (d *Router) median(role Role, figure func(srv *server) float64) float64 {
 	xs := d.scratch[:0]
 	for i := range d.servers {
 		if srv := &d.servers[i]; srv.role == role && srv.health == Serving {
@@ -624,7 +624,7 @@
 
 // countServers counts the servers in service: of all, by role; by cell and zone, as parts of all. It tells
 // whether there was anything to count anew: reviews are many, fleets large and changes rare.
-func (d *Dispatcher) countServers(now Nanos) bool {
+func (d *Router) countServers(now Nanos) bool {
 	if !d.countsStale && now < d.countsUntil {
 		return false
 	}
@@ -643,10 +643,10 @@
 }
 
 // countServer counts a server that is listed as serving.
-func (d *Dispatcher) countServer(now Nanos, srv *server) {
+func (d *Router) countServer(now Nanos, srv *server) {
 	warming := d.inSlowStart(now, srv)
 	if warming {
-		d.countsUntil = min(d.countsUntil, srv.startedAt+d.coldStart.Warm)
+		d.countsUntil = min(d.countsUntil, srv.startedAt+d.coldStart.WarmupTime)
 	} else {
 		d.warm[srv.role]++
 	}
@@ -662,7 +662,7 @@
 }
 
 // countCells makes the counts of the cells parts of all, and adds up what the cells of a zone miss and spare.
-func (d *Dispatcher) countCells() {
+func (d *Router) countCells() {
 	for i := range d.zones {
 		d.zones[i] = zoneShare{}
 	}
@@ -680,13 +680,13 @@
 
 // measureThroughput finds how many answers a warm server of each role gives this dispatcher over a window,
 // averaged over some time. The figure stays while no server is warm.
-func (d *Dispatcher) measureThroughput(now, before, memory Nanos) {
-	if d.coldStart.Window <= 0 {
+func (d *Router) measureThroughput(now, before, memory Nanos) {
+	if d.coldStart.OverloadWindow <= 0 {
 		return
 	}
 	keep := max(0, 1-float64(now-before)/float64(memory))
 	for role := range d.answersPerWindow {
-		d.warmWindows[role] += d.warm[role] * (float64(now-before) / float64(d.coldStart.Window))
+		d.warmWindows[role] += d.warm[role] * (float64(now-before) / float64(d.coldStart.OverloadWindow))
 		if d.warmWindows[role] > 0 {
 			d.answersPerWindow[role] = d.warmAnswers[role] / d.warmWindows[role]
 		}
@@ -695,7 +695,7 @@
 }
 
 // loadMarks looks up who holds what of a request's prompt, for expectedCached.
-func (d *Dispatcher) loadMarks(req *requestState) {
+func (d *Router) loadMarks(req *requestState) {
 	d.prefixMarks, d.sessionMarks = noMarks, noMarks
 	if req.Prefix != 0 {
 		d.prefixMarks = d.prefixes.marks[uint64(req.Prefix)]
@@ -707,9 +707,9 @@
 
 // expectedCached is how many tokens of a request's prompt a server is expected to have cached. It goes by the
 // marks that were loaded for the request.
-func (d *Dispatcher) expectedCached(now Nanos, req *requestState, server int32) int64 {
-	shared := min(d.prefixMarks.tokensAt(now, server), req.Shared)
-	return min(max(shared, d.sessionMarks.tokensAt(now, server)), req.Prompt)
+func (d *Router) expectedCached(now Nanos, req *requestState, server int32) int64 {
+	shared := min(d.prefixMarks.tokensAt(now, server), req.PrefixTokens)
+	return min(max(shared, d.sessionMarks.tokensAt(now, server)), req.PromptTokens)
 }
 
 // replica is a server in the order in which the replicas of a prefix are taken: the highest hash first.
@@ -722,7 +722,7 @@
 type rank [3]int64
 
 // pickLowestRank picks the server of lowest rank among those admitted; ties are broken at random.
-func (d *Dispatcher) pickLowestRank(of func(i int32, srv *server) (rank, bool)) int32 {
+func (d *Router) pickLowestRank(of func(i int32, srv *server) (rank, bool)) int32 {
 	best, ties, low := noServer, int32(0), rank{}
 	for i := range d.servers {
 		order, ok := of(int32(i), &d.servers[i])
--- a/policy/types.go
+++ b/policy/types.go
@@ -31,22 +31,22 @@
 	roleCount
 )
 
-// Effect says what a repeated run of a request would do.
-type Effect uint8
+// Idempotency says what a repeated run of a request would do.
+type Idempotency uint8
 
 const (
-	Idempotent    Effect = iota // may run any number of times
-	Deduplicated                // repeats are known and dropped within a group of servers, for a time
-	NonIdempotent               // must never run twice
+	Idempotent    Idempotency = iota // may run any number of times
+	Deduplicated                     // repeats are known and dropped within a group of servers, for a time
+	NonIdempotent                    // must never run twice
 )
 
-// Group is the set of servers that knows a deduplicated request's repeats.
-type Group uint8
+// DedupScope is the set of servers that knows a deduplicated request's repeats.
+type DedupScope uint8
 
 const (
-	GroupAll Group = iota
-	GroupZone
-	GroupCell
+	DedupScopeAll DedupScope = iota
+	DedupScopeZone
+	DedupScopeCell
 )
 
 // Health is what the list says of a server's process.
@@ -63,33 +63,33 @@
 
 const (
 	Served          Outcome = iota // answered to the end
-	Read                           // the prompt is read, its state waits at the prefill server
+	Prefilled                      // the prompt is read, its state waits at the prefill server
 	Rejected                       // turned away: full, draining
-	Stateless                      // turned away: there was no state to fetch
+	StateMissing                   // turned away: there was no state to fetch
 	Unreachable                    // no connection; it never ran
 	NotSent                        // never left the dispatcher
 	Failed                         // the server returned an error
-	Late                           // its time ran out
-	Broken                         // the connection broke
+	TimedOut                       // its time ran out
+	ConnectionLost                 // the connection broke
 	Canceled                       // cancelled by this dispatcher
 	StaleConnection                // lost with a connection kept from before, dead by then: it may have run
 )
 
 // Class is one class of requests.
 type Class struct {
-	Target      Nanos // first token wanted within this time of arrival ...
-	TargetPer1k Nanos // ... and so much more for each 1,000 prompt tokens
-	Timeout     Nanos // the client's whole time, all its tries together
-	Value       float64
-	LateValue   float64 // share paid after the target
-	TokenGap    Nanos   // wanted between tokens
-	Effect      Effect
-	Group       Group
-	Window      Nanos // for this long the group remembers a deduplicated request
+	LatencyTarget      Nanos // first token wanted within this time of arrival ...
+	LatencyTargetPer1k Nanos // ... and so much more for each 1,000 prompt tokens
+	Timeout            Nanos // the client's whole time, all its tries together
+	Value              float64
+	LateValue          float64 // share paid after the target
+	InterTokenTarget   Nanos   // wanted between tokens
+	Idempotency        Idempotency
+	DedupScope         DedupScope
+	DedupWindow        Nanos // for this long the group remembers a deduplicated request
 }
 
 // Tenant is one payer and what it is entitled to, over all dispatchers.
-type Tenant struct{ PerSecond float64 }
+type Tenant struct{ RequestsPerSecond float64 }
 
 // Identity tells a dispatcher which one of them it is.
 type Identity struct {
@@ -97,84 +97,84 @@
 	Zone          ZoneID
 }
 
-// ColdStart describes servers that have just started, and what makes them fail.
-type ColdStart struct {
-	From     float64 // share of its capacity with which a server starts, at least
-	Warm     Nanos   // warm after this time
-	Multiple float64 // sent this multiple of what it can do ...
-	Window   Nanos   // ... over this long, it falls over
+// SlowStart describes servers that have just started, and what makes them fail.
+type SlowStart struct {
+	InitialCapacity float64 // share of its capacity with which a server starts, at least
+	WarmupTime      Nanos   // warm after this time
+	OverloadFactor  float64 // sent this multiple of what it can do ...
+	OverloadWindow  Nanos   // ... over this long, it falls over
 }
 
 // AttemptLimits bounds what may be sent.
 type AttemptLimits struct {
-	Most        int32 // attempts for one request
-	Cancel      bool
-	DecodeReads bool // decode servers read a prompt themselves when no state waits
+	MaxAttempts      int32 // attempts for one request
+	CanCancel        bool
+	DecodeCanPrefill bool // decode servers read a prompt themselves when no state waits
 }
 
-// Answering bounds final answers.
-type Answering struct {
-	Slack     Nanos // still accepted so long after the client's deadline
-	Round     Nanos // time between two rounds of events
-	Advice    bool  // clients are told when to come back
-	MaxAdvice Nanos
+// ResponseSettings bounds final answers.
+type ResponseSettings struct {
+	DeadlineGrace  Nanos // still accepted so long after the client's deadline
+	RoundInterval  Nanos // time between two rounds of events
+	SendRetryAfter bool  // clients are told when to come back
+	MaxRetryAfter  Nanos
 }
 
-// Listing says how the list of servers is come by.
-type Listing struct {
-	Asked  bool  // only on request
-	Within Nanos // to be asked for at least so often
+// Discovery says how the list of servers is come by.
+type Discovery struct {
+	OnRequest   bool  // only on request
+	MaxInterval Nanos // to be asked for at least so often
 }
 
 // Request is what the client tells of a request.
 type Request struct {
-	ID       RequestID
-	Class    ClassID
-	Tenant   TenantID
-	Session  SessionKey
-	Prefix   PrefixKey
-	Prompt   int64 // tokens of the prompt
-	Shared   int64 // how many of them are the shared prefix
-	Cap      int64 // most tokens in the answer
-	Deadline Nanos // the client gives this try up then
-	Hint     Nanos // rough length of the answer; 0 = none
-	Repeat   bool
+	ID               RequestID
+	Class            ClassID
+	Tenant           TenantID
+	Session          SessionKey
+	Prefix           PrefixKey
+	PromptTokens     int64 // tokens of the prompt
+	PrefixTokens     int64 // how many of them are the shared prefix
+	MaxOutputTokens  int64 // most tokens in the answer
+	Deadline         Nanos // the client gives this try up then
+	ExpectedDuration Nanos // rough length of the answer; 0 = none
+	IsRetry          bool
 }
 
-// Load is a server's own report; a negative value was not reported.
-type Load struct {
-	Requests float64 // held now
-	Memory   float64 // share held
-	Unread   float64 // prompt tokens waiting to be read or fetched
+// LoadReport is a server's own report; a negative value was not reported.
+type LoadReport struct {
+	Requests           float64 // held now
+	MemoryUtilization  float64 // share held
+	QueuedPromptTokens float64 // prompt tokens waiting to be read or fetched
 }
 
-// NoLoad is the report of a server that reports nothing.
-var NoLoad = Load{-1, -1, -1}
+// NoLoadReport is the report of a server that reports nothing.
+var NoLoadReport = LoadReport{-1, -1, -1}
 
-// Verb names what a decision asks of the caller.
-type Verb uint8
+// Action names what a decision asks of the caller.
+type Action uint8
 
 const (
-	Attempt Verb = iota + 1 // send Request to Server, for at most For
-	Cancel                  // cancel the attempt Attempt of Request
-	Reject                  // final: refused, may come back after For
-	Fail                    // final: failed
-	Release                 // have the KV state that is held for Request released
-	Wake                    // call Woken after For
-	Watch                   // subscribe to the list
-	Log                     // write Text to the log
+	SendAttempt    Action = iota + 1 // send Request to Server, for at most For
+	CancelAttempt                    // cancel the attempt Attempt of Request
+	RejectRequest                    // final: refused, may come back after For
+	FailRequest                      // final: failed
+	ReleaseState                     // have the KV state that is held for Request released
+	SetTimer                         // call Woken after For
+	WatchEndpoints                   // subscribe to the list
+	LogMessage                       // write Text to the log
 )
 
 // Decision is one thing to be done now.
 type Decision struct {
-	Verb    Verb
-	Request RequestID
-	Server  ServerID
-	Attempt AttemptNumber
-	For     Nanos
-	Kept    int64 // of an attempt that reads: prompt tokens expected to be kept there
-
-	// Before is until when an attempt may begin to be written; 0 = that does not matter.
-	Before Nanos
-	Text   string
+	Action       Action
+	Request      RequestID
+	Server       ServerID
+	Attempt      AttemptNumber
+	Duration     Nanos
+	CachedTokens int64 // of an attempt that reads: prompt tokens expected to be kept there
+
+	// SendBefore is until when an attempt may begin to be written; 0 = that does not matter.
+	SendBefore Nanos
+	Text       string
 }
