--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -34,6 +34,7 @@
 	replaced  []string // pieces of the settings and what stands in their place, pairwise
 	addresses byte     // given out so far
 	sockets   int      // descriptors of the dispatcher
+	trace     *trace   // on the simulated network: what the scripted peers saw
 }
 
 // network is what connections of a harness run over.
@@ -62,6 +63,8 @@
 	t.Helper()
 	h := &harness{t: t, began: time.Now(), replaced: replaced, sockets: 1024}
 	if on == simulated {
+		h.trace = &trace{conns: map[*scriptedConn]int{}}
+		t.Cleanup(func() { h.trace.check(t) })
 		h.world = eventloop.NewSimulatedNetwork(simulationStart, int64(transitTime))
 	} else {
 		h.runLoop()
--- a/internal/node/scripted_test.go
+++ b/internal/node/scripted_test.go
@@ -177,16 +177,41 @@
 	ended  bool // the dispatcher sends no more
 }
 
-func (c *scriptedConn) Opened(eventloop.Nanos) { c.opened = true }
+func (c *scriptedConn) Opened(eventloop.Nanos) {
+	c.opened = true
+	c.record("opened", "")
+}
+
 func (c *scriptedConn) Received(_ eventloop.Nanos, p []byte) {
+	c.record("received", string(p))
 	c.in = append(c.in, p...)
 	if c.server != nil && (c.server.reply != "" || c.server.answer != nil) {
 		c.reply()
 	}
 }
-func (c *scriptedConn) PeerHalfClosed(eventloop.Nanos) { c.ended = true }
-func (c *scriptedConn) OutputFlushed(eventloop.Nanos)  {}
-func (c *scriptedConn) Closed(eventloop.Nanos, error)  { c.ended = true }
+
+func (c *scriptedConn) PeerHalfClosed(eventloop.Nanos) {
+	c.ended = true
+	c.record("half-closed", "")
+}
+
+func (c *scriptedConn) OutputFlushed(eventloop.Nanos) {}
+
+func (c *scriptedConn) Closed(_ eventloop.Nanos, err error) {
+	c.ended = true
+	if err != nil {
+		c.record("failed", "")
+		return
+	}
+	c.record("closed", "")
+}
+
+// record adds an event of the connection to the trace of its harness.
+func (c *scriptedConn) record(event, data string) {
+	if c.h.trace != nil {
+		c.h.trace.add(c.h.now(), c, event, data)
+	}
+}
 
 // reply answers the requests that have come whole as its peer does.
 func (c *scriptedConn) reply() {
