--- a/internal/backend/platform/exit_test.go
+++ b/internal/backend/platform/conn_test.go
@@ -129,7 +129,7 @@
 		io.WriteString(c, answer) // its end comes in the same bytes as what waits for the client
 		until("the answer is relayed", func() bool { return call.served == n+1 })
 		if n == 0 {
-			until("the connection may be used again", func() bool { return x.byName["w1"].takeReusableConn(l.Now()) != nil })
+			until("the connection may be used again", func() bool { return x.byName["w1"].usableIdleConn(l.Now()) != nil })
 			ask()
 		}
 	}
--- /dev/null
+++ b/internal/backend/platform/exchange.go
@@ -0,0 +1,185 @@
+package platform
+
+import (
+	"docksail/internal/decide/inflight"
+	"docksail/internal/dispatch"
+	"docksail/internal/eventloop"
+	"docksail/internal/h1"
+	"docksail/policy"
+	"time"
+)
+
+// exchange is one request to a server, an attempt or a release, and the response to it.
+type exchange struct {
+	request   *dispatch.Request  // of the attempt; nil if there is none in progress
+	release   *releaseTracker    // of the release; nil if there is none in progress
+	operation inflight.Operation // in progress, or the last
+	sentAt    eventloop.Nanos    // when its bytes were queued
+	written   bool               // the system has taken all of them
+	response  response
+}
+
+// inProgress reports whether the exchange carries an attempt or a release.
+func (x *exchange) inProgress() bool { return x.request != nil || x.release != nil }
+
+// clientID returns the client's name for the request that the exchange belongs to; nil if there is none.
+func (x *exchange) clientID() []byte {
+	switch {
+	case x.request != nil:
+		return x.request.ClientRequestID
+	case x.release != nil:
+		return x.release.clientID
+	}
+	return nil
+}
+
+// startOperation assigns an operation to the connection, which may be up or connecting.
+func (c *conn) startOperation(kind inflight.OperationKind) {
+	c.exchange.operation = inflight.NewOperation(kind)
+	if !c.connected {
+		c.advance(inflight.Connecting)
+	}
+}
+
+// beginExchange prepares the connection for the response to a request that is written next.
+func (c *conn) beginExchange(now eventloop.Nanos) {
+	c.useCount++
+	if c.useCount > 1 {
+		c.backend.Counts.IdleBeforeReuse.add(now - c.idleSince)
+	}
+	c.advance(inflight.Sending)
+	c.exchange.sentAt, c.exchange.written = now, false
+	c.exchange.response.reset()
+}
+
+// advance records that the operation has reached a state. A transition that cannot be is counted and logged.
+func (c *conn) advance(to inflight.DeliveryState) {
+	from := c.exchange.operation.State()
+	clientID := c.exchange.clientID()
+	if err := c.exchange.operation.Advance(to); err != nil {
+		c.backend.recordViolation(clientID, c.server, err)
+		return
+	}
+	c.backend.logDeliveryState(clientID, c, from, to)
+}
+
+// abandon records that the operation ends here. Whether it has ended at the server is known only if it cannot have
+// been received.
+func (c *conn) abandon() {
+	operation := &c.exchange.operation
+	switch {
+	case !c.exchange.inProgress() || operation.State() == inflight.Completed:
+	case operation.MayHaveBeenReceived():
+		c.advance(inflight.Abandoned)
+	default:
+		c.advance(inflight.Completed)
+	}
+}
+
+// abandonAndClose abandons the exchange and closes the connection.
+func (c *conn) abandonAndClose() {
+	c.abandon()
+	c.exchange.request, c.exchange.release = nil, nil
+	c.close()
+}
+
+// exchangeFailure is why an exchange has failed.
+type exchangeFailure uint8
+
+const (
+	connectionLost exchangeFailure = iota
+	invalidResponse
+)
+
+// failExchange ends the exchange whose connection was lost or whose response is invalid, and closes the connection.
+func (c *conn) failExchange(now eventloop.Nanos, failure exchangeFailure) {
+	req, tracker := c.exchange.request, c.exchange.release
+	c.abandonAndClose()
+	switch {
+	case req != nil:
+		c.failAttempt(now, req, failure)
+	case tracker != nil:
+		tracker.handleConnLost(now, c)
+	}
+}
+
+// failAttempt reports the end of an attempt whose connection was lost or whose response is invalid.
+func (c *conn) failAttempt(now eventloop.Nanos, req *dispatch.Request, failure exchangeFailure) {
+	outcome := policy.ConnectionLost
+	if failure == connectionLost {
+		outcome = c.lostOutcome(now)
+	}
+	if failure == connectionLost && outcome != policy.StaleConnection {
+		c.backend.log.Info("attempt connection lost", "server_id", c.server.name, "connected", c.connected,
+			"written", c.exchange.written, "streaming", req.IsStreaming(), "duration", time.Duration(now-c.exchange.sentAt),
+			"idle_before", time.Duration(c.exchange.sentAt-c.idleSince), "use_count", c.useCount)
+	}
+	if c.exchange.operation.MayContinueOnServer(req.IsStreaming()) {
+		c.trackLostAttempt(now, req)
+	}
+	c.backend.dispatcher.FinishAttempt(now, req, outcome, "", c.exchange.response.loadReport)
+	c.backend.loop.SkipNextWait()
+}
+
+// lostOutcome returns the outcome of an attempt whose connection was lost, and counts it if the connection was stale.
+func (c *conn) lostOutcome(now eventloop.Nanos) policy.Outcome {
+	x := &c.exchange
+	switch {
+	case c.backend.connPolicy.IsStale(c.useCount, x.written, x.response.started, now-x.sentAt):
+		c.backend.Counts.StaleConnections++
+		c.backend.Counts.IdleBeforeStale.add(x.sentAt - c.idleSince)
+		return policy.StaleConnection
+	case !x.written:
+		return policy.Unreachable
+	}
+	return policy.ConnectionLost
+}
+
+// connReuse is whether a connection may carry another exchange after a complete response.
+type connReuse uint8
+
+const (
+	connReusable    connReuse = iota
+	connNotReusable           // input, or the end of the connection, followed the response
+)
+
+// reuseAfter returns the reuse of a connection by the bytes of input that followed a complete response.
+func reuseAfter(remaining int) connReuse {
+	if remaining > 0 {
+		return connNotReusable
+	}
+	return connReusable
+}
+
+// finishExchange ends the exchange whose response is complete.
+func (c *conn) finishExchange(now eventloop.Nanos, reuse connReuse) {
+	req, tracker := c.exchange.request, c.exchange.release
+	head := &c.exchange.response.decoder.Head
+	// The connection may be reused before the outcome is reported, so all of the head is read first.
+	result := attemptResult{
+		statusCode: head.StatusCode,
+		rejected:   head.Get("x-turned-away") != nil,
+		isStream:   c.exchange.response.isStream,
+		streaming:  req != nil && req.IsStreaming(),
+	}
+	c.advance(inflight.Completed)
+	c.exchange.request, c.exchange.release = nil, nil
+	c.releaseConn(now, reuse, head)
+	if tracker != nil {
+		tracker.handleResponse(now, c, result.statusCode)
+		return
+	}
+	c.finishAttempt(now, req, result)
+}
+
+// releaseConn returns the connection to the pool after a complete response, or closes it.
+func (c *conn) releaseConn(now eventloop.Nanos, reuse connReuse, head *h1.Head) {
+	if reuse == connReusable && c.exchange.written && !head.Close {
+		c.becomeIdle(now)
+		return
+	}
+	if reuse == connNotReusable {
+		c.backend.Counts.ExtraBytes++
+	}
+	c.close()
+}
--- /dev/null
+++ b/internal/backend/platform/lingering.go
@@ -0,0 +1,62 @@
+package platform
+
+import (
+	"docksail/internal/decide/inflight"
+	"docksail/internal/eventloop"
+	"slices"
+)
+
+// linger keeps the connection of an abandoned attempt. Its output is closed, by which the server learns that the
+// attempt is abandoned; what the server then sends, or its end of the connection, confirms that it has ended the
+// attempt.
+func (c *conn) linger(now eventloop.Nanos, tracker *releaseTracker) {
+	c.lingersFor, c.abandonedAt = tracker, now
+	c.backend.loop.CancelTimer(&c.timer)
+	c.socket.SetReadPaused(false)
+	c.socket.CloseWriteAfterFlush()
+	tracker.lingering = append(tracker.lingering, c)
+	tracker.decisions.AttemptAbandoned(now, now+c.backend.maxClassTimeout, true)
+	tracker.schedule(now)
+}
+
+// handleLingeringClosed takes the end of a lingering connection that the server did not end in order.
+func (c *conn) handleLingeringClosed(now eventloop.Nanos) {
+	if c.lingersFor.decisions.ConfirmsEnd(now, c.abandonedAt, false) {
+		c.confirmEnd(now)
+		return
+	}
+	c.dropLingering(now, "connection lost")
+}
+
+// confirmEnd records that the server has ended the abandoned attempt, and closes the connection.
+func (c *conn) confirmEnd(now eventloop.Nanos) {
+	tracker := c.lingersFor
+	c.stopLingering()
+	c.backend.Counts.Confirmed++
+	c.backend.logDeliveryState(tracker.clientID, c, inflight.Abandoned, inflight.Completed)
+	tracker.decisions.EndConfirmed(now)
+	tracker.schedule(now)
+}
+
+// dropLingering closes a lingering connection before the end of the attempt is confirmed.
+func (c *conn) dropLingering(now eventloop.Nanos, reason string) {
+	tracker := c.lingersFor
+	c.stopLingering()
+	c.backend.Counts.Unconfirmed++
+	if c.backend.debug {
+		c.backend.log.Debug("end of attempt not confirmed", "request_id", string(tracker.clientID),
+			"server_id", c.server.name, "conn", c.number, "reason", reason)
+	}
+	tracker.decisions.WatchLost()
+	tracker.schedule(now)
+}
+
+// stopLingering removes the connection from its tracker and closes it.
+func (c *conn) stopLingering() {
+	tracker := c.lingersFor
+	c.lingersFor = nil
+	if i := slices.Index(tracker.lingering, c); i >= 0 {
+		tracker.lingering = slices.Delete(tracker.lingering, i, i+1)
+	}
+	c.close()
+}
--- /dev/null
+++ b/internal/backend/platform/loadreport.go
@@ -0,0 +1,42 @@
+package platform
+
+import (
+	"bytes"
+	"docksail/internal/platformconfig"
+	"docksail/policy"
+	"encoding/json"
+	"strconv"
+)
+
+// maxLoadValue is the limit of the values of a load report; larger ones are ignored.
+const maxLoadValue = 1e12
+
+// loadReportPrefix begins the comment line of an event stream that carries a load report.
+var loadReportPrefix = []byte(": X-Pressure: ")
+
+// loadReportLine returns the load report that the first such line of a chunk carries, or nil.
+func loadReportLine(chunk []byte) []byte {
+	i := bytes.Index(chunk, loadReportPrefix)
+	if i < 0 || i > 0 && chunk[i-1] != '\n' {
+		return nil
+	}
+	line, _, _ := bytes.Cut(chunk[i+len(loadReportPrefix):], []byte{'\n'})
+	return bytes.TrimSpace(line)
+}
+
+// recordLoadReport records a load report of the server, a JSON object of numbers. One that cannot be read is ignored.
+func (c *conn) recordLoadReport(text []byte) {
+	var values map[string]json.RawMessage
+	if len(text) > maxHeadBytes || json.Unmarshal(text, &values) != nil {
+		return
+	}
+	report := policy.NoLoadReport
+	for name, value := range values { // the order has no effect: each sets a field of its own
+		if x, err := strconv.ParseFloat(string(value), 64); err == nil && x >= 0 && x < maxLoadValue {
+			platformconfig.Report(&report, name, x)
+		}
+	}
+	c.exchange.response.loadReport = report
+	c.server.loadReport, c.server.loadReportAt = report, c.backend.loop.Now()
+	c.backend.Counts.LoadReports++
+}
--- /dev/null
+++ b/internal/backend/platform/pool.go
@@ -0,0 +1,125 @@
+package platform
+
+import (
+	"docksail/internal/eventloop"
+	"docksail/internal/indexedheap"
+	"docksail/policy"
+	"errors"
+)
+
+// errConnLimit is returned if a connection is needed and all that are permitted are in use.
+var errConnLimit = errors.New("limit of connections to servers reached")
+
+// newIdleHeap returns an empty heap of idle connections in which the one that has been idle for longest is first.
+func newIdleHeap() indexedheap.Heap[*conn] {
+	return indexedheap.Heap[*conn]{
+		Index: func(c *conn) *int { return &c.heapIndex },
+		Less: func(a, b *conn) bool {
+			return a.idleSince < b.idleSince || a.idleSince == b.idleSince && a.number < b.number
+		},
+	}
+}
+
+// acquireConn returns a connection to a server that carries nothing: an idle one if mayReuse permits it and one is
+// usable, else a new one. It returns errConnLimit if maxConns are open and none can be evicted.
+func (b *Backend) acquireConn(now eventloop.Nanos, srv *server, maxConns int, mayReuse bool) (*conn, error) {
+	if mayReuse {
+		if c := srv.usableIdleConn(now); c != nil {
+			b.Counts.Reused++
+			b.idleConns.Remove(c)
+			b.loop.CancelTimer(&c.timer)
+			c.idle = false
+			return c, nil
+		}
+	}
+	if b.openConns >= maxConns && !b.evictConn(now) {
+		b.Counts.NoRoom++
+		return nil, errConnLimit
+	}
+	return b.dial(srv)
+}
+
+// dial begins a connection to a server; conn.Opened or conn.Closed follows.
+func (b *Backend) dial(srv *server) (*conn, error) {
+	b.lastConnNumber++
+	c := &conn{backend: b, server: srv, number: b.lastConnNumber}
+	c.onTimer = c.handleTimer
+	socket, err := b.loop.Dial(srv.listing.addr, b.connectTimeout, c)
+	if err != nil {
+		b.log.Warn("dial failed", "server_id", srv.name, "error", err)
+		return nil, err
+	}
+	b.Counts.Dialed++
+	b.openConns++
+	c.socket = socket
+	srv.conns = append(srv.conns, c)
+	return c, nil
+}
+
+// evictConn closes a connection that carries nothing to make room for another: the one that has been idle for
+// longest, else the oldest that lingers. It reports whether there was one.
+func (b *Backend) evictConn(now eventloop.Nanos) bool {
+	if b.idleConns.Len() > 0 {
+		b.idleConns.Min().closeIdle()
+		return true
+	}
+	var oldest *conn
+	for _, tracker := range b.releaseTrackers {
+		for _, c := range tracker.lingering {
+			if oldest == nil || c.number < oldest.number {
+				oldest = c
+			}
+		}
+	}
+	if oldest == nil {
+		return false
+	}
+	b.Counts.LingeringDropped++
+	oldest.dropLingering(now, "descriptor needed")
+	return true
+}
+
+// latestIdleConn returns the idle connection that was used last, if any may be reused. The server may have closed it
+// unnoticed.
+func (s *server) latestIdleConn(now eventloop.Nanos) (latest *conn) {
+	for _, c := range s.conns {
+		reusable := c.idle && s.backend.connPolicy.IsReusable(now, c.idleSince)
+		if reusable && (latest == nil || c.idleSince > latest.idleSince) {
+			latest = c
+		}
+	}
+	return latest
+}
+
+// usableIdleConn returns the idle connection that was used last and on which nothing has come since, or nil. It
+// closes those on which something has.
+func (s *server) usableIdleConn(now eventloop.Nanos) *conn {
+	for {
+		c := s.latestIdleConn(now)
+		if c == nil || c.socket.InputEmpty() {
+			return c
+		}
+		s.backend.Counts.IdleUnusable++
+		c.closeIdle()
+	}
+}
+
+// becomeIdle returns the connection to the pool after an exchange.
+func (c *conn) becomeIdle(now eventloop.Nanos) {
+	if c.server.health == policy.Gone {
+		c.closeIdle()
+		return
+	}
+	c.socket.SetReadPaused(false) // it may be paused for the client of the exchange
+	c.idle, c.idleSince = true, now
+	c.backend.idleConns.PushOrFix(c)
+	c.backend.loop.SetTimer(&c.timer, c.backend.connPolicy.IdleDeadline(now), c.onTimer)
+}
+
+// closeIdle closes a connection that carries nothing.
+func (c *conn) closeIdle() {
+	c.backend.Counts.IdleClosed++
+	c.idle = false
+	c.backend.idleConns.Remove(c)
+	c.close()
+}
--- /dev/null
+++ b/internal/backend/platform/releasetracker.go
@@ -0,0 +1,184 @@
+package platform
+
+import (
+	"docksail/internal/decide/inflight"
+	"docksail/internal/dispatch"
+	"docksail/internal/eventloop"
+	"docksail/policy"
+	"slices"
+	"time"
+)
+
+// releaseTracker releases the state that attempts of one request may have left at servers. It carries out what
+// inflight.ReleaseTracker decides: it sends releases, and keeps the connections of abandoned attempts until their
+// end is confirmed. It outlives the request.
+type releaseTracker struct {
+	backend   *Backend
+	decisions inflight.ReleaseTracker
+	requestID policy.RequestID
+	clientID  []byte // the client's name for the request
+	timer     eventloop.Timer
+	onTimer   func(eventloop.Nanos)
+	running   bool // within run
+	ended     bool
+
+	// Releases, which are sent in rounds.
+	pending       []*conn // that carry a release without a response
+	besidePrefill bool    // the pending ones were begun while a prefill attempt was in flight
+	round         int     // since a release was last accepted
+	triedServers  []policy.ServerID
+	nextRoundAt   eventloop.Nanos
+
+	lingering []*conn // on which the end of an abandoned attempt is awaited
+	waiting   waitingAttempt
+}
+
+// trackerFor returns the release tracker of a request, which it adds if there is none. It returns nil if there are as
+// many as are permitted.
+func (b *Backend) trackerFor(req *dispatch.Request) *releaseTracker {
+	if tracker := b.releaseTrackers[req.ID]; tracker != nil {
+		return tracker
+	}
+	if !inflight.CanAddTracker(len(b.releaseTrackers)) {
+		b.recordReleaseLost(req.ClientRequestID, "too many releases in progress", 0, 0)
+		return nil
+	}
+	tracker := &releaseTracker{
+		backend:   b,
+		decisions: inflight.NewReleaseTracker(b.releaseTime, b.connPolicy.IdleTimeout),
+		requestID: req.ID,
+		clientID:  slices.Clone(req.ClientRequestID),
+	}
+	tracker.onTimer = tracker.run
+	b.releaseTrackers[req.ID] = tracker
+	return tracker
+}
+
+// Release implements dispatch.Backend. Every server that is up takes a release, so the one that holds the state
+// does not matter.
+func (b *Backend) Release(
+	now eventloop.Nanos, req *dispatch.Request, _ policy.ServerID, _ policy.AttemptNumber, heldSince eventloop.Nanos,
+) {
+	tracker := b.trackerFor(req)
+	if tracker == nil {
+		return
+	}
+	b.Counts.Releases++
+	tracker.decisions.RequestRelease(now, heldSince)
+	tracker.schedule(now)
+}
+
+// releasePending reports whether a release is due or in flight. A prefill attempt that overtook it would lose its
+// state to it.
+func (t *releaseTracker) releasePending() bool {
+	return t.decisions.ReleasePending() || len(t.pending) > 0
+}
+
+// schedule has run called at the end of the turn, when it is known what else becomes of the request in it.
+func (t *releaseTracker) schedule(now eventloop.Nanos) {
+	t.backend.loop.SetTimer(&t.timer, now, t.onTimer)
+}
+
+// run does what is due now.
+func (t *releaseTracker) run(now eventloop.Nanos) {
+	if t.running || t.ended {
+		return
+	}
+	t.running = true
+	defer func() { t.running = false }()
+	b := t.backend
+	permission, attemptInFlight := b.dispatcher.ReleasePermission(t.requestID)
+	if t.decisions.DetectLoss(now) {
+		b.recordReleaseLost(t.clientID, "not accepted in time", len(t.triedServers), t.decisions.HeldFor(now))
+	}
+	action, at := t.decisions.NextAction(now, permission, attemptInFlight)
+	switch action {
+	case inflight.ActionSend:
+		if now >= t.nextRoundAt {
+			t.besidePrefill = permission == inflight.ReleaseIfUrgent
+			t.sendRound(now)
+		}
+		b.loop.SetTimer(&t.timer, max(t.nextRoundAt, now+1), t.onTimer)
+	case inflight.ActionWait:
+		b.loop.SetTimer(&t.timer, max(at, now+1), t.onTimer)
+		t.sendWaitingPrefill(now)
+	case inflight.ActionExpire:
+		t.logExpired(now)
+		t.end(now)
+	case inflight.ActionDone:
+		t.end(now)
+	}
+}
+
+// end removes the tracker. A prefill attempt that waits is sent.
+func (t *releaseTracker) end(now eventloop.Nanos) {
+	b := t.backend
+	t.ended = true
+	b.loop.CancelTimer(&t.timer)
+	delete(b.releaseTrackers, t.requestID)
+	t.cancelPending()
+	for _, c := range t.lingering {
+		b.Counts.Unconfirmed++
+		c.lingersFor = nil
+		c.close()
+	}
+	t.lingering = nil
+	t.sendWaitingPrefill(now)
+	b.loop.SkipNextWait()
+}
+
+// logExpired logs that state may be left at a server.
+func (t *releaseTracker) logExpired(now eventloop.Nanos) {
+	if t.decisions.ReleasePending() {
+		t.backend.log.Warn("release given up", "request_id", string(t.clientID), "tries", len(t.triedServers),
+			"held", time.Duration(t.decisions.HeldFor(now)))
+		return
+	}
+	t.backend.log.Info("end of attempt not confirmed", "request_id", string(t.clientID), "connections", len(t.lingering))
+}
+
+// recordReleaseLost counts and logs that state is left to the servers' own timeout, or is held for too long. It
+// copies what it logs: the log is written by another goroutine.
+func (b *Backend) recordReleaseLost(clientID []byte, reason string, tries int, held eventloop.Nanos) {
+	b.Counts.ReleasesLost++
+	b.log.Warn("release lost", "request_id", string(clientID), "reason", reason, "tries", tries,
+		"held", time.Duration(held))
+}
+
+// sendWaitingPrefill sends the prefill attempt that waits, if no release is pending that could drop its state.
+func (t *releaseTracker) sendWaitingPrefill(now eventloop.Nanos) {
+	req := t.waiting.request
+	if req == nil || t.releasePending() {
+		return
+	}
+	t.waiting.request = nil
+	var attempt dispatch.Attempt
+	if c := t.backend.sendAttempt(now, req); c != nil {
+		attempt = c
+	}
+	t.backend.dispatcher.ReplaceAttempt(now, req, attempt)
+	t.backend.loop.SkipNextWait()
+}
+
+// waitingAttempt is a prefill attempt that waits until no release is pending. It implements dispatch.Attempt.
+type waitingAttempt struct {
+	request *dispatch.Request // nil if none waits
+}
+
+// Finish implements dispatch.Attempt.
+func (w *waitingAttempt) Finish(eventloop.Nanos) (mayHaveBeenReceived bool) {
+	w.request = nil
+	return false
+}
+
+// AfterFinish implements dispatch.Attempt.
+func (w *waitingAttempt) AfterFinish(eventloop.Nanos) {}
+
+// CreditWindow implements dispatch.Attempt.
+func (w *waitingAttempt) CreditWindow(int) {}
+
+// DeliveryState implements dispatch.Attempt.
+func (w *waitingAttempt) DeliveryState() inflight.DeliveryState { return inflight.Planned }
+
+// ServerResponsive implements dispatch.Attempt.
+func (w *waitingAttempt) ServerResponsive() bool { return false }
--- /dev/null
+++ b/internal/backend/platform/response.go
@@ -0,0 +1,126 @@
+package platform
+
+import (
+	"bytes"
+	"docksail/internal/eventloop"
+	"docksail/internal/h1"
+	"docksail/policy"
+	"net/http"
+	"time"
+)
+
+const (
+	maxHeadBytes        = 16 << 10 // of a response
+	maxChunkBytes       = 64 << 10 // of a stream: events are a few hundred bytes
+	maxPrefillBodyBytes = 256      // of the response to a prefill attempt that are kept
+)
+
+// response is what has come of the response to an exchange.
+type response struct {
+	decoder      h1.Decoder
+	started      bool // at least one byte has come
+	headReceived bool
+	isStream     bool   // a decode server's stream of events
+	chunkCount   int    // of the stream
+	buffered     []byte // a prefill server's body, or a stream's start up to its first complete event
+	loadReport   policy.LoadReport
+}
+
+// reset prepares for the response to another request.
+func (r *response) reset() {
+	*r = response{
+		decoder:    h1.NewResponseDecoder(h1.Limits{HeadBytes: maxHeadBytes, BodyBytes: 0, ChunkBytes: maxChunkBytes}),
+		buffered:   r.buffered[:0],
+		loadReport: policy.NoLoadReport,
+	}
+}
+
+// decodeResponse decodes bytes of the response and returns how many of them it has taken.
+func (c *conn) decodeResponse(now eventloop.Nanos, p []byte) (n int) {
+	response := &c.exchange.response
+	for !c.removed && c.exchange.inProgress() {
+		event, data, size, err := response.decoder.Next(p[n:])
+		n += size
+		if err != nil {
+			c.failInvalidResponse(now, err)
+			return len(p)
+		}
+		switch event {
+		case h1.NeedData:
+			return n
+		case h1.MessageHead:
+			c.handleHead()
+		case h1.BodyData:
+			c.handleBody(now, data)
+		case h1.MessageEnd:
+			c.finishExchange(now, reuseAfter(len(p)-n))
+			return len(p)
+		}
+	}
+	return len(p)
+}
+
+// handleHead takes the head of the response.
+func (c *conn) handleHead() {
+	response := &c.exchange.response
+	head := &response.decoder.Head
+	response.headReceived = true
+	isDecode := c.exchange.request != nil && !c.exchange.request.IsPrefill
+	response.isStream = isDecode && head.StatusCode == http.StatusOK && head.Chunked
+	if report := head.Get("x-pressure"); report != nil {
+		c.recordLoadReport(report)
+	}
+}
+
+// handleBody takes a piece of the body. Bodies other than a stream's and a prefill attempt's are ignored.
+func (c *conn) handleBody(now eventloop.Nanos, data []byte) {
+	response, req := &c.exchange.response, c.exchange.request
+	switch {
+	case response.isStream:
+		c.relayChunk(now, data)
+	case req != nil && req.IsPrefill && len(response.buffered)+len(data) <= maxPrefillBodyBytes:
+		response.buffered = append(response.buffered, data...)
+	}
+}
+
+// relayChunk relays one chunk of a stream. The start of a stream is held back until its first event is complete:
+// if it turns out to be invalid before, the attempt has failed and may be repeated.
+func (c *conn) relayChunk(now eventloop.Nanos, data []byte) {
+	if report := loadReportLine(data); report != nil {
+		c.recordLoadReport(report)
+	}
+	response, req := &c.exchange.response, c.exchange.request
+	response.chunkCount++
+	if !req.IsStreaming() {
+		response.buffered = append(response.buffered, data...)
+		data = response.buffered
+		if !hasCompleteEvent(data) {
+			if len(data) > maxChunkBytes {
+				c.failInvalidResponse(now, h1.ErrBodyTooLarge)
+			}
+			return
+		}
+		if !bytes.Contains(data, []byte("data:")) {
+			c.failInvalidResponse(now, h1.ErrMalformed)
+			return
+		}
+	}
+	pause := c.backend.dispatcher.RelayTokens(now, req, data, len(data))
+	if pause && !c.removed {
+		c.socket.SetReadPaused(true)
+	}
+}
+
+// hasCompleteEvent reports whether the start of a stream holds the blank line that ends an event.
+func hasCompleteEvent(stream []byte) bool {
+	return bytes.Contains(stream, []byte("\n\n")) || bytes.Contains(stream, []byte("\r\n\r\n"))
+}
+
+// failInvalidResponse ends the exchange, whose response cannot be decoded.
+func (c *conn) failInvalidResponse(now eventloop.Nanos, err error) {
+	req := c.exchange.request
+	c.backend.Counts.InvalidResponses++
+	c.backend.log.Info("invalid response", "server_id", c.server.name, "streaming", req != nil && req.IsStreaming(),
+		"duration", time.Duration(now-c.exchange.sentAt), "chunks", c.exchange.response.chunkCount, "error", err)
+	c.failExchange(now, invalidResponse)
+}
--- /dev/null
+++ b/internal/backend/platform/server.go
@@ -0,0 +1,105 @@
+package platform
+
+import (
+	"docksail/internal/eventloop"
+	"docksail/policy"
+	"maps"
+	"slices"
+
+	"github.com/cespare/xxhash/v2"
+)
+
+// server is a model server of the endpoint list with the connections to it.
+type server struct {
+	backend   *Backend
+	id        policy.ServerID
+	name      string
+	listing   listing // by the last valid entry that did not say it was gone
+	role      policy.Role
+	health    policy.Health
+	startedAt int64 // Unix nanoseconds, the latest that was listed
+	conns     []*conn
+
+	lastHeardAt  eventloop.Nanos // when bytes last came from it, on whatever connection
+	loadReport   policy.LoadReport
+	loadReportAt eventloop.Nanos
+}
+
+// addServer adds a server that was listed for the first time.
+func (b *Backend) addServer(name string) *server {
+	srv := &server{backend: b, id: b.newServerID(name), name: name, loadReport: policy.NoLoadReport}
+	b.servers = append(b.servers, srv)
+	b.byName[name], b.byID[srv.id] = srv, srv
+	return srv
+}
+
+// newServerID returns the ID of a server by its name. It is the same in every dispatcher and after a restart,
+// except for names whose hashes collide.
+func (b *Backend) newServerID(name string) policy.ServerID {
+	id := policy.ServerID(xxhash.Sum64String(name))
+	for b.byID[id] != nil {
+		id++
+	}
+	return id
+}
+
+// removeIfUnused removes a server that is gone and has no connections left.
+func (b *Backend) removeIfUnused(srv *server) {
+	if srv.health != policy.Gone || len(srv.conns) > 0 || b.byID[srv.id] != srv {
+		return
+	}
+	delete(b.byID, srv.id)
+	delete(b.byName, srv.name)
+	if i := slices.Index(b.servers, srv); i >= 0 {
+		b.servers = slices.Delete(b.servers, i, i+1)
+	}
+}
+
+// applyHealth ends what the server's health in the list no longer permits.
+func (s *server) applyHealth(now eventloop.Nanos) {
+	if s.health != policy.Serving {
+		s.failUnsentAttempts(now)
+	}
+	if s.health == policy.Gone {
+		s.closeIdleConns()
+		s.dropLingering(now)
+		s.backend.removeIfUnused(s)
+	}
+}
+
+// failUnsentAttempts ends the attempts whose connections are not up yet or that wait for a release: the server
+// drains, and would not take them by then.
+func (s *server) failUnsentAttempts(now eventloop.Nanos) {
+	trackers := s.backend.releaseTrackers
+	for _, id := range slices.Sorted(maps.Keys(trackers)) { // an order that does not change from run to run
+		tracker := trackers[id]
+		if req := tracker.waiting.request; req != nil && req.Server == s.id {
+			tracker.waiting.request = nil
+			s.backend.dispatcher.ReplaceAttempt(now, req, nil)
+		}
+	}
+	for _, c := range slices.Clone(s.conns) {
+		if req := c.exchange.request; req != nil && !c.connected {
+			c.abandonAndClose()
+			s.backend.dispatcher.FinishAttempt(now, req, policy.NotSent, "", policy.NoLoadReport)
+		}
+	}
+}
+
+// closeIdleConns closes the idle connections to the server.
+func (s *server) closeIdleConns() {
+	for _, c := range slices.Clone(s.conns) {
+		if c.idle {
+			c.closeIdle()
+		}
+	}
+}
+
+// dropLingering closes the lingering connections to a server that is gone, and whatever it held with it.
+func (s *server) dropLingering(now eventloop.Nanos) {
+	for _, c := range slices.Clone(s.conns) {
+		if c.lingersFor != nil {
+			c.dropLingering(now, "server gone")
+		}
+	}
+}
--- /dev/null
+++ b/internal/backend/platform/stats.go
@@ -0,0 +1,132 @@
+package platform
+
+import (
+	"docksail/internal/eventloop"
+	"docksail/policy"
+	"math/bits"
+)
+
+// Counts are totals since the start of the process. The names of the fields appear in the log record "counts"; those
+// that docs/platform.md lists for operators may not change.
+type Counts struct {
+	// Connections.
+	Dialed           uint64
+	Reused           uint64
+	IdleUnusable     uint64 // idle connections that had ended, or had input, when they were to be reused
+	IdleClosed       uint64 // idle connections that were closed by this side
+	LingeringDropped uint64 // lingering connections that were closed because their descriptors were needed
+	NoRoom           uint64 // a connection was needed at the limit of connections
+	StaleConnections uint64 // attempts that were lost because a reused connection had died unnoticed
+	IdleBeforeReuse  idleTimes
+	IdleBeforeStale  idleTimes // those of StaleConnections
+
+	// Responses.
+	InvalidResponses uint64 // responses that could not be decoded
+	ExtraBytes       uint64 // input that belongs to no response
+	LoadReports      uint64
+	PrefixCache      PrefixCacheStats
+
+	// Releases.
+	Releases         uint64
+	ReleaseAttempts  uint64
+	ReleasesLost     uint64
+	ReleasesRepeated uint64 // sent again because state may have been left after the one before
+	ReleasesRefused  uint64 // answered with another status than 2xx
+	ReleasesLate     uint64 // accepted after the time within which the state had to be released
+	ReleaseSlowest   int64  // nanoseconds
+	ReleasedEarly    uint64 // sent beside an attempt that may not have reached its server
+	Confirmed        uint64 // abandoned attempts whose end the server has confirmed
+	Unconfirmed      uint64 // abandoned attempts whose end was not confirmed
+
+	// Endpoint list.
+	ListUpdates      uint64
+	DiscoveryWatches uint64
+
+	Violations uint64 // actions that the rules of inflight forbid: faults of the program
+}
+
+// idleTimes is a histogram of how long connections were idle. The first bucket holds times under 16 ms; the limit of
+// each next bucket is twice that of the one before.
+type idleTimes [12]uint64
+
+// firstIdleBits is the number of bits of a time in nanoseconds that fits the first bucket: 2^24 ns are 16.8 ms.
+const firstIdleBits = 24
+
+// add counts an idle time.
+func (h *idleTimes) add(idle eventloop.Nanos) {
+	h[min(bits.Len64(uint64(idle>>firstIdleBits)), len(h)-1)]++
+}
+
+// PrefixCacheStats compares the cached tokens that prefill servers reported with those that were expected, over the
+// prefill attempts that succeeded with a report. All fields but Prefills are prompt tokens.
+type PrefixCacheStats struct {
+	Prefills   uint64
+	Prompt     uint64
+	Shared     uint64 // of prefixes that prompts share
+	Expected   uint64
+	Found      uint64
+	Missed     uint64 // expected and not found
+	Unexpected uint64 // found and not expected
+}
+
+// recordPrefill counts one prefill attempt.
+func (s *PrefixCacheStats) recordPrefill(prompt, shared, expected, found int64) {
+	s.Prefills++
+	s.Prompt += uint64(prompt)
+	s.Shared += uint64(shared)
+	s.Expected += uint64(expected)
+	s.Found += uint64(found)
+	s.Missed += uint64(max(expected-found, 0))
+	s.Unexpected += uint64(max(found-expected, 0))
+}
+
+// ServerStats is the state of a server as its connections show it.
+type ServerStats struct {
+	ID               policy.ServerID
+	Name             string
+	Prefill          bool
+	InFlightAttempts int // on connections to it, or waiting for a release
+	IdleConns        int
+	LoadReport       policy.LoadReport
+	LoadReportAge    int64 // nanoseconds; -1 = there is no report
+}
+
+// EachServer calls f for every server of the list, in the order in which they were first listed.
+func (b *Backend) EachServer(now eventloop.Nanos, f func(ServerStats)) {
+	for _, srv := range b.servers {
+		f(b.statsOf(now, srv))
+	}
+}
+
+func (b *Backend) statsOf(now eventloop.Nanos, srv *server) ServerStats {
+	stats := ServerStats{
+		ID:            srv.id,
+		Name:          srv.name,
+		Prefill:       srv.role == policy.Prefill,
+		LoadReport:    srv.loadReport,
+		LoadReportAge: -1,
+	}
+	if srv.loadReport != policy.NoLoadReport {
+		stats.LoadReportAge = now - srv.loadReportAt
+	}
+	for _, c := range srv.conns {
+		switch {
+		case c.exchange.request != nil:
+			stats.InFlightAttempts++
+		case c.idle:
+			stats.IdleConns++
+		}
+	}
+	for _, tracker := range b.releaseTrackers {
+		if waiting := tracker.waiting.request; waiting != nil && waiting.Server == srv.id {
+			stats.InFlightAttempts++
+		}
+	}
+	return stats
+}
+
+// Conns returns the number of open connections to servers.
+func (b *Backend) Conns() int { return b.openConns }
+
+// Servers returns the number of servers that are known.
+func (b *Backend) Servers() int { return len(b.servers) }
