--- a/internal/backend/platform/conn_test.go
+++ b/internal/backend/platform/conn_test.go
@@ -2,135 +2,109 @@
 
 import (
 	"bufio"
-	"docksail/internal/dispatch"
 	"docksail/internal/eventloop"
 	"docksail/internal/frontend"
 	"docksail/internal/platformconfig"
 	"docksail/policy"
 	"io"
-	"log/slog"
 	"net"
 	"net/http"
-	"net/netip"
 	"testing"
 	"time"
 )
 
-// scriptedModule decides what the test gives it to decide.
-type scriptedModule struct{ decisions []policy.Decision }
+// waitTimeout limits the wait for what a test expects of a running loop.
+const waitTimeout = 5 * time.Second
 
-func (*scriptedModule) ListUpdateStarted(bool) {}
-func (*scriptedModule) ServerListed(policy.ServerID, policy.ZoneID, policy.KindID, policy.CellID, policy.Health, policy.Nanos) {
-}
-func (*scriptedModule) ListUpdateEnded(policy.Nanos)                {}
-func (*scriptedModule) ListUpdateFailed(policy.Nanos)               {}
-func (*scriptedModule) RequestArrived(policy.Nanos, policy.Request) {}
-func (*scriptedModule) StreamStarted(policy.Nanos, policy.RequestID, policy.AttemptNumber, policy.Nanos) {
-}
-func (*scriptedModule) RequestCanceled(policy.Nanos, policy.RequestID)              {}
-func (*scriptedModule) StateHeldSince(policy.Nanos, policy.RequestID, policy.Nanos) {}
-func (*scriptedModule) TimerFired(policy.Nanos)                                     {}
-func (*scriptedModule) AttemptEnded(policy.Nanos, policy.RequestID, policy.AttemptNumber, policy.Outcome, policy.Nanos, bool, policy.LoadReport) {
-}
-
-func (m *scriptedModule) NextDecision(policy.Nanos) (policy.Decision, bool) {
-	if len(m.decisions) == 0 {
-		return policy.Decision{}, false
-	}
-	next := m.decisions[0]
-	m.decisions = m.decisions[1:]
-	return next, true
-}
-
-// noClients is an entry by which nobody comes.
-type noClients struct{}
-
-func (noClients) Listen(at netip.AddrPort, _ bool) (netip.AddrPort, error) { return at, nil }
-func (noClients) Flush()                                                   {}
-func (noClients) ConnCount() int                                           { return 0 }
-func (noClients) IsIdle() bool                                             { return true }
-func (noClients) Drain()                                                   {}
-
-// slowCall is a client that has never room: whatever is relayed to it waits.
-type slowCall struct{ served int }
-
-func (*slowCall) WriteTokens(policy.RequestID, []byte) bool        { return true }
-func (c *slowCall) Complete(policy.RequestID)                      { c.served++ }
-func (*slowCall) Fail(policy.RequestID, string)                    {}
-func (*slowCall) Reject(policy.RequestID, frontend.RejectionError) {}
-
-// A connection that was held back for a slow client as its answer ended is read again when it carries the next request.
-func TestHeldBackConnectionIsReadAgain(t *testing.T) {
-	l, err := eventloop.New()
+// TestPausedConnIsReadForNextRequest: a connection whose reading was paused for a slow client when its response ended
+// is read again when it carries the next request.
+func TestPausedConnIsReadForNextRequest(t *testing.T) {
+	l := newLoop(t)
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	host, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer host.Close()
-	mod, call := &scriptedModule{}, &slowCall{}
-	log := slog.New(slog.DiscardHandler)
-	d, err := dispatch.NewDirect(l, log, mod, []string{"a"}, []policy.Class{{LatencyTarget: 1e9, Timeout: 9e9}}, nil, 10, 1000, 0, 0, 1)
-	if err != nil {
-		t.Fatal(err)
-	}
-	x := New(l, d, log, &platformconfig.Config{
-		Zones: []string{"z"}, Kinds: []string{"decode"}, Roles: []policy.Role{policy.Decode},
-		IdleTimeout: 15e9, ReleaseTime: 1e9, ConnectTimeout: 250e6,
-	}, 10, netip.AddrPort{})
-	d.Attach(noClients{}, x)
-	x.SetInitialList(0, EndpointList{Full: true, Endpoints: []Endpoint{{ID: "w1", Addr: host.Addr().String(), Zone: "z", Kind: "decode", State: "Ready"}}})
+	defer listener.Close()
+	module, client := &scriptedModule{}, &slowClient{}
+	b := newBackend(t, l, module, platformconfig.Config{IdleTimeout: 15e9, ConnectTimeout: 250e6})
+	endpoints := []Endpoint{readyServer("w1", listener.Addr().String())}
+	b.SetInitialList(0, EndpointList{Full: true, Endpoints: endpoints})
 	done := make(chan error)
-	go func() { done <- l.Run(d.RunIteration) }()
-	defer func() { l.Stop(); <-done; l.Close() }()
-	on := func(f func()) {
-		got := make(chan struct{})
-		l.Post(func() { f(); close(got) })
-		<-got
-	}
-	ask := func() {
-		on(func() {
-			id, err := d.Submit(l.Now(), call, &frontend.Request{Class: []byte("a"), ClientID: []byte("n"), Path: []byte("/"), Raw: []byte("x"), PromptTokens: 1})
+	go func() { done <- l.Run(b.dispatcher.RunIteration) }()
+	defer func() {
+		l.Stop()
+		if err := <-done; err != nil {
+			t.Error(err)
+		}
+	}()
+	submit := func() {
+		onLoop(l, func() {
+			id, err := b.dispatcher.Submit(l.Now(), client, &frontend.Request{
+				Class: []byte("a"), ClientID: []byte("n"), Path: []byte("/"), Raw: []byte("x"), PromptTokens: 1,
+			})
 			if err != nil {
 				t.Error(err)
 			}
-			mod.decisions = append(mod.decisions, policy.Decision{Action: policy.SendAttempt, Request: id, Server: x.byName["w1"].id, Duration: 9e9})
+			module.decisions = append(module.decisions, policy.Decision{
+				Action: policy.SendAttempt, Request: id, Server: b.byName["w1"].id, Duration: 9e9,
+			})
 		})
 	}
-	until := func(what string, is func() bool) {
-		t.Helper()
-		for end := time.Now().Add(5 * time.Second); ; {
-			var ok bool
-			if on(func() { ok = is() }); ok {
-				return
-			}
-			if time.Now().After(end) {
-				t.Fatalf("%s: not within 5 s", what)
-			}
+	const response = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
+		"8\r\ndata: x\n\r\n9\r\ndata: y\n\n\r\n0\r\n\r\n"
+
+	submit()
+	conn, err := listener.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer conn.Close()
+	in := bufio.NewReader(conn)
+	for n := range 2 {
+		answerNext(t, conn, in, response) // its end comes with the bytes that wait for the client
+		waitOnLoop(t, l, "the response is relayed", func() bool { return client.completed == n+1 })
+		if n == 0 {
+			waitOnLoop(t, l, "the connection is reusable", func() bool {
+				return b.byName["w1"].usableIdleConn(l.Now()) != nil
+			})
+			submit()
 		}
 	}
-	const answer = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n8\r\ndata: x\n\r\n9\r\ndata: y\n\n\r\n0\r\n\r\n"
+}
 
-	ask()
-	c, err := host.Accept()
+// answerNext reads the next request of a connection and writes the response to it.
+func answerNext(t *testing.T, conn net.Conn, in *bufio.Reader, response string) {
+	t.Helper()
+	r, err := http.ReadRequest(in)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	in := bufio.NewReader(c)
-	for n := range 2 {
-		r, err := http.ReadRequest(in)
-		if err != nil {
-			t.Fatal(err)
+	if _, err := io.Copy(io.Discard, r.Body); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := io.WriteString(conn, response); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// onLoop runs f on a running loop.
+func onLoop(l *eventloop.Loop, f func()) {
+	done := make(chan struct{})
+	l.Post(func() { f(); close(done) })
+	<-done
+}
+
+// waitOnLoop waits until a condition holds, which it evaluates on a running loop.
+func waitOnLoop(t *testing.T, l *eventloop.Loop, what string, condition func() bool) {
+	t.Helper()
+	for end := time.Now().Add(waitTimeout); ; {
+		holds := false
+		onLoop(l, func() { holds = condition() })
+		if holds {
+			return
 		}
-		io.Copy(io.Discard, r.Body)
-		io.WriteString(c, answer) // its end comes in the same bytes as what waits for the client
-		until("the answer is relayed", func() bool { return call.served == n+1 })
-		if n == 0 {
-			until("the connection may be used again", func() bool { return x.byName["w1"].usableIdleConn(l.Now()) != nil })
-			ask()
+		if time.Now().After(end) {
+			t.Fatalf("%s: not within %v", what, waitTimeout)
 		}
 	}
 }
--- a/internal/backend/platform/jsonobjects.go
+++ b/internal/backend/platform/jsonobjects.go
@@ -17,16 +17,6 @@
 	escaped bool   // the next byte belongs to an escape sequence
 }
 
-// position is where a byte stands in the stream.
-type position uint8
-
-const (
-	withinOrBetween position = iota // within an object, or white space between two
-	objectStart
-	objectEnd
-	invalidBetween // another byte than white space between two objects
-)
-
 // atBoundary reports whether the stream is between two objects.
 func (s *objectSplitter) atBoundary() bool { return s.depth == 0 }
 
@@ -36,22 +26,30 @@
 func (s *objectSplitter) feed(p []byte, handle func(text []byte) error) error {
 	start := 0 // of the open object in p
 	for i, c := range p {
-		switch s.advance(c) {
-		case withinOrBetween:
-		case objectStart:
-			start = i
-		case objectEnd:
-			text := p[start : i+1]
-			if len(s.partial) > 0 {
-				text = append(s.partial, text...)
+		if s.quoted {
+			s.advanceString(c)
+			continue
+		}
+		if s.depth == 0 && !mayFollowObject(c) {
+			return fmt.Errorf("%q between two objects of the list", c)
+		}
+		switch c {
+		case '"':
+			s.quoted = true
+		case '{', '[':
+			if s.depth == 0 {
+				start = i
 			}
-			start = i + 1
-			if err := handle(text); err != nil {
+			s.depth++
+		case '}', ']':
+			s.depth--
+			if s.depth > 0 {
+				continue
+			}
+			if err := s.complete(p[start:i+1], handle); err != nil {
 				return err
 			}
-			s.partial = nil // not reused: a full list is long, and the changes that follow it are short
-		case invalidBetween:
-			return fmt.Errorf("%q between two objects of the list", c)
+			start = i + 1
 		}
 	}
 	if s.depth == 0 {
@@ -63,36 +61,34 @@
 	return nil
 }
 
-// advance takes the next byte of the stream and returns its position.
-func (s *objectSplitter) advance(c byte) position {
-	switch {
-	case s.escaped:
+// advanceString takes the next byte of a string.
+func (s *objectSplitter) advanceString(c byte) {
+	if s.escaped {
 		s.escaped = false
-	case s.quoted:
-		s.escaped, s.quoted = c == '\\', c != '"'
-	case s.depth == 0:
-		return s.advanceBetween(c)
-	case c == '"':
-		s.quoted = true
-	case c == '{' || c == '[':
-		s.depth++
-	case c == '}' || c == ']':
-		s.depth--
-		if s.depth == 0 {
-			return objectEnd
-		}
+		return
 	}
-	return withinOrBetween
+	s.escaped, s.quoted = c == '\\', c != '"'
 }
 
-// advanceBetween is advance between two objects.
-func (s *objectSplitter) advanceBetween(c byte) position {
+// mayFollowObject reports whether c may stand between two objects or begin the next.
+func mayFollowObject(c byte) bool {
 	switch c {
-	case '{', '[':
-		s.depth = 1
-		return objectStart
-	case ' ', '\t', '\r', '\n':
-		return withinOrBetween
+	case '{', '[', ' ', '\t', '\r', '\n':
+		return true
+	}
+	return false
+}
+
+// complete hands over an object of which end is the last piece.
+func (s *objectSplitter) complete(end []byte, handle func(text []byte) error) error {
+	text := end
+	if len(s.partial) > 0 {
+		s.partial = append(s.partial, end...)
+		text = s.partial
 	}
-	return invalidBetween
+	if err := handle(text); err != nil {
+		return err
+	}
+	s.partial = nil // not reused: a full list is long, and the changes that follow it are short
+	return nil
 }
--- a/internal/backend/platform/listupdate_test.go
+++ b/internal/backend/platform/listupdate_test.go
@@ -1,66 +1,48 @@
 package platform
 
 import (
-	"docksail/internal/dispatch"
-	"docksail/internal/eventloop"
 	"docksail/internal/platformconfig"
-	"docksail/policy"
 	"fmt"
-	"log/slog"
-	"net/netip"
 	"testing"
 )
 
-// largeExit is the way to a fleet of so many servers.
-func largeExit(tb testing.TB, servers int) (*Backend, []Endpoint) {
+// newLargeBackend returns a backend with so many servers and their entries.
+func newLargeBackend(tb testing.TB, servers int) (*Backend, []Endpoint) {
 	tb.Helper()
-	l, err := eventloop.New()
-	if err != nil {
-		tb.Fatal(err)
+	b := newBackend(tb, newLoop(tb), &scriptedModule{}, platformconfig.Config{})
+	endpoints := make([]Endpoint, servers)
+	for i := range endpoints {
+		endpoints[i] = readyServer(fmt.Sprintf("s%d", i), "127.0.0.1:80")
 	}
-	tb.Cleanup(l.Close)
-	log := slog.New(slog.DiscardHandler)
-	d, err := dispatch.NewDirect(l, log, &scriptedModule{}, []string{"a"}, []policy.Class{{LatencyTarget: 1e9, Timeout: 9e9}}, nil, 10, 1000, 0, 0, 1)
-	if err != nil {
-		tb.Fatal(err)
-	}
-	x := New(l, d, log, &platformconfig.Config{Zones: []string{"z"}, Kinds: []string{"decode"}, Roles: []policy.Role{policy.Decode}, ReleaseTime: 1e9},
-		10, netip.AddrPort{})
-	d.Attach(noClients{}, x)
-	list := make([]Endpoint, servers)
-	for i := range list {
-		list[i] = Endpoint{ID: fmt.Sprintf("s%d", i), Addr: "127.0.0.1:80", Zone: "z", Kind: "decode", State: "Ready"}
-	}
-	x.ApplyList(0, EndpointList{Full: true, Endpoints: list})
-	return x, list
+	b.ApplyList(0, EndpointList{Full: true, Endpoints: endpoints})
+	return b, endpoints
 }
 
-// A change costs what it names, not what the fleet is: the allocations are the same before a large one.
-func TestChangeCostsWhatItNames(t *testing.T) {
-	cost := func(servers int) float64 {
-		x, list := largeExit(t, servers)
+// TestChangeAllocationsDoNotGrow: a change of the list costs what it names, however many servers there are.
+func TestChangeAllocationsDoNotGrow(t *testing.T) {
+	allocations := func(servers int) float64 {
+		b, endpoints := newLargeBackend(t, servers)
 		n := 0
 		return testing.AllocsPerRun(100, func() {
-			entry := list[n%len(list)]
+			endpoint := endpoints[n%len(endpoints)]
 			if n++; n%2 == 0 {
-				entry.State = "Terminating"
+				endpoint.State = "Terminating"
 			}
-			x.ApplyList(0, EndpointList{Endpoints: []Endpoint{entry}})
+			b.ApplyList(0, EndpointList{Endpoints: []Endpoint{endpoint}})
 		})
 	}
-	if small, large := cost(20), cost(2000); large > small {
-		t.Errorf("%v allocations for a change before 2,000 servers, %v before 20", large, small)
+	if small, large := allocations(20), allocations(2000); large > small {
+		t.Errorf("%v allocations for a change with 2,000 servers, %v with 20", large, small)
 	}
 }
 
-// BenchmarkChange is what one changed server costs, by the size of the fleet.
+// BenchmarkChange measures the change of one server by the number of servers.
 func BenchmarkChange(b *testing.B) {
 	for _, servers := range []int{200, 3200} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
-			x, list := largeExit(b, servers)
-			entry := list[:1]
+			backend, endpoints := newLargeBackend(b, servers)
 			for b.Loop() {
-				x.ApplyList(0, EndpointList{Endpoints: entry})
+				backend.ApplyList(0, EndpointList{Endpoints: endpoints[:1]})
 			}
 		})
 	}
