--- a/cmd/docksail/node.go
+++ b/cmd/docksail/node.go
@@ -37,7 +37,7 @@
 			if err != nil {
 				return err
 			}
-			log.Info("in service", "name", t.Name, "at", t.Listen, "memory_mb", t.Limits.Memory, "sockets", t.Limits.Sockets)
+			log.Info("in service", "name", t.Name, "at", t.Listen, "memory_mb", t.Limits.MemoryMB, "sockets", t.Limits.Descriptors)
 			tick := time.NewTicker(every)
 			defer tick.Stop()
 			for {
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -1,9 +1,8 @@
-// Package node is one dispatcher in service on the platform: what it is told at its start, its loop with the front, the
-// module and the way to the servers, and the signals that it takes.
 package node
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"net/netip"
 	"os"
@@ -14,26 +13,48 @@
 	backend "docksail/internal/backend/platform"
 )
 
+// Environment variables of the platform. configVariable names the configuration file; the others apply to what the file
+// leaves out.
+const (
+	configVariable    = "RELAY_CONFIG"
+	nameVariable      = "RELAY_NAME"
+	listenVariable    = "RELAY_LISTEN"
+	discoveryVariable = "RELAY_DISCOVERY"
+)
+
+// Limits that apply if the configuration has none.
+const (
+	defaultDescriptors = 256
+	defaultMemoryMB    = 32
+)
+
+// errNoConfigFile is returned if the environment names no configuration file.
+var errNoConfigFile = errors.New(configVariable + " names no file")
+
 // Config is the platform's configuration of one dispatcher.
 type Config struct {
-	Name      string         `json:"name"`
-	Listen    netip.AddrPort `json:"listen"`
-	Discovery netip.AddrPort `json:"discovery"`
-	Seed      string         `json:"seed"`
-	Limits    struct {
-		Cores   float64 `json:"cores"`
-		Memory  int64   `json:"memory_mb"`
-		Sockets int     `json:"sockets"`
-	} `json:"limits"`
+	Name        string               `json:"name"`
+	Listen      netip.AddrPort       `json:"listen"`
+	Discovery   netip.AddrPort       `json:"discovery"`
+	Seed        string               `json:"seed"`
+	Limits      Limits               `json:"limits"`
 	InitialList backend.EndpointList `json:"known"`
 	Settings    json.RawMessage      `json:"settings"`
 }
 
-// LoadConfig reads the file that RELAY_CONFIG names; the other variables stand in for what it leaves out.
+// Limits are the resources that a dispatcher may use.
+type Limits struct {
+	Cores       float64 `json:"cores"`
+	MemoryMB    int64   `json:"memory_mb"`
+	Descriptors int     `json:"sockets"`
+}
+
+// LoadConfig reads the file that RELAY_CONFIG names and completes it by the other variables and the defaults. An initial
+// list that cannot be read is no error: it is left empty, and discovery is asked.
 func LoadConfig(getenv func(string) string) (*Config, error) {
-	name := getenv("RELAY_CONFIG")
+	name := getenv(configVariable)
 	if name == "" {
-		return nil, fmt.Errorf("RELAY_CONFIG names no file")
+		return nil, errNoConfigFile
 	}
 	text, err := os.ReadFile(name)
 	if err != nil {
@@ -41,44 +62,61 @@
 	}
 	var file struct {
 		Config
-		Known json.RawMessage `json:"known"`
+		InitialList json.RawMessage `json:"known"`
 	}
 	if err := json.Unmarshal(text, &file); err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
 	config := file.Config
-	if len(file.Known) > 0 {
-		if err := json.Unmarshal(file.Known, &config.InitialList); err != nil { // discovery is asked all the same
-			config.InitialList = backend.EndpointList{InvalidEntries: []error{fmt.Errorf("%s: known: %w", name, err)}}
+	if len(file.InitialList) > 0 {
+		if err := json.Unmarshal(file.InitialList, &config.InitialList); err != nil {
+			invalid := fmt.Errorf("%s: known: %w", name, err)
+			config.InitialList = backend.EndpointList{InvalidEntries: []error{invalid}}
 		}
 	}
-	if config.Name == "" {
-		config.Name = getenv("RELAY_NAME")
+	if err := config.complete(getenv); err != nil {
+		return nil, fmt.Errorf("%s: %w", name, err)
 	}
-	for _, a := range []struct {
-		to   *netip.AddrPort
-		from string
-	}{{&config.Listen, "RELAY_LISTEN"}, {&config.Discovery, "RELAY_DISCOVERY"}} {
-		if a.to.IsValid() {
-			continue
-		}
-		if *a.to, err = netip.ParseAddrPort(getenv(a.from)); err != nil {
-			return nil, fmt.Errorf("%s: no address in the file, and %s: %w", name, a.from, err)
-		}
+	return &config, nil
+}
+
+// complete sets what the file leaves out. It returns an error if an address or the settings are missing.
+func (c *Config) complete(getenv func(string) string) error {
+	if c.Name == "" {
+		c.Name = getenv(nameVariable)
 	}
-	if len(config.Settings) == 0 {
-		return nil, fmt.Errorf("%s: no settings", name)
+	if err := completeAddr(&c.Listen, listenVariable, getenv); err != nil {
+		return err
 	}
-	if config.Limits.Sockets <= 0 {
-		config.Limits.Sockets = 256
+	if err := completeAddr(&c.Discovery, discoveryVariable, getenv); err != nil {
+		return err
 	}
-	if config.Limits.Memory <= 0 {
-		config.Limits.Memory = 32
+	if len(c.Settings) == 0 {
+		return errors.New("no settings")
 	}
-	return &config, nil
+	if c.Limits.Descriptors <= 0 {
+		c.Limits.Descriptors = defaultDescriptors
+	}
+	if c.Limits.MemoryMB <= 0 {
+		c.Limits.MemoryMB = defaultMemoryMB
+	}
+	return nil
+}
+
+// completeAddr sets an address that the file leaves out from a variable.
+func completeAddr(addr *netip.AddrPort, variable string, getenv func(string) string) error {
+	if addr.IsValid() {
+		return nil
+	}
+	parsed, err := netip.ParseAddrPort(getenv(variable))
+	if err != nil {
+		return fmt.Errorf("no address in the file, and %s: %w", variable, err)
+	}
+	*addr = parsed
+	return nil
 }
 
-// seed is the number that feeds all chance; a text that is no hexadecimal number stands for its hash.
+// seed returns the seed of the random source: the hexadecimal number that Seed is, else the hash of its text.
 func (c *Config) seed() uint64 {
 	n, err := strconv.ParseUint(c.Seed, 16, 64)
 	if err != nil {
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -160,7 +160,7 @@
 		Name: "n0", Discovery: h.discovery.addr, Seed: "8c1f30d27a5be964",
 		Settings: json.RawMessage(strings.NewReplacer(h.replaced...).Replace(settings)),
 	}
-	h.config.Limits.Sockets, h.config.Limits.Memory = h.sockets, 96
+	h.config.Limits.Descriptors, h.config.Limits.MemoryMB = h.sockets, 96
 	h.config.InitialList = backend.EndpointList{Version: 41, Full: true, Endpoints: h.servers}
 	h.loop, h.config.Listen = h.endpoint()
 	h.do(func() {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,3 +1,5 @@
+// Package node puts a dispatcher into service on the platform: it loads the platform's configuration, creates the event
+// loop, and connects the frontend, the dispatcher with its policy, and the backend on it.
 package node
 
 import (
@@ -12,7 +14,6 @@
 	"net/netip"
 	"runtime"
 	"runtime/debug"
-	"runtime/metrics"
 	"time"
 
 	backend "docksail/internal/backend/platform"
@@ -20,16 +21,21 @@
 )
 
 const (
-	// heapFraction of the memory limit is the collector's: the rest is for the program's text, stacks and what the kernel
-	// counts as ours.
+	// heapFraction of the memory limit is for the heap. The rest is for the program's text, stacks, and what the kernel
+	// counts as the process's.
 	heapFraction = 0.6
-	// requestBytes is what a request in hand may take: most are a tenth of it.
-	requestBytes    = 64 << 10
+	// requestFraction of the heap is for requests in hand, each of which takes maxRequestBytes at most: most take a
+	// tenth of it.
+	requestFraction = 0.5
+	maxRequestBytes = 64 << 10
+	minRequests     = 16
+
 	maxPromptTokens = 1 << 20
-	silenceLimit    = 5 * int64(time.Second) // a client is lost that waits longer after a running server's last event
+	// silenceLimit is how long a client waits for the next event of a running server before it gives up.
+	silenceLimit = 5 * int64(time.Second)
 )
 
-// Node is one dispatcher in service.
+// Node is one dispatcher in service. Its methods may be called by any goroutine.
 type Node struct {
 	loop       *eventloop.Loop
 	dispatcher *dispatch.Dispatcher
@@ -39,44 +45,52 @@
 	backend    *backend.Backend
 	log        *slog.Logger
 	done       chan struct{}
-	err        error
+	err        error // set before done is closed
 }
 
-// LimitResources sets the run-time to a small machine: one core, and a heap that keeps within the limit.
+// LimitResources sets how many cores and how much heap the process uses by the limits of the configuration.
 func LimitResources(config *Config) {
 	runtime.GOMAXPROCS(max(1, int(config.Limits.Cores+0.5)))
-	debug.SetMemoryLimit(int64(heapFraction * float64(config.Limits.Memory<<20)))
+	debug.SetMemoryLimit(int64(heapFraction * float64(config.Limits.MemoryMB<<20)))
 }
 
-// New makes a dispatcher on a loop by what it was told.
+// New returns a dispatcher on a loop, which listens for clients and watches the endpoint list as soon as the loop runs.
+// It must be called by the loop's goroutine, or before the loop runs. incarnation must differ from one start to the next.
 func New(l *eventloop.Loop, config *Config, incarnation uint64, log *slog.Logger) (*Node, error) {
 	platformConfig, err := platformconfig.New(config.seed(), config.Settings)
 	if err != nil {
 		return nil, err
 	}
-	clients, servers := clientconn.DescriptorShares(config.Limits.Sockets)
-	memory := config.Limits.Memory << 20
-	maxRequests := max(int(heapFraction*float64(memory)/2/requestBytes), 16)
+	clients, servers := clientconn.DescriptorShares(config.Limits.Descriptors)
+	memory := config.Limits.MemoryMB << 20
+	maxRequests := max(int(heapFraction*float64(memory)*requestFraction/maxRequestBytes), minRequests)
 	n := &Node{loop: l, log: log, policy: platformConfig.Policy, done: make(chan struct{})}
 	if n.dispatcher, err = dispatch.NewDirect(l, log, platformConfig.Policy, platformConfig.ClassNames, platformConfig.Classes, platformConfig.Tenant, maxRequests, maxPromptTokens, int64(platformConfig.MaxRetryAfter), silenceLimit, incarnation); err != nil {
 		return nil, err
 	}
-	n.frontend = frontend.New(l, n.dispatcher, log, clients, clientconn.MaxPartialRequestBytes(memory), n.dispatcher.HasEndpointList)
+	n.frontend = frontend.New(l, n.dispatcher, log, clients, clientconn.MaxPartialRequestBytes(memory),
+		n.dispatcher.HasEndpointList)
 	n.backend = backend.New(l, n.dispatcher, log, platformConfig, servers, config.Discovery)
 	n.dispatcher.Attach(n.frontend, n.backend)
 	n.backend.SetInitialList(l.Now(), config.InitialList)
 	if n.addr, err = n.dispatcher.Start(config.Listen, false); err != nil {
 		return nil, fmt.Errorf("node %s: %w", config.Name, err)
 	}
-	n.frontend.PauseAccepting(true) // what the agent knows counts as told from now on: no request goes before it is asked
-	open := func() { n.frontend.PauseAccepting(false) }
-	n.backend.OnFirstList(open)
-	var late eventloop.Timer
-	l.SetTimer(&late, l.Now()+discovery.InitialListTimeout, func(eventloop.Nanos) { open() })
+	n.pauseUntilFirstList()
 	return n, nil
 }
 
-// Start starts a dispatcher in service on a loop of its own goroutine.
+// pauseUntilFirstList accepts no clients until discovery has sent a list or its time is up: what discovery knows when the
+// process starts counts as delivered to it, so no request may be sent by an older list.
+func (n *Node) pauseUntilFirstList() {
+	n.frontend.PauseAccepting(true)
+	resume := func() { n.frontend.PauseAccepting(false) }
+	n.backend.OnFirstList(resume)
+	var timer eventloop.Timer
+	n.loop.SetTimer(&timer, n.loop.Now()+discovery.InitialListTimeout, func(eventloop.Nanos) { resume() })
+}
+
+// Start returns a dispatcher in service, whose loop runs on a goroutine of its own.
 func Start(config *Config, log *slog.Logger) (*Node, error) {
 	l, err := eventloop.New()
 	if err != nil {
@@ -95,84 +109,16 @@
 	return n, nil
 }
 
-// Reload takes over what may change under a dispatcher that runs: where discovery is.
+// Reload applies what may change while a dispatcher runs: the address of discovery.
 func (n *Node) Reload(config *Config) {
 	n.loop.Post(func() { n.backend.SetDiscoveryAddr(n.loop.Now(), config.Discovery) })
 }
 
-// Drain has clients go elsewhere and the dispatcher end when nobody is left.
+// Drain begins a graceful shutdown: new clients are refused, and the loop ends with the last connection.
 func (n *Node) Drain() { n.loop.Post(func() { n.dispatcher.DrainWithoutDeadline(n.loop.Stop) }) }
 
-// Done is closed at the end.
+// Done returns a channel that is closed when the loop has ended.
 func (n *Node) Done() <-chan struct{} { return n.done }
 
-// Err tells, after the end, what ended the loop; nil after Leave.
+// Err returns the error that ended the loop; nil after a drain. It may be called once Done is closed.
 func (n *Node) Err() error { return n.err }
-
-// Status is how a dispatcher does.
-type Status struct {
-	Requests, Clients, Servers, ServerConns int
-	Dispatch                                dispatch.Counts
-	Frontend                                frontend.Counts
-	Backend                                 backend.Counts
-	HeapMB                                  float64
-	ServerStatuses                          []ServerStatus `json:"-"`
-}
-
-// ServerStatus is what the module holds of a server beside what crosses the sockets to it.
-type ServerStatus struct {
-	policy.ServerEstimate
-	backend.ServerStats
-}
-
-// HasMismatch tells that the two do not agree on the attempts that are out: a fault of the program.
-func (b *ServerStatus) HasMismatch() bool {
-	if b.Prefill {
-		return int(b.UnansweredAttempts) != b.InFlightAttempts
-	}
-	return int(b.Streams) != b.InFlightAttempts
-}
-
-// InUse tells that the dispatcher has something at the server, or keeps requests from it.
-func (b *ServerStatus) InUse() bool {
-	return b.UnansweredAttempts > 0 || b.Streams > 0 || b.InFlightAttempts > 0 || b.IdleConns > 0 || b.Ejected || b.HasMismatch()
-}
-
-// Status gives the state of now, by way of the loop; false if the loop has ended or takes no call.
-func (n *Node) Status() (Status, bool) {
-	got := make(chan Status, 1)
-	posted := n.loop.Post(func() {
-		got <- Status{
-			ServerStatuses: n.serverStatuses(), Requests: n.dispatcher.InFlight(), Clients: n.frontend.ConnCount(), Servers: n.backend.Servers(), ServerConns: n.backend.Conns(),
-			Dispatch: n.dispatcher.Counts, Frontend: n.frontend.Counts, Backend: n.backend.Counts,
-		}
-	})
-	if !posted {
-		return Status{}, false
-	}
-	select {
-	case v := <-got:
-		v.HeapMB = float64(heapBytes()) / (1 << 20)
-		return v, true
-	case <-n.done:
-		return Status{}, false
-	}
-}
-
-// serverStatuses compares what the module assumes of each server with what crosses the sockets to it. It belongs to the loop.
-func (n *Node) serverStatuses() (all []ServerStatus) {
-	now := n.loop.Now()
-	n.backend.EachServer(now, func(server backend.ServerStats) {
-		if held, ok := n.policy.EstimateServer(n.dispatcher.ModuleTime(now), server.ID); ok {
-			all = append(all, ServerStatus{held, server})
-		}
-	})
-	return all
-}
-
-// heapBytes reads how much memory objects take, without stopping the program for it as runtime.ReadMemStats does.
-func heapBytes() uint64 {
-	sample := []metrics.Sample{{Name: "/memory/classes/heap/objects:bytes"}}
-	metrics.Read(sample)
-	return sample[0].Value.Uint64()
-}
--- a/internal/node/stage_test.go
+++ b/internal/node/stage_test.go
@@ -178,7 +178,7 @@
 		Name: "n0", Listen: netip.MustParseAddrPort("127.0.0.1:0"), Discovery: s.discovery(), Seed: "8c1f30d27a5be964",
 		Settings: json.RawMessage(strings.NewReplacer(s.terms...).Replace(settings)),
 	}
-	s.told.Limits.Sockets, s.told.Limits.Memory, s.told.InitialList = sockets, 96, backend.EndpointList{Version: 41, Full: true, Endpoints: s.hosts}
+	s.told.Limits.Descriptors, s.told.Limits.MemoryMB, s.told.InitialList = sockets, 96, backend.EndpointList{Version: 41, Full: true, Endpoints: s.hosts}
 	n, err := Start(s.told, slog.New(slog.DiscardHandler))
 	if err != nil {
 		s.t.Fatal(err)
