--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -32,7 +32,7 @@
 		if err := os.WriteFile(name, []byte(c.text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		told, err := LoadConfig(func(key string) string {
+		config, err := LoadConfig(func(key string) string {
 			if key == "RELAY_CONFIG" {
 				return name
 			}
@@ -42,8 +42,8 @@
 			t.Errorf("%s: %v", c.what, err)
 			continue
 		}
-		if err == nil && (len(told.InitialList.Endpoints) != c.known || len(told.InitialList.InvalidEntries) != c.unreadable || told.seed() == 0) {
-			t.Errorf("%s: %+v, seed %d", c.what, told.InitialList, told.seed())
+		if err == nil && (len(config.InitialList.Endpoints) != c.known || len(config.InitialList.InvalidEntries) != c.unreadable || config.seed() == 0) {
+			t.Errorf("%s: %+v, seed %d", c.what, config.InitialList, config.seed())
 		}
 	}
 }
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -15,26 +15,26 @@
 // watchHead begins the answer to a watch.
 const watchHead = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-// noContent answers a release.
-const noContent = "HTTP/1.1 204 No Content\r\n\r\n"
+// releaseResponse answers a release.
+const releaseResponse = "HTTP/1.1 204 No Content\r\n\r\n"
 
 // harness is a dispatcher between scripted servers and clients: nothing happens but what the test has happen. On the
 // simulated network a wait takes no time and what depends on time has the same verdict on any machine; on the loopback
 // network the same script runs over real connections.
 type harness struct {
-	t         *testing.T
-	world     *eventloop.SimulatedNetwork // nil = loopback
-	loop      *eventloop.Loop             // the dispatcher's; on loopback, that of all
-	round     func(eventloop.Nanos)
-	began     time.Time
-	node      *Node
-	config    *Config
-	discovery *scriptedServer
-	servers   []backend.Endpoint
-	replaced  []string // pieces of the settings and what stands in their place, pairwise
-	addresses byte     // given out so far
-	sockets   int      // descriptors of the dispatcher
-	trace     *trace   // on the simulated network: what the scripted peers saw
+	t            *testing.T
+	world        *eventloop.SimulatedNetwork // nil = loopback
+	loop         *eventloop.Loop             // the dispatcher's; on loopback, that of all
+	iteration    func(eventloop.Nanos)
+	startedAt    time.Time
+	node         *Node
+	config       *Config
+	discovery    *scriptedServer
+	endpoints    []backend.Endpoint
+	replaced     []string // pieces of the settings and what stands in their place, pairwise
+	addressCount byte     // given out so far
+	descriptors  int      // descriptors of the dispatcher
+	trace        *trace   // on the simulated network: what the scripted peers saw
 }
 
 // network is what connections of a harness run over.
@@ -53,15 +53,17 @@
 	scriptTimeout = 20 * time.Second
 )
 
-// onEachNetwork runs a script over simulated and over real connections.
-func onEachNetwork(t *testing.T, script func(t *testing.T, on network)) {
-	t.Run("simulated", func(t *testing.T) { script(t, simulated) })
-	t.Run("loopback", func(t *testing.T) { script(t, loopback) })
+// onEachNetwork runs a test on the simulated network and over real connections. The pieces of the settings in replaced are
+// replaced, pairwise.
+func onEachNetwork(t *testing.T, test func(h *harness), replaced ...string) {
+	t.Helper()
+	t.Run("simulated", func(t *testing.T) { test(newHarness(t, simulated, replaced...)) })
+	t.Run("loopback", func(t *testing.T) { test(newHarness(t, loopback, replaced...)) })
 }
 
 func newHarness(t *testing.T, on network, replaced ...string) *harness {
 	t.Helper()
-	h := &harness{t: t, began: time.Now(), replaced: replaced, sockets: 1024}
+	h := &harness{t: t, startedAt: time.Now(), replaced: replaced, descriptors: 1024}
 	if on == simulated {
 		h.trace = &trace{conns: map[*scriptedConn]int{}}
 		t.Cleanup(func() { h.trace.check(t) })
@@ -83,8 +85,8 @@
 	done := make(chan error, 1)
 	go func() {
 		done <- h.loop.Run(func(now eventloop.Nanos) {
-			if h.round != nil {
-				h.round(now)
+			if h.iteration != nil {
+				h.iteration(now)
 			}
 		})
 	}()
@@ -97,8 +99,8 @@
 	})
 }
 
-// do runs something where the loops' state may be touched.
-func (h *harness) do(action func()) {
+// onLoop runs something where the loops' state may be touched.
+func (h *harness) onLoop(action func()) {
 	h.t.Helper()
 	if h.world != nil {
 		action()
@@ -113,13 +115,13 @@
 	}
 }
 
-// endpoint gives a loop at an address of its own, with any port where the network has others.
-func (h *harness) endpoint() (*eventloop.Loop, netip.AddrPort) {
+// newEndpoint gives a loop at an address of its own, with any port where the network has others.
+func (h *harness) newEndpoint() (*eventloop.Loop, netip.AddrPort) {
 	if h.world == nil {
 		return h.loop, netip.MustParseAddrPort("127.0.0.1:0")
 	}
-	h.addresses++
-	at := netip.AddrFrom4([4]byte{127, 0, 1, h.addresses})
+	h.addressCount++
+	at := netip.AddrFrom4([4]byte{127, 0, 1, h.addressCount})
 	return h.world.NewLoop(at, nil), netip.AddrPortFrom(at, simulationPort)
 }
 
@@ -128,12 +130,12 @@
 	h.t.Helper()
 	p := &scriptedServer{h: h}
 	var at netip.AddrPort
-	p.loop, at = h.endpoint()
-	h.do(func() {
+	p.loop, at = h.newEndpoint()
+	h.onLoop(func() {
 		listener, err := p.loop.Listen(at, false, func(c *eventloop.Conn, _ netip.AddrPort) eventloop.Handler {
 			conn := &scriptedConn{h: h, server: p, loop: p.loop, conn: c}
 			p.conns = append(p.conns, conn)
-			p.accepted++
+			p.acceptedCount++
 			return conn
 		})
 		if err != nil {
@@ -145,11 +147,11 @@
 	return p
 }
 
-// server makes a scripted model server and adds it to the list.
-func (h *harness) server(name, kind string) *scriptedServer {
+// addServer makes a scripted model server and adds it to the list.
+func (h *harness) addServer(name, kind string) *scriptedServer {
 	h.t.Helper()
 	p := h.newServer()
-	h.servers = append(h.servers, backend.Endpoint{ID: name, Addr: p.addr.String(), Zone: "z", Kind: kind, State: "Ready"})
+	h.endpoints = append(h.endpoints, backend.Endpoint{ID: name, Addr: p.addr.String(), Zone: "z", Kind: kind, State: "Ready"})
 	return p
 }
 
@@ -158,25 +160,25 @@
 	h.t.Helper()
 	h.config = &Config{
 		Name: "n0", Discovery: h.discovery.addr, Seed: "8c1f30d27a5be964",
-		Settings: json.RawMessage(strings.NewReplacer(h.replaced...).Replace(settings)),
+		Settings: json.RawMessage(strings.NewReplacer(h.replaced...).Replace(testSettings)),
 	}
-	h.config.Limits.Descriptors, h.config.Limits.MemoryMB = h.sockets, 96
-	h.config.InitialList = backend.EndpointList{Version: 41, Full: true, Endpoints: h.servers}
-	h.loop, h.config.Listen = h.endpoint()
-	h.do(func() {
+	h.config.Limits.Descriptors, h.config.Limits.MemoryMB = h.descriptors, 96
+	h.config.InitialList = backend.EndpointList{Version: 41, Full: true, Endpoints: h.endpoints}
+	h.loop, h.config.Listen = h.newEndpoint()
+	h.onLoop(func() {
 		var err error
 		if h.node, err = New(h.loop, h.config, 1, slog.New(slog.DiscardHandler)); err != nil {
 			h.t.Error(err)
 			return
 		}
-		h.round = h.node.dispatcher.RunIteration
+		h.iteration = h.node.dispatcher.RunIteration
 	})
 	if h.world != nil {
 		h.loop.SetOnIteration(h.node.dispatcher.RunIteration)
 		h.loop.Post(func() {})
 	}
 	watch = h.discovery.accept()
-	watch.request()
+	watch.readRequest()
 	return watch
 }
 
@@ -185,7 +187,7 @@
 	h.t.Helper()
 	watch = h.start()
 	watch.send(watchHead)
-	h.tell(watch, backend.EndpointList{Version: 42, Full: true, Endpoints: h.servers})
+	h.sendList(watch, backend.EndpointList{Version: 42, Full: true, Endpoints: h.endpoints})
 	return watch
 }
 
@@ -194,14 +196,14 @@
 	if h.world != nil {
 		return h.world.Now()
 	}
-	return int64(time.Since(h.began))
+	return int64(time.Since(h.startedAt))
 }
 
-// since tells how much time has passed.
-func (h *harness) since(at int64) time.Duration { return time.Duration(h.now() - at) }
+// elapsedSince tells how much time has passed.
+func (h *harness) elapsedSince(at int64) time.Duration { return time.Duration(h.now() - at) }
 
-// run has time pass.
-func (h *harness) run(span time.Duration) {
+// advance has time pass.
+func (h *harness) advance(span time.Duration) {
 	if h.world != nil {
 		h.world.RunUntil(h.world.Now() + int64(span))
 		return
@@ -209,53 +211,53 @@
 	time.Sleep(span)
 }
 
-// until has time pass until something is so; is may touch the loops' state.
-func (h *harness) until(what string, is func() bool) {
+// waitUntil has time pass until something is so; is may touch the loops' state.
+func (h *harness) waitUntil(what string, is func() bool) {
 	h.t.Helper()
-	for began := h.now(); ; h.run(transitTime) {
+	for began := h.now(); ; h.advance(transitTime) {
 		so := false
-		h.do(func() { so = is() })
+		h.onLoop(func() { so = is() })
 		if so {
 			return
 		}
-		if h.since(began) > scriptTimeout {
+		if h.elapsedSince(began) > scriptTimeout {
 			h.t.Fatalf("%s: not within %v", what, scriptTimeout)
 		}
 	}
 }
 
-// untilNews waits until discovery has told something more often than so many times.
-func (h *harness) untilNews(had uint64) {
+// waitForListUpdate waits until discovery has told something more often than so many times.
+func (h *harness) waitForListUpdate(had uint64) {
 	h.t.Helper()
-	h.until("the list is taken", func() bool { return h.node.backend.Counts.ListUpdates > had })
+	h.waitUntil("the list is taken", func() bool { return h.node.backend.Counts.ListUpdates > had })
 }
 
-// news counts what discovery has told so far.
-func (h *harness) news() (count uint64) {
-	h.do(func() { count = h.node.backend.Counts.ListUpdates })
+// listUpdates counts what discovery has told so far.
+func (h *harness) listUpdates() (count uint64) {
+	h.onLoop(func() { count = h.node.backend.Counts.ListUpdates })
 	return count
 }
 
-// tell sends a list over a watch and waits until it has been taken.
-func (h *harness) tell(watch *scriptedConn, list backend.EndpointList) {
+// sendList sends a list over a watch and waits until it has been taken.
+func (h *harness) sendList(watch *scriptedConn, list backend.EndpointList) {
 	h.t.Helper()
-	had := h.news()
+	had := h.listUpdates()
 	watch.send(chunk(listText(list)))
-	h.untilNews(had)
+	h.waitForListUpdate(had)
 }
 
-// reload has the dispatcher look for discovery at another address.
-func (h *harness) reload(p *scriptedServer) {
+// setDiscovery has the dispatcher look for discovery at another address.
+func (h *harness) setDiscovery(p *scriptedServer) {
 	changed := *h.config
 	changed.Discovery = p.addr
 	h.node.Reload(&changed)
 }
 
-// dial has a client connect to the dispatcher; what it sends meanwhile waits.
-func (h *harness) dial() *scriptedConn {
+// dialClient has a client connect to the dispatcher; what it sends meanwhile waits.
+func (h *harness) dialClient() *scriptedConn {
 	h.t.Helper()
 	c := &scriptedConn{h: h}
-	c.loop, _ = h.endpoint()
+	c.loop, _ = h.newEndpoint()
 	c.loop.Post(func() {
 		var err error
 		if c.conn, err = c.loop.Dial(h.node.addr, int64(scriptTimeout), c); err != nil {
@@ -265,18 +267,18 @@
 	return c
 }
 
-// client connects a client to the dispatcher.
-func (h *harness) client() *scriptedConn {
+// connectClient connects a client to the dispatcher.
+func (h *harness) connectClient() *scriptedConn {
 	h.t.Helper()
-	c := h.dial()
-	h.until("the client is connected", func() bool { return c.opened })
+	c := h.dialClient()
+	h.waitUntil("the client is connected", func() bool { return c.opened })
 	return c
 }
 
-// untilOut waits until an attempt is out to a server.
-func (h *harness) untilOut(name string) {
+// waitForAttempt waits until an attempt is out to a server.
+func (h *harness) waitForAttempt(name string) {
 	h.t.Helper()
-	h.until("an attempt is out to "+name, func() bool {
+	h.waitUntil("an attempt is out to "+name, func() bool {
 		out := 0
 		h.node.backend.EachServer(h.loop.Now(), func(v backend.ServerStats) {
 			if v.Name == name {
@@ -287,9 +289,9 @@
 	})
 }
 
-// draining gives a server's entry with the state in which it takes nothing new.
-func (h *harness) draining(name string) backend.Endpoint {
-	for _, server := range h.servers {
+// drainingEndpoint gives a server's entry with the state in which it takes nothing new.
+func (h *harness) drainingEndpoint(name string) backend.Endpoint {
+	for _, server := range h.endpoints {
 		if server.ID == name {
 			server.State = "Terminating"
 			return server
@@ -299,18 +301,18 @@
 	return backend.Endpoint{}
 }
 
-// wantRefused asks for something, which no server may be there for.
-func (h *harness) wantRefused() {
+// expectRejected asks for something, which no server may be there for.
+func (h *harness) expectRejected() {
 	h.t.Helper()
-	client := h.client()
-	client.send(request(jobName(99)))
+	client := h.connectClient()
+	client.send(request(requestID(99)))
 	if status := client.expect("\r\n"); !strings.Contains(status, " 503 ") {
 		h.t.Errorf("the client got %q, want 503", status)
 	}
 }
 
-// rest has time pass in which a connection becomes one that may be used again.
-func (h *harness) rest() { h.run(15 * time.Millisecond) }
+// waitUntilReusable has time pass in which a connection becomes one that may be used again.
+func (h *harness) waitUntilReusable() { h.advance(15 * time.Millisecond) }
 
 // listText is the text of a list as discovery writes it: an empty fleet is an empty array.
 func listText(list backend.EndpointList) string {
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -11,12 +11,12 @@
 
 // An answer reaches a client that goes on to send a body nobody wants.
 func TestLargeBodyIsAnswered(t *testing.T) {
-	s := newStage(t)
+	s := newNetHarness(t)
 	s.start(1024)
 	c := s.dial()
-	io.WriteString(c, request(jobName(1), length, "Content-Length: 60000000"))
+	io.WriteString(c, request(requestID(1), contentLength, "Content-Length: 60000000"))
 	sent := make(chan error, 1)
-	go func() { _, err := io.CopyN(c, zeros{}, 20e6); sent <- err }()
+	go func() { _, err := io.CopyN(c, zeroReader{}, 20e6); sent <- err }()
 	if err := <-sent; err != nil {
 		t.Fatalf("the body is cut off: %v", err)
 	}
@@ -25,55 +25,55 @@
 	}
 }
 
-type zeros struct{}
+type zeroReader struct{}
 
-func (zeros) Read(p []byte) (int, error) { clear(p); return len(p), nil }
+func (zeroReader) Read(p []byte) (int, error) { clear(p); return len(p), nil }
 
 // A client that has sent more than is read while its request is in hand, and goes, is gone at once.
-func TestLeaverBehindUnreadBytes(t *testing.T) {
-	s := newStage(t)
+func TestDisconnectBehindUnreadBytes(t *testing.T) {
+	s := newNetHarness(t)
 	hung := make(chan bool)
-	s.host("reader", "prefill", func(net.Conn, *http.Request, int) bool { <-hung; return false })
-	s.host("writer", "decode", write)
+	s.addServer("reader", "prefill", func(net.Conn, *http.Request, int) bool { <-hung; return false })
+	s.addServer("writer", "decode", respondDecode)
 	s.start(1024)
 	defer close(hung)
 	c := s.dial()
-	io.WriteString(c, request(jobName(1)))
-	until(t, "the read is out", func() bool { return s.jobsAt("reader") == 1 })
+	io.WriteString(c, request(requestID(1)))
+	waitUntil(t, "the read is out", func() bool { return s.attemptsAt("reader") == 1 })
 	for range 3 { // more than is read, less than the system holds
 		c.Write(make([]byte, 50<<10))
 		time.Sleep(20 * time.Millisecond)
 	}
 	c.(*net.TCPConn).CloseWrite()
-	until(t, "the job is over", func() bool { v, _ := s.node.Status(); return v.Dispatch.ClientDisconnects == 1 && v.Requests == 0 })
+	waitUntil(t, "the job is over", func() bool { v, _ := s.node.Status(); return v.Dispatch.ClientDisconnects == 1 && v.Requests == 0 })
 }
 
 // A dispatcher told to leave serves who has come and still comes, and ends when nobody is left.
-func TestLeave(t *testing.T) {
-	s := newStage(t)
-	s.host("reader", "prefill", read)
+func TestDrain(t *testing.T) {
+	s := newNetHarness(t)
+	s.addServer("reader", "prefill", respondPrefill)
 	let := make(chan bool)
-	s.host("writer", "decode", func(c net.Conn, r *http.Request, n int) bool { <-let; return write(c, r, n) })
+	s.addServer("writer", "decode", func(c net.Conn, r *http.Request, n int) bool { <-let; return respondDecode(c, r, n) })
 	s.start(1024)
 	resting, busy := s.dial(), s.dial()
-	if status, _, _, _ := ask(resting, "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"); status != 200 {
+	if status, _, _, _ := roundTrip(resting, "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"); status != 200 {
 		t.Fatalf("ready: %d", status)
 	}
 	first := make(chan string, 1)
-	go func() { _, got, _, _ := ask(busy, request(jobName(1))); first <- got }()
-	until(t, "the job is out", func() bool { return s.jobsAt("writer") == 1 })
+	go func() { _, got, _, _ := roundTrip(busy, request(requestID(1))); first <- got }()
+	waitUntil(t, "the job is out", func() bool { return s.attemptsAt("writer") == 1 })
 	s.node.Drain()
-	until(t, "it is not ready any more", func() bool {
-		status, _, _, _ := ask(s.dial(), "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
+	waitUntil(t, "it is not ready any more", func() bool {
+		status, _, _, _ := roundTrip(s.dial(), "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
 		return status == 503
 	})
 	waiting := make([]net.Conn, 50) // they lie in the accept queue as the door closes
 	for i := range waiting {
 		waiting[i] = s.dial()
-		io.WriteString(waiting[i], request(jobName(100+i)))
+		io.WriteString(waiting[i], request(requestID(100+i)))
 	}
 	close(let)
-	if got := <-first; got != answer {
+	if got := <-first; got != streamBody {
 		t.Errorf("the request in hand: %q", got)
 	}
 	for i, c := range waiting {
@@ -94,17 +94,17 @@
 }
 
 // Where descriptors are short, clients that say nothing and such as rest give way to those that ask.
-func TestDescriptorsShort(t *testing.T) {
-	s := newStage(t)
-	s.host("reader", "prefill", read)
-	s.host("writer", "decode", write)
+func TestDescriptorShortage(t *testing.T) {
+	s := newNetHarness(t)
+	s.addServer("reader", "prefill", respondPrefill)
+	s.addServer("writer", "decode", respondDecode)
 	s.start(64)
 	for range 200 {
 		s.dial()
 	}
 	for n := range 40 {
 		c := s.dial()
-		s.served(c, n)
+		s.expectServed(c, n)
 	}
 	if v, _ := s.node.Status(); v.Clients > 64 || v.Frontend.ConnectionLimitHits == 0 {
 		t.Errorf("%d connections, %d times crowded", v.Clients, v.Frontend.ConnectionLimitHits)
--- a/internal/node/scripted_test.go
+++ b/internal/node/scripted_test.go
@@ -13,36 +13,36 @@
 
 // The servers and clients of a harness.
 
-// response is what a client got: its status, its body as far as it came, and how that ended.
-type response struct {
+// clientResponse is what a client got: its status, its body as far as it came, and how that ended.
+type clientResponse struct {
 	*http.Response
-	text string
+	body string
 	err  error
 }
 
-// ask sends a request on a connection and waits for the answer, or for the end of the connection.
-func (c *scriptedConn) ask(text string) (got response) {
+// exchange sends a request on a connection and waits for the answer, or for the end of the connection.
+func (c *scriptedConn) exchange(text string) (got clientResponse) {
 	c.h.t.Helper()
 	c.send(text)
-	return c.response()
+	return c.readResponse()
 }
 
-// response waits for an answer, or for the end of the connection.
-func (c *scriptedConn) response() (got response) {
+// readResponse waits for an answer, or for the end of the connection.
+func (c *scriptedConn) readResponse() (got clientResponse) {
 	c.h.t.Helper()
-	c.h.until("an answer", func() bool {
-		in := bytes.NewReader(c.in)
+	c.h.waitUntil("an answer", func() bool {
+		in := bytes.NewReader(c.input)
 		buffered := bufio.NewReader(in)
-		got = response{}
+		got = clientResponse{}
 		if got.Response, got.err = http.ReadResponse(buffered, nil); got.err == nil {
 			var b []byte
 			b, got.err = io.ReadAll(got.Body)
-			got.text = string(b)
+			got.body = string(b)
 		}
 		if got.err != nil {
-			return c.ended
+			return c.peerClosed
 		}
-		c.in = c.in[len(c.in)-in.Len()-buffered.Buffered():]
+		c.input = c.input[len(c.input)-in.Len()-buffered.Buffered():]
 		return true
 	})
 	if got.Response == nil {
@@ -51,11 +51,11 @@
 	return got
 }
 
-// served asks for something and wants it served.
-func (c *scriptedConn) served(n int) {
+// expectServed asks for something and wants it served.
+func (c *scriptedConn) expectServed(n int) {
 	c.h.t.Helper()
-	if got := c.ask(request(jobName(n))); got.StatusCode != 200 || got.text != answer || got.err != nil {
-		c.h.t.Fatalf("request %d: %d %q, %v", n, got.StatusCode, got.text, got.err)
+	if got := c.exchange(request(requestID(n))); got.StatusCode != 200 || got.body != streamBody || got.err != nil {
+		c.h.t.Fatalf("request %d: %d %q, %v", n, got.StatusCode, got.body, got.err)
 	}
 }
 
@@ -66,20 +66,20 @@
 	loop     *eventloop.Loop
 	listener *eventloop.Listener
 	conns    []*scriptedConn // that nobody has taken yet
-	reply    string          // to every request; empty = the test answers
-	// answer is asked for each request instead of reply; a release is answered for it.
-	answer   func(r *scriptedRequest)
-	requests []*scriptedRequest // that were replied to, releases too
-	accepted int                // connections
+	response string          // to every request; empty = the test answers
+	// respond is asked for each request instead of reply; a release is answered for it.
+	respond       func(r *scriptedRequest)
+	requests      []*scriptedRequest // that were replied to, releases too
+	acceptedCount int                // connections
 }
 
 // scriptedRequest is a request that a scripted server replies to.
 type scriptedRequest struct {
-	conn *scriptedConn
-	line string
-	head string // with its line
-	nth  int    // of the server's requests but releases, from 1
-	at   int64
+	conn   *scriptedConn
+	line   string
+	head   string // with its line
+	number int    // of the server's requests but releases, from 1
+	at     int64
 }
 
 // isRelease tells that it has the state of a request dropped.
@@ -92,21 +92,21 @@
 	return strings.TrimSpace(value)
 }
 
-// say writes a piece of an answer. It belongs to the loop, as answer does.
-func (r *scriptedRequest) say(text string) { r.conn.conn.Write([]byte(text)) }
+// write writes a piece of an answer. It belongs to the loop, as answer does.
+func (r *scriptedRequest) write(text string) { r.conn.conn.Write([]byte(text)) }
 
-// end closes the connection once all is written, as a server does that answers once a connection.
-func (r *scriptedRequest) end() { r.conn.conn.CloseAfterFlush() }
+// closeAfterFlush closes the connection once all is written, as a server does that answers once a connection.
+func (r *scriptedRequest) closeAfterFlush() { r.conn.conn.CloseAfterFlush() }
 
-// posts counts the requests but releases that a server has replied to.
-func (p *scriptedServer) posts() (count int) {
-	p.h.do(func() { count = p.postCount() })
+// attempts counts the requests but releases that a server has replied to.
+func (s *scriptedServer) attempts() (count int) {
+	s.h.onLoop(func() { count = s.attemptCount() })
 	return count
 }
 
-func (p *scriptedServer) postCount() int {
+func (s *scriptedServer) attemptCount() int {
 	count := 0
-	for _, r := range p.requests {
+	for _, r := range s.requests {
 		if !r.isRelease() {
 			count++
 		}
@@ -115,9 +115,9 @@
 }
 
 // releases gives the releases that came.
-func (p *scriptedServer) releases() (found []*scriptedRequest) {
-	p.h.do(func() {
-		for _, r := range p.requests {
+func (s *scriptedServer) releases() (found []*scriptedRequest) {
+	s.h.onLoop(func() {
+		for _, r := range s.requests {
 			if r.isRelease() {
 				found = append(found, r)
 			}
@@ -126,55 +126,55 @@
 	return found
 }
 
-// shut has the server take no connections, as one whose process is gone.
-func (p *scriptedServer) shut() { p.h.do(p.listener.Close) }
+// stopListening has the server take no connections, as one whose process is gone.
+func (s *scriptedServer) stopListening() { s.h.onLoop(s.listener.Close) }
 
 // accept gives the next connection.
-func (p *scriptedServer) accept() (c *scriptedConn) {
-	p.h.t.Helper()
-	p.h.until("a connection comes", func() bool {
-		if len(p.conns) == 0 {
+func (s *scriptedServer) accept() (c *scriptedConn) {
+	s.h.t.Helper()
+	s.h.waitUntil("a connection comes", func() bool {
+		if len(s.conns) == 0 {
 			return false
 		}
-		c, p.conns = p.conns[0], p.conns[1:]
+		c, s.conns = s.conns[0], s.conns[1:]
 		return true
 	})
 	return c
 }
 
-// idle tells that no connection waits to be taken.
-func (p *scriptedServer) idle() (none bool) {
-	p.h.do(func() { none = len(p.conns) == 0 })
+// hasNoNewConns tells that no connection waits to be taken.
+func (s *scriptedServer) hasNoNewConns() (none bool) {
+	s.h.onLoop(func() { none = len(s.conns) == 0 })
 	return none
 }
 
-// wantNoRequest looks for requests, of which none may come; on the simulated network it waits for them.
-func (p *scriptedServer) wantNoRequest() {
-	p.h.t.Helper()
-	if p.h.world != nil {
-		p.h.run(2 * time.Second)
+// expectNoRequest looks for requests, of which none may come; on the simulated network it waits for them.
+func (s *scriptedServer) expectNoRequest() {
+	s.h.t.Helper()
+	if s.h.world != nil {
+		s.h.advance(2 * time.Second)
 	}
-	p.h.do(func() {
-		for _, c := range p.conns {
-			if len(c.in) > 0 {
-				p.h.t.Errorf("%v got %q", p.addr, c.in)
+	s.h.onLoop(func() {
+		for _, c := range s.conns {
+			if len(c.input) > 0 {
+				s.h.t.Errorf("%v got %q", s.addr, c.input)
 			}
 		}
 	})
 }
 
-// cut stops, or lets pass again, all that is under way between the dispatcher and this peer.
-func (p *scriptedServer) cut(yes bool) { p.h.world.SetPartitioned(p.h.loop, p.loop, yes) }
+// partition stops, or lets pass again, all that is under way between the dispatcher and this peer.
+func (s *scriptedServer) partition(yes bool) { s.h.world.SetPartitioned(s.h.loop, s.loop, yes) }
 
 // scriptedConn is one connection of a scripted peer in simulated time.
 type scriptedConn struct {
-	h      *harness
-	server *scriptedServer // nil for a client
-	loop   *eventloop.Loop
-	conn   *eventloop.Conn
-	in     []byte // that came and was not taken yet
-	opened bool
-	ended  bool // the dispatcher sends no more
+	h          *harness
+	server     *scriptedServer // nil for a client
+	loop       *eventloop.Loop
+	conn       *eventloop.Conn
+	input      []byte // that came and was not taken yet
+	opened     bool
+	peerClosed bool // the dispatcher sends no more
 }
 
 func (c *scriptedConn) Opened(eventloop.Nanos) {
@@ -184,21 +184,21 @@
 
 func (c *scriptedConn) Received(_ eventloop.Nanos, p []byte) {
 	c.record("received", string(p))
-	c.in = append(c.in, p...)
-	if c.server != nil && (c.server.reply != "" || c.server.answer != nil) {
-		c.reply()
+	c.input = append(c.input, p...)
+	if c.server != nil && (c.server.response != "" || c.server.respond != nil) {
+		c.respond()
 	}
 }
 
 func (c *scriptedConn) PeerHalfClosed(eventloop.Nanos) {
-	c.ended = true
+	c.peerClosed = true
 	c.record("half-closed", "")
 }
 
 func (c *scriptedConn) OutputFlushed(eventloop.Nanos) {}
 
 func (c *scriptedConn) Closed(_ eventloop.Nanos, err error) {
-	c.ended = true
+	c.peerClosed = true
 	if err != nil {
 		c.record("failed", "")
 		return
@@ -213,35 +213,35 @@
 	}
 }
 
-// reply answers the requests that have come whole as its peer does.
-func (c *scriptedConn) reply() {
+// respond answers the requests that have come whole as its peer does.
+func (c *scriptedConn) respond() {
 	for {
-		head, rest, whole := bytes.Cut(c.in, []byte("\r\n\r\n"))
+		head, rest, whole := bytes.Cut(c.input, []byte("\r\n\r\n"))
 		withBody := bytes.Contains(head, []byte("Content-Length: "))
-		if !whole || withBody && len(rest) < len(body) {
+		if !whole || withBody && len(rest) < len(requestBody) {
 			return
 		}
 		if withBody {
-			rest = rest[len(body):]
+			rest = rest[len(requestBody):]
 		}
-		c.in = rest
-		c.server.replyTo(c, string(head))
+		c.input = rest
+		c.server.handleRequest(c, string(head))
 	}
 }
 
-// replyTo answers one request.
-func (p *scriptedServer) replyTo(c *scriptedConn, head string) {
+// handleRequest answers one request.
+func (s *scriptedServer) handleRequest(c *scriptedConn, head string) {
 	line, _, _ := strings.Cut(head, "\r\n")
-	r := &scriptedRequest{conn: c, line: line, head: head, at: p.h.now()}
-	p.requests = append(p.requests, r)
-	r.nth = p.postCount()
+	r := &scriptedRequest{conn: c, line: line, head: head, at: s.h.now()}
+	s.requests = append(s.requests, r)
+	r.number = s.attemptCount()
 	switch {
 	case r.isRelease():
-		r.say(noContent)
-	case p.answer != nil:
-		p.answer(r)
+		r.write(releaseResponse)
+	case s.respond != nil:
+		s.respond(r)
 	default:
-		r.say(p.reply)
+		r.write(s.response)
 	}
 }
 
@@ -249,12 +249,12 @@
 func (c *scriptedConn) expect(text string) (got string) {
 	c.h.t.Helper()
 	ended := false
-	c.h.until("want "+text, func() bool {
-		before, after, found := bytes.Cut(c.in, []byte(text))
+	c.h.waitUntil("want "+text, func() bool {
+		before, after, found := bytes.Cut(c.input, []byte(text))
 		if found {
-			got, c.in = string(before)+text, after
+			got, c.input = string(before)+text, after
 		}
-		ended = c.ended
+		ended = c.peerClosed
 		return found || ended
 	})
 	if !strings.HasSuffix(got, text) {
@@ -263,53 +263,53 @@
 	return got
 }
 
-// wantNoAttempt looks for attempts, of which none may come on connections that nobody has taken; on the simulated network it waits for them.
-func (p *scriptedServer) wantNoAttempt() {
-	p.h.t.Helper()
-	if p.h.world != nil {
-		p.h.run(2 * time.Second)
+// expectNoAttempt looks for attempts, of which none may come on connections that nobody has taken; on the simulated network it waits for them.
+func (s *scriptedServer) expectNoAttempt() {
+	s.h.t.Helper()
+	if s.h.world != nil {
+		s.h.advance(2 * time.Second)
 	}
-	p.h.do(func() {
-		for _, c := range p.conns {
-			if bytes.Contains(c.in, []byte("POST ")) {
-				p.h.t.Errorf("%v got %q", p.addr, c.in)
+	s.h.onLoop(func() {
+		for _, c := range s.conns {
+			if bytes.Contains(c.input, []byte("POST ")) {
+				s.h.t.Errorf("%v got %q", s.addr, c.input)
 			}
 		}
 	})
 }
 
-// wantNoAttempt looks for an attempt on the connection, of which there may be none.
-func (c *scriptedConn) wantNoAttempt() {
+// expectNoAttempt looks for an attempt on the connection, of which there may be none.
+func (c *scriptedConn) expectNoAttempt() {
 	c.h.t.Helper()
-	c.h.do(func() {
-		if bytes.Contains(c.in, []byte("POST ")) {
-			c.h.t.Errorf("there came %q", c.in)
+	c.h.onLoop(func() {
+		if bytes.Contains(c.input, []byte("POST ")) {
+			c.h.t.Errorf("there came %q", c.input)
 		}
 	})
 }
 
-// wantNothing looks for bytes that nobody took, of which there may be none.
-func (c *scriptedConn) wantNothing() {
+// expectNoInput looks for bytes that nobody took, of which there may be none.
+func (c *scriptedConn) expectNoInput() {
 	c.h.t.Helper()
-	c.h.do(func() {
-		if len(c.in) > 0 {
-			c.h.t.Errorf("there came %q", c.in)
+	c.h.onLoop(func() {
+		if len(c.input) > 0 {
+			c.h.t.Errorf("there came %q", c.input)
 		}
 	})
 }
 
-// stands tells that the dispatcher has not ended the connection.
-func (c *scriptedConn) stands() (so bool) {
-	c.h.do(func() { so = !c.ended })
+// isOpen tells that the dispatcher has not ended the connection.
+func (c *scriptedConn) isOpen() (so bool) {
+	c.h.onLoop(func() { so = !c.peerClosed })
 	return so
 }
 
-// request takes one request with its body and gives its request line.
-func (c *scriptedConn) request() string {
+// readRequest takes one request with its body and gives its request line.
+func (c *scriptedConn) readRequest() string {
 	c.h.t.Helper()
 	head := c.expect("\r\n\r\n")
 	if strings.Contains(head, "Content-Length: ") {
-		c.expect(body)
+		c.expect(requestBody)
 	}
 	line, _, _ := strings.Cut(head, "\r\n")
 	return line
@@ -320,15 +320,15 @@
 	c.h.t.Helper()
 	began := c.h.now()
 	c.expect(text)
-	if took := c.h.since(began); c.h.world != nil && took > 4*transitTime {
+	if took := c.h.elapsedSince(began); c.h.world != nil && took > 4*transitTime {
 		c.h.t.Errorf("%q came after %v", text, took)
 	}
 }
 
-// untilEnd waits until the dispatcher has ended the connection.
-func (c *scriptedConn) untilEnd() {
+// waitForClose waits until the dispatcher has ended the connection.
+func (c *scriptedConn) waitForClose() {
 	c.h.t.Helper()
-	c.h.until("the connection ends", func() bool { return c.ended })
+	c.h.waitUntil("the connection ends", func() bool { return c.peerClosed })
 }
 
 func (c *scriptedConn) send(text string) {
@@ -340,10 +340,10 @@
 // sendSlowly sends pieces, one each interval, for as long as the connection stands.
 func (c *scriptedConn) sendSlowly(pieces []string, interval time.Duration) {
 	for _, piece := range pieces {
-		if !c.stands() {
+		if !c.isOpen() {
 			return
 		}
 		c.send(piece)
-		c.h.run(interval)
+		c.h.advance(interval)
 	}
 }
--- a/internal/node/serve_test.go
+++ b/internal/node/serve_test.go
@@ -14,31 +14,30 @@
 
 // Tests of requests from end to end, over simulated and over loopback connections.
 
-// answering makes a server of each kind that answers each request as a sound one does.
-func (h *harness) answering() (prefill, decode *scriptedServer) {
-	prefill, decode = h.server("reader", "prefill"), h.server("writer", "decode")
-	prefill.reply, decode.reply = prefillAnswer, decodeAnswer
+// addRespondingServers makes a server of each kind that answers each request as a sound one does.
+func (h *harness) addRespondingServers() (prefill, decode *scriptedServer) {
+	prefill, decode = h.addServer("reader", "prefill"), h.addServer("writer", "decode")
+	prefill.response, decode.response = prefillResponse, decodeResponse
 	return prefill, decode
 }
 
 // A request is read at a prefill server and written at a decode server as its client sent it, and its events pass unchanged;
 // connections are used again.
 func TestServes(t *testing.T) {
-	onEachNetwork(t, func(t *testing.T, on network) {
-		h := newHarness(t, on)
-		reader, writer := h.answering()
+	onEachNetwork(t, func(h *harness) {
+		prefill, decode := h.addRespondingServers()
 		h.startInService()
-		c := h.client()
+		c := h.connectClient()
 		for n := range 5 {
-			c.served(n)
-			h.rest()
+			c.expectServed(n)
+			h.waitUntilReusable()
 		}
-		if reader.posts() != 5 || writer.posts() != 5 || reader.accepted+writer.accepted != 2 {
-			t.Errorf("%d reads, %d writes on %d connections, want 5 and 5 on 2", reader.posts(), writer.posts(), reader.accepted+writer.accepted)
+		if prefill.attempts() != 5 || decode.attempts() != 5 || prefill.acceptedCount+decode.acceptedCount != 2 {
+			h.t.Errorf("%d reads, %d writes on %d connections, want 5 and 5 on 2", prefill.attempts(), decode.attempts(), prefill.acceptedCount+decode.acceptedCount)
 		}
-		for _, r := range reader.requests {
+		for _, r := range prefill.requests {
 			if !strings.Contains(r.line, "?v=1 ") || !strings.Contains(r.head, "X-Remaining: ") {
-				t.Errorf("the prefill server got %q", r.head)
+				h.t.Errorf("the prefill server got %q", r.head)
 			}
 		}
 	})
@@ -46,14 +45,13 @@
 
 // What is no request of the platform's is answered as an error, and no server hears of it.
 func TestBadRequests(t *testing.T) {
-	onEachNetwork(t, func(t *testing.T, on network) {
-		h := newHarness(t, on)
-		reader, writer := h.answering()
+	onEachNetwork(t, func(h *harness) {
+		prefill, decode := h.addRespondingServers()
 		h.startInService()
-		name := jobName(1)
+		name := requestID(1)
 		for what, text := range map[string]string{
 			"no id":           request(name, "X-Txn: "+name+"\r\n", ""),
-			"two ids":         request(name, "X-Lane", "X-Txn: "+jobName(2)+"\r\nX-Lane"),
+			"two ids":         request(name, "X-Lane", "X-Txn: "+requestID(2)+"\r\nX-Lane"),
 			"odd id":          request("zz"),
 			"unknown class":   request(name, "X-Lane: chat", "X-Lane: none"),
 			"no deadline":     request(name, "X-Remaining: 4.800\r\n", ""),
@@ -67,56 +65,54 @@
 			"content":         request(name, `"abcd"`, `123456`),
 			"two lengths":     request(name, "Content-Length", "Content-Length: 5\r\nContent-Length"),
 			"smuggled":        request(name, "Content-Length", "Transfer-Encoding: chunked\r\nContent-Length"),
-			"60 MB":           request(name, length, "Content-Length: 60000000"),
+			"60 MB":           request(name, contentLength, "Content-Length: 60000000"),
 			"path":            request(name, "/v1/chat", "/v2/chat"),
 			"method":          request(name, "POST", "PUT"),
 			"no host":         request(name, "Host: api.internal\r\n", ""),
 			"noise":           "\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03\r\n\r\n",
 			"endless head":    "GET / HTTP/1.1\r\nHost: x\r\nX: " + strings.Repeat("a", 20<<10),
 		} {
-			if got := h.client().ask(text); got.StatusCode < 400 || got.StatusCode > 505 || got.StatusCode == 503 {
-				t.Errorf("%s: %d, %v", what, got.StatusCode, got.err)
+			if got := h.connectClient().exchange(text); got.StatusCode < 400 || got.StatusCode > 505 || got.StatusCode == 503 {
+				h.t.Errorf("%s: %d, %v", what, got.StatusCode, got.err)
 			}
 		}
-		if n := len(reader.requests) + len(writer.requests); n > 0 {
-			t.Errorf("servers heard of %d requests", n)
+		if n := len(prefill.requests) + len(decode.requests); n > 0 {
+			h.t.Errorf("servers heard of %d requests", n)
 		}
-		h.client().served(1)
+		h.connectClient().expectServed(1)
 	})
 }
 
 // The id of a request in hand is refused elsewhere, and the one in hand goes on.
 func TestSameID(t *testing.T) {
-	onEachNetwork(t, func(t *testing.T, on network) {
-		h := newHarness(t, on)
-		h.server("reader", "prefill").reply = prefillAnswer
-		writer := h.server("writer", "decode")
+	onEachNetwork(t, func(h *harness) {
+		h.addServer("reader", "prefill").response = prefillResponse
+		decode := h.addServer("writer", "decode")
 		h.startInService()
-		first := h.client()
-		first.send(request(jobName(1)))
-		writing := writer.accept()
-		writing.request()
-		if got := h.client().ask(request(jobName(1))); got.StatusCode != 409 {
-			t.Errorf("the same id: %d, want 409", got.StatusCode)
+		first := h.connectClient()
+		first.send(request(requestID(1)))
+		decodeConn := decode.accept()
+		decodeConn.readRequest()
+		if got := h.connectClient().exchange(request(requestID(1))); got.StatusCode != 409 {
+			h.t.Errorf("the same id: %d, want 409", got.StatusCode)
 		}
-		writing.send(decodeAnswer)
-		if got := first.response(); got.text != answer {
-			t.Errorf("the request in hand: %q", got.text)
+		decodeConn.send(decodeResponse)
+		if got := first.readResponse(); got.body != streamBody {
+			h.t.Errorf("the request in hand: %q", got.body)
 		}
 	})
 }
 
 // A request behind another on the same connection waits for its end.
 func TestPipelined(t *testing.T) {
-	onEachNetwork(t, func(t *testing.T, on network) {
-		h := newHarness(t, on)
-		h.answering()
+	onEachNetwork(t, func(h *harness) {
+		h.addRespondingServers()
 		h.startInService()
-		c := h.client()
-		c.send(request(jobName(1)) + request(jobName(2)))
+		c := h.connectClient()
+		c.send(request(requestID(1)) + request(requestID(2)))
 		for n := range 2 {
-			if got := c.response(); got.text != answer || got.err != nil {
-				t.Errorf("answer %d: %q, %v", n, got.text, got.err)
+			if got := c.readResponse(); got.body != streamBody || got.err != nil {
+				h.t.Errorf("answer %d: %q, %v", n, got.body, got.err)
 			}
 		}
 	})
@@ -124,7 +120,7 @@
 
 // A stream spoilt before its first event is an attempt that failed; one spoilt later ends the client's connection without
 // the last chunk; one with more than belongs to it serves, and its connection is not used again.
-func TestSpoiltStreams(t *testing.T) {
+func TestInvalidStreams(t *testing.T) {
 	for what, c := range map[string]struct {
 		says  string
 		ends  bool
@@ -146,41 +142,40 @@
 		"trailing bytes": {says: streamHead + chunk(event1) + chunk(event2) + "0\r\n\r\n\x00\x01", extra: true},
 	} {
 		t.Run(what, func(t *testing.T) {
-			onEachNetwork(t, func(t *testing.T, on network) {
-				h := newHarness(t, on)
-				h.server("reader", "prefill").reply = prefillAnswer
-				w1, w2 := h.server("w1", "decode"), h.server("w2", "decode")
+			onEachNetwork(t, func(h *harness) {
+				h.addServer("reader", "prefill").response = prefillResponse
+				w1, w2 := h.addServer("w1", "decode"), h.addServer("w2", "decode")
 				odd := func(r *scriptedRequest) {
-					if w1.postCount()+w2.postCount() > 1 {
-						r.say(decodeAnswer)
+					if w1.attemptCount()+w2.attemptCount() > 1 {
+						r.write(decodeResponse)
 						return
 					}
 					text, reset := strings.CutSuffix(c.says, "RESET")
-					if r.say(text); reset {
-						r.end()
+					if r.write(text); reset {
+						r.closeAfterFlush()
 					}
 				}
-				w1.answer, w2.answer = odd, odd
+				w1.respond, w2.respond = odd, odd
 				h.startInService()
 				began := h.now()
-				got := h.client().ask(request(jobName(1)))
-				attempts := w1.posts() + w2.posts()
+				got := h.connectClient().exchange(request(requestID(1)))
+				attempts := w1.attempts() + w2.attempts()
 				switch {
 				case c.ends:
-					if got.StatusCode != 200 || got.text != event1 || got.err == nil || attempts != 1 || h.since(began) > time.Second {
-						t.Errorf("%d %q, %v after %v, %d attempts", got.StatusCode, got.text, got.err, h.since(began), attempts)
+					if got.StatusCode != 200 || got.body != event1 || got.err == nil || attempts != 1 || h.elapsedSince(began) > time.Second {
+						h.t.Errorf("%d %q, %v after %v, %d attempts", got.StatusCode, got.body, got.err, h.elapsedSince(began), attempts)
 					}
 				case c.extra:
-					if got.StatusCode != 200 || !strings.HasPrefix(got.text, answer) || got.err != nil || attempts != 1 {
-						t.Errorf("%d %q, %v, %d attempts", got.StatusCode, got.text, got.err, attempts)
+					if got.StatusCode != 200 || !strings.HasPrefix(got.body, streamBody) || got.err != nil || attempts != 1 {
+						h.t.Errorf("%d %q, %v, %d attempts", got.StatusCode, got.body, got.err, attempts)
 					}
 					for n := 2; n < 6; n++ {
-						h.rest()
-						h.client().served(n)
+						h.waitUntilReusable()
+						h.connectClient().expectServed(n)
 					}
 				default:
-					if got.StatusCode != 200 || got.text != answer || got.err != nil || attempts != 2 {
-						t.Errorf("%d %q, %v, %d attempts", got.StatusCode, got.text, got.err, attempts)
+					if got.StatusCode != 200 || got.body != streamBody || got.err != nil || attempts != 2 {
+						h.t.Errorf("%d %q, %v, %d attempts", got.StatusCode, got.body, got.err, attempts)
 					}
 				}
 			})
@@ -191,73 +186,73 @@
 // A connection that its server closed while it stood idle is not written to, and one to a server that cannot be reached
 // costs the request nothing but another attempt.
 func TestStaleAndUnreachable(t *testing.T) {
-	onEachNetwork(t, func(t *testing.T, on network) {
-		h := newHarness(t, on)
-		once := func(text string) func(*scriptedRequest) { return func(r *scriptedRequest) { r.say(text); r.end() } }
-		reader, writer := h.server("r1", "prefill"), h.server("w1", "decode")
-		reader.answer, writer.answer = once(prefillAnswer), once(decodeAnswer)
-		h.server("r2", "prefill").shut()
-		h.server("w2", "decode").shut()
+	onEachNetwork(t, func(h *harness) {
+		once := func(text string) func(*scriptedRequest) {
+			return func(r *scriptedRequest) { r.write(text); r.closeAfterFlush() }
+		}
+		prefill, decode := h.addServer("r1", "prefill"), h.addServer("w1", "decode")
+		prefill.respond, decode.respond = once(prefillResponse), once(decodeResponse)
+		h.addServer("r2", "prefill").stopListening()
+		h.addServer("w2", "decode").stopListening()
 		h.startInService()
-		c := h.client()
+		c := h.connectClient()
 		for n := range 8 {
-			c.served(n)
-			h.rest()
+			c.expectServed(n)
+			h.waitUntilReusable()
 		}
-		if reader.posts() != 8 || writer.posts() != 8 {
-			t.Errorf("%d reads, %d writes, want 8 each", reader.posts(), writer.posts())
+		if prefill.attempts() != 8 || decode.attempts() != 8 {
+			h.t.Errorf("%d reads, %d writes, want 8 each", prefill.attempts(), decode.attempts())
 		}
 	})
 }
 
 // What may have run is sent again where that does no harm; a 400 of a server is the request's own fault.
 func TestOutcomes(t *testing.T) {
-	says := func(text string) func(*scriptedRequest) { return func(r *scriptedRequest) { r.say(text) } }
+	says := func(text string) func(*scriptedRequest) { return func(r *scriptedRequest) { r.write(text) } }
 	for what, c := range map[string]struct {
 		does   func(*scriptedRequest)
 		status int
 		writes int
 	}{
-		"reset after the last byte": {(*scriptedRequest).end, 200, 2},
+		"reset after the last byte": {(*scriptedRequest).closeAfterFlush, 200, 2},
 		"error":                     {says("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n"), 200, 2},
 		"turned away":               {says("HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"), 200, 2},
 		"state gone":                {says("HTTP/1.1 410 Gone\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"), 200, 2},
 		"unusable":                  {says("HTTP/1.1 400 Bad\r\nContent-Length: 0\r\n\r\n"), 504, 1},
 	} {
 		t.Run(what, func(t *testing.T) {
-			onEachNetwork(t, func(t *testing.T, on network) {
-				h := newHarness(t, on)
-				r1, r2 := h.server("r1", "prefill"), h.server("r2", "prefill")
-				r1.reply, r2.reply = prefillAnswer, prefillAnswer
-				w1, w2 := h.server("w1", "decode"), h.server("w2", "decode")
+			onEachNetwork(t, func(h *harness) {
+				r1, r2 := h.addServer("r1", "prefill"), h.addServer("r2", "prefill")
+				r1.response, r2.response = prefillResponse, prefillResponse
+				w1, w2 := h.addServer("w1", "decode"), h.addServer("w2", "decode")
 				first := func(r *scriptedRequest) {
-					if w1.postCount()+w2.postCount() > 1 {
-						r.say(decodeAnswer)
+					if w1.attemptCount()+w2.attemptCount() > 1 {
+						r.write(decodeResponse)
 						return
 					}
 					c.does(r)
 				}
-				w1.answer, w2.answer = first, first
+				w1.respond, w2.respond = first, first
 				h.startInService()
-				got := h.client().ask(request(jobName(1)))
-				if writes := w1.posts() + w2.posts(); got.StatusCode != c.status || writes != c.writes || got.err != nil {
-					t.Errorf("%d after %d writes, %v, want %d after %d", got.StatusCode, writes, got.err, c.status, c.writes)
+				got := h.connectClient().exchange(request(requestID(1)))
+				if writes := w1.attempts() + w2.attempts(); got.StatusCode != c.status || writes != c.writes || got.err != nil {
+					h.t.Errorf("%d after %d writes, %v, want %d after %d", got.StatusCode, writes, got.err, c.status, c.writes)
 				}
 				if what == "state gone" {
-					wantReleaseBetweenReads(t, []*scriptedServer{r1, r2}, []*scriptedServer{w1, w2})
+					expectReleaseBetweenPrefills(h.t, []*scriptedServer{r1, r2}, []*scriptedServer{w1, w2})
 				}
 			})
 		})
 	}
 }
 
-// wantReleaseBetweenReads wants two reads at prefill servers, and one release, by any server, after the first and before
+// expectReleaseBetweenPrefills wants two reads at prefill servers, and one release, by any server, after the first and before
 // the second.
-func wantReleaseBetweenReads(t *testing.T, prefill, decode []*scriptedServer) {
+func expectReleaseBetweenPrefills(t *testing.T, prefill, decode []*scriptedServer) {
 	t.Helper()
 	var reads, releases []int64
 	for _, p := range append(slices.Clone(prefill), decode...) {
-		p.h.do(func() {
+		p.h.onLoop(func() {
 			for _, r := range p.requests {
 				switch {
 				case r.isRelease():
@@ -277,40 +272,38 @@
 // A client that is gone ends its request: the attempt's connection is closed and what was read is released, by a server that
 // is heard, as the one that holds it is silent.
 func TestReleaseByAnotherServer(t *testing.T) {
-	onEachNetwork(t, func(t *testing.T, on network) {
-		h := newHarness(t, on)
-		silent, writer := h.server("r1", "prefill"), h.server("writer", "decode")
-		writer.reply = decodeAnswer
+	onEachNetwork(t, func(h *harness) {
+		silent, decode := h.addServer("r1", "prefill"), h.addServer("writer", "decode")
+		decode.response = decodeResponse
 		h.startInService()
-		c := h.client()
-		c.send(request(jobName(1)))
-		silent.accept().request()
+		c := h.connectClient()
+		c.send(request(requestID(1)))
+		silent.accept().readRequest()
 		c.close()
-		h.until("a release", func() bool { return len(writer.requests) > 0 })
-		if line := writer.releases()[0].line; line != "DELETE /state/"+jobName(1)+" HTTP/1.1" {
-			t.Errorf("%q", line)
+		h.waitUntil("a release", func() bool { return len(decode.requests) > 0 })
+		if line := decode.releases()[0].line; line != "DELETE /state/"+requestID(1)+" HTTP/1.1" {
+			h.t.Errorf("%q", line)
 		}
 	})
 }
 
 // What a read found cached is set beside what the module expected to be cached there.
 func TestPrefixCache(t *testing.T) {
-	onEachNetwork(t, func(t *testing.T, on network) {
-		h := newHarness(t, on)
-		reader, _ := h.answering()
+	onEachNetwork(t, func(h *harness) {
+		prefill, _ := h.addRespondingServers()
 		bodies := []string{`{"cached_tokens":100}`, `{"cached_tokens":2000}`, `{"cached_tokens":-1}`, `{"cached_tokens":"x"}`, `{}`}
-		reader.answer = func(r *scriptedRequest) {
-			text := bodies[r.nth-1]
-			r.say("HTTP/1.1 202 Accepted\r\nContent-Length: " + strconv.Itoa(len(text)) + "\r\n\r\n" + text)
+		prefill.respond = func(r *scriptedRequest) {
+			text := bodies[r.number-1]
+			r.write("HTTP/1.1 202 Accepted\r\nContent-Length: " + strconv.Itoa(len(text)) + "\r\n\r\n" + text)
 		}
 		h.startInService()
 		for n := range bodies {
-			h.client().served(n)
+			h.connectClient().expectServed(n)
 		}
-		h.do(func() {
+		h.onLoop(func() {
 			k := h.node.backend.Counts.PrefixCache
 			if k.Prefills != 2 || k.Prompt != 2*5120 || k.Shared != 2*2048 || k.Expected != 5120 || k.Found != 2100 || k.Unexpected != 100 || k.Missed != 3120 {
-				t.Errorf("%+v", k) // the second read's whole prompt was read there before
+				h.t.Errorf("%+v", k) // the second read's whole prompt was read there before
 			}
 		})
 	})
@@ -318,12 +311,11 @@
 
 // Requests that find no server are answered at once, with when to come back.
 func TestReject(t *testing.T) {
-	onEachNetwork(t, func(t *testing.T, on network) {
-		h := newHarness(t, on)
-		h.server("reader", "prefill").shut()
+	onEachNetwork(t, func(h *harness) {
+		h.addServer("reader", "prefill").stopListening()
 		h.startInService()
-		if got := h.client().ask(request(jobName(1))); got.StatusCode != 503 || got.Header.Get("Retry-After") != "0.750" {
-			t.Errorf("%d, Retry-After %q, want 503 and 0.750", got.StatusCode, got.Header.Get("Retry-After"))
+		if got := h.connectClient().exchange(request(requestID(1))); got.StatusCode != 503 || got.Header.Get("Retry-After") != "0.750" {
+			h.t.Errorf("%d, Retry-After %q, want 503 and 0.750", got.StatusCode, got.Header.Get("Retry-After"))
 		}
 	})
 }
@@ -331,51 +323,50 @@
 // A server that begins to drain gets no new request; the list is heeded also from another address after a change of the
 // configuration, and the old one is released.
 func TestListAndReload(t *testing.T) {
-	onEachNetwork(t, func(t *testing.T, on network) {
-		h := newHarness(t, on)
-		h.server("r1", "prefill").reply = prefillAnswer
-		w1, w2 := h.server("w1", "decode"), h.server("w2", "decode")
-		w1.reply, w2.reply = decodeAnswer, decodeAnswer
+	onEachNetwork(t, func(h *harness) {
+		h.addServer("r1", "prefill").response = prefillResponse
+		w1, w2 := h.addServer("w1", "decode"), h.addServer("w2", "decode")
+		w1.response, w2.response = decodeResponse, decodeResponse
 		old := h.startInService()
-		h.client().served(1)
-		h.tell(old, backend.EndpointList{Version: 43, Endpoints: []backend.Endpoint{h.draining("w1")}})
-		had := w1.posts()
+		h.connectClient().expectServed(1)
+		h.sendList(old, backend.EndpointList{Version: 43, Endpoints: []backend.Endpoint{h.drainingEndpoint("w1")}})
+		had := w1.attempts()
 		for n := 2; n < 8; n++ {
-			h.client().served(n)
+			h.connectClient().expectServed(n)
 		}
-		if w1.posts() != had {
-			t.Error("a server that drains got a request")
+		if w1.attempts() != had {
+			h.t.Error("a server that drains got a request")
 		}
 		fresh := h.newServer()
-		h.reload(fresh)
+		h.setDiscovery(fresh)
 		watch := fresh.accept()
-		if line := watch.request(); strings.Contains(line, "from=") {
-			t.Errorf("%q, want a whole list asked for", line)
+		if line := watch.readRequest(); strings.Contains(line, "from=") {
+			h.t.Errorf("%q, want a whole list asked for", line)
 		}
 		watch.send(watchHead)
-		h.tell(watch, backend.EndpointList{Version: 44, Full: true, Endpoints: h.servers})
-		old.untilEnd()
+		h.sendList(watch, backend.EndpointList{Version: 44, Full: true, Endpoints: h.endpoints})
+		old.waitForClose()
 	})
 }
 
 // Servers that are replaced under new names leave nothing behind.
 func TestReplacedServers(t *testing.T) {
 	h := newHarness(t, simulated)
-	h.answering()
+	h.addRespondingServers()
 	watch := h.startInService()
-	c := h.client()
+	c := h.connectClient()
 	for n := range 200 {
 		list := backend.EndpointList{Version: int64(43 + n)}
-		for i, server := range h.servers {
+		for i, server := range h.endpoints {
 			gone := server
 			gone.State = "Gone"
-			server.ID = "h" + jobName(2*n+i)
-			h.servers[i] = server
+			server.ID = "h" + requestID(2*n+i)
+			h.endpoints[i] = server
 			list.Endpoints = append(list.Endpoints, gone, server)
 		}
-		h.tell(watch, list)
+		h.sendList(watch, list)
 		if n%20 == 0 {
-			c.served(n)
+			c.expectServed(n)
 		}
 	}
 	if servers, conns := h.node.backend.Servers(), h.node.backend.Conns(); servers > 2 || conns > 4 {
@@ -384,10 +375,9 @@
 }
 
 // Servers that drop kept connections without a word cost an attempt, not their standing: a session stays at its prefill server.
-func TestKeptConnectionsThatDied(t *testing.T) {
-	onEachNetwork(t, func(t *testing.T, on network) {
+func TestIdleConnsThatDied(t *testing.T) {
+	onEachNetwork(t, func(h *harness) {
 		// a connection that is lost counts as lost at once within a fiftieth of this
-		h := newHarness(t, on, `"connect_timeout_ns":250000000`, `"connect_timeout_ns":10000000000`)
 		dies := func(text string) func(*scriptedRequest) { // every second request of a connection meets its end
 			answered := map[*scriptedConn]bool{}
 			return func(r *scriptedRequest) {
@@ -396,78 +386,77 @@
 					return
 				}
 				answered[r.conn] = true
-				r.say(text)
+				r.write(text)
 			}
 		}
-		var readers []*scriptedServer
+		var prefills []*scriptedServer
 		for _, name := range []string{"r1", "r2", "r3"} {
-			reader := h.server(name, "prefill")
-			reader.answer = dies(prefillAnswer)
-			readers = append(readers, reader)
+			prefill := h.addServer(name, "prefill")
+			prefill.respond = dies(prefillResponse)
+			prefills = append(prefills, prefill)
 		}
-		h.server("w1", "decode").answer = dies(decodeAnswer)
-		h.server("w2", "decode").answer = dies(decodeAnswer)
+		h.addServer("w1", "decode").respond = dies(decodeResponse)
+		h.addServer("w2", "decode").respond = dies(decodeResponse)
 		h.startInService()
-		c := h.client()
+		c := h.connectClient()
 		for n := range 20 {
-			c.served(n)
-			h.rest()
+			c.expectServed(n)
+			h.waitUntilReusable()
 		}
-		h.do(func() {
+		h.onLoop(func() {
 			if h.node.backend.Counts.StaleConnections == 0 {
-				t.Error("no kept connection died")
+				h.t.Error("no kept connection died")
 			}
 		})
 		used := 0
-		for _, reader := range readers {
-			if reader.posts() > 0 {
+		for _, prefill := range prefills {
+			if prefill.attempts() > 0 {
 				used++
 			}
 		}
 		if used != 1 {
-			t.Errorf("the session was read at %d prefill servers, want one", used)
+			h.t.Errorf("the session was read at %d prefill servers, want one", used)
 		}
-	})
+	}, `"connect_timeout_ns":250000000`, `"connect_timeout_ns":10000000000`)
 }
 
 // What the module believes of servers agrees with what crosses the connections, with requests in every stage and after some
 // were lost.
-func TestBeliefs(t *testing.T) {
-	onEachNetwork(t, func(t *testing.T, on network) {
-		h := newHarness(t, on)
+func TestServerStatuses(t *testing.T) {
+	onEachNetwork(t, func(h *harness) {
 		var held []func()
-		r1, r2 := h.server("r1", "prefill"), h.server("r2", "prefill")
-		w1, w2 := h.server("w1", "decode"), h.server("w2", "decode")
-		r2.reply, w2.reply = prefillAnswer, decodeAnswer
-		r1.answer = func(r *scriptedRequest) {
-			finish := func() { r.say(prefillAnswer) }
-			if r.nth%3 == 0 {
-				finish = r.end
+		r1, r2 := h.addServer("r1", "prefill"), h.addServer("r2", "prefill")
+		w1, w2 := h.addServer("w1", "decode"), h.addServer("w2", "decode")
+		r2.response, w2.response = prefillResponse, decodeResponse
+		r1.respond = func(r *scriptedRequest) {
+			finish := func() { r.write(prefillResponse) }
+			if r.number%3 == 0 {
+				finish = r.closeAfterFlush
 			}
-			if r.nth%4 == 0 {
+			if r.number%4 == 0 {
 				held = append(held, finish)
 				return
 			}
 			finish()
 		}
-		w1.answer = func(r *scriptedRequest) {
-			if r.nth%3 == 0 {
-				r.say(streamHead + chunk(event1))
-				held = append(held, r.end)
+		w1.respond = func(r *scriptedRequest) {
+			if r.number%3 == 0 {
+				r.write(streamHead + chunk(event1))
+				held = append(held, r.closeAfterFlush)
 				return
 			}
-			r.say(decodeAnswer)
+			r.write(decodeResponse)
 		}
 		h.startInService()
 		agree := func() (out int) {
-			h.do(func() {
+			h.onLoop(func() {
 				beliefs := h.node.serverStatuses()
 				if len(beliefs) != 4 {
-					t.Errorf("beliefs of %d servers", len(beliefs))
+					h.t.Errorf("beliefs of %d servers", len(beliefs))
 				}
 				for _, b := range beliefs {
 					if b.HasMismatch() {
-						t.Errorf("%s: %d unanswered and %d streams are believed, %d are out", b.Name, b.UnansweredAttempts, b.Streams, b.InFlightAttempts)
+						h.t.Errorf("%s: %d unanswered and %d streams are believed, %d are out", b.Name, b.UnansweredAttempts, b.Streams, b.InFlightAttempts)
 					}
 					out += b.InFlightAttempts
 				}
@@ -475,53 +464,52 @@
 			return out
 		}
 		for n := range 24 {
-			c := h.client()
-			c.send(request(jobName(n), "7f3a9c21e0b4d655", jobName(n), "5c0f6e1a2b3d4c59", jobName(n)))
+			c := h.connectClient()
+			c.send(request(requestID(n), "7f3a9c21e0b4d655", requestID(n), "5c0f6e1a2b3d4c59", requestID(n)))
 			if n%5 == 4 {
-				h.run(5 * time.Millisecond)
+				h.advance(5 * time.Millisecond)
 				c.close()
 			}
 			agree()
 		}
-		h.run(20 * time.Millisecond)
+		h.advance(20 * time.Millisecond)
 		if agree() == 0 {
-			t.Error("nothing is out: the test shows nothing")
+			h.t.Error("nothing is out: the test shows nothing")
 		}
-		h.do(func() {
+		h.onLoop(func() {
 			for _, finish := range held {
 				finish()
 			}
-			r1.answer, w1.answer = nil, nil
-			r1.reply, w1.reply = prefillAnswer, decodeAnswer
+			r1.respond, w1.respond = nil, nil
+			r1.response, w1.response = prefillResponse, decodeResponse
 		})
-		for began := h.now(); agree() > 0; h.run(time.Millisecond) {
-			if h.since(began) > scriptTimeout {
-				t.Fatal("something is out for ever")
+		for began := h.now(); agree() > 0; h.advance(time.Millisecond) {
+			if h.elapsedSince(began) > scriptTimeout {
+				h.t.Fatal("something is out for ever")
 			}
 		}
 	})
 }
 
 // Header fields that are not the connection's own go on to servers unchanged, such as the key by which repeats are known.
-func TestFieldsPassOn(t *testing.T) {
-	onEachNetwork(t, func(t *testing.T, on network) {
-		h := newHarness(t, on)
-		reader, writer := h.answering()
+func TestHeaderFieldsAreForwarded(t *testing.T) {
+	onEachNetwork(t, func(h *harness) {
+		prefill, decode := h.addRespondingServers()
 		h.startInService()
-		got := h.client().ask(request(jobName(1), "X-Lane: chat\r\n",
+		got := h.connectClient().exchange(request(requestID(1), "X-Lane: chat\r\n",
 			"X-Lane: chat\r\nIdempotency-Key: k-17\r\nx-trace: a\r\nX-Trace: b\r\nX-Hop: h\r\nConnection: keep-alive, x-hop\r\nTE: trailers\r\n"))
-		if got.text != answer || got.err != nil {
-			t.Fatalf("%q, %v", got.text, got.err)
+		if got.body != streamBody || got.err != nil {
+			h.t.Fatalf("%q, %v", got.body, got.err)
 		}
-		for _, p := range []*scriptedServer{reader, writer} {
+		for _, p := range []*scriptedServer{prefill, decode} {
 			r, err := http.ReadRequest(bufio.NewReader(strings.NewReader(p.requests[0].head + "\r\n\r\n")))
 			if err != nil {
-				t.Fatal(err)
+				h.t.Fatal(err)
 			}
 			f := r.Header
 			if f.Get("Idempotency-Key") != "k-17" || len(f["X-Trace"]) != 2 || f["X-Trace"][1] != "b" || f["X-Hop"] != nil || f["Te"] != nil ||
 				len(f["X-Remaining"]) != 1 || len(f["X-Txn"]) != 1 || len(f["Connection"]) > 0 {
-				t.Errorf("the server got %v", f)
+				h.t.Errorf("the server got %v", f)
 			}
 		}
 	})
@@ -529,18 +517,17 @@
 
 // Requests count for the tenant that they name; one that the settings don't have is refused.
 func TestTenants(t *testing.T) {
-	onEachNetwork(t, func(t *testing.T, on network) {
-		h := newHarness(t, on, `"tenants":[]`, `"tenants":[{"name":"north","allowance_per_s":5},{"name":"south","allowance_per_s":1}]`)
-		h.answering()
+	onEachNetwork(t, func(h *harness) {
+		h.addRespondingServers()
 		h.startInService()
 		for name, want := range map[string]int{"north": 200, "south": 200, "": 200, "west": 400} {
 			field := ""
 			if name != "" {
 				field = "X-Org: " + name + "\r\n"
 			}
-			if got := h.client().ask(request(jobName(1), "X-Lane", field+"X-Lane")); got.StatusCode != want || got.err != nil {
-				t.Errorf("tenant %q: %d, %v, want %d", name, got.StatusCode, got.err, want)
+			if got := h.connectClient().exchange(request(requestID(1), "X-Lane", field+"X-Lane")); got.StatusCode != want || got.err != nil {
+				h.t.Errorf("tenant %q: %d, %v, want %d", name, got.StatusCode, got.err, want)
 			}
 		}
-	})
+	}, `"tenants":[]`, `"tenants":[{"name":"north","allowance_per_s":5},{"name":"south","allowance_per_s":1}]`)
 }
