--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -14,6 +14,7 @@
 	"fmt"
 	"image/color"
 	"io"
+	"maps"
 	"math"
 	"os"
 	"os/exec"
@@ -126,7 +127,8 @@
 			s.P50[name], s.P99[name] = float64(first[len(first)/2])/1e6, float64(first[len(first)*99/100])/1e6
 		}
 	}
-	for name, t := range r.Sums {
+	for _, name := range slices.Sorted(maps.Keys(r.Sums)) { // a fixed order: the sum of floats depends on it
+		t := r.Sums[name]
 		take(name, t)
 		all.Value, all.Asked, all.First = all.Value+t.Value, all.Asked+t.Asked, append(all.First, t.First...)
 	}
