--- a/cmd/docksail/batch.go
+++ b/cmd/docksail/batch.go
@@ -34,11 +34,11 @@
 // startBatches serves the batch API of a dispatcher that listens at an address; stop ends it and waits.
 func startBatches(ctx context.Context, s *config.Dispatcher, at netip.AddrPort, log *slog.Logger) (stop func(), err error) {
 	b := &s.Batch
-	store, err := batchstore.Open(b.Dir, b.Quota)
+	store, err := batchstore.Open(b.Directory, b.QuotaBytes)
 	if err != nil {
 		return nil, err
 	}
-	plan := batchrunner.Config{Classes: map[string]batchrunner.Class{}, DispatcherAddress: at.String(), MaxLinesInFlight: b.Out, InitialBackoff: b.First, MaxLines: b.Lines, MaxLineBytes: b.Line, Seed: s.Seed}
+	plan := batchrunner.Config{Classes: map[string]batchrunner.Class{}, DispatcherAddress: at.String(), MaxLinesInFlight: b.MaxLinesInFlight, InitialBackoff: b.InitialBackoff, MaxLines: b.MaxLines, MaxLineBytes: b.MaxLineBytes, Seed: s.Seed}
 	if at.Addr().IsUnspecified() {
 		plan.DispatcherAddress = net.JoinHostPort("localhost", fmt.Sprint(at.Port()))
 	}
@@ -46,12 +46,12 @@
 		plan.Classes[t.Name] = batchrunner.Class{Effect: map[policy.Idempotency]batchscheduler.Effect{
 			policy.Idempotent: batchscheduler.Idempotent, policy.Deduplicated: batchscheduler.Deduplicated,
 			policy.NonIdempotent: batchscheduler.NonIdempotent,
-		}[policy.Idempotency(t.Effect)], DeduplicationWindow: t.Window, Timeout: t.Timeout}
+		}[policy.Idempotency(t.Idempotency)], DeduplicationWindow: t.DedupWindow, Timeout: t.Timeout}
 	}
 	for _, t := range s.Tenants {
 		w := t.Weight
 		if w == 0 {
-			w = t.PerSecond
+			w = t.RequestsPerSecond
 		}
 		plan.Tenants = append(plan.Tenants, batchrunner.Tenant{Name: t.Name, Weight: w})
 	}
@@ -69,7 +69,7 @@
 	if err != nil {
 		return fail(err)
 	}
-	srv, err := frontend.New(ctx, store, r, frontend.Limits{MaxFileBytes: b.File, MaxCompletionWindow: b.Window, MaxHeaderBytes: s.Limits.Headers}, keys, log)
+	srv, err := frontend.New(ctx, store, r, frontend.Limits{MaxFileBytes: b.MaxFileBytes, MaxCompletionWindow: b.MaxCompletionWindow, MaxHeaderBytes: s.Limits.MaxHeaderBytes}, keys, log)
 	if err != nil {
 		return fail(err)
 	}
@@ -77,7 +77,7 @@
 	if err != nil {
 		return fail(err)
 	}
-	log.Info("batch API", "at", ln.Addr().String(), "dir", b.Dir)
+	log.Info("batch API", "at", ln.Addr().String(), "dir", b.Directory)
 	var wg sync.WaitGroup
 	run := func(what string, f func() error) {
 		wg.Add(1)
@@ -90,10 +90,10 @@
 	}
 	run("batches", func() error { return r.Run(ctx) })
 	run("batch API", func() error { return srv.Serve(ctx, ln) })
-	if b.Keep > 0 {
+	if b.FileRetention > 0 {
 		run("sweep", func() error {
 			for tick := time.Tick(sweepEvery); ; {
-				n, err := store.DeleteFilesOlderThan(time.Now(), b.Keep)
+				n, err := store.DeleteFilesOlderThan(time.Now(), b.FileRetention)
 				if err != nil {
 					log.Error("old files not deleted", "err", err)
 				} else if n > 0 {
--- a/cmd/docksail/heldstate_test.go
+++ b/cmd/docksail/heldstate_test.go
@@ -30,7 +30,7 @@
 
 func newHeldStateTest(t *testing.T) *heldStateTest {
 	t.Helper()
-	fleet, err := soak.NewFleet(program, t.TempDir(), soakSettings, soak.UsualLimits(time.Second))
+	fleet, err := soak.NewFleet(program, t.TempDir(), soakSettings, soak.DefaultLimits(time.Second))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -64,7 +64,7 @@
 // served has a request served, so that there are connections that may be used again.
 func (h *heldStateTest) served(id string) {
 	h.Helper()
-	if o := h.client.Wait(h.send(id)); o.Status != http.StatusOK || o.Err != nil {
+	if o := h.client.ReceiveAnswer(h.send(id)); o.Status != http.StatusOK || o.Err != nil {
 		h.Fatalf("%d, %v", o.Status, o.Err)
 	}
 	time.Sleep(50 * time.Millisecond) // connections rest for some milliseconds before they are used again
@@ -73,9 +73,9 @@
 // until waits for a line of the request's trace.
 func (h *heldStateTest) until(text string) {
 	h.Helper()
-	for end := time.Now().Add(10 * time.Second); h.fleet.Ledger.Seen(heldRequest, text) == 0; time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(10 * time.Second); h.fleet.Oracle.Seen(heldRequest, text) == 0; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			h.Fatalf("no %q within 10 s:\n%s", text, h.fleet.Ledger.Trace(heldRequest))
+			h.Fatalf("no %q within 10 s:\n%s", text, h.fleet.Oracle.Trace(heldRequest))
 		}
 	}
 }
@@ -84,13 +84,13 @@
 func (h *heldStateTest) wantReleased() {
 	h.Helper()
 	time.Sleep(1500 * time.Millisecond)
-	for _, broken := range h.fleet.Ledger.Judge(soak.Now()) {
+	for _, broken := range h.fleet.Oracle.Check(soak.Now()) {
 		h.Errorf("%s\n%s", broken, h.dispatcher.Log(heldRequest))
 	}
-	if held := h.fleet.Ledger.Held(); len(held) > 0 {
-		h.Errorf("held for %v:\n%s\n%s", held, h.fleet.Ledger.Trace(heldRequest), h.dispatcher.Log(heldRequest))
+	if held := h.fleet.Oracle.Held(); len(held) > 0 {
+		h.Errorf("held for %v:\n%s\n%s", held, h.fleet.Oracle.Trace(heldRequest), h.dispatcher.Log(heldRequest))
 	}
-	if faults, err := h.dispatcher.Faults(); err != nil || len(faults) > 0 {
+	if faults, err := h.dispatcher.ProgramErrors(); err != nil || len(faults) > 0 {
 		h.Errorf("%v: %v", err, faults)
 	}
 }
@@ -99,14 +99,14 @@
 func TestHeldStateOnLoopback(t *testing.T) {
 	for name, script := range map[string]func(h *heldStateTest){
 		"a write on a new connection does not arrive": func(h *heldStateTest) {
-			h.decode.Proxy.Hold(soak.Forward, true, false)
+			h.decode.Proxy.SetHeld(soak.Forward, true, false)
 			h.send(heldRequest)
 			h.until("read at r1")
 			h.until("begun to w1")
 		},
 		"a write on a kept connection does not arrive, another connection speaks": func(h *heldStateTest) {
 			h.served("0000000000000001")
-			h.decode.Proxy.Hold(soak.Forward, true, true) // of the connections that there are
+			h.decode.Proxy.SetHeld(soak.Forward, true, true) // of the connections that there are
 			h.send(heldRequest)
 			h.until("begun to w1")
 			other := soak.NewClient(h.fleet)
@@ -121,24 +121,28 @@
 			h.until("begun to w1")
 		},
 		"a read ends after the release that followed its client's end": func(h *heldStateTest) {
-			h.fleet.Plan = func(_ string, read bool, _ string) soak.Plan { return soak.Plan{Work: 700 * time.Millisecond} }
-			h.prefill.Proxy.HoldCloses(true)
+			h.fleet.AttemptPlan = func(_ string, read bool, _ string) soak.AttemptPlan {
+				return soak.AttemptPlan{Work: 700 * time.Millisecond}
+			}
+			h.prefill.Proxy.SetClosesHeld(true)
 			h.send(heldRequest)
 			h.until("arrived at r1")
-			h.client.Leave(heldRequest)
+			h.client.CancelRequest(heldRequest)
 			h.until("read at r1")
 			time.Sleep(1500 * time.Millisecond)
-			h.prefill.Proxy.HoldCloses(false)
+			h.prefill.Proxy.SetClosesHeld(false)
 		},
 		"a prefill server is cut off as its client leaves": func(h *heldStateTest) {
-			h.fleet.Plan = func(_ string, read bool, _ string) soak.Plan { return soak.Plan{Work: 700 * time.Millisecond} }
+			h.fleet.AttemptPlan = func(_ string, read bool, _ string) soak.AttemptPlan {
+				return soak.AttemptPlan{Work: 700 * time.Millisecond}
+			}
 			h.send(heldRequest)
 			h.until("arrived at r1")
-			h.prefill.Proxy.Hold(soak.Forward, true, false)
-			h.client.Leave(heldRequest)
+			h.prefill.Proxy.SetHeld(soak.Forward, true, false)
+			h.client.CancelRequest(heldRequest)
 			h.until("read at r1")
 			time.Sleep(1500 * time.Millisecond)
-			h.prefill.Proxy.Hold(soak.Forward, false, false)
+			h.prefill.Proxy.SetHeld(soak.Forward, false, false)
 		},
 		"a server refuses a release": func(h *heldStateTest) {
 			refused := 0
@@ -148,40 +152,40 @@
 				}
 				return 0
 			}
-			h.fleet.Plan = func(_ string, read bool, _ string) soak.Plan {
+			h.fleet.AttemptPlan = func(_ string, read bool, _ string) soak.AttemptPlan {
 				if read {
-					return soak.Plan{}
+					return soak.AttemptPlan{}
 				}
-				return soak.Plan{Work: 200 * time.Millisecond}
+				return soak.AttemptPlan{Work: 200 * time.Millisecond}
 			}
 			h.send(heldRequest)
 			h.until("arrived at w1")
-			h.client.Leave(heldRequest)
+			h.client.CancelRequest(heldRequest)
 			h.until("release refused")
 		},
 		"a read that left its state is answered as failed": func(h *heldStateTest) {
-			h.fleet.Plan = func(_ string, read bool, _ string) soak.Plan {
+			h.fleet.AttemptPlan = func(_ string, read bool, _ string) soak.AttemptPlan {
 				if read {
-					return soak.Plan{Status: http.StatusInternalServerError}
+					return soak.AttemptPlan{Status: http.StatusInternalServerError}
 				}
-				return soak.Plan{}
+				return soak.AttemptPlan{}
 			}
 			h.send(heldRequest)
 			h.until("read at r1")
-			h.client.Leave(heldRequest)
+			h.client.CancelRequest(heldRequest)
 		},
 		"a write waits past a release beside it and is refused": func(h *heldStateTest) {
 			h.served("0000000000000001")
-			h.fleet.Plan = func(_ string, read bool, _ string) soak.Plan {
+			h.fleet.AttemptPlan = func(_ string, read bool, _ string) soak.AttemptPlan {
 				if read {
-					return soak.Plan{}
+					return soak.AttemptPlan{}
 				}
-				return soak.Plan{Work: 900 * time.Millisecond, Status: http.StatusServiceUnavailable}
+				return soak.AttemptPlan{Work: 900 * time.Millisecond, Status: http.StatusServiceUnavailable}
 			}
 			h.send(heldRequest)
 			h.until("arrived at w1")
 			h.until("refused")
-			h.client.Leave(heldRequest)
+			h.client.CancelRequest(heldRequest)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -196,60 +200,60 @@
 // What the ledger judges by is seen on accounts that are known to be right or wrong.
 func TestLedger(t *testing.T) {
 	for name, c := range map[string]struct {
-		events func(l *soak.Ledger, at soak.Moment, ms func(int) soak.Moment)
+		events func(l *soak.Oracle, at soak.Moment, ms func(int) soak.Moment)
 		broken int
 	}{
-		"released in time": {func(l *soak.Ledger, at soak.Moment, ms func(int) soak.Moment) {
+		"released in time": {func(l *soak.Oracle, at soak.Moment, ms func(int) soak.Moment) {
 			l.ReadAt(at, "a", "r1", 1)
-			l.Released(ms(1200), "a", "w1")
+			l.ReleaseReceived(ms(1200), "a", "w1")
 		}, 0},
-		"released late": {func(l *soak.Ledger, at soak.Moment, ms func(int) soak.Moment) {
+		"released late": {func(l *soak.Oracle, at soak.Moment, ms func(int) soak.Moment) {
 			l.ReadAt(at, "a", "r1", 1)
-			l.Released(ms(1400), "a", "w1")
+			l.ReleaseReceived(ms(1400), "a", "w1")
 		}, 1},
-		"never released": {func(l *soak.Ledger, at soak.Moment, ms func(int) soak.Moment) {
-			l.Released(ms(-10), "a", "w1")
+		"never released": {func(l *soak.Oracle, at soak.Moment, ms func(int) soak.Moment) {
+			l.ReleaseReceived(ms(-10), "a", "w1")
 			l.ReadAt(at, "a", "r1", 1)
 		}, 1},
-		"taken late": {func(l *soak.Ledger, at soak.Moment, ms func(int) soak.Moment) {
+		"taken late": {func(l *soak.Oracle, at soak.Moment, ms func(int) soak.Moment) {
 			l.ReadAt(at, "a", "r1", 1)
 			l.ArrivedAt(ms(1500), "a", false, "w1", 2)
 		}, 1},
-		"its server died": {func(l *soak.Ledger, at soak.Moment, ms func(int) soak.Moment) {
+		"its server died": {func(l *soak.Oracle, at soak.Moment, ms func(int) soak.Moment) {
 			l.ReadAt(at, "a", "r1", 1)
-			l.Died(ms(500), "r1")
+			l.ServerStopped(ms(500), "r1")
 		}, 0},
-		"a write waits, then a release": {func(l *soak.Ledger, at soak.Moment, ms func(int) soak.Moment) {
+		"a write waits, then a release": {func(l *soak.Oracle, at soak.Moment, ms func(int) soak.Moment) {
 			l.ReadAt(at, "a", "r1", 1)
 			l.ArrivedAt(ms(100), "a", false, "w1", 2)
-			l.Released(ms(2000), "a", "r1") // passes it by
+			l.ReleaseReceived(ms(2000), "a", "r1") // passes it by
 			l.OverAt(ms(3000), "a", "w1", 2)
 			l.ClosedAt(ms(3010), "a", "w1", 2)
-			l.Released(ms(4000), "a", "r1")
+			l.ReleaseReceived(ms(4000), "a", "r1")
 		}, 0},
-		"a write waits, then no release": {func(l *soak.Ledger, at soak.Moment, ms func(int) soak.Moment) {
+		"a write waits, then no release": {func(l *soak.Oracle, at soak.Moment, ms func(int) soak.Moment) {
 			l.ReadAt(at, "a", "r1", 1)
 			l.ArrivedAt(ms(100), "a", false, "w1", 2)
-			l.Released(ms(2000), "a", "r1") // passes it by
+			l.ReleaseReceived(ms(2000), "a", "r1") // passes it by
 			l.OverAt(ms(3000), "a", "w1", 2)
 			l.ClosedAt(ms(3010), "a", "w1", 2)
 		}, 1},
-		"a read's answer is held up": {func(l *soak.Ledger, at soak.Moment, ms func(int) soak.Moment) {
+		"a read's answer is held up": {func(l *soak.Oracle, at soak.Moment, ms func(int) soak.Moment) {
 			l.ArrivedAt(at, "a", true, "r1", 1)
 			l.ReadAt(ms(100), "a", "r1", 1)
 			l.ArrivedAt(ms(2000), "a", false, "w1", 2)
 		}, 0},
-		"its dispatcher was killed": {func(l *soak.Ledger, at soak.Moment, ms func(int) soak.Moment) {
-			l.Sent(at, "a", "d1")
+		"its dispatcher was killed": {func(l *soak.Oracle, at soak.Moment, ms func(int) soak.Moment) {
+			l.RequestSent(at, "a", "d1")
 			l.ReadAt(at, "a", "r1", 1)
-			l.Excuse(ms(10), "d1")
+			l.DispatcherKilled(ms(10), "d1")
 		}, 0},
 	} {
 		at := soak.Now()
 		ms := func(n int) soak.Moment { return at + soak.Moment(n)*soak.Moment(time.Millisecond) }
-		l := soak.NewLedger(soak.UsualLimits(time.Second))
+		l := soak.NewOracle(soak.DefaultLimits(time.Second))
 		c.events(l, at, ms)
-		if broken := l.Judge(ms(5000)); len(broken) != c.broken {
+		if broken := l.Check(ms(5000)); len(broken) != c.broken {
 			t.Errorf("%s: %d rules broken, want %d: %s", name, len(broken), c.broken, fmt.Sprint(broken))
 		}
 	}
--- a/cmd/docksail/lab.go
+++ b/cmd/docksail/lab.go
@@ -43,22 +43,22 @@
 			out := c.OutOrStdout()
 			log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelWarn}))
 			s := scenario.Demo()
-			stage, err := scenario.Open(s, log)
+			stage, err := scenario.Start(s, log)
 			if err != nil {
 				return err
 			}
 			defer stage.Close()
-			fmt.Fprintf(out, "dispatcher at %s, %d stand-in engines\n", stage.Targets()[0], len(stage.Engines))
+			fmt.Fprintf(out, "dispatcher at %s, %d stand-in engines\n", stage.Addresses()[0], len(stage.Engines))
 			ctx, cancel := context.WithTimeout(c.Context(), 10*time.Second)
 			defer cancel()
-			conn, err := grpc.NewClient(stage.Targets()[0], grpc.WithTransportCredentials(insecure.NewCredentials()))
+			conn, err := grpc.NewClient(stage.Addresses()[0], grpc.WithTransportCredentials(insecure.NewCredentials()))
 			if err != nil {
 				return err
 			}
 			defer conn.Close()
 			begin := time.Now()
 			stream, err := pb.NewGenerationClient(conn).Generate(ctx, &pb.GenerateRequest{
-				Track:        s.Load[0].Name,
+				Track:        s.Classes[0].Name,
 				PromptTokens: 1200, MaxTokens: 40, Session: "demo", Label: "demo", Prompt: []byte("Is my shift confirmed?"),
 			})
 			if err != nil {
@@ -100,12 +100,12 @@
 				return err
 			}
 			log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
-			stage, err := scenario.Open(s, log)
+			stage, err := scenario.Start(s, log)
 			if err != nil {
 				return err
 			}
 			defer stage.Close()
-			rep, err := stage.Play(c.Context())
+			rep, err := stage.Run(c.Context())
 			if err != nil {
 				return err
 			}
@@ -143,7 +143,7 @@
 			if c.Flags().Changed("seed") {
 				s.Seed = seed
 			}
-			rep, err := experiment.Play(c.Context(), s, policy, sample)
+			rep, err := experiment.Simulate(c.Context(), s, policy, sample)
 			if err != nil {
 				return err
 			}
@@ -153,12 +153,12 @@
 				}
 			}
 			if sums {
-				if err := json.NewEncoder(c.OutOrStdout()).Encode(experiment.SumsOf(&rep.Report)); err != nil {
+				if err := json.NewEncoder(c.OutOrStdout()).Encode(experiment.Summarize(&rep.Report)); err != nil {
 					return err
 				}
 			} else {
 				rep.Print(c.OutOrStdout())
-				fmt.Fprintf(c.OutOrStdout(), "simulated %v with seed %d in %v, %d turns of loops\n", rep.Simulated, s.Seed, rep.Took.Round(time.Millisecond), rep.Turns)
+				fmt.Fprintf(c.OutOrStdout(), "simulated %v with seed %d in %v, %d turns of loops\n", rep.Simulated, s.Seed, rep.Elapsed.Round(time.Millisecond), rep.LoopIterations)
 			}
 			if n := len(rep.Violations); n > 0 {
 				return fmt.Errorf("%d broken rules", n)
@@ -190,9 +190,9 @@
 			if err != nil {
 				return err
 			}
-			experiment.Print(c.OutOrStdout(), rs)
+			experiment.PrintResults(c.OutOrStdout(), rs)
 			if picture != "" {
-				return experiment.Plot(rs, picture)
+				return experiment.PlotResults(rs, picture)
 			}
 			return nil
 		},
@@ -219,8 +219,8 @@
 			defer cancel()
 			var bad error
 			finds := 0
-			x := faultsearch.Explorer{Base: s}
-			tried, err := x.Explore(ctx, first, seeds, func(f *faultsearch.Find) {
+			x := faultsearch.Searcher{Base: s}
+			tried, err := x.Search(ctx, first, seeds, func(f *faultsearch.Finding) {
 				finds++
 				name := filepath.Join(into, fmt.Sprintf("found-%d.json", f.Seed))
 				text, err := f.Text()
@@ -228,8 +228,8 @@
 					err = os.WriteFile(name, text, 0o644)
 				}
 				bad = errors.Join(bad, err)
-				fmt.Fprintf(c.OutOrStdout(), "seed %d: %v%s\n  %d troubles in %v, after %d plays; replay with: docksail lab sim %s\n", f.Seed, f.Broken, f.Panic,
-					len(f.Script.Troubles), f.Script.For, f.Plays, name)
+				fmt.Fprintf(c.OutOrStdout(), "seed %d: %v%s\n  %d troubles in %v, after %d plays; replay with: docksail lab sim %s\n", f.Seed, f.Violations, f.Panic,
+					len(f.Script.Faults), f.Script.Duration, f.Plays, name)
 			})
 			if err = errors.Join(err, bad); err != nil {
 				return err
@@ -278,7 +278,7 @@
 }
 
 func loadCommand() *cobra.Command {
-	p := loadgen.Plan{}
+	p := loadgen.Config{}
 	c := &cobra.Command{
 		Use:   "load SCRIPT",
 		Short: "Send a script's load to running dispatchers, open loop, with times from when each job was due",
@@ -288,8 +288,8 @@
 			if err != nil {
 				return err
 			}
-			if p.Script = s; p.For == 0 {
-				p.For = s.For
+			if p.Script = s; p.Duration == 0 {
+				p.Duration = s.Duration
 			}
 			tracks, err := loadgen.Run(c.Context(), p, func(at time.Duration, ended, honoured int64) {
 				fmt.Fprintf(os.Stderr, "\r%4.0f s: %d jobs ended, %d honoured", at.Seconds(), ended, honoured)
@@ -303,9 +303,9 @@
 	}
 	c.Flags().StringSliceVar(&p.Targets, "target", []string{"127.0.0.1:7000"}, "addresses of dispatchers")
 	c.Flags().StringVar(&p.Pattern, "pattern", "poisson", "how sessions come: "+strings.Join(loadgen.Patterns, ", "))
-	c.Flags().StringVar(&p.Record, "record", "", "entries whose sessions' times are played, of the pattern recorded")
-	c.Flags().DurationVar(&p.For, "for", 0, "how long; 0 = the script's")
-	c.Flags().IntVar(&p.Conns, "connections", 2, "to each dispatcher")
+	c.Flags().StringVar(&p.RecordFile, "record", "", "entries whose sessions' times are played, of the pattern recorded")
+	c.Flags().DurationVar(&p.Duration, "for", 0, "how long; 0 = the script's")
+	c.Flags().IntVar(&p.ConnsPerDispatcher, "connections", 2, "to each dispatcher")
 	return c
 }
 
@@ -319,7 +319,7 @@
 			if err != nil {
 				return err
 			}
-			return calibrate.Print(c.OutOrStdout(), lines)
+			return calibrate.PrintComparisons(c.OutOrStdout(), lines)
 		},
 	}
 }
@@ -338,7 +338,7 @@
 }
 
 func measureCommand() *cobra.Command {
-	p := benchmark.Plan{}
+	p := benchmark.Config{}
 	c := &cobra.Command{
 		Use:   "measure",
 		Short: "Measure a dispatcher beside the plain relay and no relay: CPU, added time, memory",
@@ -353,11 +353,11 @@
 		},
 	}
 	c.Flags().IntSliceVar(&p.Streams, "streams", []int{100, 1000, 5000}, "streams at once, one pass for each")
-	c.Flags().DurationVar(&p.Gap, "gap", 50*time.Millisecond, "time between the tokens of a stream")
+	c.Flags().DurationVar(&p.TokenInterval, "gap", 50*time.Millisecond, "time between the tokens of a stream")
 	c.Flags().IntVar(&p.Tokens, "tokens", 60, "most tokens of an answer")
-	c.Flags().DurationVar(&p.For, "for", 15*time.Second, "length of a pass")
-	c.Flags().IntVar(&p.Waiting, "waiting", 1000, "waiting jobs for the memory figure")
-	c.Flags().IntVar(&p.Idle, "idle", 1000, "idle connections for the memory figure")
+	c.Flags().DurationVar(&p.Duration, "for", 15*time.Second, "length of a pass")
+	c.Flags().IntVar(&p.WaitingRequests, "waiting", 1000, "waiting jobs for the memory figure")
+	c.Flags().IntVar(&p.IdleConns, "idle", 1000, "idle connections for the memory figure")
 	return c
 }
 
@@ -369,7 +369,7 @@
 		Args:   cobra.NoArgs,
 		Hidden: true,
 		RunE: func(c *cobra.Command, _ []string) error {
-			return benchmark.Engines(gap, c.InOrStdin(), c.OutOrStdout())
+			return benchmark.RunEngines(gap, c.InOrStdin(), c.OutOrStdout())
 		},
 	}
 	c.Flags().DurationVar(&gap, "gap", 50*time.Millisecond, "time between the tokens of a stream")
@@ -377,18 +377,18 @@
 }
 
 func baselineCommand() *cobra.Command {
-	var f benchmark.Fleet
+	var f benchmark.Addresses
 	c := &cobra.Command{
 		Use:    "baseline",
 		Short:  "Run the plain relay until the input ends",
 		Args:   cobra.NoArgs,
 		Hidden: true,
 		RunE: func(c *cobra.Command, _ []string) error {
-			return benchmark.Baseline(f, c.InOrStdin(), c.OutOrStdout())
+			return benchmark.RunBaselineRelay(f, c.InOrStdin(), c.OutOrStdout())
 		},
 	}
-	c.Flags().StringArrayVar(&f.Readers, "reader", nil, "address of a reader")
-	c.Flags().StringArrayVar(&f.Writers, "writer", nil, "address of a writer")
+	c.Flags().StringArrayVar(&f.PrefillServers, "reader", nil, "address of a reader")
+	c.Flags().StringArrayVar(&f.DecodeServers, "writer", nil, "address of a writer")
 	return c
 }
 
--- a/cmd/docksail/main_test.go
+++ b/cmd/docksail/main_test.go
@@ -63,9 +63,9 @@
 	var hosts []string
 	for i, role := range []pb.Role{pb.Role_ROLE_READER, pb.Role_ROLE_WRITER} {
 		e := engine.New(engine.Spec{
-			ID: i + 1, Role: role, Slots: 8, Queue: 8, Memory: 1 << 20, ReadRate: 1e5, TokenGap: 10 * time.Millisecond,
-			JobsPerSecond: 100, ColdFrom: 1, MoveRate: 1e6, Hold: time.Second,
-		}, engine.Simple{}, nil)
+			ID: i + 1, Role: role, Slots: 8, Queue: 8, MemoryTokens: 1 << 20, PrefillRate: 1e5, TokenGap: 10 * time.Millisecond,
+			RequestsPerSecond: 100, InitialCapacity: 1, TransferRate: 1e6, MaxHoldTime: time.Second,
+		}, engine.LinearModel{}, nil)
 		if err := e.Start("127.0.0.1:0"); err != nil {
 			t.Fatal(err)
 		}
--- a/cmd/docksail/serve.go
+++ b/cmd/docksail/serve.go
@@ -45,7 +45,7 @@
 			if err != nil {
 				return err
 			}
-			log.Info("serving", "at", r.Addr, "zone", s.Zone, "number", s.Number, "of", s.Count)
+			log.Info("serving", "at", r.Addr, "zone", s.Zone, "number", s.Index, "of", s.Count)
 			if s.Batch.Listen.IsValid() {
 				stop, err := startBatches(ctx, s, r.Addr, log)
 				if err != nil {
@@ -59,7 +59,7 @@
 			reload := make(chan os.Signal, 1)
 			signal.Notify(reload, syscall.SIGHUP)
 			var status <-chan time.Time
-			if s.Status != "" {
+			if s.StatusFile != "" {
 				t := time.NewTicker(time.Second)
 				defer t.Stop()
 				status = t.C
@@ -74,7 +74,7 @@
 				case <-status:
 					var v dispatch.Status
 					if r.RunOnLoop(func(d *dispatch.Dispatcher) { v = d.Status() }) {
-						if err := writeStatus(s.Status, v); err != nil {
+						if err := writeStatus(s.StatusFile, v); err != nil {
 							log.Warn("status not written", "err", err)
 						}
 					}
@@ -94,7 +94,7 @@
 						return fmt.Errorf("ended at once by a second signal")
 					}
 					asked = true
-					r.Drain(s.Drain)
+					r.Drain(s.DrainTimeout)
 				case <-r.Done():
 					err := r.Wait()
 					log.Info("ended", "err", err)
@@ -208,7 +208,7 @@
 			if err != nil {
 				return err
 			}
-			if _, err := s.Module(1, 0); err != nil {
+			if _, err := s.NewPolicy(1, 0); err != nil {
 				return fmt.Errorf("%s: %w", args[0], err)
 			}
 			for _, warning := range s.Warnings {
--- a/cmd/docksail/soak.go
+++ b/cmd/docksail/soak.go
@@ -82,7 +82,7 @@
 }
 
 // runs makes commands of a program.
-func runs(program string) soak.Program {
+func runs(program string) soak.CommandFunc {
 	return func(args ...string) *exec.Cmd {
 		c := exec.Command(program, args...)
 		c.Env = os.Environ()
--- a/cmd/docksail/soak_test.go
+++ b/cmd/docksail/soak_test.go
@@ -40,14 +40,14 @@
 // The same seed draws the same schedule; of each role's servers half at the least are sound at any time.
 func TestSoakSchedule(t *testing.T) {
 	for seed := range uint64(20) {
-		first, again := soak.Draw(seed, 20*time.Second), soak.Draw(seed, 20*time.Second)
+		first, again := soak.DrawPlan(seed, 20*time.Second), soak.DrawPlan(seed, 20*time.Second)
 		if fmt.Sprint(first) != fmt.Sprint(again) || len(first.Schedule) == 0 {
 			t.Fatalf("seed %d: %d faults, then %d", seed, len(first.Schedule), len(again.Schedule))
 		}
 		for at := time.Duration(0); at < 20*time.Second; at += 100 * time.Millisecond {
 			faulty := map[byte]int{}
 			for _, f := range first.Schedule {
-				if f.At <= at && at < f.At+f.For {
+				if f.Start <= at && at < f.Start+f.Duration {
 					faulty[f.Target[0]]++
 				}
 			}
--- a/internal/backend/platform/conn.go
+++ b/internal/backend/platform/conn.go
@@ -278,7 +278,7 @@
 	load := policy.NoLoadReport
 	for name, text := range figures { // each goes to a place of its own
 		if x, err := strconv.ParseFloat(string(text), 64); err == nil && x >= 0 && x < 1e12 {
-			platformconfig.Report(&load, name, x)
+			platformconfig.SetLoadReportField(&load, name, x)
 		}
 	}
 	c.loadReport = load
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -28,13 +28,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Classes[1].Effect != Effect(policy.Deduplicated) || s.Classes[1].Group != Group(policy.DedupScopeZone) || s.Classes[1].Window != 3*time.Second {
+	if s.Classes[1].Idempotency != Idempotency(policy.Deduplicated) || s.Classes[1].DedupScope != DedupScope(policy.DedupScopeZone) || s.Classes[1].DedupWindow != 3*time.Second {
 		t.Errorf("track read as %+v", s.Classes[1])
 	}
-	if s.Limits.Requests != Usual().Limits.Requests || s.Attempts.Most != Usual().Attempts.Most {
+	if s.Limits.MaxRequests != Default().Limits.MaxRequests || s.Attempts.MaxAttempts != Default().Attempts.MaxAttempts {
 		t.Error("what the file does not say is not as usual")
 	}
-	if _, err := s.Module(1, 0); err != nil {
+	if _, err := s.NewPolicy(1, 0); err != nil {
 		t.Errorf("the module does not start: %v", err)
 	}
 }
@@ -122,7 +122,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if servers, warnings, err := Servers("fleet.json", text); err != nil || len(servers) == 0 || len(warnings) > 0 {
+	if servers, warnings, err := ParseServers("fleet.json", text); err != nil || len(servers) == 0 || len(warnings) > 0 {
 		t.Errorf("%d servers, warnings %q, %v", len(servers), warnings, err)
 	}
 }
@@ -133,7 +133,7 @@
 		{`{"servers": [{"id": 1, "address": "127.0.0.1:1", "role": "cook"}]}`, `"cook", want one of prefill, decode, mixed`},
 		{`{}`, "servers: is missing"},
 	} {
-		if _, _, err := Servers("f", []byte(c.text)); err == nil || !strings.Contains(err.Error(), c.want) {
+		if _, _, err := ParseServers("f", []byte(c.text)); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v, want %q", c.text, err, c.want)
 		}
 	}
@@ -172,7 +172,7 @@
 
 // TestFormerNamesOfServers: a list of engines written for the release before is read, with its warnings.
 func TestFormerNamesOfServers(t *testing.T) {
-	list, warnings, err := Servers("f", []byte(`{"hosts": [{"id": 1, "address": "127.0.0.1:1", "role": "reader"}, {"id": 2, "address": "127.0.0.1:2", "role": "writer"}]}`))
+	list, warnings, err := ParseServers("f", []byte(`{"hosts": [{"id": 1, "address": "127.0.0.1:1", "role": "reader"}, {"id": 2, "address": "127.0.0.1:2", "role": "writer"}]}`))
 	if err != nil || len(list) != 2 || list[0].Role != policy.Prefill || list[1].Role != policy.Decode {
 		t.Fatalf("%+v, %v", list, err)
 	}
--- a/internal/config/print.go
+++ b/internal/config/print.go
@@ -9,12 +9,12 @@
 )
 
 // MarshalText gives the name.
-func (e Effect) MarshalText() ([]byte, error) {
+func (e Idempotency) MarshalText() ([]byte, error) {
 	return []byte([]string{policy.Idempotent: "idempotent", policy.Deduplicated: "deduplicated", policy.NonIdempotent: "non_idempotent"}[e]), nil
 }
 
 // MarshalText gives the name.
-func (g Group) MarshalText() ([]byte, error) {
+func (g DedupScope) MarshalText() ([]byte, error) {
 	return []byte([]string{policy.DedupScopeAll: "all", policy.DedupScopeZone: "zone", policy.DedupScopeCell: "cell"}[g]), nil
 }
 
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -94,7 +94,7 @@
 // simulations.
 func NewGRPC(l *eventloop.Loop, s *config.Dispatcher, log *slog.Logger, seed, incarnation uint64, secrets io.Reader, wrap func(Module) Module) (*Dispatcher, error) {
 	list := endpointlist.New()
-	module, err := s.Module(seed, list.ZoneID(s.Zone))
+	module, err := s.NewPolicy(seed, list.ZoneID(s.Zone))
 	if err != nil {
 		return nil, fmt.Errorf("decision module: %w", err)
 	}
@@ -106,29 +106,29 @@
 	if wrap != nil {
 		d.module = wrap(module)
 	}
-	d.hashKey, d.answerAhead, d.maxRetryAfter = s.HashKey, int64(s.Answers.Ahead), int64(s.Answers.MaxAdvice)
+	d.hashKey, d.answerAhead, d.maxRetryAfter = s.HashKey, int64(s.Responses.DeadlineMargin), int64(s.Responses.MaxRetryAfter)
 	for i, t := range s.Tenants {
 		d.tenants[t.Name] = policy.TenantID(i)
 	}
-	d.gate = intake.Limits{MaxRequests: s.Limits.Requests, MaxPromptTokens: int64(s.Limits.Prompt)}
+	d.gate = intake.Limits{MaxRequests: s.Limits.MaxRequests, MaxPromptTokens: int64(s.Limits.MaxPromptTokens)}
 	lim := h2.Limits{
-		MaxStreams: uint32(s.Limits.Streams), StreamWindow: uint32(s.Limits.StreamWindow),
-		ConnWindow: h2.DefaultLimits.ConnWindow, MaxHeaderListBytes: uint32(s.Limits.Headers), MaxMessageBytes: uint32(s.Limits.Message),
+		MaxStreams: uint32(s.Limits.MaxStreams), StreamWindow: uint32(s.Limits.StreamWindowBytes),
+		ConnWindow: h2.DefaultLimits.ConnWindow, MaxHeaderListBytes: uint32(s.Limits.MaxHeaderBytes), MaxMessageBytes: uint32(s.Limits.MaxMessageBytes),
 	}
 	var key [40]byte
 	if _, err := io.ReadFull(secrets, key[:]); err != nil {
 		return nil, fmt.Errorf("keys: %w", err)
 	}
 	d.signer, d.secretKey = admission.NewTicketSigner(key[:32]), binary.LittleEndian.Uint64(key[32:])
-	if !s.Answers.Advice {
+	if !s.Responses.SendRetryAfter {
 		d.signer = nil
 	}
-	if d.queue, err = admission.New(s.Limits.Waiting, s.Limits.Clients, shortest, d.signer); err != nil {
+	if d.queue, err = admission.New(s.Limits.MaxWaiting, s.Limits.MaxClients, shortest, d.signer); err != nil {
 		return nil, err
 	}
-	d.queue.FIFO = s.FirstCome
-	d.memory.most = uint64(s.Limits.Memory)
-	d.tenantTerms, d.tenantNames = s.TenantTerms(), []string{""}
+	d.queue.FIFO = s.FIFO
+	d.memory.most = uint64(s.Limits.MaxMemoryBytes)
+	d.tenantTerms, d.tenantNames = s.TenantLimits(), []string{""}
 	for i, t := range d.tenantTerms {
 		if err := d.queue.SetTenant(i, t); err != nil {
 			return nil, err
@@ -140,15 +140,15 @@
 			d.tenantNames = append(d.tenantNames, t.Name)
 		}
 	}
-	if d.grpcEntry, err = grpc.New(l, d, lim, s.Limits.Connections, s.Limits.Output, s.Limits.Partial); err != nil {
+	if d.grpcEntry, err = grpc.New(l, d, lim, s.Limits.MaxConnections, s.Limits.MaxOutputBytes, s.Limits.MaxPartialBytes); err != nil {
 		return nil, err
 	}
 	d.entry = d.grpcEntry
 	x := &grpcExit{
 		d: d, list: list, servers: make(map[policy.ServerID]*grpcServer), keeper: keepalive.Policy{LatencyTarget: shortest},
-		connect: int64(s.Attempts.Connect), lim: lim,
+		connect: int64(s.Attempts.ConnectTimeout), lim: lim,
 	}
-	x.lister.init(x, s.Fleet)
+	x.lister.init(x, s.Discovery)
 	d.exit = x
 	return d, nil
 }
--- a/internal/dispatch/listwatch.go
+++ b/internal/dispatch/listwatch.go
@@ -39,8 +39,8 @@
 	saves    chan []byte
 }
 
-func (w *listWatch) init(x *grpcExit, s config.Fleet) {
-	*w = listWatch{d: x.d, exit: x, addr: s.Watch, file: s.File, savePath: s.Keep, every: int64(s.Retry) / 8}
+func (w *listWatch) init(x *grpcExit, s config.Discovery) {
+	*w = listWatch{d: x.d, exit: x, addr: s.Watch, file: s.File, savePath: s.CacheFile, every: int64(s.RetryInterval) / 8}
 }
 
 func (w *listWatch) start() {
@@ -313,7 +313,7 @@
 	if err != nil {
 		return nil, nil, stamp, err
 	}
-	if servers, warnings, err = config.Servers(name, text); err != nil {
+	if servers, warnings, err = config.ParseServers(name, text); err != nil {
 		return nil, nil, stamp, err
 	}
 	return servers, warnings, info.ModTime(), nil
--- a/internal/dispatch/view.go
+++ b/internal/dispatch/view.go
@@ -147,7 +147,7 @@
 			return fmt.Errorf("tenant %q is new or in another place, want the tenants of the start", t.Name)
 		}
 	}
-	terms := s.TenantTerms()
+	terms := s.TenantLimits()
 	for _, t := range terms {
 		if err := t.Validate(); err != nil {
 			return err
--- a/internal/e2e/batch_test.go
+++ b/internal/e2e/batch_test.go
@@ -19,17 +19,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Batch = true
-	for i := range s.Fleet {
-		s.Fleet[i].Memory = 12000
+	s.BatchModel = true
+	for i := range s.Servers {
+		s.Servers[i].MemoryTokens = 12000
 	}
 	rep := playScript(t, s, nil)
 	for _, v := range rep.Violations {
 		t.Error(v)
 	}
-	for name, sum := range rep.Sums {
-		if sum.Wrong > 0 || sum.Served < sum.Requests/3 {
-			t.Errorf("track %s: %d of %d honoured, %d wrong", name, sum.Served, sum.Requests, sum.Wrong)
+	for name, sum := range rep.Summaries {
+		if sum.Corrupt > 0 || sum.Served < sum.Requests/3 {
+			t.Errorf("track %s: %d of %d honoured, %d wrong", name, sum.Served, sum.Requests, sum.Corrupt)
 		}
 	}
 }
@@ -37,8 +37,8 @@
 // TestShortMemoryPreempts: answers together need more memory than the writer has.
 func TestShortMemoryPreempts(t *testing.T) {
 	st, client := stage(t, func(s *scenario.Script) {
-		s.Batch = true
-		s.Fleet[1].Count, s.Fleet[1].Memory = 1, 1600
+		s.BatchModel = true
+		s.Servers[1].Count, s.Servers[1].MemoryTokens = 1, 1600
 	})
 	ends := make(chan codes.Code, 6)
 	for i := range 6 {
@@ -58,7 +58,7 @@
 	if got[codes.OK] < 2 || got[codes.DataLoss] > 0 {
 		t.Errorf("ended as %v, want no wrong token", got)
 	}
-	if n := st.Engines[2].Preempted(); n == 0 {
+	if n := st.Engines[2].Preemptions(); n == 0 {
 		t.Error("nothing was preempted: memory was not short")
 	}
 	calm(t, st, 3*time.Second)
--- a/internal/e2e/batchapi_test.go
+++ b/internal/e2e/batchapi_test.go
@@ -157,14 +157,14 @@
 }
 
 // openAPI serves the batch API of a stage's dispatcher for the tenants of the keys.
-func openAPI(t *testing.T, st *scenario.Stage, dir string, change func(p *batchrunner.Config)) *api {
+func openAPI(t *testing.T, st *scenario.Deployment, dir string, change func(p *batchrunner.Config)) *api {
 	t.Helper()
 	s, err := batchstore.Open(dir, 1<<20)
 	if err != nil {
 		t.Fatal(err)
 	}
 	p := batchrunner.Config{
-		Tenants: []batchrunner.Tenant{{Name: "", Weight: 1}, {Name: "other", Weight: 1}}, DispatcherAddress: st.Targets()[0], MaxLinesInFlight: 16, InitialBackoff: 50 * time.Millisecond, MaxLines: 1000, MaxLineBytes: 4096, Seed: 1,
+		Tenants: []batchrunner.Tenant{{Name: "", Weight: 1}, {Name: "other", Weight: 1}}, DispatcherAddress: st.Addresses()[0], MaxLinesInFlight: 16, InitialBackoff: 50 * time.Millisecond, MaxLines: 1000, MaxLineBytes: 4096, Seed: 1,
 		Classes: map[string]batchrunner.Class{"question": {Timeout: 2 * time.Second}, "booking": {Effect: batchscheduler.NonIdempotent, Timeout: 2 * time.Second}},
 	}
 	if change != nil {
@@ -346,17 +346,17 @@
 	if out, err := exec.Command("go", "build", "-o", program, "../../cmd/docksail").CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
-	records := &eventlog.Book{}
+	records := &eventlog.Log{}
 	var hosts []string
 	for i, role := range []string{"prefill", "prefill", "decode", "decode"} {
 		spec := engine.Spec{
-			ID: i + 1, Role: pb.Role_ROLE_READER, Zone: "a", Cell: "a1", Slots: 16, Queue: 64, Memory: 100000, ReadRate: 20000, TokenGap: 4 * time.Millisecond,
-			JobsPerSecond: 100, MoveRate: 1e6, Hold: 2 * time.Second,
+			ID: i + 1, Role: pb.Role_ROLE_READER, Zone: "a", Cell: "a1", Slots: 16, Queue: 64, MemoryTokens: 100000, PrefillRate: 20000, TokenGap: 4 * time.Millisecond,
+			RequestsPerSecond: 100, TransferRate: 1e6, MaxHoldTime: 2 * time.Second,
 		}
 		if role == "decode" {
 			spec.Role = pb.Role_ROLE_WRITER
 		}
-		e := engine.New(spec, engine.Simple{}, records)
+		e := engine.New(spec, engine.LinearModel{}, records)
 		if err := e.Start("127.0.0.1:0"); err != nil {
 			t.Fatal(err)
 		}
@@ -437,9 +437,9 @@
 	}
 	ran := map[string]int{}
 	for _, e := range records.Entries() {
-		if e.Kind == eventlog.Ran && e.Class == "book" {
-			if ran[e.Label]++; ran[e.Label] > 1 {
-				t.Errorf("booking %s ran twice", e.Label)
+		if e.Kind == eventlog.AnswerStarted && e.Class == "book" {
+			if ran[e.RequestLabel]++; ran[e.RequestLabel] > 1 {
+				t.Errorf("booking %s ran twice", e.RequestLabel)
 			}
 		}
 	}
@@ -465,11 +465,11 @@
 		if err := e.Start(""); err != nil {
 			t.Fatal(err)
 		}
-		e.Warm()
+		e.SkipWarmup()
 	}
 	time.Sleep(1500 * time.Millisecond)
-	st.Drain(0, 2*time.Second)
-	if err := st.Restart(0); err != nil {
+	st.DrainDispatcher(0, 2*time.Second)
+	if err := st.RestartDispatcher(0); err != nil {
 		t.Fatal(err)
 	}
 	b = a.until(id, 60*time.Second, "completed")
@@ -477,7 +477,7 @@
 	if n := a.results(b, "output_file_id", all); n != 400 || stood >= 400 || b["error_file_id"] != nil {
 		t.Errorf("%d of 400 done, %.0f before the engines came back; %v", n, stood, b)
 	}
-	for _, v := range st.Check() {
+	for _, v := range st.CheckInvariants() {
 		t.Error(v)
 	}
 }
--- a/internal/e2e/door_test.go
+++ b/internal/e2e/door_test.go
@@ -69,7 +69,7 @@
 // within a small factor of the same day without the flood, and far from what order of arrival makes of it.
 func TestFloodOfOneClient(t *testing.T) {
 	quietDay := playScript(t, crowdDay(t, false, `"clients": 1`), nil)
-	calmP50, calmP99 := p(quietDay.Sums["small"].First, 0.5), p(quietDay.Sums["small"].First, 0.99)
+	calmP50, calmP99 := p(quietDay.Summaries["small"].FirstTokenTimes, 0.5), p(quietDay.Summaries["small"].FirstTokenTimes, 0.99)
 	for _, c := range []struct{ name, how string }{
 		{"one name", `"clients": 1`},
 		{"made-up names", `"made_up": true`},
@@ -80,22 +80,22 @@
 			t.Parallel()
 			fair := playScript(t, crowdDay(t, true, c.how), nil)
 			s := crowdDay(t, true, c.how)
-			s.FirstCome = true
+			s.FIFO = true
 			first := playScript(t, s, nil)
-			a, b := fair.Sums["small"], first.Sums["small"]
+			a, b := fair.Summaries["small"], first.Summaries["small"]
 			t.Logf("small clients, p50/p99 to the first token: without the flood %v/%v, with it %v/%v, in order of arrival %v/%v; honoured %d of %d, in order of arrival %d of %d",
-				calmP50, calmP99, p(a.First, 0.5), p(a.First, 0.99), p(b.First, 0.5), p(b.First, 0.99), a.Served, a.Requests, b.Served, b.Requests)
+				calmP50, calmP99, p(a.FirstTokenTimes, 0.5), p(a.FirstTokenTimes, 0.99), p(b.FirstTokenTimes, 0.5), p(b.FirstTokenTimes, 0.99), a.Served, a.Requests, b.Served, b.Requests)
 			for _, rep := range []*scenario.Report{fair, first} {
 				if len(rep.Violations) > 0 || rep.Counts.InvalidDecisions > 0 {
 					t.Errorf("%v, %d decisions refused", rep.Violations, rep.Counts.InvalidDecisions)
 				}
 			}
-			if got := p(a.First, 0.5); got > 4*calmP50+100*time.Millisecond {
+			if got := p(a.FirstTokenTimes, 0.5); got > 4*calmP50+100*time.Millisecond {
 				t.Errorf("half of the small clients waited %v and more, without the flood %v", got, calmP50)
 			}
 			// One in a hundred waits for reads that run already, and for a turn of each of the others. The machine is busy with
 			// other tests: the stated bound is held in simulated time, by TestFloodSimulated in internal/lab/sim.
-			if got := p(a.First, 0.99); got > 10*calmP99+300*time.Millisecond {
+			if got := p(a.FirstTokenTimes, 0.99); got > 10*calmP99+300*time.Millisecond {
 				t.Errorf("one in a hundred of the small clients waited %v and more, without the flood %v", got, calmP99)
 			}
 			if a.Served < a.Requests*8/10 {
@@ -109,14 +109,14 @@
 func TestAdviceHolds(t *testing.T) {
 	t.Parallel()
 	s := crowdDay(t, true, `"clients": 200`)
-	s.Waiting = 24
-	for i := range s.Load {
-		s.Load[i].Timeout, s.Load[i].Retries = 12*time.Second, 3
+	s.MaxWaiting = 24
+	for i := range s.Classes {
+		s.Classes[i].Timeout, s.Classes[i].MaxRetries = 12*time.Second, 3
 	}
 	rep := playScript(t, s, nil)
 	back, kept := 0, 0
-	for _, sum := range rep.Sums {
-		back, kept = back+sum.Back, kept+sum.BackKept
+	for _, sum := range rep.Summaries {
+		back, kept = back+sum.ReservedRetries, kept+sum.ReservedRetriesServed
 	}
 	if back < 20 {
 		t.Fatalf("%d came back with a booking: the day refuses nobody", back)
@@ -135,10 +135,10 @@
 
 // TestTenThousandClients: each sends one job at once; every one is answered, memory stays flat.
 func TestTenThousandClients(t *testing.T) {
-	st, client := stage(t, func(s *scenario.Script) { s.Waiting = 500 })
+	st, client := stage(t, func(s *scenario.Script) { s.MaxWaiting = 500 })
 	clients := []pb.GenerationClient{client}
 	for range 7 {
-		clients = append(clients, dial(t, st.Targets()[0]))
+		clients = append(clients, dial(t, st.Addresses()[0]))
 	}
 	if _, s, _ := ask(context.Background(), client, job("first")); s.Code() != codes.OK {
 		t.Fatal(s)
@@ -199,8 +199,8 @@
 // TestFloodHoldsNoMemory: two hundred connections of one address send jobs as fast as they are refused; the heap is as
 // large late in the flood as early in it, the door keeps its bounds, and clients of another address are served.
 func TestFloodHoldsNoMemory(t *testing.T) {
-	st, _ := stage(t, func(s *scenario.Script) { s.Waiting = 200 })
-	to := st.Targets()[0]
+	st, _ := stage(t, func(s *scenario.Script) { s.MaxWaiting = 200 })
+	to := st.Addresses()[0]
 	if _, s, _ := ask(context.Background(), dialFrom(t, 8, to), job("first")); s.Code() != codes.OK {
 		t.Fatal(s)
 	}
@@ -319,7 +319,7 @@
 	case <-time.After(3 * time.Second):
 		t.Fatal("the dispatcher did not end")
 	}
-	for _, v := range st.Check() {
+	for _, v := range st.CheckInvariants() {
 		t.Error(v)
 	}
 }
@@ -338,8 +338,8 @@
 
 // TestFloodOfConnections: one address opens as many connections as it can; another's client is served as before.
 func TestFloodOfConnections(t *testing.T) {
-	st, _ := stage(t, func(s *scenario.Script) { s.Connections = 200 })
-	to := st.Targets()[0]
+	st, _ := stage(t, func(s *scenario.Script) { s.MaxConnections = 200 })
+	to := st.Addresses()[0]
 	from := &net.Dialer{Timeout: 2 * time.Second, LocalAddr: &net.TCPAddr{IP: net.IPv4(127, 0, 0, 9)}}
 	var conns []net.Conn
 	defer func() {
@@ -373,8 +373,8 @@
 // and terms that are wrong change nothing.
 func TestTenantsLimits(t *testing.T) {
 	st, client := stage(t, func(s *scenario.Script) {
-		s.Load[0].Tenant, s.Load[0].Rate, s.Load[0].Weight = "quick", 5, 1
-		s.Load[1].Tenant, s.Load[1].Weight = "other", 1
+		s.Classes[0].Tenant, s.Classes[0].MaxRequestsPerSecond, s.Classes[0].Weight = "quick", 5, 1
+		s.Classes[1].Tenant, s.Classes[1].Weight = "other", 1
 	})
 	crowd := func(name string, n int) (ok, own int, longest time.Duration) {
 		var wg sync.WaitGroup
@@ -414,8 +414,8 @@
 	if ok, _, _ := crowd("back", 1); ok != 1 {
 		t.Error("back at the advised time it was refused")
 	}
-	terms := st.Settings(0)
-	terms.Tenants[0].Rate = 0
+	terms := st.DispatcherConfig(0)
+	terms.Tenants[0].MaxRequestsPerSecond = 0
 	apply := func() (err error) {
 		st.Dispatcher(0).RunOnLoop(func(d *dispatch.Dispatcher) { err = d.SetTenantLimits(terms) })
 		return err
@@ -426,7 +426,7 @@
 	if ok, own, _ := crowd("free", 12); ok != 12 {
 		t.Errorf("with the limit gone %d served, %d over the rate", ok, own)
 	}
-	terms.Tenants[0].Rate, terms.Tenants[1].Weight = 1, -1
+	terms.Tenants[0].MaxRequestsPerSecond, terms.Tenants[1].Weight = 1, -1
 	if err := apply(); err == nil {
 		t.Error("a weight below 0 was taken")
 	}
@@ -464,15 +464,15 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			s.Memory = c.memory
-			st, err := scenario.OpenWith(s, quiet, func(int) func(dispatch.Module) dispatch.Module {
+			s.MaxMemoryBytes = c.memory
+			st, err := scenario.StartWithModule(s, quiet, func(int) func(dispatch.Module) dispatch.Module {
 				return func(m dispatch.Module) dispatch.Module { return lags{m, c.lag} }
 			})
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer st.Close()
-			client := dial(t, st.Targets()[0])
+			client := dial(t, st.Addresses()[0])
 			var wg sync.WaitGroup
 			var mu sync.Mutex
 			ends := map[codes.Code]int{}
--- a/internal/e2e/hard_test.go
+++ b/internal/e2e/hard_test.go
@@ -31,7 +31,7 @@
 )
 
 // stage is one dispatcher with two readers (hosts 1 and 2) and two writers (3 and 4).
-func stage(t *testing.T, change func(s *scenario.Script)) (*scenario.Stage, pb.GenerationClient) {
+func stage(t *testing.T, change func(s *scenario.Script)) (*scenario.Deployment, pb.GenerationClient) {
 	t.Helper()
 	s, err := scenario.Parse("day", []byte(strings.Replace(day, "TROUBLES", "", 1)))
 	if err != nil {
@@ -40,12 +40,12 @@
 	if change != nil {
 		change(s)
 	}
-	st, err := scenario.Open(s, quiet)
+	st, err := scenario.Start(s, quiet)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(st.Close)
-	return st, dial(t, st.Targets()[0])
+	return st, dial(t, st.Addresses()[0])
 }
 
 func dial(t *testing.T, to string) pb.GenerationClient {
@@ -78,7 +78,7 @@
 			return n, status.Convert(err), stream.Trailer()
 		}
 		for i, got := range tok.Tokens {
-			if int(tok.Position)+i != n || got != engine.Tok(req, n) {
+			if int(tok.Position)+i != n || got != engine.TokenAt(req, n) {
 				return n, status.New(codes.DataLoss, fmt.Sprintf("token %d is wrong", n)), nil
 			}
 			n++
@@ -87,15 +87,15 @@
 }
 
 // calm waits until no engine does or holds anything and the dispatcher has no job in hand.
-func calm(t *testing.T, st *scenario.Stage, within time.Duration) {
+func calm(t *testing.T, st *scenario.Deployment, within time.Duration) {
 	t.Helper()
 	var what string
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		what = ""
 		for _, e := range st.Engines {
-			running, waiting := e.Busy()
-			if running+waiting+e.Held() > 0 {
-				what += fmt.Sprintf(" host %d runs %d, has %d waiting, holds %d;", e.Spec.ID, running, waiting, e.Held())
+			running, waiting := e.Load()
+			if running+waiting+e.HeldStates() > 0 {
+				what += fmt.Sprintf(" host %d runs %d, has %d waiting, holds %d;", e.Spec.ID, running, waiting, e.HeldStates())
 			}
 		}
 		st.Dispatcher(0).RunOnLoop(func(d *dispatch.Dispatcher) {
@@ -110,9 +110,9 @@
 	t.Errorf("after %v:%s", within, what)
 }
 
-func clean(t *testing.T, st *scenario.Stage) {
+func clean(t *testing.T, st *scenario.Deployment) {
 	t.Helper()
-	for _, v := range st.Check() {
+	for _, v := range st.CheckInvariants() {
 		t.Error(v)
 	}
 	st.Dispatcher(0).RunOnLoop(func(d *dispatch.Dispatcher) {
@@ -126,15 +126,15 @@
 func TestClientCancels(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		set    func(st *scenario.Stage)
+		set    func(st *scenario.Deployment)
 		tokens int // cancel after so many; 0 = after the time
 		after  time.Duration
 	}{
-		{"before the read", func(st *scenario.Stage) { turn(st, true, 1, 2) }, 0, 30 * time.Millisecond},
-		{"during the read", func(st *scenario.Stage) { hang(st, 1, 2) }, 0, 100 * time.Millisecond},
-		{"between read and write", func(st *scenario.Stage) { turn(st, true, 3, 4) }, 0, 60 * time.Millisecond},
-		{"before the first token", func(st *scenario.Stage) { hang(st, 3, 4) }, 0, 150 * time.Millisecond},
-		{"mid-stream", func(*scenario.Stage) {}, 3, 0},
+		{"before the read", func(st *scenario.Deployment) { turn(st, true, 1, 2) }, 0, 30 * time.Millisecond},
+		{"during the read", func(st *scenario.Deployment) { hang(st, 1, 2) }, 0, 100 * time.Millisecond},
+		{"between read and write", func(st *scenario.Deployment) { turn(st, true, 3, 4) }, 0, 60 * time.Millisecond},
+		{"before the first token", func(st *scenario.Deployment) { hang(st, 3, 4) }, 0, 150 * time.Millisecond},
+		{"mid-stream", func(*scenario.Deployment) {}, 3, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -158,7 +158,7 @@
 				time.Sleep(c.after)
 			}
 			cancel()
-			calm(t, st, st.Script.Release+500*time.Millisecond)
+			calm(t, st, st.Script.ReleaseTime+500*time.Millisecond)
 			launches := st.Counts().Attempts
 			time.Sleep(200 * time.Millisecond)
 			if now := st.Counts().Attempts; now != launches {
@@ -169,15 +169,15 @@
 	}
 }
 
-func hang(st *scenario.Stage, hosts ...int) {
+func hang(st *scenario.Deployment, hosts ...int) {
 	for _, h := range hosts {
-		st.Engines[h-1].Fail(func(f *engine.Faults) { f.Hang = true })
+		st.Engines[h-1].SetFaults(func(f *engine.Faults) { f.Hanging = true })
 	}
 }
 
-func turn(st *scenario.Stage, yes bool, hosts ...int) {
+func turn(st *scenario.Deployment, yes bool, hosts ...int) {
 	for _, h := range hosts {
-		st.Engines[h-1].Fail(func(f *engine.Faults) { f.Drain = yes })
+		st.Engines[h-1].SetFaults(func(f *engine.Faults) { f.Draining = yes })
 	}
 }
 
@@ -185,7 +185,7 @@
 func TestWriterStalls(t *testing.T) {
 	st, client := stage(t, nil)
 	for _, h := range []int{3, 4} {
-		st.Engines[h-1].Fail(func(f *engine.Faults) { f.StallAfter = 2 })
+		st.Engines[h-1].SetFaults(func(f *engine.Faults) { f.StallAfter = 2 })
 	}
 	begin := time.Now()
 	n, s, trailer := ask(context.Background(), client, job("stall"))
@@ -218,7 +218,10 @@
 
 // TestReaderDiesHoldingState, and the state is gone when the writer fetches it: the prompt is read anew.
 func TestReaderDiesHoldingState(t *testing.T) {
-	st, client := stage(t, func(s *scenario.Script) { s.Load[0].Target = 2 * time.Second; s.Load[0].Timeout = 5 * time.Second })
+	st, client := stage(t, func(s *scenario.Script) {
+		s.Classes[0].LatencyTarget = 2 * time.Second
+		s.Classes[0].Timeout = 5 * time.Second
+	})
 	turn(st, true, 3, 4) // the state has to wait at its reader
 	var wg sync.WaitGroup
 	wg.Add(1)
@@ -228,11 +231,11 @@
 		defer wg.Done()
 		n, s, _ = ask(context.Background(), client, job("dies"))
 	}()
-	for end := time.Now().Add(3 * time.Second); st.Engines[0].Held()+st.Engines[1].Held() == 0 && time.Now().Before(end); {
+	for end := time.Now().Add(3 * time.Second); st.Engines[0].HeldStates()+st.Engines[1].HeldStates() == 0 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 	for _, e := range st.Engines[:2] {
-		if e.Held() > 0 {
+		if e.HeldStates() > 0 {
 			e.Crash()
 			if err := e.Start(""); err != nil {
 				t.Fatal(err)
@@ -250,8 +253,8 @@
 
 // TestClientStopsReading: its writer is held back, others run at full pace, memory stays bounded.
 func TestClientStopsReading(t *testing.T) {
-	st, client := stage(t, func(s *scenario.Script) { s.Fleet[1].TokenGap = 200 * time.Microsecond })
-	raw, err := net.Dial("tcp", st.Targets()[0])
+	st, client := stage(t, func(s *scenario.Script) { s.Servers[1].TokenGap = 200 * time.Microsecond })
+	raw, err := net.Dial("tcp", st.Addresses()[0])
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -341,15 +344,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i := range s.Load {
-		s.Load[i].Target, s.Load[i].Timeout = 110*time.Millisecond, 120*time.Millisecond
+	for i := range s.Classes {
+		s.Classes[i].LatencyTarget, s.Classes[i].Timeout = 110*time.Millisecond, 120*time.Millisecond
 	}
-	s.For, s.Rate = 3*time.Second, 60
+	s.Duration, s.SessionsPerSecond = 3*time.Second, 60
 	rep := playScript(t, s, nil)
 	if len(rep.Violations) > 0 || rep.Counts.InvalidDecisions > 0 {
 		t.Errorf("%v, %d decisions refused", rep.Violations, rep.Counts.InvalidDecisions)
 	}
-	q := rep.Sums["question"]
+	q := rep.Summaries["question"]
 	if q.Served == 0 || q.Served == q.Requests {
 		t.Errorf("%d of %d honoured: nothing crossed", q.Served, q.Requests)
 	}
@@ -357,8 +360,8 @@
 
 // TestDrainDuringConnect: a launch that waits for its connection is not sent once the host drains.
 func TestDrainDuringConnect(t *testing.T) {
-	st, client := stage(t, func(s *scenario.Script) { s.Fleet[0].Count = 1 })
-	st.Relays(0)[0].Cut(true) // the connection is made, but its engine never speaks
+	st, client := stage(t, func(s *scenario.Script) { s.Servers[0].Count = 1 })
+	st.Proxies(0)[0].SetBlackhole(true) // the connection is made, but its engine never speaks
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
 	done := make(chan *status.Status, 1)
@@ -367,8 +370,8 @@
 		done <- s
 	}()
 	time.Sleep(50 * time.Millisecond)
-	st.Tell(1, pb.Health_HEALTH_DRAINING)
-	st.Relays(0)[0].Cut(false)
+	st.SetServerHealth(1, pb.Health_HEALTH_DRAINING)
+	st.Proxies(0)[0].SetBlackhole(false)
 	s := <-done
 	if s.Code() != codes.Unavailable {
 		t.Errorf("ended with %v, want a nack: there is no other reader", s)
@@ -390,7 +393,7 @@
 	if err := st.Engines[0].Start(""); err != nil {
 		t.Fatal(err)
 	}
-	st.Tell(1, pb.Health_HEALTH_SERVING) // with its new start
+	st.SetServerHealth(1, pb.Health_HEALTH_SERVING) // with its new start
 	time.Sleep(200 * time.Millisecond)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -402,14 +405,14 @@
 		lost <- s
 	}()
 	time.Sleep(200 * time.Millisecond)
-	if err := st.Listers(false); err != nil {
+	if err := st.SetDiscoveryRunning(false); err != nil {
 		t.Fatal(err)
 	}
-	st.Kill(0)
+	st.KillDispatcher(0)
 	if s := <-lost; s.Code() == codes.OK {
 		t.Error("the stream outlived its dispatcher")
 	}
-	if err := st.Restart(0); err != nil {
+	if err := st.RestartDispatcher(0); err != nil {
 		t.Fatal(err)
 	}
 	var wg sync.WaitGroup
@@ -445,7 +448,7 @@
 func TestDrain(t *testing.T) {
 	st, client := stage(t, nil)
 	health := func() healthpb.HealthCheckResponse_ServingStatus {
-		c, err := grpc.NewClient(st.Targets()[0], grpc.WithTransportCredentials(insecure.NewCredentials()))
+		c, err := grpc.NewClient(st.Addresses()[0], grpc.WithTransportCredentials(insecure.NewCredentials()))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -459,7 +462,7 @@
 	if s := health(); s != healthpb.HealthCheckResponse_SERVING {
 		t.Errorf("health %v before the drain", s)
 	}
-	watching, err := grpc.NewClient(st.Targets()[0], grpc.WithTransportCredentials(insecure.NewCredentials()))
+	watching, err := grpc.NewClient(st.Addresses()[0], grpc.WithTransportCredentials(insecure.NewCredentials()))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -557,7 +560,7 @@
 			t.Errorf("%s: %v, want INVALID_ARGUMENT with %q", c.name, s, c.want)
 		}
 	}
-	conn, err := grpc.NewClient(st.Targets()[0], grpc.WithTransportCredentials(insecure.NewCredentials()),
+	conn, err := grpc.NewClient(st.Addresses()[0], grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithDefaultCallOptions(grpc.ForceCodec(bytesCodec{})))
 	if err != nil {
 		t.Fatal(err)
@@ -612,7 +615,7 @@
 // TestReflection: a client finds the service and its messages.
 func TestReflection(t *testing.T) {
 	st, _ := stage(t, nil)
-	conn, err := grpc.NewClient(st.Targets()[0], grpc.WithTransportCredentials(insecure.NewCredentials()))
+	conn, err := grpc.NewClient(st.Addresses()[0], grpc.WithTransportCredentials(insecure.NewCredentials()))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/e2e/rules_test.go
+++ b/internal/e2e/rules_test.go
@@ -48,12 +48,12 @@
 
 func playScript(t *testing.T, s *scenario.Script, wrap func(dispatch.Module) dispatch.Module) *scenario.Report {
 	t.Helper()
-	st, err := scenario.OpenWith(s, quiet, func(int) func(dispatch.Module) dispatch.Module { return wrap })
+	st, err := scenario.StartWithModule(s, quiet, func(int) func(dispatch.Module) dispatch.Module { return wrap })
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer st.Close()
-	rep, err := st.Play(context.Background())
+	rep, err := st.Run(context.Background())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -169,7 +169,7 @@
 		{
 			"an effect twice", 2, `{"kind": "errors", "at": "1s", "for": "3s", "servers": [3, 4], "factor": 0.5}`,
 			func(m dispatch.Module) dispatch.Module { return runsTwice{m} },
-			func(s *scenario.Script) { s.Load[0].Share, s.Load[1].Share = 0, 1 },
+			func(s *scenario.Script) { s.Classes[0].Share, s.Classes[1].Share = 0, 1 },
 		},
 		{
 			"a drain ignored", 3, `{"kind": "drain", "at": "1s", "for": "6s", "servers": [4]}`,
@@ -232,10 +232,10 @@
 		t.Errorf("the account of a job refused %d decisions", rep.Counts.InvalidDecisions)
 	}
 	names := []string{}
-	for name, sum := range rep.Sums {
+	for name, sum := range rep.Summaries {
 		names = append(names, name)
-		if sum.Wrong > 0 {
-			t.Errorf("track %s: %d answers were not whole", name, sum.Wrong)
+		if sum.Corrupt > 0 {
+			t.Errorf("track %s: %d answers were not whole", name, sum.Corrupt)
 		}
 		if sum.Served < sum.Requests/2 {
 			t.Errorf("track %s: %d of %d jobs honoured, want half at least", name, sum.Served, sum.Requests)
--- a/internal/lab/baselinepolicy/policy.go
+++ b/internal/lab/baselinepolicy/policy.go
@@ -11,8 +11,8 @@
 	"strings"
 )
 
-// Sight is the true load of a host, which only a simulation can know: prompt tokens not read yet, and work at hand.
-type Sight func(id policy.ServerID) (unread, work int)
+// LoadOracle is the true load of a host, which only a simulation can know: prompt tokens not read yet, and work at hand.
+type LoadOracle func(id policy.ServerID) (unread, work int)
 
 // Names of the policies.
 var Names = []string{"round robin", "random", "least outstanding", "full sight"}
@@ -41,10 +41,10 @@
 	shots  policy.AttemptNumber // launches so far
 }
 
-// Module is such a policy; it stands where dispatch wants a module.
-type Module struct {
+// Policy is such a policy; it stands where dispatch wants a module.
+type Policy struct {
 	name   string
-	sight  Sight
+	sight  LoadOracle
 	rng    *rand.Rand
 	hosts  map[policy.ServerID]*host
 	order  []*host // by number
@@ -56,21 +56,21 @@
 }
 
 // New makes a policy by its name; sight is for the one that needs it.
-func New(name string, seed uint64, sight Sight) (*Module, error) {
+func New(name string, seed uint64, sight LoadOracle) (*Policy, error) {
 	if !slices.Contains(Names, name) || name == "full sight" && sight == nil {
 		return nil, fmt.Errorf("policy %q, want one of %s", name, strings.Join(Names, ", "))
 	}
-	return &Module{name: name, sight: sight, rng: rand.New(rand.NewPCG(seed, 3)), hosts: map[policy.ServerID]*host{}, jobs: map[policy.RequestID]*job{}}, nil
+	return &Policy{name: name, sight: sight, rng: rand.New(rand.NewPCG(seed, 3)), hosts: map[policy.ServerID]*host{}, jobs: map[policy.RequestID]*job{}}, nil
 }
 
-func (m *Module) ListUpdateStarted(full bool) {
+func (m *Policy) ListUpdateStarted(full bool) {
 	m.listed = nil
 	if full {
 		m.listed = map[policy.ServerID]bool{}
 	}
 }
 
-func (m *Module) ServerListed(id policy.ServerID, _ policy.ZoneID, kind policy.KindID, _ policy.CellID, health policy.Health, _ policy.Nanos) {
+func (m *Policy) ServerListed(id policy.ServerID, _ policy.ZoneID, kind policy.KindID, _ policy.CellID, health policy.Health, _ policy.Nanos) {
 	h := m.hosts[id]
 	if h == nil {
 		h = &host{id: id}
@@ -84,7 +84,7 @@
 	}
 }
 
-func (m *Module) ListUpdateEnded(policy.Nanos) {
+func (m *Policy) ListUpdateEnded(policy.Nanos) {
 	if m.listed != nil {
 		for _, h := range m.order {
 			h.there = h.there && m.listed[h.id]
@@ -92,27 +92,27 @@
 	}
 }
 
-func (m *Module) ListUpdateFailed(policy.Nanos) {
+func (m *Policy) ListUpdateFailed(policy.Nanos) {
 	m.watch = true
 	m.say(policy.Decision{Action: policy.SetTimer, Duration: askAgain})
 }
 
-func (m *Module) TimerFired(policy.Nanos) {
+func (m *Policy) TimerFired(policy.Nanos) {
 	if m.watch {
 		m.watch = false
 		m.say(policy.Decision{Action: policy.WatchEndpoints})
 	}
 }
 
-func (m *Module) say(d policy.Decision) { m.queue = append(m.queue, d) }
+func (m *Policy) say(d policy.Decision) { m.queue = append(m.queue, d) }
 
-func (m *Module) RequestArrived(now policy.Nanos, given policy.Request) {
+func (m *Policy) RequestArrived(now policy.Nanos, given policy.Request) {
 	m.jobs[given.ID] = &job{given: given, reads: true}
 	m.launch(now, given.ID)
 }
 
 // launch sends a job to a host for its next stage.
-func (m *Module) launch(now policy.Nanos, id policy.RequestID) {
+func (m *Policy) launch(now policy.Nanos, id policy.RequestID) {
 	j := m.jobs[id]
 	h := m.pick(j)
 	if h == nil || len(j.tried) >= tries || now >= j.given.Deadline {
@@ -125,7 +125,7 @@
 	m.say(policy.Decision{Action: policy.SendAttempt, Request: id, Server: h.id, Duration: j.given.Deadline - now})
 }
 
-func (m *Module) pick(j *job) *host {
+func (m *Policy) pick(j *job) *host {
 	var can []*host
 	for _, h := range m.order {
 		if h.there && (j.reads && h.role != policy.Decode || !j.reads && h.role == policy.Decode) && !slices.Contains(j.tried, h.id) {
@@ -165,7 +165,7 @@
 }
 
 // giveUp answers a job: nacked if trying again is harmless.
-func (m *Module) giveUp(id policy.RequestID, harmless bool) {
+func (m *Policy) giveUp(id policy.RequestID, harmless bool) {
 	j := m.jobs[id]
 	if j.held {
 		m.say(policy.Decision{Action: policy.ReleaseState, Request: id})
@@ -178,15 +178,15 @@
 	delete(m.jobs, id)
 }
 
-func (m *Module) StreamStarted(_ policy.Nanos, id policy.RequestID, _ policy.AttemptNumber, _ policy.Nanos) {
+func (m *Policy) StreamStarted(_ policy.Nanos, id policy.RequestID, _ policy.AttemptNumber, _ policy.Nanos) {
 	if j := m.jobs[id]; j != nil {
 		j.begun, j.held = true, false
 	}
 }
 
-func (m *Module) StateHeldSince(policy.Nanos, policy.RequestID, policy.Nanos) {}
+func (m *Policy) StateHeldSince(policy.Nanos, policy.RequestID, policy.Nanos) {}
 
-func (m *Module) AttemptEnded(now policy.Nanos, id policy.RequestID, _ policy.AttemptNumber, how policy.Outcome, _ policy.Nanos, over bool, _ policy.LoadReport) {
+func (m *Policy) AttemptEnded(now policy.Nanos, id policy.RequestID, _ policy.AttemptNumber, how policy.Outcome, _ policy.Nanos, over bool, _ policy.LoadReport) {
 	j := m.jobs[id]
 	if j == nil || !j.isOut {
 		return
@@ -215,7 +215,7 @@
 	}
 }
 
-func (m *Module) RequestCanceled(_ policy.Nanos, id policy.RequestID) {
+func (m *Policy) RequestCanceled(_ policy.Nanos, id policy.RequestID) {
 	j := m.jobs[id]
 	if j == nil {
 		return
@@ -232,7 +232,7 @@
 	}
 }
 
-func (m *Module) NextDecision(policy.Nanos) (policy.Decision, bool) {
+func (m *Policy) NextDecision(policy.Nanos) (policy.Decision, bool) {
 	if len(m.queue) == 0 {
 		return policy.Decision{}, false
 	}
--- a/internal/lab/baselinerelay/relay.go
+++ b/internal/lab/baselinerelay/relay.go
@@ -61,11 +61,11 @@
 
 // Generate implements the Generation service.
 func (r *Relay) Generate(req *pb.GenerateRequest, out grpc.ServerStreamingServer[pb.Tokens]) error {
-	return Run(out.Context(), req, r.life, r.next.Add(1), r.readers, r.addrs, r.writers, out.Send)
+	return Generate(out.Context(), req, r.life, r.next.Add(1), r.readers, r.addrs, r.writers, out.Send)
 }
 
-// Run plays one job straight on engines: readers and writers in turn by n.
-func Run(ctx context.Context, req *pb.GenerateRequest, life, n uint64, readers []pb.EngineClient, addrs []string,
+// Generate plays one job straight on engines: readers and writers in turn by n.
+func Generate(ctx context.Context, req *pb.GenerateRequest, life, n uint64, readers []pb.EngineClient, addrs []string,
 	writers []pb.EngineClient, send func(*pb.Tokens) error,
 ) error {
 	l := &pb.Launch{Dispatcher: life, Job: n, Request: req}
--- a/internal/lab/benchmark/benchmark.go
+++ b/internal/lab/benchmark/benchmark.go
@@ -30,36 +30,36 @@
 	pb "docksail/api/docksail/v1"
 )
 
-// Plan is what is measured.
-type Plan struct {
-	Streams  []int         // at once, one pass for each
-	Gap      time.Duration // between tokens
-	Tokens   int           // of an answer
-	For      time.Duration // of each pass
-	Idle     int           // idle connections for the memory figure
-	Waiting  int           // jobs that wait
-	Binary   string        // this program
-	Progress io.Writer
+// Config is what is measured.
+type Config struct {
+	Streams         []int         // at once, one pass for each
+	TokenInterval   time.Duration // between tokens
+	Tokens          int           // of an answer
+	Duration        time.Duration // of each pass
+	IdleConns       int           // idle connections for the memory figure
+	WaitingRequests int           // jobs that wait
+	Binary          string        // this program
+	Progress        io.Writer
 }
 
-// Fleet is the engines' process's word on where it serves.
-type Fleet struct {
-	Lister           string
-	Readers, Writers []string
+// Addresses is the engines' process's word on where it serves.
+type Addresses struct {
+	Discovery                     string
+	PrefillServers, DecodeServers []string
 }
 
-// Engines runs stand-in engines and a lister until its input ends; it says where on out.
-func Engines(gap time.Duration, in io.Reader, out io.Writer) error {
+// RunEngines runs stand-in engines and a lister until its input ends; it says where on out.
+func RunEngines(gap time.Duration, in io.Reader, out io.Writer) error {
 	l := discoveryserver.New(0, 0, nil)
 	if err := l.Start("127.0.0.1:0"); err != nil {
 		return err
 	}
-	f := Fleet{Lister: l.Addr()}
+	f := Addresses{Discovery: l.Addr()}
 	const readers, hosts = 8, 48 // as many answers at a writer as they have slots for in earnest: some hundred
 	for i := range hosts {
 		s := engine.Spec{
-			ID: i + 1, Role: pb.Role_ROLE_READER, Zone: "a", Cell: "a1", Slots: 20000, Queue: 20000, Memory: 1 << 40,
-			ReadRate: 1e9, TokenGap: gap, JobsPerSecond: 1e6, ColdFrom: 1, MoveRate: 1e9, Hold: time.Minute,
+			ID: i + 1, Role: pb.Role_ROLE_READER, Zone: "a", Cell: "a1", Slots: 20000, Queue: 20000, MemoryTokens: 1 << 40,
+			PrefillRate: 1e9, TokenGap: gap, RequestsPerSecond: 1e6, InitialCapacity: 1, TransferRate: 1e9, MaxHoldTime: time.Minute,
 		}
 		if i >= readers {
 			s.Role, s.Slots = pb.Role_ROLE_WRITER, 1<<30
@@ -70,9 +70,9 @@
 		}
 		l.Set(&pb.Host{Id: uint32(s.ID), Address: e.Addr(), Role: s.Role, Zone: "a", Cell: "a1", Health: pb.Health_HEALTH_SERVING}, true)
 		if i < readers {
-			f.Readers = append(f.Readers, e.Addr())
+			f.PrefillServers = append(f.PrefillServers, e.Addr())
 		} else {
-			f.Writers = append(f.Writers, e.Addr())
+			f.DecodeServers = append(f.DecodeServers, e.Addr())
 		}
 	}
 	if err := json.NewEncoder(out).Encode(f); err != nil {
@@ -88,18 +88,18 @@
 // steady is a model whose figures do not change with load.
 type steady struct{ gap time.Duration }
 
-func (m steady) ReadTime(_ *engine.Spec, unread int64, _ float64) time.Duration {
+func (m steady) PrefillTime(_ *engine.Spec, unread int64, _ float64) time.Duration {
 	if unread >= endless {
 		return time.Hour
 	}
 	return time.Millisecond / 10
 }
-func (m steady) Gap(*engine.Spec, int, float64) time.Duration     { return m.gap }
-func (m steady) MoveTime(*engine.Spec, int64, bool) time.Duration { return 0 }
+func (m steady) TokenInterval(*engine.Spec, int, float64) time.Duration { return m.gap }
+func (m steady) TransferTime(*engine.Spec, int64, bool) time.Duration   { return 0 }
 
-// Baseline runs the plain relay until its input ends; it says where on out.
-func Baseline(f Fleet, in io.Reader, out io.Writer) error {
-	r, err := baselinerelay.Start("127.0.0.1:0", f.Readers, f.Writers)
+// RunBaselineRelay runs the plain relay until its input ends; it says where on out.
+func RunBaselineRelay(f Addresses, in io.Reader, out io.Writer) error {
+	r, err := baselinerelay.Start("127.0.0.1:0", f.PrefillServers, f.DecodeServers)
 	if err != nil {
 		return err
 	}
@@ -167,24 +167,24 @@
 	return n * int64(os.Getpagesize()), err
 }
 
-// Pass is what one way came to under one load.
-type Pass struct {
-	Way         string
-	Streams     int
-	Jobs        uint64
-	Tokens      uint64
-	Failed      uint64
-	CPU         time.Duration // of the relay
-	Took        time.Duration
-	First, Gaps *hdrhistogram.Histogram // microseconds
-	Memory      int64                   // grown while the streams ran
+// Measurement is what one way came to under one load.
+type Measurement struct {
+	Route                          string
+	Streams                        int
+	Requests                       uint64
+	Tokens                         uint64
+	Failed                         uint64
+	CPU                            time.Duration // of the relay
+	Duration                       time.Duration
+	FirstTokenTime, TokenIntervals *hdrhistogram.Histogram // microseconds
+	MemoryGrowth                   int64                   // grown while the streams ran
 }
 
 // load keeps so many streams running for a time.
 func load(ctx context.Context, streams int, tokens int, every time.Duration, one func(ctx context.Context, n uint64, req *pb.GenerateRequest,
 	got func(*pb.Tokens) error) error,
-) *Pass {
-	p := &Pass{Streams: streams, First: hdrhistogram.New(1, 60e6, 3), Gaps: hdrhistogram.New(1, 60e6, 3)}
+) *Measurement {
+	p := &Measurement{Streams: streams, FirstTokenTime: hdrhistogram.New(1, 60e6, 3), TokenIntervals: hdrhistogram.New(1, 60e6, 3)}
 	var mu sync.Mutex
 	var n, jobs, toks, failed atomic.Uint64
 	var wg sync.WaitGroup
@@ -220,13 +220,13 @@
 				}
 			}
 			mu.Lock()
-			p.First.Merge(first)
-			p.Gaps.Merge(gaps)
+			p.FirstTokenTime.Merge(first)
+			p.TokenIntervals.Merge(gaps)
 			mu.Unlock()
 		}()
 	}
 	wg.Wait()
-	p.Jobs, p.Tokens, p.Failed, p.Took = jobs.Load(), toks.Load(), failed.Load(), time.Since(begin)
+	p.Requests, p.Tokens, p.Failed, p.Duration = jobs.Load(), toks.Load(), failed.Load(), time.Since(begin)
 	return p
 }
 
@@ -287,14 +287,14 @@
 }
 
 // Run measures, and writes its figures as it goes.
-func Run(ctx context.Context, p Plan) error {
+func Run(ctx context.Context, p Config) error {
 	w := p.Progress
-	eng, err := start(p.Binary, "lab", "engines", "--gap", p.Gap.String())
+	eng, err := start(p.Binary, "lab", "engines", "--gap", p.TokenInterval.String())
 	if err != nil {
 		return err
 	}
 	defer eng.stop()
-	var f Fleet
+	var f Addresses
 	if err := eng.out.Decode(&f); err != nil {
 		return fmt.Errorf("engines: %w", err)
 	}
@@ -308,7 +308,7 @@
 		return err
 	}
 	file := filepath.Join(dir, "settings.json")
-	if err := os.WriteFile(file, fmt.Appendf(nil, settings, port, f.Lister), 0o600); err != nil {
+	if err := os.WriteFile(file, fmt.Appendf(nil, settings, port, f.Discovery), 0o600); err != nil {
 		return err
 	}
 	disp, err := start(p.Binary, "serve", file)
@@ -317,10 +317,10 @@
 	}
 	defer disp.stop()
 	args := []string{"lab", "baseline"}
-	for _, r := range f.Readers {
+	for _, r := range f.PrefillServers {
 		args = append(args, "--reader", r)
 	}
-	for _, a := range f.Writers {
+	for _, a := range f.DecodeServers {
 		args = append(args, "--writer", a)
 	}
 	base, err := start(p.Binary, args...)
@@ -340,14 +340,14 @@
 	if err := memory(ctx, p, w, at, map[string]*child{"docksail": disp, "baseline": base}); err != nil {
 		return err
 	}
-	fmt.Fprintf(w, "stand-ins on loopback, tokens every %v, answers of up to %d, %v a pass\n", p.Gap, p.Tokens, p.For)
+	fmt.Fprintf(w, "stand-ins on loopback, tokens every %v, answers of up to %d, %v a pass\n", p.TokenInterval, p.Tokens, p.Duration)
 	fmt.Fprintf(w, "%-9s %8s %8s %10s %7s %10s %10s %12s %9s %9s %9s %9s\n", "way", "streams", "jobs", "tokens", "failed", "tokens/s",
 		"cpu", "tokens/cpu s", "first p50", "first p99", "gap p50", "gap p99")
 	for _, streams := range p.Streams {
-		kept := map[string]*Pass{}
+		kept := map[string]*Measurement{}
 		for _, way := range []string{"straight", "baseline", "docksail"} {
 			ctx, cancel := context.WithCancel(ctx) // not a time-out, which would go on the wire and be kept
-			time.AfterFunc(p.For, cancel)
+			time.AfterFunc(p.Duration, cancel)
 			one := straight(f)
 			var c *child
 			done := func() {}
@@ -375,9 +375,9 @@
 					cancel()
 					return err
 				}
-				time.AfterFunc(p.For*9/10, func() { busy, _ = c.memory() })
+				time.AfterFunc(p.Duration*9/10, func() { busy, _ = c.memory() })
 			}
-			pass := load(ctx, streams, p.Tokens, p.Gap, one)
+			pass := load(ctx, streams, p.Tokens, p.TokenInterval, one)
 			if c != nil {
 				if to, err = c.cpu(); err != nil {
 					cancel()
@@ -386,32 +386,32 @@
 			}
 			cancel()
 			done()
-			pass.Way, pass.CPU, pass.Memory = way, to-from, busy-idle
+			pass.Route, pass.CPU, pass.MemoryGrowth = way, to-from, busy-idle
 			kept[way] = pass
 			perCPU := 0.0
 			if pass.CPU > 0 {
 				perCPU = float64(pass.Tokens) / pass.CPU.Seconds()
 			}
 			ms := func(h *hdrhistogram.Histogram, q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
-			fmt.Fprintf(w, "%-9s %8d %8d %10d %7d %10.0f %9.2fs %12.0f %9.2f %9.2f %9.2f %9.2f\n", way, streams, pass.Jobs, pass.Tokens, pass.Failed,
-				float64(pass.Tokens)/pass.Took.Seconds(), pass.CPU.Seconds(), perCPU, ms(pass.First, 50), ms(pass.First, 99), ms(pass.Gaps, 50), ms(pass.Gaps, 99))
+			fmt.Fprintf(w, "%-9s %8d %8d %10d %7d %10.0f %9.2fs %12.0f %9.2f %9.2f %9.2f %9.2f\n", way, streams, pass.Requests, pass.Tokens, pass.Failed,
+				float64(pass.Tokens)/pass.Duration.Seconds(), pass.CPU.Seconds(), perCPU, ms(pass.FirstTokenTime, 50), ms(pass.FirstTokenTime, 99), ms(pass.TokenIntervals, 50), ms(pass.TokenIntervals, 99))
 			time.Sleep(300 * time.Millisecond)
 		}
 		d, b := kept["docksail"], kept["baseline"]
 		fmt.Fprintf(w, "at %d streams: resident memory grown by %d bytes a running stream, the baseline's by %d\n", streams,
-			d.Memory/int64(streams), b.Memory/int64(streams))
-		if d.CPU > 0 && b.CPU > 0 && b.Jobs > 0 && d.Jobs > 0 {
+			d.MemoryGrowth/int64(streams), b.MemoryGrowth/int64(streams))
+		if d.CPU > 0 && b.CPU > 0 && b.Requests > 0 && d.Requests > 0 {
 			fmt.Fprintf(w, "at %d streams: %.2f times the baseline's tokens a CPU second, %.2f of its CPU a job\n", streams,
 				float64(d.Tokens)/d.CPU.Seconds()/(float64(b.Tokens)/b.CPU.Seconds()),
-				d.CPU.Seconds()/float64(d.Jobs)/(b.CPU.Seconds()/float64(b.Jobs)))
+				d.CPU.Seconds()/float64(d.Requests)/(b.CPU.Seconds()/float64(b.Requests)))
 		}
 	}
 	return nil
 }
 
-func straight(f Fleet) func(context.Context, uint64, *pb.GenerateRequest, func(*pb.Tokens) error) error {
+func straight(f Addresses) func(context.Context, uint64, *pb.GenerateRequest, func(*pb.Tokens) error) error {
 	var readers, writers []pb.EngineClient
-	for i, list := range [][]string{f.Readers, f.Writers} {
+	for i, list := range [][]string{f.PrefillServers, f.DecodeServers} {
 		for _, a := range list {
 			c, err := grpc.NewClient(a, grpc.WithTransportCredentials(insecure.NewCredentials()))
 			if err != nil {
@@ -426,12 +426,12 @@
 	}
 	life := uint64(time.Now().UnixNano())
 	return func(ctx context.Context, n uint64, req *pb.GenerateRequest, got func(*pb.Tokens) error) error {
-		return baselinerelay.Run(ctx, req, life, n, readers, f.Readers, writers, got)
+		return baselinerelay.Generate(ctx, req, life, n, readers, f.PrefillServers, writers, got)
 	}
 }
 
 // memory takes the resident memory for idle connections and running streams.
-func memory(ctx context.Context, p Plan, w io.Writer, at map[string]string, of map[string]*child) error {
+func memory(ctx context.Context, p Config, w io.Writer, at map[string]string, of map[string]*child) error {
 	fmt.Fprintf(w, "%-9s %-22s %8s %14s %14s\n", "way", "what", "number", "bytes in all", "bytes for one")
 	for _, way := range []string{"baseline", "docksail"} {
 		c := of[way]
@@ -449,7 +449,7 @@
 			return nil
 		}
 		var conns []net.Conn
-		for range p.Idle {
+		for range p.IdleConns {
 			conn, err := net.Dial("tcp", at[way])
 			if err != nil {
 				return err
@@ -476,7 +476,7 @@
 		}
 		ctx, cancel := context.WithCancel(ctx)
 		var wg sync.WaitGroup
-		for i := range p.Waiting {
+		for i := range p.WaitingRequests {
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
@@ -487,7 +487,7 @@
 			}()
 		}
 		time.Sleep(1500 * time.Millisecond)
-		err = say("jobs waiting for a read", p.Waiting)
+		err = say("jobs waiting for a read", p.WaitingRequests)
 		cancel()
 		wg.Wait()
 		done()
--- a/internal/lab/calibrate/calibrate.go
+++ b/internal/lab/calibrate/calibrate.go
@@ -18,22 +18,22 @@
 	pb "docksail/api/docksail/v1"
 )
 
-// Line is one figure.
-type Line struct {
-	What               string
-	Intended, Recorded float64
+// Comparison is one figure.
+type Comparison struct {
+	Name               string
+	Intended, Measured float64
 	Unit               string
 }
 
-// Error is how far the record is off, as a share of what was intended.
-func (l Line) Error() float64 { return l.Recorded/l.Intended - 1 }
+// RelativeError is how far the record is off, as a share of what was intended.
+func (l Comparison) RelativeError() float64 { return l.Measured/l.Intended - 1 }
 
-// Print writes lines for people.
-func Print(w io.Writer, lines []Line) error {
+// PrintComparisons writes lines for people.
+func PrintComparisons(w io.Writer, lines []Comparison) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "figure\tintended\trecorded\terror\t")
 	for _, l := range lines {
-		fmt.Fprintf(t, "%s\t%.4g %s\t%.4g %s\t%+.1f %%\t\n", l.What, l.Intended, l.Unit, l.Recorded, l.Unit, 100*l.Error())
+		fmt.Fprintf(t, "%s\t%.4g %s\t%.4g %s\t%+.1f %%\t\n", l.Name, l.Intended, l.Unit, l.Measured, l.Unit, 100*l.RelativeError())
 	}
 	return t.Flush()
 }
@@ -58,15 +58,15 @@
 }
 
 func (b *bench) start(s engine.Spec, warm bool) (*engine.Engine, pb.EngineClient, error) {
-	s.ID, s.Slots, s.Queue, s.Memory, s.ReadRate, s.JobsPerSecond = len(b.engines)+1, 8, 64, memory, readRate, 1000
-	s.MoveRate, s.Hold, s.Batch, s.TokenGap = moveRate, time.Minute, true, gap
-	e := engine.New(s, engine.Simple{}, nil)
+	s.ID, s.Slots, s.Queue, s.MemoryTokens, s.PrefillRate, s.RequestsPerSecond = len(b.engines)+1, 8, 64, memory, readRate, 1000
+	s.TransferRate, s.MaxHoldTime, s.BatchModel, s.TokenGap = moveRate, time.Minute, true, gap
+	e := engine.New(s, engine.LinearModel{}, nil)
 	e.Links = b.links
 	if err := e.Start("127.0.0.1:0"); err != nil {
 		return nil, nil, err
 	}
 	if warm {
-		e.Warm()
+		e.SkipWarmup()
 	}
 	b.engines = append(b.engines, e)
 	c, err := grpc.NewClient(e.Addr(), grpc.WithTransportCredentials(insecure.NewCredentials()))
@@ -131,17 +131,17 @@
 }
 
 // Run takes all figures, in some twenty seconds.
-func Run(ctx context.Context) (lines []Line, err error) {
-	b := &bench{links: engine.NewLinks(engine.CellFactor, engine.ZoneSlower)}
+func Run(ctx context.Context) (lines []Comparison, err error) {
+	b := &bench{links: engine.NewLinks(engine.CellLinkFactor, engine.CrossZoneFactor)}
 	defer b.close()
 	add := func(what string, intended, recorded float64, unit string) {
-		lines = append(lines, Line{what, intended, recorded, unit})
+		lines = append(lines, Comparison{what, intended, recorded, unit})
 	}
 	from, reader, err := b.start(engine.Spec{Role: pb.Role_ROLE_MIXED, Zone: "a", Cell: "a1"}, true)
 	if err != nil {
 		return nil, err
 	}
-	shape := from.Spec.Shape()
+	shape := from.Spec.BatchShape()
 
 	var took []time.Duration
 	for i := range rounds {
@@ -152,7 +152,7 @@
 		took = append(took, t)
 	}
 	steps := (prompt + engine.ChunkTokens - 1) / engine.ChunkTokens
-	add("read of 4,000 tokens", time.Duration(int64(steps)*shape.Step+prompt*shape.PerRead).Seconds()*1e3, median(took)*1e3, "ms")
+	add("read of 4,000 tokens", time.Duration(int64(steps)*shape.StepTime+prompt*shape.TimePerPromptToken).Seconds()*1e3, median(took)*1e3, "ms")
 
 	if _, _, err = b.read(ctx, reader, prompt, "kept"); err != nil {
 		return nil, err
@@ -162,7 +162,7 @@
 		return nil, err
 	}
 	add("tokens kept of 4,000 read again", prompt-1, float64(done.KeptTokens), "tokens")
-	add("time of that read", time.Duration(shape.Step+shape.PerRead).Seconds()*1e3, t.Seconds()*1e3, "ms")
+	add("time of that read", time.Duration(shape.StepTime+shape.TimePerPromptToken).Seconds()*1e3, t.Seconds()*1e3, "ms")
 
 	const context0, answer = 1000, 60
 	l := b.launch(context0, answer, "gap")
@@ -171,7 +171,7 @@
 		return nil, err
 	}
 	meanContext := int64(context0 + len(gaps)/2)
-	add("gap, one answer alone", time.Duration(shape.Step+shape.PerRun+meanContext*shape.PerThing/1000).Seconds()*1e3, median(gaps)*1e3, "ms")
+	add("gap, one answer alone", time.Duration(shape.StepTime+shape.TimePerAnswer+meanContext*shape.TimePer1kContext/1000).Seconds()*1e3, median(gaps)*1e3, "ms")
 
 	const many = 6
 	type result struct {
@@ -195,13 +195,13 @@
 		n := len(r.gaps) // the middle, where all run and none is read
 		gaps = append(gaps, r.gaps[n/2:n*2/3]...)
 	}
-	add("gap, six answers together", time.Duration(shape.Step+many*shape.PerRun+many*meanContext*shape.PerThing/1000).Seconds()*1e3, median(gaps)*1e3, "ms")
+	add("gap, six answers together", time.Duration(shape.StepTime+many*shape.TimePerAnswer+many*meanContext*shape.TimePer1kContext/1000).Seconds()*1e3, median(gaps)*1e3, "ms")
 
 	for _, way := range []struct {
 		what       string
 		zone, cell string
 		slower     float64
-	}{{"move of 8,000 tokens within a cell", "a", "a1", 1}, {"the same to another zone", "b", "b1", engine.ZoneSlower}} {
+	}{{"move of 8,000 tokens within a cell", "a", "a1", 1}, {"the same to another zone", "b", "b1", engine.CrossZoneFactor}} {
 		_, writer, err := b.start(engine.Spec{Role: pb.Role_ROLE_WRITER, Zone: way.zone, Cell: way.cell}, true)
 		if err != nil {
 			return nil, err
@@ -219,7 +219,7 @@
 			}
 			took = append(took, first)
 		}
-		step := time.Duration(shape.Step + shape.PerRun + state*shape.PerThing/1000).Seconds()
+		step := time.Duration(shape.StepTime + shape.TimePerAnswer + state*shape.TimePer1kContext/1000).Seconds()
 		add(way.what, (state*way.slower/moveRate+step)*1e3, median(took)*1e3, "ms")
 	}
 
@@ -229,7 +229,7 @@
 		return nil, err
 	}
 	const each = 4096
-	fit := int(small.Spec.Memory) / each
+	fit := int(small.Spec.MemoryTokens) / each
 	for i := range fit + 2 { // two more than fit
 		if _, _, err := b.read(ctx, evicts, each, fmt.Sprint("evict", i)); err != nil {
 			return nil, err
@@ -249,19 +249,19 @@
 	add("beginnings still kept, of two more than fit", float64(fit), float64(kept), "")
 
 	// A cold host reads at a share of its pace that grows.
-	cold, coldC, err := b.start(engine.Spec{Role: pb.Role_ROLE_READER, Zone: "a", Cell: "a1", ColdFrom: coldFrom, Warm: warmIn}, false)
+	cold, coldC, err := b.start(engine.Spec{Role: pb.Role_ROLE_READER, Zone: "a", Cell: "a1", InitialCapacity: coldFrom, WarmupTime: warmIn}, false)
 	if err != nil {
 		return nil, err
 	}
 	for i, at := range []time.Duration{0, warmIn / 2, warmIn} {
-		began, _ := cold.Started()
+		began, _ := cold.StartTime()
 		time.Sleep(time.Until(began.Add(at)))
 		warmth := min(1, coldFrom+(1-coldFrom)*time.Since(began).Seconds()/warmIn.Seconds())
 		t, _, err := b.read(ctx, coldC, 1000, fmt.Sprint("cold", i))
 		if err != nil {
 			return nil, err
 		}
-		add(fmt.Sprintf("read of 1,000 tokens, %v after a cold start", at), time.Duration(shape.Step+1000*shape.PerRead).Seconds()/warmth*1e3, t.Seconds()*1e3, "ms")
+		add(fmt.Sprintf("read of 1,000 tokens, %v after a cold start", at), time.Duration(shape.StepTime+1000*shape.TimePerPromptToken).Seconds()/warmth*1e3, t.Seconds()*1e3, "ms")
 	}
 	return lines, nil
 }
--- a/internal/lab/calibrate/calibrate_test.go
+++ b/internal/lab/calibrate/calibrate_test.go
@@ -16,8 +16,8 @@
 		t.Errorf("%d lines", len(lines))
 	}
 	for _, l := range lines {
-		if math.Abs(l.Error()) > 0.35 {
-			t.Errorf("%s: intended %.4g %s, recorded %.4g", l.What, l.Intended, l.Unit, l.Recorded)
+		if math.Abs(l.RelativeError()) > 0.35 {
+			t.Errorf("%s: intended %.4g %s, recorded %.4g", l.Name, l.Intended, l.Unit, l.Measured)
 		}
 	}
 }
--- a/internal/lab/discoveryserver/server.go
+++ b/internal/lab/discoveryserver/server.go
@@ -15,11 +15,11 @@
 	pb "docksail/api/docksail/v1"
 )
 
-// Lister is one such service.
-type Lister struct {
+// Server is one such service.
+type Server struct {
 	pb.UnimplementedFleetServer
 	late time.Duration
-	book *eventlog.Book
+	book *eventlog.Log
 	disp int // the dispatcher that it tells
 
 	mu      sync.Mutex
@@ -32,96 +32,96 @@
 }
 
 // New makes a lister for one dispatcher that tells changes so late. Entries go to the book, which may be nil.
-func New(late time.Duration, disp int, b *eventlog.Book) *Lister {
-	return &Lister{late: late, book: b, disp: disp, hosts: map[uint32]*pb.Host{}, watch: map[chan *pb.FleetNews]bool{}}
+func New(late time.Duration, disp int, b *eventlog.Log) *Server {
+	return &Server{late: late, book: b, disp: disp, hosts: map[uint32]*pb.Host{}, watch: map[chan *pb.FleetNews]bool{}}
 }
 
 // Start serves on an address; port 0 takes any, and the same one again later.
-func (l *Lister) Start(addr string) error {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.addr != "" {
-		addr = l.addr
+func (s *Server) Start(addr string) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.addr != "" {
+		addr = s.addr
 	}
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return fmt.Errorf("lister: %w", err)
 	}
-	l.addr = ln.Addr().String()
-	l.srv = grpc.NewServer()
-	pb.RegisterFleetServer(l.srv, l)
-	go l.srv.Serve(ln)
+	s.addr = ln.Addr().String()
+	s.srv = grpc.NewServer()
+	pb.RegisterFleetServer(s.srv, s)
+	go s.srv.Serve(ln)
 	return nil
 }
 
 // Stop ends the service; the list is kept.
-func (l *Lister) Stop() {
-	l.mu.Lock()
-	srv := l.srv
-	l.srv = nil
-	l.mu.Unlock()
+func (s *Server) Stop() {
+	s.mu.Lock()
+	srv := s.srv
+	s.srv = nil
+	s.mu.Unlock()
 	if srv != nil {
 		srv.Stop()
 	}
 }
 
 // Addr is where it serves.
-func (l *Lister) Addr() string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.addr
+func (s *Server) Addr() string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.addr
 }
 
 // Set makes a change known, at once or as late as the lister is.
-func (l *Lister) Set(h *pb.Host, atOnce bool) {
+func (s *Server) Set(h *pb.Host, atOnce bool) {
 	h = proto.Clone(h).(*pb.Host)
-	if atOnce || l.late == 0 {
-		l.apply(h)
+	if atOnce || s.late == 0 {
+		s.apply(h)
 		return
 	}
-	time.AfterFunc(l.late, func() { l.apply(h) })
+	time.AfterFunc(s.late, func() { s.apply(h) })
 }
 
-func (l *Lister) apply(h *pb.Host) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.hosts[h.Id] == nil {
-		l.order = append(l.order, h.Id)
+func (s *Server) apply(h *pb.Host) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.hosts[h.Id] == nil {
+		s.order = append(s.order, h.Id)
 	}
-	l.hosts[h.Id] = h
-	l.version++
-	news := &pb.FleetNews{Version: l.version, Hosts: []*pb.Host{h}}
-	for ch := range l.watch {
+	s.hosts[h.Id] = h
+	s.version++
+	news := &pb.FleetNews{Version: s.version, Hosts: []*pb.Host{h}}
+	for ch := range s.watch {
 		select {
 		case ch <- news:
 		default: // it lags: it has to begin anew
-			delete(l.watch, ch)
+			delete(s.watch, ch)
 			close(ch)
 		}
 	}
 }
 
 // Watch implements the Fleet service.
-func (l *Lister) Watch(_ *pb.WatchRequest, out grpc.ServerStreamingServer[pb.FleetNews]) error {
+func (s *Server) Watch(_ *pb.WatchRequest, out grpc.ServerStreamingServer[pb.FleetNews]) error {
 	ch := make(chan *pb.FleetNews, 64)
-	l.mu.Lock()
-	first := &pb.FleetNews{Version: l.version, Full: true}
-	for _, id := range l.order {
-		first.Hosts = append(first.Hosts, l.hosts[id])
+	s.mu.Lock()
+	first := &pb.FleetNews{Version: s.version, Full: true}
+	for _, id := range s.order {
+		first.Hosts = append(first.Hosts, s.hosts[id])
 	}
-	l.watch[ch] = true
-	l.mu.Unlock()
+	s.watch[ch] = true
+	s.mu.Unlock()
 	defer func() {
-		l.mu.Lock()
-		delete(l.watch, ch)
-		l.mu.Unlock()
+		s.mu.Lock()
+		delete(s.watch, ch)
+		s.mu.Unlock()
 	}()
 	for news := first; ; {
 		if err := out.Send(news); err != nil {
 			return err
 		}
 		for _, h := range news.Hosts {
-			l.book.Add(eventlog.Entry{Kind: eventlog.Told, Server: int(h.Id), Disp: l.disp, Note: h.Health.String(), N: h.StartedUnixNs})
+			s.book.Add(eventlog.Entry{Kind: eventlog.EndpointNotified, Server: int(h.Id), Dispatcher: s.disp, Note: h.Health.String(), Value: h.StartedUnixNs})
 		}
 		var ok bool
 		select {
--- a/internal/lab/engine/batch/blocks.go
+++ b/internal/lab/engine/batch/blocks.go
@@ -6,23 +6,23 @@
 
 import "docksail/internal/indexedheap"
 
-// Hash names what stands in a block and all before it.
-type Hash uint64
+// BlockHash names what stands in a block and all before it.
+type BlockHash uint64
 
-// Chain gives the hash of a block that follows another and holds a piece of text named by a key.
-func Chain(before Hash, key uint64) Hash {
+// ChainHash gives the hash of a block that follows another and holds a piece of text named by a key.
+func ChainHash(before BlockHash, key uint64) BlockHash {
 	x := uint64(before) ^ key*0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	if x ^= x >> 31; x == 0 {
 		x = 1
 	}
-	return Hash(x)
+	return BlockHash(x)
 }
 
 // block is one piece of memory.
 type block struct {
-	hash Hash // 0 = of no use to others: part of a block, or made by an answer
+	hash BlockHash // 0 = of no use to others: part of a block, or made by an answer
 	refs int
 	used uint64 // when it was last let go of, in order
 	at   int    // place among those that may be evicted
@@ -30,18 +30,18 @@
 
 // Memory is a host's blocks. Make it with NewMemory.
 type Memory struct {
-	Size    int // tokens of a block
-	blocks  []block
-	free    []int32
-	byHash  map[Hash]int32
-	idle    indexedheap.Heap[*block] // kept, and nobody's: the least recently used first
-	clock   uint64
-	Evicted uint64
+	BlockTokens int // tokens of a block
+	blocks      []block
+	free        []int32
+	byHash      map[BlockHash]int32
+	idle        indexedheap.Heap[*block] // kept, and nobody's: the least recently used first
+	clock       uint64
+	Evictions   uint64
 }
 
 // NewMemory makes memory for so many tokens in blocks of a size.
 func NewMemory(tokens, size int) *Memory {
-	m := &Memory{Size: size, blocks: make([]block, tokens/size), byHash: make(map[Hash]int32)}
+	m := &Memory{BlockTokens: size, blocks: make([]block, tokens/size), byHash: make(map[BlockHash]int32)}
 	m.idle.Less = func(a, b *block) bool { return a.used < b.used }
 	m.idle.Index = func(b *block) *int { return &b.at }
 	for i := len(m.blocks) - 1; i >= 0; i-- {
@@ -50,17 +50,17 @@
 	return m
 }
 
-// Free counts blocks that could be had now, kept ones that nobody uses included.
-func (m *Memory) Free() int { return len(m.free) + m.idle.Len() }
+// Available counts blocks that could be had now, kept ones that nobody uses included.
+func (m *Memory) Available() int { return len(m.free) + m.idle.Len() }
 
 // Blocks counts all blocks.
 func (m *Memory) Blocks() int { return len(m.blocks) }
 
 // InUse counts blocks that somebody uses.
-func (m *Memory) InUse() int { return len(m.blocks) - m.Free() }
+func (m *Memory) InUse() int { return len(m.blocks) - m.Available() }
 
-// Kept counts how many blocks of a chain, from its begin, are there.
-func (m *Memory) Kept(chain []Hash) int {
+// CachedBlocks counts how many blocks of a chain, from its begin, are there.
+func (m *Memory) CachedBlocks(chain []BlockHash) int {
 	for i, h := range chain {
 		if _, ok := m.byHash[h]; !ok {
 			return i
@@ -69,17 +69,17 @@
 	return len(chain)
 }
 
-// Take gives n blocks: those of the chain that are kept, and fresh ones for the rest, evicting what was used least
+// Allocate gives n blocks: those of the chain that are kept, and fresh ones for the rest, evicting what was used least
 // lately. All or none: false if there are too few.
-func (m *Memory) Take(into []int32, chain []Hash, n int) ([]int32, int, bool) {
-	kept := min(m.Kept(chain), n)
+func (m *Memory) Allocate(into []int32, chain []BlockHash, n int) ([]int32, int, bool) {
+	kept := min(m.CachedBlocks(chain), n)
 	idle := 0
 	for _, h := range chain[:kept] {
 		if m.blocks[m.byHash[h]].refs == 0 {
 			idle++
 		}
 	}
-	if n-kept > m.Free()-idle {
+	if n-kept > m.Available()-idle {
 		return into, 0, false
 	}
 	for _, h := range chain[:kept] { // first, lest they be evicted for the others
@@ -103,24 +103,24 @@
 		m.idle.Remove(b)
 		i = m.byHash[b.hash]
 		delete(m.byHash, b.hash)
-		m.Evicted++
+		m.Evictions++
 	}
 	m.blocks[i] = block{refs: 1}
 	return i
 }
 
-// Name says what stands in a block from now on, so that others can use it. If another block has the same, that one
+// SetContent says what stands in a block from now on, so that others can use it. If another block has the same, that one
 // stays the known one.
-func (m *Memory) Name(i int32, h Hash) {
+func (m *Memory) SetContent(i int32, h BlockHash) {
 	if _, ok := m.byHash[h]; !ok && m.blocks[i].hash == 0 {
 		m.blocks[i].hash = h
 		m.byHash[h] = i
 	}
 }
 
-// Drop lets go of blocks. Named ones that nobody uses any more are kept until their room is needed; of several let go
+// Release lets go of blocks. Named ones that nobody uses any more are kept until their room is needed; of several let go
 // at once the later in their chain go first, as they are of no use without the earlier.
-func (m *Memory) Drop(list []int32) {
+func (m *Memory) Release(list []int32) {
 	for k := len(list) - 1; k >= 0; k-- {
 		i := list[k]
 		b := &m.blocks[i]
@@ -137,8 +137,8 @@
 	}
 }
 
-// Clear forgets all that is kept and nobody uses, as a new process has nothing.
-func (m *Memory) Clear() {
+// EvictUnused forgets all that is kept and nobody uses, as a new process has nothing.
+func (m *Memory) EvictUnused() {
 	for m.idle.Len() > 0 {
 		b := m.idle.Min()
 		m.idle.Remove(b)
--- a/internal/lab/engine/batch/blocks_test.go
+++ b/internal/lab/engine/batch/blocks_test.go
@@ -13,22 +13,22 @@
 		m := NewMemory(rapid.IntRange(4, 60).Draw(t, "blocks")*16, 16)
 		type holding struct {
 			list  []int32
-			chain []Hash
+			chain []BlockHash
 		}
 		var held []holding
 		for range rapid.IntRange(1, 150).Draw(t, "steps") {
 			if len(held) == 0 || rapid.IntRange(0, 2).Draw(t, "what") > 0 {
-				var chain []Hash
-				h := Hash(0)
+				var chain []BlockHash
+				h := BlockHash(0)
 				for range rapid.IntRange(0, 6).Draw(t, "chain") {
-					h = Chain(h, uint64(rapid.IntRange(1, 3).Draw(t, "text")))
+					h = ChainHash(h, uint64(rapid.IntRange(1, 3).Draw(t, "text")))
 					chain = append(chain, h)
 				}
 				n := len(chain) + rapid.IntRange(0, 3).Draw(t, "more")
-				want, free := m.Kept(chain), m.Free()
-				list, kept, ok := m.Take(nil, chain, n)
+				want, free := m.CachedBlocks(chain), m.Available()
+				list, kept, ok := m.Allocate(nil, chain, n)
 				if !ok {
-					if len(list) > 0 || m.Free() != free {
+					if len(list) > 0 || m.Available() != free {
 						t.Fatal("a take that failed changed something")
 					}
 					continue
@@ -37,13 +37,13 @@
 					t.Fatalf("%d blocks, %d kept, want %d and %d", len(list), kept, n, want)
 				}
 				for i, h := range chain {
-					m.Name(list[i], h)
+					m.SetContent(list[i], h)
 				}
 				held = append(held, holding{list, chain})
 			} else {
 				k := rapid.IntRange(0, len(held)-1).Draw(t, "which")
-				m.Drop(held[k].list)
-				if got := m.Kept(held[k].chain); got < len(held[k].chain) {
+				m.Release(held[k].list)
+				if got := m.CachedBlocks(held[k].chain); got < len(held[k].chain) {
 					t.Fatalf("%d of %d blocks found right after they were let go", got, len(held[k].chain))
 				}
 				held = append(held[:k], held[k+1:]...)
@@ -57,7 +57,7 @@
 					}
 					seen[b] = true
 					used[b]++
-					if i < len(h.chain) && m.Kept(h.chain[:i+1]) != i+1 {
+					if i < len(h.chain) && m.CachedBlocks(h.chain[:i+1]) != i+1 {
 						t.Fatal("a block in use was evicted")
 					}
 				}
@@ -75,11 +75,11 @@
 			}
 		}
 		for _, h := range held {
-			m.Drop(h.list)
+			m.Release(h.list)
 		}
-		m.Clear()
-		if m.Free() != m.Blocks() || len(m.byHash) != 0 {
-			t.Fatalf("%d of %d blocks free, %d names kept when all is gone", m.Free(), m.Blocks(), len(m.byHash))
+		m.EvictUnused()
+		if m.Available() != m.Blocks() || len(m.byHash) != 0 {
+			t.Fatalf("%d of %d blocks free, %d names kept when all is gone", m.Available(), m.Blocks(), len(m.byHash))
 		}
 	})
 }
@@ -87,27 +87,27 @@
 // TestLeastRecentlyUsed: the beginning used least lately makes room, its end before its begin.
 func TestLeastRecentlyUsed(t *testing.T) {
 	m := NewMemory(6*16, 16)
-	chain := func(key uint64) []Hash {
-		a := Chain(0, key)
-		return []Hash{a, Chain(a, key), Chain(Chain(a, key), key)}
+	chain := func(key uint64) []BlockHash {
+		a := ChainHash(0, key)
+		return []BlockHash{a, ChainHash(a, key), ChainHash(ChainHash(a, key), key)}
 	}
 	use := func(key uint64) {
 		c := chain(key)
-		list, _, ok := m.Take(nil, c, 3)
+		list, _, ok := m.Allocate(nil, c, 3)
 		if !ok {
 			t.Fatal("no room")
 		}
 		for i := range c {
-			m.Name(list[i], c[i])
+			m.SetContent(list[i], c[i])
 		}
-		m.Drop(list)
+		m.Release(list)
 	}
 	use(1)
 	use(2)
 	use(1)
-	list, _, ok := m.Take(nil, nil, 1)
-	if !ok || m.Kept(chain(1)) != 3 || m.Kept(chain(2)) != 2 {
-		t.Errorf("after one block was needed %d and %d are kept, want 3 of the last used and 2 of the other", m.Kept(chain(1)), m.Kept(chain(2)))
+	list, _, ok := m.Allocate(nil, nil, 1)
+	if !ok || m.CachedBlocks(chain(1)) != 3 || m.CachedBlocks(chain(2)) != 2 {
+		t.Errorf("after one block was needed %d and %d are kept, want 3 of the last used and 2 of the other", m.CachedBlocks(chain(1)), m.CachedBlocks(chain(2)))
 	}
-	m.Drop(list)
+	m.Release(list)
 }
--- a/internal/lab/engine/batch/host.go
+++ b/internal/lab/engine/batch/host.go
@@ -10,13 +10,13 @@
 
 // Shape is what a host is like. Spans are nanoseconds.
 type Shape struct {
-	Slots    int // prompts and answers at work at once
-	Queue    int // more that may wait
-	Chunk    int // most prompt tokens read in a step
-	Step     Nanos
-	PerRead  Nanos // for each prompt token read in the step
-	PerRun   Nanos // for each answer that runs
-	PerThing Nanos // for each 1,000 tokens of context of each answer that runs
+	Slots              int // prompts and answers at work at once
+	Queue              int // more that may wait
+	MaxChunkTokens     int // most prompt tokens read in a step
+	StepTime           Nanos
+	TimePerPromptToken Nanos // for each prompt token read in the step
+	TimePerAnswer      Nanos // for each answer that runs
+	TimePer1kContext   Nanos // for each 1,000 tokens of context of each answer that runs
 }
 
 // ID names work within a host.
@@ -24,35 +24,35 @@
 
 // Work is one prompt to be read, or an answer to be written after it or after a state that was read elsewhere.
 type Work struct {
-	ID     ID
-	Chain  []Hash // of the whole blocks of the prompt
-	Prompt int    // tokens
-	Answer int    // tokens to write; 0 = the prompt is only read, and its state stays until Release
-	Fetch  bool   // the prompt's state comes from elsewhere: Fetched tells when it is there
+	ID           ID
+	Blocks       []BlockHash // of the whole blocks of the prompt
+	PromptTokens int         // tokens
+	AnswerTokens int         // tokens to write; 0 = the prompt is only read, and its state stays until Release
+	FetchState   bool        // the prompt's state comes from elsewhere: Fetched tells when it is there
 }
 
 // Event is one thing that a step brought.
 type Event struct {
-	What What
+	Kind EventKind
 	ID   ID
-	N    int // of Token: its place from 0; of ReadDone: tokens that had to be read
+	N    int // of Token: its place from 0; of PrefillDone: tokens that had to be read
 }
 
-// What is the kind of an event.
-type What uint8
+// EventKind is the kind of an event.
+type EventKind uint8
 
 const (
-	NeedsFetch What = iota // there is room for the state: get it
-	ReadDone               // the prompt is read
-	Token                  // a token of the answer
-	Done                   // the answer is whole
-	Preempted              // memory ran out: back to the queue, to be read anew
+	NeedsFetch  EventKind = iota // there is room for the state: get it
+	PrefillDone                  // the prompt is read
+	Token                        // a token of the answer
+	AnswerDone                   // the answer is whole
+	Preempted                    // memory ran out: back to the queue, to be read anew
 )
 
 // Errors of Arrive.
 var (
-	ErrFull   = errors.New("slots and queue are full")
-	ErrTooBig = errors.New("more than all memory")
+	ErrQueueFull     = errors.New("slots and queue are full")
+	ErrExceedsMemory = errors.New("more than all memory")
 )
 
 type phase uint8
@@ -75,9 +75,9 @@
 	order   uint64
 }
 
-// Host is a model host's inside. Make it with NewHost. It works in steps: Begin, and after the time that it gives,
+// Server is a model host's inside. Make it with NewServer. It works in steps: Begin, and after the time that it gives,
 // End.
-type Host struct {
+type Server struct {
 	shape   Shape
 	Memory  *Memory
 	queue   []*work // first come first; those that were preempted first of all
@@ -92,130 +92,132 @@
 }
 
 // Counts are what a host counted.
-type Counts struct{ Steps, Read, Kept, Written, Preempted, Turned uint64 }
+type Counts struct{ Steps, PrefilledTokens, CachedTokens, DecodedTokens, Preemptions, Rejected uint64 }
 
-// NewHost makes a host with memory for so many tokens in blocks of a size.
-func NewHost(shape Shape, tokens, block int) (*Host, error) {
-	if shape.Slots < 1 || shape.Queue < 0 || shape.Chunk < 1 || shape.Step <= 0 || block < 1 || tokens < block {
+// NewServer makes a host with memory for so many tokens in blocks of a size.
+func NewServer(shape Shape, tokens, block int) (*Server, error) {
+	if shape.Slots < 1 || shape.Queue < 0 || shape.MaxChunkTokens < 1 || shape.StepTime <= 0 || block < 1 || tokens < block {
 		return nil, fmt.Errorf("slots %d, queue %d, chunk %d, step %d, %d tokens in blocks of %d: want all above 0, and a block at least",
-			shape.Slots, shape.Queue, shape.Chunk, shape.Step, tokens, block)
+			shape.Slots, shape.Queue, shape.MaxChunkTokens, shape.StepTime, tokens, block)
 	}
-	return &Host{shape: shape, Memory: NewMemory(tokens, block), held: make(map[ID]*work), byID: make(map[ID]*work), chunk: make(map[*work]int)}, nil
+	return &Server{shape: shape, Memory: NewMemory(tokens, block), held: make(map[ID]*work), byID: make(map[ID]*work), chunk: make(map[*work]int)}, nil
 }
 
 // Queued counts work that waits for a slot.
-func (h *Host) Queued() int { return len(h.queue) }
+func (s *Server) Queued() int { return len(s.queue) }
 
 // Running counts work that has a slot.
-func (h *Host) Running() int { return len(h.running) }
+func (s *Server) Running() int { return len(s.running) }
 
-// Held counts states that wait.
-func (h *Host) Held() int { return len(h.held) }
+// HeldStates counts states that wait.
+func (s *Server) HeldStates() int { return len(s.held) }
 
-// Unread counts prompt tokens that wait to be read or fetched.
-func (h *Host) Unread() int {
+// QueuedPromptTokens counts prompt tokens that wait to be read or fetched.
+func (s *Server) QueuedPromptTokens() int {
 	n := 0
-	for _, list := range [][]*work{h.queue, h.running} {
+	for _, list := range [][]*work{s.queue, s.running} {
 		for _, w := range list {
 			if w.phase != writing {
-				n += w.Prompt - w.read
+				n += w.PromptTokens - w.read
 			}
 		}
 	}
 	return n
 }
 
-func (h *Host) blocksFor(tokens int) int { return (tokens + h.Memory.Size - 1) / h.Memory.Size }
+func (s *Server) blocksFor(tokens int) int {
+	return (tokens + s.Memory.BlockTokens - 1) / s.Memory.BlockTokens
+}
 
-// Arrive takes work into the queue.
-func (h *Host) Arrive(w Work) error {
-	if h.byID[w.ID] != nil {
+// Enqueue takes work into the queue.
+func (s *Server) Enqueue(w Work) error {
+	if s.byID[w.ID] != nil {
 		return fmt.Errorf("work %d is here already", w.ID)
 	}
-	if h.blocksFor(w.Prompt+w.Answer) > h.Memory.Blocks() {
-		return ErrTooBig
+	if s.blocksFor(w.PromptTokens+w.AnswerTokens) > s.Memory.Blocks() {
+		return ErrExceedsMemory
 	}
-	if len(h.queue)+len(h.running) >= h.shape.Slots+h.shape.Queue {
-		h.Counts.Turned++
-		return ErrFull
+	if len(s.queue)+len(s.running) >= s.shape.Slots+s.shape.Queue {
+		s.Counts.Rejected++
+		return ErrQueueFull
 	}
-	h.orders++
-	k := &work{Work: w, order: h.orders}
-	h.queue = append(h.queue, k)
-	h.byID[w.ID] = k
+	s.orders++
+	k := &work{Work: w, order: s.orders}
+	s.queue = append(s.queue, k)
+	s.byID[w.ID] = k
 	return nil
 }
 
-// Begin starts a step, if there is work that can go on, and gives how long it takes and which states are to be
+// BeginStep starts a step, if there is work that can go on, and gives how long it takes and which states are to be
 // fetched now.
-func (h *Host) Begin(events []Event) (Nanos, []Event, bool) {
-	if h.inStep {
+func (s *Server) BeginStep(events []Event) (Nanos, []Event, bool) {
+	if s.inStep {
 		return 0, events, false
 	}
-	for len(h.queue) > 0 && len(h.running) < h.shape.Slots {
-		w := h.queue[0]
+	for len(s.queue) > 0 && len(s.running) < s.shape.Slots {
+		w := s.queue[0]
 		// Memory for the prompt and the first token of its answer: less would be preempted at once.
-		need := h.blocksFor(w.Prompt + w.written + min(w.Answer-w.written, 1))
-		chain := w.Chain
-		if w.Fetch && w.written == 0 {
+		need := s.blocksFor(w.PromptTokens + w.written + min(w.AnswerTokens-w.written, 1))
+		chain := w.Blocks
+		if w.FetchState && w.written == 0 {
 			chain = nil // it comes whole
 		}
-		blocks, kept, ok := h.Memory.Take(w.blocks[:0], chain, need)
+		blocks, kept, ok := s.Memory.Allocate(w.blocks[:0], chain, need)
 		if !ok {
 			break // first come first: nobody passes it
 		}
-		h.queue = h.queue[1:]
-		w.blocks, w.read = blocks, min(kept*h.Memory.Size, w.Prompt-1) // the last token is always read
+		s.queue = s.queue[1:]
+		w.blocks, w.read = blocks, min(kept*s.Memory.BlockTokens, w.PromptTokens-1) // the last token is always read
 		w.had = w.read
-		if w.phase = reading; w.Fetch && w.written == 0 {
+		if w.phase = reading; w.FetchState && w.written == 0 {
 			w.phase = fetching
-			events = append(events, Event{What: NeedsFetch, ID: w.ID})
+			events = append(events, Event{Kind: NeedsFetch, ID: w.ID})
 		}
-		h.running = append(h.running, w)
+		s.running = append(s.running, w)
 	}
-	clear(h.chunk)
-	h.writers = h.writers[:0]
-	left, tokens, context := h.shape.Chunk, 0, 0
-	for _, w := range h.running {
+	clear(s.chunk)
+	s.writers = s.writers[:0]
+	left, tokens, context := s.shape.MaxChunkTokens, 0, 0
+	for _, w := range s.running {
 		switch w.phase {
 		case writing:
-			h.writers = append(h.writers, w)
-			context += w.Prompt + w.written
+			s.writers = append(s.writers, w)
+			context += w.PromptTokens + w.written
 		case reading:
 			// What was written before a preemption is read anew with the prompt.
-			if n := min(left, w.Prompt+w.written-w.read); n > 0 {
-				h.chunk[w] = n
+			if n := min(left, w.PromptTokens+w.written-w.read); n > 0 {
+				s.chunk[w] = n
 				left -= n
 				tokens += n
 			}
 		}
 	}
-	if tokens == 0 && len(h.writers) == 0 {
+	if tokens == 0 && len(s.writers) == 0 {
 		return 0, events, false
 	}
-	h.inStep = true
-	h.Counts.Steps++
-	return h.shape.Step + Nanos(tokens)*h.shape.PerRead + Nanos(len(h.writers))*h.shape.PerRun + Nanos(context)*h.shape.PerThing/1000, events, true
+	s.inStep = true
+	s.Counts.Steps++
+	return s.shape.StepTime + Nanos(tokens)*s.shape.TimePerPromptToken + Nanos(len(s.writers))*s.shape.TimePerAnswer + Nanos(context)*s.shape.TimePer1kContext/1000, events, true
 }
 
-// End ends the step that Begin started and gives what it brought.
-func (h *Host) End(events []Event) []Event {
-	if !h.inStep {
+// EndStep ends the step that Begin started and gives what it brought.
+func (s *Server) EndStep(events []Event) []Event {
+	if !s.inStep {
 		return events
 	}
-	h.inStep = false
-	for _, w := range h.writers {
-		if w.phase != writing || h.byID[w.ID] != w { // preempted or cancelled meanwhile
+	s.inStep = false
+	for _, w := range s.writers {
+		if w.phase != writing || s.byID[w.ID] != w { // preempted or cancelled meanwhile
 			continue
 		}
-		for h.blocksFor(w.Prompt+w.written+1) > len(w.blocks) {
-			b, _, ok := h.Memory.Take(w.blocks, nil, 1)
+		for s.blocksFor(w.PromptTokens+w.written+1) > len(w.blocks) {
+			b, _, ok := s.Memory.Allocate(w.blocks, nil, 1)
 			if ok {
 				w.blocks = b
 				continue
 			}
-			newest := h.newest()
-			events = h.preempt(newest, events)
+			newest := s.newest()
+			events = s.preempt(newest, events)
 			if newest == w {
 				break
 			}
@@ -223,48 +225,48 @@
 		if w.phase != writing {
 			continue
 		}
-		events = append(events, Event{What: Token, ID: w.ID, N: w.written})
+		events = append(events, Event{Kind: Token, ID: w.ID, N: w.written})
 		w.written++
-		h.Counts.Written++
-		if w.written == w.Answer {
-			events = append(events, Event{What: Done, ID: w.ID})
-			h.remove(w)
+		s.Counts.DecodedTokens++
+		if w.written == w.AnswerTokens {
+			events = append(events, Event{Kind: AnswerDone, ID: w.ID})
+			s.remove(w)
 		}
 	}
-	for i := 0; i < len(h.running); i++ {
-		w := h.running[i]
-		n := h.chunk[w]
+	for i := 0; i < len(s.running); i++ {
+		w := s.running[i]
+		n := s.chunk[w]
 		if n == 0 || w.phase != reading {
 			continue
 		}
 		w.read += n
-		h.Counts.Read += uint64(n)
-		for k := range min(w.read/h.Memory.Size, len(w.Chain)) {
-			h.Memory.Name(w.blocks[k], w.Chain[k])
+		s.Counts.PrefilledTokens += uint64(n)
+		for k := range min(w.read/s.Memory.BlockTokens, len(w.Blocks)) {
+			s.Memory.SetContent(w.blocks[k], w.Blocks[k])
 		}
-		if w.read < w.Prompt+w.written {
+		if w.read < w.PromptTokens+w.written {
 			continue
 		}
-		h.Counts.Kept += uint64(w.had)
+		s.Counts.CachedTokens += uint64(w.had)
 		if w.written == 0 {
-			events = append(events, Event{What: ReadDone, ID: w.ID, N: w.Prompt - w.had})
+			events = append(events, Event{Kind: PrefillDone, ID: w.ID, N: w.PromptTokens - w.had})
 		}
-		if w.Answer > 0 {
+		if w.AnswerTokens > 0 {
 			w.phase = writing
 			continue
 		}
 		w.phase = holding
-		h.running = append(h.running[:i], h.running[i+1:]...)
+		s.running = append(s.running[:i], s.running[i+1:]...)
 		i--
-		h.held[w.ID] = w
+		s.held[w.ID] = w
 	}
 	return events
 }
 
 // newest is the answer that got its slot last: it has cost least.
-func (h *Host) newest() *work {
+func (s *Server) newest() *work {
 	var last *work
-	for _, w := range h.running {
+	for _, w := range s.running {
 		if w.phase == writing && (last == nil || w.order > last.order) {
 			last = w
 		}
@@ -273,47 +275,47 @@
 }
 
 // preempt sends an answer back to the head of the queue.
-func (h *Host) preempt(w *work, events []Event) []Event {
-	h.Memory.Drop(w.blocks)
+func (s *Server) preempt(w *work, events []Event) []Event {
+	s.Memory.Release(w.blocks)
 	w.blocks, w.phase, w.read = w.blocks[:0], waiting, 0
-	for i, r := range h.running {
+	for i, r := range s.running {
 		if r == w {
-			h.running = append(h.running[:i], h.running[i+1:]...)
+			s.running = append(s.running[:i], s.running[i+1:]...)
 			break
 		}
 	}
-	h.queue = append([]*work{w}, h.queue...)
-	h.Counts.Preempted++
-	return append(events, Event{What: Preempted, ID: w.ID})
+	s.queue = append([]*work{w}, s.queue...)
+	s.Counts.Preemptions++
+	return append(events, Event{Kind: Preempted, ID: w.ID})
 }
 
-// Fetched tells that the state of work is there; it is written from the next step on.
-func (h *Host) Fetched(id ID) bool {
-	w := h.byID[id]
+// StateFetched tells that the state of work is there; it is written from the next step on.
+func (s *Server) StateFetched(id ID) bool {
+	w := s.byID[id]
 	if w == nil || w.phase != fetching {
 		return false
 	}
-	w.phase, w.read = writing, w.Prompt
-	for k := range min(w.Prompt/h.Memory.Size, len(w.Chain)) {
-		h.Memory.Name(w.blocks[k], w.Chain[k])
+	w.phase, w.read = writing, w.PromptTokens
+	for k := range min(w.PromptTokens/s.Memory.BlockTokens, len(w.Blocks)) {
+		s.Memory.SetContent(w.blocks[k], w.Blocks[k])
 	}
 	return true
 }
 
-// Drop takes work out, wherever it stands: its client left, its state was fetched or is not wanted.
-func (h *Host) Drop(id ID) bool {
-	w := h.byID[id]
+// Remove takes work out, wherever it stands: its client left, its state was fetched or is not wanted.
+func (s *Server) Remove(id ID) bool {
+	w := s.byID[id]
 	if w == nil {
 		return false
 	}
-	h.remove(w)
+	s.remove(w)
 	return true
 }
 
-func (h *Host) remove(w *work) {
-	delete(h.byID, w.ID)
-	delete(h.held, w.ID)
-	for _, list := range []*[]*work{&h.queue, &h.running} {
+func (s *Server) remove(w *work) {
+	delete(s.byID, w.ID)
+	delete(s.held, w.ID)
+	for _, list := range []*[]*work{&s.queue, &s.running} {
 		for i, r := range *list {
 			if r == w {
 				*list = append((*list)[:i], (*list)[i+1:]...)
@@ -321,6 +323,6 @@
 			}
 		}
 	}
-	h.Memory.Drop(w.blocks)
+	s.Memory.Release(w.blocks)
 	w.blocks = nil
 }
--- a/internal/lab/engine/batch/host_test.go
+++ b/internal/lab/engine/batch/host_test.go
@@ -6,41 +6,41 @@
 	"pgregory.net/rapid"
 )
 
-var shape = Shape{Slots: 4, Queue: 8, Chunk: 512, Step: 10e6, PerRead: 50e3, PerRun: 100e3, PerThing: 80e3}
+var shape = Shape{Slots: 4, Queue: 8, MaxChunkTokens: 512, StepTime: 10e6, TimePerPromptToken: 50e3, TimePerAnswer: 100e3, TimePer1kContext: 80e3}
 
-func newHost(t testing.TB, s Shape, tokens int) *Host {
+func newHost(t testing.TB, s Shape, tokens int) *Server {
 	t.Helper()
-	h, err := NewHost(s, tokens, 16)
+	h, err := NewServer(s, tokens, 16)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return h
 }
 
-func chainOf(key uint64, tokens int) []Hash {
-	var c []Hash
-	h := Hash(0)
+func chainOf(key uint64, tokens int) []BlockHash {
+	var c []BlockHash
+	h := BlockHash(0)
 	for range tokens / 16 {
-		h = Chain(h, key)
+		h = ChainHash(h, key)
 		c = append(c, h)
 	}
 	return c
 }
 
 // run steps a host until nothing is left to do and gives events and time.
-func run(h *Host, most int) ([]Event, Nanos) {
+func run(h *Server, most int) ([]Event, Nanos) {
 	var all, events []Event
 	total := Nanos(0)
 	for range most {
 		var took Nanos
 		var ok bool
-		took, events, ok = h.Begin(events[:0])
+		took, events, ok = h.BeginStep(events[:0])
 		all = append(all, events...)
 		if !ok {
 			return all, total
 		}
 		total += took
-		all = append(all, h.End(nil)...)
+		all = append(all, h.EndStep(nil)...)
 	}
 	return all, total
 }
@@ -48,34 +48,34 @@
 // TestTimes: a host takes as long as its shape says, for one prompt and for answers side by side.
 func TestTimes(t *testing.T) {
 	h := newHost(t, shape, 1<<16)
-	if err := h.Arrive(Work{ID: 1, Prompt: 1000}); err != nil {
+	if err := h.Enqueue(Work{ID: 1, PromptTokens: 1000}); err != nil {
 		t.Fatal(err)
 	}
 	events, took := run(h, 100)
-	if want := 2*shape.Step + 1000*shape.PerRead; took != want || len(events) != 1 || events[0] != (Event{ReadDone, 1, 1000}) {
+	if want := 2*shape.StepTime + 1000*shape.TimePerPromptToken; took != want || len(events) != 1 || events[0] != (Event{PrefillDone, 1, 1000}) {
 		t.Errorf("1,000 tokens in chunks of 512 took %d with %v, want %d", took, events, want)
 	}
-	if h.Held() != 1 || h.Memory.InUse() != 63 {
-		t.Errorf("%d held in %d blocks, want 1 in 63", h.Held(), h.Memory.InUse())
+	if h.HeldStates() != 1 || h.Memory.InUse() != 63 {
+		t.Errorf("%d held in %d blocks, want 1 in 63", h.HeldStates(), h.Memory.InUse())
 	}
-	h.Drop(1)
+	h.Remove(1)
 	for i := range 2 {
-		if err := h.Arrive(Work{ID: ID(2 + i), Prompt: 160, Answer: 10, Fetch: true}); err != nil {
+		if err := h.Enqueue(Work{ID: ID(2 + i), PromptTokens: 160, AnswerTokens: 10, FetchState: true}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	_, events, ok := h.Begin(nil)
-	if ok || len(events) != 2 || events[0].What != NeedsFetch {
+	_, events, ok := h.BeginStep(nil)
+	if ok || len(events) != 2 || events[0].Kind != NeedsFetch {
 		t.Fatalf("%v, step %v: want two states to fetch and no step until they are there", events, ok)
 	}
-	h.Fetched(2)
-	h.Fetched(3)
+	h.StateFetched(2)
+	h.StateFetched(3)
 	events, took = run(h, 100)
 	context := Nanos(0)
 	for i := range Nanos(10) {
-		context += 2 * (160 + i) * shape.PerThing / 1000
+		context += 2 * (160 + i) * shape.TimePer1kContext / 1000
 	}
-	want := 10*(shape.Step+2*shape.PerRun) + context
+	want := 10*(shape.StepTime+2*shape.TimePerAnswer) + context
 	if took < want-10 || took > want+10 || len(events) != 22 {
 		t.Errorf("two answers of 10 took %d with %d events, want %d with 22", took, len(events), want)
 	}
@@ -88,7 +88,7 @@
 func TestKeptBeginning(t *testing.T) {
 	h := newHost(t, shape, 1<<16)
 	for i := range 3 {
-		if err := h.Arrive(Work{ID: ID(i + 1), Prompt: 512, Chain: chainOf(9, 512)}); err != nil {
+		if err := h.Enqueue(Work{ID: ID(i + 1), PromptTokens: 512, Blocks: chainOf(9, 512)}); err != nil {
 			t.Fatal(err)
 		}
 		events, _ := run(h, 100)
@@ -99,7 +99,7 @@
 		if len(events) != 1 || events[0].N != want {
 			t.Errorf("prompt %d: %v, want %d tokens read", i, events, want)
 		}
-		h.Drop(ID(i + 1))
+		h.Remove(ID(i + 1))
 	}
 }
 
@@ -108,20 +108,20 @@
 func TestPreemption(t *testing.T) {
 	h := newHost(t, shape, 16*16)
 	for i := range 3 {
-		if err := h.Arrive(Work{ID: ID(i + 1), Prompt: 64, Answer: 60}); err != nil {
+		if err := h.Enqueue(Work{ID: ID(i + 1), PromptTokens: 64, AnswerTokens: 60}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	events, _ := run(h, 1000)
 	next, done, preempted := map[ID]int{}, 0, 0
 	for _, e := range events {
-		switch e.What {
+		switch e.Kind {
 		case Token:
 			if e.N != next[e.ID] {
 				t.Fatalf("token %d of %d, want %d", e.N, e.ID, next[e.ID])
 			}
 			next[e.ID]++
-		case Done:
+		case AnswerDone:
 			done++
 		case Preempted:
 			preempted++
@@ -139,8 +139,8 @@
 func TestHost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := shape
-		s.Slots, s.Queue, s.Chunk = rapid.IntRange(1, 5).Draw(t, "slots"), rapid.IntRange(0, 5).Draw(t, "queue"), rapid.IntRange(1, 300).Draw(t, "chunk")
-		h, err := NewHost(s, rapid.IntRange(8, 60).Draw(t, "blocks")*16, 16)
+		s.Slots, s.Queue, s.MaxChunkTokens = rapid.IntRange(1, 5).Draw(t, "slots"), rapid.IntRange(0, 5).Draw(t, "queue"), rapid.IntRange(1, 300).Draw(t, "chunk")
+		h, err := NewServer(s, rapid.IntRange(8, 60).Draw(t, "blocks")*16, 16)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -152,22 +152,22 @@
 				if !ok {
 					t.Fatalf("%v of work that is not here", e)
 				}
-				switch e.What {
+				switch e.Kind {
 				case NeedsFetch:
-					h.Fetched(e.ID)
+					h.StateFetched(e.ID)
 				case Token:
 					if e.N != next[e.ID] {
 						t.Fatalf("token %d of %d, want %d", e.N, e.ID, next[e.ID])
 					}
 					next[e.ID]++
-				case Done:
-					if next[e.ID] != w.Answer {
-						t.Fatalf("done after %d of %d tokens", next[e.ID], w.Answer)
+				case AnswerDone:
+					if next[e.ID] != w.AnswerTokens {
+						t.Fatalf("done after %d of %d tokens", next[e.ID], w.AnswerTokens)
 					}
 					delete(here, e.ID)
-				case ReadDone:
-					if w.Answer == 0 {
-						h.Drop(e.ID)
+				case PrefillDone:
+					if w.AnswerTokens == 0 {
+						h.Remove(e.ID)
 						delete(here, e.ID)
 					}
 				}
@@ -178,20 +178,20 @@
 			case 0, 1:
 				id++
 				prompt := rapid.IntRange(1, 120).Draw(t, "prompt")
-				w := Work{ID: id, Prompt: prompt, Answer: rapid.IntRange(0, 40).Draw(t, "answer"), Chain: chainOf(rapid.Uint64Range(1, 3).Draw(t, "text"), prompt)}
-				w.Fetch = w.Answer > 0 && rapid.Bool().Draw(t, "fetch")
-				if err := h.Arrive(w); err == nil {
+				w := Work{ID: id, PromptTokens: prompt, AnswerTokens: rapid.IntRange(0, 40).Draw(t, "answer"), Blocks: chainOf(rapid.Uint64Range(1, 3).Draw(t, "text"), prompt)}
+				w.FetchState = w.AnswerTokens > 0 && rapid.Bool().Draw(t, "fetch")
+				if err := h.Enqueue(w); err == nil {
 					here[id] = w
 				}
 			case 2:
-				_, events, ok := h.Begin(nil)
+				_, events, ok := h.BeginStep(nil)
 				take(events)
 				if ok {
-					take(h.End(nil))
+					take(h.EndStep(nil))
 				}
 			case 3:
 				for id := range here {
-					h.Drop(id)
+					h.Remove(id)
 					delete(here, id)
 					break
 				}
@@ -201,13 +201,13 @@
 			}
 		}
 		for range 20000 {
-			_, events, ok := h.Begin(nil)
+			_, events, ok := h.BeginStep(nil)
 			take(events)
 			if !ok && len(events) == 0 {
 				break
 			}
 			if ok {
-				take(h.End(nil))
+				take(h.EndStep(nil))
 			}
 		}
 		if len(here) > 0 || h.Memory.InUse() != 0 {
--- a/internal/lab/engine/batch/net.go
+++ b/internal/lab/engine/batch/net.go
@@ -7,12 +7,12 @@
 	"slices"
 )
 
-// Move names a state under way.
-type Move uint64
+// TransferID names a state under way.
+type TransferID uint64
 
-// Net is the ways over which read states move: ports of readers, links of cells. What moves over a way shares it
-// evenly; a move goes at the pace of its narrowest share. Make it with NewNet.
-type Net struct {
+// Network is the ways over which read states move: ports of readers, links of cells. What moves over a way shares it
+// evenly; a move goes at the pace of its narrowest share. Make it with NewNetwork.
+type Network struct {
 	ways  []way
 	moves []*move // by their numbers
 	at    Nanos
@@ -24,17 +24,17 @@
 }
 
 type move struct {
-	id   Move
+	id   TransferID
 	left float64 // tokens
 	slow float64 // times as long, as to a far zone
 	over []int
 }
 
-// NewNet makes a net without ways.
-func NewNet() *Net { return &Net{} }
+// NewNetwork makes a net without ways.
+func NewNetwork() *Network { return &Network{} }
 
-// Way adds a way of so many tokens a second and gives its number.
-func (n *Net) Way(rate float64) (int, error) {
+// AddLink adds a way of so many tokens a second and gives its number.
+func (n *Network) AddLink(rate float64) (int, error) {
 	if !(rate > 0) {
 		return 0, fmt.Errorf("way of %v tokens a second: want more than 0", rate)
 	}
@@ -42,14 +42,14 @@
 	return len(n.ways) - 1, nil
 }
 
-// Rate changes a way's pace, for what moves on it too; 0 cuts it.
-func (n *Net) Rate(now Nanos, w int, rate float64) {
+// SetRate changes a way's pace, for what moves on it too; 0 cuts it.
+func (n *Network) SetRate(now Nanos, w int, rate float64) {
 	n.pass(now)
 	n.ways[w].rate = max(rate, 0)
 }
 
 // Start begins a move; slow is how many times as long each token takes.
-func (n *Net) Start(now Nanos, id Move, tokens int, slow float64, over ...int) error {
+func (n *Network) Start(now Nanos, id TransferID, tokens int, slow float64, over ...int) error {
 	i, there := n.find(id)
 	if there || tokens < 1 || !(slow >= 1) || len(over) == 0 {
 		return fmt.Errorf("move %d of %d tokens, %v times as long, over %v: want a new one, 1 or more, 1 or more, a way at least", id, tokens, slow, over)
@@ -62,12 +62,12 @@
 	return nil
 }
 
-func (n *Net) find(id Move) (int, bool) {
-	return slices.BinarySearchFunc(n.moves, id, func(m *move, id Move) int { return cmp.Compare(m.id, id) })
+func (n *Network) find(id TransferID) (int, bool) {
+	return slices.BinarySearchFunc(n.moves, id, func(m *move, id TransferID) int { return cmp.Compare(m.id, id) })
 }
 
 // Stop ends a move before its time; false if there is none of that number.
-func (n *Net) Stop(now Nanos, id Move) bool {
+func (n *Network) Stop(now Nanos, id TransferID) bool {
 	i, there := n.find(id)
 	if !there {
 		return false
@@ -77,7 +77,7 @@
 	return true
 }
 
-func (n *Net) end(i int) {
+func (n *Network) end(i int) {
 	for _, w := range n.moves[i].over {
 		n.ways[w].n--
 	}
@@ -85,7 +85,7 @@
 }
 
 // pace of a move now, in tokens a nanosecond.
-func (n *Net) pace(m *move) float64 {
+func (n *Network) pace(m *move) float64 {
 	p := math.Inf(1)
 	for _, w := range m.over {
 		p = min(p, n.ways[w].rate/float64(n.ways[w].n))
@@ -94,7 +94,7 @@
 }
 
 // pass moves everything on to a time. Shares must not have changed since the last.
-func (n *Net) pass(now Nanos) {
+func (n *Network) pass(now Nanos) {
 	if now <= n.at {
 		return
 	}
@@ -104,8 +104,8 @@
 	n.at = now
 }
 
-// Next is when the next move ends, if nothing else changes.
-func (n *Net) Next() (Nanos, bool) {
+// NextEnd is when the next move ends, if nothing else changes.
+func (n *Network) NextEnd() (Nanos, bool) {
 	at, some := Nanos(math.MaxInt64), false
 	for _, m := range n.moves {
 		if p := n.pace(m); p > 0 {
@@ -115,11 +115,11 @@
 	return at, some
 }
 
-// Ended moves everything on to a time, in steps from one end to the next, and gives what has ended, in order.
-func (n *Net) Ended(now Nanos, into []Move) []Move {
+// AdvanceTo moves everything on to a time, in steps from one end to the next, and gives what has ended, in order.
+func (n *Network) AdvanceTo(now Nanos, into []TransferID) []TransferID {
 	const crumb = 1e-6 // of a token, left by rounding
 	for {
-		at, some := n.Next()
+		at, some := n.NextEnd()
 		if !some || at > now {
 			n.pass(now)
 			return into
--- a/internal/lab/engine/batch/net_test.go
+++ b/internal/lab/engine/batch/net_test.go
@@ -11,32 +11,32 @@
 
 // TestShares: alone a move takes its tokens at its way's pace; two on one way take twice as long; a far zone stretches it.
 func TestShares(t *testing.T) {
-	n := NewNet()
-	port, _ := n.Way(1000)
-	link, _ := n.Way(500)
+	n := NewNetwork()
+	port, _ := n.AddLink(1000)
+	link, _ := n.AddLink(500)
 	for _, c := range []struct {
 		name  string
 		start func()
-		want  map[Move]Nanos
+		want  map[TransferID]Nanos
 	}{
-		{"alone", func() { n.Start(0, 1, 1000, 1, port) }, map[Move]Nanos{1: second}},
-		{"over a narrow link", func() { n.Start(0, 1, 1000, 1, port, link) }, map[Move]Nanos{1: 2 * second}},
-		{"to a far zone", func() { n.Start(0, 1, 1000, 3, port) }, map[Move]Nanos{1: 3 * second}},
-		{"two at a port", func() { n.Start(0, 1, 1000, 1, port); n.Start(0, 2, 1000, 1, port) }, map[Move]Nanos{1: 2 * second, 2: 2 * second}},
+		{"alone", func() { n.Start(0, 1, 1000, 1, port) }, map[TransferID]Nanos{1: second}},
+		{"over a narrow link", func() { n.Start(0, 1, 1000, 1, port, link) }, map[TransferID]Nanos{1: 2 * second}},
+		{"to a far zone", func() { n.Start(0, 1, 1000, 3, port) }, map[TransferID]Nanos{1: 3 * second}},
+		{"two at a port", func() { n.Start(0, 1, 1000, 1, port); n.Start(0, 2, 1000, 1, port) }, map[TransferID]Nanos{1: 2 * second, 2: 2 * second}},
 		{
 			"a short one beside a long one", func() { n.Start(0, 1, 500, 1, port); n.Start(0, 2, 1000, 1, port) },
-			map[Move]Nanos{1: second, 2: second + second/2},
+			map[TransferID]Nanos{1: second, 2: second + second/2},
 		},
 	} {
 		n.at = 0
 		c.start()
-		got := map[Move]Nanos{}
+		got := map[TransferID]Nanos{}
 		for len(n.moves) > 0 {
-			at, ok := n.Next()
+			at, ok := n.NextEnd()
 			if !ok {
 				t.Fatalf("%s: nothing ends", c.name)
 			}
-			for _, id := range n.Ended(at, nil) {
+			for _, id := range n.AdvanceTo(at, nil) {
 				got[id] = at
 			}
 		}
@@ -50,15 +50,15 @@
 
 // TestCut: over a way that is cut nothing moves, and nothing is lost.
 func TestCut(t *testing.T) {
-	n := NewNet()
-	w, _ := n.Way(1000)
+	n := NewNetwork()
+	w, _ := n.AddLink(1000)
 	n.Start(0, 1, 1000, 1, w)
-	n.Rate(second/2, w, 0)
-	if _, ok := n.Next(); ok || len(n.Ended(10*second, nil)) > 0 {
+	n.SetRate(second/2, w, 0)
+	if _, ok := n.NextEnd(); ok || len(n.AdvanceTo(10*second, nil)) > 0 {
 		t.Error("a move ended over a way that is cut")
 	}
-	n.Rate(10*second, w, 1000)
-	if at, ok := n.Next(); !ok || at < 10*second+second/2-10 || at > 10*second+second/2+10 {
+	n.SetRate(10*second, w, 1000)
+	if at, ok := n.NextEnd(); !ok || at < 10*second+second/2-10 || at > 10*second+second/2+10 {
 		t.Errorf("after the cut it ends at %d, want %d", at, 10*second+second/2)
 	}
 }
@@ -67,20 +67,20 @@
 // more often changes nothing.
 func TestNet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a, b := NewNet(), NewNet()
+		a, b := NewNetwork(), NewNetwork()
 		rates := []float64{}
 		for range rapid.IntRange(1, 4).Draw(t, "ways") {
 			r := float64(rapid.IntRange(1, 100).Draw(t, "rate")) * 100
 			rates = append(rates, r)
-			a.Way(r)
-			b.Way(r)
+			a.AddLink(r)
+			b.AddLink(r)
 		}
 		moved := make([]float64, len(rates))
-		size, over := map[Move]int{}, map[Move][]int{}
-		ended := map[Move]bool{}
+		size, over := map[TransferID]int{}, map[TransferID][]int{}
+		ended := map[TransferID]bool{}
 		now := Nanos(0)
 		for i := range rapid.IntRange(1, 40).Draw(t, "steps") {
-			id, tokens := Move(i+1), rapid.IntRange(1, 5000).Draw(t, "tokens")
+			id, tokens := TransferID(i+1), rapid.IntRange(1, 5000).Draw(t, "tokens")
 			w := rapid.IntRange(0, len(rates)-1).Draw(t, "way")
 			if a.Start(now, id, tokens, 1, w) != nil || b.Start(now, id, tokens, 1, w) != nil {
 				t.Fatal("a new move is refused")
@@ -89,9 +89,9 @@
 			to := now + rapid.Int64Range(0, 2e9).Draw(t, "time")
 			for now < to { // b is looked at more often
 				now = min(now+rapid.Int64Range(1, 1e9).Draw(t, "look"), to)
-				b.Ended(now, nil)
+				b.AdvanceTo(now, nil)
 			}
-			for _, id := range a.Ended(now, nil) {
+			for _, id := range a.AdvanceTo(now, nil) {
 				if ended[id] {
 					t.Fatalf("move %d ended twice", id)
 				}
@@ -114,7 +114,7 @@
 				}
 			}
 		}
-		if got := a.Ended(1<<60, nil); len(ended)+len(got) != len(size) {
+		if got := a.AdvanceTo(1<<60, nil); len(ended)+len(got) != len(size) {
 			t.Fatalf("%d of %d moves ended", len(ended)+len(got), len(size))
 		}
 	})
--- a/internal/lab/engine/batch/report.go
+++ b/internal/lab/engine/batch/report.go
@@ -6,12 +6,12 @@
 	"math/rand/v2"
 )
 
-// Figures are what a host reports of itself.
-type Figures struct {
-	Requests float64 // that it holds
-	Memory   float64 // share in use
-	Unread   float64 // prompt tokens that wait to be read or fetched
-	Finish   Nanos   // until what waits now would be read, at its present pace
+// Load are what a host reports of itself.
+type Load struct {
+	Requests           float64 // that it holds
+	MemoryUtilization  float64 // share in use
+	QueuedPromptTokens float64 // prompt tokens that wait to be read or fetched
+	QueueTime          Nanos   // until what waits now would be read, at its present pace
 }
 
 // Reporter makes reports as hosts do: taken now and then, known some time later, a little wrong. Make it with
@@ -28,7 +28,7 @@
 
 type taken struct {
 	at Nanos
-	f  Figures
+	f  Load
 }
 
 // NewReporter makes a reporter that takes figures every so often, whose reports are known so late, and whose figures
@@ -40,26 +40,26 @@
 	return &Reporter{every: every, late: late, noise: noise, rng: rand.New(rand.NewPCG(seed, 0x7265706f7274))}, nil
 }
 
-// Late changes how late reports are known, for those that are under way too.
-func (r *Reporter) Late(t Nanos) { r.late = t }
+// SetDelay changes how late reports are known, for those that are under way too.
+func (r *Reporter) SetDelay(t Nanos) { r.late = t }
 
-// See takes the figures of now, if it is time again.
-func (r *Reporter) See(now Nanos, f Figures) {
+// Observe takes the figures of now, if it is time again.
+func (r *Reporter) Observe(now Nanos, f Load) {
 	if r.n > 0 && now < r.taken[(r.n-1)%reports].at+r.every {
 		return
 	}
 	off := func(x float64) float64 { return x * math.Exp(r.rng.NormFloat64()*r.noise) }
-	f.Requests, f.Memory, f.Unread, f.Finish = off(f.Requests), min(off(f.Memory), 1), off(f.Unread), Nanos(off(float64(f.Finish)))
+	f.Requests, f.MemoryUtilization, f.QueuedPromptTokens, f.QueueTime = off(f.Requests), min(off(f.MemoryUtilization), 1), off(f.QueuedPromptTokens), Nanos(off(float64(f.QueueTime)))
 	r.taken[r.n%reports] = taken{now, f}
 	r.n++
 }
 
-// Known gives the newest report that is known now, and its age.
-func (r *Reporter) Known(now Nanos) (Figures, Nanos, bool) {
+// Latest gives the newest report that is known now, and its age.
+func (r *Reporter) Latest(now Nanos) (Load, Nanos, bool) {
 	for i := r.n - 1; i >= 0 && i >= r.n-reports; i-- {
 		if t := r.taken[i%reports]; now >= t.at+r.late {
 			return t.f, now - t.at, true
 		}
 	}
-	return Figures{}, 0, false
+	return Load{}, 0, false
 }
--- a/internal/lab/engine/batch/report_test.go
+++ b/internal/lab/engine/batch/report_test.go
@@ -11,7 +11,7 @@
 		t.Fatal(err)
 	}
 	for i := range 100 { // every tenth of a second; the true figure is the time in tenths
-		r.See(Nanos(i)*second/10, Figures{Requests: float64(i)})
+		r.Observe(Nanos(i)*second/10, Load{Requests: float64(i)})
 	}
 	for _, c := range []struct {
 		at   Nanos
@@ -25,13 +25,13 @@
 		{7 * second, 40, 3 * second, true},
 		{7*second + second/2, 40, 3*second + second/2, true},
 	} {
-		f, age, ok := r.Known(c.at)
+		f, age, ok := r.Latest(c.at)
 		if ok != c.ok || f.Requests != c.want || age != c.age {
 			t.Errorf("at %d: %v, %d old, %v; want %v, %d, %v", c.at, f.Requests, age, ok, c.want, c.age, c.ok)
 		}
 	}
-	r.Late(0)
-	if f, age, _ := r.Known(9 * second); f.Requests != 90 || age != 0 {
+	r.SetDelay(0)
+	if f, age, _ := r.Latest(9 * second); f.Requests != 90 || age != 0 {
 		t.Errorf("not late any more: %v, %d old", f.Requests, age)
 	}
 }
@@ -43,17 +43,17 @@
 	sum, n := 0.0, 4000
 	for i := range n {
 		at := Nanos(i + 1)
-		a.See(at, Figures{Unread: 1000, Memory: 0.95})
-		b.See(at, Figures{Unread: 1000, Memory: 0.95})
-		fa, _, _ := a.Known(at)
-		fb, _, _ := b.Known(at)
+		a.Observe(at, Load{QueuedPromptTokens: 1000, MemoryUtilization: 0.95})
+		b.Observe(at, Load{QueuedPromptTokens: 1000, MemoryUtilization: 0.95})
+		fa, _, _ := a.Latest(at)
+		fb, _, _ := b.Latest(at)
 		if fa != fb {
 			t.Fatal("equal seeds give other reports")
 		}
-		if fa.Memory > 1 {
-			t.Fatalf("memory in use %v", fa.Memory)
+		if fa.MemoryUtilization > 1 {
+			t.Fatalf("memory in use %v", fa.MemoryUtilization)
 		}
-		x := math.Log(fa.Unread / 1000)
+		x := math.Log(fa.QueuedPromptTokens / 1000)
 		sum += x * x
 	}
 	if got := math.Sqrt(sum / float64(n)); got < 0.18 || got > 0.22 {
--- a/internal/lab/engine/driver.go
+++ b/internal/lab/engine/driver.go
@@ -17,10 +17,10 @@
 	pb "docksail/api/docksail/v1"
 )
 
-// driver runs a batch.Host on the clock.
+// driver runs a batch.Server on the clock.
 type driver struct {
 	mu   sync.Mutex
-	host *batch.Host
+	host *batch.Server
 	last batch.ID
 	subs map[batch.ID]*sub
 	wake chan struct{}
@@ -40,20 +40,20 @@
 	readerStep  = 5 * time.Millisecond // of a host whose spec names no time between tokens
 )
 
-// Shape is a spec as the batch model has it.
-func (s *Spec) Shape() batch.Shape {
+// BatchShape is a spec as the batch model has it.
+func (s *Spec) BatchShape() batch.Shape {
 	step := s.TokenGap
 	if step <= 0 {
 		step = readerStep
 	}
 	return batch.Shape{
-		Slots: s.Slots, Queue: s.Queue, Chunk: ChunkTokens, Step: int64(step), PerRead: int64(1e9 / s.ReadRate),
-		PerRun: int64(step) / int64(2*s.Slots), PerThing: int64(step) / int64(20*s.Slots),
+		Slots: s.Slots, Queue: s.Queue, MaxChunkTokens: ChunkTokens, StepTime: int64(step), TimePerPromptToken: int64(1e9 / s.PrefillRate),
+		TimePerAnswer: int64(step) / int64(2*s.Slots), TimePer1kContext: int64(step) / int64(20*s.Slots),
 	}
 }
 
 func newDriver(s *Spec) (*driver, error) {
-	h, err := batch.NewHost(s.Shape(), int(s.Memory), BlockTokens)
+	h, err := batch.NewServer(s.BatchShape(), int(s.MemoryTokens), BlockTokens)
 	if err != nil {
 		return nil, err
 	}
@@ -64,7 +64,7 @@
 func (d *driver) run(ctx context.Context, e *Engine) {
 	for ctx.Err() == nil {
 		d.mu.Lock()
-		took, events, ok := d.host.Begin(nil)
+		took, events, ok := d.host.BeginStep(nil)
 		d.tell(events)
 		d.mu.Unlock()
 		if !ok {
@@ -81,7 +81,7 @@
 			return
 		}
 		d.mu.Lock()
-		d.tell(d.host.End(nil))
+		d.tell(d.host.EndStep(nil))
 		d.mu.Unlock()
 	}
 }
@@ -111,7 +111,7 @@
 	defer d.mu.Unlock()
 	d.last++
 	w.ID = d.last
-	if err := d.host.Arrive(w); err != nil {
+	if err := d.host.Enqueue(w); err != nil {
 		return 0, nil, err
 	}
 	s := &sub{ready: make(chan struct{}, 1)}
@@ -141,7 +141,7 @@
 
 func (d *driver) fetched(id batch.ID) {
 	d.mu.Lock()
-	d.host.Fetched(id)
+	d.host.StateFetched(id)
 	d.mu.Unlock()
 	d.nudge()
 }
@@ -156,33 +156,33 @@
 func (d *driver) drop(id batch.ID) {
 	d.mu.Lock()
 	delete(d.subs, id)
-	d.host.Drop(id)
+	d.host.Remove(id)
 	d.mu.Unlock()
 	d.nudge()
 }
 
-// WorkOf is a request as the batch model has it: its blocks are named by the shared beginning, then by the session.
-func WorkOf(req *pb.GenerateRequest, answer int, fetch bool) batch.Work {
-	w := batch.Work{Prompt: max(int(req.PromptTokens), 1), Answer: answer, Fetch: fetch}
+// BatchWork is a request as the batch model has it: its blocks are named by the shared beginning, then by the session.
+func BatchWork(req *pb.GenerateRequest, answer int, fetch bool) batch.Work {
+	w := batch.Work{PromptTokens: max(int(req.PromptTokens), 1), AnswerTokens: answer, FetchState: fetch}
 	begin := xxhash.Sum64String(req.Tenant + "/b/" + req.Beginning)
 	rest := xxhash.Sum64String(req.Tenant + "/s/" + req.Session)
 	if req.Session == "" {
 		rest = xxhash.Sum64String(req.Tenant + "/l/" + req.Label)
 	}
-	h := batch.Hash(0)
-	for at := BlockTokens; at <= w.Prompt; at += BlockTokens {
+	h := batch.BlockHash(0)
+	for at := BlockTokens; at <= w.PromptTokens; at += BlockTokens {
 		key := rest
 		if req.Beginning != "" && at <= int(req.BeginningTokens) {
 			key = begin
 		}
-		h = batch.Chain(h, key)
-		w.Chain = append(w.Chain, h)
+		h = batch.ChainHash(h, key)
+		w.Blocks = append(w.Blocks, h)
 	}
 	return w
 }
 
 func refused(err error) error {
-	if errors.Is(err, batch.ErrFull) {
+	if errors.Is(err, batch.ErrQueueFull) {
 		return status.Error(codes.ResourceExhausted, err.Error())
 	}
 	return status.Error(codes.InvalidArgument, err.Error())
@@ -193,7 +193,7 @@
 	if err := e.sleep(ctx, req.Track, 0); err != nil { // deaf to its track
 		return 0, 0, status.FromContextError(err).Err()
 	}
-	id, s, err := d.arrive(WorkOf(req, 0, false))
+	id, s, err := d.arrive(BatchWork(req, 0, false))
 	if err != nil {
 		return 0, 0, refused(err)
 	}
@@ -203,7 +203,7 @@
 			d.drop(id)
 			return 0, 0, status.FromContextError(err).Err()
 		}
-		if ev.What == batch.ReadDone {
+		if ev.Kind == batch.PrefillDone {
 			d.deaf(id)
 			return id, ev.N, nil
 		}
@@ -216,7 +216,7 @@
 	if err := e.sleep(ctx, req.Track, 0); err != nil {
 		return status.FromContextError(err).Err()
 	}
-	id, s, err := d.arrive(WorkOf(req, Answer(req), l.StateAddress != ""))
+	id, s, err := d.arrive(BatchWork(req, AnswerTokens(req), l.StateAddress != ""))
 	if err != nil {
 		return refused(err)
 	}
@@ -230,7 +230,7 @@
 		if l.BeginWithinNs > 0 && !ran && time.Since(begin) > time.Duration(l.BeginWithinNs) {
 			return status.Error(codes.DeadlineExceeded, "its time to begin is up")
 		}
-		switch ev.What {
+		switch ev.Kind {
 		case batch.NeedsFetch:
 			if err := e.fetch(ctx, l); err != nil {
 				return err
@@ -240,8 +240,8 @@
 			if !ran {
 				ran = true
 				e.book.Add(eventlog.Entry{
-					Kind: eventlog.Ran, Server: e.Spec.ID, Request: jobName(l.Dispatcher, l.Job), Attempt: int(l.Shot), Label: req.Label,
-					Try: int(l.Repeat), Class: req.Track,
+					Kind: eventlog.AnswerStarted, Server: e.Spec.ID, Request: jobName(l.Dispatcher, l.Job), Attempt: int(l.Shot), RequestLabel: req.Label,
+					ClientAttempt: int(l.Repeat), Class: req.Track,
 				})
 			}
 			e.mu.Lock()
@@ -254,10 +254,10 @@
 			if err := e.sleep(ctx, req.Track, 0); err != nil { // deaf to its track
 				return status.FromContextError(err).Err()
 			}
-			if err := out.Send(&pb.Tokens{Position: uint32(ev.N), Tokens: []uint32{Tok(req, ev.N)}, Text: []byte("tok ")}); err != nil {
+			if err := out.Send(&pb.Tokens{Position: uint32(ev.N), Tokens: []uint32{TokenAt(req, ev.N)}, Text: []byte("tok ")}); err != nil {
 				return err
 			}
-		case batch.Done:
+		case batch.AnswerDone:
 			e.mu.Lock()
 			e.Served++
 			e.mu.Unlock()
@@ -266,8 +266,8 @@
 	}
 }
 
-// Preempted counts answers that the batch model sent back to the queue.
-func (e *Engine) Preempted() uint64 {
+// Preemptions counts answers that the batch model sent back to the queue.
+func (e *Engine) Preemptions() uint64 {
 	e.mu.Lock()
 	d := e.drv
 	e.mu.Unlock()
@@ -276,7 +276,7 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.host.Counts.Preempted
+	return d.host.Counts.Preemptions
 }
 
 // batchReport makes the report that is known of a batching host now; false if there is none yet. The engine's lock is
@@ -285,18 +285,18 @@
 	d, now := e.drv, int64(time.Since(e.started))
 	d.mu.Lock()
 	h := d.host
-	unread := h.Unread()
-	e.rep.See(now, batch.Figures{
-		Requests: float64(h.Queued() + h.Running()), Memory: float64(h.Memory.InUse()) / float64(h.Memory.Blocks()),
-		Unread: float64(unread), Finish: int64(float64(unread) / e.Spec.ReadRate * 1e9),
+	unread := h.QueuedPromptTokens()
+	e.rep.Observe(now, batch.Load{
+		Requests: float64(h.Queued() + h.Running()), MemoryUtilization: float64(h.Memory.InUse()) / float64(h.Memory.Blocks()),
+		QueuedPromptTokens: float64(unread), QueueTime: int64(float64(unread) / e.Spec.PrefillRate * 1e9),
 	})
 	d.mu.Unlock()
-	e.rep.Late(int64(late))
-	f, age, ok := e.rep.Known(now)
+	e.rep.SetDelay(int64(late))
+	f, age, ok := e.rep.Latest(now)
 	if ok {
-		e.report = &orca.OrcaLoadReport{MemUtilization: f.Memory, NamedMetrics: map[string]float64{
+		e.report = &orca.OrcaLoadReport{MemUtilization: f.MemoryUtilization, NamedMetrics: map[string]float64{
 			"requests":      f.Requests,
-			"unread_tokens": f.Unread, "finish_ms": float64(f.Finish) / 1e6, "age_ms": float64(age) / 1e6,
+			"unread_tokens": f.QueuedPromptTokens, "finish_ms": float64(f.QueueTime) / 1e6, "age_ms": float64(age) / 1e6,
 		}}
 	}
 	return ok
--- a/internal/lab/engine/engine.go
+++ b/internal/lab/engine/engine.go
@@ -26,74 +26,74 @@
 
 // Spec describes a host. Times are real.
 type Spec struct {
-	ID            int
-	Role          pb.Role
-	Zone, Cell    string
-	Slots         int           // prompts or answers at once
-	Queue         int           // more that may wait
-	Memory        int64         // tokens
-	ReadRate      float64       // prompt tokens a second
-	TokenGap      time.Duration // between tokens of an answer, alone
-	JobsPerSecond float64       // what it can do warm
-	ColdFrom      float64       // share of that with which it starts; 1 = never cold
-	Warm          time.Duration
-	Topple        float64 // sent this multiple of what it can do ...
-	ToppleOver    time.Duration
-	MoveRate      float64       // tokens of state a second to another host
-	Hold          time.Duration // a state that nobody fetches is let go after this
-	ReportEvery   time.Duration // its load report is refreshed so often; 0 = always fresh
-	ReportLate    time.Duration // and is so old when it is sent
-	ReportNoise   float64       // its figures are off by this spread; the batch model alone
-	Batch         bool          // plays the batch model instead of the simple one
+	ID                int
+	Role              pb.Role
+	Zone, Cell        string
+	Slots             int           // prompts or answers at once
+	Queue             int           // more that may wait
+	MemoryTokens      int64         // tokens
+	PrefillRate       float64       // prompt tokens a second
+	TokenGap          time.Duration // between tokens of an answer, alone
+	RequestsPerSecond float64       // what it can do warm
+	InitialCapacity   float64       // share of that with which it starts; 1 = never cold
+	WarmupTime        time.Duration
+	OverloadFactor    float64 // sent this multiple of what it can do ...
+	OverloadWindow    time.Duration
+	TransferRate      float64       // tokens of state a second to another host
+	MaxHoldTime       time.Duration // a state that nobody fetches is let go after this
+	ReportInterval    time.Duration // its load report is refreshed so often; 0 = always fresh
+	ReportDelay       time.Duration // and is so old when it is sent
+	ReportNoise       float64       // its figures are off by this spread; the batch model alone
+	BatchModel        bool          // plays the batch model instead of the simple one
 }
 
 // Faults are the failures that a host acts out now; all are off in the zero value.
 type Faults struct {
-	Hang       bool    // takes work and answers none
-	FailFast   float64 // share of the work that it answers with an error at once
-	Slow       float64 // times as slow; 0 or 1 = usual
-	Deaf       string  // leaves jobs of this track unanswered
-	StallAfter int     // falls silent after so many tokens of each answer; 0 = never
-	LinkSlow   float64 // moves of its states take so many times as long
-	Paused     bool    // does nothing, and goes on afterwards
-	ReportLate time.Duration
-	Drain      bool // turns new work away
+	Hanging      bool    // takes work and answers none
+	FailFast     float64 // share of the work that it answers with an error at once
+	Slowdown     float64 // times as slow; 0 or 1 = usual
+	SilentClass  string  // leaves jobs of this track unanswered
+	StallAfter   int     // falls silent after so many tokens of each answer; 0 = never
+	LinkSlowdown float64 // moves of its states take so many times as long
+	Paused       bool    // does nothing, and goes on afterwards
+	ReportDelay  time.Duration
+	Draining     bool // turns new work away
 }
 
 // Figures that all stand-ins for hosts share.
 const (
-	ToppleSlack = 3                     // launches over what topples a cold host, for chance
-	StandCheck  = 10 * time.Millisecond // how often what stands still is looked at again
-	CellFactor  = 3                     // a cell's link carries what so many of its hosts send
-	ZoneSlower  = 2                     // a far zone's tokens take so many times as long
+	OverloadTolerance  = 3                     // launches over what topples a cold host, for chance
+	PauseCheckInterval = 10 * time.Millisecond // how often what stands still is looked at again
+	CellLinkFactor     = 3                     // a cell's link carries what so many of its hosts send
+	CrossZoneFactor    = 2                     // a far zone's tokens take so many times as long
 )
 
 // Model makes the figures: how long work takes. It is the seam behind which a better emulator goes.
 type Model interface {
-	// ReadTime is how long a prompt takes of which so many tokens are not kept.
-	ReadTime(s *Spec, unread int64, warmth float64) time.Duration
-	// Gap is the time to the next token while so many answers run.
-	Gap(s *Spec, running int, warmth float64) time.Duration
-	// MoveTime is how long a state takes to another host.
-	MoveTime(s *Spec, tokens int64, sameCell bool) time.Duration
+	// PrefillTime is how long a prompt takes of which so many tokens are not kept.
+	PrefillTime(s *Spec, unread int64, warmth float64) time.Duration
+	// TokenInterval is the time to the next token while so many answers run.
+	TokenInterval(s *Spec, running int, warmth float64) time.Duration
+	// TransferTime is how long a state takes to another host.
+	TransferTime(s *Spec, tokens int64, sameCell bool) time.Duration
 }
 
-// Simple is the first model: prompts at a steady rate one after another, gaps that double as slots fill.
-type Simple struct{}
+// LinearModel is the first model: prompts at a steady rate one after another, gaps that double as slots fill.
+type LinearModel struct{}
 
-// ReadTime implements Model.
-func (Simple) ReadTime(s *Spec, unread int64, warmth float64) time.Duration {
-	return time.Duration(float64(unread) / (s.ReadRate * warmth) * 1e9)
+// PrefillTime implements Model.
+func (LinearModel) PrefillTime(s *Spec, unread int64, warmth float64) time.Duration {
+	return time.Duration(float64(unread) / (s.PrefillRate * warmth) * 1e9)
 }
 
-// Gap implements Model.
-func (Simple) Gap(s *Spec, running int, warmth float64) time.Duration {
+// TokenInterval implements Model.
+func (LinearModel) TokenInterval(s *Spec, running int, warmth float64) time.Duration {
 	return time.Duration(float64(s.TokenGap) * (1 + float64(running)/float64(max(s.Slots, 1))) / warmth)
 }
 
-// MoveTime implements Model.
-func (Simple) MoveTime(s *Spec, tokens int64, sameCell bool) time.Duration {
-	t := float64(tokens) / s.MoveRate
+// TransferTime implements Model.
+func (LinearModel) TransferTime(s *Spec, tokens int64, sameCell bool) time.Duration {
+	t := float64(tokens) / s.TransferRate
 	if !sameCell {
 		t *= 2
 	}
@@ -106,7 +106,7 @@
 	Spec  Spec
 	Links *Links // over which states move; nil: each move alone, as Model has it. Set before Start
 	model Model
-	book  *eventlog.Book
+	book  *eventlog.Log
 
 	mu       sync.Mutex
 	addr     string
@@ -150,7 +150,7 @@
 }
 
 // New makes a host that does not run yet. Entries go to the book, which may be nil.
-func New(spec Spec, model Model, b *eventlog.Book) *Engine {
+func New(spec Spec, model Model, b *eventlog.Log) *Engine {
 	return &Engine{Spec: spec, model: model, book: b, changed: make(chan struct{})}
 }
 
@@ -179,26 +179,26 @@
 	e.states, e.kept, e.peers = map[string]*state{}, map[string]*keptPrefix{}, map[string]*grpc.ClientConn{}
 	e.reads = map[string]func(uint32){}
 	e.report, e.drv = nil, nil
-	if e.Spec.Batch {
+	if e.Spec.BatchModel {
 		if e.drv, err = newDriver(&e.Spec); err != nil {
 			ln.Close()
 			e.srv = nil
 			return fmt.Errorf("engine %d: %w", e.Spec.ID, err)
 		}
-		if e.rep, err = batch.NewReporter(uint64(e.Spec.ID), int64(e.Spec.ReportEvery), 0, e.Spec.ReportNoise); err != nil {
+		if e.rep, err = batch.NewReporter(uint64(e.Spec.ID), int64(e.Spec.ReportInterval), 0, e.Spec.ReportNoise); err != nil {
 			ln.Close()
 			e.srv = nil
 			return fmt.Errorf("engine %d: %w", e.Spec.ID, err)
 		}
 		go e.drv.run(e.life, e)
 	}
-	e.book.Add(eventlog.Entry{Kind: eventlog.Start, Server: e.Spec.ID})
+	e.book.Add(eventlog.Entry{Kind: eventlog.ServerStarted, Server: e.Spec.ID})
 	go e.srv.Serve(ln)
 	return nil
 }
 
-// Warm has it count as started long ago.
-func (e *Engine) Warm() {
+// SkipWarmup has it count as started long ago.
+func (e *Engine) SkipWarmup() {
 	e.mu.Lock()
 	e.started = e.started.Add(-24 * time.Hour)
 	e.mu.Unlock()
@@ -210,7 +210,7 @@
 	srv, listener, end, peers := e.srv, e.listener, e.end, e.peers
 	e.srv = nil
 	for job := range e.states {
-		e.book.Add(eventlog.Entry{Kind: eventlog.Released, Server: e.Spec.ID, Request: job, Note: "crash"})
+		e.book.Add(eventlog.Entry{Kind: eventlog.StateReleased, Server: e.Spec.ID, Request: job, Note: "crash"})
 	}
 	e.states = map[string]*state{}
 	e.mu.Unlock()
@@ -231,15 +231,15 @@
 	return e.addr
 }
 
-// Started is the start of its process; false if there is none.
-func (e *Engine) Started() (time.Time, bool) {
+// StartTime is the start of its process; false if there is none.
+func (e *Engine) StartTime() (time.Time, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.started, e.srv != nil
 }
 
-// Fail changes the failures that it acts out.
-func (e *Engine) Fail(change func(f *Faults)) {
+// SetFaults changes the failures that it acts out.
+func (e *Engine) SetFaults(change func(f *Faults)) {
 	e.mu.Lock()
 	change(&e.faults)
 	close(e.changed)
@@ -247,15 +247,15 @@
 	e.mu.Unlock()
 }
 
-// Held counts the read states that it holds.
-func (e *Engine) Held() int {
+// HeldStates counts the read states that it holds.
+func (e *Engine) HeldStates() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.states)
 }
 
-// Busy counts what it runs and what waits.
-func (e *Engine) Busy() (running, waiting int) {
+// Load counts what it runs and what waits.
+func (e *Engine) Load() (running, waiting int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.running, e.waiting
@@ -267,11 +267,11 @@
 
 // warmth is the share of its capacity that it has now. The lock is held.
 func (e *Engine) warmth() float64 {
-	if e.Spec.ColdFrom <= 0 || e.Spec.ColdFrom >= 1 || e.Spec.Warm <= 0 {
+	if e.Spec.InitialCapacity <= 0 || e.Spec.InitialCapacity >= 1 || e.Spec.WarmupTime <= 0 {
 		return 1
 	}
-	x := float64(time.Since(e.started)) / float64(e.Spec.Warm)
-	return min(1, e.Spec.ColdFrom+(1-e.Spec.ColdFrom)*x)
+	x := float64(time.Since(e.started)) / float64(e.Spec.WarmupTime)
+	return min(1, e.Spec.InitialCapacity+(1-e.Spec.InitialCapacity)*x)
 }
 
 // arrive takes down a launch and topples a cold host that is sent too much. The lock is held.
@@ -281,18 +281,18 @@
 		return status.Error(codes.Internal, "fallen over")
 	}
 	s := &e.Spec
-	if w := e.warmth(); w < 1 && s.Topple > 0 {
+	if w := e.warmth(); w < 1 && s.OverloadFactor > 0 {
 		e.arrived = append(e.arrived, now)
-		for len(e.arrived) > 0 && now.Sub(e.arrived[0]) > s.ToppleOver {
+		for len(e.arrived) > 0 && now.Sub(e.arrived[0]) > s.OverloadWindow {
 			e.arrived = e.arrived[1:]
 		}
-		if float64(len(e.arrived)) > s.Topple*w*s.JobsPerSecond*s.ToppleOver.Seconds()+ToppleSlack {
+		if float64(len(e.arrived)) > s.OverloadFactor*w*s.RequestsPerSecond*s.OverloadWindow.Seconds()+OverloadTolerance {
 			e.toppled = true
-			e.book.Add(eventlog.Entry{Kind: eventlog.Toppled, Server: s.ID, N: int64(len(e.arrived))})
+			e.book.Add(eventlog.Entry{Kind: eventlog.ServerOverloaded, Server: s.ID, Value: int64(len(e.arrived))})
 			return status.Error(codes.Internal, "fallen over")
 		}
 	}
-	if e.faults.Drain || e.drv == nil && e.waiting+e.running >= s.Slots+s.Queue {
+	if e.faults.Draining || e.drv == nil && e.waiting+e.running >= s.Slots+s.Queue {
 		return status.Error(codes.ResourceExhausted, "full")
 	}
 	if e.faults.FailFast > 0 && float64(now.UnixNano()%1000)/1000 < e.faults.FailFast {
@@ -332,8 +332,8 @@
 		e.mu.Lock()
 		f, changed := e.faults, e.changed
 		e.mu.Unlock()
-		factor := max(f.Slow, 1)
-		if f.Hang || f.Paused || f.Deaf != "" && f.Deaf == track {
+		factor := max(f.Slowdown, 1)
+		if f.Hanging || f.Paused || f.SilentClass != "" && f.SilentClass == track {
 			select {
 			case <-changed:
 				continue
@@ -404,7 +404,7 @@
 	if err := e.holdState(ctx, process, name, st); err != nil {
 		return nil, err
 	}
-	time.AfterFunc(e.Spec.Hold, func() {
+	time.AfterFunc(e.Spec.MaxHoldTime, func() {
 		e.mu.Lock()
 		if e.states[name] == st {
 			e.drop(name, "ran out")
@@ -428,13 +428,13 @@
 		}
 		return status.FromContextError(ctx.Err()).Err()
 	}
-	if st.drv == nil && e.used+st.tokens > e.Spec.Memory {
+	if st.drv == nil && e.used+st.tokens > e.Spec.MemoryTokens {
 		return status.Error(codes.ResourceExhausted, "no memory for the read state")
 	}
 	e.drop(name, "read anew")
 	e.states[name] = st
 	e.used += st.tokens
-	e.book.Add(eventlog.Entry{Kind: eventlog.Held, Server: e.Spec.ID, Request: name, Attempt: int(st.shot), N: st.tokens})
+	e.book.Add(eventlog.Entry{Kind: eventlog.StateHeld, Server: e.Spec.ID, Request: name, Attempt: int(st.shot), Value: st.tokens})
 	return nil
 }
 
@@ -450,7 +450,7 @@
 	if st.drv != nil {
 		st.drv.drop(st.id)
 	}
-	e.book.Add(eventlog.Entry{Kind: eventlog.Released, Server: e.Spec.ID, Request: name, Attempt: int(st.shot), Note: why})
+	e.book.Add(eventlog.Entry{Kind: eventlog.StateReleased, Server: e.Spec.ID, Request: name, Attempt: int(st.shot), Note: why})
 }
 
 // read reads a prompt, first come first, from where what is kept of it ends.
@@ -482,7 +482,7 @@
 	}
 	defer func() { <-reading }()
 	e.mu.Lock()
-	t := e.model.ReadTime(&e.Spec, unread, e.warmth())
+	t := e.model.PrefillTime(&e.Spec, unread, e.warmth())
 	e.mu.Unlock()
 	if err := e.sleep(ctx, req.Track, t); err != nil {
 		return 0, 0, err
@@ -510,7 +510,7 @@
 				oldest = n
 			}
 		}
-		if total <= e.Spec.Memory/2 || len(e.kept) <= 1 {
+		if total <= e.Spec.MemoryTokens/2 || len(e.kept) <= 1 {
 			return
 		}
 		delete(e.kept, oldest)
@@ -554,13 +554,13 @@
 		return status.FromContextError(err).Err()
 	}
 	e.book.Add(eventlog.Entry{
-		Kind: eventlog.Ran, Server: e.Spec.ID, Request: jobName(l.Dispatcher, l.Job), Attempt: int(l.Shot),
-		Label: req.Label, Try: int(l.Repeat), Class: req.Track,
+		Kind: eventlog.AnswerStarted, Server: e.Spec.ID, Request: jobName(l.Dispatcher, l.Job), Attempt: int(l.Shot),
+		RequestLabel: req.Label, ClientAttempt: int(l.Repeat), Class: req.Track,
 	})
-	n := Answer(req)
+	n := AnswerTokens(req)
 	for i := range n {
 		e.mu.Lock()
-		gap, stall := e.model.Gap(&e.Spec, e.running, e.warmth()), e.faults.StallAfter
+		gap, stall := e.model.TokenInterval(&e.Spec, e.running, e.warmth()), e.faults.StallAfter
 		e.mu.Unlock()
 		if stall > 0 && i >= stall {
 			<-ctx.Done()
@@ -569,7 +569,7 @@
 		if err := e.sleep(ctx, req.Track, gap); err != nil {
 			return status.FromContextError(err).Err()
 		}
-		if err := out.Send(&pb.Tokens{Position: uint32(i), Tokens: []uint32{Tok(req, i)}, Text: []byte("tok ")}); err != nil {
+		if err := out.Send(&pb.Tokens{Position: uint32(i), Tokens: []uint32{TokenAt(req, i)}, Text: []byte("tok ")}); err != nil {
 			return err
 		}
 	}
@@ -579,16 +579,16 @@
 	return nil
 }
 
-// Answer is how many tokens a job's answer has: half of the most to all of it, by its prompt's bytes, so that
+// AnswerTokens is how many tokens a job's answer has: half of the most to all of it, by its prompt's bytes, so that
 // every host gives the same.
-func Answer(req *pb.GenerateRequest) int {
+func AnswerTokens(req *pb.GenerateRequest) int {
 	h := hash(req)
 	most := max(int(req.MaxTokens), 1)
 	return max(1, most/2+int(h%uint64(most/2+1)))
 }
 
-// Tok is the token at a place of a job's answer, the same at every host.
-func Tok(req *pb.GenerateRequest, i int) uint32 {
+// TokenAt is the token at a place of a job's answer, the same at every host.
+func TokenAt(req *pb.GenerateRequest, i int) uint32 {
 	return uint32(hash(req)+uint64(i)*2654435761) % 50000
 }
 
@@ -668,7 +668,7 @@
 	name := jobName(r.Dispatcher, r.Job)
 	e.mu.Lock()
 	st := e.states[name]
-	slow := max(e.faults.LinkSlow, 1)
+	slow := max(e.faults.LinkSlowdown, 1)
 	e.mu.Unlock()
 	if st == nil {
 		return status.Error(codes.NotFound, "no state of this job")
@@ -683,13 +683,13 @@
 		if v := md.Get("docksail-zone"); len(v) > 0 {
 			zone = v[0]
 		}
-		if err := e.Links.Move(out.Context(), &e.Spec, st.tokens, zone, cell, slow); err != nil {
+		if err := e.Links.Transfer(out.Context(), &e.Spec, st.tokens, zone, cell, slow); err != nil {
 			return status.FromContextError(err).Err()
 		}
 	}
 	t := time.Duration(0) // as long as it hangs or pauses
 	if e.Links == nil {
-		t = time.Duration(float64(e.model.MoveTime(&e.Spec, st.tokens, cell == e.Spec.Cell)) * slow)
+		t = time.Duration(float64(e.model.TransferTime(&e.Spec, st.tokens, cell == e.Spec.Cell)) * slow)
 	}
 	if err := e.sleep(out.Context(), "", t); err != nil {
 		return status.FromContextError(err).Err()
@@ -728,15 +728,15 @@
 func (e *Engine) loadReport() metadata.MD {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	late := e.Spec.ReportLate + e.faults.ReportLate
+	late := e.Spec.ReportDelay + e.faults.ReportDelay
 	if e.drv != nil {
 		if !e.batchReport(late) {
 			return nil
 		}
 	} else {
-		if e.report == nil || time.Since(e.reportAt) >= e.Spec.ReportEvery {
+		if e.report == nil || time.Since(e.reportAt) >= e.Spec.ReportInterval {
 			e.report = &orca.OrcaLoadReport{
-				MemUtilization: float64(e.used) / float64(max(e.Spec.Memory, 1)),
+				MemUtilization: float64(e.used) / float64(max(e.Spec.MemoryTokens, 1)),
 				NamedMetrics:   map[string]float64{"requests": float64(e.running + e.waiting), "unread_tokens": float64(e.unread)},
 			}
 			e.reportAt = time.Now()
--- a/internal/lab/engine/engine_test.go
+++ b/internal/lab/engine/engine_test.go
@@ -22,12 +22,12 @@
 
 func startOne(t *testing.T, s Spec) (*Engine, pb.EngineClient) {
 	t.Helper()
-	e := New(s, Simple{}, nil)
+	e := New(s, LinearModel{}, nil)
 	if err := e.Start("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(e.Crash)
-	e.Warm()
+	e.SkipWarmup()
 	c, err := grpc.NewClient(e.Addr(), grpc.WithTransportCredentials(insecure.NewCredentials()))
 	if err != nil {
 		t.Fatal(err)
@@ -51,8 +51,8 @@
 		}
 	}
 	spec := Spec{
-		ID: 1, Role: pb.Role_ROLE_MIXED, Slots: 8, Queue: 8, Memory: 1 << 17, ReadRate: 20000, TokenGap: 20 * time.Millisecond,
-		JobsPerSecond: 100, MoveRate: 1e6, Hold: 5 * time.Second, Batch: true,
+		ID: 1, Role: pb.Role_ROLE_MIXED, Slots: 8, Queue: 8, MemoryTokens: 1 << 17, PrefillRate: 20000, TokenGap: 20 * time.Millisecond,
+		RequestsPerSecond: 100, TransferRate: 1e6, MaxHoldTime: 5 * time.Second, BatchModel: true,
 	}
 	e, c := startOne(t, spec)
 	var reads []time.Duration
@@ -80,8 +80,8 @@
 	if !errors.Is(err, io.EOF) {
 		t.Fatal(err)
 	}
-	s := spec.Shape()
-	near("a gap of one answer alone", median(gaps), time.Duration(s.Step+s.PerRun+115*s.PerThing/1000))
+	s := spec.BatchShape()
+	near("a gap of one answer alone", median(gaps), time.Duration(s.StepTime+s.TimePerAnswer+115*s.TimePer1kContext/1000))
 	// A kept beginning is not read again.
 	for i := range 2 {
 		done, err := c.Read(context.Background(), &pb.Launch{Job: uint64(200 + i), Request: &pb.GenerateRequest{
@@ -92,8 +92,8 @@
 			t.Errorf("read %d: %v, %v, want %d tokens read", i, done, err, want)
 		}
 	}
-	if e.Held() != 2 {
-		t.Errorf("%d states held, want 2", e.Held())
+	if e.HeldStates() != 2 {
+		t.Errorf("%d states held, want 2", e.HeldStates())
 	}
 	if _, err := c.Write(context.Background(), &pb.Launch{Job: 300, StateAddress: e.Addr(), Request: &pb.GenerateRequest{PromptTokens: 10, MaxTokens: 1}}); err != nil {
 		t.Fatal(err)
@@ -104,8 +104,8 @@
 func TestStateGone(t *testing.T) {
 	for _, batch := range []bool{false, true} {
 		e, c := startOne(t, Spec{
-			ID: 1, Role: pb.Role_ROLE_WRITER, Slots: 8, Queue: 8, Memory: 1 << 16, ReadRate: 1e4, TokenGap: time.Millisecond,
-			JobsPerSecond: 100, MoveRate: 1e6, Hold: time.Second, Batch: batch,
+			ID: 1, Role: pb.Role_ROLE_WRITER, Slots: 8, Queue: 8, MemoryTokens: 1 << 16, PrefillRate: 1e4, TokenGap: time.Millisecond,
+			RequestsPerSecond: 100, TransferRate: 1e6, MaxHoldTime: time.Second, BatchModel: batch,
 		})
 		stream, err := c.Write(context.Background(), &pb.Launch{Job: 1, StateAddress: e.Addr(), Request: &pb.GenerateRequest{PromptTokens: 10, MaxTokens: 1}})
 		if err == nil {
@@ -120,8 +120,8 @@
 // TestReportsAreLate: a batching host's report is that of some time ago and says so; before one is known there is none.
 func TestReportsAreLate(t *testing.T) {
 	e, c := startOne(t, Spec{
-		ID: 1, Role: pb.Role_ROLE_READER, Slots: 8, Queue: 8, Memory: 1 << 16, ReadRate: 1e6, JobsPerSecond: 100, MoveRate: 1e6,
-		Hold: time.Second, Batch: true, ReportEvery: 10 * time.Millisecond, ReportLate: 150 * time.Millisecond,
+		ID: 1, Role: pb.Role_ROLE_READER, Slots: 8, Queue: 8, MemoryTokens: 1 << 16, PrefillRate: 1e6, RequestsPerSecond: 100, TransferRate: 1e6,
+		MaxHoldTime: time.Second, BatchModel: true, ReportInterval: 10 * time.Millisecond, ReportDelay: 150 * time.Millisecond,
 	})
 	read := func(job uint64) (*orca.OrcaLoadReport, bool) {
 		var md metadata.MD
@@ -150,7 +150,7 @@
 	if r, _ := read(2); r == nil || r.MemUtilization < 0.04 || r.MemUtilization > 0.06 {
 		t.Errorf("%v: want one state of 200 in 4,096 blocks in use", r)
 	}
-	e.Fail(func(f *Faults) { f.ReportLate = time.Hour })
+	e.SetFaults(func(f *Faults) { f.ReportDelay = time.Hour })
 	if _, ok := read(3); ok {
 		t.Error("a report is known an hour early")
 	}
@@ -159,8 +159,8 @@
 // TestReadEndsInCrashedProcess: a read that is done as its process ends leaves no state, neither while the server is
 // down nor in the process that is started after it.
 func TestReadEndsInCrashedProcess(t *testing.T) {
-	entries := &eventlog.Book{}
-	e := New(Spec{ID: 1, Role: pb.Role_ROLE_READER, Slots: 8, Queue: 8, Memory: 1 << 17, ReadRate: 20000, Hold: time.Second}, Simple{}, entries)
+	entries := &eventlog.Log{}
+	e := New(Spec{ID: 1, Role: pb.Role_ROLE_READER, Slots: 8, Queue: 8, MemoryTokens: 1 << 17, PrefillRate: 20000, MaxHoldTime: time.Second}, LinearModel{}, entries)
 	if err := e.Start("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
@@ -181,11 +181,11 @@
 	}
 	held := 0
 	for _, entry := range entries.Entries() {
-		if entry.Kind == eventlog.Held {
+		if entry.Kind == eventlog.StateHeld {
 			held++
 		}
 	}
-	if held != 1 || e.Held() != 1 {
-		t.Errorf("%d states recorded, %d held, want the one of the running process", held, e.Held())
+	if held != 1 || e.HeldStates() != 1 {
+		t.Errorf("%d states recorded, %d held, want the one of the running process", held, e.HeldStates())
 	}
 }
--- a/internal/lab/engine/links.go
+++ b/internal/lab/engine/links.go
@@ -14,12 +14,12 @@
 	zoneSlower float64
 
 	mu    sync.Mutex
-	net   *batch.Net
+	net   *batch.Network
 	begin time.Time
 	ports map[int]int
 	cells map[string]int
-	last  batch.Move
-	wait  map[batch.Move]chan struct{}
+	last  batch.TransferID
+	wait  map[batch.TransferID]chan struct{}
 	timer *time.Timer
 }
 
@@ -27,8 +27,8 @@
 // zone takes so many times as long.
 func NewLinks(cellFactor, zoneSlower float64) *Links {
 	l := &Links{
-		cellFactor: cellFactor, zoneSlower: max(zoneSlower, 1), net: batch.NewNet(), begin: time.Now(), ports: map[int]int{},
-		cells: map[string]int{}, wait: map[batch.Move]chan struct{}{},
+		cellFactor: cellFactor, zoneSlower: max(zoneSlower, 1), net: batch.NewNetwork(), begin: time.Now(), ports: map[int]int{},
+		cells: map[string]int{}, wait: map[batch.TransferID]chan struct{}{},
 	}
 	l.timer = time.AfterFunc(time.Hour, l.tick)
 	return l
@@ -47,13 +47,13 @@
 
 // settle tells whose moves have ended and sets the timer for the next. The lock is held.
 func (l *Links) settle() {
-	for _, id := range l.net.Ended(l.now(), nil) {
+	for _, id := range l.net.AdvanceTo(l.now(), nil) {
 		if ch := l.wait[id]; ch != nil {
 			close(ch)
 			delete(l.wait, id)
 		}
 	}
-	if at, ok := l.net.Next(); ok {
+	if at, ok := l.net.NextEnd(); ok {
 		l.timer.Reset(max(time.Duration(at-l.now()), 0))
 	}
 }
@@ -63,21 +63,21 @@
 	if w, ok := of[key]; ok {
 		return w, nil
 	}
-	w, err := l.net.Way(rate)
+	w, err := l.net.AddLink(rate)
 	if err == nil {
 		of[key] = w
 	}
 	return w, err
 }
 
-// Move takes as long as the state of a host takes to one in another place; slow stretches it.
-func (l *Links) Move(ctx context.Context, from *Spec, tokens int64, zone, cell string, slow float64) error {
+// Transfer takes as long as the state of a host takes to one in another place; slow stretches it.
+func (l *Links) Transfer(ctx context.Context, from *Spec, tokens int64, zone, cell string, slow float64) error {
 	l.mu.Lock()
-	port, err := way(l, l.ports, from.ID, from.MoveRate)
+	port, err := way(l, l.ports, from.ID, from.TransferRate)
 	over := []int{port}
 	if err == nil && (cell != from.Cell || zone != from.Zone) {
 		var link int
-		link, err = way(l, l.cells, from.Zone+"/"+from.Cell, from.MoveRate*l.cellFactor)
+		link, err = way(l, l.cells, from.Zone+"/"+from.Cell, from.TransferRate*l.cellFactor)
 		over = append(over, link)
 	}
 	if zone != from.Zone {
--- a/internal/lab/engine/links_test.go
+++ b/internal/lab/engine/links_test.go
@@ -19,8 +19,8 @@
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				from := Spec{ID: i + 1, Zone: "a", Cell: "a1", MoveRate: 10000}
-				if err := l.Move(context.Background(), &from, 1000, zone, cell, 1); err != nil {
+				from := Spec{ID: i + 1, Zone: "a", Cell: "a1", TransferRate: 10000}
+				if err := l.Transfer(context.Background(), &from, 1000, zone, cell, 1); err != nil {
 					t.Error(err)
 				}
 			}()
@@ -42,7 +42,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Millisecond)
 	defer cancel()
-	if err := l.Move(ctx, &Spec{ID: 1, Zone: "a", Cell: "a1", MoveRate: 10}, 1e6, "a", "a1", 1); !errors.Is(err, context.DeadlineExceeded) {
+	if err := l.Transfer(ctx, &Spec{ID: 1, Zone: "a", Cell: "a1", TransferRate: 10}, 1e6, "a", "a1", 1); !errors.Is(err, context.DeadlineExceeded) {
 		t.Errorf("a move that is given up: %v", err)
 	}
 	if got := move("a", "a1"); got > 150*time.Millisecond {
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -36,18 +36,18 @@
 
 // Experiment is a day and what is tried on it.
 type Experiment struct {
-	Script   string    `json:"script" need:"the script of a day"`
-	Seeds    int       `json:"seeds" need:"how many seeds each variant plays"`
-	First    int64     `json:"first_seed"`
-	Variants []Variant `json:"variants" need:"a list of variants, the first to compare the others with"`
+	Script    string    `json:"script" need:"the script of a day"`
+	Seeds     int       `json:"seeds" need:"how many seeds each variant plays"`
+	FirstSeed int64     `json:"first_seed"`
+	Variants  []Variant `json:"variants" need:"a list of variants, the first to compare the others with"`
 }
 
 // Variant is the day with something changed.
 type Variant struct {
-	Name    string     `json:"name" need:"a name"`
-	With    config.Raw `json:"with"`    // fields of the script that differ
-	Policy  string     `json:"policy"`  // a textbook policy in the module's place
-	Program string     `json:"program"` // another build, which plays with its own "lab sim"
+	Name      string     `json:"name" need:"a name"`
+	Overrides config.Raw `json:"with"`    // fields of the script that differ
+	Policy    string     `json:"policy"`  // a textbook policy in the module's place
+	Program   string     `json:"program"` // another build, which plays with its own "lab sim"
 }
 
 // Load reads an experiment; the script and programs are named from where it stands.
@@ -56,7 +56,7 @@
 	if err != nil {
 		return nil, err
 	}
-	e := &Experiment{First: 1}
+	e := &Experiment{FirstSeed: 1}
 	err = config.Decode(name, text, e, func(bad func(path, format string, args ...any)) {
 		if e.Seeds < 2 {
 			bad("seeds", "%d, want 2 or more: one says nothing of chance", e.Seeds)
@@ -82,8 +82,8 @@
 	return e, nil
 }
 
-// With gives the text of a script with some of its fields in place of its own.
-func With(text []byte, fields config.Raw) ([]byte, error) {
+// Override gives the text of a script with some of its fields in place of its own.
+func Override(text []byte, fields config.Raw) ([]byte, error) {
 	if len(fields) == 0 {
 		return text, nil
 	}
@@ -106,51 +106,51 @@
 	return json.Marshal(own)
 }
 
-// Sums is what one play came to, by track; all of them together under "".
-type Sums struct {
-	Kept     map[string]float64 `json:"kept"`   // share of the payoff that was asked for
-	P50      map[string]float64 `json:"p50_ms"` // to the first token, of those honoured
-	P99      map[string]float64 `json:"p99_ms"`
-	Broken   int                `json:"broken"` // rules
-	Launches int                `json:"launches"`
+// Summary is what one play came to, by track; all of them together under "".
+type Summary struct {
+	ValueShare map[string]float64 `json:"kept"`   // share of the payoff that was asked for
+	P50        map[string]float64 `json:"p50_ms"` // to the first token, of those honoured
+	P99        map[string]float64 `json:"p99_ms"`
+	Violations int                `json:"broken"` // rules
+	Attempts   int                `json:"launches"`
 }
 
-// SumsOf gives the sums of a report; a track without jobs has none.
-func SumsOf(r *scenario.Report) Sums {
-	s := Sums{Kept: map[string]float64{}, P50: map[string]float64{}, P99: map[string]float64{}, Broken: len(r.Violations), Launches: r.Launches}
-	var all userclient.Sum
-	take := func(name string, t *userclient.Sum) {
-		if t.Asked > 0 {
-			s.Kept[name] = t.Kept()
+// Summarize gives the sums of a report; a track without jobs has none.
+func Summarize(r *scenario.Report) Summary {
+	s := Summary{ValueShare: map[string]float64{}, P50: map[string]float64{}, P99: map[string]float64{}, Violations: len(r.Violations), Attempts: r.Attempts}
+	var all userclient.Summary
+	take := func(name string, t *userclient.Summary) {
+		if t.OfferedValue > 0 {
+			s.ValueShare[name] = t.ValueShare()
 		}
-		if first := slices.Sorted(slices.Values(t.First)); len(first) > 0 {
+		if first := slices.Sorted(slices.Values(t.FirstTokenTimes)); len(first) > 0 {
 			s.P50[name], s.P99[name] = float64(first[len(first)/2])/1e6, float64(first[len(first)*99/100])/1e6
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(r.Sums)) { // a fixed order: the sum of floats depends on it
-		t := r.Sums[name]
+	for _, name := range slices.Sorted(maps.Keys(r.Summaries)) { // a fixed order: the sum of floats depends on it
+		t := r.Summaries[name]
 		take(name, t)
-		all.Value, all.Asked, all.First = all.Value+t.Value, all.Asked+t.Asked, append(all.First, t.First...)
+		all.EarnedValue, all.OfferedValue, all.FirstTokenTimes = all.EarnedValue+t.EarnedValue, all.OfferedValue+t.OfferedValue, append(all.FirstTokenTimes, t.FirstTokenTimes...)
 	}
 	take("", &all)
 	return s
 }
 
-// Play plays one script in simulated time, by a textbook policy if one is named; the hosts' figures are written down
+// Simulate plays one script in simulated time, by a textbook policy if one is named; the hosts' figures are written down
 // every sample, if it is above 0.
-func Play(ctx context.Context, s *scenario.Script, name string, sample time.Duration) (*simulation.Report, error) {
-	day, err := simulation.Open(s)
+func Simulate(ctx context.Context, s *scenario.Script, name string, sample time.Duration) (*simulation.Report, error) {
+	day, err := simulation.New(s)
 	if err != nil {
 		return nil, err
 	}
-	day.Sample = sample
+	day.SampleInterval = sample
 	if name != "" {
-		if _, err := baselinepolicy.New(name, 0, day.Sight); err != nil {
+		if _, err := baselinepolicy.New(name, 0, day.ServerLoad); err != nil {
 			return nil, err
 		}
-		day.Wrap = func(n int) func(dispatch.Module) dispatch.Module {
+		day.WrapModule = func(n int) func(dispatch.Module) dispatch.Module {
 			return func(dispatch.Module) dispatch.Module {
-				m, err := baselinepolicy.New(name, uint64(s.Seed)<<8|uint64(n), day.Sight)
+				m, err := baselinepolicy.New(name, uint64(s.Seed)<<8|uint64(n), day.ServerLoad)
 				if err != nil {
 					panic(err)
 				}
@@ -158,13 +158,13 @@
 			}
 		}
 	}
-	return day.Play(ctx)
+	return day.Run(ctx)
 }
 
 // Result is what a variant came to, by seed.
 type Result struct {
 	Variant Variant
-	Runs    []Sums
+	Runs    []Summary
 }
 
 // Run plays all variants on all seeds, several at a time; progress, if not nil, is told of each play.
@@ -177,7 +177,7 @@
 	type task struct{ v, seed int }
 	var tasks []task
 	for v := range e.Variants {
-		results[v] = Result{e.Variants[v], make([]Sums, e.Seeds)}
+		results[v] = Result{e.Variants[v], make([]Summary, e.Seeds)}
 	}
 	for seed := range e.Seeds {
 		for v := range e.Variants {
@@ -202,9 +202,9 @@
 				t := tasks[next]
 				next++
 				mu.Unlock()
-				sums, err := e.Variants[t.v].play(ctx, e.Script, text, e.First+int64(t.seed))
+				sums, err := e.Variants[t.v].play(ctx, e.Script, text, e.FirstSeed+int64(t.seed))
 				if err != nil {
-					stop(fmt.Errorf("variant %q, seed %d: %w", e.Variants[t.v].Name, e.First+int64(t.seed), err))
+					stop(fmt.Errorf("variant %q, seed %d: %w", e.Variants[t.v].Name, e.FirstSeed+int64(t.seed), err))
 					return
 				}
 				mu.Lock()
@@ -224,36 +224,36 @@
 	return results, nil
 }
 
-func (v *Variant) play(ctx context.Context, name string, text []byte, seed int64) (Sums, error) {
-	text, err := With(text, v.With)
+func (v *Variant) play(ctx context.Context, name string, text []byte, seed int64) (Summary, error) {
+	text, err := Override(text, v.Overrides)
 	if err != nil {
-		return Sums{}, err
+		return Summary{}, err
 	}
 	s, err := scenario.Parse(name+" ("+v.Name+")", text)
 	if err != nil {
-		return Sums{}, err
+		return Summary{}, err
 	}
 	if s.Seed = seed; v.Program == "" {
-		rep, err := Play(ctx, s, v.Policy, 0)
+		rep, err := Simulate(ctx, s, v.Policy, 0)
 		if err != nil {
-			return Sums{}, err
+			return Summary{}, err
 		}
-		return SumsOf(&rep.Report), nil
+		return Summarize(&rep.Report), nil
 	}
 	f, err := os.CreateTemp("", "docksail-trial")
 	if err != nil {
-		return Sums{}, err
+		return Summary{}, err
 	}
 	defer os.Remove(f.Name())
 	if _, err := f.Write(text); err != nil {
-		return Sums{}, err
+		return Summary{}, err
 	}
 	if err := f.Close(); err != nil {
-		return Sums{}, err
+		return Summary{}, err
 	}
 	cmd := exec.CommandContext(ctx, v.Program, "lab", "sim", f.Name(), "--seed", strconv.FormatInt(seed, 10), "--sums")
 	out, err := cmd.Output()
-	var sums Sums
+	var sums Summary
 	if e := json.Unmarshal(out, &sums); e != nil {
 		return sums, fmt.Errorf("%s tells no sums: %w", v.Program, max2(err, e))
 	}
@@ -267,16 +267,16 @@
 	return b
 }
 
-// Diff is a paired difference and the half width of its interval.
-type Diff struct{ Mean, Half float64 }
+// Difference is a paired difference and the half width of its interval.
+type Difference struct{ Mean, HalfWidth float64 }
 
-// Shown tells whether the interval leaves 0 out.
-func (d Diff) Shown() bool { return math.Abs(d.Mean) > d.Half }
+// IsSignificant tells whether the interval leaves 0 out.
+func (d Difference) IsSignificant() bool { return math.Abs(d.Mean) > d.HalfWidth }
 
 const confidence = 0.95
 
 // Compare gives how much b differs from a, seed by seed, with its interval by Student's t.
-func Compare(a, b []float64) Diff {
+func Compare(a, b []float64) Difference {
 	by := make([]float64, len(a))
 	for i := range a {
 		by[i] = b[i] - a[i]
@@ -284,11 +284,11 @@
 	n := float64(len(by))
 	mean, dev := stat.MeanStdDev(by, nil)
 	t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: n - 1}.Quantile(1 - (1-confidence)/2)
-	return Diff{mean, t * dev / math.Sqrt(n)}
+	return Difference{mean, t * dev / math.Sqrt(n)}
 }
 
-// Series gives one figure of a result, by seed.
-func (r *Result) Series(of func(s *Sums) float64) []float64 {
+// Values gives one figure of a result, by seed.
+func (r *Result) Values(of func(s *Summary) float64) []float64 {
 	var xs []float64
 	for i := range r.Runs {
 		xs = append(xs, of(&r.Runs[i]))
@@ -296,8 +296,8 @@
 	return xs
 }
 
-// Plot draws the payoff kept by each variant, with the interval of its mean over the seeds, as PNG.
-func Plot(rs []Result, file string) error {
+// PlotResults draws the payoff kept by each variant, with the interval of its mean over the seeds, as PNG.
+func PlotResults(rs []Result, file string) error {
 	p := plot.New()
 	p.Title.Text, p.Y.Label.Text = fmt.Sprintf("share of the payoff asked for that was kept (simulated, %d seeds)", len(rs[0].Runs)), "share"
 	p.Y.Min, p.Y.Max = 0, 1
@@ -305,11 +305,11 @@
 	var names []string
 	spread := &intervals{}
 	for i := range rs {
-		xs := rs[i].Series(func(s *Sums) float64 { return s.Kept[""] })
+		xs := rs[i].Values(func(s *Summary) float64 { return s.ValueShare[""] })
 		d := Compare(make([]float64, len(xs)), xs)
 		bars, names = append(bars, d.Mean), append(names, rs[i].Variant.Name)
 		spread.XYs = append(spread.XYs, plotter.XY{X: float64(i), Y: d.Mean})
-		spread.YErrors = append(spread.YErrors, struct{ Low, High float64 }{d.Half, d.Half})
+		spread.YErrors = append(spread.YErrors, struct{ Low, High float64 }{d.HalfWidth, d.HalfWidth})
 	}
 	chart, err := plotter.NewBarChart(bars, vg.Points(36))
 	if err != nil {
@@ -339,11 +339,11 @@
 	return math.NaN()
 }
 
-// Print writes results for people, each variant compared with the first.
-func Print(w io.Writer, rs []Result) {
+// PrintResults writes results for people, each variant compared with the first.
+func PrintResults(w io.Writer, rs []Result) {
 	var tracks []string
 	for i := range rs {
-		for name := range rs[i].Runs[0].Kept {
+		for name := range rs[i].Runs[0].ValueShare {
 			if !slices.Contains(tracks, name) {
 				tracks = append(tracks, name)
 			}
@@ -353,19 +353,19 @@
 	fmt.Fprintf(w, "simulated, %d seeds; kept is the share of the payoff asked for; differences are paired, with their %.0f %% interval\n", len(rs[0].Runs), 100*confidence)
 	fmt.Fprintf(w, "%-24s %-18s %8s   %s\n", "variant", "figure", "mean", "difference to "+rs[0].Variant.Name)
 	for i := range rs {
-		row := func(figure string, of func(s *Sums) float64, format string) {
-			xs := rs[i].Series(of)
+		row := func(figure string, of func(s *Summary) float64, format string) {
+			xs := rs[i].Values(of)
 			if math.IsNaN(stat.Mean(xs, nil)) { // a track of another variant's
 				return
 			}
 			fmt.Fprintf(w, "%-24s %-18s %8s", rs[i].Variant.Name, figure, fmt.Sprintf(format, stat.Mean(xs, nil)))
 			if i > 0 {
-				if d := Compare(rs[0].Series(of), xs); math.IsNaN(d.Mean) {
+				if d := Compare(rs[0].Values(of), xs); math.IsNaN(d.Mean) {
 					fmt.Fprint(w, "   not there")
-				} else if d.Shown() {
-					fmt.Fprintf(w, "   "+format+" ± "+format, d.Mean, d.Half)
+				} else if d.IsSignificant() {
+					fmt.Fprintf(w, "   "+format+" ± "+format, d.Mean, d.HalfWidth)
 				} else {
-					fmt.Fprintf(w, "   no difference shown ("+format+" ± "+format+")", d.Mean, d.Half)
+					fmt.Fprintf(w, "   no difference shown ("+format+" ± "+format+")", d.Mean, d.HalfWidth)
 				}
 			}
 			fmt.Fprintln(w)
@@ -375,11 +375,11 @@
 			if t == "" {
 				name = "all"
 			}
-			row("kept "+name, func(s *Sums) float64 { return in(s.Kept, t) }, "%.3f")
-			row("p50 "+name, func(s *Sums) float64 { return in(s.P50, t) }, "%.0f ms")
-			row("p99 "+name, func(s *Sums) float64 { return in(s.P99, t) }, "%.0f ms")
+			row("kept "+name, func(s *Summary) float64 { return in(s.ValueShare, t) }, "%.3f")
+			row("p50 "+name, func(s *Summary) float64 { return in(s.P50, t) }, "%.0f ms")
+			row("p99 "+name, func(s *Summary) float64 { return in(s.P99, t) }, "%.0f ms")
 		}
-		row("launches", func(s *Sums) float64 { return float64(s.Launches) }, "%.0f")
-		row("rules broken", func(s *Sums) float64 { return float64(s.Broken) }, "%.1f")
+		row("launches", func(s *Summary) float64 { return float64(s.Attempts) }, "%.0f")
+		row("rules broken", func(s *Summary) float64 { return float64(s.Violations) }, "%.1f")
 	}
 }
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -20,10 +20,10 @@
 // TestCompare: against figures worked out by hand, with the quantile of a table.
 func TestCompare(t *testing.T) {
 	d := Compare([]float64{1, 2, 3, 4}, []float64{2, 4, 4, 6})
-	if want := 3.182446 * math.Sqrt(1.0/3) / 2; math.Abs(d.Mean-1.5) > 1e-9 || math.Abs(d.Half-want) > 1e-4 {
+	if want := 3.182446 * math.Sqrt(1.0/3) / 2; math.Abs(d.Mean-1.5) > 1e-9 || math.Abs(d.HalfWidth-want) > 1e-4 {
 		t.Errorf("%+v, want 1.5 ± %.4f", d, want)
 	}
-	if !d.Shown() || Compare([]float64{1, 2, 3}, []float64{3, 1, 3}).Shown() {
+	if !d.IsSignificant() || Compare([]float64{1, 2, 3}, []float64{3, 1, 3}).IsSignificant() {
 		t.Error("what is shown and what is not are mixed up")
 	}
 }
@@ -45,18 +45,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	kept := func(s *Sums) float64 { return s.Kept[""] }
-	if d := Compare(rs[0].Series(kept), rs[1].Series(kept)); d != (Diff{}) {
+	kept := func(s *Summary) float64 { return s.ValueShare[""] }
+	if d := Compare(rs[0].Values(kept), rs[1].Values(kept)); d != (Difference{}) {
 		t.Errorf("the same variant differs by %+v", d)
 	}
-	if d := Compare(rs[0].Series(kept), rs[2].Series(kept)); !d.Shown() || d.Mean > -0.1 {
+	if d := Compare(rs[0].Values(kept), rs[2].Values(kept)); !d.IsSignificant() || d.Mean > -0.1 {
 		t.Errorf("with writers that hang it differs by %+v", d)
 	}
-	if rs[0].Runs[0].Launches < 100 || rs[3].Runs[0].Launches < 100 {
-		t.Errorf("%d and %d launches", rs[0].Runs[0].Launches, rs[3].Runs[0].Launches)
+	if rs[0].Runs[0].Attempts < 100 || rs[3].Runs[0].Attempts < 100 {
+		t.Errorf("%d and %d launches", rs[0].Runs[0].Attempts, rs[3].Runs[0].Attempts)
 	}
 	var out strings.Builder
-	Print(&out, rs)
+	PrintResults(&out, rs)
 	if !strings.Contains(out.String(), "no difference shown") {
 		t.Errorf("nothing says that no difference is shown:\n%s", out.String())
 	}
--- a/internal/lab/experiment/golden_test.go
+++ b/internal/lab/experiment/golden_test.go
@@ -3,15 +3,14 @@
 import (
 	"bytes"
 	"crypto/sha256"
+	"docksail/internal/lab/eventlog"
+	"docksail/internal/lab/scenario"
 	"encoding/hex"
 	"encoding/json"
 	"fmt"
 	"os"
 	"path/filepath"
 	"testing"
-
-	"docksail/internal/lab/eventlog"
-	"docksail/internal/lab/scenario"
 )
 
 // digestLength is how many hexadecimal digits of a SHA-256 sum testdata/golden.json keeps.
@@ -60,12 +59,12 @@
 		t.Fatal(err)
 	}
 	script.Seed = run.Seed
-	report, err := Play(t.Context(), script, run.Policy, 0)
+	report, err := Simulate(t.Context(), script, run.Policy, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var sums, entries bytes.Buffer
-	if err := json.NewEncoder(&sums).Encode(SumsOf(&report.Report)); err != nil {
+	if err := json.NewEncoder(&sums).Encode(Summarize(&report.Report)); err != nil {
 		t.Fatal(err)
 	}
 	if err := eventlog.Write(&entries, report.Entries); err != nil {
--- a/internal/lab/faultproxy/proxy.go
+++ b/internal/lab/faultproxy/proxy.go
@@ -11,12 +11,12 @@
 	"time"
 )
 
-// Relay passes the connections of one dispatcher to one host.
-type Relay struct {
+// Proxy passes the connections of one dispatcher to one host.
+type Proxy struct {
 	to   string
 	host int
 	disp int
-	book *eventlog.Book
+	book *eventlog.Log
 	ln   net.Listener
 
 	mu    sync.Mutex
@@ -28,30 +28,30 @@
 }
 
 // New opens a relay on a free port of the loopback.
-func New(to string, host, disp int, b *eventlog.Book) (*Relay, error) {
+func New(to string, host, disp int, b *eventlog.Log) (*Proxy, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("relay to host %d: %w", host, err)
 	}
-	r := &Relay{to: to, host: host, disp: disp, book: b, ln: ln, pairs: map[*pair]bool{}}
+	r := &Proxy{to: to, host: host, disp: disp, book: b, ln: ln, pairs: map[*pair]bool{}}
 	go r.accept()
 	return r, nil
 }
 
 // Addr is where it listens.
-func (r *Relay) Addr() string { return r.ln.Addr().String() }
+func (r *Proxy) Addr() string { return r.ln.Addr().String() }
 
 // Close ends it and all its connections.
-func (r *Relay) Close() {
+func (r *Proxy) Close() {
 	r.mu.Lock()
 	r.done = true
 	r.mu.Unlock()
 	r.ln.Close()
-	r.Reset()
+	r.ResetConns()
 }
 
-// Cut swallows all bytes both ways, with no reset and no answer, until it is called with false.
-func (r *Relay) Cut(yes bool) {
+// SetBlackhole swallows all bytes both ways, with no reset and no answer, until it is called with false.
+func (r *Proxy) SetBlackhole(yes bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if yes && r.cut == nil {
@@ -62,8 +62,8 @@
 	}
 }
 
-// Mute has the connections that there are swallow all bytes from now on, with no reset; new ones pass.
-func (r *Relay) Mute() {
+// BlackholeOpenConns has the connections that there are swallow all bytes from now on, with no reset; new ones pass.
+func (r *Proxy) BlackholeOpenConns() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for p := range r.pairs {
@@ -71,14 +71,14 @@
 	}
 }
 
-// Delay holds each piece back for so long.
-func (r *Relay) Delay(t time.Duration) { r.slow.Store(int64(t)) }
+// SetDelay holds each piece back for so long.
+func (r *Proxy) SetDelay(t time.Duration) { r.slow.Store(int64(t)) }
 
-// Trickle passes bytes one at a time.
-func (r *Relay) Trickle(yes bool) { r.bit.Store(yes) }
+// SetTrickle passes bytes one at a time.
+func (r *Proxy) SetTrickle(yes bool) { r.bit.Store(yes) }
 
-// Reset ends all connections with a reset.
-func (r *Relay) Reset() {
+// ResetConns ends all connections with a reset.
+func (r *Proxy) ResetConns() {
 	r.mu.Lock()
 	var ps []*pair
 	for p := range r.pairs {
@@ -90,7 +90,7 @@
 	}
 }
 
-func (r *Relay) accept() {
+func (r *Proxy) accept() {
 	for {
 		c, err := r.ln.Accept()
 		if err != nil {
@@ -102,10 +102,10 @@
 
 // pair is a connection and its other half.
 type pair struct {
-	r    *Relay
+	r    *Proxy
 	in   *net.TCPConn
 	out  *net.TCPConn
-	tap  *Tap
+	tap  *FrameRecorder
 	once sync.Once
 	mute atomic.Bool // swallows all bytes, for good
 }
@@ -129,9 +129,9 @@
 	})
 }
 
-func (r *Relay) serve(in *net.TCPConn) {
+func (r *Proxy) serve(in *net.TCPConn) {
 	p := &pair{r: r, in: in}
-	p.tap = NewTap(r.book, r.host, r.disp)
+	p.tap = NewFrameRecorder(r.book, r.host, r.disp)
 	r.mu.Lock()
 	if r.done {
 		r.mu.Unlock()
--- a/internal/lab/faultproxy/tap.go
+++ b/internal/lab/faultproxy/tap.go
@@ -12,9 +12,9 @@
 	"google.golang.org/grpc/codes"
 )
 
-// Tap reads the frames of one connection, both ways, as they pass.
-type Tap struct {
-	book *eventlog.Book
+// FrameRecorder reads the frames of one connection, both ways, as they pass.
+type FrameRecorder struct {
+	book *eventlog.Log
 	host int
 	disp int
 	mu   sync.Mutex
@@ -32,26 +32,26 @@
 	end   bool
 }
 
-// NewTap reads what passes between a dispatcher and a host into a book.
-func NewTap(b *eventlog.Book, host, disp int) *Tap {
-	return &Tap{
+// NewFrameRecorder reads what passes between a dispatcher and a host into a book.
+func NewFrameRecorder(b *eventlog.Log, host, disp int) *FrameRecorder {
+	return &FrameRecorder{
 		book: b, host: host, disp: disp, out: map[uint32]eventlog.Entry{},
 		to: half{skip: len(http2.ClientPreface), dec: hpack.NewDecoder(4096, nil)}, from: half{dec: hpack.NewDecoder(4096, nil)},
 	}
 }
 
 // Sent sees bytes for the host.
-func (t *Tap) Sent(p []byte) { t.see(&t.to, p, true) }
+func (r *FrameRecorder) Sent(p []byte) { r.see(&r.to, p, true) }
 
 // Received sees bytes from the host.
-func (t *Tap) Received(p []byte) { t.see(&t.from, p, false) }
+func (r *FrameRecorder) Received(p []byte) { r.see(&r.from, p, false) }
 
-func (t *Tap) see(h *half, p []byte, ahead bool) {
-	if t.book == nil {
+func (r *FrameRecorder) see(h *half, p []byte, ahead bool) {
+	if r.book == nil {
 		return
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	n := min(h.skip, len(p))
 	h.skip -= n
 	h.buf = append(h.buf, p[n:]...)
@@ -62,13 +62,13 @@
 		}
 		kind, flags := http2.FrameType(h.buf[3]), http2.Flags(h.buf[4])
 		id := (uint32(h.buf[5])<<24 | uint32(h.buf[6])<<16 | uint32(h.buf[7])<<8 | uint32(h.buf[8])) & (1<<31 - 1)
-		t.frame(h, kind, flags, id, h.buf[9:9+size], ahead)
+		r.frame(h, kind, flags, id, h.buf[9:9+size], ahead)
 		h.buf = h.buf[9+size:]
 	}
 	h.buf = append([]byte(nil), h.buf...)
 }
 
-func (t *Tap) frame(h *half, kind http2.FrameType, flags http2.Flags, id uint32, p []byte, ahead bool) {
+func (r *FrameRecorder) frame(h *half, kind http2.FrameType, flags http2.Flags, id uint32, p []byte, ahead bool) {
 	switch kind {
 	case http2.FrameHeaders:
 		pad := 0
@@ -81,12 +81,12 @@
 		h.block = append(h.block[:0], p[:max(len(p)-pad, 0)]...)
 		h.end = flags.Has(http2.FlagHeadersEndStream)
 		if flags.Has(http2.FlagHeadersEndHeaders) {
-			t.headers(h, id, ahead)
+			r.headers(h, id, ahead)
 		}
 	case http2.FrameContinuation:
 		h.block = append(h.block, p...)
 		if flags.Has(http2.FlagContinuationEndHeaders) {
-			t.headers(h, id, ahead)
+			r.headers(h, id, ahead)
 		}
 	case http2.FrameRSTStream:
 		if len(p) == 4 {
@@ -97,21 +97,21 @@
 			} else if code == http2.ErrCodeRefusedStream {
 				note = "refused"
 			}
-			t.end(id, "", note)
+			r.end(id, "", note)
 		}
 	case http2.FrameGoAway:
 		if !ahead && len(p) >= 8 {
 			last := (uint32(p[0])<<24 | uint32(p[1])<<16 | uint32(p[2])<<8 | uint32(p[3])) & (1<<31 - 1)
-			for _, id := range slices.Sorted(maps.Keys(t.out)) {
+			for _, id := range slices.Sorted(maps.Keys(r.out)) {
 				if id > last {
-					t.end(id, "", "refused")
+					r.end(id, "", "refused")
 				}
 			}
 		}
 	}
 }
 
-func (t *Tap) headers(h *half, id uint32, ahead bool) {
+func (r *FrameRecorder) headers(h *half, id uint32, ahead bool) {
 	fields, err := h.dec.DecodeFull(h.block)
 	if err != nil {
 		return
@@ -127,11 +127,11 @@
 	if !ahead {
 		if h.end {
 			n, _ := strconv.Atoi(get("grpc-status"))
-			t.end(id, codes.Code(n).String(), "status")
+			r.end(id, codes.Code(n).String(), "status")
 		}
 		return
 	}
-	e := eventlog.Entry{Kind: eventlog.Sent, Request: get("docksail-job"), Server: t.host, Disp: t.disp}
+	e := eventlog.Entry{Kind: eventlog.AttemptSent, Request: get("docksail-job"), Server: r.host, Dispatcher: r.disp}
 	e.Attempt, _ = strconv.Atoi(get("docksail-shot"))
 	switch get(":path") {
 	case "/docksail.v1.Engine/Read":
@@ -141,28 +141,28 @@
 	default:
 		return
 	}
-	t.out[id] = e
-	t.book.Add(e)
+	r.out[id] = e
+	r.book.Add(e)
 }
 
-func (t *Tap) end(id uint32, code, note string) {
-	e, ok := t.out[id]
+func (r *FrameRecorder) end(id uint32, code, note string) {
+	e, ok := r.out[id]
 	if !ok {
 		return
 	}
-	delete(t.out, id)
-	e.Kind, e.Code, e.Note, e.At = eventlog.Ended, code, note, 0
-	t.book.Add(e)
+	delete(r.out, id)
+	e.Kind, e.Code, e.Note, e.At = eventlog.AttemptEnded, code, note, 0
+	r.book.Add(e)
 }
 
 // Closed ends what is still out: the connection is over.
-func (t *Tap) Closed() {
-	if t.book == nil {
+func (r *FrameRecorder) Closed() {
+	if r.book == nil {
 		return
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	for _, id := range slices.Sorted(maps.Keys(t.out)) {
-		t.end(id, "", "closed")
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, id := range slices.Sorted(maps.Keys(r.out)) {
+		r.end(id, "", "closed")
 	}
 }
--- a/internal/lab/faultsearch/search_test.go
+++ b/internal/lab/faultsearch/search_test.go
@@ -19,13 +19,13 @@
 
 // TestFixedSet: a set of drawn days breaks no rule.
 func TestFixedSet(t *testing.T) {
-	x := Explorer{Base: base(t)}
-	tried, err := x.Explore(t.Context(), 1, 60, func(f *Find) {
+	x := Searcher{Base: base(t)}
+	tried, err := x.Search(t.Context(), 1, 60, func(f *Finding) {
 		text, err := f.Text()
 		if err != nil {
 			t.Error(err)
 		}
-		t.Errorf("seed %d: %v%s\n%s", f.Seed, f.Broken, f.Panic, text)
+		t.Errorf("seed %d: %v%s\n%s", f.Seed, f.Violations, f.Panic, text)
 	})
 	if err != nil || tried != 60 {
 		t.Errorf("%d days played: %v", tried, err)
@@ -47,11 +47,11 @@
 	wrap := func(int) func(dispatch.Module) dispatch.Module {
 		return func(m dispatch.Module) dispatch.Module { return deafToDrains{m} }
 	}
-	x := Explorer{Base: base(t), Wrap: wrap}
+	x := Searcher{Base: base(t), Wrap: wrap}
 	ctx, stop := context.WithCancel(t.Context())
-	var got *Find
-	if _, err := x.Explore(ctx, 1, 40, func(f *Find) {
-		if got == nil && f.Broken[0].Rule == 3 {
+	var got *Finding
+	if _, err := x.Search(ctx, 1, 40, func(f *Finding) {
+		if got == nil && f.Violations[0].Rule == 3 {
 			got = f
 			stop()
 		}
@@ -61,8 +61,8 @@
 	if got == nil {
 		t.Fatal("the planted fault is not found in 40 days")
 	}
-	if s := got.Script; len(s.Troubles) > 2 || s.Troubles[0].Kind != "drain" {
-		t.Errorf("left after %d plays: %+v", got.Plays, s.Troubles)
+	if s := got.Script; len(s.Faults) > 2 || s.Faults[0].Kind != "drain" {
+		t.Errorf("left after %d plays: %+v", got.Plays, s.Faults)
 	}
 	text, err := got.Text()
 	if err != nil {
@@ -72,7 +72,7 @@
 	if err != nil {
 		t.Fatalf("%v\n%s", err, text)
 	}
-	if broken, _, err := x.play(t.Context(), s); err != nil || len(broken) != len(got.Broken) {
-		t.Errorf("the file breaks %v, the find %v: %v", broken, got.Broken, err)
+	if broken, _, err := x.play(t.Context(), s); err != nil || len(broken) != len(got.Violations) {
+		t.Errorf("the file breaks %v, the find %v: %v", broken, got.Violations, err)
 	}
 }
