--- a/internal/lab/invariants/invariants.go
+++ b/internal/lab/invariants/invariants.go
@@ -13,34 +13,34 @@
 
 // Class is what the rules need to know of a class of requests.
 type Class struct {
-	Effect policy.Idempotency
-	Group  policy.DedupScope
-	Window time.Duration
+	Idempotency policy.Idempotency
+	DedupScope  policy.DedupScope
+	DedupWindow time.Duration
 }
 
 // Server is what the rules need to know of a server.
 type Server struct{ Zone, Cell string }
 
-// Facts are the figures by which a run is judged.
-type Facts struct {
-	Classes map[string]Class
-	Servers map[int]Server
-	Release time.Duration // KV states are fetched or released within this
-	Grace   time.Duration // nothing new to a server so long after the dispatcher was told of its drain
-	Slack   time.Duration // for what crosses on the wire and for a busy machine
+// Limits are the figures by which a run is judged.
+type Limits struct {
+	Classes     map[string]Class
+	Servers     map[int]Server
+	ReleaseTime time.Duration // KV states are fetched or released within this
+	DrainGrace  time.Duration // nothing new to a server so long after the dispatcher was told of its drain
+	Tolerance   time.Duration // for what crosses on the wire and for a busy machine
 }
 
 // Violation is one broken rule.
 type Violation struct {
-	Rule int
-	At   int64
-	What string
+	Rule    int
+	At      int64
+	Message string
 }
 
-func (v Violation) String() string { return fmt.Sprintf("rule %d: %s", v.Rule, v.What) }
+func (v Violation) String() string { return fmt.Sprintf("rule %d: %s", v.Rule, v.Message) }
 
 // Check gives all rules that were broken, by time.
-func Check(entries []eventlog.Entry, facts Facts) []Violation {
+func Check(entries []eventlog.Entry, facts Limits) []Violation {
 	c := newChecker(facts)
 	for i := range entries {
 		c.record(&entries[i])
@@ -72,10 +72,10 @@
 		c.broken(1, asked.At, "%s ended %d times", key, t.finals)
 	}
 	final := *t.final
-	if final.Kind == eventlog.NoAnswer && !c.overlaps(c.downtimes, asked.At, final.At) {
+	if final.Kind == eventlog.RequestUnanswered && !c.overlaps(c.downtimes, asked.At, final.At) {
 		c.broken(1, final.At, "%s (class %s, request %s) got no final answer: %s", key, asked.Class, t.request, final.Code)
 	}
-	if final.Kind == eventlog.Final {
+	if final.Kind == eventlog.RequestAnswered {
 		c.checkFinalAnswer(key, final)
 	}
 	for _, a := range c.attempts[t.request] {
@@ -94,8 +94,8 @@
 	default:
 		c.broken(1, final.At, "%s ended with %s, which is no final answer of ours", key, final.Code)
 	}
-	if final.At > final.By+c.slack {
-		c.broken(1, final.At, "%s was rejected %v after its time was up", key, milliseconds(final.At-final.By))
+	if final.At > final.Deadline+c.slack {
+		c.broken(1, final.At, "%s was rejected %v after its time was up", key, milliseconds(final.At-final.Deadline))
 	}
 }
 
@@ -119,29 +119,29 @@
 	}
 	class := c.facts.Classes[t.asked.Class]
 	first := slices.IndexFunc(attempts, func(a *attempt) bool { return !a.harmless() })
-	if first < 0 || class.Effect == policy.Idempotent {
+	if first < 0 || class.Idempotency == policy.Idempotent {
 		return
 	}
 	ran := attempts[first]
 	for _, again := range attempts[first+1:] {
 		c.checkRepeat(name, class, ran, again)
 	}
-	rejected := t.final != nil && t.final.Kind == eventlog.Final && (t.final.Code == "Unavailable" || t.final.Code == "ResourceExhausted")
-	if rejected && (class.Effect == policy.NonIdempotent || class.Group != policy.DedupScopeAll) && ran.sent < t.final.At {
-		c.broken(2, t.final.At, "%s request %s was rejected though it may have run at server %d", effectName(class.Effect), name, ran.server)
+	rejected := t.final != nil && t.final.Kind == eventlog.RequestAnswered && (t.final.Code == "Unavailable" || t.final.Code == "ResourceExhausted")
+	if rejected && (class.Idempotency == policy.NonIdempotent || class.DedupScope != policy.DedupScopeAll) && ran.sent < t.final.At {
+		c.broken(2, t.final.At, "%s request %s was rejected though it may have run at server %d", effectName(class.Idempotency), name, ran.server)
 	}
 }
 
 func (c *checker) checkRepeat(name string, class Class, ran, again *attempt) {
 	was, is := c.facts.Servers[ran.server], c.facts.Servers[again.server]
 	switch {
-	case class.Effect == policy.NonIdempotent:
+	case class.Idempotency == policy.NonIdempotent:
 		c.broken(2, again.sent, "non-idempotent request %s was sent to server %d after it may have run at server %d", name, again.server, ran.server)
-	case class.Group == policy.DedupScopeZone && again.decode && was.Zone != is.Zone:
+	case class.DedupScope == policy.DedupScopeZone && again.decode && was.Zone != is.Zone:
 		c.broken(2, again.sent, "deduplicated request %s was sent to server %d, outside the zone of server %d", name, again.server, ran.server)
-	case class.Group == policy.DedupScopeCell && again.decode && was != is:
+	case class.DedupScope == policy.DedupScopeCell && again.decode && was != is:
 		c.broken(2, again.sent, "deduplicated request %s was sent to server %d, outside the cell of server %d", name, again.server, ran.server)
-	case again.decode && again.sent > ran.sent+int64(class.Window)+c.slack:
+	case again.decode && again.sent > ran.sent+int64(class.DedupWindow)+c.slack:
 		c.broken(2, again.sent, "deduplicated request %s was sent again after its window", name)
 	}
 }
@@ -149,7 +149,7 @@
 // checkRanOnce has what servers wrote down judge rule two, over all tries of a client.
 func (c *checker) checkRanOnce() {
 	for label, runs := range c.ran {
-		if label != "" && len(runs) > 1 && c.facts.Classes[runs[0].Class].Effect == policy.NonIdempotent {
+		if label != "" && len(runs) > 1 && c.facts.Classes[runs[0].Class].Idempotency == policy.NonIdempotent {
 			c.broken(2, runs[1].At, "non-idempotent %s ran %d times, at servers %d and %d", label, len(runs), runs[0].Server, runs[1].Server)
 		}
 	}
@@ -162,7 +162,7 @@
 		if c.overlaps(c.downtimes, s.from, s.to) || c.overlaps(c.cuts[s.server], s.from, s.to) {
 			continue
 		}
-		if longest := c.longestIdle(s); longest > int64(c.facts.Release)+c.slack {
+		if longest := c.longestIdle(s); longest > int64(c.facts.ReleaseTime)+c.slack {
 			c.broken(5, s.from, "server %d held the state of request %s for %v with no attempt out (%s)", s.server, s.request, milliseconds(longest), s.how)
 		}
 	}
--- a/internal/lab/invariants/record.go
+++ b/internal/lab/invariants/record.go
@@ -56,7 +56,7 @@
 
 // checker takes down what passed and finds the rules that it broke.
 type checker struct {
-	facts      Facts
+	facts      Limits
 	slack      int64
 	violations []Violation
 
@@ -76,9 +76,9 @@
 	cutSince     map[int]int64
 }
 
-func newChecker(facts Facts) *checker {
+func newChecker(facts Limits) *checker {
 	return &checker{
-		facts: facts, slack: int64(facts.Slack), attempts: map[string][]*attempt{}, open: map[attemptKey]*attempt{},
+		facts: facts, slack: int64(facts.Tolerance), attempts: map[string][]*attempt{}, open: map[attemptKey]*attempt{},
 		tries: map[string]*try{}, tryOf: map[string]*try{}, ran: map[string][]eventlog.Entry{}, noticed: map[noticeKey]int64{},
 		held: map[stateKey]int64{}, downSince: map[int]int64{}, cuts: map[int][]span{}, cutSince: map[int]int64{},
 	}
@@ -91,50 +91,50 @@
 // record takes down one entry; entries come by time.
 func (c *checker) record(e *eventlog.Entry) {
 	switch e.Kind {
-	case eventlog.Down:
-		c.downSince[e.Disp] = e.At
-	case eventlog.Up:
-		if at, ok := c.downSince[e.Disp]; ok {
+	case eventlog.DispatcherStopped:
+		c.downSince[e.Dispatcher] = e.At
+	case eventlog.DispatcherStarted:
+		if at, ok := c.downSince[e.Dispatcher]; ok {
 			c.downtimes = append(c.downtimes, span{at, e.At})
-			delete(c.downSince, e.Disp)
+			delete(c.downSince, e.Dispatcher)
 		}
-	case eventlog.Asked:
+	case eventlog.RequestSent:
 		key := tryKey(e)
 		c.tries[key] = &try{asked: *e}
 		c.tryOrder = append(c.tryOrder, key)
-	case eventlog.Final, eventlog.Quit, eventlog.NoAnswer:
+	case eventlog.RequestAnswered, eventlog.RequestCanceled, eventlog.RequestUnanswered:
 		c.recordFinal(e)
-	case eventlog.Sent:
+	case eventlog.AttemptSent:
 		c.recordSent(e)
-	case eventlog.Ended:
+	case eventlog.AttemptEnded:
 		if a := c.open[attemptKey{e.Request, e.Attempt, e.Server}]; a != nil && a.end == never {
 			a.end, a.code, a.note = e.At, e.Code, e.Note
 		}
-	case eventlog.Told:
+	case eventlog.EndpointNotified:
 		c.recordNotice(e)
-	case eventlog.Toppled:
-		c.broken(4, e.At, "cold server %d fell over, sent %d attempts", e.Server, e.N)
-	case eventlog.Held:
+	case eventlog.ServerOverloaded:
+		c.broken(4, e.At, "cold server %d fell over, sent %d attempts", e.Server, e.Value)
+	case eventlog.StateHeld:
 		c.held[stateKey{e.Request, e.Server}] = e.At
-	case eventlog.Released:
+	case eventlog.StateReleased:
 		key := stateKey{e.Request, e.Server}
 		if from, ok := c.held[key]; ok {
 			c.states = append(c.states, heldState{e.Request, e.Server, from, e.At, e.Note})
 			delete(c.held, key)
 		}
-	case eventlog.Ran:
-		c.ran[e.Label] = append(c.ran[e.Label], *e)
-	case eventlog.Trouble:
+	case eventlog.AnswerStarted:
+		c.ran[e.RequestLabel] = append(c.ran[e.RequestLabel], *e)
+	case eventlog.FaultChanged:
 		c.recordCut(e)
 	}
 }
 
-func tryKey(e *eventlog.Entry) string { return fmt.Sprintf("%s/%d", e.Label, e.Try) }
+func tryKey(e *eventlog.Entry) string { return fmt.Sprintf("%s/%d", e.RequestLabel, e.ClientAttempt) }
 
 func (c *checker) recordFinal(e *eventlog.Entry) {
 	t := c.tries[tryKey(e)]
 	if t == nil {
-		c.broken(1, e.At, "an answer to %s that nobody asked", e.Label)
+		c.broken(1, e.At, "an answer to %s that nobody asked", e.RequestLabel)
 		return
 	}
 	t.finals++
@@ -153,14 +153,14 @@
 	}
 	c.attempts[e.Request] = append(c.attempts[e.Request], a)
 	c.open[attemptKey{e.Request, e.Attempt, e.Server}] = a
-	if at, ok := c.noticed[noticeKey{e.Disp, e.Server}]; ok && e.At > at+int64(c.facts.Grace)+c.slack {
+	if at, ok := c.noticed[noticeKey{e.Dispatcher, e.Server}]; ok && e.At > at+int64(c.facts.DrainGrace)+c.slack {
 		c.broken(3, e.At, "request %s was sent to server %d %v after dispatcher %d was told that it drains or is gone",
-			e.Request, e.Server, milliseconds(e.At-at), e.Disp)
+			e.Request, e.Server, milliseconds(e.At-at), e.Dispatcher)
 	}
 }
 
 func (c *checker) recordNotice(e *eventlog.Entry) {
-	key := noticeKey{e.Disp, e.Server}
+	key := noticeKey{e.Dispatcher, e.Server}
 	if e.Note == "HEALTH_SERVING" {
 		delete(c.noticed, key)
 	} else if _, ok := c.noticed[key]; !ok {
--- a/internal/lab/loadgen/loadgen.go
+++ b/internal/lab/loadgen/loadgen.go
@@ -31,8 +31,8 @@
 	daySwing   = 0.8 // daily: the rate swings by this share over the whole run, as over a day
 )
 
-// Rate gives the rate of a pattern over a run.
-func Rate(pattern string, base float64, length time.Duration) (func(at time.Duration) float64, error) {
+// ArrivalRate gives the rate of a pattern over a run.
+func ArrivalRate(pattern string, base float64, length time.Duration) (func(at time.Duration) float64, error) {
 	switch pattern {
 	case "poisson", "recorded":
 		return func(time.Duration) float64 { return base }, nil
@@ -52,8 +52,8 @@
 	return nil, fmt.Errorf("pattern %q, want one of %v", pattern, Patterns)
 }
 
-// Recorded gives the times at which sessions of a record began, from its first.
-func Recorded(name string) ([]time.Duration, error) {
+// RecordedArrivals gives the times at which sessions of a record began, from its first.
+func RecordedArrivals(name string) ([]time.Duration, error) {
 	f, err := os.Open(name)
 	if err != nil {
 		return nil, err
@@ -66,7 +66,7 @@
 	var at []time.Duration
 	first := int64(0)
 	for _, e := range es {
-		if e.Kind != eventlog.Asked || e.Try != 0 || len(e.Label) < 2 || e.Label[len(e.Label)-2:] != ".0" {
+		if e.Kind != eventlog.RequestSent || e.ClientAttempt != 0 || len(e.RequestLabel) < 2 || e.RequestLabel[len(e.RequestLabel)-2:] != ".0" {
 			continue
 		}
 		if first == 0 {
@@ -81,14 +81,14 @@
 	return at, nil
 }
 
-// Plan is a run.
-type Plan struct {
-	Script  *scenario.Script // its tracks and sessions a second
-	Targets []string
-	Pattern string
-	Record  string // file, of the pattern recorded
-	For     time.Duration
-	Conns   int
+// Config is a run.
+type Config struct {
+	Script             *scenario.Script // its tracks and sessions a second
+	Targets            []string
+	Pattern            string
+	RecordFile         string // file, of the pattern recorded
+	Duration           time.Duration
+	ConnsPerDispatcher int
 }
 
 const (
@@ -96,43 +96,43 @@
 	digits      = 3
 )
 
-// Track is what became of a track's jobs.
-type Track struct {
-	Jobs, Honoured int64
-	Ends           map[codes.Code]int64
-	First          *hdrhistogram.Histogram // nanoseconds from when it was due to its first token
+// ClassResult is what became of a track's jobs.
+type ClassResult struct {
+	Requests, Served int64
+	StatusCounts     map[codes.Code]int64
+	FirstTokenTime   *hdrhistogram.Histogram // nanoseconds from when it was due to its first token
 }
 
 // Run plays a plan; each second progress is told the jobs that have ended, and how many of them were honoured.
-func Run(ctx context.Context, p Plan, progress func(at time.Duration, ended, honoured int64)) (map[string]*Track, error) {
-	rate, err := Rate(p.Pattern, p.Script.Rate, p.For)
+func Run(ctx context.Context, p Config, progress func(at time.Duration, ended, honoured int64)) (map[string]*ClassResult, error) {
+	rate, err := ArrivalRate(p.Pattern, p.Script.SessionsPerSecond, p.Duration)
 	if err != nil {
 		return nil, err
 	}
-	tracks := map[string]*Track{}
-	for _, t := range p.Script.Load {
-		tracks[t.Name] = &Track{Ends: map[codes.Code]int64{}, First: hdrhistogram.New(least, most, digits)}
+	tracks := map[string]*ClassResult{}
+	for _, t := range p.Script.Classes {
+		tracks[t.Name] = &ClassResult{StatusCounts: map[codes.Code]int64{}, FirstTokenTime: hdrhistogram.New(least, most, digits)}
 	}
 	var mu sync.Mutex
 	ended, honoured := int64(0), int64(0)
 	l := userclient.Load{
-		Targets: p.Targets, Classes: p.Script.Clients(), Rate: rate, For: p.For, Seed: uint64(p.Script.Seed), Conns: p.Conns,
-		Done: func(track string, first time.Duration, code codes.Code) {
+		Targets: p.Targets, Classes: p.Script.ClientClasses(), Rate: rate, Duration: p.Duration, Seed: uint64(p.Script.Seed), ConnsPerDispatcher: p.ConnsPerDispatcher,
+		OnDone: func(track string, first time.Duration, code codes.Code) {
 			mu.Lock()
 			defer mu.Unlock()
 			t := tracks[track]
-			t.Jobs++
-			t.Ends[code]++
+			t.Requests++
+			t.StatusCounts[code]++
 			ended++
 			if code == codes.OK {
-				t.Honoured++
+				t.Served++
 				honoured++
-				t.First.RecordValue(min(max(int64(first), least), most))
+				t.FirstTokenTime.RecordValue(min(max(int64(first), least), most))
 			}
 		},
 	}
 	if p.Pattern == "recorded" {
-		if l.Arrive, err = Recorded(p.Record); err != nil {
+		if l.Arrivals, err = RecordedArrivals(p.RecordFile); err != nil {
 			return nil, err
 		}
 	}
@@ -154,7 +154,7 @@
 			}
 		}()
 	}
-	if _, err := userclient.Run(ctx, l, nil); err != nil {
+	if _, err := userclient.RunLoad(ctx, l, nil); err != nil {
 		return nil, err
 	}
 	if err := ctx.Err(); err != nil && !errors.Is(err, context.Canceled) {
@@ -166,7 +166,7 @@
 }
 
 // Print writes what became of the jobs, for people.
-func Print(w io.Writer, tracks map[string]*Track) error {
+func Print(w io.Writer, tracks map[string]*ClassResult) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "track\tjobs\thonoured\tp50 ms\tp90 ms\tp99 ms\tp99.9 ms\tmost ms\t")
 	names := make([]string, 0, len(tracks))
@@ -176,9 +176,9 @@
 	slices.Sort(names)
 	for _, name := range names {
 		x := tracks[name]
-		fmt.Fprintf(t, "%s\t%d\t%d\t", name, x.Jobs, x.Honoured)
+		fmt.Fprintf(t, "%s\t%d\t%d\t", name, x.Requests, x.Served)
 		for _, q := range []float64{50, 90, 99, 99.9, 100} {
-			fmt.Fprintf(t, "%.1f\t", float64(x.First.ValueAtQuantile(q))/1e6)
+			fmt.Fprintf(t, "%.1f\t", float64(x.FirstTokenTime.ValueAtQuantile(q))/1e6)
 		}
 		fmt.Fprintln(t)
 	}
--- a/internal/lab/loadgen/loadgen_test.go
+++ b/internal/lab/loadgen/loadgen_test.go
@@ -17,7 +17,7 @@
 // TestRates: the mean of each pattern over a run is its base.
 func TestRates(t *testing.T) {
 	for _, pattern := range Patterns {
-		rate, err := Rate(pattern, 40, 60*time.Second)
+		rate, err := ArrivalRate(pattern, 40, 60*time.Second)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -29,7 +29,7 @@
 			t.Errorf("%s: %.2f a second on the mean, want 40", pattern, sum/60)
 		}
 	}
-	if _, err := Rate("tides", 1, time.Second); err == nil {
+	if _, err := ArrivalRate("tides", 1, time.Second); err == nil {
 		t.Error("an unknown pattern is taken")
 	}
 }
@@ -38,34 +38,34 @@
 // generator that waited for answers would have sent few of them.
 func TestNothingOmitted(t *testing.T) {
 	s := scenario.Demo()
-	s.Rate = 40
-	s.Load[0].Timeout, s.Load[0].Answer = 8*time.Second, 4
-	stage, err := scenario.Open(s, slog.New(slog.DiscardHandler))
+	s.SessionsPerSecond = 40
+	s.Classes[0].Timeout, s.Classes[0].MaxAnswerTokens = 8*time.Second, 4
+	stage, err := scenario.Start(s, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer stage.Close()
 	time.AfterFunc(time.Second, func() {
 		for _, e := range stage.Engines {
-			e.Fail(func(f *engine.Faults) { f.Paused = true })
+			e.SetFaults(func(f *engine.Faults) { f.Paused = true })
 		}
 		time.Sleep(time.Second)
 		for _, e := range stage.Engines {
-			e.Fail(func(f *engine.Faults) { f.Paused = false })
+			e.SetFaults(func(f *engine.Faults) { f.Paused = false })
 		}
 	})
-	tracks, err := Run(t.Context(), Plan{Script: s, Targets: stage.Targets(), Pattern: "poisson", For: 3 * time.Second, Conns: 1}, nil)
+	tracks, err := Run(t.Context(), Config{Script: s, Targets: stage.Addresses(), Pattern: "poisson", Duration: 3 * time.Second, ConnsPerDispatcher: 1}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	x := tracks["question"]
-	if x.Jobs < 70 || x.Honoured < x.Jobs*6/10 {
-		t.Fatalf("%d jobs, %d honoured", x.Jobs, x.Honoured)
+	if x.Requests < 70 || x.Served < x.Requests*6/10 {
+		t.Fatalf("%d jobs, %d honoured", x.Requests, x.Served)
 	}
-	if p := time.Duration(x.First.ValueAtQuantile(90)); p < 300*time.Millisecond {
+	if p := time.Duration(x.FirstTokenTime.ValueAtQuantile(90)); p < 300*time.Millisecond {
 		t.Errorf("a tenth waited %v and more, though hosts stood still for a third of the time", p)
 	}
-	if p := time.Duration(x.First.ValueAtQuantile(10)); p < 20*time.Millisecond { // a read of 500 tokens takes 25 ms
+	if p := time.Duration(x.FirstTokenTime.ValueAtQuantile(10)); p < 20*time.Millisecond { // a read of 500 tokens takes 25 ms
 		t.Errorf("a tenth got their first token within %v", p)
 	}
 	var out bytes.Buffer
@@ -82,15 +82,15 @@
 		t.Fatal(err)
 	}
 	if err := eventlog.Write(f, []eventlog.Entry{
-		{At: 1e9, Kind: eventlog.Asked, Label: "0.0"},
-		{At: 1.2e9, Kind: eventlog.Asked, Label: "0.0", Try: 1},
-		{At: 3e9, Kind: eventlog.Asked, Label: "1.0"},
-		{At: 4e9, Kind: eventlog.Asked, Label: "0.1"},
+		{At: 1e9, Kind: eventlog.RequestSent, RequestLabel: "0.0"},
+		{At: 1.2e9, Kind: eventlog.RequestSent, RequestLabel: "0.0", ClientAttempt: 1},
+		{At: 3e9, Kind: eventlog.RequestSent, RequestLabel: "1.0"},
+		{At: 4e9, Kind: eventlog.RequestSent, RequestLabel: "0.1"},
 	}); err != nil {
 		t.Fatal(err)
 	}
 	f.Close()
-	if at, err := Recorded(name); err != nil || len(at) != 2 || at[1] != 2*time.Second {
+	if at, err := RecordedArrivals(name); err != nil || len(at) != 2 || at[1] != 2*time.Second {
 		t.Errorf("%v, %v", at, err)
 	}
 }
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -62,14 +62,14 @@
 	last := int64(0)
 	for _, e := range r.Entries {
 		switch e.Kind {
-		case eventlog.Asked:
+		case eventlog.RequestSent:
 			if f.from == 0 {
 				f.from = e.At
 			}
 			tracks[e.Class] = true
-		case eventlog.Sent, eventlog.Figures:
+		case eventlog.AttemptSent, eventlog.ServerLoad:
 			hosts[e.Server] = true
-			f.figures = f.figures || e.Kind == eventlog.Figures
+			f.figures = f.figures || e.Kind == eventlog.ServerLoad
 		}
 		last = e.At
 	}
@@ -80,7 +80,7 @@
 	f.tracks, f.hosts = slices.Sorted(maps.Keys(tracks)), slices.Sorted(maps.Keys(hosts))
 	open := map[string][]float64{}
 	for _, e := range r.Entries {
-		if e.Kind != eventlog.Trouble || e.Code == "" {
+		if e.Kind != eventlog.FaultChanged || e.Code == "" {
 			continue
 		}
 		if e.Note == "begins" {
@@ -104,8 +104,8 @@
 
 // Plot is a drawing and what it is.
 type Plot struct {
-	Name, What string
-	PNG        []byte
+	Name, Caption string
+	PNG           []byte
 }
 
 const (
@@ -187,14 +187,14 @@
 	}
 	at := map[string]int{}
 	for _, e := range f.run.Entries {
-		key := fmt.Sprint(e.Label, "/", e.Try)
+		key := fmt.Sprint(e.RequestLabel, "/", e.ClientAttempt)
 		switch {
-		case e.Kind == eventlog.Asked:
+		case e.Kind == eventlog.RequestSent:
 			at[key] = f.bin(e.At)
 			asked[e.Class][at[key]]++
-		case e.Kind == eventlog.Final && e.Code == "OK":
+		case e.Kind == eventlog.RequestAnswered && e.Code == "OK":
 			good[e.Class][at[key]]++
-		case e.Kind == eventlog.Quit: // by its own will: it counts neither way
+		case e.Kind == eventlog.RequestCanceled: // by its own will: it counts neither way
 			asked[e.Class][at[key]]--
 		}
 	}
@@ -228,10 +228,10 @@
 		took[t] = new([bins][]float64)
 	}
 	for _, e := range f.run.Entries {
-		key := fmt.Sprint(e.Label, "/", e.Try)
-		if e.Kind == eventlog.Asked {
+		key := fmt.Sprint(e.RequestLabel, "/", e.ClientAttempt)
+		if e.Kind == eventlog.RequestSent {
 			asked[key] = e.At
-		} else if e.Kind == eventlog.Token {
+		} else if e.Kind == eventlog.FirstToken {
 			b := f.bin(asked[key])
 			took[e.Class][b] = append(took[e.Class][b], math.Max(float64(e.At-asked[key])/1e6, 0.1))
 		}
@@ -267,8 +267,8 @@
 	for n, t := range f.tracks {
 		var by [bins][]float64
 		for _, e := range f.run.Entries {
-			if e.Kind == eventlog.Final && e.Class == t && e.N > 0 {
-				by[f.bin(e.At)] = append(by[f.bin(e.At)], float64(e.N)/1e6)
+			if e.Kind == eventlog.RequestAnswered && e.Class == t && e.Value > 0 {
+				by[f.bin(e.At)] = append(by[f.bin(e.At)], float64(e.Value)/1e6)
 			}
 		}
 		var xys plotter.XYs
@@ -361,16 +361,18 @@
 		{"first", "Time to the first token, on a logarithmic scale, of those that got one: what was refused is in the plot above alone.", f.first, false},
 		{"gaps", "Time between tokens.", f.gaps, false},
 		{"sent", "Launches that passed towards each host. A host that is white while others are not was set aside, drained or gone.", func() (*plot.Plot, error) {
-			return f.heat("launches sent to each host", func(e *eventlog.Entry) (float64, bool) { return 1, e.Kind == eventlog.Sent }, false)
+			return f.heat("launches sent to each host", func(e *eventlog.Entry) (float64, bool) { return 1, e.Kind == eventlog.AttemptSent }, false)
 		}, true},
 	}
 	if f.figures {
 		all = append(all,
 			one{"queue", "Prompt tokens that each host had not read yet (mean of its samples).", func() (*plot.Plot, error) {
-				return f.heat("prompt tokens not read yet", func(e *eventlog.Entry) (float64, bool) { return float64(e.N), e.Kind == eventlog.Figures }, true)
+				return f.heat("prompt tokens not read yet", func(e *eventlog.Entry) (float64, bool) { return float64(e.Value), e.Kind == eventlog.ServerLoad }, true)
 			}, true},
 			one{"memory", "Share of each host's memory in use.", func() (*plot.Plot, error) {
-				return f.heat("share of memory in use", func(e *eventlog.Entry) (float64, bool) { return float64(e.Attempt) / 1000, e.Kind == eventlog.Figures }, true)
+				return f.heat("share of memory in use", func(e *eventlog.Entry) (float64, bool) {
+					return float64(e.Attempt) / 1000, e.Kind == eventlog.ServerLoad
+				}, true)
 			}, true})
 	}
 	var out []Plot
@@ -406,23 +408,23 @@
 	}
 	for _, e := range f.run.Entries {
 		r := by[e.Class]
-		key := fmt.Sprint(e.Label, "/", e.Try)
+		key := fmt.Sprint(e.RequestLabel, "/", e.ClientAttempt)
 		switch {
 		case r == nil:
-		case e.Kind == eventlog.Asked:
+		case e.Kind == eventlog.RequestSent:
 			r.Tries++
 			asked[key] = e.At
-		case e.Kind == eventlog.Token:
+		case e.Kind == eventlog.FirstToken:
 			first[e.Class] = append(first[e.Class], float64(e.At-asked[key])/1e6)
-		case e.Kind == eventlog.Quit:
+		case e.Kind == eventlog.RequestCanceled:
 			r.Left++
-		case e.Kind == eventlog.NoAnswer:
+		case e.Kind == eventlog.RequestUnanswered:
 			r.NoAnswer++
-		case e.Kind == eventlog.Final && e.Code == "OK":
+		case e.Kind == eventlog.RequestAnswered && e.Code == "OK":
 			r.Honoured++
-		case e.Kind == eventlog.Final && e.Code == "Aborted":
+		case e.Kind == eventlog.RequestAnswered && e.Code == "Aborted":
 			r.Abandoned++
-		case e.Kind == eventlog.Final:
+		case e.Kind == eventlog.RequestAnswered:
 			r.Nacked++
 		}
 	}
@@ -490,7 +492,7 @@
 			if err := os.WriteFile(filepath.Join(dir, fmt.Sprintf("%d-%s.png", i+1, p.Name)), p.PNG, 0o644); err != nil {
 				return err
 			}
-			s.Plots = append(s.Plots, shownPlot{p.What, template.URL("data:image/png;base64," + base64.StdEncoding.EncodeToString(p.PNG))})
+			s.Plots = append(s.Plots, shownPlot{p.Caption, template.URL("data:image/png;base64," + base64.StdEncoding.EncodeToString(p.PNG))})
 		}
 		shown = append(shown, s)
 	}
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -19,8 +19,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.For = 10 * s.For / 46
-	rep, err := experiment.Play(t.Context(), s, "", s.For/20)
+	s.Duration = 10 * s.Duration / 46
+	rep, err := experiment.Simulate(t.Context(), s, "", s.Duration/20)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/scenario/import.go
+++ b/internal/lab/scenario/import.go
@@ -127,12 +127,12 @@
 	var cannot []string
 	kinds := d.Tiers[0].Kinds
 	s := &Script{
-		Seed: 1, For: us(d.Length), ListerLate: us(d.Discovery.Notice), Release: us(d.Family.Release), Most: d.Allow.Most,
-		Cold: Cold{From: 1, Multiple: d.Multiple, Window: us(d.Over)},
+		Seed: 1, Duration: us(d.Length), DiscoveryDelay: us(d.Discovery.Notice), ReleaseTime: us(d.Family.Release), MaxAttempts: d.Allow.Most,
+		SlowStart: SlowStart{InitialCapacity: 1, OverloadFactor: d.Multiple, OverloadWindow: us(d.Over)},
 	}
 	for _, k := range kinds {
-		s.Cold.From = min(s.Cold.From, k.ColdFrom)
-		s.Cold.Warm = max(s.Cold.Warm, us(k.Cold))
+		s.SlowStart.InitialCapacity = min(s.SlowStart.InitialCapacity, k.ColdFrom)
+		s.SlowStart.WarmupTime = max(s.SlowStart.WarmupTime, us(k.Cold))
 	}
 
 	// Hosts: every n-th of each kind and cell, at least one; a trouble follows those that it was on.
@@ -167,9 +167,9 @@
 		k, e := kinds[g[2]], d.Family.Engines[g[2]]
 		count := max(1, int(math.Round(float64(len(all))/every)))
 		role := map[string]Role{"read": Prefill, "write": Decode, "both": Mixed}[d.Family.Roles[g[2]]]
-		h := Hosts{
-			Count: count, Role: role, Zone: d.Zones[g[0]], Cell: fmt.Sprint("c", g[1]), Slots: max(k.Slots, 1), Queue: k.Queue,
-			Memory: e.Memory, ReadRate: e.Reads, MoveRate: d.Family.Near, TokenGap: time.Duration(e.Step * 1e6).Round(time.Microsecond),
+		h := ServerGroup{
+			Count: count, Role: role, Zone: d.Zones[g[0]], Cell: fmt.Sprint("c", g[1]), Slots: max(k.Slots, 1), QueueLength: k.Queue,
+			MemoryTokens: e.Memory, PrefillRate: e.Reads, TransferRate: d.Family.Near, TokenGap: time.Duration(e.Step * 1e6).Round(time.Microsecond),
 		}
 		h.TokenGap = max(h.TokenGap, time.Millisecond)
 		h.RequestsPerSecond = e.Reads / max(perJob, 1)
@@ -178,7 +178,7 @@
 		} else {
 			readers += float64(count) * h.RequestsPerSecond
 		}
-		s.Fleet = append(s.Fleet, h)
+		s.Servers = append(s.Servers, h)
 		for j, i := range all {
 			stands[i] = n + 1 + j%count
 			if j < count {
@@ -197,31 +197,31 @@
 	}
 	for i, c := range d.Classes {
 		t := d.Family.Talks[i]
-		tr := Track{
-			Name: c.Name, Share: c.Share / total, Target: us(c.Aim), Per1k: time.Duration(t.Per1k * 1e6), Timeout: us(c.Limit),
-			Value: c.Worth, TokenGap: time.Duration(max(t.Gap, 10) * 1e6), Window: us(c.Window), Turns: max(1, int(math.Round(2*t.Turns-1))),
-			Prompt: max(1, int(t.New/2)), PromptMost: int(1.5 * t.New), PrefixTokens: int(t.Prefix), Prefixes: 8,
-			Answer: max(1, int(min(1.33*t.Out, float64(t.MaxOut)))), Retries: d.Clients.Retries, Idle: time.Second,
+		tr := Class{
+			Name: c.Name, Share: c.Share / total, LatencyTarget: us(c.Aim), LatencyTargetPer1k: time.Duration(t.Per1k * 1e6), Timeout: us(c.Limit),
+			Value: c.Worth, TokenGap: time.Duration(max(t.Gap, 10) * 1e6), DedupWindow: us(c.Window), TurnCount: max(1, int(math.Round(2*t.Turns-1))),
+			MinTurnTokens: max(1, int(t.New/2)), MaxTurnTokens: int(1.5 * t.New), PrefixTokens: int(t.Prefix), PrefixCount: 8,
+			MaxAnswerTokens: max(1, int(min(1.33*t.Out, float64(t.MaxOut)))), MaxRetries: d.Clients.Retries, IdleTime: time.Second,
 		}
 		effect := map[string]policy.Idempotency{"safe": policy.Idempotent, "keyed": policy.Deduplicated, "unsafe": policy.NonIdempotent}
 		e, ok := effect[c.Effect]
 		if !ok {
 			cannot = append(cannot, fmt.Sprintf("class %s: effect %q, played as idempotent", c.Name, c.Effect))
 		}
-		tr.Effect = config.Effect(e)
+		tr.Idempotency = config.Idempotency(e)
 		switch c.Group {
 		case "zone":
-			tr.Group = config.Group(policy.DedupScopeZone)
+			tr.DedupScope = config.DedupScope(policy.DedupScopeZone)
 		case "cell":
-			tr.Group = config.Group(policy.DedupScopeCell)
+			tr.DedupScope = config.DedupScope(policy.DedupScopeCell)
 		}
-		s.Load = append(s.Load, tr)
+		s.Classes = append(s.Classes, tr)
 	}
 	turns := 0.0
 	for i, c := range d.Classes {
 		turns += c.Share / total * d.Family.Talks[i].Turns
 	}
-	s.Rate = math.Round(100*d.Traffic.Load*readers/2/max(turns, 1)) / 100 // kept text and writers make about half of it good
+	s.SessionsPerSecond = math.Round(100*d.Traffic.Load*readers/2/max(turns, 1)) / 100 // kept text and writers make about half of it good
 
 	for _, t := range d.Troubles {
 		k, ok := known[t.Kind]
@@ -229,7 +229,7 @@
 			cannot = append(cannot, fmt.Sprintf("trouble %q at %v", t.Kind, us(t.At)))
 			continue
 		}
-		mine := Trouble{Kind: k.kind, At: us(t.At), For: us(t.Len)}
+		mine := Fault{Kind: k.kind, Start: us(t.At), Duration: us(t.Len)}
 		if k.factor != nil {
 			mine.Factor = math.Round(100*k.factor(t.Size)) / 100
 		}
@@ -239,7 +239,7 @@
 				cannot = append(cannot, fmt.Sprintf("trouble %q at %v: class %d", t.Kind, us(t.At), t.Which))
 				continue
 			}
-			mine.Track = d.Classes[t.Which].Name
+			mine.Class = d.Classes[t.Which].Name
 		case "cut":
 			if t.Which < 0 || t.Which >= len(d.Zones) {
 				cannot = append(cannot, fmt.Sprintf("trouble %q at %v: zone %d", t.Kind, us(t.At), t.Which))
@@ -251,26 +251,26 @@
 			done := map[int]bool{}
 			for _, b := range t.On {
 				m := mine
-				if m.Number = b * seen / max(len(d.Balancers), 1); m.Number < seen && !done[m.Number] {
-					done[m.Number] = true
-					s.Troubles = append(s.Troubles, m)
+				if m.Dispatcher = b * seen / max(len(d.Balancers), 1); m.Dispatcher < seen && !done[m.Dispatcher] {
+					done[m.Dispatcher] = true
+					s.Faults = append(s.Faults, m)
 				}
 			}
 			continue
 		}
 		if k.kind != "burst" && k.kind != "heavy" && k.kind != "cut" {
 			for _, i := range t.On {
-				if h := stands[i]; h > 0 && !slices.Contains(mine.Hosts, h) && (number[i] > 0 || len(mine.Hosts) == 0) {
-					mine.Hosts = append(mine.Hosts, h)
+				if h := stands[i]; h > 0 && !slices.Contains(mine.Servers, h) && (number[i] > 0 || len(mine.Servers) == 0) {
+					mine.Servers = append(mine.Servers, h)
 				}
 			}
-			slices.Sort(mine.Hosts)
-			if len(mine.Hosts) == 0 && k.kind != "links" && k.kind != "reports" && k.kind != "pauses" {
+			slices.Sort(mine.Servers)
+			if len(mine.Servers) == 0 && k.kind != "links" && k.kind != "reports" && k.kind != "pauses" {
 				cannot = append(cannot, fmt.Sprintf("trouble %q at %v: none of its hosts is played", t.Kind, us(t.At)))
 				continue
 			}
 		}
-		s.Troubles = append(s.Troubles, mine)
+		s.Faults = append(s.Faults, mine)
 	}
 	return s, cannot, nil
 }
@@ -298,10 +298,10 @@
 		return spell(out, "")
 	}
 	m := text(s).(map[string]any)
-	for i, t := range s.Load {
+	for i, t := range s.Classes {
 		to := m["classes"].([]any)[i].(map[string]any)
-		to["effect"] = []string{"idempotent", "deduplicated", "non_idempotent"}[t.Effect]
-		to["group"] = []string{"all", "zone", "cell"}[t.Group]
+		to["effect"] = []string{"idempotent", "deduplicated", "non_idempotent"}[t.Idempotency]
+		to["group"] = []string{"all", "zone", "cell"}[t.DedupScope]
 	}
 	return m
 }
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -20,49 +20,49 @@
 
 // Script is a day.
 type Script struct {
-	Seed        int64        `json:"seed"`
-	For         Dur          `json:"for" need:"how long load comes"`
-	Rate        float64      `json:"sessions_per_second" need:"sessions a second, at the usual"`
-	ListerLate  Dur          `json:"lister_late"`
-	Release     Dur          `json:"release_within"`
-	Cold        Cold         `json:"cold_start" need:"what servers bear that have just started"`
-	Fleet       []Hosts      `json:"fleet" need:"groups of servers"`
-	Dispatchers []Dispatcher `json:"dispatchers" need:"a list of dispatchers"`
-	Load        []Track      `json:"classes" was:"tracks" need:"a list of classes"`
-	Troubles    []Trouble    `json:"troubles"`
-	Noise       float64      `json:"report_noise"`
-	Batch       bool         `json:"batching"` // Hosts play the batch model instead of the simple one
-	Most        int64        `json:"attempts" was:"launches"`
-	FirstCome   bool         `json:"first_come"`                          // the door keeps no order but that of arrival
-	Waiting     int          `json:"requests_waiting" was:"jobs_waiting"` // at the door; 0 = the usual
-	Connections int          `json:"connections"`                         // of clients; 0 = the usual
-	Memory      int          `json:"memory_bytes"`                        // from which on the door sheds; 0 = no bound
+	Seed              int64         `json:"seed"`
+	Duration          Duration      `json:"for" need:"how long load comes"`
+	SessionsPerSecond float64       `json:"sessions_per_second" need:"sessions a second, at the usual"`
+	DiscoveryDelay    Duration      `json:"lister_late"`
+	ReleaseTime       Duration      `json:"release_within"`
+	SlowStart         SlowStart     `json:"cold_start" need:"what servers bear that have just started"`
+	Servers           []ServerGroup `json:"fleet" need:"groups of servers"`
+	Dispatchers       []Dispatcher  `json:"dispatchers" need:"a list of dispatchers"`
+	Classes           []Class       `json:"classes" was:"tracks" need:"a list of classes"`
+	Faults            []Fault       `json:"troubles"`
+	ReportNoise       float64       `json:"report_noise"`
+	BatchModel        bool          `json:"batching"` // Hosts play the batch model instead of the simple one
+	MaxAttempts       int64         `json:"attempts" was:"launches"`
+	FIFO              bool          `json:"first_come"`                          // the door keeps no order but that of arrival
+	MaxWaiting        int           `json:"requests_waiting" was:"jobs_waiting"` // at the door; 0 = the usual
+	MaxConnections    int           `json:"connections"`                         // of clients; 0 = the usual
+	MaxMemoryBytes    int           `json:"memory_bytes"`                        // from which on the door sheds; 0 = no bound
 }
 
-// Dur is a length of time as text.
-type Dur = time.Duration
+// Duration is a length of time as text.
+type Duration = time.Duration
 
-// Cold is what cold hosts bear.
-type Cold struct {
-	From     float64 `json:"from"`
-	Warm     Dur     `json:"warm_after"`
-	Multiple float64 `json:"overload_factor" was:"topples_at"`
-	Window   Dur     `json:"overload_window" was:"topples_over"`
+// SlowStart is what cold hosts bear.
+type SlowStart struct {
+	InitialCapacity float64  `json:"from"`
+	WarmupTime      Duration `json:"warm_after"`
+	OverloadFactor  float64  `json:"overload_factor" was:"topples_at"`
+	OverloadWindow  Duration `json:"overload_window" was:"topples_over"`
 }
 
-// Hosts is a group of hosts alike.
-type Hosts struct {
-	Count             int     `json:"count" need:"how many"`
-	Role              Role    `json:"role" need:"prefill, decode or mixed"`
-	Zone              string  `json:"zone"`
-	Cell              string  `json:"cell"`
-	Slots             int     `json:"slots" need:"requests at once"`
-	Queue             int     `json:"queue"`
-	Memory            int64   `json:"memory_tokens"`
-	ReadRate          float64 `json:"reads_per_second"` // prompt tokens
-	TokenGap          Dur     `json:"token_gap"`
-	RequestsPerSecond float64 `json:"requests_per_second" was:"jobs_per_second" need:"what one can do warm"`
-	MoveRate          float64 `json:"moves_per_second"` // tokens of state
+// ServerGroup is a group of hosts alike.
+type ServerGroup struct {
+	Count             int      `json:"count" need:"how many"`
+	Role              Role     `json:"role" need:"prefill, decode or mixed"`
+	Zone              string   `json:"zone"`
+	Cell              string   `json:"cell"`
+	Slots             int      `json:"slots" need:"requests at once"`
+	QueueLength       int      `json:"queue"`
+	MemoryTokens      int64    `json:"memory_tokens"`
+	PrefillRate       float64  `json:"reads_per_second"` // prompt tokens
+	TokenGap          Duration `json:"token_gap"`
+	RequestsPerSecond float64  `json:"requests_per_second" was:"jobs_per_second" need:"what one can do warm"`
+	TransferRate      float64  `json:"moves_per_second"` // tokens of state
 }
 
 // Dispatcher is one dispatcher of the day.
@@ -71,55 +71,55 @@
 	Count int    `json:"count"` // so many alike; 0 = one
 }
 
-// Track is a class of jobs: what the dispatcher is told of it and what its clients do.
-type Track struct {
-	Name         string        `json:"name" need:"a name"`
-	Share        float64       `json:"share" need:"its share of the sessions"`
-	Tenant       string        `json:"tenant"`
-	Target       Dur           `json:"target" was:"expected" need:"time in which the first token is wanted"`
-	Per1k        Dur           `json:"target_per_1000_tokens" was:"expected_per_1000_tokens"`
-	Timeout      Dur           `json:"timeout" was:"patience" need:"the client's time"`
-	Value        float64       `json:"value" was:"payoff"`
-	TokenGap     Dur           `json:"token_gap" need:"time wanted between tokens"`
-	Effect       config.Effect `json:"effect"`
-	Group        config.Group  `json:"group"`
-	Window       Dur           `json:"window"`
-	Turns        int           `json:"turns"`
-	Prompt       int           `json:"prompt" need:"least tokens that a turn adds"`
-	PromptMost   int           `json:"prompt_most"`
-	PrefixTokens int           `json:"prefix_tokens" was:"beginning"`
-	Prefixes     int           `json:"prefixes" was:"beginnings"`
-	Answer       int           `json:"answer" need:"most tokens of an answer"`
-	Retries      int           `json:"retries"`
-	Leave        float64       `json:"leave"`
-	Idle         Dur           `json:"idle"`
-	Clients      int           `json:"clients"`         // that name themselves
-	Deaf         bool          `json:"no_advice"`       // come back at once whatever they are told
-	Made         bool          `json:"made_up"`         // a new name for each job
-	Background   bool          `json:"background"`      // its jobs yield to all others
-	Conns        int           `json:"connections"`     // of its clients to each dispatcher; 0 = two
-	Weight       float64       `json:"weight"`          // of its tenant
-	Rate         float64       `json:"most_per_second"` // of its tenant
+// Class is a class of jobs: what the dispatcher is told of it and what its clients do.
+type Class struct {
+	Name                 string             `json:"name" need:"a name"`
+	Share                float64            `json:"share" need:"its share of the sessions"`
+	Tenant               string             `json:"tenant"`
+	LatencyTarget        Duration           `json:"target" was:"expected" need:"time in which the first token is wanted"`
+	LatencyTargetPer1k   Duration           `json:"target_per_1000_tokens" was:"expected_per_1000_tokens"`
+	Timeout              Duration           `json:"timeout" was:"patience" need:"the client's time"`
+	Value                float64            `json:"value" was:"payoff"`
+	TokenGap             Duration           `json:"token_gap" need:"time wanted between tokens"`
+	Idempotency          config.Idempotency `json:"effect"`
+	DedupScope           config.DedupScope  `json:"group"`
+	DedupWindow          Duration           `json:"window"`
+	TurnCount            int                `json:"turns"`
+	MinTurnTokens        int                `json:"prompt" need:"least tokens that a turn adds"`
+	MaxTurnTokens        int                `json:"prompt_most"`
+	PrefixTokens         int                `json:"prefix_tokens" was:"beginning"`
+	PrefixCount          int                `json:"prefixes" was:"beginnings"`
+	MaxAnswerTokens      int                `json:"answer" need:"most tokens of an answer"`
+	MaxRetries           int                `json:"retries"`
+	CancelShare          float64            `json:"leave"`
+	IdleTime             Duration           `json:"idle"`
+	ClientCount          int                `json:"clients"`         // that name themselves
+	IgnoresRetryAfter    bool               `json:"no_advice"`       // come back at once whatever they are told
+	NewClientPerRequest  bool               `json:"made_up"`         // a new name for each job
+	Background           bool               `json:"background"`      // its jobs yield to all others
+	ConnsPerDispatcher   int                `json:"connections"`     // of its clients to each dispatcher; 0 = two
+	Weight               float64            `json:"weight"`          // of its tenant
+	MaxRequestsPerSecond float64            `json:"most_per_second"` // of its tenant
 }
 
-// Trouble is one thing that goes wrong.
-type Trouble struct {
-	Kind   string  `json:"kind" need:"what goes wrong"`
-	At     Dur     `json:"at" need:"when"`
-	For    Dur     `json:"for"`
-	Hosts  []int   `json:"servers" was:"hosts"` // numbers of hosts, from 1, in the order of the fleet
-	Share  float64 `json:"share"`               // or so many of them, by the seed
-	Role   Role    `json:"role"`                // of this role
-	Zone   string  `json:"zone"`
-	Cell   string  `json:"cell"`
-	Track  string  `json:"class" was:"track"`
-	Factor float64 `json:"factor"`
-	Number int     `json:"dispatcher"`
+// Fault is one thing that goes wrong.
+type Fault struct {
+	Kind       string   `json:"kind" need:"what goes wrong"`
+	Start      Duration `json:"at" need:"when"`
+	Duration   Duration `json:"for"`
+	Servers    []int    `json:"servers" was:"hosts"` // numbers of hosts, from 1, in the order of the fleet
+	Share      float64  `json:"share"`               // or so many of them, by the seed
+	Role       Role     `json:"role"`                // of this role
+	Zone       string   `json:"zone"`
+	Cell       string   `json:"cell"`
+	Class      string   `json:"class" was:"track"`
+	Factor     float64  `json:"factor"`
+	Dispatcher int      `json:"dispatcher"`
 }
 
-// Noticed is the time in which dispatchers have to notice connections that went silent with no reset, and let go of
+// FaultDetectionTime is the time in which dispatchers have to notice connections that went silent with no reset, and let go of
 // what is left behind them.
-const Noticed = 5 * time.Second
+const FaultDetectionTime = 5 * time.Second
 
 // kinds of trouble, and what each needs.
 var kinds = map[string]string{
@@ -158,12 +158,12 @@
 	Mixed   Role = "mixed"   // does both
 )
 
-// Roles are what they are on the wire.
-var Roles = map[Role]pb.Role{Prefill: pb.Role_ROLE_READER, Decode: pb.Role_ROLE_WRITER, Mixed: pb.Role_ROLE_MIXED}
+// WireRoles are what they are on the wire.
+var WireRoles = map[Role]pb.Role{Prefill: pb.Role_ROLE_READER, Decode: pb.Role_ROLE_WRITER, Mixed: pb.Role_ROLE_MIXED}
 
 // UnmarshalText takes the name of a role.
 func (r *Role) UnmarshalText(text []byte) error {
-	if _, ok := Roles[Role(text)]; !ok && len(text) > 0 {
+	if _, ok := WireRoles[Role(text)]; !ok && len(text) > 0 {
 		return fmt.Errorf("%q, want prefill, decode or mixed", text)
 	}
 	*r = Role(text)
@@ -175,8 +175,8 @@
 	return map[string]string{"reader": "prefill", "writer": "decode"}
 }
 
-// Kinds are the names of all troubles.
-func Kinds() []string { return slices.Sorted(maps.Keys(kinds)) }
+// FaultKinds are the names of all troubles.
+func FaultKinds() []string { return slices.Sorted(maps.Keys(kinds)) }
 
 // Load reads a script from a file.
 func Load(name string) (*Script, error) {
@@ -189,32 +189,32 @@
 
 // Parse reads a script; name stands for the file in errors.
 func Parse(name string, text []byte) (*Script, error) {
-	s := &Script{Seed: 1, Release: time.Second, Most: 5}
+	s := &Script{Seed: 1, ReleaseTime: time.Second, MaxAttempts: 5}
 	err := config.Decode(name, text, s, func(bad func(path, format string, args ...any)) {
-		for i, h := range s.Fleet {
+		for i, h := range s.Servers {
 			if h.Role == "" {
 				bad(fmt.Sprintf("fleet[%d].role", i), "is empty, want prefill, decode or mixed")
 			}
 			if h.Count < 1 || h.Slots < 1 || h.RequestsPerSecond <= 0 {
 				bad(fmt.Sprintf("fleet[%d]", i), "want count, slots and requests_per_second above 0")
 			}
-			if h.Role != Decode && h.ReadRate <= 0 {
-				bad(fmt.Sprintf("fleet[%d].reads_per_second", i), "is %v, want more than 0 for what reads", h.ReadRate)
+			if h.Role != Decode && h.PrefillRate <= 0 {
+				bad(fmt.Sprintf("fleet[%d].reads_per_second", i), "is %v, want more than 0 for what reads", h.PrefillRate)
 			}
 			if h.Role != Prefill && h.TokenGap <= 0 {
 				bad(fmt.Sprintf("fleet[%d].token_gap", i), "is %v, want more than 0 for what writes", h.TokenGap)
 			}
 		}
-		if len(s.Dispatchers) == 0 || len(s.Load) == 0 || s.For <= 0 {
+		if len(s.Dispatchers) == 0 || len(s.Classes) == 0 || s.Duration <= 0 {
 			bad("dispatchers", "want one dispatcher, one class and some time at least")
 		}
-		total := len(s.Hosts())
-		for i, t := range s.Troubles {
+		total := len(s.EngineSpecs())
+		for i, t := range s.Faults {
 			at := fmt.Sprintf("troubles[%d]", i)
 			if _, ok := kinds[t.Kind]; !ok {
-				bad(at+".kind", "%q, want one of %v", t.Kind, Kinds())
+				bad(at+".kind", "%q, want one of %v", t.Kind, FaultKinds())
 			}
-			for _, h := range t.Hosts {
+			for _, h := range t.Servers {
 				if h < 1 || h > total {
 					bad(at+".servers", "%d, want 1 to %d", h, total)
 				}
@@ -223,8 +223,8 @@
 			for _, d := range s.Dispatchers {
 				dispatchers += max(d.Count, 1)
 			}
-			if t.Number < 0 || t.Number >= dispatchers {
-				bad(at+".dispatcher", "%d, want 0 to %d", t.Number, dispatchers-1)
+			if t.Dispatcher < 0 || t.Dispatcher >= dispatchers {
+				bad(at+".dispatcher", "%d, want 0 to %d", t.Dispatcher, dispatchers-1)
 			}
 		}
 	})
@@ -241,25 +241,25 @@
 	return s, nil
 }
 
-// Hosts spells out the fleet, numbered from 1.
-func (s *Script) Hosts() []engine.Spec {
+// EngineSpecs spells out the fleet, numbered from 1.
+func (s *Script) EngineSpecs() []engine.Spec {
 	var all []engine.Spec
-	for _, h := range s.Fleet {
+	for _, h := range s.Servers {
 		for range h.Count {
 			e := engine.Spec{
-				ID: len(all) + 1, Role: Roles[h.Role], Zone: h.Zone, Cell: h.Cell, Slots: h.Slots, Queue: h.Queue,
-				Memory: h.Memory, ReadRate: h.ReadRate, TokenGap: h.TokenGap, JobsPerSecond: h.RequestsPerSecond, ColdFrom: s.Cold.From,
-				Warm: s.Cold.Warm, Topple: s.Cold.Multiple, ToppleOver: s.Cold.Window, MoveRate: h.MoveRate,
-				Hold: 10 * time.Second, ReportEvery: 100 * time.Millisecond, Batch: s.Batch, ReportNoise: s.Noise,
+				ID: len(all) + 1, Role: WireRoles[h.Role], Zone: h.Zone, Cell: h.Cell, Slots: h.Slots, Queue: h.QueueLength,
+				MemoryTokens: h.MemoryTokens, PrefillRate: h.PrefillRate, TokenGap: h.TokenGap, RequestsPerSecond: h.RequestsPerSecond, InitialCapacity: s.SlowStart.InitialCapacity,
+				WarmupTime: s.SlowStart.WarmupTime, OverloadFactor: s.SlowStart.OverloadFactor, OverloadWindow: s.SlowStart.OverloadWindow, TransferRate: h.TransferRate,
+				MaxHoldTime: 10 * time.Second, ReportInterval: 100 * time.Millisecond, BatchModel: s.BatchModel, ReportNoise: s.ReportNoise,
 			}
-			if e.Memory == 0 {
-				e.Memory = 200000
+			if e.MemoryTokens == 0 {
+				e.MemoryTokens = 200000
 			}
-			if e.MoveRate == 0 {
-				e.MoveRate = 300000
+			if e.TransferRate == 0 {
+				e.TransferRate = 300000
 			}
-			if e.ReadRate == 0 {
-				e.ReadRate = 5000
+			if e.PrefillRate == 0 {
+				e.PrefillRate = 5000
 			}
 			all = append(all, e)
 		}
@@ -267,61 +267,61 @@
 	return all
 }
 
-// Settings are what dispatcher n is told.
-func (s *Script) Settings(n int) *config.Dispatcher {
-	d := config.Usual()
-	d.Zone, d.Number, d.Count, d.Seed, d.HashKey = s.Dispatchers[n].Zone, int32(n), int32(len(s.Dispatchers)), uint64(s.Seed)+uint64(n), 7
-	d.Attempts.Most = int32(s.Most)
-	d.Attempts.Connect = 250 * time.Millisecond
-	d.Rules.Release = s.Release
-	d.Cold = config.Cold{From: s.Cold.From, Warm: s.Cold.Warm, Multiple: s.Cold.Multiple, Window: s.Cold.Window}
-	d.FirstCome = s.FirstCome
-	if s.Waiting > 0 {
-		d.Limits.Waiting = s.Waiting
+// DispatcherConfig are what dispatcher n is told.
+func (s *Script) DispatcherConfig(n int) *config.Dispatcher {
+	d := config.Default()
+	d.Zone, d.Index, d.Count, d.Seed, d.HashKey = s.Dispatchers[n].Zone, int32(n), int32(len(s.Dispatchers)), uint64(s.Seed)+uint64(n), 7
+	d.Attempts.MaxAttempts = int32(s.MaxAttempts)
+	d.Attempts.ConnectTimeout = 250 * time.Millisecond
+	d.Rules.ReleaseTime = s.ReleaseTime
+	d.SlowStart = config.SlowStart{InitialCapacity: s.SlowStart.InitialCapacity, WarmupTime: s.SlowStart.WarmupTime, OverloadFactor: s.SlowStart.OverloadFactor, OverloadWindow: s.SlowStart.OverloadWindow}
+	d.FIFO = s.FIFO
+	if s.MaxWaiting > 0 {
+		d.Limits.MaxWaiting = s.MaxWaiting
 	}
-	if s.Connections > 0 {
-		d.Limits.Connections = s.Connections
+	if s.MaxConnections > 0 {
+		d.Limits.MaxConnections = s.MaxConnections
 	}
-	d.Limits.Memory = s.Memory
+	d.Limits.MaxMemoryBytes = s.MaxMemoryBytes
 	tenants := map[string]bool{}
-	for _, t := range s.Load {
+	for _, t := range s.Classes {
 		d.Classes = append(d.Classes, config.Class{
-			Name: t.Name, Target: t.Target, TargetPer1k: t.Per1k,
-			Timeout: t.Timeout, Value: t.Value, TokenGap: t.TokenGap, Effect: t.Effect, Group: t.Group, Window: t.Window,
+			Name: t.Name, LatencyTarget: t.LatencyTarget, LatencyTargetPer1k: t.LatencyTargetPer1k,
+			Timeout: t.Timeout, Value: t.Value, InterTokenTarget: t.TokenGap, Idempotency: t.Idempotency, DedupScope: t.DedupScope, DedupWindow: t.DedupWindow,
 		})
 		if t.Tenant != "" && !tenants[t.Tenant] {
 			tenants[t.Tenant] = true
-			d.Tenants = append(d.Tenants, config.Tenant{Name: t.Tenant, PerSecond: s.Rate, Weight: t.Weight, Rate: t.Rate})
+			d.Tenants = append(d.Tenants, config.Tenant{Name: t.Tenant, RequestsPerSecond: s.SessionsPerSecond, Weight: t.Weight, MaxRequestsPerSecond: t.MaxRequestsPerSecond})
 		}
 	}
 	return d
 }
 
-// Clients are the load's tracks.
-func (s *Script) Clients() []userclient.Class {
+// ClientClasses are the load's tracks.
+func (s *Script) ClientClasses() []userclient.Class {
 	var ts []userclient.Class
-	for _, t := range s.Load {
+	for _, t := range s.Classes {
 		ts = append(ts, userclient.Class{
-			Name: t.Name, Share: t.Share, Tenant: t.Tenant, Turns: t.Turns, Prompt: t.Prompt,
-			PromptMost: t.PromptMost, PrefixTokens: t.PrefixTokens, Prefixes: t.Prefixes, Answer: t.Answer, Expected: t.Target,
-			Per1k: t.Per1k, Timeout: t.Timeout, Value: max(t.Value, 1), Retries: t.Retries, Leave: t.Leave, Idle: t.Idle,
-			Clients: t.Clients, Deaf: t.Deaf, Made: t.Made, Conns: t.Conns, Background: t.Background,
-			NonIdempotent: policy.Idempotency(t.Effect) != policy.Idempotent,
+			Name: t.Name, Share: t.Share, Tenant: t.Tenant, TurnCount: t.TurnCount, MinTurnTokens: t.MinTurnTokens,
+			MaxTurnTokens: t.MaxTurnTokens, PrefixTokens: t.PrefixTokens, PrefixCount: t.PrefixCount, MaxAnswerTokens: t.MaxAnswerTokens, LatencyTarget: t.LatencyTarget,
+			LatencyTargetPer1k: t.LatencyTargetPer1k, Timeout: t.Timeout, Value: max(t.Value, 1), MaxRetries: t.MaxRetries, CancelShare: t.CancelShare, Idle: t.IdleTime,
+			ClientCount: t.ClientCount, IgnoresRetryAfter: t.IgnoresRetryAfter, NewClientPerRequest: t.NewClientPerRequest, ConnsPerDispatcher: t.ConnsPerDispatcher, Background: t.Background,
+			NonIdempotent: policy.Idempotency(t.Idempotency) != policy.Idempotent,
 		})
 	}
 	return ts
 }
 
-// Facts are what the rules are judged by.
-func (s *Script) Facts() invariants.Facts {
-	f := invariants.Facts{
-		Classes: map[string]invariants.Class{}, Servers: map[int]invariants.Server{}, Release: s.Release,
-		Grace: config.Usual().Rules.Drain, Slack: 250 * time.Millisecond,
+// InvariantLimits are what the rules are judged by.
+func (s *Script) InvariantLimits() invariants.Limits {
+	f := invariants.Limits{
+		Classes: map[string]invariants.Class{}, Servers: map[int]invariants.Server{}, ReleaseTime: s.ReleaseTime,
+		DrainGrace: config.Default().Rules.DrainGrace, Tolerance: 250 * time.Millisecond,
 	}
-	for _, t := range s.Load {
-		f.Classes[t.Name] = invariants.Class{Effect: policy.Idempotency(t.Effect), Group: policy.DedupScope(t.Group), Window: t.Window}
+	for _, t := range s.Classes {
+		f.Classes[t.Name] = invariants.Class{Idempotency: policy.Idempotency(t.Idempotency), DedupScope: policy.DedupScope(t.DedupScope), DedupWindow: t.DedupWindow}
 	}
-	for _, h := range s.Hosts() {
+	for _, h := range s.EngineSpecs() {
 		f.Servers[h.ID] = invariants.Server{Zone: h.Zone, Cell: h.Cell}
 	}
 	return f
@@ -330,16 +330,16 @@
 // Demo is a small quiet day.
 func Demo() *Script {
 	return &Script{
-		Seed: 1, For: time.Second, Rate: 5, Release: time.Second, Most: 5,
-		Cold: Cold{From: 1, Warm: time.Second, Multiple: 100, Window: time.Second},
-		Fleet: []Hosts{
-			{Count: 2, Role: Prefill, Zone: "a", Cell: "a1", Slots: 8, Queue: 32, ReadRate: 20000, RequestsPerSecond: 10},
-			{Count: 2, Role: Decode, Zone: "a", Cell: "a1", Slots: 32, Queue: 32, TokenGap: 20 * time.Millisecond, RequestsPerSecond: 10},
+		Seed: 1, Duration: time.Second, SessionsPerSecond: 5, ReleaseTime: time.Second, MaxAttempts: 5,
+		SlowStart: SlowStart{InitialCapacity: 1, WarmupTime: time.Second, OverloadFactor: 100, OverloadWindow: time.Second},
+		Servers: []ServerGroup{
+			{Count: 2, Role: Prefill, Zone: "a", Cell: "a1", Slots: 8, QueueLength: 32, PrefillRate: 20000, RequestsPerSecond: 10},
+			{Count: 2, Role: Decode, Zone: "a", Cell: "a1", Slots: 32, QueueLength: 32, TokenGap: 20 * time.Millisecond, RequestsPerSecond: 10},
 		},
 		Dispatchers: []Dispatcher{{Zone: "a"}},
-		Load: []Track{{
-			Name: "question", Share: 1, Target: time.Second, Per1k: 60 * time.Millisecond, Timeout: 5 * time.Second,
-			Value: 1, TokenGap: 50 * time.Millisecond, Prompt: 500, PromptMost: 1500, Answer: 60,
+		Classes: []Class{{
+			Name: "question", Share: 1, LatencyTarget: time.Second, LatencyTargetPer1k: 60 * time.Millisecond, Timeout: 5 * time.Second,
+			Value: 1, TokenGap: 50 * time.Millisecond, MinTurnTokens: 500, MaxTurnTokens: 1500, MaxAnswerTokens: 60,
 		}},
 	}
 }
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -78,16 +78,16 @@
 		t.Errorf("cannot be played: %v, want the locusts alone", cannot)
 	}
 	var kinds []string
-	for _, tr := range s.Troubles {
+	for _, tr := range s.Faults {
 		kinds = append(kinds, tr.Kind)
 	}
 	if want := []string{"slow", "cut", "deaf", "dispatcher", "burst"}; !reflect.DeepEqual(kinds, want) {
 		t.Errorf("troubles %v, want %v", kinds, want)
 	}
-	if len(s.Hosts()) != 6 || len(s.Dispatchers) != 2 || s.Troubles[1].Zone != "y" || s.Troubles[2].Track != "c" || s.Troubles[3].Number != 1 {
-		t.Errorf("%d hosts, %d dispatchers, troubles %+v", len(s.Hosts()), len(s.Dispatchers), s.Troubles)
+	if len(s.EngineSpecs()) != 6 || len(s.Dispatchers) != 2 || s.Faults[1].Zone != "y" || s.Faults[2].Class != "c" || s.Faults[3].Dispatcher != 1 {
+		t.Errorf("%d hosts, %d dispatchers, troubles %+v", len(s.EngineSpecs()), len(s.Dispatchers), s.Faults)
 	}
-	if got := s.Troubles[0].Hosts; len(got) != 2 {
+	if got := s.Faults[0].Servers; len(got) != 2 {
 		t.Errorf("slow hosts %v, want the two writers it was on", got)
 	}
 	b, err := s.Encode()
@@ -98,8 +98,8 @@
 		t.Errorf("the script can't be read: %v", err)
 	}
 	small, _, err := Import([]byte(benchText), 2, 1)
-	if err != nil || len(small.Hosts()) != 4 {
-		t.Errorf("scaled down to %d hosts, %v, want one of each kind and cell", len(small.Hosts()), err)
+	if err != nil || len(small.EngineSpecs()) != 4 {
+		t.Errorf("scaled down to %d hosts, %v, want one of each kind and cell", len(small.EngineSpecs()), err)
 	}
 	for _, bad := range []string{"", "{}", `{"servers": [{}]}`} {
 		if _, _, err := Import([]byte(bad), 6, 2); err == nil {
--- a/internal/lab/scenario/stage.go
+++ b/internal/lab/scenario/stage.go
@@ -25,17 +25,17 @@
 	pb "docksail/api/docksail/v1"
 )
 
-// Stage is a day's parties, running.
-type Stage struct {
-	Script  *Script
-	Book    *eventlog.Book
-	Engines []*engine.Engine
-	Wrap    func(n int) func(dispatch.Module) dispatch.Module // stands between a dispatcher and its module, for tests
+// Deployment is a day's parties, running.
+type Deployment struct {
+	Script     *Script
+	Log        *eventlog.Log
+	Engines    []*engine.Engine
+	WrapModule func(n int) func(dispatch.Module) dispatch.Module // stands between a dispatcher and its module, for tests
 
 	log     *slog.Logger
 	dir     string
-	listers []*discoveryserver.Lister
-	relays  [][]*faultproxy.Relay // by dispatcher, by host
+	listers []*discoveryserver.Server
+	relays  [][]*faultproxy.Proxy // by dispatcher, by host
 	mu      sync.Mutex
 	disp    []*dispatch.Node
 	addrs   []netip.AddrPort
@@ -46,12 +46,12 @@
 	links   *engine.Links
 }
 
-// Open starts a day's parties.
-func Open(s *Script, log *slog.Logger) (*Stage, error) { return OpenWith(s, log, nil) }
+// Start starts a day's parties.
+func Start(s *Script, log *slog.Logger) (*Deployment, error) { return StartWithModule(s, log, nil) }
 
-// OpenWith is Open with something between dispatchers and their modules.
-func OpenWith(s *Script, log *slog.Logger, wrap func(n int) func(dispatch.Module) dispatch.Module) (st *Stage, err error) {
-	st = &Stage{Script: s, Book: &eventlog.Book{}, Wrap: wrap, log: log, health: map[int]pb.Health{}}
+// StartWithModule is Open with something between dispatchers and their modules.
+func StartWithModule(s *Script, log *slog.Logger, wrap func(n int) func(dispatch.Module) dispatch.Module) (st *Deployment, err error) {
+	st = &Deployment{Script: s, Log: &eventlog.Log{}, WrapModule: wrap, log: log, health: map[int]pb.Health{}}
 	defer func() {
 		if err != nil {
 			st.Close()
@@ -60,28 +60,28 @@
 	if st.dir, err = os.MkdirTemp("", "docksail-drill"); err != nil {
 		return st, err
 	}
-	st.links = engine.NewLinks(engine.CellFactor, engine.ZoneSlower)
-	for _, spec := range s.Hosts() {
-		e := engine.New(spec, engine.Simple{}, st.Book)
-		if s.Batch {
+	st.links = engine.NewLinks(engine.CellLinkFactor, engine.CrossZoneFactor)
+	for _, spec := range s.EngineSpecs() {
+		e := engine.New(spec, engine.LinearModel{}, st.Log)
+		if s.BatchModel {
 			e.Links = st.links
 		}
 		if err := e.Start("127.0.0.1:0"); err != nil {
 			return st, err
 		}
-		e.Warm()
+		e.SkipWarmup()
 		st.Engines = append(st.Engines, e)
 		st.health[spec.ID] = pb.Health_HEALTH_SERVING
 	}
 	for n := range s.Dispatchers {
-		l := discoveryserver.New(s.ListerLate, n, st.Book)
+		l := discoveryserver.New(s.DiscoveryDelay, n, st.Log)
 		if err := l.Start("127.0.0.1:0"); err != nil {
 			return st, err
 		}
 		st.listers = append(st.listers, l)
-		var rs []*faultproxy.Relay
+		var rs []*faultproxy.Proxy
 		for _, e := range st.Engines {
-			r, err := faultproxy.New(e.Addr(), e.Spec.ID, n, st.Book)
+			r, err := faultproxy.New(e.Addr(), e.Spec.ID, n, st.Log)
 			if err != nil {
 				return st, err
 			}
@@ -94,10 +94,10 @@
 		st.list(i, true, 0) // they have run for long
 	}
 	for n := range s.Dispatchers {
-		d := s.Settings(n)
+		d := s.DispatcherConfig(n)
 		d.Listen = netip.MustParseAddrPort("127.0.0.1:0")
-		d.Fleet.Watch = netip.MustParseAddrPort(st.listers[n].Addr())
-		d.Fleet.Keep = filepath.Join(st.dir, fmt.Sprintf("list%d", n))
+		d.Discovery.Watch = netip.MustParseAddrPort(st.listers[n].Addr())
+		d.Discovery.CacheFile = filepath.Join(st.dir, fmt.Sprintf("list%d", n))
 		st.sets = append(st.sets, d)
 		st.disp = append(st.disp, nil)
 		st.addrs = append(st.addrs, netip.AddrPort{})
@@ -119,14 +119,14 @@
 	return st, nil
 }
 
-func (st *Stage) startDispatcher(n int) error {
+func (st *Deployment) startDispatcher(n int) error {
 	d := *st.sets[n]
 	if st.addrs[n].IsValid() {
 		d.Listen = st.addrs[n]
 	}
 	var wrap func(dispatch.Module) dispatch.Module
-	if st.Wrap != nil {
-		wrap = st.Wrap(n)
+	if st.WrapModule != nil {
+		wrap = st.WrapModule(n)
 	}
 	r, err := dispatch.Start(&d, st.log.With("dispatcher", n), wrap)
 	if err != nil {
@@ -135,18 +135,18 @@
 	st.mu.Lock()
 	st.disp[n], st.addrs[n] = r, r.Addr
 	st.mu.Unlock()
-	st.Book.Add(eventlog.Entry{Kind: eventlog.Up, Disp: n})
+	st.Log.Add(eventlog.Entry{Kind: eventlog.DispatcherStarted, Dispatcher: n})
 	return nil
 }
 
-// Kill ends dispatcher n outright; Restart starts it again with the list that it kept.
-func (st *Stage) Kill(n int) { st.killDispatcher(n) }
+// KillDispatcher ends dispatcher n outright; Restart starts it again with the list that it kept.
+func (st *Deployment) KillDispatcher(n int) { st.killDispatcher(n) }
 
-// Restart starts dispatcher n again on its address.
-func (st *Stage) Restart(n int) error { return st.startDispatcher(n) }
+// RestartDispatcher starts dispatcher n again on its address.
+func (st *Deployment) RestartDispatcher(n int) error { return st.startDispatcher(n) }
 
-// Listers stops, or starts again, all listers.
-func (st *Stage) Listers(run bool) error {
+// SetDiscoveryRunning stops, or starts again, all listers.
+func (st *Deployment) SetDiscoveryRunning(run bool) error {
 	for _, l := range st.listers {
 		if !run {
 			l.Stop()
@@ -157,52 +157,52 @@
 	return nil
 }
 
-// Tell has the listers tell of a host's health at once.
-func (st *Stage) Tell(host int, health pb.Health) {
+// SetServerHealth has the listers tell of a host's health at once.
+func (st *Deployment) SetServerHealth(host int, health pb.Health) {
 	st.health[host] = health
 	st.list(host-1, true, st.since(st.Engines[host-1]))
 }
 
-// Settings gives a copy of what dispatcher n was told.
-func (st *Stage) Settings(n int) *config.Dispatcher {
+// DispatcherConfig gives a copy of what dispatcher n was told.
+func (st *Deployment) DispatcherConfig(n int) *config.Dispatcher {
 	s := *st.sets[n]
 	s.Tenants = slices.Clone(s.Tenants)
 	return &s
 }
 
-// Relays are those of dispatcher n, by host.
-func (st *Stage) Relays(n int) []*faultproxy.Relay { return st.relays[n] }
+// Proxies are those of dispatcher n, by host.
+func (st *Deployment) Proxies(n int) []*faultproxy.Proxy { return st.relays[n] }
 
-// Check judges what has passed so far.
-func (st *Stage) Check() []invariants.Violation {
-	return invariants.Check(st.Book.Entries(), st.Script.Facts())
+// CheckInvariants judges what has passed so far.
+func (st *Deployment) CheckInvariants() []invariants.Violation {
+	return invariants.Check(st.Log.Entries(), st.Script.InvariantLimits())
 }
 
-func (st *Stage) killDispatcher(n int) {
+func (st *Deployment) killDispatcher(n int) {
 	st.mu.Lock()
 	r := st.disp[n]
 	st.disp[n] = nil
 	st.mu.Unlock()
 	if r != nil {
 		r.RunOnLoop(func(d *dispatch.Dispatcher) { add(&st.counts[n], d.Counts) })
-		st.Book.Add(eventlog.Entry{Kind: eventlog.Down, Disp: n})
+		st.Log.Add(eventlog.Entry{Kind: eventlog.DispatcherStopped, Dispatcher: n})
 		r.Kill()
 	}
 }
 
-// Drain has dispatcher n leave, and waits.
-func (st *Stage) Drain(n int, within time.Duration) {
+// DrainDispatcher has dispatcher n leave, and waits.
+func (st *Deployment) DrainDispatcher(n int, within time.Duration) {
 	st.mu.Lock()
 	r := st.disp[n]
 	st.disp[n] = nil
 	st.mu.Unlock()
 	r.Drain(within)
 	r.Wait()
-	st.Book.Add(eventlog.Entry{Kind: eventlog.Down, Disp: n})
+	st.Log.Add(eventlog.Entry{Kind: eventlog.DispatcherStopped, Dispatcher: n})
 }
 
-// Targets are the addresses of the dispatchers.
-func (st *Stage) Targets() []string {
+// Addresses are the addresses of the dispatchers.
+func (st *Deployment) Addresses() []string {
 	var ts []string
 	for _, a := range st.addrs {
 		ts = append(ts, a.String())
@@ -211,14 +211,14 @@
 }
 
 // Dispatcher gives dispatcher n; nil while it is down.
-func (st *Stage) Dispatcher(n int) *dispatch.Node {
+func (st *Deployment) Dispatcher(n int) *dispatch.Node {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	return st.disp[n]
 }
 
 // Counts adds up what all dispatchers counted, over all their lives.
-func (st *Stage) Counts() dispatch.Counts {
+func (st *Deployment) Counts() dispatch.Counts {
 	var sum dispatch.Counts
 	for n := range st.disp {
 		add(&sum, st.counts[n])
@@ -230,7 +230,7 @@
 }
 
 // Close ends all parties.
-func (st *Stage) Close() {
+func (st *Deployment) Close() {
 	for n := range st.disp {
 		st.killDispatcher(n)
 	}
@@ -254,7 +254,7 @@
 }
 
 // list makes a host's state known through the listers; started 0 says long ago.
-func (st *Stage) list(i int, atOnce bool, started int64) {
+func (st *Deployment) list(i int, atOnce bool, started int64) {
 	e := st.Engines[i]
 	for n, l := range st.listers {
 		l.Set(&pb.Host{
@@ -265,20 +265,20 @@
 }
 
 // restart starts a crashed host again, cold.
-func (st *Stage) restart(i int) {
+func (st *Deployment) restart(i int) {
 	e := st.Engines[i]
 	if err := e.Start(""); err != nil {
 		st.log.Error("host does not start again", "host", e.Spec.ID, "err", err)
 		return
 	}
 	st.health[e.Spec.ID] = pb.Health_HEALTH_SERVING
-	at, _ := e.Started()
+	at, _ := e.StartTime()
 	st.list(i, false, at.UnixNano())
 }
 
 // since is the start of a host's process as the list has it: 0 for those that ran before the day.
-func (st *Stage) since(e *engine.Engine) int64 {
-	at, _ := e.Started()
+func (st *Deployment) since(e *engine.Engine) int64 {
+	at, _ := e.StartTime()
 	if at.Before(st.began) {
 		return 0
 	}
@@ -286,10 +286,10 @@
 }
 
 // on gives the hosts of a trouble.
-func (st *Stage) on(t Trouble, rng *rand.Rand) []int {
-	if len(t.Hosts) > 0 {
+func (st *Deployment) on(t Fault, rng *rand.Rand) []int {
+	if len(t.Servers) > 0 {
 		var is []int
-		for _, h := range t.Hosts {
+		for _, h := range t.Servers {
 			is = append(is, h-1)
 		}
 		return is
@@ -297,7 +297,7 @@
 	var is []int
 	for i, e := range st.Engines {
 		s := e.Spec
-		if (t.Role == "" || Roles[t.Role] == s.Role) && (t.Zone == "" || t.Zone == s.Zone) && (t.Cell == "" || t.Cell == s.Cell) {
+		if (t.Role == "" || WireRoles[t.Role] == s.Role) && (t.Zone == "" || t.Zone == s.Zone) && (t.Cell == "" || t.Cell == s.Cell) {
 			is = append(is, i)
 		}
 	}
@@ -311,17 +311,17 @@
 
 // Report is what a day came to.
 type Report struct {
-	Sums       map[string]*userclient.Sum
-	Violations []invariants.Violation
-	Entries    []eventlog.Entry
-	Counts     dispatch.Counts
-	Launches   int
-	Doors      []admission.TenantCounts // by dispatcher, by tenant
-	Took       time.Duration
+	Summaries       map[string]*userclient.Summary
+	Violations      []invariants.Violation
+	Entries         []eventlog.Entry
+	Counts          dispatch.Counts
+	Attempts        int
+	AdmissionCounts []admission.TenantCounts // by dispatcher, by tenant
+	Elapsed         time.Duration
 }
 
-// Play plays the script to its end, lets what is left end, and judges the rules.
-func (st *Stage) Play(ctx context.Context) (*Report, error) {
+// Run plays the script to its end, lets what is left end, and judges the rules.
+func (st *Deployment) Run(ctx context.Context) (*Report, error) {
 	s := st.Script
 	rng := rand.New(rand.NewPCG(uint64(s.Seed), 2))
 	begin := time.Now()
@@ -329,26 +329,26 @@
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	var mu sync.Mutex // one trouble changes the stage at a time
-	for _, t := range s.Troubles {
+	for _, t := range s.Faults {
 		hosts := st.on(t, rng)
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			if !sleep(ctx, time.Until(begin.Add(t.At))) {
+			if !sleep(ctx, time.Until(begin.Add(t.Start))) {
 				return
 			}
-			st.Book.Add(eventlog.Entry{Kind: eventlog.Trouble, Code: t.Kind, Note: "begins"})
+			st.Log.Add(eventlog.Entry{Kind: eventlog.FaultChanged, Code: t.Kind, Note: "begins"})
 			st.log.Info("trouble begins", "kind", t.Kind, "hosts", hosts)
 			st.trouble(ctx, t, hosts, &mu)
-			st.Book.Add(eventlog.Entry{Kind: eventlog.Trouble, Code: t.Kind, Note: "ends"})
+			st.Log.Add(eventlog.Entry{Kind: eventlog.FaultChanged, Code: t.Kind, Note: "ends"})
 		}()
 	}
 	load := userclient.Load{
-		Targets: st.Targets(), Classes: s.Clients(), For: s.For, Seed: uint64(s.Seed), Conns: 2,
+		Targets: st.Addresses(), Classes: s.ClientClasses(), Duration: s.Duration, Seed: uint64(s.Seed), ConnsPerDispatcher: 2,
 		Rate: func(at time.Duration) float64 {
-			r := s.Rate
-			for _, t := range s.Troubles {
-				if t.Kind == "burst" && at >= t.At && at < t.At+t.For {
+			r := s.SessionsPerSecond
+			for _, t := range s.Faults {
+				if t.Kind == "burst" && at >= t.Start && at < t.Start+t.Duration {
 					r *= t.Factor
 				}
 			}
@@ -356,21 +356,21 @@
 		},
 	}
 	n := 0
-	load.Heavy = func(at time.Duration) int {
+	load.PromptFactor = func(at time.Duration) int {
 		n++
-		for _, t := range s.Troubles {
-			if t.Kind == "heavy" && at >= t.At && at < t.At+t.For && n%30 == 0 {
+		for _, t := range s.Faults {
+			if t.Kind == "heavy" && at >= t.Start && at < t.Start+t.Duration && n%30 == 0 {
 				return int(t.Factor)
 			}
 		}
 		return 1
 	}
-	sums, err := userclient.Run(ctx, load, st.Book)
+	sums, err := userclient.RunLoad(ctx, load, st.Log)
 	if err != nil {
 		return nil, err
 	}
 	wg.Wait()
-	time.Sleep(s.Release + 300*time.Millisecond) // what is held has to have gone by then
+	time.Sleep(s.ReleaseTime + 300*time.Millisecond) // what is held has to have gone by then
 	var doors []admission.TenantCounts
 	for n := range st.disp {
 		if r := st.Dispatcher(n); r != nil {
@@ -381,11 +381,11 @@
 			})
 		}
 	}
-	rep := &Report{Doors: doors, Sums: sums, Counts: st.Counts(), Entries: st.Book.Entries(), Took: time.Since(begin)}
-	rep.Violations = invariants.Check(rep.Entries, s.Facts())
+	rep := &Report{AdmissionCounts: doors, Summaries: sums, Counts: st.Counts(), Entries: st.Log.Entries(), Elapsed: time.Since(begin)}
+	rep.Violations = invariants.Check(rep.Entries, s.InvariantLimits())
 	for _, e := range rep.Entries {
-		if e.Kind == eventlog.Sent {
-			rep.Launches++
+		if e.Kind == eventlog.AttemptSent {
+			rep.Attempts++
 		}
 	}
 	return rep, nil
@@ -404,7 +404,7 @@
 }
 
 // trouble acts one trouble out, from its begin to its end.
-func (st *Stage) trouble(ctx context.Context, t Trouble, hosts []int, mu *sync.Mutex) {
+func (st *Deployment) trouble(ctx context.Context, t Fault, hosts []int, mu *sync.Mutex) {
 	each := func(f func(i int, e *engine.Engine)) {
 		mu.Lock()
 		defer mu.Unlock()
@@ -413,11 +413,11 @@
 		}
 	}
 	fail := func(change, back func(f *engine.Faults)) {
-		each(func(_ int, e *engine.Engine) { e.Fail(change) })
-		sleep(ctx, t.For)
-		each(func(_ int, e *engine.Engine) { e.Fail(back) })
+		each(func(_ int, e *engine.Engine) { e.SetFaults(change) })
+		sleep(ctx, t.Duration)
+		each(func(_ int, e *engine.Engine) { e.SetFaults(back) })
 	}
-	wire := func(f func(r *faultproxy.Relay)) {
+	wire := func(f func(r *faultproxy.Proxy)) {
 		each(func(i int, _ *engine.Engine) {
 			for n := range st.relays {
 				f(st.relays[n][i])
@@ -432,10 +432,10 @@
 		each(func(i int, e *engine.Engine) {
 			for n := range st.relays {
 				if dispatchers(n) {
-					st.relays[n][i].Cut(yes)
+					st.relays[n][i].SetBlackhole(yes)
 				}
 			}
-			st.Book.Add(eventlog.Entry{Kind: eventlog.Trouble, Note: note, Server: e.Spec.ID})
+			st.Log.Add(eventlog.Entry{Kind: eventlog.FaultChanged, Note: note, Server: e.Spec.ID})
 		})
 	}
 	gone := func(i int, e *engine.Engine) {
@@ -447,35 +447,35 @@
 	switch t.Kind {
 	case "crash", "rack":
 		each(gone)
-		sleep(ctx, t.For)
+		sleep(ctx, t.Duration)
 		each(func(i int, _ *engine.Engine) { st.restart(i) })
 	case "waves":
 		for _, i := range hosts {
 			mu.Lock()
 			gone(i, st.Engines[i])
 			mu.Unlock()
-			if !sleep(ctx, t.For/time.Duration(len(hosts))) {
+			if !sleep(ctx, t.Duration/time.Duration(len(hosts))) {
 				break
 			}
 		}
 		each(func(i int, _ *engine.Engine) { st.restart(i) })
 	case "hang":
-		fail(func(f *engine.Faults) { f.Hang = true }, func(f *engine.Faults) { f.Hang = false })
+		fail(func(f *engine.Faults) { f.Hanging = true }, func(f *engine.Faults) { f.Hanging = false })
 	case "errors":
 		fail(func(f *engine.Faults) { f.FailFast = t.Factor }, func(f *engine.Faults) { f.FailFast = 0 })
 	case "slow":
-		fail(func(f *engine.Faults) { f.Slow = t.Factor }, func(f *engine.Faults) { f.Slow = 1 })
+		fail(func(f *engine.Faults) { f.Slowdown = t.Factor }, func(f *engine.Faults) { f.Slowdown = 1 })
 	case "deaf":
-		fail(func(f *engine.Faults) { f.Deaf = t.Track }, func(f *engine.Faults) { f.Deaf = "" })
+		fail(func(f *engine.Faults) { f.SilentClass = t.Class }, func(f *engine.Faults) { f.SilentClass = "" })
 	case "links":
-		fail(func(f *engine.Faults) { f.LinkSlow = t.Factor }, func(f *engine.Faults) { f.LinkSlow = 1 })
+		fail(func(f *engine.Faults) { f.LinkSlowdown = t.Factor }, func(f *engine.Faults) { f.LinkSlowdown = 1 })
 	case "reports":
-		fail(func(f *engine.Faults) { f.ReportLate = t.For }, func(f *engine.Faults) { f.ReportLate = 0 })
+		fail(func(f *engine.Faults) { f.ReportDelay = t.Duration }, func(f *engine.Faults) { f.ReportDelay = 0 })
 	case "stall":
 		fail(func(f *engine.Faults) { f.StallAfter = int(t.Factor) }, func(f *engine.Faults) { f.StallAfter = 0 })
 	case "vanish":
 		cut(true, all)
-		sleep(ctx, t.For)
+		sleep(ctx, t.Duration)
 		each(func(_ int, e *engine.Engine) { e.Crash() })
 		cut(false, all)
 		each(func(i int, _ *engine.Engine) { st.restart(i) })
@@ -483,104 +483,104 @@
 		const steps = 10
 		for i := range steps {
 			each(func(_ int, e *engine.Engine) {
-				e.Fail(func(f *engine.Faults) { f.Slow = 1 + float64(i)/2 })
+				e.SetFaults(func(f *engine.Faults) { f.Slowdown = 1 + float64(i)/2 })
 			})
-			if !sleep(ctx, t.For/steps) {
+			if !sleep(ctx, t.Duration/steps) {
 				break
 			}
 		}
 		each(func(i int, e *engine.Engine) {
 			gone(i, e)
-			e.Fail(func(f *engine.Faults) { f.Slow = 1 })
+			e.SetFaults(func(f *engine.Faults) { f.Slowdown = 1 })
 		})
-		sleep(ctx, t.For/steps)
+		sleep(ctx, t.Duration/steps)
 		each(func(i int, _ *engine.Engine) { st.restart(i) })
 	case "pauses", "neighbour":
 		turn, part := time.Second, 100*time.Millisecond
 		on, off := func(f *engine.Faults) { f.Paused = true }, func(f *engine.Faults) { f.Paused = false }
 		if t.Kind == "neighbour" {
 			part = turn / 2
-			on, off = func(f *engine.Faults) { f.Slow = t.Factor }, func(f *engine.Faults) { f.Slow = 1 }
+			on, off = func(f *engine.Faults) { f.Slowdown = t.Factor }, func(f *engine.Faults) { f.Slowdown = 1 }
 		}
-		for end := time.Now().Add(t.For); time.Now().Before(end) && ctx.Err() == nil; {
-			each(func(_ int, e *engine.Engine) { e.Fail(on) })
+		for end := time.Now().Add(t.Duration); time.Now().Before(end) && ctx.Err() == nil; {
+			each(func(_ int, e *engine.Engine) { e.SetFaults(on) })
 			sleep(ctx, part)
-			each(func(_ int, e *engine.Engine) { e.Fail(off) })
+			each(func(_ int, e *engine.Engine) { e.SetFaults(off) })
 			sleep(ctx, turn-part)
 		}
 	case "cut":
 		far := func(n int) bool { return st.Script.Dispatchers[n].Zone != t.Zone }
 		cut(true, far)
-		sleep(ctx, t.For)
+		sleep(ctx, t.Duration)
 		cut(false, far)
 	case "drain":
 		each(func(i int, e *engine.Engine) {
 			st.health[e.Spec.ID] = pb.Health_HEALTH_DRAINING
 			st.list(i, false, st.since(e))
 		})
-		sleep(ctx, t.For*2/3)
+		sleep(ctx, t.Duration*2/3)
 		each(gone)
-		sleep(ctx, t.For/3)
+		sleep(ctx, t.Duration/3)
 		each(func(i int, _ *engine.Engine) { st.restart(i) })
 	case "dispatcher":
-		st.killDispatcher(t.Number)
-		sleep(ctx, t.For)
-		if err := st.startDispatcher(t.Number); err != nil {
+		st.killDispatcher(t.Dispatcher)
+		sleep(ctx, t.Duration)
+		if err := st.startDispatcher(t.Dispatcher); err != nil {
 			st.log.Error("dispatcher does not start again", "err", err)
 		}
 	case "lister":
 		for _, l := range st.listers {
 			l.Stop()
 		}
-		sleep(ctx, t.For)
+		sleep(ctx, t.Duration)
 		for _, l := range st.listers {
 			if err := l.Start(""); err != nil {
 				st.log.Error("lister does not start again", "err", err)
 			}
 		}
 	case "reset":
-		wire(func(r *faultproxy.Relay) { r.Reset() })
+		wire(func(r *faultproxy.Proxy) { r.ResetConns() })
 	case "halfopen":
-		wire(func(r *faultproxy.Relay) { r.Mute() })
+		wire(func(r *faultproxy.Proxy) { r.BlackholeOpenConns() })
 		each(func(_ int, e *engine.Engine) {
-			st.Book.Add(eventlog.Entry{Kind: eventlog.Trouble, Note: "cut", Server: e.Spec.ID})
+			st.Log.Add(eventlog.Entry{Kind: eventlog.FaultChanged, Note: "cut", Server: e.Spec.ID})
 		})
-		sleep(ctx, Noticed)
+		sleep(ctx, FaultDetectionTime)
 		each(func(_ int, e *engine.Engine) {
-			st.Book.Add(eventlog.Entry{Kind: eventlog.Trouble, Note: "uncut", Server: e.Spec.ID})
+			st.Log.Add(eventlog.Entry{Kind: eventlog.FaultChanged, Note: "uncut", Server: e.Spec.ID})
 		})
 	case "trickle":
-		wire(func(r *faultproxy.Relay) { r.Trickle(true) })
-		sleep(ctx, t.For)
-		wire(func(r *faultproxy.Relay) { r.Trickle(false) })
+		wire(func(r *faultproxy.Proxy) { r.SetTrickle(true) })
+		sleep(ctx, t.Duration)
+		wire(func(r *faultproxy.Proxy) { r.SetTrickle(false) })
 	case "delay":
-		wire(func(r *faultproxy.Relay) { r.Delay(time.Duration(t.Factor * 1e6)) })
-		sleep(ctx, t.For)
-		wire(func(r *faultproxy.Relay) { r.Delay(0) })
+		wire(func(r *faultproxy.Proxy) { r.SetDelay(time.Duration(t.Factor * 1e6)) })
+		sleep(ctx, t.Duration)
+		wire(func(r *faultproxy.Proxy) { r.SetDelay(0) })
 	case "burst", "heavy": // the load acts them out
-		sleep(ctx, t.For)
+		sleep(ctx, t.Duration)
 	}
 }
 
 // Print writes a report for people.
 func (r *Report) Print(w io.Writer) {
 	var names []string
-	for name := range r.Sums {
+	for name := range r.Summaries {
 		names = append(names, name)
 	}
 	slices.Sort(names)
 	fmt.Fprintf(w, "%-16s %7s %7s %8s %8s %8s %9s %5s %7s %6s %8s %8s %8s\n", "track", "jobs", "tries", "honoured", "on time",
 		"nacked", "abandoned", "left", "no end", "wrong", "kept", "p50 ms", "p99 ms")
 	for _, name := range names {
-		s := r.Sums[name]
-		slices.Sort(s.First)
-		fmt.Fprintf(w, "%-16s %7d %7d %8d %8d %8d %9d %5d %7d %6d %8.3f %8.0f %8.0f\n", name, s.Requests, s.Tries, s.Served,
-			s.OnTime, s.Rejected, s.Failed, s.Left, s.Unanswered, s.Wrong, s.Kept(), quantile(s.First, 0.5), quantile(s.First, 0.99))
+		s := r.Summaries[name]
+		slices.Sort(s.FirstTokenTimes)
+		fmt.Fprintf(w, "%-16s %7d %7d %8d %8d %8d %9d %5d %7d %6d %8.3f %8.0f %8.0f\n", name, s.Requests, s.Attempts, s.Served,
+			s.OnTime, s.Rejected, s.Failed, s.Canceled, s.Unanswered, s.Corrupt, s.ValueShare(), quantile(s.FirstTokenTimes, 0.5), quantile(s.FirstTokenTimes, 0.99))
 	}
 	c := r.Counts
 	fmt.Fprintf(w, "dispatchers: %d launches, %d recalled, %d late, %d broken, %d releases, %d reports (%d late), %d refused at the gate, "+
 		"%d guarded\n", c.Attempts, c.Cancels, c.TimedOut, c.Broken, c.Releases, c.LoadReports, c.StaleLoadReports, c.RejectedAtIntake, c.InvalidDecisions)
-	doors := r.Doors
+	doors := r.AdmissionCounts
 	if len(doors) > 8 { // their sum tells more than a page of them
 		var sum admission.TenantCounts
 		for _, c := range doors {
@@ -595,14 +595,14 @@
 		}
 	}
 	back, kept := 0, 0
-	for _, s := range r.Sums {
-		back, kept = back+s.Back, kept+s.BackKept
+	for _, s := range r.Summaries {
+		back, kept = back+s.ReservedRetries, kept+s.ReservedRetriesServed
 	}
 	if back > 0 {
 		fmt.Fprintf(w, "back as advised: %d, %.3f of them honoured\n", back, float64(kept)/float64(back))
 	}
 	if len(r.Violations) == 0 {
-		fmt.Fprintf(w, "rules: all five kept, over %d launches on the sockets, in %v\n", r.Launches, r.Took.Round(time.Second))
+		fmt.Fprintf(w, "rules: all five kept, over %d launches on the sockets, in %v\n", r.Attempts, r.Elapsed.Round(time.Second))
 		return
 	}
 	fmt.Fprintf(w, "rules: BROKEN, %d times\n", len(r.Violations))
--- a/internal/lab/simulation/client.go
+++ b/internal/lab/simulation/client.go
@@ -34,11 +34,11 @@
 
 // crowd are the users of one track: all that a grpc-go client of the laboratory does, on one simulated loop.
 type crowd struct {
-	d     *Day
+	d     *Simulation
 	t     userclient.Class
 	l     *eventloop.Loop
 	wires [][]*wire // by dispatcher
-	sum   *userclient.Sum
+	sum   *userclient.Summary
 	turn  int
 	open  int // sessions that are not over
 }
@@ -88,19 +88,19 @@
 	t := k.t
 	s := &session{k: k, n: n, rng: rng, heavy: heavy}
 	name := ""
-	if t.Made {
+	if t.NewClientPerRequest {
 		name = fmt.Sprintf("%s-made-%d", t.Name, n)
-	} else if t.Clients > 0 {
-		name = fmt.Sprintf("%s-%d", t.Name, n%t.Clients)
+	} else if t.ClientCount > 0 {
+		name = fmt.Sprintf("%s-%d", t.Name, n%t.ClientCount)
 	}
-	s.req = &pb.GenerateRequest{Track: t.Name, Tenant: t.Tenant, Session: "s" + strconv.Itoa(n), MaxTokens: uint32(t.Answer), Client: name}
+	s.req = &pb.GenerateRequest{Track: t.Name, Tenant: t.Tenant, Session: "s" + strconv.Itoa(n), MaxTokens: uint32(t.MaxAnswerTokens), Client: name}
 	if t.PrefixTokens > 0 {
 		s.req.Beginning = t.DrawPrefix(rng)
 		s.req.BeginningTokens = uint32(t.PrefixTokens)
 		s.prompt = t.PrefixTokens
 	}
 	k.open++
-	s.turns = 1 + rng.IntN(max(t.Turns, 1))
+	s.turns = 1 + rng.IntN(max(t.TurnCount, 1))
 	s.next()
 }
 
@@ -111,16 +111,16 @@
 		k.open--
 		return
 	}
-	s.prompt += s.heavy * (t.Prompt + s.rng.IntN(max(t.PromptMost-t.Prompt, 1)))
+	s.prompt += s.heavy * (t.MinTurnTokens + s.rng.IntN(max(t.MaxTurnTokens-t.MinTurnTokens, 1)))
 	s.req.PromptTokens = uint32(s.prompt)
 	s.req.Label = fmt.Sprintf("%d.%d", s.n, s.turn)
 	s.req.Prompt = []byte(s.req.Label)
 	s.turn++
 	s.begin, s.try, s.ticket = k.now(), 0, ""
-	s.expected = int64(t.Expected) + int64(t.Per1k)*int64(s.prompt)/1000
+	s.expected = int64(t.LatencyTarget) + int64(t.LatencyTargetPer1k)*int64(s.prompt)/1000
 	s.worth = t.Value * float64(s.req.PromptTokens+4*s.req.MaxTokens)
 	k.sum.Requests++
-	k.sum.Asked += s.worth
+	k.sum.OfferedValue += s.worth
 	s.at = s.rng.IntN(len(k.wires))
 	s.send()
 }
@@ -129,34 +129,34 @@
 func (s *session) send() {
 	k, t := s.k, &s.k.t
 	now := k.now()
-	s.left = int64(t.Timeout) + 2*int64(t.Per1k)*int64(s.prompt)/1000 - (now - s.begin)
+	s.left = int64(t.Timeout) + 2*int64(t.LatencyTargetPer1k)*int64(s.prompt)/1000 - (now - s.begin)
 	if s.left <= 0 {
 		k.sum.Rejected++ // it waited as it was told, and its time was up
 		k.open--
 		return
 	}
-	k.sum.Tries++
-	call := int64(t.Call)
+	k.sum.Attempts++
+	call := int64(t.CallTimeout)
 	if call == 0 {
 		call = s.left + int64(s.req.MaxTokens)*writeTime
 	}
 	a := &attempt{
 		s: s, leaves: -1, ticketed: s.ticket != "", by: k.d.world.UnixNanos() + s.left,
-		entry: eventlog.Entry{Label: s.req.Label, Try: s.try, Class: t.Name, Tenant: t.Tenant},
+		entry: eventlog.Entry{RequestLabel: s.req.Label, ClientAttempt: s.try, Class: t.Name, Tenant: t.Tenant},
 	}
 	s.now = a
-	if s.rng.Float64() < t.Leave {
+	if s.rng.Float64() < t.CancelShare {
 		if s.rng.IntN(2) == 0 { // at some time, or after some tokens
-			k.l.SetTimer(&s.quits, now+int64(s.rng.Float64()*float64(t.Expected)), func(eventloop.Nanos) { a.quit() })
+			k.l.SetTimer(&s.quits, now+int64(s.rng.Float64()*float64(t.LatencyTarget)), func(eventloop.Nanos) { a.quit() })
 		} else {
 			a.leaves = 1 + s.rng.IntN(max(int(s.req.MaxTokens)/2, 1))
 		}
 	}
 	s.req.PatienceNs = uint64(s.left)
-	a.note(eventlog.Asked, "")
+	a.note(eventlog.RequestSent, "")
 	k.l.SetTimer(&a.call, now+call, func(eventloop.Nanos) {
 		a.cancel()
-		a.note(eventlog.NoAnswer, "DeadlineExceeded: the client's own clock")
+		a.note(eventlog.RequestUnanswered, "DeadlineExceeded: the client's own clock")
 		a.end(codes.DeadlineExceeded, outcome{})
 	})
 	k.turn++
@@ -214,8 +214,8 @@
 
 func (a *attempt) note(kind eventlog.Kind, code string) {
 	e := a.entry
-	e.Kind, e.Code, e.Request, e.By, e.N = kind, code, a.job, a.by, a.gap
-	a.s.k.d.Book.Add(e)
+	e.Kind, e.Code, e.Request, e.Deadline, e.Value = kind, code, a.job, a.by, a.gap
+	a.s.k.d.Log.Add(e)
 }
 
 // cancel resets the try's stream.
@@ -233,7 +233,7 @@
 		return
 	}
 	a.cancel()
-	a.note(eventlog.Quit, "")
+	a.note(eventlog.RequestCanceled, "")
 	a.end(codes.Canceled, outcome{left: true})
 }
 
@@ -241,7 +241,7 @@
 	if a.over {
 		return
 	}
-	a.note(eventlog.NoAnswer, "lost: "+why)
+	a.note(eventlog.RequestUnanswered, "lost: "+why)
 	a.end(codes.Unavailable, outcome{lost: true})
 }
 
@@ -259,31 +259,31 @@
 	k.l.CancelTimer(&a.call)
 	k.l.CancelTimer(&s.quits)
 	if a.ticketed {
-		sum.Back++
+		sum.ReservedRetries++
 		if code == codes.OK {
-			sum.BackKept++
+			sum.ReservedRetriesServed++
 		}
 	}
 	s.ticket = o.ticket
 	switch {
 	case code == codes.OK && a.wrong:
-		sum.Wrong++
+		sum.Corrupt++
 		k.open--
 		return
 	case code == codes.OK:
 		first := a.first - s.begin
 		sum.Served++
-		sum.First = append(sum.First, time.Duration(first))
+		sum.FirstTokenTimes = append(sum.FirstTokenTimes, time.Duration(first))
 		if first <= s.expected {
 			sum.OnTime++
-			sum.Value += s.worth
+			sum.EarnedValue += s.worth
 		}
 		s.prompt += a.tokens
 		k.l.SetTimer(&s.timer, now+int64(float64(t.Idle)*s.rng.Float64()), func(eventloop.Nanos) { s.next() })
 		return
 	case o.left:
-		sum.Left++
-		sum.Asked -= s.worth
+		sum.Canceled++
+		sum.OfferedValue -= s.worth
 		k.open--
 		return
 	}
@@ -297,12 +297,12 @@
 		s.at = (s.at + 1) % len(k.wires)
 		wait = lostWait
 	}
-	if t.Deaf {
+	if t.IgnoresRetryAfter {
 		wait = 0
 	} else if s.ticket == "" { // without a booking, spread
 		wait = int64(float64(wait) * (1 + 0.2*s.rng.Float64()))
 	}
-	if !again || s.try >= t.Retries || now-s.begin+wait >= int64(t.Timeout) {
+	if !again || s.try >= t.MaxRetries || now-s.begin+wait >= int64(t.Timeout) {
 		switch {
 		case nacked:
 			sum.Rejected++
@@ -359,10 +359,10 @@
 	}
 	if a.tokens == 0 {
 		a.first = a.s.k.now()
-		a.note(eventlog.Token, "")
+		a.note(eventlog.FirstToken, "")
 	}
 	for i, got := range tok.Tokens {
-		if int(tok.Position)+i != a.tokens || got != engine.Tok(a.s.req, a.tokens) {
+		if int(tok.Position)+i != a.tokens || got != engine.TokenAt(a.s.req, a.tokens) {
 			a.wrong = true
 		}
 		a.tokens++
@@ -384,7 +384,7 @@
 	push := trailer.Get("grpc-retry-pushback-ms")
 	switch {
 	case code == codes.OK:
-		if a.tokens != engine.Answer(a.s.req) {
+		if a.tokens != engine.AnswerTokens(a.s.req) {
 			a.wrong = true
 		}
 		if a.tokens > 1 {
@@ -394,7 +394,7 @@
 		if a.wrong {
 			text = "OK, but not the whole answer"
 		}
-		a.note(eventlog.Final, text)
+		a.note(eventlog.RequestAnswered, text)
 		a.end(code, outcome{final: true})
 	case push != "":
 		ms, _ := strconv.ParseInt(push, 10, 64)
@@ -402,13 +402,13 @@
 		if ms >= 0 {
 			o.after = max(o.after, retryDelay(trailer.Get("grpc-status-details-bin")))
 		}
-		if !a.s.k.t.Deaf {
+		if !a.s.k.t.IgnoresRetryAfter {
 			o.ticket = trailer.Get("docksail-ticket-bin")
 		}
-		a.note(eventlog.Final, code.String())
+		a.note(eventlog.RequestAnswered, code.String())
 		a.end(code, o)
 	default:
-		a.note(eventlog.NoAnswer, code.String()+": "+message)
+		a.note(eventlog.RequestUnanswered, code.String()+": "+message)
 		a.end(code, outcome{})
 	}
 }
@@ -437,7 +437,7 @@
 }
 
 // play makes the sessions of a day arrive at their times.
-func (d *Day) play(rate func(at time.Duration) float64, heavy func(at time.Duration) int) {
+func (d *Simulation) play(rate func(at time.Duration) float64, heavy func(at time.Duration) int) {
 	rng := rand.New(rand.NewPCG(uint64(d.Script.Seed), 1))
 	at, n := time.Duration(0), 0
 	var next func()
@@ -449,7 +449,7 @@
 			} else {
 				at += min(time.Duration(rng.ExpFloat64()/r*1e9), 200*time.Millisecond)
 			}
-			if at >= d.Script.For {
+			if at >= d.Script.Duration {
 				return
 			}
 			if r > 0 {
--- a/internal/lab/simulation/discoveryserver.go
+++ b/internal/lab/simulation/discoveryserver.go
@@ -14,7 +14,7 @@
 
 // lister tells one dispatcher which hosts run, some time after it happened.
 type lister struct {
-	d       *Day
+	d       *Simulation
 	disp    int
 	addr    netip.AddrPort
 	l       *eventloop.Loop // nil while it is away
@@ -66,7 +66,7 @@
 	s.SendMessage(b, false)
 	to.flush()
 	for _, h := range news.Hosts {
-		w.d.Book.Add(eventlog.Entry{Kind: eventlog.Told, Server: int(h.Id), Disp: w.disp, Note: h.Health.String(), N: h.StartedUnixNs})
+		w.d.Log.Add(eventlog.Entry{Kind: eventlog.EndpointNotified, Server: int(h.Id), Dispatcher: w.disp, Note: h.Health.String(), Value: h.StartedUnixNs})
 	}
 }
 
--- a/internal/lab/simulation/host.go
+++ b/internal/lab/simulation/host.go
@@ -21,13 +21,13 @@
 
 // host is a model host of the batch model on a simulated loop.
 type host struct {
-	d       *Day
+	d       *Simulation
 	spec    engine.Spec
 	addr    netip.AddrPort
 	l       *eventloop.Loop // nil while its process does not run
 	rng     *rand.Rand
 	began   eventloop.Nanos // start of its process
-	model   *batch.Host
+	model   *batch.Server
 	rep     *batch.Reporter
 	last    batch.ID
 	calls   map[batch.ID]*call
@@ -54,7 +54,7 @@
 	id     batch.ID
 	came   eventloop.Nanos
 	ran    bool
-	move   batch.Move
+	move   batch.TransferID
 	late   []int // tokens held back while the host is deaf to the track
 	done   bool
 }
@@ -69,10 +69,10 @@
 // start starts the host's process.
 func (h *host) start(ago eventloop.Nanos) error {
 	var err error
-	if h.model, err = batch.NewHost(h.spec.Shape(), int(h.spec.Memory), engine.BlockTokens); err != nil {
+	if h.model, err = batch.NewServer(h.spec.BatchShape(), int(h.spec.MemoryTokens), engine.BlockTokens); err != nil {
 		return err
 	}
-	if h.rep, err = batch.NewReporter(uint64(h.spec.ID), int64(h.spec.ReportEvery), int64(h.faults.ReportLate), h.spec.ReportNoise); err != nil {
+	if h.rep, err = batch.NewReporter(uint64(h.spec.ID), int64(h.spec.ReportInterval), int64(h.faults.ReportDelay), h.spec.ReportNoise); err != nil {
 		return err
 	}
 	h.l = h.d.world.NewLoop(h.addr.Addr(), nil)
@@ -81,7 +81,7 @@
 	h.step, h.inStep, h.toppled, h.arrived = eventloop.Timer{}, false, false, nil
 	h.onStep = h.stepped
 	_, err = h.l.Listen(h.addr, false, func(c *eventloop.Conn, _ netip.AddrPort) eventloop.Handler { return serveWire(h.l, c, h) })
-	h.d.Book.Add(eventlog.Entry{Kind: eventlog.Start, Server: h.spec.ID})
+	h.d.Log.Add(eventlog.Entry{Kind: eventlog.ServerStarted, Server: h.spec.ID})
 	return err
 }
 
@@ -91,7 +91,7 @@
 		return
 	}
 	for _, name := range sorted(h.states) {
-		h.d.Book.Add(eventlog.Entry{Kind: eventlog.Released, Server: h.spec.ID, Request: name, Note: "crash"})
+		h.d.Log.Add(eventlog.Entry{Kind: eventlog.StateReleased, Server: h.spec.ID, Request: name, Note: "crash"})
 	}
 	h.l.Kill()
 	h.l, h.states, h.calls = nil, map[string]*state{}, map[batch.ID]*call{}
@@ -103,7 +103,7 @@
 	if h.l == nil {
 		return
 	}
-	h.rep.Late(int64(h.faults.ReportLate))
+	h.rep.SetDelay(int64(h.faults.ReportDelay))
 	h.l.Post(func() {
 		parked := h.parked
 		h.parked = nil
@@ -119,14 +119,14 @@
 	})
 }
 
-func (h *host) stands() bool { return h.faults.Hang || h.faults.Paused }
+func (h *host) stands() bool { return h.faults.Hanging || h.faults.Paused }
 
 func (h *host) warmth() float64 {
 	s := &h.spec
-	if s.ColdFrom <= 0 || s.ColdFrom >= 1 || s.Warm <= 0 {
+	if s.InitialCapacity <= 0 || s.InitialCapacity >= 1 || s.WarmupTime <= 0 {
 		return 1
 	}
-	return min(1, s.ColdFrom+(1-s.ColdFrom)*float64(h.d.world.Now()-h.began)/float64(s.Warm))
+	return min(1, s.InitialCapacity+(1-s.InitialCapacity)*float64(h.d.world.Now()-h.began)/float64(s.WarmupTime))
 }
 
 // kick begins a step if there is work and none is under way.
@@ -135,22 +135,22 @@
 		return
 	}
 	var took batch.Nanos
-	took, h.events, h.inStep = h.model.Begin(h.events[:0])
+	took, h.events, h.inStep = h.model.BeginStep(h.events[:0])
 	h.tell()
 	if h.inStep {
-		h.l.SetTimer(&h.step, h.l.Now()+max(eventloop.Nanos(float64(took)/h.warmth()*max(h.faults.Slow, 1)), 1), h.onStep)
+		h.l.SetTimer(&h.step, h.l.Now()+max(eventloop.Nanos(float64(took)/h.warmth()*max(h.faults.Slowdown, 1)), 1), h.onStep)
 	}
 }
 
 func (h *host) stepped(now eventloop.Nanos) {
 	if h.stands() { // until fail says that it goes on
 		h.inStep = false
-		h.l.SetTimer(&h.step, now+int64(engine.StandCheck), h.onStep)
+		h.l.SetTimer(&h.step, now+int64(engine.PauseCheckInterval), h.onStep)
 		h.inStep = true
 		return
 	}
 	h.inStep = false
-	h.events = h.model.End(h.events[:0])
+	h.events = h.model.EndStep(h.events[:0])
 	h.tell()
 	h.kick()
 }
@@ -162,10 +162,10 @@
 		if c == nil {
 			continue
 		}
-		switch ev.What {
+		switch ev.Kind {
 		case batch.NeedsFetch:
 			h.fetch(c)
-		case batch.ReadDone:
+		case batch.PrefillDone:
 			if c.path == pathRead {
 				h.hold(c, ev.N)
 			}
@@ -176,7 +176,7 @@
 			}
 			c.late = append(c.late, ev.N)
 			h.catchUp(c)
-		case batch.Done:
+		case batch.AnswerDone:
 			c.done = true
 			h.catchUp(c)
 		}
@@ -186,7 +186,7 @@
 // catchUp sends what a call has to send.
 func (h *host) catchUp(c *call) {
 	req := c.launch.Request
-	if h.faults.Deaf != "" && h.faults.Deaf == req.GetTrack() {
+	if h.faults.SilentClass != "" && h.faults.SilentClass == req.GetTrack() {
 		return
 	}
 	for _, n := range c.late {
@@ -195,12 +195,12 @@
 		}
 		if !c.ran {
 			c.ran = true
-			h.d.Book.Add(eventlog.Entry{
-				Kind: eventlog.Ran, Server: h.spec.ID, Request: c.name, Attempt: int(c.launch.Shot), Label: req.Label,
-				Try: int(c.launch.Repeat), Class: req.Track,
+			h.d.Log.Add(eventlog.Entry{
+				Kind: eventlog.AnswerStarted, Server: h.spec.ID, Request: c.name, Attempt: int(c.launch.Shot), RequestLabel: req.Label,
+				ClientAttempt: int(c.launch.Repeat), Class: req.Track,
 			})
 		}
-		b, err := proto.Marshal(&pb.Tokens{Position: uint32(n), Tokens: []uint32{engine.Tok(req, n)}, Text: []byte("tok ")})
+		b, err := proto.Marshal(&pb.Tokens{Position: uint32(n), Tokens: []uint32{engine.TokenAt(req, n)}, Text: []byte("tok ")})
 		if err != nil {
 			panic(err)
 		}
@@ -221,18 +221,18 @@
 	}
 	var extra []hpack.HeaderField
 	now := h.d.world.Now()
-	unread := h.model.Unread()
-	h.rep.See(now, batch.Figures{
-		Requests: float64(h.model.Queued() + h.model.Running()),
-		Memory:   float64(h.model.Memory.InUse()) / float64(h.model.Memory.Blocks()), Unread: float64(unread),
-		Finish: int64(float64(unread) / h.spec.ReadRate * 1e9),
+	unread := h.model.QueuedPromptTokens()
+	h.rep.Observe(now, batch.Load{
+		Requests:          float64(h.model.Queued() + h.model.Running()),
+		MemoryUtilization: float64(h.model.Memory.InUse()) / float64(h.model.Memory.Blocks()), QueuedPromptTokens: float64(unread),
+		QueueTime: int64(float64(unread) / h.spec.PrefillRate * 1e9),
 	})
-	if f, age, ok := h.rep.Known(now); ok {
+	if f, age, ok := h.rep.Latest(now); ok {
 		b, err := proto.MarshalOptions{Deterministic: true}.Marshal(&orca.OrcaLoadReport{
-			MemUtilization: f.Memory,
+			MemUtilization: f.MemoryUtilization,
 			NamedMetrics: map[string]float64{
-				"requests": f.Requests, "unread_tokens": f.Unread,
-				"finish_ms": float64(f.Finish) / 1e6, "age_ms": float64(age) / 1e6,
+				"requests": f.Requests, "unread_tokens": f.QueuedPromptTokens,
+				"finish_ms": float64(f.QueueTime) / 1e6, "age_ms": float64(age) / 1e6,
 			},
 		})
 		if err != nil {
@@ -258,7 +258,7 @@
 	if c.id != 0 && h.calls[c.id] == c {
 		delete(h.calls, c.id)
 		if st := h.states[c.name]; st == nil || st.id != c.id {
-			h.model.Drop(c.id)
+			h.model.Remove(c.id)
 		}
 	}
 }
@@ -271,9 +271,9 @@
 	}
 	st := &state{shot: c.launch.Shot, tokens: int(req.PromptTokens), id: c.id}
 	h.states[c.name] = st
-	h.d.Book.Add(eventlog.Entry{Kind: eventlog.Held, Server: h.spec.ID, Request: c.name, Attempt: int(st.shot), N: int64(st.tokens)})
+	h.d.Log.Add(eventlog.Entry{Kind: eventlog.StateHeld, Server: h.spec.ID, Request: c.name, Attempt: int(st.shot), Value: int64(st.tokens)})
 	name := c.name
-	h.l.SetTimer(&st.ends, h.l.Now()+int64(h.spec.Hold), func(eventloop.Nanos) { h.drop(name, "ran out") })
+	h.l.SetTimer(&st.ends, h.l.Now()+int64(h.spec.MaxHoldTime), func(eventloop.Nanos) { h.drop(name, "ran out") })
 	b, err := proto.Marshal(&pb.ReadDone{ReadTokens: uint32(unread), KeptTokens: req.PromptTokens - min(uint32(unread), req.PromptTokens)})
 	if err != nil {
 		panic(err)
@@ -290,8 +290,8 @@
 	}
 	delete(h.states, name)
 	h.l.CancelTimer(&st.ends)
-	h.model.Drop(st.id)
-	h.d.Book.Add(eventlog.Entry{Kind: eventlog.Released, Server: h.spec.ID, Request: name, Attempt: int(st.shot), Note: why})
+	h.model.Remove(st.id)
+	h.d.Log.Add(eventlog.Entry{Kind: eventlog.StateReleased, Server: h.spec.ID, Request: name, Attempt: int(st.shot), Note: why})
 	h.l.Post(h.kick)
 }
 
@@ -317,7 +317,7 @@
 			none("nothing is held of this job")
 			return
 		}
-		c.move = h.d.net.start(from, h, st.tokens, max(from.faults.LinkSlow, 1), func() {
+		c.move = h.d.net.start(from, h, st.tokens, max(from.faults.LinkSlowdown, 1), func() {
 			if c.move = 0; c.s == nil {
 				return
 			}
@@ -329,12 +329,12 @@
 					none("it was let go meanwhile")
 				case from.stands():
 					again := &eventloop.Timer{}
-					from.l.SetTimer(again, from.l.Now()+int64(engine.StandCheck), func(eventloop.Nanos) { took() })
+					from.l.SetTimer(again, from.l.Now()+int64(engine.PauseCheckInterval), func(eventloop.Nanos) { took() })
 				default:
 					from.drop(c.name, "fetched")
 					l.Post(func() {
 						if c.s != nil && h.l == l {
-							h.model.Fetched(c.id)
+							h.model.StateFetched(c.id)
 							h.kick()
 						}
 					})
@@ -348,24 +348,24 @@
 // enter takes a launch in, or turns it away.
 func (h *host) enter(c *call) {
 	req := c.launch.Request
-	if h.faults.Deaf != "" && h.faults.Deaf == req.GetTrack() {
+	if h.faults.SilentClass != "" && h.faults.SilentClass == req.GetTrack() {
 		h.parked = append(h.parked, c)
 		return
 	}
 	w := batch.Work{}
 	if c.path == pathRead {
-		w = engine.WorkOf(req, 0, false)
+		w = engine.BatchWork(req, 0, false)
 	} else {
-		w = engine.WorkOf(req, engine.Answer(req), c.launch.StateAddress != "")
+		w = engine.BatchWork(req, engine.AnswerTokens(req), c.launch.StateAddress != "")
 	}
 	h.last++
 	w.ID = h.last
-	switch err := h.model.Arrive(w); err {
+	switch err := h.model.Enqueue(w); err {
 	case nil:
 		c.id = w.ID
 		h.calls[c.id] = c
 		h.kick()
-	case batch.ErrFull:
+	case batch.ErrQueueFull:
 		h.end(c, codes.ResourceExhausted, err.Error())
 	default:
 		h.end(c, codes.InvalidArgument, err.Error())
@@ -378,19 +378,19 @@
 	if h.toppled {
 		return codes.Internal, "fallen over"
 	}
-	if w := h.warmth(); w < 1 && s.Topple > 0 {
+	if w := h.warmth(); w < 1 && s.OverloadFactor > 0 {
 		h.arrived = append(h.arrived, now)
-		for len(h.arrived) > 0 && now-h.arrived[0] > int64(s.ToppleOver) {
+		for len(h.arrived) > 0 && now-h.arrived[0] > int64(s.OverloadWindow) {
 			h.arrived = h.arrived[1:]
 		}
-		if float64(len(h.arrived)) > s.Topple*w*s.JobsPerSecond*s.ToppleOver.Seconds()+engine.ToppleSlack {
+		if float64(len(h.arrived)) > s.OverloadFactor*w*s.RequestsPerSecond*s.OverloadWindow.Seconds()+engine.OverloadTolerance {
 			h.toppled = true
-			h.d.Book.Add(eventlog.Entry{Kind: eventlog.Toppled, Server: s.ID, N: int64(len(h.arrived))})
+			h.d.Log.Add(eventlog.Entry{Kind: eventlog.ServerOverloaded, Server: s.ID, Value: int64(len(h.arrived))})
 			return codes.Internal, "fallen over"
 		}
 	}
 	switch {
-	case h.faults.Drain:
+	case h.faults.Draining:
 		return codes.ResourceExhausted, "drains"
 	case h.faults.FailFast > 0 && h.rng.Float64() < h.faults.FailFast:
 		return codes.Internal, "failing fast"
@@ -481,17 +481,17 @@
 // moves are the states under way between all hosts of a day.
 type moves struct {
 	l     *eventloop.Loop
-	net   *batch.Net
+	net   *batch.Network
 	ports map[int]int
 	cells map[string]int
-	last  batch.Move
-	ended map[batch.Move]func()
+	last  batch.TransferID
+	ended map[batch.TransferID]func()
 	timer eventloop.Timer
-	list  []batch.Move
+	list  []batch.TransferID
 }
 
 // start begins to move a state; done is called when it is over.
-func (m *moves) start(from, to *host, tokens int, slow float64, done func()) batch.Move {
+func (m *moves) start(from, to *host, tokens int, slow float64, done func()) batch.TransferID {
 	way := func(w int, err error) int {
 		if err != nil {
 			panic(err) // rates were checked with the script
@@ -499,18 +499,18 @@
 		return w
 	}
 	if _, ok := m.ports[from.spec.ID]; !ok {
-		m.ports[from.spec.ID] = way(m.net.Way(from.spec.MoveRate))
+		m.ports[from.spec.ID] = way(m.net.AddLink(from.spec.TransferRate))
 	}
 	over := []int{m.ports[from.spec.ID]}
 	if from.spec.Cell != to.spec.Cell || from.spec.Zone != to.spec.Zone {
 		key := from.spec.Zone + "/" + from.spec.Cell
 		if _, ok := m.cells[key]; !ok {
-			m.cells[key] = way(m.net.Way(from.spec.MoveRate * engine.CellFactor))
+			m.cells[key] = way(m.net.AddLink(from.spec.TransferRate * engine.CellLinkFactor))
 		}
 		over = append(over, m.cells[key])
 	}
 	if from.spec.Zone != to.spec.Zone {
-		slow *= engine.ZoneSlower
+		slow *= engine.CrossZoneFactor
 	}
 	m.settle()
 	m.last++
@@ -524,7 +524,7 @@
 
 func (m *moves) now() eventloop.Nanos { return m.l.ReadClock() }
 
-func (m *moves) stop(id batch.Move) {
+func (m *moves) stop(id batch.TransferID) {
 	delete(m.ended, id)
 	m.net.Stop(m.now(), id)
 	m.settle()
@@ -532,14 +532,14 @@
 
 // settle tells of moves that have ended and sets the timer for the next.
 func (m *moves) settle() {
-	m.list = m.net.Ended(m.now(), m.list[:0])
+	m.list = m.net.AdvanceTo(m.now(), m.list[:0])
 	for _, id := range m.list {
 		if done := m.ended[id]; done != nil {
 			delete(m.ended, id)
 			m.l.Post(done)
 		}
 	}
-	if at, ok := m.net.Next(); ok {
+	if at, ok := m.net.NextEnd(); ok {
 		m.l.Post(func() { m.l.SetTimer(&m.timer, max(at, m.now()), func(eventloop.Nanos) { m.settle() }) })
 	}
 }
--- a/internal/lab/simulation/simulation.go
+++ b/internal/lab/simulation/simulation.go
@@ -36,13 +36,13 @@
 	start = int64(time.Second)               // into the world the load begins: the lists are known by then
 )
 
-// Day is a day's parties.
-type Day struct {
-	Script *scenario.Script
-	Book   *eventlog.Book
-	Wrap   func(n int) func(dispatch.Module) dispatch.Module // as in drill.OpenWith
-	Log    *slog.Logger
-	Sample time.Duration // the figures of all hosts are written down so often; 0 = never
+// Simulation is a day's parties.
+type Simulation struct {
+	Script         *scenario.Script
+	Log            *eventlog.Log
+	WrapModule     func(n int) func(dispatch.Module) dispatch.Module // as in drill.OpenWith
+	Logger         *slog.Logger
+	SampleInterval time.Duration // the figures of all hosts are written down so often; 0 = never
 
 	world   *eventloop.SimulatedNetwork
 	ctl     *eventloop.Loop // on which the script's times come
@@ -68,22 +68,22 @@
 	lives uint64
 }
 
-// Open makes a day's parties.
-func Open(s *scenario.Script) (*Day, error) {
-	d := &Day{
-		Script: s, Book: &eventlog.Book{}, Log: slog.New(slog.DiscardHandler), byAddr: map[string]*host{}, began: start,
+// New makes a day's parties.
+func New(s *scenario.Script) (*Simulation, error) {
+	d := &Simulation{
+		Script: s, Log: &eventlog.Log{}, Logger: slog.New(slog.DiscardHandler), byAddr: map[string]*host{}, began: start,
 		rng: rand.New(rand.NewPCG(uint64(s.Seed), 2)),
 	}
 	d.world = eventloop.NewSimulatedNetwork(wall, delay)
-	d.Book.Clock = d.world.UnixNanos
+	d.Log.Clock = d.world.UnixNanos
 	d.ctl = d.world.NewLoop(addr(0, 0), nil)
 	d.net = &moves{
-		l: d.world.NewLoop(addr(0, 1), nil), net: batch.NewNet(), ports: map[int]int{}, cells: map[string]int{},
-		ended: map[batch.Move]func(){},
+		l: d.world.NewLoop(addr(0, 1), nil), net: batch.NewNetwork(), ports: map[int]int{}, cells: map[string]int{},
+		ended: map[batch.TransferID]func(){},
 	}
 	var list []*pb.Host
-	for i, spec := range s.Hosts() {
-		spec.Batch = true
+	for i, spec := range s.EngineSpecs() {
+		spec.BatchModel = true
 		h := &host{d: d, spec: spec, addr: netip.AddrPortFrom(addr(1, i), 1), rng: rand.New(rand.NewPCG(uint64(s.Seed), uint64(spec.ID)))}
 		if err := h.start(long); err != nil {
 			return nil, fmt.Errorf("host %d: %w", spec.ID, err)
@@ -99,9 +99,9 @@
 			return nil, err
 		}
 		d.listers = append(d.listers, w)
-		set := s.Settings(n)
+		set := s.DispatcherConfig(n)
 		at := netip.AddrPortFrom(addr(3, n), 1)
-		set.Listen, set.Fleet.Watch, set.Limits.Memory = at, w.addr, 0
+		set.Listen, set.Discovery.Watch, set.Limits.MaxMemoryBytes = at, w.addr, 0
 		d.disp = append(d.disp, &dispatcher{n: n, addr: at, set: set})
 	}
 	d.world.NewTap = func(from *eventloop.Loop, to netip.AddrPort) eventloop.Tap {
@@ -111,15 +111,15 @@
 		}
 		for _, x := range d.disp {
 			if x.l == from {
-				return faultproxy.NewTap(d.Book, h.spec.ID, x.n)
+				return faultproxy.NewFrameRecorder(d.Log, h.spec.ID, x.n)
 			}
 		}
 		return nil
 	}
-	for i, t := range s.Clients() {
-		k := &crowd{d: d, t: t, l: d.world.NewLoop(addr(4, i), nil), sum: &userclient.Sum{}}
+	for i, t := range s.ClientClasses() {
+		k := &crowd{d: d, t: t, l: d.world.NewLoop(addr(4, i), nil), sum: &userclient.Summary{}}
 		for range d.disp {
-			k.wires = append(k.wires, make([]*wire, max(connsEach, t.Conns)))
+			k.wires = append(k.wires, make([]*wire, max(connsEach, t.ConnsPerDispatcher)))
 		}
 		d.crowds = append(d.crowds, k)
 	}
@@ -127,7 +127,7 @@
 }
 
 // startDispatcher starts one, or starts it again.
-func (d *Day) startDispatcher(x *dispatcher) error {
+func (d *Simulation) startDispatcher(x *dispatcher) error {
 	if x.d != nil { // another trouble has started it again
 		return nil
 	}
@@ -135,11 +135,11 @@
 	x.l = d.world.NewLoop(x.addr.Addr(), nil)
 	life := uint64(x.n+1)<<16 | x.lives
 	var wrap func(dispatch.Module) dispatch.Module
-	if d.Wrap != nil {
-		wrap = d.Wrap(x.n)
+	if d.WrapModule != nil {
+		wrap = d.WrapModule(x.n)
 	}
 	secrets := rand.NewChaCha8([32]byte{byte(life), byte(life >> 8), byte(life >> 16), byte(x.set.Seed)})
-	disp, err := dispatch.NewGRPC(x.l, x.set, d.Log.With("dispatcher", x.n), x.set.Seed, life, secrets, wrap)
+	disp, err := dispatch.NewGRPC(x.l, x.set, d.Logger.With("dispatcher", x.n), x.set.Seed, life, secrets, wrap)
 	if err != nil {
 		return err
 	}
@@ -149,39 +149,39 @@
 	x.d = disp
 	x.l.SetOnIteration(disp.RunIteration)
 	x.l.Post(func() {})
-	d.Book.Add(eventlog.Entry{Kind: eventlog.Up, Disp: x.n})
+	d.Log.Add(eventlog.Entry{Kind: eventlog.DispatcherStarted, Dispatcher: x.n})
 	return nil
 }
 
-func (d *Day) killDispatcher(x *dispatcher) {
+func (d *Simulation) killDispatcher(x *dispatcher) {
 	if x.d == nil {
 		return
 	}
 	d.counts.Add(x.d.Counts)
 	x.d = nil
-	d.Book.Add(eventlog.Entry{Kind: eventlog.Down, Disp: x.n})
+	d.Log.Add(eventlog.Entry{Kind: eventlog.DispatcherStopped, Dispatcher: x.n})
 	x.l.Kill()
 }
 
 // at has f called at a time of the world, after on the way to it.
-func (d *Day) at(t eventloop.Nanos, f func()) {
+func (d *Simulation) at(t eventloop.Nanos, f func()) {
 	timer := &eventloop.Timer{}
 	d.ctl.Post(func() { d.ctl.SetTimer(timer, max(t, d.world.Now()), func(eventloop.Nanos) { f() }) })
 }
 
-func (d *Day) after(t eventloop.Nanos, f func()) { d.at(d.world.Now()+t, f) }
+func (d *Simulation) after(t eventloop.Nanos, f func()) { d.at(d.world.Now()+t, f) }
 
-// Sight is the true load of a host: prompt tokens that are not read yet, and work at hand.
-func (d *Day) Sight(id policy.ServerID) (unread, work int) {
+// ServerLoad is the true load of a host: prompt tokens that are not read yet, and work at hand.
+func (d *Simulation) ServerLoad(id policy.ServerID) (unread, work int) {
 	h := d.hosts[id-1]
 	if h.l == nil {
 		return math.MaxInt, math.MaxInt
 	}
-	return h.model.Unread(), h.model.Queued() + h.model.Running()
+	return h.model.QueuedPromptTokens(), h.model.Queued() + h.model.Running()
 }
 
 // told is what a list says of a host.
-func (d *Day) told(i int) *pb.Host {
+func (d *Simulation) told(i int) *pb.Host {
 	h := d.hosts[i]
 	m := &pb.Host{Id: uint32(h.spec.ID), Address: h.addr.String(), Role: h.spec.Role, Zone: h.spec.Zone, Cell: h.spec.Cell, Health: d.health[i]}
 	if h.began > 0 {
@@ -190,21 +190,21 @@
 	return m
 }
 
-func (d *Day) list(i int) {
+func (d *Simulation) list(i int) {
 	for _, w := range d.listers {
-		w.set(d.told(i), int64(d.Script.ListerLate))
+		w.set(d.told(i), int64(d.Script.DiscoveryDelay))
 	}
 }
 
 // Report is what a day came to, with what its playing took.
 type Report struct {
 	scenario.Report
-	Turns     uint64 // of all loops
-	Simulated time.Duration
+	LoopIterations uint64 // of all loops
+	Simulated      time.Duration
 }
 
-// Play plays the day to its end, lets what is left end, and judges the rules. A context that ends stops it.
-func (d *Day) Play(ctx context.Context) (*Report, error) {
+// Run plays the day to its end, lets what is left end, and judges the rules. A context that ends stops it.
+func (d *Simulation) Run(ctx context.Context) (*Report, error) {
 	s, begin := d.Script, time.Now()
 	for _, x := range d.disp {
 		if err := d.startDispatcher(x); err != nil {
@@ -212,32 +212,32 @@
 		}
 	}
 	d.world.RunUntil(d.began)
-	last := s.For
-	for _, t := range s.Troubles {
+	last := s.Duration
+	for _, t := range s.Faults {
 		hosts := d.on(t)
-		last = max(last, t.At+t.For+t.For/10)
-		d.at(d.began+int64(t.At), func() {
-			d.Book.Add(eventlog.Entry{Kind: eventlog.Trouble, Code: t.Kind, Note: "begins"})
+		last = max(last, t.Start+t.Duration+t.Duration/10)
+		d.at(d.began+int64(t.Start), func() {
+			d.Log.Add(eventlog.Entry{Kind: eventlog.FaultChanged, Code: t.Kind, Note: "begins"})
 			d.trouble(t, hosts)
 		})
-		d.at(d.began+int64(t.At+t.For), func() { d.Book.Add(eventlog.Entry{Kind: eventlog.Trouble, Code: t.Kind, Note: "ends"}) })
+		d.at(d.began+int64(t.Start+t.Duration), func() { d.Log.Add(eventlog.Entry{Kind: eventlog.FaultChanged, Code: t.Kind, Note: "ends"}) })
 	}
-	if d.Sample > 0 {
+	if d.SampleInterval > 0 {
 		d.sample()
 	}
 	heavies := 0
 	d.play(func(at time.Duration) float64 {
-		r := s.Rate
-		for _, t := range s.Troubles {
-			if t.Kind == "burst" && at >= t.At && at < t.At+t.For {
+		r := s.SessionsPerSecond
+		for _, t := range s.Faults {
+			if t.Kind == "burst" && at >= t.Start && at < t.Start+t.Duration {
 				r *= t.Factor
 			}
 		}
 		return r
 	}, func(at time.Duration) int {
 		heavies++
-		for _, t := range s.Troubles {
-			if t.Kind == "heavy" && at >= t.At && at < t.At+t.For && heavies%30 == 0 {
+		for _, t := range s.Faults {
+			if t.Kind == "heavy" && at >= t.Start && at < t.Start+t.Duration && heavies%30 == 0 {
 				return int(t.Factor)
 			}
 		}
@@ -261,11 +261,11 @@
 			return nil, ctx.Err()
 		}
 	}
-	d.world.RunUntil(d.world.Now() + int64(s.Release+300*time.Millisecond))
-	rep := &Report{Turns: d.world.Iterations, Simulated: time.Duration(d.world.Now())}
-	rep.Sums, rep.Counts, rep.Entries = map[string]*userclient.Sum{}, d.counts, d.Book.Entries()
+	d.world.RunUntil(d.world.Now() + int64(s.ReleaseTime+300*time.Millisecond))
+	rep := &Report{LoopIterations: d.world.Iterations, Simulated: time.Duration(d.world.Now())}
+	rep.Summaries, rep.Counts, rep.Entries = map[string]*userclient.Summary{}, d.counts, d.Log.Entries()
 	for _, k := range d.crowds {
-		rep.Sums[k.t.Name] = k.sum
+		rep.Summaries[k.t.Name] = k.sum
 	}
 	for _, x := range d.disp {
 		if x.d == nil {
@@ -273,42 +273,42 @@
 		}
 		rep.Counts.Add(x.d.Counts)
 		for _, t := range x.d.Status().Tenants {
-			rep.Doors = append(rep.Doors, t.Counts)
+			rep.AdmissionCounts = append(rep.AdmissionCounts, t.Counts)
 		}
 	}
-	rep.Violations = invariants.Check(rep.Entries, s.Facts())
+	rep.Violations = invariants.Check(rep.Entries, s.InvariantLimits())
 	for _, e := range rep.Entries {
-		if e.Kind == eventlog.Sent {
-			rep.Launches++
+		if e.Kind == eventlog.AttemptSent {
+			rep.Attempts++
 		}
 	}
-	rep.Took = time.Since(begin)
+	rep.Elapsed = time.Since(begin)
 	return rep, nil
 }
 
 // sample writes down the figures of all hosts that run, and comes again.
-func (d *Day) sample() {
+func (d *Simulation) sample() {
 	for _, h := range d.hosts {
 		if h.l != nil {
-			d.Book.Add(eventlog.Entry{
-				Kind: eventlog.Figures, Server: h.spec.ID, N: int64(h.model.Unread()), Try: h.model.Queued() + h.model.Running(),
+			d.Log.Add(eventlog.Entry{
+				Kind: eventlog.ServerLoad, Server: h.spec.ID, Value: int64(h.model.QueuedPromptTokens()), ClientAttempt: h.model.Queued() + h.model.Running(),
 				Attempt: 1000 * h.model.Memory.InUse() / h.model.Memory.Blocks(),
 			})
 		}
 	}
-	d.after(int64(d.Sample), d.sample)
+	d.after(int64(d.SampleInterval), d.sample)
 }
 
 // on gives the hosts of a trouble.
-func (d *Day) on(t scenario.Trouble) []*host {
+func (d *Simulation) on(t scenario.Fault) []*host {
 	var is []int
-	if len(t.Hosts) > 0 {
-		for _, n := range t.Hosts {
+	if len(t.Servers) > 0 {
+		for _, n := range t.Servers {
 			is = append(is, n-1)
 		}
 	} else {
 		for i, h := range d.hosts {
-			if (t.Role == "" || scenario.Roles[t.Role] == h.spec.Role) && (t.Zone == "" || t.Zone == h.spec.Zone) && (t.Cell == "" || t.Cell == h.spec.Cell) {
+			if (t.Role == "" || scenario.WireRoles[t.Role] == h.spec.Role) && (t.Zone == "" || t.Zone == h.spec.Zone) && (t.Cell == "" || t.Cell == h.spec.Cell) {
 				is = append(is, i)
 			}
 		}
@@ -326,8 +326,8 @@
 }
 
 // trouble acts one out, from its begin to its end.
-func (d *Day) trouble(t scenario.Trouble, hosts []*host) {
-	length := int64(t.For)
+func (d *Simulation) trouble(t scenario.Fault, hosts []*host) {
+	length := int64(t.Duration)
 	each := func(f func(h *host)) {
 		for _, h := range hosts {
 			f(h)
@@ -363,7 +363,7 @@
 					d.world.SetPartitioned(x.l, h.l, yes)
 				}
 			}
-			d.Book.Add(eventlog.Entry{Kind: eventlog.Trouble, Note: note, Server: h.spec.ID})
+			d.Log.Add(eventlog.Entry{Kind: eventlog.FaultChanged, Note: note, Server: h.spec.ID})
 		})
 	}
 	all := func(*dispatcher) bool { return true }
@@ -388,17 +388,17 @@
 		}
 		d.after(length, func() { each(again) })
 	case "hang":
-		fail(func(f *engine.Faults) { f.Hang = true }, func(f *engine.Faults) { f.Hang = false })
+		fail(func(f *engine.Faults) { f.Hanging = true }, func(f *engine.Faults) { f.Hanging = false })
 	case "errors":
 		fail(func(f *engine.Faults) { f.FailFast = t.Factor }, func(f *engine.Faults) { f.FailFast = 0 })
 	case "slow":
-		fail(func(f *engine.Faults) { f.Slow = t.Factor }, func(f *engine.Faults) { f.Slow = 1 })
+		fail(func(f *engine.Faults) { f.Slowdown = t.Factor }, func(f *engine.Faults) { f.Slowdown = 1 })
 	case "deaf":
-		fail(func(f *engine.Faults) { f.Deaf = t.Track }, func(f *engine.Faults) { f.Deaf = "" })
+		fail(func(f *engine.Faults) { f.SilentClass = t.Class }, func(f *engine.Faults) { f.SilentClass = "" })
 	case "links":
-		fail(func(f *engine.Faults) { f.LinkSlow = t.Factor }, func(f *engine.Faults) { f.LinkSlow = 1 })
+		fail(func(f *engine.Faults) { f.LinkSlowdown = t.Factor }, func(f *engine.Faults) { f.LinkSlowdown = 1 })
 	case "reports":
-		fail(func(f *engine.Faults) { f.ReportLate = t.For }, func(f *engine.Faults) { f.ReportLate = 0 })
+		fail(func(f *engine.Faults) { f.ReportDelay = t.Duration }, func(f *engine.Faults) { f.ReportDelay = 0 })
 	case "stall":
 		fail(func(f *engine.Faults) { f.StallAfter = int(t.Factor) }, func(f *engine.Faults) { f.StallAfter = 0 })
 	case "vanish":
@@ -412,7 +412,7 @@
 						d.world.SetPartitioned(x.l, was, false)
 					}
 				}
-				d.Book.Add(eventlog.Entry{Kind: eventlog.Trouble, Note: "uncut", Server: h.spec.ID})
+				d.Log.Add(eventlog.Entry{Kind: eventlog.FaultChanged, Note: "uncut", Server: h.spec.ID})
 			})
 			each(again)
 		})
@@ -420,13 +420,13 @@
 		const steps = 10
 		for i := range steps {
 			d.after(length*int64(i)/steps, func() {
-				each(func(h *host) { h.fail(func(f *engine.Faults) { f.Slow = 1 + float64(i)/2 }) })
+				each(func(h *host) { h.fail(func(f *engine.Faults) { f.Slowdown = 1 + float64(i)/2 }) })
 			})
 		}
 		d.after(length, func() {
 			each(func(h *host) {
 				gone(h)
-				h.fail(func(f *engine.Faults) { f.Slow = 1 })
+				h.fail(func(f *engine.Faults) { f.Slowdown = 1 })
 			})
 		})
 		d.after(length+length/steps, func() { each(again) })
@@ -435,7 +435,7 @@
 		on, off := func(f *engine.Faults) { f.Paused = true }, func(f *engine.Faults) { f.Paused = false }
 		if t.Kind == "neighbour" {
 			part = turn / 2
-			on, off = func(f *engine.Faults) { f.Slow = t.Factor }, func(f *engine.Faults) { f.Slow = 1 }
+			on, off = func(f *engine.Faults) { f.Slowdown = t.Factor }, func(f *engine.Faults) { f.Slowdown = 1 }
 		}
 		for at := int64(0); at < length; at += turn {
 			d.after(at, func() { each(func(h *host) { h.fail(on) }) })
@@ -453,7 +453,7 @@
 		d.after(length*2/3, func() { each(gone) })
 		d.after(length, func() { each(again) })
 	case "dispatcher":
-		x := d.disp[t.Number]
+		x := d.disp[t.Dispatcher]
 		d.killDispatcher(x)
 		d.after(length, func() {
 			if err := d.startDispatcher(x); err != nil {
@@ -482,10 +482,12 @@
 			if h.l != nil {
 				h.l.BlackholeConnections()
 			}
-			d.Book.Add(eventlog.Entry{Kind: eventlog.Trouble, Note: "cut", Server: h.spec.ID})
+			d.Log.Add(eventlog.Entry{Kind: eventlog.FaultChanged, Note: "cut", Server: h.spec.ID})
 		})
-		d.after(int64(scenario.Noticed), func() {
-			each(func(h *host) { d.Book.Add(eventlog.Entry{Kind: eventlog.Trouble, Note: "uncut", Server: h.spec.ID}) })
+		d.after(int64(scenario.FaultDetectionTime), func() {
+			each(func(h *host) {
+				d.Log.Add(eventlog.Entry{Kind: eventlog.FaultChanged, Note: "uncut", Server: h.spec.ID})
+			})
 		})
 	case "trickle":
 		slow(0, true)
--- a/internal/lab/simulation/simulation_test.go
+++ b/internal/lab/simulation/simulation_test.go
@@ -26,14 +26,14 @@
 
 func play(t *testing.T, s *scenario.Script, wrap func(dispatch.Module) dispatch.Module) *Report {
 	t.Helper()
-	d, err := Open(s)
+	d, err := New(s)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if wrap != nil {
-		d.Wrap = func(int) func(dispatch.Module) dispatch.Module { return wrap }
+		d.WrapModule = func(int) func(dispatch.Module) dispatch.Module { return wrap }
 	}
-	rep, err := d.Play(context.Background())
+	rep, err := d.Run(context.Background())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -64,10 +64,10 @@
 			t.Errorf("seed %d: %v", 100+seed, v)
 		}
 		jobs, honoured := 0, 0
-		for name, s := range rep.Sums {
+		for name, s := range rep.Summaries {
 			jobs, honoured = jobs+s.Requests, honoured+s.Served
-			if s.Wrong > 0 {
-				t.Errorf("seed %d: %d answers of %s were not whole", 100+seed, s.Wrong, name)
+			if s.Corrupt > 0 {
+				t.Errorf("seed %d: %d answers of %s were not whole", 100+seed, s.Corrupt, name)
 			}
 		}
 		if rep.Counts.InvalidDecisions > 0 || jobs < 500 || honoured < jobs*3/4 || rep.Simulated < 40*time.Second {
@@ -125,18 +125,18 @@
 // with the first launches and made anew, well before a host's rest would end.
 func TestHalfOpen(t *testing.T) {
 	s := load(t, 3)
-	s.Fleet, s.Dispatchers = []scenario.Hosts{s.Fleet[0], s.Fleet[1]}, s.Dispatchers[:1]
-	s.Fleet[0].Count, s.Fleet[1].Count = 2, 2
-	s.Rate, s.For = 0.4, 60*time.Second // pauses of seconds between jobs
-	s.Troubles = []scenario.Trouble{{Kind: "halfopen", At: 20 * time.Second, Hosts: []int{1, 2, 3, 4}}}
+	s.Servers, s.Dispatchers = []scenario.ServerGroup{s.Servers[0], s.Servers[1]}, s.Dispatchers[:1]
+	s.Servers[0].Count, s.Servers[1].Count = 2, 2
+	s.SessionsPerSecond, s.Duration = 0.4, 60*time.Second // pauses of seconds between jobs
+	s.Faults = []scenario.Fault{{Kind: "halfopen", Start: 20 * time.Second, Servers: []int{1, 2, 3, 4}}}
 	rep := play(t, s, nil)
 	late, lost, last := 0, 0, rep.Entries[0].At+int64(time.Second)
 	for _, e := range rep.Entries {
 		at := time.Duration(e.At - last)
-		if e.Kind == eventlog.Asked && at > 26*time.Second {
+		if e.Kind == eventlog.RequestSent && at > 26*time.Second {
 			late++
 		}
-		if (e.Kind == eventlog.Final && e.Code != "OK" || e.Kind == eventlog.NoAnswer) && at > 32*time.Second {
+		if (e.Kind == eventlog.RequestAnswered && e.Code != "OK" || e.Kind == eventlog.RequestUnanswered) && at > 32*time.Second {
 			lost++
 		}
 	}
@@ -177,19 +177,19 @@
 // link: the writer says that there is none, the prompt is read anew, no rule is broken.
 func TestStateGoneBeforeFetch(t *testing.T) {
 	s := load(t, 9)
-	s.For, s.Rate = 20*time.Second, 10
-	s.Troubles = []scenario.Trouble{{Kind: "links", At: 2 * time.Second, For: 14 * time.Second, Role: scenario.Prefill, Factor: 60}}
+	s.Duration, s.SessionsPerSecond = 20*time.Second, 10
+	s.Faults = []scenario.Fault{{Kind: "links", Start: 2 * time.Second, Duration: 14 * time.Second, Role: scenario.Prefill, Factor: 60}}
 	for i := range 6 {
-		s.Troubles = append(s.Troubles, scenario.Trouble{Kind: "crash", At: time.Duration(3+2*i) * time.Second, For: 200 * time.Millisecond, Hosts: []int{1 + i%3, 8 + i%3}})
+		s.Faults = append(s.Faults, scenario.Fault{Kind: "crash", Start: time.Duration(3+2*i) * time.Second, Duration: 200 * time.Millisecond, Servers: []int{1 + i%3, 8 + i%3}})
 	}
 	var n [policy.Canceled + 1]int
 	rep := play(t, s, func(m dispatch.Module) dispatch.Module { return outcomes{m, &n} })
 	if n[policy.StateMissing] < 3 || len(rep.Violations) > 0 {
 		t.Errorf("%d launches found no state; %v", n[policy.StateMissing], rep.Violations)
 	}
-	for name, sum := range rep.Sums {
-		if sum.Wrong > 0 || sum.Served < sum.Requests*4/10 {
-			t.Errorf("%s: %d of %d honoured, %d wrong", name, sum.Served, sum.Requests, sum.Wrong)
+	for name, sum := range rep.Summaries {
+		if sum.Corrupt > 0 || sum.Served < sum.Requests*4/10 {
+			t.Errorf("%s: %d of %d honoured, %d wrong", name, sum.Served, sum.Requests, sum.Corrupt)
 		}
 	}
 }
@@ -198,24 +198,24 @@
 // and nearly all are in time; in order of arrival half are.
 func TestFloodSimulated(t *testing.T) {
 	for seed := range int64(3) {
-		day := func(change func(s *scenario.Script)) *userclient.Sum {
+		day := func(change func(s *scenario.Script)) *userclient.Summary {
 			s, err := scenario.Load("../../../experiments/flood-day.json")
 			if err != nil {
 				t.Fatal(err)
 			}
 			s.Seed = 50 + seed
 			change(s)
-			sum := play(t, s, nil).Sums["small"]
-			slices.Sort(sum.First)
+			sum := play(t, s, nil).Summaries["small"]
+			slices.Sort(sum.FirstTokenTimes)
 			return sum
 		}
-		p99 := func(s *userclient.Sum) time.Duration { return s.First[len(s.First)*99/100] }
-		calm := day(func(s *scenario.Script) { s.Rate, s.Load[0].Share, s.Load[1].Share = 6, 1, 0 })
+		p99 := func(s *userclient.Summary) time.Duration { return s.FirstTokenTimes[len(s.FirstTokenTimes)*99/100] }
+		calm := day(func(s *scenario.Script) { s.SessionsPerSecond, s.Classes[0].Share, s.Classes[1].Share = 6, 1, 0 })
 		fair := day(func(*scenario.Script) {})
-		first := day(func(s *scenario.Script) { s.FirstCome = true })
-		t.Logf("p99 %v without the flood, %v with it, %v in order of arrival; kept %.3f and %.3f", p99(calm), p99(fair), p99(first), fair.Kept(), first.Kept())
-		if p99(fair) > 8*p99(calm)+100*time.Millisecond || fair.Kept() < 0.97 || first.Kept() > 0.8 {
-			t.Errorf("seed %d: p99 %v beside %v without the flood; kept %.3f, in order of arrival %.3f", 50+seed, p99(fair), p99(calm), fair.Kept(), first.Kept())
+		first := day(func(s *scenario.Script) { s.FIFO = true })
+		t.Logf("p99 %v without the flood, %v with it, %v in order of arrival; kept %.3f and %.3f", p99(calm), p99(fair), p99(first), fair.ValueShare(), first.ValueShare())
+		if p99(fair) > 8*p99(calm)+100*time.Millisecond || fair.ValueShare() < 0.97 || first.ValueShare() > 0.8 {
+			t.Errorf("seed %d: p99 %v beside %v without the flood; kept %.3f, in order of arrival %.3f", 50+seed, p99(fair), p99(calm), fair.ValueShare(), first.ValueShare())
 		}
 	}
 }
--- a/internal/lab/soak/client.go
+++ b/internal/lab/soak/client.go
@@ -49,35 +49,35 @@
 
 // Send sends a request to a dispatcher, on the connection that is kept if it is one to the same process.
 func (c *Client) Send(d *Dispatcher, r Request) error {
-	if c.to != d || c.life != d.Life() {
+	if c.to != d || c.life != d.Incarnation() {
 		c.Close()
 	}
 	c.used = c.conn != nil
-	c.fleet.Ledger.Sent(Now(), r.ID, d.Name)
+	c.fleet.Oracle.RequestSent(Now(), r.ID, d.Name)
 	if c.conn == nil {
 		conn, err := net.DialTimeout("tcp", d.Addr, time.Second)
 		if err != nil {
 			return err
 		}
-		c.conn, c.to, c.life = conn, d, d.Life()
+		c.conn, c.to, c.life = conn, d, d.Incarnation()
 	}
 	_, err := io.WriteString(c.conn, r.text())
 	return err
 }
 
-// Leave closes the connection under a request.
-func (c *Client) Leave(id string) {
+// CancelRequest closes the connection under a request.
+func (c *Client) CancelRequest(id string) {
 	c.Close()
-	c.fleet.Ledger.Left(Now(), id)
+	c.fleet.Oracle.ClientCanceled(Now(), id)
 }
 
 var errStreamCut = errors.New("the stream ended before its end")
 
 // Outcome is how a request ended for its client.
 type Outcome struct {
-	Status int
-	Err    error // no answer came, or not all of it
-	Began  bool  // an answer began
+	Status  int
+	Err     error // no answer came, or not all of it
+	Started bool  // an answer began
 }
 
 // answerSlack is how much later than its deadline a client may get its answer: half a second, and 50 ms as all spans have.
@@ -86,8 +86,8 @@
 // streamSlack is how long after the answer's begin its end may come: servers are stopped for less.
 const streamSlack = 12 * time.Second
 
-// Wait waits for the answer to a request.
-func (c *Client) Wait(r Request) (o Outcome) {
+// ReceiveAnswer waits for the answer to a request.
+func (c *Client) ReceiveAnswer(r Request) (o Outcome) {
 	c.conn.SetReadDeadline(time.Now().Add(r.Remaining + answerSlack))
 	res, err := http.ReadResponse(bufio.NewReader(c.conn), nil)
 	if err != nil {
@@ -95,7 +95,7 @@
 		return Outcome{Err: err}
 	}
 	c.conn.SetReadDeadline(time.Now().Add(streamSlack))
-	o = Outcome{Status: res.StatusCode, Began: true}
+	o = Outcome{Status: res.StatusCode, Started: true}
 	if _, err := io.Copy(io.Discard, res.Body); err != nil {
 		o.Err = fmt.Errorf("%w: %w", errStreamCut, err)
 	}
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -10,15 +10,15 @@
 
 // Fault is one fault of a schedule: what befalls whom, from when on and for how long.
 type Fault struct {
-	At     time.Duration
-	For    time.Duration
-	Kind   FaultKind
-	Target string
+	Start    time.Duration
+	Duration time.Duration
+	Kind     FaultKind
+	Target   string
 }
 
 // String is the fault as a line of the schedule.
 func (f Fault) String() string {
-	return fmt.Sprintf("%.3f s: %s %s for %.3f s", f.At.Seconds(), f.Target, f.Kind, f.For.Seconds())
+	return fmt.Sprintf("%.3f s: %s %s for %.3f s", f.Start.Seconds(), f.Target, f.Kind, f.Duration.Seconds())
 }
 
 // FaultKind is what goes wrong.
@@ -76,7 +76,7 @@
 func schedule(rng *rand.Rand, prefill, decode, dispatchers int, length time.Duration, each time.Duration) (faults []Fault) {
 	busy := map[string]time.Duration{} // until when a target has its fault
 	for at := 500 * time.Millisecond; at < length; at += span(rng, each/2, each*3/2) {
-		f := Fault{At: at, Kind: FaultKind(rng.IntN(int(faultKinds))), For: span(rng, shortestFault, longestFault)}
+		f := Fault{Start: at, Kind: FaultKind(rng.IntN(int(faultKinds))), Duration: span(rng, shortestFault, longestFault)}
 		var free []string
 		switch {
 		case f.Kind == discoveryAway:
@@ -86,10 +86,10 @@
 				free = append(free, dispatcherName(n))
 			}
 			if f.Kind == dispatcherHeld {
-				f.For = span(rng, time.Millisecond, longestHoldUp)
+				f.Duration = span(rng, time.Millisecond, longestHoldUp)
 			}
 			if f.Kind == dispatcherEnds {
-				f.For = endGrace
+				f.Duration = endGrace
 			}
 		default:
 			free = append(soundServers(busy, at, prefillName, prefill), soundServers(busy, at, decodeName, decode)...)
@@ -99,10 +99,10 @@
 			continue
 		}
 		f.Target = free[rng.IntN(len(free))]
-		busy[f.Target] = f.At + f.For + 100*time.Millisecond
+		busy[f.Target] = f.Start + f.Duration + 100*time.Millisecond
 		faults = append(faults, f)
 	}
-	sort.SliceStable(faults, func(i, j int) bool { return faults[i].At < faults[j].At })
+	sort.SliceStable(faults, func(i, j int) bool { return faults[i].Start < faults[j].Start })
 	return faults
 }
 
@@ -140,9 +140,9 @@
 func (f *Fleet) apply(fault Fault) error {
 	switch {
 	case fault.Kind == discoveryAway:
-		f.Away(true)
-		time.Sleep(fault.For)
-		f.Away(false)
+		f.SetDiscoverySilent(true)
+		time.Sleep(fault.Duration)
+		f.SetDiscoverySilent(false)
 		return nil
 	case fault.Kind >= dispatcherHeld:
 		for _, d := range f.Dispatchers {
@@ -164,20 +164,20 @@
 	switch fault.Kind {
 	case dispatcherHeld:
 		d.Signal(syscall.SIGSTOP)
-		time.Sleep(fault.For)
+		time.Sleep(fault.Duration)
 		d.Signal(syscall.SIGCONT)
 	case dispatcherReloads:
 		d.Signal(syscall.SIGHUP)
 	case dispatcherKilled:
 		d.Kill()
-		time.Sleep(fault.For / 4)
+		time.Sleep(fault.Duration / 4)
 		return d.Start()
 	case dispatcherEnds:
 		for _, signal := range []syscall.Signal{syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM} { // impatient operators
 			d.Signal(signal)
 			time.Sleep(signalGap)
 		}
-		err, ended := d.Ended(fault.For - 3*signalGap)
+		err, ended := d.WaitExit(fault.Duration - 3*signalGap)
 		if ended && err != nil {
 			return fmt.Errorf("dispatcher %s ended with %w", d.Name, err)
 		}
@@ -192,40 +192,40 @@
 	p := s.Proxy
 	during := func(set func(yes bool)) {
 		set(true)
-		time.Sleep(fault.For)
+		time.Sleep(fault.Duration)
 		set(false)
 	}
 	switch fault.Kind {
 	case serverHangs:
 		s.Stop()
-		time.Sleep(fault.For)
+		time.Sleep(fault.Duration)
 		s.Continue()
 	case serverRestarts:
 		return s.Restart()
 	case heldForward, oldForward:
-		during(func(yes bool) { p.Hold(Forward, yes, fault.Kind == oldForward) })
+		during(func(yes bool) { p.SetHeld(Forward, yes, fault.Kind == oldForward) })
 	case heldBack, oldBack:
-		during(func(yes bool) { p.Hold(Back, yes, fault.Kind == oldBack) })
+		during(func(yes bool) { p.SetHeld(Back, yes, fault.Kind == oldBack) })
 	case heldBoth:
-		during(func(yes bool) { p.Hold(Forward, yes, false); p.Hold(Back, yes, false) })
+		during(func(yes bool) { p.SetHeld(Forward, yes, false); p.SetHeld(Back, yes, false) })
 	case closesHeld:
-		during(p.HoldCloses)
+		during(p.SetClosesHeld)
 	case delayed:
-		p.Delay(fault.For * longestDelay / longestFault)
-		time.Sleep(fault.For)
-		p.Delay(0)
+		p.SetDelay(fault.Duration * longestDelay / longestFault)
+		time.Sleep(fault.Duration)
+		p.SetDelay(0)
 	case scattered:
-		p.Scatter(fault.For * longestDelay / longestFault)
-		time.Sleep(fault.For)
-		p.Scatter(0)
+		p.SetSpread(fault.Duration * longestDelay / longestFault)
+		time.Sleep(fault.Duration)
+		p.SetSpread(0)
 	case cutBoth:
-		p.Cut(Forward, true)
+		p.ResetConns(Forward, true)
 	case cutServer:
-		p.Cut(Forward, false)
+		p.ResetConns(Forward, false)
 	case cutDispatcher:
-		p.Cut(Back, false)
+		p.ResetConns(Back, false)
 	case refused:
-		during(p.Refuse)
+		during(p.SetRejecting)
 	}
 	return nil
 }
--- a/internal/lab/soak/fleet.go
+++ b/internal/lab/soak/fleet.go
@@ -16,8 +16,8 @@
 	"time"
 )
 
-// Program makes a command that runs docksail with arguments.
-type Program func(args ...string) *exec.Cmd
+// CommandFunc makes a command that runs docksail with arguments.
+type CommandFunc func(args ...string) *exec.Cmd
 
 // Server is a stand-in model server: its process, and the proxy by which dispatchers reach it.
 type Server struct {
@@ -46,8 +46,8 @@
 	done    chan error
 }
 
-// Life counts the dispatcher's processes so far.
-func (d *Dispatcher) Life() int {
+// Incarnation counts the dispatcher's processes so far.
+func (d *Dispatcher) Incarnation() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.life
@@ -62,16 +62,16 @@
 
 // Fleet is all that runs: dispatchers, servers, discovery, and the ledger between them.
 type Fleet struct {
-	Ledger      *Ledger
+	Oracle      *Oracle
 	Servers     []*Server
 	Dispatchers []*Dispatcher
-	// Plan makes the plan of an attempt, ReleaseStatus the answer to a release; both may be called from several goroutines.
-	Plan          func(id string, read bool, server string) Plan
-	ReleaseStatus func(id, server string) int
-	Sockets       int // descriptors of a dispatcher, as it is told
+	// AttemptPlan makes the plan of an attempt, ReleaseStatus the answer to a release; both may be called from several goroutines.
+	AttemptPlan    func(id string, read bool, server string) AttemptPlan
+	ReleaseStatus  func(id, server string) int
+	MaxDescriptors int // descriptors of a dispatcher, as it is told
 
-	program           Program
-	dispatcherProgram Program
+	program           CommandFunc
+	dispatcherProgram CommandFunc
 	folder            string
 	settings          string
 	reports           net.Listener
@@ -84,10 +84,10 @@
 }
 
 // NewFleet makes a fleet that keeps its files in a folder. settings is the settings object of dispatchers.
-func NewFleet(program Program, folder, settings string, limits Limits) (*Fleet, error) {
+func NewFleet(program CommandFunc, folder, settings string, limits Limits) (*Fleet, error) {
 	f := &Fleet{
-		Ledger: NewLedger(limits), program: program, dispatcherProgram: program, folder: folder, settings: settings, version: 41, Sockets: usualSockets, watches: map[chan struct{}]bool{},
-		Plan: func(string, bool, string) Plan { return Plan{} }, ReleaseStatus: func(string, string) int { return 0 },
+		Oracle: NewOracle(limits), program: program, dispatcherProgram: program, folder: folder, settings: settings, version: 41, MaxDescriptors: usualSockets, watches: map[chan struct{}]bool{},
+		AttemptPlan: func(string, bool, string) AttemptPlan { return AttemptPlan{} }, ReleaseStatus: func(string, string) int { return 0 },
 	}
 	var err error
 	if f.reports, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
@@ -121,7 +121,7 @@
 func (f *Fleet) AddServer(name string, prefill bool) (*Server, error) {
 	s := &Server{Name: name, Prefill: prefill, fleet: f, state: "Ready"}
 	var err error
-	if s.Proxy, err = NewProxy(name, f.Ledger); err != nil {
+	if s.Proxy, err = NewProxy(name, f.Oracle); err != nil {
 		return nil, err
 	}
 	f.Servers = append(f.Servers, s)
@@ -146,7 +146,7 @@
 		return fmt.Errorf("server %s: %w", s.Name, err)
 	}
 	go io.Copy(io.Discard, out)
-	s.Proxy.Serve(strings.TrimSpace(line))
+	s.Proxy.SetTarget(strings.TrimSpace(line))
 	return nil
 }
 
@@ -167,7 +167,7 @@
 // Restart kills the process and starts another, which the list tells.
 func (s *Server) Restart() error {
 	s.end()
-	s.fleet.Ledger.Died(Now(), s.Name)
+	s.fleet.Oracle.ServerStopped(Now(), s.Name)
 	if err := s.start(); err != nil {
 		return err
 	}
@@ -189,8 +189,8 @@
 	}
 }
 
-// Away has discovery fall silent, or speak again.
-func (f *Fleet) Away(yes bool) { f.change(func() { f.away = yes }) }
+// SetDiscoverySilent has discovery fall silent, or speak again.
+func (f *Fleet) SetDiscoverySilent(yes bool) { f.change(func() { f.away = yes }) }
 
 type listedServer struct {
 	ID      string `json:"id"`
@@ -290,19 +290,19 @@
 	on := connKey{server, r.Port}
 	switch r.Op {
 	case opArrived:
-		f.Ledger.Arrived(r.At, r.ID, r.Read, on)
-		r.Plan = f.Plan(r.ID, r.Read, server)
+		f.Oracle.AttemptReceived(r.At, r.ID, r.Read, on)
+		r.Plan = f.AttemptPlan(r.ID, r.Read, server)
 	case opRead:
-		f.Ledger.Read(r.At, r.ID, on)
+		f.Oracle.PrefillFinished(r.At, r.ID, on)
 	case opOver:
-		f.Ledger.Over(r.At, r.ID, on, r.How)
+		f.Oracle.AttemptFinished(r.At, r.ID, on, r.How)
 	case opFetch:
-		r.Held = f.Ledger.Fetch(r.At, r.ID, on)
+		r.Held = f.Oracle.FetchState(r.At, r.ID, on)
 	case opReleased:
 		if r.Status = f.ReleaseStatus(r.ID, server); r.Status == 0 {
-			f.Ledger.Released(r.At, r.ID, server)
+			f.Oracle.ReleaseReceived(r.At, r.ID, server)
 		} else {
-			f.Ledger.Note(r.At, r.ID, fmt.Sprintf("release refused by %s: %d", server, r.Status))
+			f.Oracle.Note(r.At, r.ID, fmt.Sprintf("release refused by %s: %d", server, r.Status))
 		}
 	}
 }
@@ -369,8 +369,8 @@
 	f := d.fleet
 	f.mu.Lock()
 	config, err := json.Marshal(map[string]any{
-		"name": d.Name, "listen": d.Addr, "discovery": f.discovery.Addr().String(), "seed": fmt.Sprintf("%x", hash(d.Name)+uint64(d.Life())),
-		"limits": map[string]any{"cores": 1.0, "memory_mb": 96, "sockets": f.Sockets}, "known": f.list(), "settings": json.RawMessage(f.settings),
+		"name": d.Name, "listen": d.Addr, "discovery": f.discovery.Addr().String(), "seed": fmt.Sprintf("%x", hash(d.Name)+uint64(d.Incarnation())),
+		"limits": map[string]any{"cores": 1.0, "memory_mb": 96, "sockets": f.MaxDescriptors}, "known": f.list(), "settings": json.RawMessage(f.settings),
 	})
 	f.mu.Unlock()
 	if err != nil {
@@ -398,14 +398,14 @@
 	default:
 	}
 	at := Now()
-	d.fleet.Ledger.Excuse(at, d.Name)
+	d.fleet.Oracle.DispatcherKilled(at, d.Name)
 	process.Process.Kill()
 	done <- <-done
-	d.fleet.Ledger.Excuse(at, d.Name) // what came meanwhile, too
+	d.fleet.Oracle.DispatcherKilled(at, d.Name) // what came meanwhile, too
 }
 
-// Ended waits for the end of the process; false: it has not ended in time. An end with an error is one too.
-func (d *Dispatcher) Ended(within time.Duration) (error, bool) {
+// WaitExit waits for the end of the process; false: it has not ended in time. An end with an error is one too.
+func (d *Dispatcher) WaitExit(within time.Duration) (error, bool) {
 	_, done := d.running()
 	select {
 	case err := <-done:
@@ -416,8 +416,8 @@
 	}
 }
 
-// Faults gives the lines of the dispatcher's log that tell of faults of the program.
-func (d *Dispatcher) Faults() (lines []string, err error) {
+// ProgramErrors gives the lines of the dispatcher's log that tell of faults of the program.
+func (d *Dispatcher) ProgramErrors() (lines []string, err error) {
 	text, err := os.ReadFile(d.logFile.Name())
 	if err != nil {
 		return nil, err
--- a/internal/lab/soak/ledger.go
+++ b/internal/lab/soak/ledger.go
@@ -29,15 +29,15 @@
 
 // Limits are what the ledger judges by.
 type Limits struct {
-	Release    time.Duration // the release time of the settings
-	HeldSlack  time.Duration // more than that a state may be held
-	LateStart  time.Duration // an attempt may begin so long after its client has left
-	SecondCopy time.Duration // an attempt may arrive so long before the end of the one before is seen: they pass different sockets
+	ReleaseTime        time.Duration // the release time of the settings
+	HoldTolerance      time.Duration // more than that a state may be held
+	LateStartTolerance time.Duration // an attempt may begin so long after its client has left
+	OverlapTolerance   time.Duration // an attempt may arrive so long before the end of the one before is seen: they pass different sockets
 }
 
-// UsualLimits are the platform's, with some room for processes that wait for a core where the order of two sockets is judged.
-func UsualLimits(release time.Duration) Limits {
-	return Limits{Release: release, HeldSlack: 300 * time.Millisecond, LateStart: 300 * time.Millisecond, SecondCopy: 300 * time.Millisecond}
+// DefaultLimits are the platform's, with some room for processes that wait for a core where the order of two sockets is judged.
+func DefaultLimits(release time.Duration) Limits {
+	return Limits{ReleaseTime: release, HoldTolerance: 300 * time.Millisecond, LateStartTolerance: 300 * time.Millisecond, OverlapTolerance: 300 * time.Millisecond}
 }
 
 // connKey names a connection between a proxy and a server: the server, and the proxy's port.
@@ -73,18 +73,18 @@
 	trace    []string
 }
 
-// Ledger is the account that the stand-in servers keep together, and the judge of the rules on it.
-type Ledger struct {
+// Oracle is the account that the stand-in servers keep together, and the judge of the rules on it.
+type Oracle struct {
 	limits   Limits
 	mu       sync.Mutex
 	accounts map[string]*account
 	begun    map[connKey]beginning
 	began    Moment
 	broken   []brokenRule
-	// TakesAll has a release take a state also from under an attempt that waits for it: the pages leave both open.
-	TakesAll bool
-	Reads    int // that left a state
-	Releases int // that came to a server
+	// ReleasesAlwaysTakeState has a release take a state also from under an attempt that waits for it: the pages leave both open.
+	ReleasesAlwaysTakeState bool
+	PrefillsCompleted       int // that left a state
+	ReleasesReceived        int // that came to a server
 }
 
 // brokenRule is a rule that was broken for a request, and when that was seen.
@@ -101,122 +101,122 @@
 	closed Moment
 }
 
-// NewLedger makes an empty ledger.
-func NewLedger(limits Limits) *Ledger {
-	return &Ledger{limits: limits, accounts: map[string]*account{}, begun: map[connKey]beginning{}, began: Now()}
+// NewOracle makes an empty ledger.
+func NewOracle(limits Limits) *Oracle {
+	return &Oracle{limits: limits, accounts: map[string]*account{}, begun: map[connKey]beginning{}, began: Now()}
 }
 
-func (l *Ledger) account(id string) *account {
-	a := l.accounts[id]
+func (o *Oracle) account(id string) *account {
+	a := o.accounts[id]
 	if a == nil {
 		a = &account{attempts: map[connKey]*attempt{}, states: map[string]Moment{}}
-		l.accounts[id] = a
+		o.accounts[id] = a
 	}
 	return a
 }
 
 // note adds a line to a request's trace.
-func (l *Ledger) note(a *account, at Moment, format string, args ...any) {
-	a.trace = append(a.trace, fmt.Sprintf("%.3f ", at.sub(l.began).Seconds())+fmt.Sprintf(format, args...))
+func (o *Oracle) note(a *account, at Moment, format string, args ...any) {
+	a.trace = append(a.trace, fmt.Sprintf("%.3f ", at.sub(o.began).Seconds())+fmt.Sprintf(format, args...))
 }
 
 // breakRule takes down a broken rule with the request's trace.
-func (l *Ledger) breakRule(id string, a *account, format string, args ...any) {
+func (o *Oracle) breakRule(id string, a *account, format string, args ...any) {
 	if a.excused {
 		return
 	}
 	text := fmt.Sprintf("%s: request %s of %s\n    %s", fmt.Sprintf(format, args...), id, a.owner, strings.Join(a.trace, "\n    "))
-	l.broken = append(l.broken, brokenRule{Now(), id, text})
+	o.broken = append(o.broken, brokenRule{Now(), id, text})
 }
 
-// Sent tells that a client has sent a request to a dispatcher.
-func (l *Ledger) Sent(at Moment, id, dispatcher string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	a := l.account(id)
+// RequestSent tells that a client has sent a request to a dispatcher.
+func (o *Oracle) RequestSent(at Moment, id, dispatcher string) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	a := o.account(id)
 	a.owner = dispatcher
-	l.note(a, at, "sent to %s", dispatcher)
+	o.note(a, at, "sent to %s", dispatcher)
 }
 
-// Left tells that a request's client has closed its connection.
-func (l *Ledger) Left(at Moment, id string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	a := l.account(id)
+// ClientCanceled tells that a request's client has closed its connection.
+func (o *Oracle) ClientCanceled(at Moment, id string) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	a := o.account(id)
 	a.left = at
-	l.note(a, at, "client left")
+	o.note(a, at, "client left")
 }
 
 // Note adds what a client saw to the trace of its request.
-func (l *Ledger) Note(at Moment, id, text string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.note(l.account(id), at, "%s", text)
+func (o *Oracle) Note(at Moment, id, text string) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.note(o.account(id), at, "%s", text)
 }
 
-// Lost takes down that a client did not get the answer that it was owed.
-func (l *Ledger) Lost(id, why string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.breakRule(id, l.account(id), "lost: %s", why)
+// AnswerMissing takes down that a client did not get the answer that it was owed.
+func (o *Oracle) AnswerMissing(id, why string) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.breakRule(id, o.account(id), "lost: %s", why)
 }
 
-// Excuse tells that a dispatcher's process was killed at that time: what it held is not its duty any more, nor is what was seen of it since.
-func (l *Ledger) Excuse(at Moment, dispatcher string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for _, a := range l.accounts {
+// DispatcherKilled tells that a dispatcher's process was killed at that time: what it held is not its duty any more, nor is what was seen of it since.
+func (o *Oracle) DispatcherKilled(at Moment, dispatcher string) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	for _, a := range o.accounts {
 		if a.owner == dispatcher {
 			a.excused = true
-			l.note(a, at, "%s killed", dispatcher)
+			o.note(a, at, "%s killed", dispatcher)
 		}
 	}
-	l.broken = slices.DeleteFunc(l.broken, func(b brokenRule) bool { return b.at >= at && l.accounts[b.id].owner == dispatcher })
-}
-
-// Begun tells that the first byte of an attempt has left a dispatcher.
-func (l *Ledger) Begun(at Moment, id string, on connKey) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.begun[on] = beginning{id: id, at: at}
-	a := l.account(id)
-	l.note(a, at, "begun to %s:%d", on.server, on.port)
-	if a.left > 0 && at.sub(a.left) > l.limits.LateStart {
-		l.breakRule(id, a, "lost: an attempt began %v after its client had left", at.sub(a.left))
+	o.broken = slices.DeleteFunc(o.broken, func(b brokenRule) bool { return b.at >= at && o.accounts[b.id].owner == dispatcher })
+}
+
+// AttemptStarted tells that the first byte of an attempt has left a dispatcher.
+func (o *Oracle) AttemptStarted(at Moment, id string, on connKey) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.begun[on] = beginning{id: id, at: at}
+	a := o.account(id)
+	o.note(a, at, "begun to %s:%d", on.server, on.port)
+	if a.left > 0 && at.sub(a.left) > o.limits.LateStartTolerance {
+		o.breakRule(id, a, "lost: an attempt began %v after its client had left", at.sub(a.left))
 	}
 }
 
-// Closed tells that a dispatcher has ended, or ended its sending on, a connection.
-func (l *Ledger) Closed(at Moment, on connKey) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	b, ok := l.begun[on]
+// ConnClosed tells that a dispatcher has ended, or ended its sending on, a connection.
+func (o *Oracle) ConnClosed(at Moment, on connKey) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	b, ok := o.begun[on]
 	if !ok || b.closed > 0 {
 		return
 	}
 	b.closed = at
-	l.begun[on] = b
-	a := l.account(b.id)
-	l.note(a, at, "closed by the dispatcher, %s:%d", on.server, on.port)
+	o.begun[on] = b
+	a := o.account(b.id)
+	o.note(a, at, "closed by the dispatcher, %s:%d", on.server, on.port)
 	if t := a.attempts[on]; t != nil {
 		a.advance(at, t, func() { t.closed = at })
 	}
 }
 
-// Answered tells that bytes from a server were passed to the dispatcher.
-func (l *Ledger) Answered(at Moment, on connKey) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	b, ok := l.begun[on]
+// ResponseForwarded tells that bytes from a server were passed to the dispatcher.
+func (o *Oracle) ResponseForwarded(at Moment, on connKey) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	b, ok := o.begun[on]
 	if !ok {
 		return
 	}
-	a := l.account(b.id)
+	a := o.account(b.id)
 	t := a.attempts[on]
 	if t == nil || t.answered > 0 || t.read && t.over == 0 {
 		return
 	}
-	l.note(a, at, "answer of %s:%d passed on", on.server, on.port)
+	o.note(a, at, "answer of %s:%d passed on", on.server, on.port)
 	a.advance(max(t.over, at-answerTransit), t, func() { t.answered = at })
 }
 
@@ -243,125 +243,125 @@
 }
 
 // judgeHeld looks at the states of a request as something happens to it.
-func (l *Ledger) judgeHeld(at Moment, id string, a *account, what string) {
+func (o *Oracle) judgeHeld(at Moment, id string, a *account, what string) {
 	if a.out() {
 		return
 	}
 	for server, since := range a.states {
 		since = max(since, a.lastOver)
-		if held := at.sub(since); held > l.limits.Release+l.limits.HeldSlack {
-			l.breakRule(id, a, "held: a state at %s for %v, then %s", server, held.Round(time.Millisecond), what)
+		if held := at.sub(since); held > o.limits.ReleaseTime+o.limits.HoldTolerance {
+			o.breakRule(id, a, "held: a state at %s for %v, then %s", server, held.Round(time.Millisecond), what)
 			delete(a.states, server)
 		}
 	}
 }
 
-// Arrived tells that an attempt has come whole to a server.
-func (l *Ledger) Arrived(at Moment, id string, read bool, on connKey) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	a := l.account(id)
-	l.note(a, at, "arrived at %s:%d", on.server, on.port)
-	l.judgeHeld(at, id, a, "an attempt")
+// AttemptReceived tells that an attempt has come whole to a server.
+func (o *Oracle) AttemptReceived(at Moment, id string, read bool, on connKey) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	a := o.account(id)
+	o.note(a, at, "arrived at %s:%d", on.server, on.port)
+	o.judgeHeld(at, id, a, "an attempt")
 	fresh := &attempt{read: read, arrived: at}
-	if b := l.begun[on]; b.id == id { // the dispatcher may have ended it before it came
+	if b := o.begun[on]; b.id == id { // the dispatcher may have ended it before it came
 		fresh.closed = b.closed
 	}
 	for key, t := range a.attempts {
 		if t.over == 0 && t.closed == 0 && fresh.closed == 0 && key != on {
-			go l.judgeCopy(id, a, key, t)
+			go o.judgeCopy(id, a, key, t)
 		}
 	}
 	a.attempts[on] = fresh
 }
 
 // judgeCopy waits for the end of an attempt that was out as another arrived.
-func (l *Ledger) judgeCopy(id string, a *account, key connKey, first *attempt) {
-	time.Sleep(l.limits.SecondCopy)
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (o *Oracle) judgeCopy(id string, a *account, key connKey, first *attempt) {
+	time.Sleep(o.limits.OverlapTolerance)
+	o.mu.Lock()
+	defer o.mu.Unlock()
 	if first.closed == 0 && first.over == 0 {
-		l.breakRule(id, a, "duplicate: an attempt arrived while the one at %s was out", key.server)
+		o.breakRule(id, a, "duplicate: an attempt arrived while the one at %s was out", key.server)
 	}
 }
 
-// Read tells that a read has ended at its server: it holds the state.
-func (l *Ledger) Read(at Moment, id string, on connKey) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	a := l.account(id)
-	l.note(a, at, "read at %s:%d", on.server, on.port)
-	l.Reads++
+// PrefillFinished tells that a read has ended at its server: it holds the state.
+func (o *Oracle) PrefillFinished(at Moment, id string, on connKey) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	a := o.account(id)
+	o.note(a, at, "read at %s:%d", on.server, on.port)
+	o.PrefillsCompleted++
 	a.states[on.server] = at
-	l.finish(at, a, on)
+	o.finish(at, a, on)
 }
 
-// Over tells that a server is done with an attempt.
-func (l *Ledger) Over(at Moment, id string, on connKey, how string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	a := l.account(id)
-	l.note(a, at, "over at %s:%d, %s", on.server, on.port, how)
-	l.finish(at, a, on)
+// AttemptFinished tells that a server is done with an attempt.
+func (o *Oracle) AttemptFinished(at Moment, id string, on connKey, how string) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	a := o.account(id)
+	o.note(a, at, "over at %s:%d, %s", on.server, on.port, how)
+	o.finish(at, a, on)
 }
 
 // finish takes down that a server is done with an attempt.
-func (l *Ledger) finish(at Moment, a *account, on connKey) {
+func (o *Oracle) finish(at Moment, a *account, on connKey) {
 	if t := a.attempts[on]; t != nil && t.over == 0 {
 		a.advance(at, t, func() { t.over = at })
 	}
 }
 
-// Fetch has a server take the state of a request; false: there is none.
-func (l *Ledger) Fetch(at Moment, id string, on connKey) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	a := l.account(id)
+// FetchState has a server take the state of a request; false: there is none.
+func (o *Oracle) FetchState(at Moment, id string, on connKey) bool {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	a := o.account(id)
 	found := len(a.states) > 0
-	l.note(a, at, "fetched by %s:%d: %v", on.server, on.port, found)
+	o.note(a, at, "fetched by %s:%d: %v", on.server, on.port, found)
 	clear(a.states)
 	return found
 }
 
-// Released tells that a release has come to a server. What an attempt waits for stays, unless releases take all.
-func (l *Ledger) Released(at Moment, id, server string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	a := l.account(id)
-	l.Releases++
-	l.note(a, at, "release at %s", server)
+// ReleaseReceived tells that a release has come to a server. What an attempt waits for stays, unless releases take all.
+func (o *Oracle) ReleaseReceived(at Moment, id, server string) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	a := o.account(id)
+	o.ReleasesReceived++
+	o.note(a, at, "release at %s", server)
 	for _, t := range a.attempts {
-		if !t.read && t.over == 0 && !l.TakesAll {
+		if !t.read && t.over == 0 && !o.ReleasesAlwaysTakeState {
 			return
 		}
 	}
-	l.judgeHeld(at, id, a, "a release")
+	o.judgeHeld(at, id, a, "a release")
 	clear(a.states)
 }
 
-// Died tells that a server's process is gone, with all that it held.
-func (l *Ledger) Died(at Moment, server string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for id, a := range l.accounts {
+// ServerStopped tells that a server's process is gone, with all that it held.
+func (o *Oracle) ServerStopped(at Moment, server string) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	for id, a := range o.accounts {
 		if _, held := a.states[server]; held {
-			l.judgeHeld(at, id, a, "its server died")
+			o.judgeHeld(at, id, a, "its server died")
 			delete(a.states, server)
 		}
 		for on, t := range a.attempts {
 			if on.server == server && t.out() {
 				a.advance(at, t, func() { t.over, t.answered = at, at })
-				l.note(a, at, "%s died", server)
+				o.note(a, at, "%s died", server)
 			}
 		}
 	}
 }
 
 // Held gives the requests for which a state is held.
-func (l *Ledger) Held() (ids []string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for id, a := range l.accounts {
+func (o *Oracle) Held() (ids []string) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	for id, a := range o.accounts {
 		if len(a.states) > 0 && !a.excused {
 			ids = append(ids, id)
 		}
@@ -371,10 +371,10 @@
 }
 
 // Seen counts the lines of a request's trace that contain a text.
-func (l *Ledger) Seen(id, text string) (n int) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for _, line := range l.account(id).trace {
+func (o *Oracle) Seen(id, text string) (n int) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	for _, line := range o.account(id).trace {
 		if strings.Contains(line, text) {
 			n++
 		}
@@ -383,46 +383,46 @@
 }
 
 // Trace gives what happened to a request.
-func (l *Ledger) Trace(id string) string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return strings.Join(l.account(id).trace, "\n")
-}
-
-// Judge looks at what is still held and gives the rules that were broken.
-func (l *Ledger) Judge(at Moment) []string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for id, a := range l.accounts {
-		l.judgeHeld(at, id, a, "the end of the run")
+func (o *Oracle) Trace(id string) string {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	return strings.Join(o.account(id).trace, "\n")
+}
+
+// Check looks at what is still held and gives the rules that were broken.
+func (o *Oracle) Check(at Moment) []string {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	for id, a := range o.accounts {
+		o.judgeHeld(at, id, a, "the end of the run")
 	}
 	var texts []string
-	for _, b := range l.broken {
+	for _, b := range o.broken {
 		texts = append(texts, b.text)
 	}
 	return texts
 }
 
 // ReadAt is Read with the connection by its parts, for scripts.
-func (l *Ledger) ReadAt(at Moment, id, server string, port int) {
-	l.Read(at, id, connKey{server, port})
+func (o *Oracle) ReadAt(at Moment, id, server string, port int) {
+	o.PrefillFinished(at, id, connKey{server, port})
 }
 
 // ArrivedAt is Arrived with the connection by its parts.
-func (l *Ledger) ArrivedAt(at Moment, id string, read bool, server string, port int) {
-	l.Arrived(at, id, read, connKey{server, port})
+func (o *Oracle) ArrivedAt(at Moment, id string, read bool, server string, port int) {
+	o.AttemptReceived(at, id, read, connKey{server, port})
 }
 
 // OverAt is Over with the connection by its parts.
-func (l *Ledger) OverAt(at Moment, id, server string, port int) {
-	l.Over(at, id, connKey{server, port}, "over")
+func (o *Oracle) OverAt(at Moment, id, server string, port int) {
+	o.AttemptFinished(at, id, connKey{server, port}, "over")
 }
 
 // ClosedAt is Closed of a request's attempt with the connection by its parts.
-func (l *Ledger) ClosedAt(at Moment, id, server string, port int) {
+func (o *Oracle) ClosedAt(at Moment, id, server string, port int) {
 	on := connKey{server, port}
-	l.mu.Lock()
-	l.begun[on] = beginning{id: id, at: at}
-	l.mu.Unlock()
-	l.Closed(at, on)
+	o.mu.Lock()
+	o.begun[on] = beginning{id: id, at: at}
+	o.mu.Unlock()
+	o.ConnClosed(at, on)
 }
--- a/internal/lab/soak/modelserver.go
+++ b/internal/lab/soak/modelserver.go
@@ -13,12 +13,12 @@
 	"time"
 )
 
-// Plan is what a stand-in server does with an attempt. The one who runs the soak makes it, so that it follows from the seed.
-type Plan struct {
-	Work   time.Duration // until a read ends, or a write fetches its state
-	Gap    time.Duration // between the events of a stream
-	Status int           // of the answer; 0 = as a sound server. A read that is answered otherwise leaves its state all the same
-	Reset  bool          // the connection breaks instead of an answer
+// AttemptPlan is what a stand-in server does with an attempt. The one who runs the soak makes it, so that it follows from the seed.
+type AttemptPlan struct {
+	Work          time.Duration // until a read ends, or a write fetches its state
+	TokenInterval time.Duration // between the events of a stream
+	Status        int           // of the answer; 0 = as a sound server. A read that is answered otherwise leaves its state all the same
+	Reset         bool          // the connection breaks instead of an answer
 }
 
 // report is what a server process tells the one who runs the soak; Plan, Held and Status are its answers.
@@ -29,7 +29,7 @@
 	At     Moment
 	Read   bool
 	How    string
-	Plan   Plan
+	Plan   AttemptPlan
 	Held   bool
 	Status int
 }
@@ -161,7 +161,7 @@
 		return true
 	}
 	how := "streamed"
-	if s.stream(c, plan.Gap, ended) != nil {
+	if s.stream(c, plan.TokenInterval, ended) != nil {
 		how = "stream cut"
 	}
 	over(how)
@@ -169,7 +169,7 @@
 }
 
 // answerRead ends a read: whatever is answered, or not, its state is held.
-func (s *ModelServer) answerRead(c net.Conn, id string, port int, plan Plan) bool {
+func (s *ModelServer) answerRead(c net.Conn, id string, port int, plan AttemptPlan) bool {
 	s.tell(report{Op: opRead, ID: id, Port: port})
 	if plan.Reset {
 		return false
--- a/internal/lab/soak/proxy.go
+++ b/internal/lab/soak/proxy.go
@@ -20,7 +20,7 @@
 // its sockets behave as before a network that loses nothing yet.
 type Proxy struct {
 	server   string
-	ledger   *Ledger
+	ledger   *Oracle
 	listener net.Listener
 
 	mu      sync.Mutex
@@ -37,7 +37,7 @@
 }
 
 // NewProxy opens a proxy to a server of that name.
-func NewProxy(server string, ledger *Ledger) (*Proxy, error) {
+func NewProxy(server string, ledger *Oracle) (*Proxy, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -55,7 +55,7 @@
 func (p *Proxy) Close() {
 	p.listener.Close()
 	p.set(func() { p.stopped = true })
-	p.Cut(Forward, true)
+	p.ResetConns(Forward, true)
 }
 
 func (p *Proxy) set(f func()) {
@@ -65,11 +65,11 @@
 	p.change.Broadcast()
 }
 
-// Serve sets where the server listens now.
-func (p *Proxy) Serve(at string) { p.set(func() { p.to = at }) }
+// SetTarget sets where the server listens now.
+func (p *Proxy) SetTarget(at string) { p.set(func() { p.to = at }) }
 
-// Hold keeps what goes in a direction back, or lets it pass. onlyOld: of the connections that there are.
-func (p *Proxy) Hold(way Direction, yes, onlyOld bool) {
+// SetHeld keeps what goes in a direction back, or lets it pass. onlyOld: of the connections that there are.
+func (p *Proxy) SetHeld(way Direction, yes, onlyOld bool) {
 	p.set(func() {
 		p.held[way], p.oneWay = yes, onlyOld
 		for c := range p.conns {
@@ -78,20 +78,20 @@
 	})
 }
 
-// HoldCloses keeps the ends of dispatchers' connections back, or lets them pass.
-func (p *Proxy) HoldCloses(yes bool) { p.set(func() { p.closes = yes }) }
+// SetClosesHeld keeps the ends of dispatchers' connections back, or lets them pass.
+func (p *Proxy) SetClosesHeld(yes bool) { p.set(func() { p.closes = yes }) }
 
-// Refuse resets new connections, or takes them.
-func (p *Proxy) Refuse(yes bool) { p.set(func() { p.refuse = yes }) }
+// SetRejecting resets new connections, or takes them.
+func (p *Proxy) SetRejecting(yes bool) { p.set(func() { p.refuse = yes }) }
 
-// Delay has each piece pass so much later.
-func (p *Proxy) Delay(span time.Duration) { p.set(func() { p.delay = span }) }
+// SetDelay has each piece pass so much later.
+func (p *Proxy) SetDelay(span time.Duration) { p.set(func() { p.delay = span }) }
 
-// Scatter has each connection pass everything later by a time of its own, up to that: what goes by several connections comes in another order.
-func (p *Proxy) Scatter(most time.Duration) { p.set(func() { p.scatter = most }) }
+// SetSpread has each connection pass everything later by a time of its own, up to that: what goes by several connections comes in another order.
+func (p *Proxy) SetSpread(most time.Duration) { p.set(func() { p.scatter = most }) }
 
-// Cut resets the connections that there are, at the server's end and, if both, at the dispatchers' end too; else those hear nothing.
-func (p *Proxy) Cut(way Direction, both bool) {
+// ResetConns resets the connections that there are, at the server's end and, if both, at the dispatchers' end too; else those hear nothing.
+func (p *Proxy) ResetConns(way Direction, both bool) {
 	p.mu.Lock()
 	var all []*proxied
 	for c := range p.conns {
@@ -184,7 +184,7 @@
 			}
 			if err != nil {
 				if way == Forward {
-					c.proxy.ledger.Closed(Now(), c.key)
+					c.proxy.ledger.ConnClosed(Now(), c.key)
 				}
 				if err != io.EOF {
 					to.SetLinger(0)
@@ -203,7 +203,7 @@
 			break
 		}
 		if way == Back {
-			c.proxy.ledger.Answered(Now(), c.key)
+			c.proxy.ledger.ResponseForwarded(Now(), c.key)
 		}
 	}
 	for range pieces { // it was cut: what still comes goes nowhere
@@ -236,6 +236,6 @@
 func (c *proxied) seeRequest(p []byte) {
 	if _, rest, found := bytes.Cut(p, requestField); found && bytes.HasPrefix(p, []byte("POST")) {
 		id, _, _ := bytes.Cut(rest, []byte("\r\n"))
-		c.proxy.ledger.Begun(Now(), string(id), c.key)
+		c.proxy.ledger.AttemptStarted(Now(), string(id), c.key)
 	}
 }
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -18,9 +18,9 @@
 	Seed    uint64
 	Length  time.Duration // of traffic and faults
 	Most    int           // processes; 0 = what the seed gives, 10 to 40
-	Program Program
+	Program CommandFunc
 	// Dispatcher makes the dispatchers' commands; nil: Program does.
-	Dispatcher Program
+	Dispatcher CommandFunc
 	Folder     string // keeps the logs of dispatchers
 }
 
@@ -98,16 +98,16 @@
 	return s
 }
 
-// Drawn is what a seed draws of a run, for tests and for a look.
-type Drawn struct {
+// Plan is what a seed draws of a run, for tests and for a look.
+type Plan struct {
 	Prefill, Decode, Dispatchers int
 	Schedule                     []Fault
 }
 
-// Draw draws what a soak of a seed and a length plays.
-func Draw(seed uint64, length time.Duration) Drawn {
+// DrawPlan draws what a soak of a seed and a length plays.
+func DrawPlan(seed uint64, length time.Duration) Plan {
 	shape, faults := draw(seed, 0, length)
-	return Drawn{shape.prefill, shape.decode, shape.dispatchers, faults}
+	return Plan{shape.prefill, shape.decode, shape.dispatchers, faults}
 }
 
 // draw draws the fleet and the schedule of a seed.
@@ -133,9 +133,9 @@
 var effects = [...]string{"idempotent", "deduplicated", "at_most_once"}
 
 // plan draws what a server does with an attempt, by the seed, the request and the server alone.
-func plan(seed uint64, id string, read bool, server string) Plan {
+func plan(seed uint64, id string, read bool, server string) AttemptPlan {
 	rng := rand.New(rand.NewPCG(seed, hash(id+server)))
-	p := Plan{Work: span(rng, time.Millisecond, 150*time.Millisecond), Gap: span(rng, time.Millisecond, 40*time.Millisecond)}
+	p := AttemptPlan{Work: span(rng, time.Millisecond, 150*time.Millisecond), TokenInterval: span(rng, time.Millisecond, 40*time.Millisecond)}
 	if rng.IntN(10) == 0 { // a queue
 		p.Work = span(rng, 400*time.Millisecond, 1600*time.Millisecond)
 	}
@@ -171,16 +171,16 @@
 	if err := os.MkdirAll(s.Folder, 0o700); err != nil {
 		return v, err
 	}
-	f, err := NewFleet(s.Program, s.Folder, shape.settings(), UsualLimits(shape.release))
+	f, err := NewFleet(s.Program, s.Folder, shape.settings(), DefaultLimits(shape.release))
 	if err != nil {
 		return v, err
 	}
 	defer f.Close()
-	f.Sockets, f.Ledger.TakesAll = shape.sockets, shape.takesAll
+	f.MaxDescriptors, f.Oracle.ReleasesAlwaysTakeState = shape.sockets, shape.takesAll
 	if s.Dispatcher != nil {
 		f.dispatcherProgram = s.Dispatcher
 	}
-	f.Plan = func(id string, read bool, server string) Plan { return plan(s.Seed, id, read, server) }
+	f.AttemptPlan = func(id string, read bool, server string) AttemptPlan { return plan(s.Seed, id, read, server) }
 	f.ReleaseStatus = func(id, server string) int {
 		if hash(id+server+"release")%refusedReleases == 0 {
 			return http.StatusServiceUnavailable
@@ -240,7 +240,7 @@
 	}
 	began := time.Now()
 	for _, fault := range v.Schedule {
-		time.Sleep(time.Until(began.Add(fault.At)))
+		time.Sleep(time.Until(began.Add(fault.Start)))
 		faults.Go(func() {
 			if err := f.apply(fault); err != nil {
 				mu.Lock()
@@ -256,16 +256,16 @@
 
 // conclude waits until everything has to be gone, ends the dispatchers and judges.
 func (s *Soak) conclude(f *Fleet, shape shape, v *Verdict) error {
-	time.Sleep(shape.release + f.Ledger.limits.HeldSlack + 200*time.Millisecond)
-	v.Broken = f.Ledger.Judge(Now())
+	time.Sleep(shape.release + f.Oracle.limits.HoldTolerance + 200*time.Millisecond)
+	v.Broken = f.Oracle.Check(Now())
 	for _, d := range f.Dispatchers {
 		d.Signal(syscall.SIGTERM)
 	}
 	for _, d := range f.Dispatchers {
-		if err, ended := d.Ended(20 * time.Second); !ended || err != nil {
+		if err, ended := d.WaitExit(20 * time.Second); !ended || err != nil {
 			v.Broken = append(v.Broken, fmt.Sprintf("crash: dispatcher %s: ended %v, %v", d.Name, ended, err))
 		}
-		faults, err := d.Faults()
+		faults, err := d.ProgramErrors()
 		if err != nil {
 			return err
 		}
@@ -273,7 +273,7 @@
 			v.Broken = append(v.Broken, fmt.Sprintf("violation counted by %s: %s", d.Name, line))
 		}
 	}
-	v.Reads, v.Releases = f.Ledger.Reads, f.Ledger.Releases
+	v.Reads, v.Releases = f.Oracle.PrefillsCompleted, f.Oracle.ReleasesReceived
 	return nil
 }
 
@@ -299,20 +299,20 @@
 	}
 	if r.LeaveIn > 0 {
 		time.Sleep(r.LeaveIn)
-		c.Leave(id)
+		c.CancelRequest(id)
 		return 0, 1
 	}
-	o := c.Wait(r)
-	f.Ledger.Note(Now(), id, fmt.Sprintf("client got %d, %v", o.Status, o.Err))
+	o := c.ReceiveAnswer(r)
+	f.Oracle.Note(Now(), id, fmt.Sprintf("client got %d, %v", o.Status, o.Err))
 	switch {
 	case o.Status == http.StatusOK && o.Err == nil:
 		return 1, 0
-	case o.Began, o.Err == nil: // refused or failed, or a stream that broke
+	case o.Started, o.Err == nil: // refused or failed, or a stream that broke
 		return 0, 0
 	case c.used && !errors.Is(o.Err, os.ErrDeadlineExceeded): // the close of a resting connection crossed it
 		return 0, 0
 	}
-	f.Ledger.Lost(id, o.Err.Error())
+	f.Oracle.AnswerMissing(id, o.Err.Error())
 	return 0, 0
 }
 
--- a/internal/lab/userclient/userclient.go
+++ b/internal/lab/userclient/userclient.go
@@ -29,67 +29,67 @@
 
 // Class is what the jobs of a track are like.
 type Class struct {
-	Name               string
-	Share              float64 // of the sessions
-	Tenant             string
-	Turns              int
-	Prompt, PromptMost int // tokens that each turn adds
-	PrefixTokens       int // tokens of the shared beginning; 0 = none
-	Prefixes           int // how many different ones
-	Answer             int // most tokens
-	Expected, Per1k    time.Duration
-	Timeout            time.Duration
-	Call               time.Duration // whole time of a call; 0 = patience and some time for the answer
-	Value              float64
-	Retries            int
-	NonIdempotent      bool          // only a nack is followed by another try
-	Leave              float64       // share of the tries that the client leaves, at a random point
-	Idle               time.Duration // between turns
-	Clients            int           // how many name themselves; 0 = none does
-	Deaf               bool          // comes back at once, whatever it is told
-	Background         bool          // its jobs yield to all others
-	Made               bool          // makes up a new name for each job
-	Conns              int           // connections to each dispatcher, where they are more than the load's
+	Name                              string
+	Share                             float64 // of the sessions
+	Tenant                            string
+	TurnCount                         int
+	MinTurnTokens, MaxTurnTokens      int // tokens that each turn adds
+	PrefixTokens                      int // tokens of the shared beginning; 0 = none
+	PrefixCount                       int // how many different ones
+	MaxAnswerTokens                   int // most tokens
+	LatencyTarget, LatencyTargetPer1k time.Duration
+	Timeout                           time.Duration
+	CallTimeout                       time.Duration // whole time of a call; 0 = patience and some time for the answer
+	Value                             float64
+	MaxRetries                        int
+	NonIdempotent                     bool          // only a nack is followed by another try
+	CancelShare                       float64       // share of the tries that the client leaves, at a random point
+	Idle                              time.Duration // between turns
+	ClientCount                       int           // how many name themselves; 0 = none does
+	IgnoresRetryAfter                 bool          // comes back at once, whatever it is told
+	Background                        bool          // its jobs yield to all others
+	NewClientPerRequest               bool          // makes up a new name for each job
+	ConnsPerDispatcher                int           // connections to each dispatcher, where they are more than the load's
 }
 
 // Load is a stream of sessions.
 type Load struct {
-	Targets []string // dispatchers; each client takes one, and another after a lost connection
-	Classes []Class
-	Rate    func(at time.Duration) float64 // sessions a second
-	For     time.Duration
-	Seed    uint64
-	Heavy   func(at time.Duration) int                               // times as long prompts; nil = 1
-	Conns   int                                                      // connections to each dispatcher
-	Arrive  []time.Duration                                          // sessions come at these times instead, if there are any
-	Done    func(track string, first time.Duration, code codes.Code) // told of each job's end; first counts from when it was due
+	Targets            []string // dispatchers; each client takes one, and another after a lost connection
+	Classes            []Class
+	Rate               func(at time.Duration) float64 // sessions a second
+	Duration           time.Duration
+	Seed               uint64
+	PromptFactor       func(at time.Duration) int                               // times as long prompts; nil = 1
+	ConnsPerDispatcher int                                                      // connections to each dispatcher
+	Arrivals           []time.Duration                                          // sessions come at these times instead, if there are any
+	OnDone             func(track string, first time.Duration, code codes.Code) // told of each job's end; first counts from when it was due
 }
 
-// Sum is what became of the jobs of a track.
-type Sum struct {
-	Requests, Served, OnTime, Rejected, Failed, Left, Unanswered, Wrong int
-	Tries                                                               int
-	Back, BackKept                                                      int // tries with a booking, and those honoured
-	Value, Asked                                                        float64
-	First                                                               []time.Duration // to the first token, of those honoured
+// Summary is what became of the jobs of a track.
+type Summary struct {
+	Requests, Served, OnTime, Rejected, Failed, Canceled, Unanswered, Corrupt int
+	Attempts                                                                  int
+	ReservedRetries, ReservedRetriesServed                                    int // tries with a booking, and those honoured
+	EarnedValue, OfferedValue                                                 float64
+	FirstTokenTimes                                                           []time.Duration // to the first token, of those honoured
 }
 
-// Kept is the payoff in the expected time over the payoff asked for.
-func (s *Sum) Kept() float64 {
-	if s.Asked == 0 {
+// ValueShare is the payoff in the expected time over the payoff asked for.
+func (s *Summary) ValueShare() float64 {
+	if s.OfferedValue == 0 {
 		return math.NaN()
 	}
-	return s.Value / s.Asked
+	return s.EarnedValue / s.OfferedValue
 }
 
-// Run plays a load to its end and gives what became of it, by track.
-func Run(ctx context.Context, l Load, b *eventlog.Book) (map[string]*Sum, error) {
+// RunLoad plays a load to its end and gives what became of it, by track.
+func RunLoad(ctx context.Context, l Load, b *eventlog.Log) (map[string]*Summary, error) {
 	conns := map[string][][]pb.GenerationClient{}
 	for i := range l.Classes { // each track's clients come from an address of their own
 		from := &net.Dialer{LocalAddr: &net.TCPAddr{IP: net.IPv4(127, 0, 0, byte(2+i))}}
 		for _, t := range l.Targets {
 			var some []pb.GenerationClient
-			for range max(l.Conns, l.Classes[i].Conns, 1) {
+			for range max(l.ConnsPerDispatcher, l.Classes[i].ConnsPerDispatcher, 1) {
 				c, err := grpc.NewClient(t, grpc.WithTransportCredentials(insecure.NewCredentials()),
 					grpc.WithContextDialer(func(ctx context.Context, to string) (net.Conn, error) { return from.DialContext(ctx, "tcp", to) }),
 					grpc.WithConnectParams(grpc.ConnectParams{MinConnectTimeout: 200 * time.Millisecond}))
@@ -102,9 +102,9 @@
 			conns[l.Classes[i].Name] = append(conns[l.Classes[i].Name], some)
 		}
 	}
-	sums := map[string]*Sum{}
+	sums := map[string]*Summary{}
 	for _, t := range l.Classes {
-		sums[t.Name] = &Sum{}
+		sums[t.Name] = &Summary{}
 	}
 	r := &runner{l: l, b: b, conns: conns, sums: sums}
 	rng := rand.New(rand.NewPCG(l.Seed, 1))
@@ -125,8 +125,8 @@
 		}
 		seed := rng.Uint64()
 		heavy := 1
-		if l.Heavy != nil {
-			heavy = l.Heavy(at)
+		if l.PromptFactor != nil {
+			heavy = l.PromptFactor(at)
 		}
 		if wait := at - time.Since(begin); wait > 0 {
 			select {
@@ -147,11 +147,11 @@
 
 // next is when the session after the one at a time comes.
 func (l *Load) next(at time.Duration, n int, rng *rand.Rand) (time.Duration, bool) {
-	if len(l.Arrive) > 0 {
-		if n >= len(l.Arrive) {
+	if len(l.Arrivals) > 0 {
+		if n >= len(l.Arrivals) {
 			return 0, false
 		}
-		return l.Arrive[n], true
+		return l.Arrivals[n], true
 	}
 	for {
 		rate := l.Rate(at)
@@ -160,8 +160,8 @@
 		} else {
 			at += min(time.Duration(rng.ExpFloat64()/rate*1e9), 200*time.Millisecond)
 		}
-		if at >= l.For || rate > 0 {
-			return at, at < l.For
+		if at >= l.Duration || rate > 0 {
+			return at, at < l.Duration
 		}
 	}
 }
@@ -169,18 +169,18 @@
 // DrawPrefix draws one of the shared beginnings of a track: few are shared by most, by Zipf's law.
 func (t *Class) DrawPrefix(rng *rand.Rand) string {
 	const skew = 1.1
-	if t.Prefixes < 2 {
+	if t.PrefixCount < 2 {
 		return "b0"
 	}
-	return "b" + strconv.FormatUint(rand.NewZipf(rng, skew, 1, uint64(t.Prefixes-1)).Uint64(), 10)
+	return "b" + strconv.FormatUint(rand.NewZipf(rng, skew, 1, uint64(t.PrefixCount-1)).Uint64(), 10)
 }
 
 type runner struct {
 	l     Load
-	b     *eventlog.Book
+	b     *eventlog.Log
 	conns map[string][][]pb.GenerationClient // by track, by dispatcher
 	mu    sync.Mutex
-	sums  map[string]*Sum
+	sums  map[string]*Summary
 	turn  atomic.Int64
 }
 
@@ -189,13 +189,13 @@
 func (r *runner) session(ctx context.Context, n int, t Class, heavy int, due time.Time, rng *rand.Rand) {
 	prompt := 0
 	name := ""
-	if t.Made {
+	if t.NewClientPerRequest {
 		name = fmt.Sprintf("%s-made-%d", t.Name, n)
-	} else if t.Clients > 0 {
-		name = fmt.Sprintf("%s-%d", t.Name, n%t.Clients)
+	} else if t.ClientCount > 0 {
+		name = fmt.Sprintf("%s-%d", t.Name, n%t.ClientCount)
 	}
 	req := &pb.GenerateRequest{
-		Track: t.Name, Tenant: t.Tenant, Session: "s" + strconv.Itoa(n), MaxTokens: uint32(t.Answer),
+		Track: t.Name, Tenant: t.Tenant, Session: "s" + strconv.Itoa(n), MaxTokens: uint32(t.MaxAnswerTokens),
 		Client: name,
 	}
 	if t.PrefixTokens > 0 {
@@ -203,8 +203,8 @@
 		req.BeginningTokens = uint32(t.PrefixTokens)
 		prompt = t.PrefixTokens
 	}
-	for turn := range 1 + rng.IntN(max(t.Turns, 1)) {
-		prompt += heavy * (t.Prompt + rng.IntN(max(t.PromptMost-t.Prompt, 1)))
+	for turn := range 1 + rng.IntN(max(t.TurnCount, 1)) {
+		prompt += heavy * (t.MinTurnTokens + rng.IntN(max(t.MaxTurnTokens-t.MinTurnTokens, 1)))
 		req.PromptTokens = uint32(prompt)
 		req.Label = fmt.Sprintf("%d.%d", n, turn)
 		req.Prompt = []byte(req.Label)
@@ -225,56 +225,56 @@
 // job is one job with all its tries; it gives the tokens of the answer.
 func (r *runner) job(ctx context.Context, t Class, req *pb.GenerateRequest, begin time.Time, rng *rand.Rand) (int, bool) {
 	var last outcome
-	if r.l.Done != nil {
-		defer func() { r.l.Done(t.Name, last.first.Sub(begin), last.code) }()
+	if r.l.OnDone != nil {
+		defer func() { r.l.OnDone(t.Name, last.first.Sub(begin), last.code) }()
 	}
-	expected := t.Expected + t.Per1k*time.Duration(req.PromptTokens)/1000
+	expected := t.LatencyTarget + t.LatencyTargetPer1k*time.Duration(req.PromptTokens)/1000
 	worth := t.Value * float64(req.PromptTokens+4*req.MaxTokens)
-	sum := func(f func(s *Sum)) {
+	sum := func(f func(s *Summary)) {
 		r.mu.Lock()
 		f(r.sums[t.Name])
 		r.mu.Unlock()
 	}
-	sum(func(s *Sum) { s.Requests++; s.Asked += worth })
+	sum(func(s *Summary) { s.Requests++; s.OfferedValue += worth })
 	conns := r.conns[t.Name]
 	at := rng.IntN(len(conns))
 	ticket := ""
 	for try := 0; ; try++ {
-		left := t.Timeout + 2*t.Per1k*time.Duration(req.PromptTokens)/1000 - time.Since(begin)
+		left := t.Timeout + 2*t.LatencyTargetPer1k*time.Duration(req.PromptTokens)/1000 - time.Since(begin)
 		if left <= 0 {
-			sum(func(s *Sum) { s.Rejected++ }) // it waited as it was told, and its time was up
+			sum(func(s *Summary) { s.Rejected++ }) // it waited as it was told, and its time was up
 			return 0, false
 		}
-		sum(func(s *Sum) { s.Tries++ })
+		sum(func(s *Summary) { s.Attempts++ })
 		target := conns[at][int(r.turn.Add(1))%len(conns[at])]
 		res := r.try(ctx, target, t, req, try, left, ticket, rng)
 		last = res
 		if ticket != "" {
-			sum(func(s *Sum) {
-				s.Back++
+			sum(func(s *Summary) {
+				s.ReservedRetries++
 				if res.code == codes.OK {
-					s.BackKept++
+					s.ReservedRetriesServed++
 				}
 			})
 		}
 		ticket = res.ticket
 		switch {
 		case res.code == codes.OK && res.wrong:
-			sum(func(s *Sum) { s.Wrong++ })
+			sum(func(s *Summary) { s.Corrupt++ })
 			return 0, false
 		case res.code == codes.OK:
 			first := res.first.Sub(begin)
-			sum(func(s *Sum) {
+			sum(func(s *Summary) {
 				s.Served++
-				s.First = append(s.First, first)
+				s.FirstTokenTimes = append(s.FirstTokenTimes, first)
 				if first <= expected {
 					s.OnTime++
-					s.Value += worth
+					s.EarnedValue += worth
 				}
 			})
 			return res.tokens, true
 		case res.left:
-			sum(func(s *Sum) { s.Left++; s.Asked -= worth })
+			sum(func(s *Summary) { s.Canceled++; s.OfferedValue -= worth })
 			return 0, false
 		}
 		nacked := (res.code == codes.Unavailable || res.code == codes.ResourceExhausted) && res.final
@@ -287,13 +287,13 @@
 			at = (at + 1) % len(conns)
 			wait = 50 * time.Millisecond
 		}
-		if t.Deaf {
+		if t.IgnoresRetryAfter {
 			wait = 0
 		} else if ticket == "" { // without a booking, spread
 			wait = time.Duration(float64(wait) * (1 + 0.2*rng.Float64()))
 		}
-		if !again || try >= t.Retries || time.Since(begin)+wait >= t.Timeout || ctx.Err() != nil {
-			sum(func(s *Sum) {
+		if !again || try >= t.MaxRetries || time.Since(begin)+wait >= t.Timeout || ctx.Err() != nil {
+			sum(func(s *Summary) {
 				switch {
 				case nacked:
 					s.Rejected++
@@ -327,7 +327,7 @@
 func (r *runner) try(ctx context.Context, c pb.GenerationClient, t Class, req *pb.GenerateRequest, try int,
 	left time.Duration, ticket string, rng *rand.Rand,
 ) outcome {
-	call := t.Call
+	call := t.CallTimeout
 	if call == 0 {
 		call = left + time.Duration(req.MaxTokens)*200*time.Millisecond
 	}
@@ -344,24 +344,24 @@
 	}
 	leaves := -1
 	var quit atomic.Bool
-	if rng.Float64() < t.Leave {
+	if rng.Float64() < t.CancelShare {
 		if rng.IntN(2) == 0 { // at some time, or after some tokens
-			time.AfterFunc(time.Duration(rng.Float64()*float64(t.Expected)), func() { quit.Store(true); cancel() })
+			time.AfterFunc(time.Duration(rng.Float64()*float64(t.LatencyTarget)), func() { quit.Store(true); cancel() })
 		} else {
 			leaves = 1 + rng.IntN(max(int(req.MaxTokens)/2, 1))
 		}
 	}
 	req.PatienceNs = uint64(left)
 	now := time.Now()
-	e := eventlog.Entry{Label: req.Label, Try: try, Class: t.Name, Tenant: t.Tenant}
+	e := eventlog.Entry{RequestLabel: req.Label, ClientAttempt: try, Class: t.Name, Tenant: t.Tenant}
 	gap := int64(0) // mean time between the tokens, nanoseconds
 	note := func(kind eventlog.Kind, code string, job string) {
 		e := e
-		e.N = gap
-		e.Kind, e.Code, e.Request, e.By = kind, code, job, now.Add(left).UnixNano()
+		e.Value = gap
+		e.Kind, e.Code, e.Request, e.Deadline = kind, code, job, now.Add(left).UnixNano()
 		r.b.Add(e)
 	}
-	note(eventlog.Asked, "", "")
+	note(eventlog.RequestSent, "", "")
 	stream, err := c.Generate(ctx, req)
 	job := ""
 	var res outcome
@@ -376,10 +376,10 @@
 			if md, e := stream.Header(); e == nil && len(md.Get("docksail-job")) > 0 {
 				job = md.Get("docksail-job")[0]
 			}
-			note(eventlog.Token, "", job)
+			note(eventlog.FirstToken, "", job)
 		}
 		for i, got := range tok.Tokens {
-			if int(tok.Position)+i != res.tokens || got != engine.Tok(req, res.tokens) {
+			if int(tok.Position)+i != res.tokens || got != engine.TokenAt(req, res.tokens) {
 				res.wrong = true
 			}
 			res.tokens++
@@ -398,7 +398,7 @@
 	}
 	if errors.Is(err, io.EOF) {
 		res.code, res.final = codes.OK, true
-		if res.tokens != engine.Answer(req) {
+		if res.tokens != engine.AnswerTokens(req) {
 			res.wrong = true
 		}
 		if res.tokens > 1 {
@@ -408,7 +408,7 @@
 		if res.wrong {
 			code = "OK, but not the whole answer"
 		}
-		note(eventlog.Final, code, job)
+		note(eventlog.RequestAnswered, code, job)
 		return res
 	}
 	st := status.Convert(err)
@@ -421,10 +421,10 @@
 	switch {
 	case quit.Load():
 		res.left = true
-		note(eventlog.Quit, "", job)
+		note(eventlog.RequestCanceled, "", job)
 	case len(push) > 0:
 		res.final = true
-		if v := md.Get("docksail-ticket-bin"); len(v) > 0 && !t.Deaf {
+		if v := md.Get("docksail-ticket-bin"); len(v) > 0 && !t.IgnoresRetryAfter {
 			res.ticket = v[0]
 		}
 		ms, _ := strconv.Atoi(push[0])
@@ -434,12 +434,12 @@
 				res.after = max(res.after, info.RetryDelay.AsDuration())
 			}
 		}
-		note(eventlog.Final, res.code.String(), job)
+		note(eventlog.RequestAnswered, res.code.String(), job)
 	case res.code == codes.Unavailable:
 		res.lost = true
-		note(eventlog.NoAnswer, "lost: "+st.Message(), job)
+		note(eventlog.RequestUnanswered, "lost: "+st.Message(), job)
 	default:
-		note(eventlog.NoAnswer, res.code.String()+": "+st.Message(), job)
+		note(eventlog.RequestUnanswered, res.code.String()+": "+st.Message(), job)
 	}
 	return res
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -58,7 +58,7 @@
 	memory := config.Limits.Memory << 20
 	maxRequests := max(int(heapFraction*float64(memory)/2/requestBytes), 16)
 	n := &Node{loop: l, log: log, policy: platformConfig.Policy, done: make(chan struct{})}
-	if n.dispatcher, err = dispatch.NewDirect(l, log, platformConfig.Policy, platformConfig.ClassNames, platformConfig.Classes, platformConfig.Tenant, maxRequests, maxPromptTokens, int64(platformConfig.MaxRetryAfter), silenceLimit, incarnation); err != nil {
+	if n.dispatcher, err = dispatch.NewDirect(l, log, platformConfig.Policy, platformConfig.ClassNames, platformConfig.Classes, platformConfig.Tenants, maxRequests, maxPromptTokens, int64(platformConfig.MaxRetryAfter), silenceLimit, incarnation); err != nil {
 		return nil, err
 	}
 	n.frontend = frontend.New(l, n.dispatcher, log, clients, clientconn.MaxPartialRequestBytes(memory), n.dispatcher.HasEndpointList)
--- a/internal/platformconfig/platformconfig.go
+++ b/internal/platformconfig/platformconfig.go
@@ -77,7 +77,7 @@
 	Roles      []policy.Role // of the kinds
 	ClassNames []string
 	Classes    []policy.Class // of the classes
-	Tenant     []string
+	Tenants    []string
 
 	Seed           uint64       // of all chance
 	ReleaseTime    policy.Nanos // nothing is held longer for a request that is over
@@ -132,7 +132,7 @@
 	var tenants []policy.Tenant
 	for _, t := range s.Tenants {
 		tenants = append(tenants, policy.Tenant{RequestsPerSecond: t.Allowance})
-		m.Tenant = append(m.Tenant, t.Name)
+		m.Tenants = append(m.Tenants, t.Name)
 	}
 	d, err := policy.New(seed,
 		policy.Identity{Number: s.Me, Count: s.Siblings, Zone: policy.ZoneID(slices.Index(s.Zones, s.Zone))},
@@ -156,8 +156,8 @@
 	return m, nil
 }
 
-// Report takes one figure of a server's load report by its name; others are passed over.
-func Report(load *policy.LoadReport, name string, x float64) {
+// SetLoadReportField takes one figure of a server's load report by its name; others are passed over.
+func SetLoadReportField(load *policy.LoadReport, name string, x float64) {
 	switch name {
 	case "inflight":
 		load.Requests = x
--- a/internal/simulatorwire/wire.go
+++ b/internal/simulatorwire/wire.go
@@ -271,7 +271,7 @@
 			f.bad("gauge", pair)
 			return load
 		}
-		platformconfig.Report(&load, string(key), x)
+		platformconfig.SetLoadReportField(&load, string(key), x)
 	}
 	return load
 }
@@ -371,8 +371,8 @@
 	}
 	job.Class = policy.ClassID(f.named("tier_class", in.ClassNames, h.rest))
 	job.Tenant = -1
-	if s := string(project); s != "-" && s != "0" && len(in.Tenant) > 0 {
-		job.Tenant = policy.TenantID(f.named("project", in.Tenant, project))
+	if s := string(project); s != "-" && s != "0" && len(in.Tenants) > 0 {
+		job.Tenant = policy.TenantID(f.named("project", in.Tenants, project))
 	}
 	if f.err == nil {
 		in.guarded(func() { in.d.RequestArrived(h.now, job) })
