--- /dev/null
+++ b/cmd/docksail/lab_measure.go
@@ -0,0 +1,166 @@
+package main
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"docksail/internal/lab/benchmark"
+	"docksail/internal/lab/calibrate"
+	"docksail/internal/lab/eventlog"
+	"docksail/internal/lab/loadgen"
+	"docksail/internal/lab/report"
+	"docksail/internal/lab/scenario"
+)
+
+// reportCommand draws recorded runs.
+func reportCommand() *cobra.Command {
+	var directory string
+	c := &cobra.Command{
+		Use:   "report ENTRIES...",
+		Short: "Draw the entries of runs, side by side, as one HTML page and PNG plots",
+		Args:  cobra.MinimumNArgs(1),
+		RunE: func(_ *cobra.Command, args []string) error {
+			var runs []report.Run
+			for _, name := range args {
+				run, err := readRun(name)
+				if err != nil {
+					return err
+				}
+				runs = append(runs, run)
+			}
+			return report.Write(directory, runs)
+		},
+	}
+	c.Flags().StringVar(&directory, "into", "report", "directory of the page and the plots")
+	return c
+}
+
+// readRun reads the entries of a run. Of a file whose writer was killed it keeps the complete entries and warns.
+func readRun(name string) (report.Run, error) {
+	file, err := os.Open(name)
+	if err != nil {
+		return report.Run{}, err
+	}
+	defer file.Close()
+	entries, err := eventlog.Read(file)
+	if err != nil && len(entries) == 0 {
+		return report.Run{}, fmt.Errorf("%s: %w", name, err)
+	}
+	if err != nil {
+		fmt.Fprintf(os.Stderr, "%s: %v; the %d entries before it are drawn\n", name, err, len(entries))
+	}
+	runName := strings.TrimSuffix(filepath.Base(name), filepath.Ext(name))
+	return report.Run{Name: runName, Entries: entries}, nil
+}
+
+// loadCommand sends open-loop load to running dispatchers.
+func loadCommand() *cobra.Command {
+	cfg := loadgen.Config{}
+	c := &cobra.Command{
+		Use:   "load SCRIPT",
+		Short: "Send a script's load to running dispatchers, open loop, with latencies from when each request was due",
+		Args:  cobra.ExactArgs(1),
+		RunE: func(c *cobra.Command, args []string) error {
+			script, err := scenario.Load(args[0])
+			if err != nil {
+				return err
+			}
+			cfg.Script = script
+			if cfg.Duration == 0 {
+				cfg.Duration = script.Duration
+			}
+			results, err := loadgen.Run(c.Context(), cfg, func(at time.Duration, ended, served int64) {
+				fmt.Fprintf(os.Stderr, "\r%4.0f s: %d requests ended, %d served", at.Seconds(), ended, served)
+			})
+			fmt.Fprintln(os.Stderr)
+			if err != nil {
+				return err
+			}
+			return loadgen.Print(c.OutOrStdout(), results)
+		},
+	}
+	c.Flags().StringSliceVar(&cfg.Targets, "target", []string{"127.0.0.1:7000"}, "addresses of dispatchers")
+	c.Flags().StringVar(&cfg.Pattern, "pattern", "poisson", "arrival pattern of sessions: "+strings.Join(loadgen.Patterns, ", "))
+	c.Flags().StringVar(&cfg.RecordFile, "record", "", "entries whose session arrivals are replayed, with the pattern recorded")
+	c.Flags().DurationVar(&cfg.Duration, "for", 0, "how long; 0 = the script's duration")
+	c.Flags().IntVar(&cfg.ConnsPerDispatcher, "connections", 2, "to each dispatcher")
+	return c
+}
+
+func calibrateCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:   "calibrate",
+		Short: "Compare the measured timings of the stand-in engines with what their model intends",
+		Args:  cobra.NoArgs,
+		RunE: func(c *cobra.Command, _ []string) error {
+			comparisons, err := calibrate.Run(c.Context())
+			if err != nil {
+				return err
+			}
+			return calibrate.PrintComparisons(c.OutOrStdout(), comparisons)
+		},
+	}
+}
+
+// benchmarkCommand measures a dispatcher beside the baseline relay.
+func benchmarkCommand() *cobra.Command {
+	cfg := benchmark.Config{}
+	c := &cobra.Command{
+		Use:   "benchmark",
+		Short: "Measure a dispatcher beside the baseline relay and no relay: CPU, added latency, memory",
+		Args:  cobra.NoArgs,
+		RunE: func(c *cobra.Command, _ []string) error {
+			binary, err := os.Executable()
+			if err != nil {
+				return err
+			}
+			cfg.Binary, cfg.Progress = binary, c.OutOrStdout()
+			return benchmark.Run(c.Context(), cfg)
+		},
+	}
+	c.Flags().IntSliceVar(&cfg.Streams, "streams", []int{100, 1000, 5000}, "concurrent streams, one pass for each")
+	c.Flags().DurationVar(&cfg.TokenInterval, "gap", 50*time.Millisecond, "time between the tokens of a stream")
+	c.Flags().IntVar(&cfg.Tokens, "tokens", 60, "longest answer, in tokens")
+	c.Flags().DurationVar(&cfg.Duration, "for", 15*time.Second, "length of a pass")
+	c.Flags().IntVar(&cfg.WaitingRequests, "waiting", 1000, "waiting requests for the memory figure")
+	c.Flags().IntVar(&cfg.IdleConns, "idle", 1000, "idle connections for the memory figure")
+	return c
+}
+
+// enginesCommand runs the stand-in engines of a benchmark in a process of their own.
+func enginesCommand() *cobra.Command {
+	var interval time.Duration
+	c := &cobra.Command{
+		Use:    "engines",
+		Short:  "Run stand-in engines and discovery until the input ends",
+		Args:   cobra.NoArgs,
+		Hidden: true,
+		RunE: func(c *cobra.Command, _ []string) error {
+			return benchmark.RunEngines(interval, c.InOrStdin(), c.OutOrStdout())
+		},
+	}
+	c.Flags().DurationVar(&interval, "gap", 50*time.Millisecond, "time between the tokens of a stream")
+	return c
+}
+
+// baselineRelayCommand runs the baseline relay of a benchmark in a process of its own.
+func baselineRelayCommand() *cobra.Command {
+	var addresses benchmark.Addresses
+	c := &cobra.Command{
+		Use:    "baseline-relay",
+		Short:  "Run the baseline relay until the input ends",
+		Args:   cobra.NoArgs,
+		Hidden: true,
+		RunE: func(c *cobra.Command, _ []string) error {
+			return benchmark.RunBaselineRelay(addresses, c.InOrStdin(), c.OutOrStdout())
+		},
+	}
+	c.Flags().StringArrayVar(&addresses.PrefillServers, "reader", nil, "address of a prefill server")
+	c.Flags().StringArrayVar(&addresses.DecodeServers, "writer", nil, "address of a decode server")
+	return c
+}
--- a/cmd/docksail/soak.go
+++ b/cmd/docksail/lab_soak.go
@@ -15,7 +15,7 @@
 func modelServerCommand() *cobra.Command {
 	var name, role, ledger string
 	c := &cobra.Command{
-		Use:    "modelserver",
+		Use:    "model-server",
 		Short:  "Run a stand-in model server that speaks the platform's protocol, for a soak",
 		Args:   cobra.NoArgs,
 		Hidden: true,
--- a/internal/lab/benchmark/benchmark.go
+++ b/internal/lab/benchmark/benchmark.go
@@ -316,7 +316,7 @@
 		return err
 	}
 	defer disp.stop()
-	args := []string{"lab", "baseline"}
+	args := []string{"lab", "baseline-relay"}
 	for _, r := range f.PrefillServers {
 		args = append(args, "--reader", r)
 	}
--- a/internal/lab/soak/fleet.go
+++ b/internal/lab/soak/fleet.go
@@ -133,7 +133,7 @@
 	if s.Prefill {
 		role = "prefill"
 	}
-	s.process = s.fleet.program("lab", "modelserver", "--name", s.Name, "--role", role, "--ledger", s.fleet.reports.Addr().String())
+	s.process = s.fleet.program("lab", "model-server", "--name", s.Name, "--role", role, "--ledger", s.fleet.reports.Addr().String())
 	out, err := s.process.StdoutPipe()
 	if err != nil {
 		return err
