--- a/cmd/docksail/heldstate_test.go
+++ b/cmd/docksail/heldstate_test.go
@@ -1,11 +1,12 @@
 package main
 
 import (
-	"docksail/internal/lab/soak"
 	"fmt"
 	"net/http"
 	"testing"
 	"time"
+
+	"docksail/internal/lab/soak"
 )
 
 // soakSettings is the settings object of the dispatchers of a soak: release time one second.
@@ -50,8 +51,8 @@
 
 const heldRequest = "00000000000000aa"
 
-// send sends a request whose client waits for nearly five seconds. It is of a class that is not repeated: an attempt that is silent
-// stays out for as long as may be.
+// send sends a request whose client waits for nearly five seconds. It is of a class that is not repeated: an attempt
+// that is silent stays out for as long as may be.
 func (h *heldStateTest) send(id string) soak.Request {
 	h.Helper()
 	r := soak.Request{ID: id, Session: "7f3a9c21e0b4d655", Remaining: 4800 * time.Millisecond, Effect: "at_most_once"}
@@ -95,7 +96,8 @@
 	}
 }
 
-// A state is released in time whatever happens to the attempts and releases of its request: real processes over loopback.
+// A state is released in time whatever happens to the attempts and releases of its request: real processes over
+// loopback.
 func TestHeldStateOnLoopback(t *testing.T) {
 	for name, script := range map[string]func(h *heldStateTest){
 		"a write on a new connection does not arrive": func(h *heldStateTest) {
--- a/cmd/docksail/lab.go
+++ b/cmd/docksail/lab.go
@@ -14,7 +14,8 @@
 // labCommand returns the commands that run docksail among stand-ins.
 func labCommand() *cobra.Command {
 	lab := &cobra.Command{Use: "lab", Short: "Run dispatchers among stand-in engines, clients and discovery"}
-	lab.AddCommand(demoCommand(), reportCommand(), loadCommand(), calibrateCommand(), importCommand(), enginesCommand(), soakCommand())
+	lab.AddCommand(demoCommand(), importCommand(), reportCommand(), loadCommand(), soakCommand())
+	lab.AddCommand(calibrateCommand(), enginesCommand())
 	addRenamed(lab, "drill", scenarioCommand)
 	addRenamed(lab, "sim", simulateCommand)
 	addRenamed(lab, "run", experimentCommand)
--- a/cmd/docksail/lab_measure.go
+++ b/cmd/docksail/lab_measure.go
@@ -85,8 +85,10 @@
 		},
 	}
 	c.Flags().StringSliceVar(&cfg.Targets, "target", []string{"127.0.0.1:7000"}, "addresses of dispatchers")
-	c.Flags().StringVar(&cfg.Pattern, "pattern", "poisson", "arrival pattern of sessions: "+strings.Join(loadgen.Patterns, ", "))
-	c.Flags().StringVar(&cfg.RecordFile, "record", "", "entries whose session arrivals are replayed, with the pattern recorded")
+	c.Flags().StringVar(&cfg.Pattern, "pattern", "poisson",
+		"arrival pattern of sessions: "+strings.Join(loadgen.Patterns, ", "))
+	c.Flags().StringVar(&cfg.RecordFile, "record", "",
+		"entries whose session arrivals are replayed, with the pattern recorded")
 	c.Flags().DurationVar(&cfg.Duration, "for", 0, "how long; 0 = the script's duration")
 	c.Flags().IntVar(&cfg.ConnsPerDispatcher, "connections", 2, "to each dispatcher")
 	return c
--- a/cmd/docksail/lab_scenario.go
+++ b/cmd/docksail/lab_scenario.go
@@ -97,7 +97,8 @@
 	c.Flags().Int64Var(&seed, "seed", 0, "in place of the script's")
 	c.Flags().StringVar(&policyName, "policy", "",
 		"a textbook policy in place of docksail's: "+strings.Join(baselinepolicy.Names, ", "))
-	c.Flags().DurationVar(&sampleInterval, "sample", 0, "write the servers' load into the entries at this interval; 0 = never")
+	c.Flags().DurationVar(&sampleInterval, "sample", 0,
+		"write the servers' load into the entries at this interval; 0 = never")
 	c.Flags().BoolVar(&sums, "sums", false, "print the summary as JSON")
 	return c
 }
@@ -166,7 +167,8 @@
 			if err = errors.Join(err, findings.err); err != nil {
 				return err
 			}
-			fmt.Fprintf(c.OutOrStdout(), "%d scenarios played, from seed %d; %d break an invariant\n", played, firstSeed, findings.count)
+			fmt.Fprintf(c.OutOrStdout(), "%d scenarios played, from seed %d; %d break an invariant\n",
+				played, firstSeed, findings.count)
 			if findings.count > 0 {
 				return fmt.Errorf("%d scenarios break an invariant", findings.count)
 			}
--- a/cmd/docksail/lab_soak_test.go
+++ b/cmd/docksail/lab_soak_test.go
@@ -1,19 +1,20 @@
 package main
 
 import (
-	"docksail/internal/lab/soak"
 	"fmt"
 	"os"
 	"strconv"
 	"testing"
 	"time"
+
+	"docksail/internal/lab/soak"
 )
 
 // soakSeeds names, in the environment, how many seeds TestFaultSoak plays; a few seconds each.
 const soakSeeds = "DOCKSAIL_SOAK_SEEDS"
 
-// Real dispatchers before stand-in servers under random faults keep the rules. A failing seed is printed with its schedule, and plays again with
-// docksail lab soak --seed.
+// Real dispatchers before stand-in servers under random faults keep the rules. A failing seed is printed with its
+// schedule, and plays again with docksail lab soak --seed.
 func TestFaultSoak(t *testing.T) {
 	seeds := 2
 	if text := os.Getenv(soakSeeds); text != "" {
--- a/cmd/docksail/main_test.go
+++ b/cmd/docksail/main_test.go
@@ -3,9 +3,6 @@
 import (
 	"bytes"
 	"context"
-	"docksail/internal/lab/engine"
-	"docksail/internal/node"
-	"docksail/policy"
 	"errors"
 	"fmt"
 	"io"
@@ -24,6 +21,9 @@
 
 	pb "docksail/api/docksail/v1"
 	backend "docksail/internal/backend/platform"
+	"docksail/internal/lab/engine"
+	"docksail/internal/node"
+	"docksail/policy"
 )
 
 // The test binary is the program when it is asked to be.
--- a/cmd/docksail/node.go
+++ b/cmd/docksail/node.go
@@ -2,8 +2,6 @@
 
 import (
 	"context"
-	"docksail/internal/dispatch"
-	"docksail/internal/node"
 	"log/slog"
 	"os"
 	"os/signal"
@@ -11,6 +9,9 @@
 	"time"
 
 	"github.com/spf13/cobra"
+
+	"docksail/internal/dispatch"
+	"docksail/internal/node"
 )
 
 func nodeCommand() *cobra.Command {
@@ -69,7 +70,8 @@
 	return c
 }
 
-// logView logs how a dispatcher does, with a line for each server that has something of it: in a large fleet these are few.
+// logView logs how a dispatcher does, with a line for each server that has something of it: in a large fleet these
+// are few.
 func logView(log *slog.Logger, n *node.Node) {
 	view, ok := n.Status()
 	if !ok {
--- a/cmd/docksail/serve.go
+++ b/cmd/docksail/serve.go
@@ -3,9 +3,6 @@
 import (
 	"cmp"
 	"context"
-	"docksail/internal/config"
-	"docksail/internal/decide/admission"
-	"docksail/internal/dispatch"
 	"encoding/json"
 	"fmt"
 	"io"
@@ -17,6 +14,11 @@
 	"time"
 
 	"github.com/spf13/cobra"
+
+	"docksail/internal/batchservice"
+	"docksail/internal/config"
+	"docksail/internal/decide/admission"
+	"docksail/internal/dispatch"
 )
 
 func serveCommand() *cobra.Command {
@@ -47,12 +49,12 @@
 			}
 			log.Info("serving", "at", r.Addr, "zone", s.Zone, "number", s.Index, "of", s.Count)
 			if s.Batch.Listen.IsValid() {
-				stop, err := startBatches(ctx, s, r.Addr, log)
+				batches, err := batchservice.Start(ctx, s, r.Addr, log)
 				if err != nil {
 					r.Kill()
 					return err
 				}
-				defer stop()
+				defer batches.Stop()
 			}
 			signals := make(chan os.Signal, 2)
 			signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -2,9 +2,10 @@
 package main
 
 import (
-	"docksail/internal/simulatorwire"
 	"fmt"
 	"os"
+
+	"docksail/internal/simulatorwire"
 )
 
 func main() {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -426,7 +426,8 @@
 	return err
 }
 
-// ParseServers reads a list of engines; name stands for the file in errors. The warnings are about names of the release before.
+// ParseServers reads a list of engines; name stands for the file in errors. The warnings are about names of the
+// release before.
 func ParseServers(name string, text []byte) (list []endpointlist.Endpoint, warnings []string, err error) {
 	var in serverList
 	d := &decoder{name: name, text: text, lines: map[string]int{}}
--- a/internal/e2e/batchapi_test.go
+++ b/internal/e2e/batchapi_test.go
@@ -300,8 +300,8 @@
 	}
 }
 
-// TestBatchEndsEarly: a batch that is cancelled, and one whose window ends, deliver what is done and name the rest; a file
-// that is deleted under its batch is read to the end.
+// TestBatchEndsEarly: a batch that is cancelled, and one whose window ends, deliver what is done and name the rest; a
+// file that is deleted under its batch is read to the end.
 func TestBatchEndsEarly(t *testing.T) {
 	t.Parallel()
 	st, _ := stage(t, nil)
@@ -446,8 +446,8 @@
 	t.Logf("killed ten times: drafts %d done, bookings %d done and %d that may have run, %d ran", n, done, lost, len(ran))
 }
 
-// TestBatchGoesOn: the engines are gone for a while, then the dispatcher drains and comes back: the batch waits, and every
-// line is answered.
+// TestBatchGoesOn: the engines are gone for a while, then the dispatcher drains and comes back: the batch waits, and
+// every line is answered.
 func TestBatchGoesOn(t *testing.T) {
 	t.Parallel()
 	st, _ := stage(t, nil)
--- a/internal/lab/baselinepolicy/policy.go
+++ b/internal/lab/baselinepolicy/policy.go
@@ -1,17 +1,19 @@
-// Package baselinepolicy has textbook policies in the place of the decision module, to measure against. They try again after
-// what is known not to have run, and keep what the rules ask about effects; cold starts, ailing hosts and kept
-// beginnings mean nothing to them.
+// Package baselinepolicy has textbook policies in the place of the decision module, to measure against. They try
+// again after what is known not to have run, and keep what the rules ask about effects; cold starts, ailing hosts and
+// kept beginnings mean nothing to them.
 package baselinepolicy
 
 import (
-	"docksail/policy"
 	"fmt"
 	"math/rand/v2"
 	"slices"
 	"strings"
+
+	"docksail/policy"
 )
 
-// LoadOracle is the true load of a host, which only a simulation can know: prompt tokens not read yet, and work at hand.
+// LoadOracle is the true load of a host, which only a simulation can know: prompt tokens not read yet, and work at
+// hand.
 type LoadOracle func(id policy.ServerID) (unread, work int)
 
 // Names of the policies.
--- a/internal/lab/benchmark/benchmark.go
+++ b/internal/lab/benchmark/benchmark.go
@@ -5,9 +5,6 @@
 
 import (
 	"context"
-	"docksail/internal/lab/baselinerelay"
-	"docksail/internal/lab/discoveryserver"
-	"docksail/internal/lab/engine"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -28,6 +25,9 @@
 	"google.golang.org/grpc/credentials/insecure"
 
 	pb "docksail/api/docksail/v1"
+	"docksail/internal/lab/baselinerelay"
+	"docksail/internal/lab/discoveryserver"
+	"docksail/internal/lab/engine"
 )
 
 // Config is what is measured.
--- a/internal/lab/calibrate/calibrate.go
+++ b/internal/lab/calibrate/calibrate.go
@@ -4,7 +4,6 @@
 
 import (
 	"context"
-	"docksail/internal/lab/engine"
 	"errors"
 	"fmt"
 	"io"
@@ -16,6 +15,7 @@
 	"google.golang.org/grpc/credentials/insecure"
 
 	pb "docksail/api/docksail/v1"
+	"docksail/internal/lab/engine"
 )
 
 // Comparison is one figure.
--- a/internal/lab/discoveryserver/server.go
+++ b/internal/lab/discoveryserver/server.go
@@ -1,9 +1,8 @@
-// Package discoveryserver is a stand-in for the service that knows which engines run: it tells dispatchers the list, and
-// changes some time after they happened.
+// Package discoveryserver is a stand-in for the service that knows which engines run: it tells dispatchers the list,
+// and changes some time after they happened.
 package discoveryserver
 
 import (
-	"docksail/internal/lab/eventlog"
 	"fmt"
 	"net"
 	"sync"
@@ -13,6 +12,7 @@
 	"google.golang.org/protobuf/proto"
 
 	pb "docksail/api/docksail/v1"
+	"docksail/internal/lab/eventlog"
 )
 
 // Server is one such service.
--- a/internal/lab/engine/batch/blocks.go
+++ b/internal/lab/engine/batch/blocks.go
@@ -1,7 +1,7 @@
-// Package batch models a model host's inside: continuous batching in steps, memory in blocks with reference counts, kept
-// beginnings shared by what stands in them, eviction of the least recently used, and preemption of the newest answer
-// when memory runs out. It does no I/O and reads no clock, so it runs behind gRPC on the clock as well as in simulated
-// time. Its figures are a model's and measure nothing real.
+// Package batch models a model host's inside: continuous batching in steps, memory in blocks with reference counts,
+// kept beginnings shared by what stands in them, eviction of the least recently used, and preemption of the newest
+// answer when memory runs out. It does no I/O and reads no clock, so it runs behind gRPC on the clock as well as in
+// simulated time. Its figures are a model's and measure nothing real.
 package batch
 
 import "docksail/internal/indexedheap"
@@ -109,8 +109,8 @@
 	return i
 }
 
-// SetContent says what stands in a block from now on, so that others can use it. If another block has the same, that one
-// stays the known one.
+// SetContent says what stands in a block from now on, so that others can use it. If another block has the same, that
+// one stays the known one.
 func (m *Memory) SetContent(i int32, h BlockHash) {
 	if _, ok := m.byHash[h]; !ok && m.blocks[i].hash == 0 {
 		m.blocks[i].hash = h
@@ -118,8 +118,8 @@
 	}
 }
 
-// Release lets go of blocks. Named ones that nobody uses any more are kept until their room is needed; of several let go
-// at once the later in their chain go first, as they are of no use without the earlier.
+// Release lets go of blocks. Named ones that nobody uses any more are kept until their room is needed; of several let
+// go at once the later in their chain go first, as they are of no use without the earlier.
 func (m *Memory) Release(list []int32) {
 	for k := len(list) - 1; k >= 0; k-- {
 		i := list[k]
--- a/internal/lab/engine/batch/net_test.go
+++ b/internal/lab/engine/batch/net_test.go
@@ -9,7 +9,8 @@
 
 const second = Nanos(1e9)
 
-// TestShares: alone a move takes its tokens at its way's pace; two on one way take twice as long; a far zone stretches it.
+// TestShares: alone a move takes its tokens at its way's pace; two on one way take twice as long; a far zone
+// stretches it.
 func TestShares(t *testing.T) {
 	n := NewNetwork()
 	port, _ := n.AddLink(1000)
@@ -63,8 +64,8 @@
 	}
 }
 
-// TestNet plays random moves: no way carries more than its pace, a way with moves on it alone is never idle, and looking
-// more often changes nothing.
+// TestNet plays random moves: no way carries more than its pace, a way with moves on it alone is never idle, and
+// looking more often changes nothing.
 func TestNet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := NewNetwork(), NewNetwork()
--- a/internal/lab/engine/driver.go
+++ b/internal/lab/engine/driver.go
@@ -2,8 +2,6 @@
 
 import (
 	"context"
-	"docksail/internal/lab/engine/batch"
-	"docksail/internal/lab/eventlog"
 	"errors"
 	"sync"
 	"time"
@@ -15,6 +13,8 @@
 	"google.golang.org/grpc/status"
 
 	pb "docksail/api/docksail/v1"
+	"docksail/internal/lab/engine/batch"
+	"docksail/internal/lab/eventlog"
 )
 
 // driver runs a batch.Server on the clock.
--- a/internal/lab/engine/engine.go
+++ b/internal/lab/engine/engine.go
@@ -5,8 +5,6 @@
 
 import (
 	"context"
-	"docksail/internal/lab/engine/batch"
-	"docksail/internal/lab/eventlog"
 	"fmt"
 	"net"
 	"strconv"
@@ -22,6 +20,8 @@
 	"google.golang.org/protobuf/proto"
 
 	pb "docksail/api/docksail/v1"
+	"docksail/internal/lab/engine/batch"
+	"docksail/internal/lab/eventlog"
 )
 
 // Spec describes a host. Times are real.
--- a/internal/lab/engine/engine_test.go
+++ b/internal/lab/engine/engine_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"docksail/internal/lab/eventlog"
 	"errors"
 	"io"
 	"slices"
@@ -18,6 +17,7 @@
 	"google.golang.org/protobuf/proto"
 
 	pb "docksail/api/docksail/v1"
+	"docksail/internal/lab/eventlog"
 )
 
 func startOne(t *testing.T, s Spec) (*Engine, pb.EngineClient) {
--- a/internal/lab/engine/links.go
+++ b/internal/lab/engine/links.go
@@ -2,9 +2,10 @@
 
 import (
 	"context"
-	"docksail/internal/lab/engine/batch"
 	"sync"
 	"time"
+
+	"docksail/internal/lab/engine/batch"
 )
 
 // Links are the ways over which states move between the engines of a day: each host's port and each cell's one link,
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -4,12 +4,6 @@
 
 import (
 	"context"
-	"docksail/internal/config"
-	"docksail/internal/dispatch"
-	"docksail/internal/lab/baselinepolicy"
-	"docksail/internal/lab/scenario"
-	"docksail/internal/lab/simulation"
-	"docksail/internal/lab/userclient"
 	"encoding/json"
 	"fmt"
 	"image/color"
@@ -32,6 +26,13 @@
 	"gonum.org/v1/plot"
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/vg"
+
+	"docksail/internal/config"
+	"docksail/internal/dispatch"
+	"docksail/internal/lab/baselinepolicy"
+	"docksail/internal/lab/scenario"
+	"docksail/internal/lab/simulation"
+	"docksail/internal/lab/userclient"
 )
 
 // Experiment is a day and what is tried on it.
@@ -136,8 +137,8 @@
 	return s
 }
 
-// Simulate plays one script in simulated time, by a textbook policy if one is named; the hosts' figures are written down
-// every sample, if it is above 0.
+// Simulate plays one script in simulated time, by a textbook policy if one is named; the hosts' figures are written
+// down every sample, if it is above 0.
 func Simulate(ctx context.Context, s *scenario.Script, name string, sample time.Duration) (*simulation.Report, error) {
 	day, err := simulation.New(s)
 	if err != nil {
--- a/internal/lab/experiment/golden_test.go
+++ b/internal/lab/experiment/golden_test.go
@@ -3,14 +3,15 @@
 import (
 	"bytes"
 	"crypto/sha256"
-	"docksail/internal/lab/eventlog"
-	"docksail/internal/lab/scenario"
 	"encoding/hex"
 	"encoding/json"
 	"fmt"
 	"os"
 	"path/filepath"
 	"testing"
+
+	"docksail/internal/lab/eventlog"
+	"docksail/internal/lab/scenario"
 )
 
 // digestLength is how many hexadecimal digits of a SHA-256 sum testdata/golden.json keeps.
@@ -25,9 +26,9 @@
 	Entries string `json:"entries"` // of what `docksail lab sim --entries` writes
 }
 
-// TestGoldenRuns plays scenarios in simulated time and compares the outcome with recorded digests. A refactoring must not change any
-// of them; a change of behavior on purpose records new ones, and its commit says why. The digests hold on amd64, where Go
-// does not fuse floating-point operations.
+// TestGoldenRuns plays scenarios in simulated time and compares the outcome with recorded digests. A refactoring must
+// not change any of them; a change of behavior on purpose records new ones, and its commit says why. The digests hold
+// on amd64, where Go does not fuse floating-point operations.
 func TestGoldenRuns(t *testing.T) {
 	text, err := os.ReadFile("testdata/golden.json")
 	if err != nil {
--- a/internal/lab/faultproxy/proxy.go
+++ b/internal/lab/faultproxy/proxy.go
@@ -3,12 +3,13 @@
 package faultproxy
 
 import (
-	"docksail/internal/lab/eventlog"
 	"fmt"
 	"net"
 	"sync"
 	"sync/atomic"
 	"time"
+
+	"docksail/internal/lab/eventlog"
 )
 
 // Proxy passes the connections of one dispatcher to one host.
--- a/internal/lab/faultproxy/tap.go
+++ b/internal/lab/faultproxy/tap.go
@@ -1,7 +1,6 @@
 package faultproxy
 
 import (
-	"docksail/internal/lab/eventlog"
 	"maps"
 	"slices"
 	"strconv"
@@ -10,6 +9,8 @@
 	"golang.org/x/net/http2"
 	"golang.org/x/net/http2/hpack"
 	"google.golang.org/grpc/codes"
+
+	"docksail/internal/lab/eventlog"
 )
 
 // FrameRecorder reads the frames of one connection, both ways, as they pass.
--- a/internal/lab/faultsearch/search.go
+++ b/internal/lab/faultsearch/search.go
@@ -1,14 +1,9 @@
-// Package faultsearch looks for broken rules: it plays random days in simulated time under the rule checker, and makes a
-// day that breaks one as small as it can.
+// Package faultsearch looks for broken rules: it plays random days in simulated time under the rule checker, and
+// makes a day that breaks one as small as it can.
 package faultsearch
 
 import (
 	"context"
-	"docksail/internal/config"
-	"docksail/internal/dispatch"
-	"docksail/internal/lab/invariants"
-	"docksail/internal/lab/scenario"
-	"docksail/internal/lab/simulation"
 	"fmt"
 	"math/rand/v2"
 	"runtime"
@@ -16,6 +11,12 @@
 	"strings"
 	"sync"
 	"time"
+
+	"docksail/internal/config"
+	"docksail/internal/dispatch"
+	"docksail/internal/lab/invariants"
+	"docksail/internal/lab/scenario"
+	"docksail/internal/lab/simulation"
 )
 
 // Searcher draws days from one script: its fleet, tracks and dispatchers, with troubles of its own.
--- a/internal/lab/faultsearch/search_test.go
+++ b/internal/lab/faultsearch/search_test.go
@@ -2,10 +2,11 @@
 
 import (
 	"context"
+	"testing"
+
 	"docksail/internal/dispatch"
 	"docksail/internal/lab/scenario"
 	"docksail/policy"
-	"testing"
 )
 
 func base(t *testing.T) *scenario.Script {
--- a/internal/lab/invariants/invariants.go
+++ b/internal/lab/invariants/invariants.go
@@ -4,11 +4,12 @@
 
 import (
 	"cmp"
-	"docksail/internal/lab/eventlog"
-	"docksail/policy"
 	"fmt"
 	"slices"
 	"time"
+
+	"docksail/internal/lab/eventlog"
+	"docksail/policy"
 )
 
 // Class is what the rules need to know of a class of requests.
--- a/internal/lab/invariants/invariants_test.go
+++ b/internal/lab/invariants/invariants_test.go
@@ -1,10 +1,11 @@
 package invariants
 
 import (
-	"docksail/internal/lab/eventlog"
-	"docksail/policy"
 	"testing"
 	"time"
+
+	"docksail/internal/lab/eventlog"
+	"docksail/policy"
 )
 
 const ms = int64(1e6)
--- a/internal/lab/invariants/record.go
+++ b/internal/lab/invariants/record.go
@@ -1,9 +1,10 @@
 package invariants
 
 import (
-	"docksail/internal/lab/eventlog"
 	"fmt"
 	"slices"
+
+	"docksail/internal/lab/eventlog"
 )
 
 // never is the end of an attempt that has not ended.
--- a/internal/lab/loadgen/loadgen.go
+++ b/internal/lab/loadgen/loadgen.go
@@ -4,9 +4,6 @@
 
 import (
 	"context"
-	"docksail/internal/lab/eventlog"
-	"docksail/internal/lab/scenario"
-	"docksail/internal/lab/userclient"
 	"errors"
 	"fmt"
 	"io"
@@ -19,6 +16,10 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"google.golang.org/grpc/codes"
+
+	"docksail/internal/lab/eventlog"
+	"docksail/internal/lab/scenario"
+	"docksail/internal/lab/userclient"
 )
 
 // Patterns of arrivals.
--- a/internal/lab/loadgen/loadgen_test.go
+++ b/internal/lab/loadgen/loadgen_test.go
@@ -2,9 +2,6 @@
 
 import (
 	"bytes"
-	"docksail/internal/lab/engine"
-	"docksail/internal/lab/eventlog"
-	"docksail/internal/lab/scenario"
 	"log/slog"
 	"math"
 	"os"
@@ -12,6 +9,10 @@
 	"strings"
 	"testing"
 	"time"
+
+	"docksail/internal/lab/engine"
+	"docksail/internal/lab/eventlog"
+	"docksail/internal/lab/scenario"
 )
 
 // TestRates: the mean of each pattern over a run is its base.
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -5,7 +5,6 @@
 import (
 	"bytes"
 	"cmp"
-	"docksail/internal/lab/eventlog"
 	"encoding/base64"
 	"fmt"
 	"html/template"
@@ -23,6 +22,8 @@
 	"gonum.org/v1/plot/vg"
 	"gonum.org/v1/plot/vg/draw"
 	"gonum.org/v1/plot/vg/vgimg"
+
+	"docksail/internal/lab/eventlog"
 )
 
 // Run is one run's entries under a name.
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -2,14 +2,15 @@
 
 import (
 	"bytes"
-	"docksail/internal/lab/eventlog"
-	"docksail/internal/lab/experiment"
-	"docksail/internal/lab/scenario"
 	"image/png"
 	"os"
 	"path/filepath"
 	"strings"
 	"testing"
+
+	"docksail/internal/lab/eventlog"
+	"docksail/internal/lab/experiment"
+	"docksail/internal/lab/scenario"
 )
 
 // TestReport: the page of a played day names its tracks and troubles and holds plots that are pictures; a record whose
--- a/internal/lab/scenario/import.go
+++ b/internal/lab/scenario/import.go
@@ -1,14 +1,15 @@
 package scenario
 
 import (
-	"docksail/internal/config"
-	"docksail/policy"
 	"encoding/json"
 	"fmt"
 	"math"
 	"slices"
 	"strings"
 	"time"
+
+	"docksail/internal/config"
+	"docksail/policy"
 )
 
 // benchDay is the part of a bench's day file that a drill can play. Times are microseconds.
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -3,11 +3,6 @@
 package scenario
 
 import (
-	"docksail/internal/config"
-	"docksail/internal/lab/engine"
-	"docksail/internal/lab/invariants"
-	"docksail/internal/lab/userclient"
-	"docksail/policy"
 	"fmt"
 	"maps"
 	"math"
@@ -16,6 +11,11 @@
 	"time"
 
 	pb "docksail/api/docksail/v1"
+	"docksail/internal/config"
+	"docksail/internal/lab/engine"
+	"docksail/internal/lab/invariants"
+	"docksail/internal/lab/userclient"
+	"docksail/policy"
 )
 
 // Script is a day.
@@ -117,8 +117,8 @@
 	Dispatcher int      `json:"dispatcher"`
 }
 
-// FaultDetectionTime is the time in which dispatchers have to notice connections that went silent with no reset, and let go of
-// what is left behind them.
+// FaultDetectionTime is the time in which dispatchers have to notice connections that went silent with no reset, and
+// let go of what is left behind them.
 const FaultDetectionTime = 5 * time.Second
 
 // kinds of trouble, and what each needs.
--- a/internal/lab/scenario/stage.go
+++ b/internal/lab/scenario/stage.go
@@ -2,15 +2,6 @@
 
 import (
 	"context"
-	"docksail/internal/config"
-	"docksail/internal/decide/admission"
-	"docksail/internal/dispatch"
-	"docksail/internal/lab/discoveryserver"
-	"docksail/internal/lab/engine"
-	"docksail/internal/lab/eventlog"
-	"docksail/internal/lab/faultproxy"
-	"docksail/internal/lab/invariants"
-	"docksail/internal/lab/userclient"
 	"fmt"
 	"io"
 	"log/slog"
@@ -23,6 +14,15 @@
 	"time"
 
 	pb "docksail/api/docksail/v1"
+	"docksail/internal/config"
+	"docksail/internal/decide/admission"
+	"docksail/internal/dispatch"
+	"docksail/internal/lab/discoveryserver"
+	"docksail/internal/lab/engine"
+	"docksail/internal/lab/eventlog"
+	"docksail/internal/lab/faultproxy"
+	"docksail/internal/lab/invariants"
+	"docksail/internal/lab/userclient"
 )
 
 // Deployment is a day's parties, running.
--- a/internal/lab/simulation/client.go
+++ b/internal/lab/simulation/client.go
@@ -1,11 +1,6 @@
 package simulation
 
 import (
-	"docksail/internal/eventloop"
-	"docksail/internal/h2"
-	"docksail/internal/lab/engine"
-	"docksail/internal/lab/eventlog"
-	"docksail/internal/lab/userclient"
 	"encoding/base64"
 	"fmt"
 	"math/rand/v2"
@@ -22,6 +17,11 @@
 	"google.golang.org/protobuf/proto"
 
 	pb "docksail/api/docksail/v1"
+	"docksail/internal/eventloop"
+	"docksail/internal/h2"
+	"docksail/internal/lab/engine"
+	"docksail/internal/lab/eventlog"
+	"docksail/internal/lab/userclient"
 )
 
 const (
--- a/internal/lab/simulation/discoveryserver.go
+++ b/internal/lab/simulation/discoveryserver.go
@@ -1,15 +1,15 @@
 package simulation
 
 import (
-	"docksail/internal/eventloop"
-	"docksail/internal/h2"
-	"docksail/internal/lab/eventlog"
 	"net/netip"
 
 	"google.golang.org/grpc/codes"
 	"google.golang.org/protobuf/proto"
 
 	pb "docksail/api/docksail/v1"
+	"docksail/internal/eventloop"
+	"docksail/internal/h2"
+	"docksail/internal/lab/eventlog"
 )
 
 // lister tells one dispatcher which hosts run, some time after it happened.
--- a/internal/lab/simulation/host.go
+++ b/internal/lab/simulation/host.go
@@ -1,11 +1,6 @@
 package simulation
 
 import (
-	"docksail/internal/eventloop"
-	"docksail/internal/h2"
-	"docksail/internal/lab/engine"
-	"docksail/internal/lab/engine/batch"
-	"docksail/internal/lab/eventlog"
 	"encoding/base64"
 	"math/rand/v2"
 	"net/netip"
@@ -17,6 +12,11 @@
 	"google.golang.org/protobuf/proto"
 
 	pb "docksail/api/docksail/v1"
+	"docksail/internal/eventloop"
+	"docksail/internal/h2"
+	"docksail/internal/lab/engine"
+	"docksail/internal/lab/engine/batch"
+	"docksail/internal/lab/eventlog"
 )
 
 // host is a model host of the batch model on a simulated loop.
--- a/internal/lab/simulation/simulation.go
+++ b/internal/lab/simulation/simulation.go
@@ -1,11 +1,22 @@
-// Package simulation plays a scripted day in simulated time: the real dispatchers, with the HTTP/2, the door and the decision
-// module that they have on the clock, on loops of one loop.World; model hosts, listers and clients are stand-ins on
-// loops of the same world. The same script and seed give the same run, entry by entry, whatever the machine does.
+// Package simulation plays a scripted day in simulated time: the real dispatchers, with the HTTP/2, the door and the
+// decision module that they have on the clock, on loops of one loop.World; model hosts, listers and clients are
+// stand-ins on loops of the same world. The same script and seed give the same run, entry by entry, whatever the
+// machine does.
 package simulation
 
 import (
 	"cmp"
 	"context"
+	"fmt"
+	"log/slog"
+	"maps"
+	"math"
+	"math/rand/v2"
+	"net/netip"
+	"slices"
+	"time"
+
+	pb "docksail/api/docksail/v1"
 	"docksail/internal/config"
 	"docksail/internal/dispatch"
 	"docksail/internal/eventloop"
@@ -17,16 +28,6 @@
 	"docksail/internal/lab/scenario"
 	"docksail/internal/lab/userclient"
 	"docksail/policy"
-	"fmt"
-	"log/slog"
-	"maps"
-	"math"
-	"math/rand/v2"
-	"net/netip"
-	"slices"
-	"time"
-
-	pb "docksail/api/docksail/v1"
 )
 
 const (
--- a/internal/lab/simulation/simulation_test.go
+++ b/internal/lab/simulation/simulation_test.go
@@ -3,15 +3,16 @@
 import (
 	"bytes"
 	"context"
+	"path/filepath"
+	"slices"
+	"testing"
+	"time"
+
 	"docksail/internal/dispatch"
 	"docksail/internal/lab/eventlog"
 	"docksail/internal/lab/scenario"
 	"docksail/internal/lab/userclient"
 	"docksail/policy"
-	"path/filepath"
-	"slices"
-	"testing"
-	"time"
 )
 
 func load(t *testing.T, seed int64) *scenario.Script {
@@ -194,8 +195,8 @@
 	}
 }
 
-// TestFloodSimulated: beside one client's flood the small ones' p99 stays within eight times that of the day without it,
-// and nearly all are in time; in order of arrival half are.
+// TestFloodSimulated: beside one client's flood the small ones' p99 stays within eight times that of the day without
+// it, and nearly all are in time; in order of arrival half are.
 func TestFloodSimulated(t *testing.T) {
 	for seed := range int64(3) {
 		day := func(change func(s *scenario.Script)) *userclient.Summary {
--- a/internal/lab/simulation/wire.go
+++ b/internal/lab/simulation/wire.go
@@ -1,11 +1,11 @@
 package simulation
 
 import (
-	"docksail/internal/eventloop"
-	"docksail/internal/h2"
-
 	"golang.org/x/net/http2"
 	"google.golang.org/grpc/codes"
+
+	"docksail/internal/eventloop"
+	"docksail/internal/h2"
 )
 
 // wire is one connection of a stand-in: HTTP/2 on a simulated socket. What happens on it is told to on.
--- a/internal/lab/soak/client.go
+++ b/internal/lab/soak/client.go
@@ -80,7 +80,8 @@
 	Started bool  // an answer began
 }
 
-// answerSlack is how much later than its deadline a client may get its answer: half a second, and 50 ms as all spans have.
+// answerSlack is how much later than its deadline a client may get its answer: half a second, and 50 ms as all spans
+// have.
 const answerSlack = 550 * time.Millisecond
 
 // streamSlack is how long after the answer's begin its end may come: servers are stopped for less.
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -61,7 +61,8 @@
 	longestFault  = 3500 * time.Millisecond
 	longestDelay  = 400 * time.Millisecond
 	longestHoldUp = 150 * time.Millisecond // of a dispatcher, by the platform's word
-	// endGrace is how long after SIGTERM the platform kills at the soonest: the longest deadline, counted as 3 s at most, and 0.7 s.
+	// endGrace is how long after SIGTERM the platform kills at the soonest: the longest deadline, counted as 3 s at
+	// most, and 0.7 s.
 	endGrace  = 3700 * time.Millisecond
 	signalGap = 200 * time.Millisecond // between the signals to a dispatcher that is to end
 )
@@ -71,8 +72,8 @@
 	return least + time.Duration(rng.Int64N(int64(most-least)))
 }
 
-// schedule draws faults over a time. They overlap, but of each role's servers half at the least are sound at any time: where all are cut off
-// nobody can keep a promise.
+// schedule draws faults over a time. They overlap, but of each role's servers half at the least are sound at any
+// time: where all are cut off nobody can keep a promise.
 func schedule(rng *rand.Rand, prefill, decode, dispatchers int, length time.Duration, each time.Duration) (faults []Fault) {
 	busy := map[string]time.Duration{} // until when a target has its fault
 	for at := 500 * time.Millisecond; at < length; at += span(rng, each/2, each*3/2) {
--- a/internal/lab/soak/fleet.go
+++ b/internal/lab/soak/fleet.go
@@ -65,7 +65,8 @@
 	Oracle      *Oracle
 	Servers     []*Server
 	Dispatchers []*Dispatcher
-	// AttemptPlan makes the plan of an attempt, ReleaseStatus the answer to a release; both may be called from several goroutines.
+	// AttemptPlan makes the plan of an attempt, ReleaseStatus the answer to a release; both may be called from several
+	// goroutines.
 	AttemptPlan    func(id string, read bool, server string) AttemptPlan
 	ReleaseStatus  func(id, server string) int
 	MaxDescriptors int // descriptors of a dispatcher, as it is told
--- a/internal/lab/soak/ledger.go
+++ b/internal/lab/soak/ledger.go
@@ -1,5 +1,5 @@
-// Package soak runs real dispatchers before stand-in model servers, each a process of its own, with a faulty network of proxies
-// between them, and judges the rules from the account that the servers keep.
+// Package soak runs real dispatchers before stand-in model servers, each a process of its own, with a faulty network
+// of proxies between them, and judges the rules from the account that the servers keep.
 package soak
 
 import (
@@ -35,7 +35,8 @@
 	OverlapTolerance   time.Duration // an attempt may arrive so long before the end of the one before is seen: they pass different sockets
 }
 
-// DefaultLimits are the platform's, with some room for processes that wait for a core where the order of two sockets is judged.
+// DefaultLimits are the platform's, with some room for processes that wait for a core where the order of two sockets
+// is judged.
 func DefaultLimits(release time.Duration) Limits {
 	return Limits{ReleaseTime: release, HoldTolerance: 300 * time.Millisecond, LateStartTolerance: 300 * time.Millisecond, OverlapTolerance: 300 * time.Millisecond}
 }
@@ -55,8 +56,8 @@
 	answered Moment // its answer was passed to the dispatcher; 0 = not yet
 }
 
-// out tells that the attempt is out. The dispatcher waits for it until it has its answer or ends it: an answer that is held up on the way is
-// none yet. A write whose end has not come to its server waits there, and keeps its state.
+// out tells that the attempt is out. The dispatcher waits for it until it has its answer or ends it: an answer that
+// is held up on the way is none yet. A write whose end has not come to its server waits there, and keeps its state.
 func (t *attempt) out() bool {
 	known := t.closed > 0 || t.over > 0 && t.answered > 0
 	return !known || !t.read && t.over == 0
@@ -81,7 +82,8 @@
 	begun    map[connKey]beginning
 	began    Moment
 	broken   []brokenRule
-	// ReleasesAlwaysTakeState has a release take a state also from under an attempt that waits for it: the pages leave both open.
+	// ReleasesAlwaysTakeState has a release take a state also from under an attempt that waits for it: the pages leave
+	// both open.
 	ReleasesAlwaysTakeState bool
 	PrefillsCompleted       int // that left a state
 	ReleasesReceived        int // that came to a server
@@ -161,7 +163,8 @@
 	o.breakRule(id, o.account(id), "lost: %s", why)
 }
 
-// DispatcherKilled tells that a dispatcher's process was killed at that time: what it held is not its duty any more, nor is what was seen of it since.
+// DispatcherKilled tells that a dispatcher's process was killed at that time: what it held is not its duty any more,
+// nor is what was seen of it since.
 func (o *Oracle) DispatcherKilled(at Moment, dispatcher string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -220,8 +223,8 @@
 	a.advance(max(t.over, at-answerTransit), t, func() { t.answered = at })
 }
 
-// answerTransit is how long an answer may take to its dispatcher; the clock of a state runs from the read's end, and no later than so long before
-// the answer is there.
+// answerTransit is how long an answer may take to its dispatcher; the clock of a state runs from the read's end, and
+// no later than so long before the answer is there.
 const answerTransit = Moment(100 * time.Millisecond)
 
 // advance changes an attempt; if that ends it, the clock of what is held starts then.
--- a/internal/lab/soak/modelserver.go
+++ b/internal/lab/soak/modelserver.go
@@ -13,7 +13,8 @@
 	"time"
 )
 
-// AttemptPlan is what a stand-in server does with an attempt. The one who runs the soak makes it, so that it follows from the seed.
+// AttemptPlan is what a stand-in server does with an attempt. The one who runs the soak makes it, so that it follows
+// from the seed.
 type AttemptPlan struct {
 	Work          time.Duration // until a read ends, or a write fetches its state
 	TokenInterval time.Duration // between the events of a stream
@@ -42,7 +43,8 @@
 	opReleased = "released"
 )
 
-// ModelServer is a stand-in prefill or decode server that speaks the platform's protocol and keeps its account with a ledger in another process.
+// ModelServer is a stand-in prefill or decode server that speaks the platform's protocol and keeps its account with a
+// ledger in another process.
 type ModelServer struct {
 	Name    string
 	Prefill bool
--- a/internal/lab/soak/proxy.go
+++ b/internal/lab/soak/proxy.go
@@ -16,8 +16,8 @@
 	Back                     // from the server to dispatchers
 )
 
-// Proxy passes connections to one server and acts out faults of the network. What a dispatcher sends is read at once, so that
-// its sockets behave as before a network that loses nothing yet.
+// Proxy passes connections to one server and acts out faults of the network. What a dispatcher sends is read at once,
+// so that its sockets behave as before a network that loses nothing yet.
 type Proxy struct {
 	server   string
 	ledger   *Oracle
@@ -87,10 +87,12 @@
 // SetDelay has each piece pass so much later.
 func (p *Proxy) SetDelay(span time.Duration) { p.set(func() { p.delay = span }) }
 
-// SetSpread has each connection pass everything later by a time of its own, up to that: what goes by several connections comes in another order.
+// SetSpread has each connection pass everything later by a time of its own, up to that: what goes by several
+// connections comes in another order.
 func (p *Proxy) SetSpread(most time.Duration) { p.set(func() { p.scatter = most }) }
 
-// ResetConns resets the connections that there are, at the server's end and, if both, at the dispatchers' end too; else those hear nothing.
+// ResetConns resets the connections that there are, at the server's end and, if both, at the dispatchers' end too;
+// else those hear nothing.
 func (p *Proxy) ResetConns(way Direction, both bool) {
 	p.mu.Lock()
 	var all []*proxied
--- a/internal/lab/userclient/userclient.go
+++ b/internal/lab/userclient/userclient.go
@@ -4,8 +4,6 @@
 
 import (
 	"context"
-	"docksail/internal/lab/engine"
-	"docksail/internal/lab/eventlog"
 	"errors"
 	"fmt"
 	"io"
@@ -25,6 +23,8 @@
 	"google.golang.org/grpc/status"
 
 	pb "docksail/api/docksail/v1"
+	"docksail/internal/lab/engine"
+	"docksail/internal/lab/eventlog"
 )
 
 // Class is what the jobs of a track are like.
--- a/internal/platformconfig/platformconfig.go
+++ b/internal/platformconfig/platformconfig.go
@@ -1,5 +1,5 @@
-// Package platformconfig makes a decision module from the settings object that the platform gives a dispatcher, in the simulator's
-// first message and in the configuration of a real one alike.
+// Package platformconfig makes a decision module from the settings object that the platform gives a dispatcher, in
+// the simulator's first message and in the configuration of a real one alike.
 package platformconfig
 
 import (
--- a/internal/simulatorwire/wire.go
+++ b/internal/simulatorwire/wire.go
@@ -1,5 +1,5 @@
-// Package simulatorwire hosts dispatchers on the simulator's wire: it decodes lines into calls of the decision module and
-// encodes what the module decides. It decides nothing.
+// Package simulatorwire hosts dispatchers on the simulator's wire: it decodes lines into calls of the decision module
+// and encodes what the module decides. It decides nothing.
 package simulatorwire
 
 import (
