--- a/internal/backend/platform/conn.go
+++ b/internal/backend/platform/conn.go
@@ -10,6 +10,7 @@
 	"docksail/internal/platformconfig"
 	"docksail/policy"
 	"encoding/json"
+	"errors"
 	"math/bits"
 	"slices"
 	"strconv"
@@ -116,7 +117,7 @@
 func (c *conn) writeAttempt(now eventloop.Nanos) bool {
 	req := c.request
 	if err := c.mayWrite(now); err != nil {
-		if err != inflight.ErrStartDeadlinePassed {
+		if !errors.Is(err, inflight.ErrStartDeadlinePassed) {
 			c.backend.recordViolation(req.ClientRequestID, c.server, err)
 		}
 		c.abandonAndClose()
@@ -161,7 +162,7 @@
 	tracker := c.release
 	permit, out := c.backend.dispatcher.ReleasePermission(tracker.requestID)
 	if err := inflight.CheckSendRelease(permit, tracker.besidePrefill); err != nil {
-		if err != inflight.ErrReleaseSuperseded {
+		if !errors.Is(err, inflight.ErrReleaseSuperseded) {
 			c.backend.recordViolation(tracker.clientID, c.server, err)
 		}
 		tracker.cancel(c)
@@ -466,7 +467,7 @@
 // trackLostAttempt takes down that an attempt was lost with its connection: its server may work on it.
 func (c *conn) trackLostAttempt(now eventloop.Nanos, req *dispatch.Request) {
 	if tracker := c.backend.trackerFor(req); tracker != nil {
-		tracker.decisions.AttemptAbandoned(now, now+c.backend.maxClassTimeout, false)
+		tracker.decisions.AttemptAbandoned(now, now+c.backend.maxClassTimeout)
 		tracker.schedule(now)
 	}
 }
--- a/internal/backend/platform/settlement.go
+++ b/internal/backend/platform/settlement.go
@@ -300,7 +300,7 @@
 	c.socket.SetReadPaused(false)
 	c.socket.CloseWriteAfterFlush()
 	tracker.lingering = append(tracker.lingering, c)
-	tracker.decisions.AttemptAbandoned(now, now+c.backend.maxClassTimeout, true)
+	tracker.decisions.WatchedAttemptAbandoned(now, now+c.backend.maxClassTimeout)
 	tracker.schedule(now)
 }
 
@@ -318,7 +318,7 @@
 
 // handleLingeringLost is when a watched connection broke.
 func (c *conn) handleLingeringLost(now eventloop.Nanos) {
-	if c.lingersFor.decisions.ConfirmsEnd(now, c.abandonedAt, false) {
+	if c.lingersFor.decisions.ConfirmsEnd(now, c.abandonedAt, inflight.Reset) {
 		c.confirmEnd(now)
 		return
 	}
--- a/internal/dispatch/attempts.go
+++ b/internal/dispatch/attempts.go
@@ -169,7 +169,9 @@
 	sent, stage := req.attempt, req.stage()
 	written := sent != nil && sent.Finish(now)
 	req.attempt, req.unread = nil, 0
-	ending, err := req.EndAttempt(now, attempt, outcome, req.Server, stage, written)
+	ending, err := req.EndAttempt(now, attempt, inflight.AttemptResult{
+		Outcome: outcome, Server: req.Server, State: stage, MayHaveBeenReceived: written,
+	})
 	if err != nil {
 		d.Counts.InvalidDecisions++
 		d.log.Error("end of an attempt refused", "request", req.ID, "err", err)
