--- a/internal/backend/platform/conn.go
+++ b/internal/backend/platform/conn.go
@@ -332,7 +332,9 @@
 		outcome := policy.ConnectionLost
 		switch {
 		case spoilt:
-		case c.backend.keeper.IsStale(c.useCount, c.written, c.responseStarted, now-c.sentAt):
+		case c.backend.keeper.IsStale(serverconn.LostConn{
+			UseCount: c.useCount, RequestSent: c.written, ResponseStarted: c.responseStarted, LostAfterSending: now - c.sentAt,
+		}):
 			outcome = policy.StaleConnection
 			c.backend.Counts.StaleConnections++
 			c.backend.Counts.IdleBeforeStale[idleBucket(c.sentAt-c.idleSince)]++
--- a/internal/decide/serverconn/serverconn.go
+++ b/internal/decide/serverconn/serverconn.go
@@ -1,94 +1,85 @@
-// Package serverconn decides about connections to servers that carry one request at a time: which may be used again, when an
-// unused one goes, how many attempts may have, and by which server a release is sent. It does no I/O and reads no clock.
+// Package serverconn decides about connections to servers that carry one request at a time: whether a connection is
+// reused, when an idle one is closed, whether a lost one was stale, and how many connections attempts may use.
+//
+// The package does no I/O and reads no clock. All times are nanoseconds on one clock of the caller.
 package serverconn
 
-// ConnPolicy judges connections by the time after which servers end those that stand idle.
-type ConnPolicy struct {
-	IdleTimeout    int64 // 0 = not told
-	ConnectTimeout int64 // a connection is made in that time or not at all
-}
-
 const (
-	// rest is how long a connection stands before it is used again: a second answer may follow the first, and would be
-	// taken for that of the next request.
-	rest = int64(10e6)
-	// idleShare of the servers' own time an unused connection is kept: what is written as the server closes it is lost.
-	idleShare = 2.0 / 3
+	// minIdleTime is how long a connection stays idle before it is reused: a second response may follow the first, and
+	// would be taken for the response to the next request.
+	minIdleTime = int64(10e6)
+	// idleTimeoutFraction is the fraction of the server's own idle timeout after which an idle connection is closed,
+	// since a request that is sent while the server closes the connection is lost.
+	idleTimeoutFraction = 2.0 / 3
+	// defaultIdleTimeout is how long an idle connection is kept where the server's idle timeout is unknown.
+	defaultIdleTimeout = int64(10e9)
+	// staleResetDivisor divides the connect timeout into the time within which a server resets a connection that it has
+	// already closed: one round trip, as no work is done.
+	staleResetDivisor = 50
+	// maxConsecutiveStaleConns is how many attempts of a request in a row may be lost with stale connections. The next
+	// one uses a new connection, since a request has few attempts.
+	maxConsecutiveStaleConns = 2
 )
 
-// IsReusable tells whether a connection unused since then may carry another request. Servers that end unused connections sooner
-// than is stated, some without a word, are not heeded: to lose one attempt in six at once costs less than to make half of
-// the connections anew, as was measured.
-func (p ConnPolicy) IsReusable(now, since int64) bool {
-	return now-since >= rest && now < p.IdleDeadline(since)
+// ConnPolicy decides about connections to servers by two timeouts.
+type ConnPolicy struct {
+	IdleTimeout    int64 // after which servers close idle connections; 0 if unknown
+	ConnectTimeout int64 // after which establishing a connection is given up
+}
+
+// IsReusable reports whether a connection that has been idle since idleSince may carry another request. Servers that
+// close idle connections earlier than they state are not considered: measurements showed that losing one attempt in six
+// at once costs less than establishing half of the connections anew.
+func (p ConnPolicy) IsReusable(now, idleSince int64) bool {
+	return now-idleSince >= minIdleTime && now < p.IdleDeadline(idleSince)
 }
 
-// IdleDeadline tells when a connection unused since then is closed.
-func (p ConnPolicy) IdleDeadline(since int64) int64 {
+// IdleDeadline returns when a connection that has been idle since idleSince is closed.
+func (p ConnPolicy) IdleDeadline(idleSince int64) int64 {
 	if p.IdleTimeout <= 0 {
-		return since + 10e9
+		return idleSince + defaultIdleTimeout
 	}
-	return since + int64(idleShare*float64(p.IdleTimeout))
+	return idleSince + int64(idleTimeoutFraction*float64(p.IdleTimeout))
 }
 
-// staleParts of the time for making a connection is what a reset takes to come back: it is a round trip, and nothing was
-// worked on.
-const staleParts = 50
-
-// IsStale tells that what was lost with a connection was lost because the connection had died before, unseen: it had
-// carried something else earlier, nothing came back, and its end came at once, or before all was written. The server is not to blame.
-func (p ConnPolicy) IsStale(used int, written, heard bool, after int64) bool {
-	return used > 1 && !heard && (!written || after < p.ConnectTimeout/staleParts)
+// LostConn describes a connection that was lost with a request on it.
+type LostConn struct {
+	UseCount         int   // requests that it has carried, with this one
+	RequestSent      bool  // the operating system had the complete request
+	ResponseStarted  bool  // data of the response was received
+	LostAfterSending int64 // time from the start of sending to the loss
 }
 
-// mostStale attempts of a request in a row may be lost with connections that had died unseen; the next has a connection of its own: a
-// request has few attempts.
-const mostStale = 2
-
-// MayUseIdleConn tells whether an attempt may go on a connection kept from before; stale attempts of its request before it were lost with one.
-func MayUseIdleConn(stale int) bool { return stale < mostStale }
-
-// ReleaseCandidate is what is known of a server by which a release might go.
-type ReleaseCandidate struct {
-	LastHeardAt int64 // last sign of life; 0 = none yet
-	HasIdleConn bool  // a connection to it is fit
-	Tried       bool  // this release went there in vain
-	Gone        bool
+// IsStale reports whether the connection was already closed by the server when the request was sent: it had carried
+// another request before, no response came, and it was lost at once or before the request was sent completely. Such a
+// loss is not the server's fault.
+func (p ConnPolicy) IsStale(lost LostConn) bool {
+	if lost.UseCount <= 1 || lost.ResponseStarted {
+		return false
+	}
+	return !lost.RequestSent || lost.LostAfterSending < p.ConnectTimeout/staleResetDivisor
 }
 
-// SelectReleaseServer picks the server by which a release goes: one that has not been tried, rather with a connection, heard last; -1 if there
-// is none. After a first round in vain what counts is who was heard last: connections that are kept may be dead.
-func SelectReleaseServer(ways []ReleaseCandidate, round int) int {
-	best := -1
-	better := func(a, b ReleaseCandidate) bool {
-		switch {
-		case a.Tried != b.Tried:
-			return !a.Tried
-		case a.HasIdleConn != b.HasIdleConn && (round == 0 || a.LastHeardAt == b.LastHeardAt):
-			return a.HasIdleConn
-		}
-		return a.LastHeardAt > b.LastHeardAt
-	}
-	for i, w := range ways {
-		if !w.Gone && (best < 0 || better(w, ways[best])) {
-			best = i
-		}
-	}
-	return best
+// MayUseIdleConn reports whether an attempt may use an idle connection, after so many consecutive attempts of its
+// request were lost with stale connections.
+func MayUseIdleConn(consecutiveStaleConns int) bool {
+	return consecutiveStaleConns < maxConsecutiveStaleConns
 }
 
-// ShouldCloseIdleConns tells that the other connections to a server are not to be used again, as one that was given up had carried a
-// request since then and nothing at all was heard from the server after it.
-func ShouldCloseIdleConns(sent, heard int64) bool { return heard <= sent }
+// ShouldCloseIdleConns reports whether the idle connections to a server are closed after an attempt was abandoned whose
+// request was sent at sentAt: nothing was received from the server, on any connection, since then.
+func ShouldCloseIdleConns(sentAt, lastHeardAt int64) bool { return lastHeardAt <= sentAt }
 
 const (
-	// reserveShare of the connections to servers, and one at the least, is kept for releases: attempts that fill all others must not keep
-	// a state from being released.
-	reserveShare = 1.0 / 16
-	reserveLeast = 1
+	// releaseReserveFraction is the fraction of the connections to servers that is reserved for releases, so that
+	// attempts cannot keep KV state from being released.
+	releaseReserveFraction = 1.0 / 16
+	// minReleaseReserve is the least number of connections that are reserved for releases.
+	minReleaseReserve = 1
 )
 
-// MaxAttemptConns is how many of so many connections attempts may have.
-func MaxAttemptConns(most int) int {
-	return max(most-max(int(reserveShare*float64(most)), reserveLeast), 1)
+// MaxAttemptConns returns how many of maxConns connections attempts may use. It is at least 1.
+func MaxAttemptConns(maxConns int) int {
+	reserve := max(int(releaseReserveFraction*float64(maxConns)), minReleaseReserve)
+	return max(maxConns-reserve, 1)
 }
