--- a/internal/decide/keepalive/keepalive.go
+++ b/internal/decide/keepalive/keepalive.go
@@ -1,140 +1,93 @@
-// Package keepalive decides about a dispatcher's connections to one engine: which of them takes the next attempt,
-// when another is made, when a silent one is asked for a sign of life and when it is given up. Whether the engine
-// is fit for work is the decision module's matter. It does no I/O and reads no clock.
+// Package keepalive decides about the connections to one engine that carry many streams: which one takes an attempt,
+// when another is established, when a silent one is pinged and when one is closed. It also limits attempts to an engine
+// that may have restarted, and says which load reports are fresh enough to use.
+//
+// Whether an engine is fit for work is decided by package policy. This package does no I/O and reads no clock. All
+// times are nanoseconds on one clock of the caller.
 package keepalive
 
-// ConnStatus is what is known of one connection. Times are nanoseconds on one clock.
+// ConnStatus is what is known about one connection.
 type ConnStatus struct {
-	Ready            bool  // made, and takes another stream
-	Connecting       bool  // under way
+	Ready            bool  // established, and may open another stream
+	Connecting       bool  // being established
 	StreamCount      int   // attempts on it
-	LastReceivedAt   int64 // last sign of life
-	LastPingAt       int64 // the last ping was sent then; 0 = none
-	PingsWithoutData int   // pings since the engine last sent something of its own
-	LastUsedAt       int64 // last attempt sent or ended
-	LastSentAt       int64 // last attempt sent
-}
-
-// most connections to one engine: a second where the engine allows few streams on one; more would only cost it.
-const most = 4
-
-// SelectConn chooses the connection for an attempt: the ready one with fewest attempts, else one under way, else a new
-// one. None, if all are full and there may be no more: the attempt is not sent.
-func SelectConn(ls []ConnStatus) (i int, dial, none bool) {
-	best := -1
-	for i, l := range ls {
-		if l.Ready && (best < 0 || l.StreamCount < ls[best].StreamCount) {
-			best = i
-		}
-	}
-	if best >= 0 {
-		return best, false, false
-	}
-	for i, l := range ls {
-		if l.Connecting && (best < 0 || l.StreamCount < ls[best].StreamCount) {
-			best = i
-		}
-	}
-	switch {
-	case best >= 0:
-		return best, false, false
-	case len(ls) < most:
-		return -1, true, false
-	}
-	return -1, false, true
+	LastReceivedAt   int64 // when anything was last received on it
+	LastPingAt       int64 // when the last ping was sent; 0 if none was
+	PingsWithoutData int   // pings since the engine last sent something other than an answer to a ping
+	LastUsedAt       int64 // when an attempt was last sent or ended
+	LastSentAt       int64 // when an attempt was last sent
 }
 
 // Verdict is what to do with a connection.
 type Verdict uint8
 
+// The verdicts.
 const (
-	KeepConn    Verdict = iota
-	SendPing            // send a ping
-	CloseDead           // half open or cut off: give it up, its attempts are broken
-	CloseUnused         // unused for long: close it
+	KeepConn    Verdict = iota // leave it as it is
+	SendPing                   // send a ping
+	CloseDead                  // close it as dead: its attempts have failed
+	CloseUnused                // close it, as it was unused for long
 )
 
-// Policy judges connections by the shortest expected time that the settings name.
+// Policy decides about connections and load reports by the shortest latency target in the settings.
 type Policy struct{ LatencyTarget int64 }
 
 const (
-	pingAfter = 4 // of an expected time is a quarter: unheard for so long with attempts out, it is asked
-	// maxPings pings may go unanswered by anything but their like, and then one in pingAgainAfter: servers commonly end
-	// a connection at the fourth ping within five minutes in which they sent nothing.
-	maxPings       = 2
-	pingAgainAfter = 305 * 1e9
-	deadAfter      = 1  // expected time unheard after the ping: the network loses a packet or two in that
-	spareAfter     = 60 // expected times unused
+	// pingDelayDivisor divides the latency target into the time after which a silent connection with attempts is pinged.
+	pingDelayDivisor = 4
+	// maxPingsWithoutData is how many pings are sent while the engine sends nothing but their answers. After that, one
+	// is sent in pingIntervalWithoutData: servers commonly close a connection at the fourth ping within five minutes in
+	// which they sent nothing.
+	maxPingsWithoutData     = 2
+	pingIntervalWithoutData = int64(305e9)
+	// pingTimeoutTargets is how many latency targets a ping may be unanswered: the network loses a packet or two in that
+	// time.
+	pingTimeoutTargets = 1
+	// unusedTimeoutTargets is how many latency targets a connection without attempts is kept.
+	unusedTimeoutTargets = 60
+	// reportLifetimeTargets is the age in latency targets at which a load report is too old. Package policy itself uses
+	// a report for one latency target after it came.
+	reportLifetimeTargets = 1
+	// maxQueuedReleases bounds the releases that wait for a connection to one engine. Beyond it, state is left to the
+	// engine's own timeout.
+	maxQueuedReleases = 1024
 )
 
-// RestartThrottle holds back attempts to an engine that may have started anew, and be cold, before the list of engines says so: to
-// which the connection was lost, or one is made while there is no list. Its zero value holds nothing back.
-type RestartThrottle struct{ allow int }
-
-// trialOver answers, and it is an engine like any other: a cold one that is sent so many more, one for each answer,
-// bears them or has been seen to fail.
-const trialOver = 16
-
-// ConnLost tells that it may have started anew.
-func (t *RestartThrottle) ConnLost() { t.allow = 1 }
-
-// AnswerReceived tells that it answered an attempt.
-func (t *RestartThrottle) AnswerReceived() {
-	if t.allow++; t.allow == 1 || t.allow > trialOver { // 1: nothing was held back
-		t.allow = 0
-	}
-}
-
-// ListUpdated tells that there is news of it: how cold it is is known now.
-func (t *RestartThrottle) ListUpdated() { t.allow = 0 }
-
-// MaxHoldTime is how long an attempt may wait for a trial: its request has other engines to go to, and a state may be held for it.
-func (p Policy) MaxHoldTime() int64 { return p.LatencyTarget / pingAfter }
-
-// IsActive tells that attempts may be held back.
-func (t *RestartThrottle) IsActive() bool { return t.allow > 0 }
-
-// Allows tells whether another attempt may go to it beside those that are out.
-func (t *RestartThrottle) Allows(out int) bool { return t.allow == 0 || out < t.allow }
-
-// FirstCheck is when a connection is to be judged on which an attempt goes out after a time without any: what it was like
-// while nothing was sent says nothing.
-func (p Policy) FirstCheck(now int64) int64 { return now + p.LatencyTarget/pingAfter }
+// FirstCheck returns when to check a connection that sends an attempt after a time without any. What it did while
+// nothing was sent says nothing about it.
+func (p Policy) FirstCheck(now int64) int64 { return now + p.LatencyTarget/pingDelayDivisor }
 
-// maxReleases things to be released are remembered for one engine while it has no connection; more are left to its own
-// time.
-const maxReleases = 1024
-
-// MayQueueRelease tells whether one more may be remembered beside n.
-func MayQueueRelease(n int) bool { return n < maxReleases }
-
-// Check tells what to do with a connection now, and when to judge it again.
-func (p Policy) Check(now int64, l ConnStatus) (Verdict, int64) {
-	if l.LastPingAt > 0 && l.LastReceivedAt < l.LastPingAt {
-		if at := l.LastPingAt + deadAfter*p.LatencyTarget; now < at {
-			return KeepConn, at
-		}
-		return CloseDead, 0
+// Check returns what to do with a connection now and, unless it is to be closed, when to check it again.
+func (p Policy) Check(now int64, conn ConnStatus) (verdict Verdict, checkAgainAt int64) {
+	switch {
+	case conn.LastPingAt > 0 && conn.LastReceivedAt < conn.LastPingAt:
+		return keepUntil(now, conn.LastPingAt+pingTimeoutTargets*p.LatencyTarget, CloseDead)
+	case conn.StreamCount == 0 && conn.LastReceivedAt >= conn.LastSentAt:
+		// Without data since the last attempt, the connection may have died; then it is pinged even without attempts.
+		return keepUntil(now, conn.LastUsedAt+unusedTimeoutTargets*p.LatencyTarget, CloseUnused)
 	}
-	if l.StreamCount == 0 && l.LastReceivedAt >= l.LastSentAt { // nothing was heard since the last attempt: it may have died of this connection
-		if at := l.LastUsedAt + spareAfter*p.LatencyTarget; now < at {
-			return KeepConn, at
-		}
-		return CloseUnused, 0
+	interval := p.LatencyTarget / pingDelayDivisor
+	if conn.PingsWithoutData >= maxPingsWithoutData {
+		interval = pingIntervalWithoutData
 	}
-	wait := p.LatencyTarget / pingAfter
-	if l.PingsWithoutData >= maxPings {
-		wait = pingAgainAfter
+	if pingAt := max(conn.LastReceivedAt, conn.LastPingAt) + interval; now < pingAt {
+		return KeepConn, pingAt
 	}
-	if at := max(l.LastReceivedAt, l.LastPingAt) + wait; now < at {
-		return KeepConn, at
+	return SendPing, now + pingTimeoutTargets*p.LatencyTarget
+}
+
+// keepUntil returns KeepConn before the deadline, and the verdict that closes the connection from then on.
+func keepUntil(now, deadline int64, afterwards Verdict) (verdict Verdict, checkAgainAt int64) {
+	if now < deadline {
+		return KeepConn, deadline
 	}
-	return SendPing, now + deadAfter*p.LatencyTarget
+	return afterwards, 0
 }
 
-// late is the age, as a multiple of the expected time, from which on a load report counts as none: the module
-// itself uses a report for one expected time after it came.
-const late = 1
+// IsLoadReportFresh reports whether a load report of this age may be passed to package policy.
+func (p Policy) IsLoadReportFresh(age int64) bool {
+	return age >= 0 && age < reportLifetimeTargets*p.LatencyTarget
+}
 
-// IsLoadReportFresh tells whether a load report of an age may be handed to the module.
-func (p Policy) IsLoadReportFresh(age int64) bool { return age >= 0 && age < late*p.LatencyTarget }
+// MayQueueRelease reports whether another release may wait for a connection to an engine beside those queued.
+func MayQueueRelease(queued int) bool { return queued < maxQueuedReleases }
--- a/internal/dispatch/grpcserver.go
+++ b/internal/dispatch/grpcserver.go
@@ -61,12 +61,13 @@
 	for _, k := range srv.links {
 		srv.exit.facts = append(srv.exit.facts, k.facts())
 	}
-	i, dial, none := keepalive.SelectConn(srv.exit.facts)
-	switch {
-	case none:
+	choice, index := keepalive.SelectConn(srv.exit.facts)
+	switch choice {
+	case keepalive.NoConn:
 		return nil
-	case !dial:
-		return srv.links[i]
+	case keepalive.UseConn:
+		return srv.links[index]
+	case keepalive.DialConn: // below
 	}
 	k := &serverConn{d: d, server: srv, heardAt: now, usedAt: now}
 	k.onKeep = k.keep
