--- a/internal/decide/clientconn/clientconn_test.go
+++ b/internal/decide/clientconn/clientconn_test.go
@@ -2,75 +2,86 @@
 
 import "testing"
 
-func TestCrowded(t *testing.T) {
+func TestChooseEviction(t *testing.T) {
 	const now = int64(100e9)
-	for what, c := range map[string]struct {
-		silent, resting int64
-		want            Eviction
+	for name, c := range map[string]struct {
+		incompleteSince, idleSince int64
+		want                       Eviction
 	}{
-		"nobody else":              {0, 0, RejectNewConn},
-		"long silent":              {now - 300e6, now - 10e9, EvictOldestIncomplete},
-		"just come, long at rest":  {now - 1e6, now - 3e9, EvictOldestIdle},
-		"just come, just at rest":  {now - 1e6, now - 1e6, EvictOldestIdle},
-		"just come, nobody rests":  {now - 1e6, 0, EvictOldestIncomplete},
-		"nobody silent, some rest": {0, now - 1e6, EvictOldestIdle},
+		"no other connection":                 {0, 0, RejectNewConn},
+		"long without a request":              {now - 300e6, now - 10e9, EvictOldestIncomplete},
+		"just connected, long idle":           {now - 1e6, now - 3e9, EvictOldestIdle},
+		"just connected, just idle":           {now - 1e6, now - 1e6, EvictOldestIdle},
+		"just connected, none idle":           {now - 1e6, 0, EvictOldestIncomplete},
+		"none without a request, some idle":   {0, now - 1e6, EvictOldestIdle},
+		"at the limit of preferred eviction":  {now - minIncompleteTime, now - 10e9, EvictOldestIncomplete},
+		"before the limit, long or just idle": {now - minIncompleteTime + 1, now, EvictOldestIdle},
 	} {
-		if got := ChooseEviction(now, c.silent, c.resting); got != c.want {
-			t.Errorf("%s: %d, want %d", what, got, c.want)
+		if got := ChooseEviction(now, c.incompleteSince, c.idleSince); got != c.want {
+			t.Errorf("%s: %d, want %d", name, got, c.want)
 		}
 	}
 }
 
-// At the closing of the door a connection is never closed over unread bytes, and none goes on resting.
-func TestNext(t *testing.T) {
+// TestNextState: when the listener closes, no connection is closed over unread input, and none stays idle.
+func TestNextState(t *testing.T) {
 	for _, c := range []struct {
-		last, closed, unread bool
-		want                 ConnState
-	}{{false, false, false, StateIdle}, {true, false, false, StateLingering}, {false, true, false, StateLingering}, {false, true, true, StateNew}, {true, true, true, StateLingering}} {
-		if got := NextState(c.last, c.closed, c.unread); got != c.want {
-			t.Errorf("last %v, closed %v, unread %v: %d, want %d", c.last, c.closed, c.unread, got, c.want)
+		end  AnswerEnd
+		want ConnState
+	}{
+		{AnswerEnd{}, StateIdle},
+		{AnswerEnd{CloseAnnounced: true}, StateLingering},
+		{AnswerEnd{ListenerClosed: true}, StateLingering},
+		{AnswerEnd{ListenerClosed: true, HasUnreadInput: true}, StateNew},
+		{AnswerEnd{CloseAnnounced: true, ListenerClosed: true, HasUnreadInput: true}, StateLingering},
+	} {
+		if got := NextState(c.end); got != c.want {
+			t.Errorf("%+v: %d, want %d", c.end, got, c.want)
 		}
 	}
 }
 
-// Whatever the limit, the shares fit into it and servers have as many as clients may hold for requests.
-func TestShares(t *testing.T) {
+// TestDescriptorShares: whatever the limit, the shares fit into it, and servers have as many as clients may hold for
+// requests.
+func TestDescriptorShares(t *testing.T) {
 	for n := 64; n <= 4096; n += 7 {
-		clients, hosts := DescriptorShares(n)
-		if clients+hosts+ownLeast > n || hosts < n/3 || clients < 1 || n >= 256 && clients < n/3 {
-			t.Fatalf("%d descriptors: %d for clients, %d for hosts", n, clients, hosts)
+		clients, servers := DescriptorShares(n)
+		tooMany := clients+servers+minProcessDescriptors > n
+		tooFew := servers < n/3 || clients < 1 || n >= 256 && clients < n/3
+		if tooMany || tooFew {
+			t.Fatalf("%d descriptors: %d for clients, %d for servers", n, clients, servers)
 		}
 	}
 }
 
-// A first request is ended within 3 s of its client's connecting, as silence is.
-func TestUntil(t *testing.T) {
-	for _, stage := range []ConnState{StateNew, StateReadingRequest} {
-		if at := StateDeadline(stage, 5); at <= 5 || at > 5+3*second {
-			t.Errorf("stage %d ends at %d", stage, at)
+// TestStateDeadline: a first request is ended within 3 s of its client's connecting, as silence is.
+func TestStateDeadline(t *testing.T) {
+	for _, state := range []ConnState{StateNew, StateReadingRequest} {
+		if at := StateDeadline(state, 5); at <= 5 || at > 5+3*second {
+			t.Errorf("state %d ends at %d", state, at)
 		}
 	}
 	if StateDeadline(StateActive, 5) != 0 {
-		t.Error("a connection with a job in hand has an end")
+		t.Error("a connection with a request in progress has a deadline")
 	}
 }
 
-// A connection stays beyond its time only for an answer that its client still takes.
-func TestLingers(t *testing.T) {
+// TestMayKeepLingering: a connection stays beyond its deadline only for an answer that its client still takes.
+func TestMayKeepLingering(t *testing.T) {
 	const now = int64(100e9)
 	for _, c := range []struct {
-		taken   int64
-		waiting int
-		want    bool
-		over    int64
+		lastReadAt     int64
+		unreadBytes    int
+		lingeringSince int64
+		want           bool
 	}{
-		{now - second, 1, true, now - 3*second},
-		{now - second, 0, false, now - 3*second},
-		{now - unreadTimeout, 1, false, now - 3*second},
-		{now - second, 1, false, now - maxLinger},
+		{now - second, 1, now - 3*second, true},
+		{now - second, 0, now - 3*second, false},
+		{now - unreadTimeout, 1, now - 3*second, false},
+		{now - second, 1, now - maxLingerTime, false},
 	} {
-		if got := MayKeepLingering(now, c.over, c.taken, c.waiting); got != c.want {
-			t.Errorf("taken %d s ago, %d waiting: %v", (now-c.taken)/second, c.waiting, got)
+		if got := MayKeepLingering(now, c.lingeringSince, c.lastReadAt, c.unreadBytes); got != c.want {
+			t.Errorf("last read %d s ago, %d bytes unread: %v", (now-c.lastReadAt)/second, c.unreadBytes, got)
 		}
 	}
 }
--- a/internal/frontend/platform/server.go
+++ b/internal/frontend/platform/server.go
@@ -102,7 +102,7 @@
 func (c *conn) answerDone() {
 	closed := c.server.phase >= closed
 	unread := closed && (c.pipelinedWaiting() > 0 || !c.conn.InputEmpty())
-	stage := clientconn.NextState(c.closeAfter, closed, unread)
+	stage := clientconn.NextState(clientconn.AnswerEnd{CloseAnnounced: c.closeAfter, ListenerClosed: closed, HasUnreadInput: unread})
 	c.setStage(stage)
 	if stage == clientconn.StateLingering {
 		c.conn.CloseWriteAfterFlush()
