--- a/internal/decide/discovery/discovery.go
+++ b/internal/decide/discovery/discovery.go
@@ -1,66 +1,74 @@
-// Package discovery decides about the watch on the list of servers: when one that says nothing is given up, when the next is begun, and
-// how long a new process waits for what its agent knows. It does no I/O and reads no clock.
+// Package discovery decides about the watch on the endpoint list: when a silent one is given up, when the next is
+// opened, and how long a new process waits for its first list.
 //
-// What discovery tells counts as told six seconds after it could be reached, heard or not. In that time a watch that
-// fell silent just after its last byte has to be noticed, one try to begin another may fail, and the next has to succeed.
+// The service counts an update as delivered six seconds after discovery could be reached, received or not. Within that
+// time a watch that fell silent just after its last byte must be noticed, one attempt to open another may fail, and the
+// next attempt must succeed.
+//
+// The package does no I/O and reads no clock. All durations are nanoseconds.
 package discovery
 
 const (
-	// beat is how often a watch on which nothing changes gives a sign of life.
-	heartbeat = int64(2e9)
-	// Quiet is how long a watch may say nothing: a beat, and half of one for a busy machine.
-	SilenceTimeout = heartbeat + heartbeat/2
-	// Connect is how long a new watch may take to be connected, Answer how long then to begin its answer: the agent is on this
-	// machine. One that is silent as discovery is down answers the call that is open when it is back.
-	ConnectTimeout = heartbeat / 8
-	AnswerTimeout  = 3 * heartbeat / 8
-	// First is how long a new process waits for the list before it takes clients; after that it goes by the list it was started with.
-	InitialListTimeout = heartbeat / 8
+	// heartbeatInterval is how often a watch without updates sends a sign of life.
+	heartbeatInterval = int64(2e9)
+
+	// SilenceTimeout is how long a watch may send nothing: one heartbeat interval, and half of one for a busy machine.
+	SilenceTimeout = heartbeatInterval + heartbeatInterval/2
+	// ConnectTimeout is how long a new watch may take to connect. Discovery is reached by an agent on this machine.
+	ConnectTimeout = heartbeatInterval / 8
+	// AnswerTimeout is how long a connected watch may take to begin its answer. While discovery is down, the agent is
+	// silent, and answers the call that is open when it is back.
+	AnswerTimeout = 3 * heartbeatInterval / 8
+	// InitialListTimeout is how long a new process waits for the list before it accepts clients; after that it uses the
+	// list that it was started with.
+	InitialListTimeout = heartbeatInterval / 8
 
-	// maxRetry is shorter than what a send may follow on news that a server drains: there is a call open, or soon is, at the
-	// moment in which discovery is back.
-	maxRetry = heartbeat / 8
-	// maxAnswer is how long a discovery takes that answers by itself, and an eighth: one such call fits into the six seconds
-	// after silence was noticed, and the next begins.
-	maxAnswer = 9 * heartbeat / 8
-	// maxRefusedRetry bounds how long a call that discovery refuses is put off: two more fit into the six seconds.
-	maxRefusedRetry = heartbeat
+	// maxReconnectDelay bounds the delay before a watch is opened again, so that a call is open, or soon is, when
+	// discovery is back. It is shorter than the time in which an attempt may still be sent to a server that drains.
+	maxReconnectDelay = heartbeatInterval / 8
+	// pollAnswerTimeout is how long discovery may take where it answers by itself, and an eighth more: one such call and
+	// the start of the next fit into the six seconds after silence was noticed.
+	pollAnswerTimeout = 9 * heartbeatInterval / 8
+	// maxRejectedDelay bounds the delay after rejected calls: two more calls fit into the six seconds.
+	maxRejectedDelay = heartbeatInterval
+	// maxDelayDoublings is the number of consecutive rejections after which the delay is at its bound.
+	maxDelayDoublings = 3
 )
 
-// ReconnectDelay tells how long after a watch was lost or not to be had another is begun: failures is how many in a row were
-// not to be had, and chance in [0, 1) spreads what all dispatchers do at once. An open call costs nothing while it waits.
-func ReconnectDelay(failures int, chance float64) int64 {
-	if failures == 0 { // one that worked was cut: all of them, it may be
-		return int64(chance * float64(maxRetry))
+// RetryDelay returns the delay before the next watch is opened, after so many consecutive watches that could not be
+// opened and consecutive calls that discovery rejected. random in [0, 1) spreads the calls of all dispatchers.
+func RetryDelay(failures, rejections int, random float64) int64 {
+	if rejections > 0 {
+		return rejectedDelay(rejections, random)
 	}
-	return maxRetry/2 + int64(chance*float64(maxRetry/2))
+	return reconnectDelay(failures, random)
 }
 
-// ResponseTimeout tells how long a new watch may take to begin its answer, and then to tell something. Where lists are asked for,
-// and wherever calls were refused, so many in a row, it is discovery itself that answers, after two seconds at the latest,
-// and a call that is given up before counts against the next.
-func ResponseTimeout(asked bool, refusals int) int64 {
-	if asked || refusals > 0 {
-		return maxAnswer
+// reconnectDelay returns the delay after a watch that was lost or could not be opened. An open call costs nothing while
+// it waits, so the delay does not grow.
+func reconnectDelay(failures int, random float64) int64 {
+	if failures == 0 { // a working watch was lost, possibly those of all dispatchers at once
+		return int64(random * float64(maxReconnectDelay))
 	}
-	return AnswerTimeout
+	return maxReconnectDelay/2 + int64(random*float64(maxReconnectDelay/2))
 }
 
-// RetryDelay tells the same with regard to refusals, so many in a row.
-func RetryDelay(failures, refusals int, chance float64) int64 {
-	if refusals > 0 {
-		return RefusedRetryDelay(refusals, chance)
+// rejectedDelay returns the delay after calls that discovery rejected. It is up then, and has more calls than it takes,
+// so each rejection doubles the delay. Without that, dispatchers that called again at once kept each other rejected.
+func rejectedDelay(rejections int, random float64) int64 {
+	delay := maxRejectedDelay
+	if rejections <= maxDelayDoublings {
+		delay = maxReconnectDelay << rejections
 	}
-	return ReconnectDelay(failures, chance)
+	return delay/2 + int64(random*float64(delay/2))
 }
 
-// RefusedRetryDelay tells the same after a call that discovery answered with a refusal, the so-manieth in a row: it is there and
-// has more calls than it takes, so each refusal doubles the wait. Whole fleets that asked again at once kept each other out
-// for as long as they did.
-func RefusedRetryDelay(refusals int, chance float64) int64 {
-	wait := int64(maxRefusedRetry)
-	if refusals < 4 {
-		wait = maxRetry << refusals
+// ResponseTimeout returns how long a new watch may take to begin its answer, and then to send the first data. Where
+// lists are polled, and after rejected calls, discovery itself answers, after two seconds at the latest; a call that is
+// given up earlier counts against the next one.
+func ResponseTimeout(polling bool, rejections int) int64 {
+	if polling || rejections > 0 {
+		return pollAnswerTimeout
 	}
-	return wait/2 + int64(chance*float64(wait/2))
+	return AnswerTimeout
 }
--- a/internal/decide/intake/intake_test.go
+++ b/internal/decide/intake/intake_test.go
@@ -2,39 +2,48 @@
 
 import "testing"
 
-func TestTake(t *testing.T) {
+func TestCheck(t *testing.T) {
+	const latencyTarget = 1000
+	limits := Limits{MaxRequests: 10, MaxPromptTokens: 100, ListKnown: true}
+	draining, listUnknown := limits, limits
+	draining.Draining, listUnknown.ListKnown = true, false
 	for _, c := range []struct {
-		name                   string
-		g                      Limits
-		inHand                 int
-		prompt, left, expected int64
-		want                   Verdict
-		advice                 int64
+		name             string
+		limits           Limits
+		inProgress       int
+		prompt, timeLeft int64
+		want             Verdict
+		retryAfter       int64
 	}{
-		{"room", Limits{MaxRequests: 10, MaxPromptTokens: 100, ListKnown: true}, 9, 100, 1, 1000, Accepted, 0},
-		{"full", Limits{MaxRequests: 10, MaxPromptTokens: 100, ListKnown: true}, 10, 100, 1, 1000, AtCapacity, 500},
-		{"too long", Limits{MaxRequests: 10, MaxPromptTokens: 100, ListKnown: true}, 0, 101, 1, 1000, PromptTooLong, 0},
-		{"no time", Limits{MaxRequests: 10, MaxPromptTokens: 100, ListKnown: true}, 0, 1, 0, 1000, DeadlineTooClose, 0},
-		{"leaving before full", Limits{MaxRequests: 10, MaxPromptTokens: 100, ListKnown: true, Draining: true}, 10, 1, 1, 1000, Draining, 0},
-		{"no list yet", Limits{MaxRequests: 10, MaxPromptTokens: 100}, 0, 1, 1, 1000, NoServersKnown, 1000},
+		{"below all limits", limits, 9, 100, 1, Accepted, 0},
+		{"at capacity", limits, 10, 100, 1, AtCapacity, 500},
+		{"prompt too long", limits, 0, 101, 1, PromptTooLong, 0},
+		{"no time left", limits, 0, 1, 0, DeadlineTooClose, 0},
+		{"draining before capacity", draining, 10, 1, 1, Draining, 0},
+		{"no list yet", listUnknown, 0, 1, 1, NoServersKnown, 1000},
 	} {
-		got, advice := c.g.Check(c.inHand, c.prompt, c.left, c.expected)
-		if got != c.want || advice != c.advice {
-			t.Errorf("%s: %v, advice %d, want %v, %d", c.name, got, advice, c.want, c.advice)
+		got, retryAfter := c.limits.Check(c.inProgress, c.prompt, c.timeLeft, latencyTarget)
+		if got != c.want || retryAfter != c.retryAfter {
+			t.Errorf("%s: %v, retry after %d, want %v, %d", c.name, got, retryAfter, c.want, c.retryAfter)
 		}
 		if got.IsRetryable() == (got == PromptTooLong) {
-			t.Errorf("%s: harmless %v: only what can never be taken is not worth another try", c.name, got.IsRetryable())
+			t.Errorf("%s: retryable %v: only what can never be accepted is not", c.name, got.IsRetryable())
 		}
 	}
 }
 
-func TestAtEnd(t *testing.T) {
+func TestOutcomeAtDrainDeadline(t *testing.T) {
 	for _, c := range []struct {
-		redoable, ran bool
-		want          DrainOutcome
-	}{{true, true, Rejected}, {true, false, Rejected}, {false, false, Rejected}, {false, true, Failed}} {
-		if got := OutcomeAtDrainDeadline(c.redoable, c.ran); got != c.want {
-			t.Errorf("redoable %v, may have run %v: %v, want %v", c.redoable, c.ran, got, c.want)
+		idempotent, mayHaveRun bool
+		want                   DrainOutcome
+	}{
+		{true, true, Rejected},
+		{true, false, Rejected},
+		{false, false, Rejected},
+		{false, true, Failed},
+	} {
+		if got := OutcomeAtDrainDeadline(c.idempotent, c.mayHaveRun); got != c.want {
+			t.Errorf("idempotent %v, may have run %v: %v, want %v", c.idempotent, c.mayHaveRun, got, c.want)
 		}
 	}
 }
--- a/internal/decide/streamwatch/streamwatch.go
+++ b/internal/decide/streamwatch/streamwatch.go
@@ -1,65 +1,84 @@
-// Package streamwatch decides what becomes of an answer that has begun to stream: the module has handed it over by
-// then. It tells a decode server that has fallen silent from one that is only slow and from a client that does not
-// read, and keeps the end of the client's time. It does no I/O and reads no clock.
+// Package streamwatch decides when an answer that streams to its client is ended early. It distinguishes a decode
+// server that has fallen silent from one that is slow and from a client that does not read, and it ends a stream before
+// the client's deadline.
+//
+// The package does no I/O and reads no clock. All times are nanoseconds on one clock of the caller.
 package streamwatch
 
 // Verdict is what to do with a stream.
 type Verdict uint8
 
+// The verdicts.
 const (
 	Continue         Verdict = iota
-	ServerSilent             // its decode server gives no more tokens: end it, the client is told that it is failed
-	ClientNotReading         // its client takes nothing: end it
-	DeadlineReached          // the client's time is nearly up: the final answer has to leave now
+	ServerSilent             // end it: the decode server sends no more tokens, and the request has failed
+	ClientNotReading         // end it: the client reads nothing
+	DeadlineReached          // end it now, so that the final answer reaches the client before its deadline
 )
 
-func (v Verdict) String() string {
-	return [...]string{"goes on", "decode server silent", "client does not read", "time is up"}[v]
+// verdictTexts are part of the interface: clients receive them as the reason of a failed request.
+var verdictTexts = [...]string{
+	Continue:         "goes on",
+	ServerSilent:     "decode server silent",
+	ClientNotReading: "client does not read",
+	DeadlineReached:  "time is up",
 }
 
+// String returns the reason as clients receive it.
+func (v Verdict) String() string { return verdictTexts[v] }
+
 const (
-	// silentGaps is how many wanted gaps between tokens a decode server may be silent: a batch that was held up by long
-	// reads or a preemption takes tens of gaps, a dead one for ever.
-	silentGaps = 60
-	// silentLeast is the same as a part of the request's expected time, where gaps are short: a decode server that reads
-	// an answer anew after it ran out of memory needs about a first token's time.
-	silentLeast = 1
-	// silenceMargin is the part of what a client may be left waiting that is kept for its end to arrive.
-	silenceMargin = 10
-	// unreadTimes is how many silences a client may take nothing: it pays for its own time only.
-	unreadTimes = 4
+	// maxSilenceGaps is how many target gaps between tokens a decode server may be silent. A batch that is held up by
+	// long prefills or a preemption is silent for tens of gaps, a dead server for ever.
+	maxSilenceGaps = 60
+	// minSilenceTargets is the least silence that is allowed, as a multiple of the first-token target. It counts where
+	// gaps are short: a decode server that recomputes an answer after it ran out of memory needs about that time.
+	minSilenceTargets = 1
+	// silenceMarginDivisor divides the silence that a client tolerates into the part that is reserved for the end of the
+	// stream to arrive.
+	silenceMarginDivisor = 10
+	// clientStallFactor is how many times longer a client may read nothing than a server may send nothing. Its own
+	// deadline goes on meanwhile.
+	clientStallFactor = 4
 )
 
-// Stream is what is known of one. Times are nanoseconds on one clock.
+// Stream is what is known about a stream.
 type Stream struct {
-	FirstTokenAt     int64 // its first token came
-	LastTokenAt      int64 // its last token came
-	TargetTokenGap   int64 // wanted between tokens
-	FirstTokenTarget int64 // expected time of its first token
-	CallDeadline     int64 // the client's time is up; 0 = it has set none
-	AnswerLeadTime   int64 // the final answer leaves so long before that
-	MaxSilence       int64 // a client may be left waiting so long after its last token; 0 = not told
-	ClientBlocked    bool  // what came is still waiting for the client, since Last at least
+	FirstTokenAt     int64 // when the first token came
+	LastTokenAt      int64 // when the last token came
+	TargetTokenGap   int64 // target time between tokens
+	FirstTokenTarget int64 // target time to the first token
+	CallDeadline     int64 // the client's deadline; 0 if it has none
+	AnswerLeadTime   int64 // the final answer is sent so long before the deadline
+	MaxSilence       int64 // how long the client tolerates silence after a token; 0 if unknown
+	ClientBlocked    bool  // received data waits for the client, at least since the last token
 }
 
-// Check tells what to do now, and when to judge again at the latest.
-func Check(now int64, s Stream) (Verdict, int64) {
-	if s.CallDeadline > 0 && now >= s.CallDeadline-s.AnswerLeadTime {
+// Check returns what to do with a stream now and, with Continue, when to check it again at the latest.
+func Check(now int64, s Stream) (verdict Verdict, checkAgainAt int64) {
+	answerAt := s.CallDeadline - s.AnswerLeadTime
+	if s.CallDeadline > 0 && now >= answerAt {
 		return DeadlineReached, 0
 	}
-	limit, verdict := max(silentGaps*s.TargetTokenGap, silentLeast*s.FirstTokenTarget), ServerSilent
-	if s.MaxSilence > 0 { // as long as is allowed: a slow server must not be taken for a dead one
-		limit = s.MaxSilence - s.MaxSilence/silenceMargin
-	}
+	limit, verdict := s.silenceLimit(), ServerSilent
 	if s.ClientBlocked {
-		limit, verdict = unreadTimes*limit, ClientNotReading
+		limit, verdict = clientStallFactor*limit, ClientNotReading
 	}
-	again := max(s.FirstTokenAt, s.LastTokenAt) + limit
-	if now >= again {
+	checkAgainAt = max(s.FirstTokenAt, s.LastTokenAt) + limit
+	if now >= checkAgainAt {
 		return verdict, 0
 	}
 	if s.CallDeadline > 0 {
-		again = min(again, s.CallDeadline-s.AnswerLeadTime)
+		checkAgainAt = min(checkAgainAt, answerAt)
+	}
+	return Continue, checkAgainAt
+}
+
+// silenceLimit returns how long the decode server may be silent. It is as long as the client tolerates, where that is
+// known, so that a slow server is not taken for a dead one.
+func (s Stream) silenceLimit() int64 {
+	if s.MaxSilence > 0 {
+		return s.MaxSilence - s.MaxSilence/silenceMarginDivisor
 	}
-	return Continue, again
+	return max(maxSilenceGaps*s.TargetTokenGap, minSilenceTargets*s.FirstTokenTarget)
 }
