--- a/internal/state/requesttable/table.go
+++ b/internal/state/requesttable/table.go
@@ -1,65 +1,79 @@
-// Package requesttable keeps the requests that a dispatcher has in hand, in a slab with reused places. What is owed for each is in
-// decide/effects.
+// Package requesttable keeps the requests that a dispatcher has in progress, in a slab whose slots are reused. The
+// state of each request is in package inflight.
 package requesttable
 
 import "docksail/policy"
 
-// Table is a slab of requests. An id names a place and its use, so that an old id finds nothing. Its zero value
-// is ready.
+// Table is a slab of requests. A request's ID names a slot and its generation, so that the ID of an earlier request
+// finds nothing. The zero value is an empty table.
 type Table[T any] struct {
 	slots []slot[T]
-	free  []uint32
-	n     int
+	free  []uint32 // indices of slots that are not in use
+	count int
 }
 
+// slot is a place for one request at a time.
 type slot[T any] struct {
-	gen   uint32
-	used  bool
-	value *T // kept over uses: what points into it stays right while the slab grows
+	generation uint32 // how often the slot was used
+	used       bool
+	value      *T // reused by the next request, and stays where it is while the slab grows
 }
 
-// Add takes a place. The request in it is as its last use left it: the caller sets it up anew.
+// makeID returns the ID of the request in a slot.
+func makeID(index, generation uint32) policy.RequestID {
+	return policy.RequestID(uint64(generation)<<32 | uint64(index))
+}
+
+// splitID returns the slot and generation that an ID names.
+func splitID(id policy.RequestID) (index, generation uint32) {
+	return uint32(id), uint32(id >> 32)
+}
+
+// Add takes a slot for a new request and returns its ID and value. The value is as the slot's last use left it: the
+// caller sets it up.
 func (t *Table[T]) Add() (policy.RequestID, *T) {
-	var i uint32
+	var index uint32
 	if n := len(t.free); n > 0 {
-		i, t.free = t.free[n-1], t.free[:n-1]
+		index, t.free = t.free[n-1], t.free[:n-1]
 	} else {
-		i = uint32(len(t.slots))
+		index = uint32(len(t.slots))
 		t.slots = append(t.slots, slot[T]{value: new(T)})
 	}
-	p := &t.slots[i]
-	p.gen++
-	p.used = true
-	t.n++
-	return policy.RequestID(uint64(p.gen)<<32 | uint64(i)), p.value
+	s := &t.slots[index]
+	s.generation++
+	s.used = true
+	t.count++
+	return makeID(index, s.generation), s.value
 }
 
-// Find gives the request of an id; nil if it is over.
+// Find returns the request of that ID, or nil if it was removed.
 func (t *Table[T]) Find(id policy.RequestID) *T {
-	i, gen := uint32(id), uint32(id>>32)
-	if int(i) < len(t.slots) && t.slots[i].used && t.slots[i].gen == gen {
-		return t.slots[i].value
+	index, generation := splitID(id)
+	if int(index) < len(t.slots) && t.slots[index].used && t.slots[index].generation == generation {
+		return t.slots[index].value
 	}
 	return nil
 }
 
-// Remove frees the place of an id.
+// Remove frees the slot of a request. It does nothing if the request was removed before.
 func (t *Table[T]) Remove(id policy.RequestID) {
-	if t.Find(id) != nil {
-		t.slots[uint32(id)].used = false
-		t.free = append(t.free, uint32(id))
-		t.n--
+	if t.Find(id) == nil {
+		return
 	}
+	index, _ := splitID(id)
+	t.slots[index].used = false
+	t.free = append(t.free, index)
+	t.count--
 }
 
-// Len counts the requests in hand.
-func (t *Table[T]) Len() int { return t.n }
+// Len returns the number of requests.
+func (t *Table[T]) Len() int { return t.count }
 
-// Each calls f for every request in hand, in the order of their places; f may drop it.
-func (t *Table[T]) Each(f func(id policy.RequestID, value *T)) {
-	for i := range t.slots {
-		if p := &t.slots[i]; p.used {
-			f(policy.RequestID(uint64(p.gen)<<32|uint64(i)), p.value)
+// Each calls visit for every request in the order of their slots. visit may remove the request.
+func (t *Table[T]) Each(visit func(id policy.RequestID, value *T)) {
+	for index := range t.slots {
+		if s := &t.slots[index]; s.used {
+			visit(makeID(uint32(index), s.generation), s.value)
 		}
 	}
 }
--- a/internal/state/requesttable/table_test.go
+++ b/internal/state/requesttable/table_test.go
@@ -7,52 +7,52 @@
 	"pgregory.net/rapid"
 )
 
-// TestTable plays random uses against a map.
+// TestTable compares random uses with a map.
 func TestTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var table Table[int]
 		model := map[policy.RequestID]int{}
-		var ids, old []policy.RequestID
-		for i := range rapid.IntRange(1, 200).Draw(t, "steps") {
+		var ids, removed []policy.RequestID
+		for step := range rapid.IntRange(1, 200).Draw(t, "steps") {
 			if len(ids) == 0 || rapid.Bool().Draw(t, "add") {
-				id, v := table.Add()
+				id, value := table.Add()
 				if _, ok := model[id]; ok || id == 0 {
-					t.Fatalf("id %d is in use, or none", id)
+					t.Fatalf("id %d is in use, or zero", id)
 				}
-				*v = i
-				model[id] = i
+				*value = step
+				model[id] = step
 				ids = append(ids, id)
 			} else {
-				k := rapid.IntRange(0, len(ids)-1).Draw(t, "which")
-				table.Remove(ids[k])
-				delete(model, ids[k])
-				old = append(old, ids[k])
-				ids = append(ids[:k], ids[k+1:]...)
+				i := rapid.IntRange(0, len(ids)-1).Draw(t, "which")
+				table.Remove(ids[i])
+				delete(model, ids[i])
+				removed = append(removed, ids[i])
+				ids = append(ids[:i], ids[i+1:]...)
 			}
 		}
-		n := 0
-		table.Each(func(id policy.RequestID, v *int) {
-			n++
-			if model[id] != *v {
-				t.Fatalf("request %d is %d, want %d", id, *v, model[id])
+		visited := 0
+		table.Each(func(id policy.RequestID, value *int) {
+			visited++
+			if model[id] != *value {
+				t.Fatalf("request %d is %d, want %d", id, *value, model[id])
 			}
 		})
-		if n != len(model) || table.Len() != len(model) {
-			t.Fatalf("%d requests, %d by count, want %d", n, table.Len(), len(model))
+		if visited != len(model) || table.Len() != len(model) {
+			t.Fatalf("%d requests, length %d, want %d", visited, table.Len(), len(model))
 		}
-		for _, id := range old {
+		for _, id := range removed {
 			if table.Find(id) != nil {
-				t.Fatalf("old id %d finds a request", id)
+				t.Fatalf("removed id %d finds a request", id)
 			}
-			table.Remove(id) // does no harm
+			table.Remove(id)
 		}
 		if table.Len() != len(model) {
-			t.Fatal("dropping an old id took another request")
+			t.Fatal("removing an id twice removed another request")
 		}
 	})
 }
 
-func TestAllocates(t *testing.T) {
+func TestTableDoesNotAllocate(t *testing.T) {
 	var table Table[[4]int]
 	use := func() {
 		id, _ := table.Add()
