--- a/internal/dispatch/listwatch.go
+++ b/internal/dispatch/listwatch.go
@@ -129,7 +129,7 @@
 }
 
 func (w *listWatch) take(now eventloop.Nanos, version uint64, full bool, servers []endpointlist.Endpoint) error {
-	told, err := w.exit.list.Apply(version, full, servers)
+	told, err := w.exit.list.Apply(endpointlist.Update{Version: version, Full: full, Endpoints: servers})
 	if err != nil {
 		return err
 	}
--- a/internal/state/endpointlist/file_test.go
+++ b/internal/state/endpointlist/file_test.go
@@ -1,15 +1,16 @@
 package endpointlist
 
 import (
+	"docksail/policy"
+	"errors"
 	"os"
 	"path/filepath"
+	"reflect"
 	"testing"
-
-	"docksail/policy"
 )
 
-// savedList is a complete file of format 1. A dispatcher must go on reading and writing exactly these bytes.
-const savedList = "315de4763a56bc726c66e148069c8e9e5cb1464e846660d0054c865efa58b82e\n" +
+// formatOneFile is a complete file of format 1. A dispatcher must go on reading and writing exactly these bytes.
+const formatOneFile = "315de4763a56bc726c66e148069c8e9e5cb1464e846660d0054c865efa58b82e\n" +
 	`{"format":1,"version":3,"hosts":[` +
 	`{"id":1,"address":"127.0.0.1:1001","role":1,"zone":"a","cell":"c","health":0,"started_unix_ns":5},` +
 	`{"id":2,"address":"127.0.0.1:1002","role":1,"zone":"a","cell":"c","health":1,"started_unix_ns":0}]}`
@@ -17,15 +18,15 @@
 // TestFileFormat compares a saved list with the bytes of format 1, and reads those bytes back.
 func TestFileFormat(t *testing.T) {
 	list := New()
-	draining := host(2, 0, policy.Draining)
-	if _, err := list.Apply(3, true, []Endpoint{host(1, 5, policy.Serving), draining}); err != nil {
+	draining := endpoint(2, 0, policy.Draining)
+	if _, err := list.Apply(fullUpdate(3, endpoint(1, 5, policy.Serving), draining)); err != nil {
 		t.Fatal(err)
 	}
-	if got := string(list.Encode()); got != savedList {
-		t.Errorf("encoded list is\n%s\nwant\n%s", got, savedList)
+	if got := string(list.Encode()); got != formatOneFile {
+		t.Errorf("encoded list is\n%s\nwant\n%s", got, formatOneFile)
 	}
 	name := filepath.Join(t.TempDir(), "list")
-	if err := os.WriteFile(name, []byte(savedList), 0o600); err != nil {
+	if err := os.WriteFile(name, []byte(formatOneFile), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	read := New()
@@ -36,3 +37,61 @@
 		t.Errorf("read endpoint 2 as %+v at version %d, want %+v at version 3", got, read.Version(), draining)
 	}
 }
+
+func TestSaveAndLoad(t *testing.T) {
+	name := filepath.Join(t.TempDir(), "list")
+	l := New()
+	if _, err := l.Apply(fullUpdate(3, endpoint(1, 5, policy.Serving), endpoint(2, 0, policy.Draining))); err != nil {
+		t.Fatal(err)
+	}
+	if err := Save(name, l.Encode()); err != nil {
+		t.Fatal(err)
+	}
+	loaded := New()
+	endpoints, err := loaded.Load(name)
+	if err != nil || len(endpoints) != 2 || !reflect.DeepEqual(loaded.Endpoints(), l.Endpoints()) {
+		t.Fatalf("loaded %+v, %v", loaded.Endpoints(), err)
+	}
+	if _, err := loaded.Apply(partialUpdate(4)); !errors.Is(err, ErrMissedUpdates) {
+		t.Errorf("changes after a loaded list: %v, want %v: updates since it was saved are unknown", err, ErrMissedUpdates)
+	}
+	if err := Save(filepath.Join(t.TempDir(), "no", "such", "place"), l.Encode()); err == nil {
+		t.Error("saved into a directory that does not exist")
+	}
+}
+
+// TestLoadFindsDamage: a changed byte is found at every position, and a file that is cut off at every length.
+func TestLoadFindsDamage(t *testing.T) {
+	const newline = 2 * 32 // after the digest; the only byte that is not checked
+	name := filepath.Join(t.TempDir(), "list")
+	load := func(content []byte) error {
+		if err := os.WriteFile(name, content, 0o600); err != nil {
+			t.Fatal(err)
+		}
+		_, err := New().Load(name)
+		return err
+	}
+	text := []byte(formatOneFile)
+	for i := range text {
+		changed := append([]byte(nil), text...)
+		changed[i] ^= 4
+		if err := load(changed); !errors.Is(err, ErrCorruptFile) && i != newline {
+			t.Fatalf("byte %d changed: %v, want %v", i, err, ErrCorruptFile)
+		}
+		if err := load(text[:i]); !errors.Is(err, ErrCorruptFile) {
+			t.Fatalf("cut off after %d bytes: %v, want %v", i, err, ErrCorruptFile)
+		}
+	}
+}
+
+// TestLoadUnknownFormat: a file of another format is rejected.
+func TestLoadUnknownFormat(t *testing.T) {
+	body := []byte(`{"format":2,"version":3,"hosts":[]}`)
+	name := filepath.Join(t.TempDir(), "list")
+	if err := os.WriteFile(name, append([]byte(digest(body)+"\n"), body...), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := New().Load(name); !errors.Is(err, ErrUnknownFormat) {
+		t.Errorf("%v, want %v", err, ErrUnknownFormat)
+	}
+}
--- a/internal/state/endpointlist/list.go
+++ b/internal/state/endpointlist/list.go
@@ -1,18 +1,14 @@
-// Package endpointlist keeps the list of engines as this dispatcher was told it: full lists, changes by version, the
-// names of zones and cells by number. It is kept in a file as well, from which a dispatcher that was killed
-// starts again with what it knew.
+// Package endpointlist keeps the list of engines as this dispatcher has received it: complete lists, updates by
+// version, and numbers for the names of zones and cells. The list is also saved to a file, from which a dispatcher that
+// was killed starts again.
 package endpointlist
 
 import (
-	"crypto/sha256"
+	"cmp"
 	"docksail/policy"
-	"encoding/hex"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"net/netip"
-	"os"
-	"path/filepath"
 	"slices"
 )
 
@@ -24,194 +20,157 @@
 	Zone      string          `json:"zone"`
 	Cell      string          `json:"cell"`
 	Health    policy.Health   `json:"health"`
-	StartedAt int64           `json:"started_unix_ns"` // 0 = long ago, or not told
+	StartedAt int64           `json:"started_unix_ns"` // 0 = long ago, or unknown
 }
 
-// ErrMissedUpdates says that changes were missed: only a full list helps.
-var ErrMissedUpdates = errors.New("changes of the list were missed")
+// Update is a message of the service that keeps the list.
+type Update struct {
+	Version   uint64
+	Full      bool       // the complete list; otherwise only what changed since the version before
+	Endpoints []Endpoint // an endpoint that left is listed as gone
+}
+
+// ErrMissedUpdates is the error of Apply where updates were missed, so that a full one is needed.
+var ErrMissedUpdates = errors.New("updates of the endpoint list were missed: a full list is needed")
+
+// InvalidEndpointError is the error of Apply for an endpoint that cannot be listed.
+type InvalidEndpointError struct {
+	ID     policy.ServerID
+	Reason string
+}
 
-// List is what is known. Make it with New.
+// Error implements error.
+func (e *InvalidEndpointError) Error() string { return fmt.Sprintf("endpoint %d: %s", e.ID, e.Reason) }
+
+// List is the endpoint list. It is made with New.
 type List struct {
-	version uint64
-	whole   bool // a full list has come
-	hosts   map[policy.ServerID]Endpoint
-	zones   map[string]policy.ZoneID
-	cells   map[[2]string]policy.CellID
+	version   uint64
+	hasFull   bool // a full update was received since the start
+	endpoints map[policy.ServerID]Endpoint
+	zones     map[string]policy.ZoneID
+	cells     map[cellName]policy.CellID
 }
 
-// New makes a list that knows nothing.
+// cellName identifies a cell: cells are named within their zone.
+type cellName struct{ zone, cell string }
+
+// New returns an empty list.
 func New() *List {
 	return &List{
-		hosts: make(map[policy.ServerID]Endpoint), zones: make(map[string]policy.ZoneID),
-		cells: make(map[[2]string]policy.CellID),
+		endpoints: make(map[policy.ServerID]Endpoint),
+		zones:     make(map[string]policy.ZoneID),
+		cells:     make(map[cellName]policy.CellID),
 	}
 }
 
-// ZoneID is the number of a zone's name, given at its first mention.
-func (l *List) ZoneID(name string) policy.ZoneID {
-	n, ok := l.zones[name]
+// ZoneID returns the number of the zone of that name, which is assigned at its first use.
+func (l *List) ZoneID(zone string) policy.ZoneID {
+	id, ok := l.zones[zone]
 	if !ok {
-		n = policy.ZoneID(len(l.zones))
-		l.zones[name] = n
+		id = policy.ZoneID(len(l.zones))
+		l.zones[zone] = id
 	}
-	return n
+	return id
 }
 
-// CellID is the number of a cell's name within its zone.
+// CellID returns the number of the cell of that name within its zone, which is assigned at its first use.
 func (l *List) CellID(zone, cell string) policy.CellID {
-	n, ok := l.cells[[2]string{zone, cell}]
+	name := cellName{zone, cell}
+	id, ok := l.cells[name]
 	if !ok {
-		n = policy.CellID(len(l.cells))
-		l.cells[[2]string{zone, cell}] = n
+		id = policy.CellID(len(l.cells))
+		l.cells[name] = id
 	}
-	return n
+	return id
 }
 
-// Find gives a host that was ever listed.
-func (l *List) Find(id policy.ServerID) (Endpoint, bool) {
-	h, ok := l.hosts[id]
-	return h, ok
+// Find returns the endpoint of that ID as it was last listed, and whether it ever was.
+func (l *List) Find(id policy.ServerID) (endpoint Endpoint, ok bool) {
+	endpoint, ok = l.endpoints[id]
+	return endpoint, ok
 }
 
-// Version is that of the last news.
+// Version returns the version of the last update.
 func (l *List) Version() uint64 { return l.version }
 
-// Endpoints gives all that were ever listed, by id.
+// Endpoints returns all endpoints that were ever listed, sorted by ID.
 func (l *List) Endpoints() []Endpoint {
-	hs := make([]Endpoint, 0, len(l.hosts))
-	for _, h := range l.hosts {
-		hs = append(hs, h)
+	endpoints := make([]Endpoint, 0, len(l.endpoints))
+	for _, endpoint := range l.endpoints {
+		endpoints = append(endpoints, endpoint)
 	}
-	slices.SortFunc(hs, func(a, b Endpoint) int { return int(int64(a.ID) - int64(b.ID)) })
-	return hs
+	slices.SortFunc(endpoints, func(a, b Endpoint) int { return cmp.Compare(a.ID, b.ID) })
+	return endpoints
 }
 
-// Apply applies news whole or not at all: ErrMissedUpdates where changes before it were missed or no full list has come
-// yet; changes that are known already are no error and change nothing. It gives the entries that are to be told
-// on, those that a full list no longer names as gone. An entry older than what is known of its host's start is
-// left out: it crossed with the news of a restart.
-func (l *List) Apply(version uint64, full bool, hosts []Endpoint) ([]Endpoint, error) {
-	if !full {
+// Apply applies an update completely or not at all, and returns the endpoints that it changed; a full update also
+// changes those that it no longer names, to gone. An update whose version is known already changes nothing. An endpoint
+// whose start is before the known one is ignored, as it was listed before a restart that is known already.
+//
+// The error is ErrMissedUpdates if an update before this one was missed or no full one was received, or an
+// *InvalidEndpointError.
+func (l *List) Apply(update Update) ([]Endpoint, error) {
+	if !update.Full {
 		switch {
-		case !l.whole || version > l.version+1:
+		case !l.hasFull || update.Version > l.version+1:
 			return nil, ErrMissedUpdates
-		case version <= l.version:
+		case update.Version <= l.version:
 			return nil, nil
 		}
 	}
-	for _, h := range hosts {
-		if !h.Address.IsValid() || h.Address.Port() == 0 {
-			return nil, fmt.Errorf("host %d: address %v is none", h.ID, h.Address)
-		}
-		if h.Role > policy.Mixed {
-			return nil, fmt.Errorf("host %d: role %d is unknown", h.ID, h.Role)
+	for _, endpoint := range update.Endpoints {
+		if err := endpoint.validate(); err != nil {
+			return nil, err
 		}
 	}
-	var told []Endpoint
-	named := make(map[policy.ServerID]bool, len(hosts))
-	for _, h := range hosts {
-		named[h.ID] = true
-		if was, ok := l.hosts[h.ID]; ok {
-			if h.StartedAt == 0 { // not told, as of a host that is gone
-				h.StartedAt = was.StartedAt
-			} else if h.StartedAt < was.StartedAt {
-				continue
-			}
-		}
-		l.hosts[h.ID] = h
-		told = append(told, h)
+	changed := l.setListed(update.Endpoints)
+	if update.Full {
+		changed = append(changed, l.setUnlistedGone(update.Endpoints)...)
+		l.hasFull = true
 	}
-	if full {
-		for _, h := range l.Endpoints() {
-			if !named[h.ID] && h.Health != policy.Gone {
-				h.Health = policy.Gone
-				l.hosts[h.ID] = h
-				told = append(told, h)
-			}
-		}
-		l.whole = true
-	}
-	l.version = version
-	return told, nil
-}
-
-// kept is the list as a file has it.
-type kept struct {
-	Format  int        `json:"format"`
-	Version uint64     `json:"version"`
-	Hosts   []Endpoint `json:"hosts"`
+	l.version = update.Version
+	return changed, nil
 }
 
-const format = 1
-
-// Encode gives the list as Load reads it: a line with a digest, then the list.
-func (l *List) Encode() []byte {
-	body, err := json.Marshal(kept{format, l.version, l.Endpoints()})
-	if err != nil {
-		panic(err) // no type in it can fail
+// validate returns an *InvalidEndpointError if the endpoint cannot be listed.
+func (e Endpoint) validate() error {
+	switch {
+	case !e.Address.IsValid() || e.Address.Port() == 0:
+		return &InvalidEndpointError{e.ID, fmt.Sprintf("address %v is invalid, want an IP address and a port", e.Address)}
+	case e.Role > policy.Mixed:
+		return &InvalidEndpointError{e.ID, fmt.Sprintf("role %d is unknown", e.Role)}
 	}
-	sum := sha256.Sum256(body)
-	return append([]byte(hex.EncodeToString(sum[:])+"\n"), body...)
+	return nil
 }
 
-// Save writes an encoded list so that a crash at any point leaves the old file or the new one, whole.
-func Save(name string, encoded []byte) (err error) {
-	f, err := os.CreateTemp(filepath.Dir(name), filepath.Base(name)+".*")
-	if err != nil {
-		return err
-	}
-	defer func() {
-		if err != nil {
-			f.Close()
-			os.Remove(f.Name())
+// setListed records the endpoints of an update and returns those that it took.
+func (l *List) setListed(endpoints []Endpoint) (changed []Endpoint) {
+	for _, endpoint := range endpoints {
+		if known, ok := l.endpoints[endpoint.ID]; ok {
+			if endpoint.StartedAt == 0 { // unknown, as of an endpoint that is gone
+				endpoint.StartedAt = known.StartedAt
+			} else if endpoint.StartedAt < known.StartedAt {
+				continue
+			}
 		}
-	}()
-	if _, err = f.Write(encoded); err != nil {
-		return err
-	}
-	if err = f.Sync(); err != nil {
-		return err
-	}
-	if err = f.Close(); err != nil {
-		return err
-	}
-	if err = os.Rename(f.Name(), name); err != nil {
-		return err
+		l.endpoints[endpoint.ID] = endpoint
+		changed = append(changed, endpoint)
 	}
-	dir, err := os.Open(filepath.Dir(name))
-	if err != nil {
-		return err
-	}
-	defer dir.Close()
-	return dir.Sync()
+	return changed
 }
 
-// Load reads what Save wrote into an empty list and gives its hosts. A file that is damaged or of another
-// format is named in the error, and nothing of it is taken.
-func (l *List) Load(name string) ([]Endpoint, error) {
-	text, err := os.ReadFile(name)
-	if err != nil {
-		return nil, err
-	}
-	const digest = 2 * sha256.Size
-	if len(text) < digest+1 {
-		return nil, fmt.Errorf("%s: cut off after %d bytes", name, len(text))
-	}
-	sum := sha256.Sum256(text[digest+1:])
-	if hex.EncodeToString(sum[:]) != string(text[:digest]) {
-		return nil, fmt.Errorf("%s: damaged, its digest is another", name)
-	}
-	var k kept
-	if err := json.Unmarshal(text[digest+1:], &k); err != nil {
-		return nil, fmt.Errorf("%s: %w", name, err)
-	}
-	if k.Format != format {
-		return nil, fmt.Errorf("%s: format %d, want %d", name, k.Format, format)
-	}
-	told, err := l.Apply(k.Version, true, k.Hosts)
-	if err != nil {
-		return nil, fmt.Errorf("%s: %w", name, err)
+// setUnlistedGone records that endpoints are gone which a full update does not name, and returns them.
+func (l *List) setUnlistedGone(listed []Endpoint) (changed []Endpoint) {
+	isListed := make(map[policy.ServerID]bool, len(listed))
+	for _, endpoint := range listed {
+		isListed[endpoint.ID] = true
+	}
+	for _, endpoint := range l.Endpoints() {
+		if !isListed[endpoint.ID] && endpoint.Health != policy.Gone {
+			endpoint.Health = policy.Gone
+			l.endpoints[endpoint.ID] = endpoint
+			changed = append(changed, endpoint)
+		}
 	}
-	l.whole = false // what was missed since is not known
-	return told, nil
+	return changed
 }
