--- a/internal/decide/decide_test.go
+++ b/internal/decide/decide_test.go
@@ -1,7 +1,9 @@
-// Package decide holds no code: its tests say what the packages below it may import.
+// Package decide holds no code. Its tests check what the packages below it may import, and that exported names are
+// documented everywhere.
 package decide
 
 import (
+	"go/ast"
 	"go/parser"
 	"go/token"
 	"io/fs"
@@ -12,37 +14,64 @@
 	"testing"
 )
 
-// TestImports: what decides has no I/O, no clock and no goroutines, and neither has the decision module.
+// forbiddenImports are packages of the standard library that do I/O, read a clock, draw random numbers by themselves or
+// synchronize goroutines.
+var forbiddenImports = []string{
+	"net", "os", "syscall", "io", "bufio", "log", "log/slog", "sync", "sync/atomic", "math/rand", "math/rand/v2",
+	"crypto/rand", "time",
+}
+
+// TestImports: packages that decide, package policy and the heap that they use do no I/O, read no clock and have no
+// goroutines.
 func TestImports(t *testing.T) {
-	never := []string{"net", "os", "syscall", "io", "bufio", "log", "log/slog", "sync", "sync/atomic", "math/rand", "math/rand/v2", "crypto/rand", "time"}
+	const minFiles = 30 // a lower number would mean that packages are not found
 	files := 0
 	for _, root := range []string{".", "../../policy", "../indexedheap"} {
-		err := filepath.WalkDir(root, func(path string, e fs.DirEntry, err error) error {
-			if err != nil || e.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
-				return err
-			}
+		walkSources(t, root, 0, func(_ *token.FileSet, path string, file *ast.File) {
 			files++
-			f, err := parser.ParseFile(token.NewFileSet(), path, nil, 0)
-			if err != nil {
-				return err
-			}
-			for _, imp := range f.Imports {
-				name, err := strconv.Unquote(imp.Path.Value)
+			for _, spec := range file.Imports {
+				name, err := strconv.Unquote(spec.Path.Value)
 				if err != nil {
-					return err
+					t.Fatal(err)
 				}
-				if slices.Contains(never, name) || strings.HasPrefix(name, "docksail/") && !strings.HasPrefix(name, "docksail/policy") && name != "docksail/internal/indexedheap" &&
-					!strings.HasPrefix(name, "docksail/internal/decide/") {
+				if !mayImport(name) {
 					t.Errorf("%s imports %s", path, name)
 				}
 			}
-			return nil
 		})
+	}
+	if files < minFiles {
+		t.Errorf("%d files checked, want at least %d", files, minFiles)
+	}
+}
+
+// mayImport reports whether a package that decides may import another one.
+func mayImport(name string) bool {
+	if !strings.HasPrefix(name, "docksail/") {
+		return !slices.Contains(forbiddenImports, name)
+	}
+	return strings.HasPrefix(name, "docksail/policy") || name == "docksail/internal/indexedheap" ||
+		strings.HasPrefix(name, "docksail/internal/decide/")
+}
+
+// walkSources parses the Go files below a directory, other than tests, and calls visit with each.
+func walkSources(
+	t *testing.T, root string, mode parser.Mode, visit func(files *token.FileSet, path string, file *ast.File),
+) {
+	t.Helper()
+	files := token.NewFileSet()
+	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
+		if err != nil || entry.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
+			return err
+		}
+		file, err := parser.ParseFile(files, path, nil, mode)
 		if err != nil {
-			t.Fatal(err)
+			return err
 		}
-	}
-	if files < 8 {
-		t.Errorf("%d files looked at, want those of the module and of each package here", files)
+		visit(files, path, file)
+		return nil
+	})
+	if err != nil {
+		t.Fatal(err)
 	}
 }
--- a/internal/decide/exported_test.go
+++ b/internal/decide/exported_test.go
@@ -4,58 +4,64 @@
 	"go/ast"
 	"go/parser"
 	"go/token"
-	"io/fs"
-	"path/filepath"
 	"strings"
 	"testing"
 )
 
-// Every exported name of the module has a comment that says what it is, or stands in a group that has one.
+// TestExportedNamesAreDocumented: every exported name of the repository has a comment, or stands in a group that has
+// one.
 func TestExportedNamesAreDocumented(t *testing.T) {
-	files := token.NewFileSet()
-	seen := 0
-	err := filepath.WalkDir("../..", func(path string, e fs.DirEntry, err error) error {
-		if err != nil || e.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") || strings.HasSuffix(path, ".pb.go") {
-			return err
+	const minFiles = 50 // a lower number would mean that packages are not found
+	count := 0
+	walkSources(t, "../..", parser.ParseComments, func(files *token.FileSet, path string, file *ast.File) {
+		if strings.HasSuffix(path, ".pb.go") { // generated
+			return
 		}
-		f, err := parser.ParseFile(files, path, nil, parser.ParseComments)
-		if err != nil {
-			return err
-		}
-		seen++
-		for _, d := range f.Decls {
-			for _, name := range undocumented(d) {
+		count++
+		for _, declaration := range file.Decls {
+			for _, name := range undocumented(declaration) {
 				t.Errorf("%s: %s has no comment", files.Position(name.Pos()), name.Name)
 			}
 		}
-		return nil
 	})
-	if err != nil || seen < 50 {
-		t.Fatalf("%d files, %v", seen, err)
+	if count < minFiles {
+		t.Errorf("%d files checked, want at least %d", count, minFiles)
 	}
 }
 
-// undocumented gives the exported names of a declaration that nothing is said of. Methods that carry out an interface of
-// another package, which documents them, may go without.
-func undocumented(d ast.Decl) (names []*ast.Ident) {
-	switch d := d.(type) {
+// undocumented returns the exported names of a declaration that have no comment. Methods may go without, as those that
+// implement an interface are documented there.
+func undocumented(declaration ast.Decl) []*ast.Ident {
+	switch declaration := declaration.(type) {
 	case *ast.FuncDecl:
-		if d.Name.IsExported() && d.Doc == nil && d.Recv == nil {
-			names = append(names, d.Name)
+		if declaration.Name.IsExported() && declaration.Doc == nil && declaration.Recv == nil {
+			return []*ast.Ident{declaration.Name}
 		}
 	case *ast.GenDecl:
-		for _, s := range d.Specs {
-			switch s := s.(type) {
-			case *ast.TypeSpec:
-				if s.Name.IsExported() && d.Doc == nil && s.Doc == nil && s.Comment == nil {
-					names = append(names, s.Name)
-				}
-			case *ast.ValueSpec:
-				for _, n := range s.Names {
-					if n.IsExported() && d.Doc == nil && s.Doc == nil && s.Comment == nil && len(d.Specs) == 1 {
-						names = append(names, n)
-					}
-				}
+		var names []*ast.Ident
+		for _, spec := range declaration.Specs {
+			names = append(names, undocumentedInSpec(declaration, spec)...)
+		}
+		return names
+	}
+	return nil
+}
+
+// undocumentedInSpec returns the exported names of a part of a declaration that have no comment. Constants and
+// variables of a group may go without.
+func undocumentedInSpec(declaration *ast.GenDecl, spec ast.Spec) (names []*ast.Ident) {
+	switch spec := spec.(type) {
+	case *ast.TypeSpec:
+		if spec.Name.IsExported() && declaration.Doc == nil && spec.Doc == nil && spec.Comment == nil {
+			names = append(names, spec.Name)
+		}
+	case *ast.ValueSpec:
+		if declaration.Doc != nil || spec.Doc != nil || spec.Comment != nil || len(declaration.Specs) > 1 {
+			return nil
+		}
+		for _, name := range spec.Names {
+			if name.IsExported() {
+				names = append(names, name)
 			}
 		}
 	}
