--- a/internal/backend/platform/settlement.go
+++ b/internal/backend/platform/settlement.go
@@ -318,7 +318,7 @@
 
 // handleLingeringLost is when a watched connection broke.
 func (c *conn) handleLingeringLost(now eventloop.Nanos) {
-	if c.lingersFor.decisions.ConfirmsEnd(now, c.abandonedAt, inflight.Reset) {
+	if c.lingersFor.decisions.ConfirmsEnd(now, c.abandonedAt, inflight.ConnReset) {
 		c.confirmEnd(now)
 		return
 	}
--- a/internal/decide/clientconn/clientconn.go
+++ b/internal/decide/clientconn/clientconn.go
@@ -18,21 +18,21 @@
 
 const (
 	second = int64(1e9)
-	// firstByteTimeout bounds StateNew. Clients send their request with the connection; others hold a descriptor for
-	// nothing. They are closed within 3 s of connecting.
+	// firstByteTimeout bounds StateNew. Clients send a request as soon as they are connected; a connection without one
+	// only holds a descriptor. It is to be closed within 3 s.
 	firstByteTimeout = 2 * second
-	// requestTimeout bounds StateReadingRequest. A request whose bytes stop coming is answered, a first one within 3 s
-	// of connecting.
+	// requestTimeout bounds StateReadingRequest. A request that stays incomplete gets an error, the first one of a
+	// connection also within 3 s of connecting.
 	requestTimeout = 5 * second / 2
-	// lingerTimeout bounds StateLingering: the rest of a large body may still come for so long, so that a reset does
-	// not destroy the answer.
+	// lingerTimeout bounds StateLingering. Meanwhile the rest of a large request body is received and discarded, since
+	// closing the connection would send a reset that could destroy the answer.
 	lingerTimeout = 3 * second
-	// idleTimeout bounds StateIdle. Clients keep connections for their next request, but some never send one.
+	// idleTimeout bounds StateIdle, as some clients never send a further request.
 	idleTimeout = 30 * second
-	// unreadTimeout is how long a client may take nothing of its last answer before it counts as gone.
+	// unreadTimeout is how long a client may read nothing of its last answer before it counts as gone.
 	unreadTimeout = 15 * second
-	// maxLingerTime bounds StateLingering for clients that take their last answer slowly, as some would otherwise hold
-	// a descriptor for ever by reading a byte now and then.
+	// maxLingerTime bounds StateLingering for clients that read their last answer slowly, as a client could otherwise
+	// hold a descriptor for ever by reading a byte now and then.
 	maxLingerTime = 60 * second
 	// minIncompleteTime is how long a connection has no complete request before it is preferred for eviction.
 	minIncompleteTime = second / 4
@@ -61,7 +61,7 @@
 }
 
 // MayKeepLingering reports whether a connection that has been lingering since lingeringSince stays open beyond its
-// deadline: unreadBytes of its last answer still wait for the client, which last took some at lastReadAt.
+// deadline: unreadBytes of its last answer still wait for the client, which last read some at lastReadAt.
 func MayKeepLingering(now, lingeringSince, lastReadAt int64, unreadBytes int) bool {
 	return unreadBytes > 0 && now-lastReadAt < unreadTimeout && now-lingeringSince < maxLingerTime
 }
--- a/internal/decide/inflight/releasetracker.go
+++ b/internal/decide/inflight/releasetracker.go
@@ -40,9 +40,10 @@
 // The ways in which a peer ends a connection.
 const (
 	CleanClose PeerClose = iota // an orderly end
-	Reset                       // a reset or another error
+	ConnReset                   // a reset or another error
 )
 
+// never is later than any time.
 const never = int64(1) << 62
 
 const (
@@ -53,7 +54,7 @@
 	// interval; the rest of the release time covers servers that do not answer.
 	repeatIntervalFraction = 0.8
 	// lossMultiple is the number of release times after which a release that no server has accepted counts as lost.
-	// It is still tried.
+	// It is still sent.
 	lossMultiple = 2
 	// HoldTolerance is how much longer than the release time KV state may be held, in nanoseconds.
 	HoldTolerance = int64(300e6)
@@ -98,6 +99,7 @@
 // that do not answer cannot use up the release time one after another.
 func ParallelReleases(round int) int { return min(1<<min(round, 8), maxParallelReleases) }
 
+// repeatInterval returns the interval at which an accepted release is repeated.
 func (t *ReleaseTracker) repeatInterval() int64 {
 	return int64(repeatIntervalFraction * float64(t.releaseTime))
 }
@@ -115,7 +117,7 @@
 // is gone.
 func (t *ReleaseTracker) AttemptAbandoned(now, runUntil int64) {
 	t.unwatchedRunUntil = max(t.unwatchedRunUntil, runUntil)
-	t.noteAbandoned(now)
+	t.noteEvent(now)
 }
 
 // WatchedAttemptAbandoned records that an attempt has ended here whose server may run it until runUntil, and whose
@@ -123,10 +125,12 @@
 func (t *ReleaseTracker) WatchedAttemptAbandoned(now, runUntil int64) {
 	t.watchedCount++
 	t.watchedRunUntil, t.watchUntil = max(t.watchedRunUntil, runUntil), now+t.watchDuration
-	t.noteAbandoned(now)
+	t.noteEvent(now)
 }
 
-func (t *ReleaseTracker) noteAbandoned(now int64) {
+// noteEvent records that releases begun before now may have missed state. It does nothing while no release is
+// requested.
+func (t *ReleaseTracker) noteEvent(now int64) {
 	if t.requested {
 		t.lastEventAt = now
 	}
@@ -136,9 +140,7 @@
 // to be released.
 func (t *ReleaseTracker) EndConfirmed(now int64) {
 	t.watchedCount--
-	if t.requested {
-		t.lastEventAt = now
-	}
+	t.noteEvent(now)
 }
 
 // ConfirmsEnd reports whether the end of a watched connection shows that the server has noticed the end of its attempt,
--- a/internal/decide/inflight/releasetracker_test.go
+++ b/internal/decide/inflight/releasetracker_test.go
@@ -254,8 +254,8 @@
 		want      bool
 	}{
 		"clean close":   {9000, CleanClose, true},
-		"reset at once": {100, Reset, true},
-		"reset later":   {101, Reset, false},
+		"reset at once": {100, ConnReset, true},
+		"reset later":   {101, ConnReset, false},
 	} {
 		if got := tracker.ConfirmsEnd(500+c.after, 500, c.peerClose); got != c.want {
 			t.Errorf("%s: %v, want %v", name, got, c.want)
