--- /dev/null
+++ b/internal/decide/connlimit/golden_test.go
@@ -0,0 +1,57 @@
+package connlimit
+
+import (
+	"crypto/sha256"
+	"encoding/hex"
+	"fmt"
+	"math/rand/v2"
+	"testing"
+)
+
+// TestGoldenDecisions checks that the limiter still takes the recorded decisions.
+func TestGoldenDecisions(t *testing.T) {
+	const want = "bcc2669b49cc6ebd3afc525d36bf1ec0dff29a4050d04498be8f92bf324f66b1"
+	rng := rand.New(rand.NewPCG(1, 7))
+	digest := sha256.New()
+	l, err := New(100)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var open []Source
+	now := int64(1e9)
+	for step := range 40000 {
+		from := source(rng.IntN(rng.IntN(200) + 1))
+		reconnects := step%4000 > 2000 && step%4000 < 2600 // one source opens and closes connections in quick succession
+		if reconnects {
+			from = source(1000)
+		}
+		if !reconnects || step%8 == 0 {
+			now += rng.Int64N(5e6)
+		}
+		verdict := l.Accept(now, from)
+		if verdict == Accepted && reconnects {
+			l.Closed(now, from)
+		} else if verdict == Accepted {
+			open = append(open, from)
+		}
+		closing := rng.IntN(2)
+		if step%4000 > 3000 {
+			closing = 3
+		} else if reconnects { // 60 of 100 stay open: room is short, but not used up
+			closing = max(len(open)-60, 0)
+		}
+		for range closing {
+			if len(open) > 0 {
+				i := rng.IntN(len(open))
+				l.Closed(now, open[i])
+				open = append(open[:i], open[i+1:]...)
+			}
+		}
+		fmt.Fprintln(digest, uint8(verdict), verdict, l.OpenConnections())
+	}
+	fmt.Fprintf(digest, "%v\n", l.Counts)
+	t.Logf("%+v", l.Counts)
+	if got := hex.EncodeToString(digest.Sum(nil)); got != want {
+		t.Errorf("digest of the decisions is %s, want %s", got, want)
+	}
+}
