--- a/internal/indexedheap/heap.go
+++ b/internal/indexedheap/heap.go
@@ -1,72 +1,70 @@
-// Package indexedheap keeps things in a heap from which any of them can be taken or moved.
+// Package indexedheap implements a minimum heap from which any item can be removed, and in which any item can be moved
+// after its key has changed, in logarithmic time.
 package indexedheap
 
 import "container/heap"
 
-// Heap holds things, the least first. Its two functions are set before the first Push: Less orders, and Place gives
-// where a thing notes its place in the heap, from 1; 0 says that it is not there.
+// Heap is a minimum heap of items that record their own position in it. Less and Index must be set before the first
+// item is pushed and must not change afterwards.
 type Heap[T any] struct {
-	Less  func(a, b T) bool
-	Index func(T) *int
-	list  []T
+	// Less reports whether a sorts before b.
+	Less func(a, b T) bool
+	// Index returns a pointer to the field in which item records its position in this heap, counted from 1. The field
+	// is 0 while item is not in the heap. Only the heap writes it.
+	Index func(item T) *int
+
+	items []T
 }
 
-// Len counts the things.
-func (h *Heap[T]) Len() int { return len(h.list) }
+// Len returns the number of items.
+func (h *Heap[T]) Len() int { return len(h.items) }
 
-// Min is the least; the heap must not be empty.
-func (h *Heap[T]) Min() T { return h.list[0] }
+// Min returns the least item without removing it. It panics if the heap is empty.
+func (h *Heap[T]) Min() T { return h.items[0] }
 
-// Items gives the things in no order that means anything; it is valid until the next change.
-func (h *Heap[T]) Items() []T { return h.list }
+// Items returns all items in unspecified order. The slice is valid until the next change and must not be modified.
+func (h *Heap[T]) Items() []T { return h.items }
 
-// PushOrFix puts a thing where it belongs, whether or not it is there already.
-func (h *Heap[T]) PushOrFix(x T) {
-	if i := *h.Index(x); i > 0 {
-		heap.Fix(inner[T]{h}, i-1)
+// PushOrFix adds item, or, if it is in the heap already, restores its position after its key has changed.
+func (h *Heap[T]) PushOrFix(item T) {
+	if position := *h.Index(item); position > 0 {
+		heap.Fix(adapter[T]{h}, position-1)
 	} else {
-		heap.Push(inner[T]{h}, x)
+		heap.Push(adapter[T]{h}, item)
 	}
 }
 
-// Remove takes a thing out, if it is there.
-func (h *Heap[T]) Remove(x T) {
-	if i := *h.Index(x); i > 0 {
-		heap.Remove(inner[T]{h}, i-1)
+// Remove removes item. It does nothing if item is not in the heap.
+func (h *Heap[T]) Remove(item T) {
+	if position := *h.Index(item); position > 0 {
+		heap.Remove(adapter[T]{h}, position-1)
 	}
 }
 
-// Reset empties the heap and keeps its room.
-func (h *Heap[T]) Reset() {
-	for _, x := range h.list {
-		*h.Index(x) = 0
-	}
-	clear(h.list)
-	h.list = h.list[:0]
-}
+// adapter implements container/heap's Interface for a Heap, so that Heap does not export its methods.
+type adapter[T any] struct{ heap *Heap[T] }
 
-// inner is the heap as container/heap wants it.
-type inner[T any] struct{ h *Heap[T] }
+func (a adapter[T]) Len() int           { return len(a.heap.items) }
+func (a adapter[T]) Less(i, j int) bool { return a.heap.Less(a.heap.items[i], a.heap.items[j]) }
 
-func (n inner[T]) Len() int           { return len(n.h.list) }
-func (n inner[T]) Less(i, j int) bool { return n.h.Less(n.h.list[i], n.h.list[j]) }
-func (n inner[T]) Swap(i, j int) {
-	l := n.h.list
-	l[i], l[j] = l[j], l[i]
-	*n.h.Index(l[i]), *n.h.Index(l[j]) = i+1, j+1
+func (a adapter[T]) Swap(i, j int) {
+	items := a.heap.items
+	items[i], items[j] = items[j], items[i]
+	*a.heap.Index(items[i]), *a.heap.Index(items[j]) = i+1, j+1
 }
 
-func (n inner[T]) Push(x any) {
-	n.h.list = append(n.h.list, x.(T))
-	*n.h.Index(x.(T)) = len(n.h.list)
+func (a adapter[T]) Push(x any) {
+	item := x.(T)
+	a.heap.items = append(a.heap.items, item)
+	*a.heap.Index(item) = len(a.heap.items)
 }
 
-func (n inner[T]) Pop() any {
-	last := len(n.h.list) - 1
-	x := n.h.list[last]
-	var none T
-	n.h.list[last] = none
-	n.h.list = n.h.list[:last]
-	*n.h.Index(x) = 0
-	return x
+func (a adapter[T]) Pop() any {
+	last := len(a.heap.items) - 1
+	item := a.heap.items[last]
+	var zero T
+	a.heap.items[last] = zero // the garbage collector must not find the item here
+	a.heap.items = a.heap.items[:last]
+	*a.heap.Index(item) = 0
+	return item
 }
