--- a/internal/decide/abuse/abuse.go
+++ b/internal/decide/abuse/abuse.go
@@ -1,63 +1,85 @@
-// Package abuse decides when the peer of one HTTP/2 connection costs more than it asks for: resets in rapid
-// succession, pings, settings, empty frames. Each kind has an allowance that fills with time and with useful
-// work; a peer that overdraws one is to be sent away. It does no I/O and reads no clock.
+// Package abuse decides when the peer of one HTTP/2 connection causes more work than its requests justify: rapid stream
+// resets, floods of PING, SETTINGS and empty frames and the like. Each kind of event has a token bucket that refills
+// with time and with useful traffic. The connection of a peer that overdraws one is to be closed.
+//
+// The package does no I/O and reads no clock.
 package abuse
 
-// Event is something that a peer does that costs us and brings it nothing by itself.
+// Event is an action of the peer that causes work and serves no request by itself.
 type Event uint8
 
+// The events that are limited.
 const (
-	StreamReset       Event = iota // a stream reset by the peer before its answer ended
-	Ping                           // a ping, or an acknowledgement that nobody asked for
-	RepeatedSettings               // settings sent after the first
-	EmptyFrame                     // an empty DATA or CONTINUATION frame, an unknown frame, PRIORITY
-	WindowUpdate                   // a window update
-	StreamError                    // a stream error of the peer's making
-	ClosedStreamReset              // a reset of a stream that is over: it may have crossed with the end
+	StreamReset       Event = iota // RST_STREAM for a stream whose answer has not ended
+	Ping                           // PING, or the acknowledgement of a PING that was never sent
+	RepeatedSettings               // SETTINGS after the first
+	EmptyFrame                     // an empty DATA or CONTINUATION frame, PRIORITY, or a frame of unknown type
+	WindowUpdate                   // WINDOW_UPDATE
+	StreamError                    // a stream error that the peer caused
+	ClosedStreamReset              // RST_STREAM for a closed stream: it may have crossed with the end of the stream
 	eventCount
 )
 
-func (a Event) String() string {
-	return [...]string{"resets", "pings", "settings", "empty frames", "window updates", "stream errors", "resets of streams that are over"}[a]
+func (e Event) String() string {
+	return [...]string{
+		"resets", "pings", "settings", "empty frames", "window updates", "stream errors", "resets of streams that are over",
+	}[e]
 }
 
-// burst is how many of each may come at once, perSecond how many more each second, and perJob how many each
-// request taken or byte-carrying frame brings. A client that opens and cancels at leisure stays far below; one
-// that resets as fast as it opens is let do so for one full set of streams. Each request that came whole may be reset once as
-// its end is under way: many whose time is up at once are.
-var (
-	burst     = [eventCount]float64{StreamReset: 200, Ping: 20, RepeatedSettings: 10, EmptyFrame: 200, WindowUpdate: 2000, StreamError: 50, ClosedStreamReset: 200}
-	perSecond = [eventCount]float64{StreamReset: 100, Ping: 2, RepeatedSettings: 1, EmptyFrame: 50, WindowUpdate: 1000, StreamError: 10, ClosedStreamReset: 50}
-	perUse    = [eventCount]float64{StreamReset: 0.5, Ping: 1, RepeatedSettings: 0, EmptyFrame: 0.25, WindowUpdate: 4, StreamError: 0, ClosedStreamReset: 1}
-)
+// allowance configures the token bucket of an event.
+type allowance struct {
+	burst          float64 // events that may come at once
+	perSecond      float64 // tokens added each second
+	perUsefulFrame float64 // tokens added by each request and each frame with content
+	maxCredit      float64 // tokens that useful frames may add beyond burst
+}
+
+// allowances leave room for a client that opens and cancels streams at a moderate pace. A client that resets streams as
+// fast as it opens them may do so for one full set of concurrent streams. Each complete request may be reset once while
+// the end of its answer is on its way, and streams that are open together may end, and be reset, together: their credit
+// is saved up.
+var allowances = [eventCount]allowance{
+	StreamReset:       {burst: 200, perSecond: 100, perUsefulFrame: 0.5},
+	Ping:              {burst: 20, perSecond: 2, perUsefulFrame: 1},
+	RepeatedSettings:  {burst: 10, perSecond: 1},
+	EmptyFrame:        {burst: 200, perSecond: 50, perUsefulFrame: 0.25},
+	WindowUpdate:      {burst: 2000, perSecond: 1000, perUsefulFrame: 4},
+	StreamError:       {burst: 50, perSecond: 10},
+	ClosedStreamReset: {burst: 200, perSecond: 50, perUsefulFrame: 1, maxCredit: 10000},
+}
 
-// credit is how many of each use may bring ahead: streams that are open together may end, and be reset, together.
-var credit = [eventCount]float64{ClosedStreamReset: 10000}
+const nanosPerSecond = 1e9
 
-// Limiter watches one connection. Its zero value is ready.
+// Limiter limits the events of one connection. The zero value is ready for use.
 type Limiter struct {
-	used [eventCount]float64 // drawn from each allowance
-	at   int64               // allowances are filled up to then
+	used       [eventCount]float64 // tokens taken from each bucket; below 0 is credit
+	refilledAt int64               // time in nanoseconds up to which the buckets are refilled
 }
 
-// AddCredit takes down useful work: a frame with content, either way. Clients measure their link with a ping for what they
-// are sent, so each piece of an answer pays for one.
+// AddCredit adds tokens for a useful frame, that is a request or a frame with content in either direction. Clients that
+// measure their link send a PING for the data they receive, so each piece of an answer pays for one.
 func (l *Limiter) AddCredit() {
-	for a := range l.used {
-		l.used[a] = max(-credit[a], l.used[a]-perUse[a])
+	for e := range l.used {
+		l.used[e] = max(-allowances[e].maxCredit, l.used[e]-allowances[e].perUsefulFrame)
 	}
 }
 
-// Allow takes down an act at a time in nanoseconds and tells whether the peer may stay. Time that runs
-// backwards fills nothing.
-func (l *Limiter) Allow(now int64, a Event) bool {
-	if now > l.at {
-		s := float64(now-l.at) / 1e9
-		for b := range l.used {
-			l.used[b] = min(l.used[b], max(0, l.used[b]-s*perSecond[b]))
-		}
-		l.at = now
+// Allow records an event at time now, in nanoseconds, and reports whether the peer is still within its allowance. A
+// time before that of an earlier call refills nothing.
+func (l *Limiter) Allow(now int64, event Event) bool {
+	l.refill(now)
+	l.used[event]++
+	return l.used[event] <= allowances[event].burst
+}
+
+// refill adds the tokens for the time that has passed. Time alone saves up no credit.
+func (l *Limiter) refill(now int64) {
+	if now <= l.refilledAt {
+		return
+	}
+	seconds := float64(now-l.refilledAt) / nanosPerSecond
+	for e := range l.used {
+		l.used[e] = min(l.used[e], max(0, l.used[e]-seconds*allowances[e].perSecond))
 	}
-	l.used[a]++
-	return l.used[a] <= burst[a]
+	l.refilledAt = now
 }
--- a/internal/decide/abuse/abuse_test.go
+++ b/internal/decide/abuse/abuse_test.go
@@ -2,69 +2,73 @@
 
 import "testing"
 
+// TestAllowances checks that each event has its burst, that events do not share it, and that it refills.
 func TestAllowances(t *testing.T) {
-	for a := range eventCount {
-		var g Limiter
+	for event := range eventCount {
+		var l Limiter
 		n := 0
-		for ; g.Allow(1, a) && n < 1e6; n++ {
+		for l.Allow(1, event) && n < 1e6 {
+			n++
 		}
-		if float64(n) != burst[a] {
-			t.Errorf("%v: %d at once, want %v", a, n, burst[a])
+		if float64(n) != allowances[event].burst {
+			t.Errorf("%v: %d at once, want %v", event, n, allowances[event].burst)
 		}
-		for b := range eventCount { // one kind's flood says nothing of another
-			if b != a && !g.Allow(1, b) {
-				t.Errorf("%v refused because of %v", b, a)
+		for other := range eventCount {
+			if other != event && !l.Allow(1, other) {
+				t.Errorf("%v refused because of %v", other, event)
 			}
 		}
-		if !g.Allow(int64(1e9*(3+1/perSecond[a])), a) {
-			t.Errorf("%v: still refused when its allowance has filled", a)
+		if !l.Allow(int64(1e9*(3+1/allowances[event].perSecond)), event) {
+			t.Errorf("%v: still refused after the allowance has refilled", event)
 		}
 	}
 }
 
-// TestSteady: a peer at three quarters of the pace stays for ever, one at one and a half is sent away.
-func TestSteady(t *testing.T) {
-	for a := range eventCount {
+// TestSteadyRate checks that a peer at three quarters of an event's rate is always allowed, and one at one and a half
+// times the rate is not.
+func TestSteadyRate(t *testing.T) {
+	for event := range eventCount {
 		for _, pace := range []float64{0.75, 1.5} {
-			var g Limiter
-			stays := true
-			for i := 1; i < 20000 && stays; i++ {
-				stays = g.Allow(int64(float64(i)*1e9/(pace*perSecond[a])), a)
+			var l Limiter
+			allowed := true
+			for i := 1; i < 20000 && allowed; i++ {
+				allowed = l.Allow(int64(float64(i)*1e9/(pace*allowances[event].perSecond)), event)
 			}
-			if stays != (pace < 1) {
-				t.Errorf("%v at %v of the pace stays: %v", a, pace, stays)
+			if allowed != (pace < 1) {
+				t.Errorf("%v at %v of the rate: allowed %v", event, pace, allowed)
 			}
 		}
 	}
 }
 
+// TestClockBackwards checks that a clock that runs backwards refills nothing.
 func TestClockBackwards(t *testing.T) {
-	var g Limiter
-	g.Allow(1e12, Ping)
+	var l Limiter
+	l.Allow(1e12, Ping)
 	for i := range 100 {
-		if !g.Allow(int64(1e12)-int64(i)*1e9, Ping) {
+		if !l.Allow(int64(1e12)-int64(i)*1e9, Ping) {
 			return
 		}
 	}
-	t.Error("a clock that runs backwards fills the allowance")
+	t.Error("a clock that runs backwards refills the allowance")
 }
 
-// TestCrossed: a thousand requests whose time is up in one instant may all be reset as their ends are under way; resets of
-// streams that are over, beyond that, may not.
-func TestCrossed(t *testing.T) {
-	var g Limiter
+// TestClosedStreamResets checks that a thousand requests that time out at once may all be reset while their ends are on
+// the way, and that resets of closed streams beyond that are limited.
+func TestClosedStreamResets(t *testing.T) {
+	var l Limiter
 	for range 1000 {
-		g.AddCredit()
+		l.AddCredit()
 	}
 	for range 1000 {
-		if !g.Allow(1, ClosedStreamReset) {
-			t.Fatal("a peer whose jobs ended together is sent away")
+		if !l.Allow(1, ClosedStreamReset) {
+			t.Fatal("a peer whose requests ended together is refused")
 		}
 	}
 	n := 0
-	for g.Allow(1, ClosedStreamReset) {
+	for l.Allow(1, ClosedStreamReset) {
 		if n++; n > 250 {
-			t.Fatal("resets of streams that are over are not bounded")
+			t.Fatal("resets of closed streams are not limited")
 		}
 	}
 }
