--- a/internal/decide/connlimit/connlimit.go
+++ b/internal/decide/connlimit/connlimit.go
@@ -1,154 +1,200 @@
-// Package connlimit decides which connections a front takes, by the address they come from, so that a flood of them ends
-// where it is cheapest: at the accept. While there is room everybody is let in; as room gets short, an address may have
-// only so many as leaves some for others, and those that connect fastest wait. It does no I/O and reads no clock, and
-// remembers a bounded number of addresses.
+// Package connlimit decides which connections a frontend accepts, by source address, so that a flood of connections is
+// stopped where that is cheapest. Every connection is accepted while fewer than half of the limit are open. Above that,
+// one source may hold only a part of what is free, and its rate of new connections is limited by a token bucket.
+//
+// The package does no I/O, reads no clock and tracks a bounded number of sources.
 package connlimit
 
 import "fmt"
 
-// Source is an address, as bytes; an IPv6 source is its network of 64 bits, as one server has a whole one.
+// Source identifies where connections come from: an IPv4 address, or an IPv6 /64 network, since one host has a whole
+// one.
 type Source [16]byte
 
-// SourceOf gives the source of an address in its form of 16 bytes.
+// SourceOf returns the source of an address in its 16-byte form.
 func SourceOf(addr [16]byte) Source {
-	v4 := addr[10] == 0xff && addr[11] == 0xff
-	for _, b := range addr[:10] {
-		v4 = v4 && b == 0
-	}
-	if !v4 {
+	if !isIPv4Mapped(addr) {
 		clear(addr[8:])
 	}
 	return Source(addr)
 }
 
-// Verdict says why a connection is not taken.
+func isIPv4Mapped(addr [16]byte) bool {
+	for _, b := range addr[:10] {
+		if b != 0 {
+			return false
+		}
+	}
+	return addr[10] == 0xff && addr[11] == 0xff
+}
+
+// Verdict is the decision on a new connection: Accepted, or the reason why it is closed.
 type Verdict uint8
 
+// The verdicts.
 const (
 	Accepted           Verdict = iota
-	LimitReached               // there are as many as there may be
-	SourceLimitReached         // this source has its part of what there may be
-	SourceRateExceeded         // this source connects faster than it may while room is short
+	LimitReached               // the maximum number of connections is open
+	SourceLimitReached         // the source holds its part of the connections
+	SourceRateExceeded         // the source opens connections faster than it may
 )
 
-func (c Verdict) String() string {
-	return [...]string{"taken", "too many connections", "too many connections from one address", "connects too fast"}[c]
+func (v Verdict) String() string {
+	return [...]string{"taken", "too many connections", "too many connections from one address", "connects too fast"}[v]
 }
 
 const (
-	// shortAt of the connections that there may be, room counts as short: until then nobody is asked.
-	shortAt = 1.0 / 2
-	// sourcePart of what is free may be taken by one source while room is short: each next one finds some left,
-	// however many take theirs.
-	sourcePart = 1.0 / 8
-	// leastEach a source may have however short room is, as long as there is any: one client needs a few.
-	leastEach = 4
-	// burst connections a source may make at once while room is short, and perSecond more each second.
+	// scarceFrom is the part of the limit from which on connections are scarce: below it, sources are not limited.
+	scarceFrom = 1.0 / 2
+	// maxSourcePart is the part of the free connections that one source may hold while connections are scarce. Each
+	// further source finds some left, however many hold theirs.
+	maxSourcePart = 1.0 / 8
+	// minPerSource is how many connections a source may hold however scarce they are, as long as one is free: a single
+	// client needs a few.
+	minPerSource = 4
+	// burst and perSecond configure a source's token bucket for new connections while connections are scarce.
 	burst     = 32
 	perSecond = 8
+
+	nanosPerSecond = 1e9
 )
 
-type entry struct {
-	open int
-	used float64 // of its burst
-	at   int64
+// sourceState is what is tracked of a source.
+type sourceState struct {
+	open       int     // connections
+	tokensUsed float64 // of burst
+	refilledAt int64   // time in nanoseconds
 }
 
-// Limiter is the connections of one front. Make it with New.
+// Limiter limits the connections of one frontend. Create it with New.
 type Limiter struct {
-	limit   int
-	open    int
-	sources map[Source]*entry
-	free    []*entry
-	sweepAt int64
-	Counts  Counts
+	maxConnections int
+	open           int
+	sources        map[Source]*sourceState
+	free           []*sourceState // for reuse
+	nextSweepAt    int64          // time in nanoseconds
+	Counts         Counts
 }
 
-// Counts are what was counted since the start.
+// Counts are counters since the limiter was created.
 type Counts struct {
 	Accepted           uint64
 	LimitReached       uint64 `json:"Full"`
 	SourceLimitReached uint64 `json:"TooMany"`
 	SourceRateExceeded uint64 `json:"TooFast"`
-	TrackedSources     int    `json:"Sources"` // sources remembered now
+	TrackedSources     int    `json:"Sources"` // sources tracked now
 }
 
-// New makes a crowd of so many connections at most.
-func New(most int) (*Limiter, error) {
-	if most < 1 {
-		return nil, fmt.Errorf("%d connections: want 1 or more", most)
+// New returns a limiter for at most maxConnections connections. It returns an error if that is less than 1.
+func New(maxConnections int) (*Limiter, error) {
+	if maxConnections < 1 {
+		return nil, fmt.Errorf("%d connections: want 1 or more", maxConnections)
 	}
-	return &Limiter{limit: most, sources: make(map[Source]*entry)}, nil
+	return &Limiter{maxConnections: maxConnections, sources: make(map[Source]*sourceState)}, nil
 }
 
-// OpenConnections counts the connections that are open.
-func (l *Limiter) OpenConnections() int { return l.open }
-
-// Accept decides on a connection at a time in nanoseconds; Gone must follow for each that is taken.
-func (l *Limiter) Accept(now int64, from Source) Verdict {
-	if l.open >= l.limit {
+// Accept decides on a new connection from source at time now, in nanoseconds. The caller must call Closed when a
+// connection that was accepted has ended.
+func (l *Limiter) Accept(now int64, source Source) Verdict {
+	state := l.sources[source]
+	verdict := l.check(now, state)
+	switch verdict {
+	case LimitReached:
 		l.Counts.LimitReached++
+	case SourceLimitReached:
+		l.Counts.SourceLimitReached++
+	case SourceRateExceeded:
+		l.Counts.SourceRateExceeded++
+	case Accepted:
+		if state == nil {
+			state = l.track(now, source)
+		}
+		state.open++
+		state.tokensUsed = min(state.tokensUsed+1, burst)
+		l.open++
+		l.Counts.Accepted++
+	}
+	return verdict
+}
+
+// check returns the verdict on a connection of a source; state is nil for one that is not tracked.
+func (l *Limiter) check(now int64, state *sourceState) Verdict {
+	if l.open >= l.maxConnections {
 		return LimitReached
 	}
-	e := l.sources[from]
-	short := float64(l.open) >= shortAt*float64(l.limit)
-	if e != nil {
-		if now > e.at {
-			e.used = max(0, e.used-float64(now-e.at)/1e9*perSecond)
-			e.at = now
-		}
-		if short {
-			if part := max(leastEach, int(sourcePart*float64(l.limit-l.open))); e.open >= part {
-				l.Counts.SourceLimitReached++
-				return SourceLimitReached
-			}
-			if e.used >= burst {
-				l.Counts.SourceRateExceeded++
-				return SourceRateExceeded
-			}
-		}
+	if state == nil {
+		return Accepted
 	}
-	if e == nil {
-		e = l.remember(now, from)
+	state.refill(now)
+	if float64(l.open) < scarceFrom*float64(l.maxConnections) {
+		return Accepted
+	}
+	maxOpen := max(minPerSource, int(maxSourcePart*float64(l.maxConnections-l.open)))
+	if state.open >= maxOpen {
+		return SourceLimitReached
+	}
+	if state.tokensUsed >= burst {
+		return SourceRateExceeded
 	}
-	e.open++
-	e.used = min(e.used+1, burst)
-	l.open++
-	l.Counts.Accepted++
 	return Accepted
 }
 
-// Closed tells that a connection which was taken is over.
-func (l *Limiter) Closed(now int64, from Source) {
-	e := l.sources[from]
-	if e == nil || e.open == 0 {
+func (s *sourceState) refill(now int64) {
+	if now > s.refilledAt {
+		s.tokensUsed = max(0, s.tokensUsed-s.tokensSinceRefill(now))
+		s.refilledAt = now
+	}
+}
+
+// tokensSinceRefill returns the tokens that the time since the last refill brings.
+func (s *sourceState) tokensSinceRefill(now int64) float64 {
+	return float64(now-s.refilledAt) / nanosPerSecond * perSecond
+}
+
+// Closed records the end of a connection that was accepted.
+func (l *Limiter) Closed(source Source) {
+	state := l.sources[source]
+	if state == nil || state.open == 0 {
 		return
 	}
-	e.open--
+	state.open--
 	l.open--
 }
 
-// remember makes an entry. Sources without connections whose burst has filled again are forgotten once in a burst's
-// time, so there are at most as many as connections open and as may have come in that time.
-func (l *Limiter) remember(now int64, from Source) *entry {
-	if now >= l.sweepAt || len(l.sources) >= 2*l.limit {
-		l.sweepAt = now + burst/perSecond*1e9
-		for s, e := range l.sources {
-			if e.open == 0 && (len(l.sources) >= 2*l.limit || float64(now-e.at)/1e9*perSecond >= e.used) {
-				delete(l.sources, s)
-				l.free = append(l.free, e)
-			}
+// track adds the state of a source.
+func (l *Limiter) track(now int64, source Source) *sourceState {
+	if now >= l.nextSweepAt || l.tooManySources() {
+		l.nextSweepAt = now + burst/perSecond*nanosPerSecond
+		l.sweep(now)
+	}
+	state := l.newState()
+	state.refilledAt = now
+	l.sources[source] = state
+	l.Counts.TrackedSources = len(l.sources)
+	return state
+}
+
+// sweep drops sources without connections whose bucket is full again, or all without connections if there are too many.
+// It runs at most once in the time in which a bucket fills, so the number of sources is bounded by that of the open
+// connections and of those that may be opened in that time.
+func (l *Limiter) sweep(now int64) {
+	for source, state := range l.sources {
+		if state.open == 0 && (l.tooManySources() || state.tokensSinceRefill(now) >= state.tokensUsed) {
+			delete(l.sources, source)
+			l.free = append(l.free, state)
 		}
 	}
-	var e *entry
-	if n := len(l.free); n > 0 {
-		e, l.free = l.free[n-1], l.free[:n-1]
-		*e = entry{}
-	} else {
-		e = new(entry)
+}
+
+func (l *Limiter) tooManySources() bool { return len(l.sources) >= 2*l.maxConnections }
+
+func (l *Limiter) newState() *sourceState {
+	n := len(l.free)
+	if n == 0 {
+		return new(sourceState)
 	}
-	e.at = now
-	l.sources[from] = e
-	l.Counts.TrackedSources = len(l.sources)
-	return e
+	state := l.free[n-1]
+	l.free = l.free[:n-1]
+	*state = sourceState{}
+	return state
 }
--- a/internal/decide/connlimit/connlimit_test.go
+++ b/internal/decide/connlimit/connlimit_test.go
@@ -7,60 +7,69 @@
 	"pgregory.net/rapid"
 )
 
+func newLimiter(t *testing.T, maxConnections int) *Limiter {
+	t.Helper()
+	l, err := New(maxConnections)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return l
+}
+
+// source returns the nth IPv4 source.
 func source(n int) Source {
 	return SourceOf(netip.AddrFrom4([4]byte{10, byte(n >> 16), byte(n >> 8), byte(n)}).As16())
 }
 
-// TestFloodFromOne: one address takes what it can; others still come in.
-func TestFloodFromOne(t *testing.T) {
-	c, err := New(1000)
-	if err != nil {
-		t.Fatal(err)
-	}
-	got := 0
+// TestFloodFromOneSource checks that a source that takes all it can leaves connections for others.
+func TestFloodFromOneSource(t *testing.T) {
+	l := newLimiter(t, 1000)
+	accepted := 0
 	for i := range 100000 {
-		if c.Accept(int64(i)*1e5, source(1)) == Accepted {
-			got++
+		if l.Accept(int64(i)*1e5, source(1)) == Accepted {
+			accepted++
 		}
 	}
-	if got > 700 || got < 500 {
-		t.Errorf("one address has %d of 1,000 connections, want half and some of what was left", got)
+	if accepted > 700 || accepted < 500 {
+		t.Errorf("one source has %d of 1,000 connections, want half and a part of the rest: 500 to 700", accepted)
 	}
 	for i := range 50 {
-		for range leastEach {
-			if why := c.Accept(1e10, source(2+i)); why != Accepted {
-				t.Fatalf("address %d is refused: %v", i, why)
+		for range minPerSource {
+			if verdict := l.Accept(1e10, source(2+i)); verdict != Accepted {
+				t.Fatalf("source %d is refused: %v", i, verdict)
 			}
 		}
 	}
 }
 
-// TestFloodFromMany: addresses that each take their part leave something for the next, to the last connections.
-func TestFloodFromMany(t *testing.T) {
-	c, _ := New(1000)
+// TestFloodFromManySources checks that sources that each take their part use nearly all connections and no more.
+func TestFloodFromManySources(t *testing.T) {
+	l := newLimiter(t, 1000)
 	for i := range 60 {
 		for range 1000 {
-			c.Accept(1, source(i))
+			l.Accept(1, source(i))
 		}
 	}
-	if c.OpenConnections() > 1000 {
-		t.Fatalf("%d open", c.OpenConnections())
+	if l.open > 1000 {
+		t.Fatalf("%d connections open, want at most 1,000", l.open)
 	}
-	if c.OpenConnections() < 900 {
-		t.Errorf("%d of 1,000 used by 60 addresses that want more", c.OpenConnections())
+	if l.open < 900 {
+		t.Errorf("%d of 1,000 connections used by 60 sources that want more, want 900 or more", l.open)
 	}
 }
 
-func TestRoomIsFree(t *testing.T) {
-	c, _ := New(1000)
+// TestNoLimitBelowHalf checks that a source is not limited while half of the connections are free.
+func TestNoLimitBelowHalf(t *testing.T) {
+	l := newLimiter(t, 1000)
 	for i := range 500 {
-		if why := c.Accept(1, source(1)); why != Accepted {
-			t.Fatalf("connection %d of 500 refused while there is room: %v", i, why)
+		if verdict := l.Accept(1, source(1)); verdict != Accepted {
+			t.Fatalf("connection %d of 500 refused: %v", i, verdict)
 		}
 	}
 }
 
-func TestCut(t *testing.T) {
+// TestSourceOf checks that an IPv6 network is one source and that each IPv4 address is one.
+func TestSourceOf(t *testing.T) {
 	a, b := netip.MustParseAddr("2001:db8::1").As16(), netip.MustParseAddr("2001:db8::ffff:1").As16()
 	if SourceOf(a) != SourceOf(b) {
 		t.Error("two addresses of one IPv6 network are two sources")
@@ -70,34 +79,34 @@
 	}
 }
 
-// TestAccount: whatever comes and goes, the counts are right and what is remembered is bounded.
-func TestAccount(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		most := rapid.IntRange(1, 40).Draw(t, "most")
-		c, _ := New(most)
+// TestCountsStayInBounds checks that the counts are right and the tracked sources bounded under random operations.
+func TestCountsStayInBounds(t *testing.T) {
+	rapid.Check(t, func(rt *rapid.T) {
+		maxConnections := rapid.IntRange(1, 40).Draw(rt, "max connections")
+		l := newLimiter(t, maxConnections)
 		var open []Source
 		now := int64(0)
-		for range rapid.IntRange(1, 400).Draw(t, "steps") {
-			now += rapid.Int64Range(0, 2e9).Draw(t, "time")
-			if len(open) == 0 || rapid.IntRange(0, 2).Draw(t, "what") > 0 {
-				s := source(rapid.IntRange(0, 200).Draw(t, "source"))
-				why := c.Accept(now, s)
-				if why == Accepted {
+		for range rapid.IntRange(1, 400).Draw(rt, "steps") {
+			now += rapid.Int64Range(0, 2e9).Draw(rt, "time")
+			if len(open) == 0 || rapid.IntRange(0, 2).Draw(rt, "operation") > 0 {
+				s := source(rapid.IntRange(0, 200).Draw(rt, "source"))
+				verdict := l.Accept(now, s)
+				if verdict == Accepted {
 					open = append(open, s)
 				}
-				if (why == LimitReached) != (len(open) >= most && why != Accepted) {
-					t.Fatalf("%v with %d of %d open", why, len(open), most)
+				if (verdict == LimitReached) != (len(open) >= maxConnections && verdict != Accepted) {
+					rt.Fatalf("verdict %q with %d of %d open", verdict, len(open), maxConnections)
 				}
 			} else {
-				k := rapid.IntRange(0, len(open)-1).Draw(t, "which")
-				c.Closed(now, open[k])
-				open = append(open[:k], open[k+1:]...)
+				i := rapid.IntRange(0, len(open)-1).Draw(rt, "which")
+				l.Closed(open[i])
+				open = append(open[:i], open[i+1:]...)
 			}
-			if c.OpenConnections() != len(open) {
-				t.Fatalf("%d open by count, want %d", c.OpenConnections(), len(open))
+			if l.open != len(open) {
+				rt.Fatalf("limiter counts %d open, want %d", l.open, len(open))
 			}
-			if len(c.sources) > 2*most+1 {
-				t.Fatalf("%d addresses remembered for %d connections", len(c.sources), most)
+			if len(l.sources) > 2*maxConnections+1 {
+				rt.Fatalf("%d sources tracked, want at most %d", len(l.sources), 2*maxConnections+1)
 			}
 		}
 	})
--- a/internal/decide/connlimit/golden_test.go
+++ b/internal/decide/connlimit/golden_test.go
@@ -13,10 +13,7 @@
 	const want = "bcc2669b49cc6ebd3afc525d36bf1ec0dff29a4050d04498be8f92bf324f66b1"
 	rng := rand.New(rand.NewPCG(1, 7))
 	digest := sha256.New()
-	l, err := New(100)
-	if err != nil {
-		t.Fatal(err)
-	}
+	l := newLimiter(t, 100)
 	var open []Source
 	now := int64(1e9)
 	for step := range 40000 {
@@ -30,7 +27,7 @@
 		}
 		verdict := l.Accept(now, from)
 		if verdict == Accepted && reconnects {
-			l.Closed(now, from)
+			l.Closed(from)
 		} else if verdict == Accepted {
 			open = append(open, from)
 		}
@@ -43,11 +40,11 @@
 		for range closing {
 			if len(open) > 0 {
 				i := rng.IntN(len(open))
-				l.Closed(now, open[i])
+				l.Closed(open[i])
 				open = append(open[:i], open[i+1:]...)
 			}
 		}
-		fmt.Fprintln(digest, uint8(verdict), verdict, l.OpenConnections())
+		fmt.Fprintln(digest, uint8(verdict), verdict, l.open)
 	}
 	fmt.Fprintf(digest, "%v\n", l.Counts)
 	t.Logf("%+v", l.Counts)
--- a/internal/frontend/grpc/grpc.go
+++ b/internal/frontend/grpc/grpc.go
@@ -193,7 +193,7 @@
 	c.s.l.CancelTimer(&c.greet)
 	c.h.TransportClosed()
 	delete(c.s.conns, c)
-	c.s.crowd.Closed(now, c.from)
+	c.s.crowd.Closed(c.from)
 }
 
 func (c *conn) flush() {
