--- a/internal/decide/admission/golden_test.go
+++ b/internal/decide/admission/golden_test.go
@@ -8,25 +8,51 @@
 	"testing"
 )
 
-// goldenDigests are the SHA-256 digests of the decisions that playRandomOperations records, by seed. A change of a
-// digest means that the queue decides differently than before.
-var goldenDigests = map[uint64]string{
-	1: "ac4e1db5c314b9e74ec55b108fec1bb9a56ec5ec5a47d37362617516664a49c4",
-	2: "31a398bf9272de81c0297fd65b008d7bf2d77af74e7feba5c60f898a574cda7b",
-	3: "4d2ac20915b0e5001243ee7a64fc4f4bbad77ad81bb1e6164d22e7f7824e9b10",
+// goldenRuns are runs of random operations with the SHA-256 digests of the decisions taken in them. A change of a digest
+// means that the queue decides differently than before.
+var goldenRuns = []struct {
+	name             string
+	seed             uint64
+	fifo             bool
+	clients, sources int
+	maxFlows         int // 0 = as many as usual
+	digest           string
+}{
+	{name: "seed 1", seed: 1, clients: 12, sources: 5, digest: "ac4e1db5c314b9e74ec55b108fec1bb9a56ec5ec5a47d37362617516664a49c4"},
+	{name: "seed 2", seed: 2, clients: 12, sources: 5, digest: "31a398bf9272de81c0297fd65b008d7bf2d77af74e7feba5c60f898a574cda7b"},
+	{name: "seed 3", seed: 3, clients: 12, sources: 5, digest: "4d2ac20915b0e5001243ee7a64fc4f4bbad77ad81bb1e6164d22e7f7824e9b10"},
+	{name: "FIFO", seed: 1, fifo: true, clients: 12, sources: 5, digest: "f54eadd17b31c8b8c414ccd949bf62bd2fd898915c46938ec20306c4ead25e79"},
+	{name: "many flows", seed: 1, clients: 60, sources: 200, maxFlows: 20, digest: "76844f915c609f5e334539816bf18a1fea96427cbd10fb37099be1cf7f6fabe8"},
 }
 
 // TestGoldenDecisions checks that the queue still takes the recorded decisions.
 func TestGoldenDecisions(t *testing.T) {
-	for seed, want := range goldenDigests {
-		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			if got := playRandomOperations(t, seed); got != want {
-				t.Errorf("digest of the decisions is %s, want %s", got, want)
+	for _, run := range goldenRuns {
+		t.Run(run.name, func(t *testing.T) {
+			q := newGoldenQueue(t, run.fifo)
+			if run.maxFlows > 0 {
+				q.interactive.maxFlows, q.background.maxFlows = run.maxFlows, run.maxFlows
+			}
+			if got := playRandomOperations(t, q, run.seed, run.clients, run.sources); got != run.digest {
+				t.Errorf("digest of the decisions is %s, want %s", got, run.digest)
 			}
 		})
 	}
 }
 
+func newGoldenQueue(t *testing.T, fifo bool) *Queue {
+	t.Helper()
+	q, err := New(Config{
+		MaxWaiting: 60, MaxKnownClients: 1024, LatencyObjective: sec, Signer: NewTicketSigner([]byte("a key")), FIFO: fifo,
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	setTenants(t, q, TenantLimits{Weight: 1}, TenantLimits{Weight: 3, MaxRunning: 4, MaxPromptTokens: 2500},
+		TenantLimits{Weight: 2, MaxWaiting: 8, RequestsPerSecond: 40})
+	return q
+}
+
 // TestVerdictTexts checks the texts that clients are sent.
 func TestVerdictTexts(t *testing.T) {
 	want := []string{
@@ -46,11 +72,9 @@
 
 // playRandomOperations drives a queue through every operation in an order drawn from seed, and returns a digest of all
 // decisions and of the counts at the end.
-func playRandomOperations(t *testing.T, seed uint64) string {
+func playRandomOperations(t *testing.T, q *Queue, seed uint64, clients, sources int) string {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 7))
-	q := newDoor(t, 60, TenantLimits{Weight: 1}, TenantLimits{Weight: 3, MaxRunning: 4, MaxPromptTokens: 2500},
-		TenantLimits{Weight: 2, MaxWaiting: 8, RequestsPerSecond: 40})
 	digest := sha256.New()
 	record := func(what string, values ...any) { fmt.Fprintln(digest, what, values) }
 	type retry struct {
@@ -66,7 +90,7 @@
 		if a.Ticket == nil {
 			return
 		}
-		record("ticket", *a.Ticket, fmt.Sprintf("%x", q.book.signer.Encode(a.Ticket)))
+		record("ticket", *a.Ticket, fmt.Sprintf("%x", q.interactive.reservations.signer.Encode(a.Ticket)))
 		request := requests[id]
 		request.Ticket = a.Ticket
 		if rng.IntN(4) > 0 {
@@ -91,7 +115,7 @@
 		}
 		for range arrivals {
 			enqueue(Request{
-				Tenant: rng.IntN(4), Client: uint64(rng.IntN(12)), Source: uint64(rng.IntN(5)),
+				Tenant: rng.IntN(4), Client: uint64(rng.IntN(clients)), Source: uint64(rng.IntN(sources)),
 				PromptTokens: int64(1 + rng.IntN(3000)), MaxAnswerTokens: int64(rng.IntN(500)),
 				LatencyObjective: sec * Nanos(1+rng.IntN(4)), Background: rng.IntN(6) == 0,
 			})
@@ -127,7 +151,7 @@
 			case 3:
 				q.RecordNotSent()
 				advised("unsent", request.ID, q.ReserveRetry(now, request, rng.Int64N(sec)))
-				q.RecordFinished(now, request, false, 0)
+				q.RecordFinished(now, request, Result{Served: false, AnswerTokens: 0})
 				unsent = unsent[1:]
 			}
 		}
@@ -136,9 +160,9 @@
 			running = running[1:]
 			if rng.IntN(8) > 0 {
 				q.RecordFirstToken(now, request, rng.Int64N(sec/2))
-				q.RecordFinished(now, request, true, int64(rng.IntN(500)))
+				q.RecordFinished(now, request, Result{Served: true, AnswerTokens: int64(rng.IntN(500))})
 			} else {
-				q.RecordFinished(now, request, false, 0)
+				q.RecordFinished(now, request, Result{Served: false, AnswerTokens: 0})
 			}
 		}
 		if rng.IntN(20) == 0 {
@@ -158,11 +182,11 @@
 			}
 		}
 		at, ok := q.NextWakeup(now)
-		record("state", q.Waiting(), q.BackgroundWaiting(), q.FlowCount(), at, ok, q.BackgroundLimiter.InFlight(),
-			q.BackgroundLimiter.Limit())
+		record("state", q.Waiting(), q.BackgroundWaiting(), q.FlowCount(), at, ok, q.BackgroundInFlight(),
+			q.BackgroundLimit())
 	}
 	for n := range 3 {
-		record("counts", fmt.Sprintf("%v", q.TenantCounts(n)), fmt.Sprintf("%v", q.backgroundQueue.TenantCounts(n)))
+		record("counts", fmt.Sprintf("%v", q.TenantCounts(n)), fmt.Sprintf("%v", q.background.tenants[n].counts))
 		t.Logf("tenant %d: %+v", n, q.TenantCounts(n))
 	}
 	return hex.EncodeToString(digest.Sum(nil))
--- a/internal/decide/admission/queue_test.go
+++ b/internal/decide/admission/queue_test.go
@@ -17,23 +17,30 @@
 
 func newDoor(t testing.TB, most int, tenants ...TenantLimits) *Queue {
 	t.Helper()
-	q, err := New(most, 1024, sec, NewTicketSigner([]byte("a key")))
+	q, err := New(Config{
+		MaxWaiting: most, MaxKnownClients: 1024, LatencyObjective: sec, Signer: NewTicketSigner([]byte("a key")),
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i, x := range tenants {
-		if err := q.SetTenant(i, x); err != nil {
+	setTenants(t, q, tenants...)
+	return q
+}
+
+func setTenants(t testing.TB, q *Queue, tenants ...TenantLimits) {
+	t.Helper()
+	for i, limits := range tenants {
+		if err := q.SetTenant(i, limits); err != nil {
 			t.Fatal(err)
 		}
 	}
-	return q
 }
 
 // meet makes a client known.
 func meet(q *Queue, now Nanos, tenant int, clients ...uint64) {
 	for _, c := range clients {
 		for range knownAfter {
-			q.known.served(now, tenant, c, 1000*sec)
+			q.interactive.clients.recordServed(now, tenant, c, 1000*sec)
 		}
 	}
 }
@@ -144,7 +151,7 @@
 				}
 			case 3:
 				if len(running) > 0 {
-					q.RecordFinished(now, running[0], rapid.Bool().Draw(rt, "served"), int64(rapid.IntRange(0, 100).Draw(rt, "answer")))
+					q.RecordFinished(now, running[0], Result{Served: rapid.Bool().Draw(rt, "served"), AnswerTokens: int64(rapid.IntRange(0, 100).Draw(rt, "answer"))})
 					running = running[1:]
 				}
 			case 4:
@@ -171,8 +178,8 @@
 					rt.Fatal(err)
 				}
 			}
-			if q.Waiting() != len(waiting) || q.overdue.Len() != len(waiting) {
-				rt.Fatalf("%d wait, %d by their time, want %d", q.Waiting(), q.overdue.Len(), len(waiting))
+			if q.Waiting() != len(waiting) || q.interactive.byExpiry.Len() != len(waiting) {
+				rt.Fatalf("%d wait, %d by their time, want %d", q.Waiting(), q.interactive.byExpiry.Len(), len(waiting))
 			}
 			sum := 0
 			for i := range 3 {
@@ -189,8 +196,8 @@
 		for id := range waiting {
 			q.Cancel(now, id)
 		}
-		if q.Waiting() != 0 || q.total != 0 {
-			rt.Fatalf("%d wait with cost %v when all are gone", q.Waiting(), q.total)
+		if q.Waiting() != 0 || q.interactive.waitingCost != 0 {
+			rt.Fatalf("%d wait with cost %v when all are gone", q.Waiting(), q.interactive.waitingCost)
 		}
 	})
 }
@@ -218,7 +225,7 @@
 			if id, ok := q.NextAdmissible(0, 0); ok && rng.IntN(3) > 0 {
 				q.Admit(now, id)
 				out += fmt.Sprint("l", id, " ")
-				q.RecordFinished(now, Request{Tenant: rng.IntN(2), Client: uint64(rng.IntN(40)), PromptTokens: 5}, true, 3)
+				q.RecordFinished(now, Request{Tenant: rng.IntN(2), Client: uint64(rng.IntN(40)), PromptTokens: 5}, Result{Served: true, AnswerTokens: 3})
 			}
 		}
 		return out
@@ -237,11 +244,11 @@
 			if !ok {
 				break
 			}
-			request := q.requests[id].Request
+			request := q.interactive.requests[id].Request
 			*credit -= EstimatedCost(request.PromptTokens, request.MaxAnswerTokens)
 			q.RecordSent(now, request)
 			q.Admit(now, id)
-			q.RecordFinished(now, request, true, 0)
+			q.RecordFinished(now, request, Result{Served: true, AnswerTokens: 0})
 			done(id, now-came[id])
 		}
 	}
@@ -338,7 +345,7 @@
 	}
 	for i := range 150 {
 		id, _ := q.NextAdmissible(0, 0)
-		if q.requests[id].Client == 2 {
+		if q.interactive.requests[id].Client == 2 {
 			small++
 		}
 		q.Admit(1, id)
@@ -392,7 +399,7 @@
 			refused = append(refused, a.Ticket)
 		}
 		if id, ok := q.NextAdmissible(0, 0); ok && i%4 == 0 {
-			q.RecordSent(now, q.requests[id].Request)
+			q.RecordSent(now, q.interactive.requests[id].Request)
 			q.Admit(now, id)
 		}
 		now += 10 * ms
@@ -400,7 +407,7 @@
 	if len(refused) < 50 {
 		t.Fatalf("%d booked", len(refused))
 	}
-	s := q.book.signer
+	s := q.interactive.reservations.signer
 	for i := range refused {
 		b := s.Encode(refused[i])
 		if got, err := s.Decode(b); err != nil || *got != *refused[i] {
@@ -418,7 +425,7 @@
 		t.Error("a ticket of another key was taken")
 	}
 	tk := refused[len(refused)-1]
-	at := tk.Slot * q.book.len
+	at := tk.Slot * q.interactive.reservations.slotLength
 	for _, c := range []struct {
 		name   string
 		now    Nanos
@@ -426,18 +433,18 @@
 		client uint64
 		want   bool
 	}{
-		{"far too early", at - 3*q.book.len, 0, 5, false},
+		{"far too early", at - 3*q.interactive.reservations.slotLength, 0, 5, false},
 		{"another tenant", at, 1, 5, false},
 		{"another client", at, 0, 6, false},
-		{"far too late", at + 6*q.book.len, 0, 5, false},
-		{"a little early", at - q.book.len/2, 0, 5, true},
+		{"far too late", at + 6*q.interactive.reservations.slotLength, 0, 5, false},
+		{"a little early", at - q.interactive.reservations.slotLength/2, 0, 5, true},
 		{"twice", at, 0, 5, false},
 	} {
-		if got := q.book.redeem(c.now, c.tenant, c.client, tk); got != c.want {
+		if got := q.interactive.reservations.redeem(c.now, c.tenant, c.client, tk); got != c.want {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
 		}
 	}
-	if q.book.redeem(at, 0, 5, &Ticket{Tenant: 0, Client: 5, Slot: tk.Slot, Serial: tk.Serial + 4000}) {
+	if q.interactive.reservations.redeem(at, 0, 5, &Ticket{Tenant: 0, Client: 5, Slot: tk.Slot, Serial: tk.Serial + 4000}) {
 		t.Error("a serial that was never given was taken")
 	}
 }
@@ -568,7 +575,7 @@
 	for range 2000 { // a pace is known, and the queue is full
 		q.Enqueue(now, ask(0, 7, 100))
 		if id, ok := q.NextAdmissible(0, 0); ok && q.Waiting() > 50 {
-			q.RecordSent(now, q.requests[id].Request)
+			q.RecordSent(now, q.interactive.requests[id].Request)
 			q.Admit(now, id)
 		}
 		now += ms
@@ -594,7 +601,7 @@
 	if a.Ticket == nil {
 		t.Fatalf("%+v: want a booking", a)
 	}
-	if a.RetryAfter > first+2*q.book.len {
+	if a.RetryAfter > first+2*q.interactive.reservations.slotLength {
 		t.Errorf("after %d bookings of another client one has to wait %d ms, the first of those %d ms", hoarded, a.RetryAfter/ms, first/ms)
 	}
 }
@@ -608,12 +615,12 @@
 	var backs []Request
 	for i := range 2000 {
 		request := ask(0, 7, 100)
-		if c, a := q.Enqueue(now, request); c != Queued && a.Ticket != nil && a.Ticket.Slot > (now+4*sec)/q.book.len {
+		if c, a := q.Enqueue(now, request); c != Queued && a.Ticket != nil && a.Ticket.Slot > (now+4*sec)/q.interactive.reservations.slotLength {
 			request.Ticket = a.Ticket
 			backs = append(backs, request)
 		}
 		if id, ok := q.NextAdmissible(0, 0); ok && i%2 == 0 {
-			q.RecordSent(now, q.requests[id].Request)
+			q.RecordSent(now, q.interactive.requests[id].Request)
 			q.Admit(now, id)
 		}
 		now += ms
@@ -638,7 +645,7 @@
 	}
 	q.Admit(now, func() RequestID { id, _ := q.NextAdmissible(0, 0); return id }())
 	if id, _ := q.NextAdmissible(0, 0); id != small.ID {
-		if _, waits := q.requests[small.ID]; waits {
+		if _, waits := q.interactive.requests[small.ID]; waits {
 			t.Error("the small client is not among the next two")
 		}
 	}
@@ -687,7 +694,7 @@
 	}
 	for range 79 {
 		id, _ := q.NextToShed()
-		if q.requests[id].Tenant != 0 {
+		if q.interactive.requests[id].Tenant != 0 {
 			t.Fatal("shed from the lighter tenant")
 		}
 		q.Reject(2, id, Overloaded)
@@ -698,7 +705,7 @@
 	for _, flows := range []int{10, 1000, 100000} {
 		b.Run(fmt.Sprint(flows), func(b *testing.B) {
 			q := newDoor(b, flows*3, TenantLimits{Weight: 1})
-			q.known.init(flows * 8)
+			q.interactive.clients = newKnownClients(flows * 8)
 			for i := range flows {
 				meet(q, 1, 0, uint64(i+1))
 			}
@@ -715,9 +722,9 @@
 			for b.Loop() {
 				come()
 				id, _ := q.NextAdmissible(0, 0)
-				request := q.requests[id].Request
+				request := q.interactive.requests[id].Request
 				q.Admit(Nanos(next), id)
-				q.RecordFinished(Nanos(next), request, true, 0)
+				q.RecordFinished(Nanos(next), request, Result{Served: true, AnswerTokens: 0})
 			}
 		})
 	}
@@ -782,15 +789,15 @@
 	if w, _ := q.TenantLoad(1); w != 4 {
 		t.Fatalf("%d of the second tenant wait, want its 4", w)
 	}
-	q.displacedRequests = q.displacedRequests[:0]
+	q.interactive.displacedRequests = q.interactive.displacedRequests[:0]
 	if c, _ := q.Enqueue(0, ask(1, 9, 100)); c != Queued {
 		t.Error(c)
 	}
-	if w, _ := q.TenantLoad(1); w != 4 || len(q.displacedRequests) != 1 || q.displacedRequests[0].Client != 8 {
-		t.Errorf("%d wait, %v displaced; want one of its heavier client", w, q.displacedRequests)
+	if w, _ := q.TenantLoad(1); w != 4 || len(q.interactive.displacedRequests) != 1 || q.interactive.displacedRequests[0].Client != 8 {
+		t.Errorf("%d wait, %v displaced; want one of its heavier client", w, q.interactive.displacedRequests)
 	}
 	// One that leaves before it is answered is forgotten.
-	if gone := q.displacedRequests[0].ID; q.Cancel(0, gone) || len(q.displacedRequests) != 0 {
+	if gone := q.interactive.displacedRequests[0].ID; q.Cancel(0, gone) || len(q.interactive.displacedRequests) != 0 {
 		t.Error("a displaced job that left is still to be answered")
 	}
 }
@@ -821,7 +828,7 @@
 	}
 	for range 35 {
 		id, ok := q.NextAdmissible(1, 0)
-		if !ok || q.requests[id] == nil {
+		if !ok || q.interactive.requests[id] == nil {
 			t.Fatal("background work goes before others")
 		}
 		q.Admit(1, id)
@@ -834,16 +841,16 @@
 		t.Fatalf("%d, %v: want the first background job", id, ok)
 	}
 	q.Admit(1, id)
-	if _, ok := q.NextAdmissible(1, 0); ok || q.BackgroundLimiter.InFlight() != 1 {
-		t.Errorf("a second one goes in while the first has not begun; %d out", q.BackgroundLimiter.InFlight())
+	if _, ok := q.NextAdmissible(1, 0); ok || q.BackgroundInFlight() != 1 {
+		t.Errorf("a second one goes in while the first has not begun; %d out", q.BackgroundInFlight())
 	}
 	q.RecordFirstToken(2, first, 1)
-	q.RecordFinished(2, first, true, 10)
-	if q.BackgroundLimiter.InFlight() != 0 {
-		t.Errorf("%d out", q.BackgroundLimiter.InFlight())
+	q.RecordFinished(2, first, Result{Served: true, AnswerTokens: 10})
+	if q.BackgroundInFlight() != 0 {
+		t.Errorf("%d out", q.BackgroundInFlight())
 	}
 	q.Enqueue(3, ask(0, 0, 100))
-	if id, _ := q.NextToShed(); q.backgroundQueue.requests[id] == nil {
+	if id, _ := q.NextToShed(); q.background.requests[id] == nil {
 		t.Error("what somebody waits for is shed before background work")
 	}
 	now := 2 * sec
--- /dev/null
+++ b/internal/decide/admission/tenant.go
@@ -0,0 +1,120 @@
+package admission
+
+import (
+	"docksail/internal/indexedheap"
+	"fmt"
+)
+
+// burstSeconds is how many seconds' worth of its rate a tenant may send at once.
+const burstSeconds = 1
+
+const nanosPerSecond = 1e9
+
+// TenantLimits are the weight and the limits of a tenant.
+type TenantLimits struct {
+	Weight            float64 // share of the service relative to other tenants that have requests waiting
+	RequestsPerSecond float64 // one second's worth may arrive at once; 0 = no limit
+	MaxWaiting        int     // requests in the queue; 0 = as many as fit
+	MaxRunning        int     // requests that were admitted and have not ended; 0 = no limit
+	MaxPromptTokens   int64   // 0 = no limit
+}
+
+// Validate returns an error if the weight is not above 0 or a limit is below 0.
+func (l TenantLimits) Validate() error {
+	if !(l.Weight > 0) || l.RequestsPerSecond < 0 || l.MaxWaiting < 0 || l.MaxRunning < 0 || l.MaxPromptTokens < 0 {
+		return fmt.Errorf("weight %v, rate %v, waiting %d, running %d, prompt %d: want a weight above 0 and no limit below 0",
+			l.Weight, l.RequestsPerSecond, l.MaxWaiting, l.MaxRunning, l.MaxPromptTokens)
+	}
+	return nil
+}
+
+// TenantCounts are the counters of a tenant since the queue was created.
+type TenantCounts struct {
+	Arrived              uint64
+	Admitted             uint64
+	Cancelled            uint64
+	Rejected             [verdictCount]uint64 `json:"Refused"` // by verdict
+	TotalWait            Nanos                `json:"Waited"`  // of the requests admitted
+	MaxWait              Nanos                `json:"Longest"` // of the requests admitted
+	AdmittedCost         float64              `json:"Cost"`
+	ReservationsGranted  uint64               `json:"Booked"`
+	ReservationsRedeemed uint64               `json:"Returned"`       // requests that came with a valid ticket
+	ReservationsAdmitted uint64               `json:"KeptBookings"`   // of these, the ones admitted
+	ReservationsInvalid  uint64               `json:"WithoutBooking"` // requests whose ticket was not valid
+}
+
+// Add adds the counters of other.
+func (c *TenantCounts) Add(other TenantCounts) {
+	c.Arrived += other.Arrived
+	c.Admitted += other.Admitted
+	c.Cancelled += other.Cancelled
+	for verdict := range c.Rejected {
+		c.Rejected[verdict] += other.Rejected[verdict]
+	}
+	c.TotalWait += other.TotalWait
+	c.MaxWait = max(c.MaxWait, other.MaxWait)
+	c.AdmittedCost += other.AdmittedCost
+	c.ReservationsGranted += other.ReservationsGranted
+	c.ReservationsRedeemed += other.ReservationsRedeemed
+	c.ReservationsAdmitted += other.ReservationsAdmitted
+	c.ReservationsInvalid += other.ReservationsInvalid
+}
+
+func (c *TenantCounts) recordAdmitted(w *queuedRequest, wait Nanos) {
+	c.Admitted++
+	c.TotalWait += wait
+	c.MaxWait = max(c.MaxWait, wait)
+	c.AdmittedCost += w.cost
+	if w.hasReservation {
+		c.ReservationsAdmitted++
+	}
+}
+
+// tenant is the state of a tenant in a queue.
+type tenant struct {
+	TenantLimits
+	number      int
+	flows       map[flowKey]*flow
+	activeFlows indexedheap.Heap[*flow] // flows with waiting requests, by start tag
+	flowsByLoad indexedheap.Heap[*flow] // the same flows, the one with the most load first
+	virtualTime float64                 // among its flows
+	startTag    float64                 // virtual time among tenants at which its next request starts
+	activeIndex int                     // in fairQueue.activeTenants
+	waiting     int
+	running     int
+	tokens      float64 // of the token bucket for RequestsPerSecond
+	refilledAt  Nanos
+	counts      TenantCounts
+}
+
+// setTenant adds a tenant or changes its limits; see Queue.SetTenant.
+func (q *fairQueue) setTenant(number int, limits TenantLimits) error {
+	if number < 0 || number > len(q.tenants) {
+		return fmt.Errorf("tenant %d: want 0 to %d", number, len(q.tenants))
+	}
+	if err := limits.Validate(); err != nil {
+		return fmt.Errorf("tenant %d: %w", number, err)
+	}
+	if number == len(q.tenants) {
+		q.tenants = append(q.tenants, &tenant{
+			number:      number,
+			flows:       make(map[flowKey]*flow),
+			activeFlows: newFlowHeap(),
+			flowsByLoad: newLoadHeap(),
+			startTag:    q.virtualTime,
+			tokens:      burstSeconds * limits.RequestsPerSecond,
+		})
+	}
+	t := q.tenants[number]
+	t.TenantLimits = limits
+	q.updateTenant(t)
+	return nil
+}
+
+func (t *tenant) refillTokens(now Nanos) {
+	if t.RequestsPerSecond > 0 {
+		refill := float64(now-t.refilledAt) / nanosPerSecond * t.RequestsPerSecond
+		t.tokens = min(t.tokens+refill, max(burstSeconds*t.RequestsPerSecond, 1))
+	}
+	t.refilledAt = now
+}
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -123,10 +123,13 @@
 	if !s.Answers.Advice {
 		d.signer = nil
 	}
-	if d.queue, err = admission.New(s.Limits.Waiting, s.Limits.Clients, shortest, d.signer); err != nil {
+	d.queue, err = admission.New(admission.Config{
+		MaxWaiting: s.Limits.Waiting, MaxKnownClients: s.Limits.Clients, LatencyObjective: shortest, Signer: d.signer,
+		FIFO: s.FirstCome,
+	})
+	if err != nil {
 		return nil, err
 	}
-	d.queue.FIFO = s.FirstCome
 	d.memory.most = uint64(s.Limits.Memory)
 	d.tenantTerms, d.tenantNames = s.TenantTerms(), []string{""}
 	for i, t := range d.tenantTerms {
@@ -164,7 +167,8 @@
 	}
 	d.gate = intake.Limits{MaxRequests: maxRequests, MaxPromptTokens: maxPrompt}
 	var err error
-	d.queue, err = admission.New(1, 1, shortest, nil) // nothing ever waits there
+	// Nothing ever waits in this queue.
+	d.queue, err = admission.New(admission.Config{MaxWaiting: 1, MaxKnownClients: 1, LatencyObjective: shortest})
 	return d, err
 }
 
--- a/internal/dispatch/requests.go
+++ b/internal/dispatch/requests.go
@@ -281,7 +281,7 @@
 func (d *Dispatcher) leaveQueue(req *Request, served bool) {
 	if req.admitted {
 		req.admitted = false
-		d.queue.RecordFinished(d.loop.Now(), req.queueRequest, served, req.messages)
+		d.queue.RecordFinished(d.loop.Now(), req.queueRequest, admission.Result{Served: served, AnswerTokens: req.messages})
 		if i := d.unsentIndex(req.ID); i >= 0 {
 			d.unsent = slices.Delete(d.unsent, i, i+1)
 		}
--- a/internal/dispatch/view.go
+++ b/internal/dispatch/view.go
@@ -126,7 +126,7 @@
 func (d *Dispatcher) Status() Status {
 	v := Status{
 		InFlight: d.requests.Len(), ClientConns: d.entry.ConnCount(), Waiting: d.queue.Waiting(), Flows: d.queue.FlowCount(), Counts: d.Counts,
-		BackgroundWaiting: d.queue.BackgroundWaiting(), BackgroundInFlight: d.queue.BackgroundLimiter.InFlight(), BackgroundLimit: d.queue.BackgroundLimiter.Limit(),
+		BackgroundWaiting: d.queue.BackgroundWaiting(), BackgroundInFlight: d.queue.BackgroundInFlight(), BackgroundLimit: d.queue.BackgroundLimit(),
 		Frontend: d.FrontendCounts(),
 	}
 	for i, t := range d.tenantTerms {
