--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -123,10 +123,13 @@
 	if !s.Responses.SendRetryAfter {
 		d.signer = nil
 	}
-	if d.queue, err = admission.New(s.Limits.MaxWaiting, s.Limits.MaxClients, shortest, d.signer); err != nil {
+	d.queue, err = admission.New(admission.Config{
+		MaxWaiting: s.Limits.MaxWaiting, MaxKnownClients: s.Limits.MaxClients, LatencyObjective: shortest, Signer: d.signer,
+		FIFO: s.FIFO,
+	})
+	if err != nil {
 		return nil, err
 	}
-	d.queue.FIFO = s.FIFO
 	d.memory.most = uint64(s.Limits.MaxMemoryBytes)
 	d.tenantTerms, d.tenantNames = s.TenantLimits(), []string{""}
 	for i, t := range d.tenantTerms {
@@ -164,7 +167,8 @@
 	}
 	d.gate = intake.Limits{MaxRequests: maxRequests, MaxPromptTokens: maxPrompt}
 	var err error
-	d.queue, err = admission.New(1, 1, shortest, nil) // nothing ever waits there
+	// Nothing ever waits in this queue.
+	d.queue, err = admission.New(admission.Config{MaxWaiting: 1, MaxKnownClients: 1, LatencyObjective: shortest})
 	return d, err
 }
 
