--- a/internal/h2/h2_test.go
+++ b/internal/h2/h2_test.go
@@ -32,6 +32,7 @@
 	s.SendMessage(p, false)
 	return false
 }
+
 func (a *echo) RequestEnded(s *Stream)                              { s.EndWithStatus(codes.OK, "") }
 func (a *echo) StreamFinished(*Stream, codes.Code, string, *Header) {}
 func (a *echo) StreamReset(*Stream, http2.ErrCode, bool)            { a.resets++ }
