--- a/internal/eventloop/listener.go
+++ b/internal/eventloop/listener.go
@@ -4,71 +4,88 @@
 	"fmt"
 	"net/netip"
 	"os"
+	"time"
 
 	"golang.org/x/sys/unix"
 )
 
-// Listener accepts connections.
+const (
+	// maxAcceptsPerIteration is how many connections a listener accepts in one iteration.
+	maxAcceptsPerIteration = 64
+
+	// listenBacklog is how many connections may wait to be accepted.
+	listenBacklog = 4096
+
+	// acceptPause is how long a listener pauses when the process or the machine is short of something.
+	acceptPause = 50 * time.Millisecond
+)
+
+// AcceptFunc is called for each new connection. It returns the connection's handler, or nil to close it at once.
+type AcceptFunc func(c *Conn, from netip.AddrPort) Handler
+
+// Listener accepts connections on one address. Make it with Loop.Listen.
 type Listener struct {
 	loop        *Loop
-	fd          int
+	fd          int // -1 once the listener is closed
 	addr        netip.AddrPort
-	onAccept    func(c *Conn, from netip.AddrPort) Handler
-	accept4     func(fd, flags int) (int, unix.Sockaddr, error) // accept4; a test may stand in for it
+	onAccept    AcceptFunc
+	accept4     func(fd, flags int) (int, unix.Sockaddr, error) // the system call; tests replace it
 	resumeTimer Timer
 
-	// In a world:
-	acceptPaused bool
-	pendingDials []*Conn // that dialed while it was held
+	sim simulatedListener
 }
 
-// Listen opens a listener; port 0 takes any. accept is called for each new connection and gives its handler,
-// or nil to close it at once. With share, several processes may listen on the port.
-func (l *Loop) Listen(at netip.AddrPort, share bool, accept func(c *Conn, from netip.AddrPort) Handler) (*Listener, error) {
-	if l.network != nil {
-		return l.listenSimulated(at, accept)
+// Listen opens a listener on an address; port 0 takes any free port. With reusePort, several processes may listen on the
+// same port.
+func (l *Loop) Listen(address netip.AddrPort, reusePort bool, onAccept AcceptFunc) (*Listener, error) {
+	if l.isSimulated() {
+		return l.listenSimulated(address, onAccept)
 	}
-	fd, err := newSocket(at)
+	fd, err := newSocket(address)
 	if err != nil {
 		return nil, err
 	}
-	fail := func(what string, err error) (*Listener, error) {
+	bound, err := listenOn(fd, address, reusePort)
+	if err != nil {
 		unix.Close(fd)
-		return nil, fmt.Errorf("listen on %s: %w", at, os.NewSyscallError(what, err))
+		return nil, fmt.Errorf("listen on %s: %w", address, err)
 	}
-	unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1)
-	if share {
+	ln := &Listener{loop: l, fd: fd, addr: bound, onAccept: onAccept, accept4: unix.Accept4}
+	if err := l.register(fd, unix.EPOLLIN, ln); err != nil {
+		unix.Close(fd)
+		return nil, err
+	}
+	return ln, nil
+}
+
+// listenOn makes a socket listen on an address and returns the address with the port that the system chose.
+func listenOn(fd int, address netip.AddrPort, reusePort bool) (netip.AddrPort, error) {
+	_ = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1) // bind reports an address that is in use
+	if reusePort {
 		if err := unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEPORT, 1); err != nil {
-			return fail("setsockopt", err)
+			return netip.AddrPort{}, os.NewSyscallError("setsockopt", err)
 		}
 	}
-	if err := unix.Bind(fd, sockaddr(at)); err != nil {
-		return fail("bind", err)
+	if err := unix.Bind(fd, sockaddr(address)); err != nil {
+		return netip.AddrPort{}, os.NewSyscallError("bind", err)
 	}
 	if err := unix.Listen(fd, listenBacklog); err != nil {
-		return fail("listen", err)
+		return netip.AddrPort{}, os.NewSyscallError("listen", err)
 	}
 	bound, err := unix.Getsockname(fd)
 	if err != nil {
-		return fail("getsockname", err)
-	}
-	ln := &Listener{loop: l, fd: fd, addr: addrPort(bound), onAccept: accept, accept4: unix.Accept4}
-	if err := l.register(fd, unix.EPOLLIN, ln); err != nil {
-		unix.Close(fd)
-		return nil, err
+		return netip.AddrPort{}, os.NewSyscallError("getsockname", err)
 	}
-	return ln, nil
+	return addrPort(bound), nil
 }
 
-// Addr is where it listens.
+// Addr returns the address on which the listener accepts.
 func (ln *Listener) Addr() netip.AddrPort { return ln.addr }
 
-// Close stops listening; connections already accepted stay.
+// Close stops listening. Connections that are accepted already stay; those that wait are lost.
 func (ln *Listener) Close() {
-	if w := ln.loop.network; w != nil {
-		if w.listeners[ln.addr] == ln {
-			delete(w.listeners, ln.addr)
-		}
+	if ln.loop.isSimulated() {
+		ln.closeSimulated()
 		return
 	}
 	if ln.fd >= 0 {
@@ -79,9 +96,9 @@
 	}
 }
 
-// SetAcceptPaused has connections wait in the kernel's queue, or takes them again.
+// SetAcceptPaused makes new connections wait in the kernel's queue, or accepts them again.
 func (ln *Listener) SetAcceptPaused(paused bool) {
-	if ln.loop.network != nil {
+	if ln.loop.isSimulated() {
 		ln.setAcceptPausedSimulated(paused)
 		return
 	}
@@ -95,10 +112,10 @@
 	ln.loop.setInterest(ln.fd, events)
 }
 
-// AcceptPendingAndClose accepts whoever waits, and stops listening.
+// AcceptPendingAndClose accepts the connections that wait and stops listening.
 func (ln *Listener) AcceptPendingAndClose() {
 	switch {
-	case ln.loop.network != nil:
+	case ln.loop.isSimulated():
 		ln.acceptPendingSimulated()
 	case ln.fd >= 0:
 		ln.acceptPending(listenBacklog)
@@ -106,46 +123,52 @@
 	ln.Close()
 }
 
+// handleEvents accepts the connections that epoll reports.
 func (ln *Listener) handleEvents(*Loop, uint32) { ln.acceptPending(maxAcceptsPerIteration) }
 
-// acceptPending accepts connections that wait, a bounded number of them.
+// acceptPending accepts at most limit connections that wait.
 func (ln *Listener) acceptPending(limit int) {
-	l := ln.loop
 	for range limit {
 		fd, from, err := ln.accept4(ln.fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
-		switch err {
-		case nil:
-		case unix.EINTR, unix.ECONNABORTED:
+		switch {
+		case err == nil:
+		case err == unix.EINTR || err == unix.ECONNABORTED:
 			continue
-		case unix.EMFILE:
-			ln.closeOnePending()
+		case err == unix.EMFILE:
+			ln.rejectOnePending()
 			return
-		case unix.ENFILE, unix.ENOBUFS, unix.ENOMEM: // the machine's want, which may be over in a moment: whoever waits goes on waiting
+		case err == unix.ENFILE || err == unix.ENOBUFS || err == unix.ENOMEM:
+			// The whole machine is short, perhaps for a moment only: the clients go on waiting.
 			ln.pauseAccepting()
 			return
-		default: // EAGAIN: nobody waits
+		default: // EAGAIN: no connection waits
 			return
 		}
-		c := newConn(l, fd)
-		if c.handler = ln.onAccept(c, addrPort(from)); c.handler == nil {
-			unix.Close(fd)
-			continue
-		}
-		if err := l.register(fd, unix.EPOLLIN|unix.EPOLLRDHUP, c); err != nil {
-			c.terminate(err)
-			continue
-		}
-		l.connCount++
-		c.counted = true
-		c.handler.Opened(l.now)
+		ln.accept(fd, addrPort(from))
 		if ln.fd < 0 {
 			return
 		}
 	}
 }
 
-// closeOnePending closes one waiting connection with the spare descriptor, so that its client learns at once, and rests.
-func (ln *Listener) closeOnePending() {
+// accept gives an accepted socket to the handler that onAccept returns.
+func (ln *Listener) accept(fd int, from netip.AddrPort) {
+	c := newConn(ln.loop, fd)
+	if c.handler = ln.onAccept(c, from); c.handler == nil {
+		unix.Close(fd)
+		return
+	}
+	if err := ln.loop.register(fd, unix.EPOLLIN|unix.EPOLLRDHUP, c); err != nil {
+		c.terminate(err)
+		return
+	}
+	ln.loop.addConn(c)
+	c.handler.Opened(ln.loop.now)
+}
+
+// rejectOnePending accepts and closes one connection with the spare descriptor, so that its client learns at once that
+// the process has no descriptor left, and pauses accepting.
+func (ln *Listener) rejectOnePending() {
 	l := ln.loop
 	if l.spareFD >= 0 {
 		unix.Close(l.spareFD)
@@ -153,43 +176,14 @@
 	if fd, _, err := ln.accept4(ln.fd, unix.SOCK_CLOEXEC); err == nil {
 		unix.Close(fd)
 	}
-	l.spareFD, _ = unix.Open("/dev/null", unix.O_RDONLY|unix.O_CLOEXEC, 0)
+	l.spareFD, _ = openSpare()
 	ln.pauseAccepting()
 }
 
-// pauseAccepting has the listener rest for a while: one that is left ready would spin the loop.
+// pauseAccepting stops accepting for a while: epoll would report a listener that cannot accept again and again.
 func (ln *Listener) pauseAccepting() {
 	l := ln.loop
 	l.acceptPauseCount++
 	l.setInterest(ln.fd, 0)
 	l.SetTimer(&ln.resumeTimer, l.now+int64(acceptPause), func(Nanos) { l.setInterest(ln.fd, unix.EPOLLIN) })
 }
-
-func newSocket(at netip.AddrPort) (int, error) {
-	family := unix.AF_INET
-	if at.Addr().Is6() && !at.Addr().Is4In6() {
-		family = unix.AF_INET6
-	}
-	fd, err := unix.Socket(family, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
-	if err != nil {
-		return -1, os.NewSyscallError("socket", err)
-	}
-	return fd, nil
-}
-
-func sockaddr(at netip.AddrPort) unix.Sockaddr {
-	if a := at.Addr().Unmap(); a.Is4() {
-		return &unix.SockaddrInet4{Port: int(at.Port()), Addr: a.As4()}
-	}
-	return &unix.SockaddrInet6{Port: int(at.Port()), Addr: at.Addr().As16()}
-}
-
-func addrPort(sa unix.Sockaddr) netip.AddrPort {
-	switch a := sa.(type) {
-	case *unix.SockaddrInet4:
-		return netip.AddrPortFrom(netip.AddrFrom4(a.Addr), uint16(a.Port))
-	case *unix.SockaddrInet6:
-		return netip.AddrPortFrom(netip.AddrFrom16(a.Addr), uint16(a.Port))
-	}
-	return netip.AddrPort{}
-}
--- a/internal/eventloop/timer.go
+++ b/internal/eventloop/timer.go
@@ -2,25 +2,27 @@
 
 import "docksail/internal/indexedheap"
 
-// Timer is one call at a time. Its zero value is ready; it must not be copied while it is set.
+// Timer calls a function once at a given time. Its zero value is ready; it must not be copied while it is set.
 type Timer struct {
 	due       Nanos
-	sequence  uint64 // order of setting, for those due at the same time
+	sequence  uint64 // order of SetTimer calls, for timers due at the same time
 	callback  func(now Nanos)
-	heapIndex int // place in the heap, from 1; 0 = not set
+	heapIndex int // index in timerQueue.heap plus 1; 0 = not set
 }
 
-// IsSet tells whether the timer is waiting.
+// IsSet reports whether the timer is waiting for its time.
 func (t *Timer) IsSet() bool { return t.heapIndex > 0 }
 
-// SetTimer sets a timer, or moves it if it is set already. call is kept, so it is best made once.
+// SetTimer makes a timer call callback at the time due. A timer that is set already is moved. Callers on frequent paths
+// should create the callback once, as each closure is an allocation.
 func (l *Loop) SetTimer(t *Timer, due Nanos, callback func(now Nanos)) {
 	l.timers.set(t, due, callback)
 }
 
-// CancelTimer takes a timer back; it does no harm to one that is not set.
+// CancelTimer stops a timer; it does nothing if the timer is not set.
 func (l *Loop) CancelTimer(t *Timer) { l.timers.cancel(t) }
 
+// timerQueue holds the timers that are set, by due time and then by the order in which they were set.
 type timerQueue struct {
 	heap         indexedheap.Heap[*Timer]
 	lastSequence uint64
@@ -33,26 +35,31 @@
 	}}
 }
 
-func (q *timerQueue) set(t *Timer, at Nanos, call func(Nanos)) {
+func (q *timerQueue) set(t *Timer, due Nanos, callback func(Nanos)) {
 	q.lastSequence++
-	t.due, t.sequence, t.callback = at, q.lastSequence, call
+	t.due, t.sequence, t.callback = due, q.lastSequence, callback
 	q.heap.PushOrFix(t)
 }
 
 func (q *timerQueue) cancel(t *Timer) { q.heap.Remove(t) }
 
-func (q *timerQueue) nextDue() (Nanos, bool) {
+// nextDue returns the time of the first timer; it is false if no timer is set.
+func (q *timerQueue) nextDue() (due Nanos, ok bool) {
 	if q.heap.Len() == 0 {
 		return 0, false
 	}
 	return q.heap.Min().due, true
 }
 
-// fireDue calls what is due. What is set meanwhile for a time already past waits for the next turn.
+// fireDue calls the timers that are due. A timer that is set meanwhile waits for the next iteration even if its time is
+// past, so that a timer that sets itself again cannot keep the loop busy.
 func (q *timerQueue) fireDue(now Nanos) {
 	last := q.lastSequence
-	for q.heap.Len() > 0 && q.heap.Min().due <= now && q.heap.Min().sequence <= last {
+	for q.heap.Len() > 0 {
 		t := q.heap.Min()
+		if t.due > now || t.sequence > last {
+			return
+		}
 		q.heap.Remove(t)
 		t.callback(now)
 	}
