--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -133,8 +133,8 @@
 	return err == unix.EAGAIN
 }
 
-// NotifyHalfCloseWhilePaused makes the handler learn of the peer's end also while reading is paused, ahead of input that
-// is not read yet: a client that has left need not be read to its end.
+// NotifyHalfCloseWhilePaused makes the handler learn of the peer's end also while reading is paused, ahead of input
+// that is not read yet: a client that has left need not be read to its end.
 func (c *Conn) NotifyHalfCloseWhilePaused() { c.notifyHalfCloseWhilePaused = true }
 
 // SetReadPaused stops or resumes reading from the peer.
--- a/internal/eventloop/conn_io.go
+++ b/internal/eventloop/conn_io.go
@@ -10,8 +10,8 @@
 	// maxReadBytes is how much one read takes from a connection, so that no peer holds up the others.
 	maxReadBytes = 64 << 10
 
-	// maxReadsAtHalfClose bounds the reads of one iteration from a peer that has ended its half. Its end is reported in the
-	// iteration of its last bytes.
+	// maxReadsAtHalfClose bounds the reads of one iteration from a peer that has ended its half. Its end is reported in
+	// the iteration of its last bytes.
 	maxReadsAtHalfClose = 16
 )
 
@@ -142,19 +142,20 @@
 	}
 	for c.written < len(c.output) {
 		n, err := unix.Write(c.fd, c.output[c.written:])
-		switch {
-		case err == nil:
-			c.written += n
-		case err == unix.EINTR:
-		case err == unix.EAGAIN:
+		if err == unix.EINTR {
+			continue
+		}
+		if err == unix.EAGAIN {
 			c.writeBlocked = true
 			c.updateInterest()
 			c.compactOutput()
 			return false
-		default:
+		}
+		if err != nil {
 			c.terminate(os.NewSyscallError("write", err))
 			return false
 		}
+		c.written += n
 	}
 	return true
 }
--- a/internal/eventloop/dial.go
+++ b/internal/eventloop/dial.go
@@ -52,8 +52,9 @@
 	switch errno {
 	case unix.ECONNREFUSED, unix.ECONNRESET, unix.ENETUNREACH, unix.EHOSTUNREACH, unix.ETIMEDOUT:
 		return true
+	default:
+		return false
 	}
-	return false
 }
 
 // startConnectTimer ends the connection if it is not made within the timeout.
--- a/internal/eventloop/listener.go
+++ b/internal/eventloop/listener.go
@@ -1,6 +1,7 @@
 package eventloop
 
 import (
+	"errors"
 	"fmt"
 	"net/netip"
 	"os"
@@ -35,8 +36,8 @@
 	sim simulatedListener
 }
 
-// Listen opens a listener on an address; port 0 takes any free port. With reusePort, several processes may listen on the
-// same port.
+// Listen opens a listener on an address; port 0 takes any free port. With reusePort, several processes may listen on
+// the same port.
 func (l *Loop) Listen(address netip.AddrPort, reusePort bool, onAccept AcceptFunc) (*Listener, error) {
 	if l.isSimulated() {
 		return l.listenSimulated(address, onAccept)
@@ -132,12 +133,12 @@
 		fd, from, err := ln.accept4(ln.fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 		switch {
 		case err == nil:
-		case err == unix.EINTR || err == unix.ECONNABORTED:
+		case errors.Is(err, unix.EINTR), errors.Is(err, unix.ECONNABORTED):
 			continue
-		case err == unix.EMFILE:
+		case errors.Is(err, unix.EMFILE):
 			ln.rejectOnePending()
 			return
-		case err == unix.ENFILE || err == unix.ENOBUFS || err == unix.ENOMEM:
+		case errors.Is(err, unix.ENFILE), errors.Is(err, unix.ENOBUFS), errors.Is(err, unix.ENOMEM):
 			// The whole machine is short, perhaps for a moment only: the clients go on waiting.
 			ln.pauseAccepting()
 			return
--- a/internal/eventloop/post.go
+++ b/internal/eventloop/post.go
@@ -26,8 +26,8 @@
 // DroppedPosts returns how many calls Post has dropped. Any goroutine may call it.
 func (l *Loop) DroppedPosts() uint64 { return l.posts.droppedCount() }
 
-// wake ends the loop's wait for events. The write cannot fail in a way that matters: the eventfd's counter is then full,
-// and the loop awake.
+// wake ends the loop's wait for events. If the write fails, the eventfd's counter is at its limit and the loop will
+// wake in any case.
 func (l *Loop) wake() {
 	one := [8]byte{1}
 	_, _ = unix.Write(l.wakeFD, one[:])
--- a/internal/eventloop/simulated_event.go
+++ b/internal/eventloop/simulated_event.go
@@ -60,10 +60,10 @@
 	return e
 }
 
-// scheduleFrom adds an event of loop l about conn that comes from another loop, so that a partition between the two holds
-// it back.
-func (sn *SimulatedNetwork) scheduleFrom(from *Loop, at Nanos, kind eventKind, l *Loop, conn *Conn) *event {
-	e := sn.schedule(at, l, kind)
+// scheduleFrom adds an event of loop to about conn that comes from another loop, so that a partition between the two
+// holds it back.
+func (sn *SimulatedNetwork) scheduleFrom(from *Loop, at Nanos, kind eventKind, to *Loop, conn *Conn) *event {
+	e := sn.schedule(at, to, kind)
 	e.conn, e.fromLoop = conn, from.sim.id
 	return e
 }
--- a/internal/eventloop/simulated_loop.go
+++ b/internal/eventloop/simulated_loop.go
@@ -107,7 +107,8 @@
 	return list
 }
 
-// Kill ends a simulated loop at once, as the end of its process would: every connection closes and nothing more is sent.
+// Kill ends a simulated loop at once, as the end of its process would: every connection closes and nothing more is
+// sent.
 func (l *Loop) Kill() {
 	l.stopped.Store(true)
 	l.terminate()
--- a/internal/eventloop/simulated_network.go
+++ b/internal/eventloop/simulated_network.go
@@ -1,9 +1,8 @@
 package eventloop
 
 import (
-	"net/netip"
-
 	"docksail/internal/indexedheap"
+	"net/netip"
 )
 
 // firstEphemeralPort is the port below the first one that a listener on port 0 is given.
--- a/internal/eventloop/simulated_network_test.go
+++ b/internal/eventloop/simulated_network_test.go
@@ -24,13 +24,14 @@
 
 // simulation is a simulated network with a client's and a server's loop, whose events it records.
 type simulation struct {
+	t              *testing.T
 	log            bytes.Buffer
 	network        *SimulatedNetwork
 	client, server *Loop
 	listener       *Listener
 	accepted       []*recordingHandler
 	dialed         []*recordingHandler
-	rejectNext     bool
+	rejectAll      bool
 }
 
 // recordingHandler is a Handler that records its calls with their times.
@@ -75,48 +76,49 @@
 
 func newSimulation(t *testing.T) *simulation {
 	t.Helper()
-	s := &simulation{network: NewSimulatedNetwork(1e18, testLatency)}
+	s := &simulation{t: t, network: NewSimulatedNetwork(1e18, testLatency)}
 	s.network.NewTap = func(_ *Loop, to netip.AddrPort) Tap {
 		return recordingTap{&recordingHandler{s: s, name: fmt.Sprintf("tap%d to %v", len(s.dialed), to)}}
 	}
 	s.client = s.network.NewLoop(clientAddr, nil)
 	s.server = s.network.NewLoop(serverAddr, nil)
 	var err error
-	s.listener, err = s.server.Listen(netip.AddrPortFrom(serverAddr, 0), false, func(c *Conn, from netip.AddrPort) Handler {
-		if s.rejectNext {
-			return nil
-		}
-		h := &recordingHandler{s: s, name: fmt.Sprintf("server%d from %v", len(s.accepted), from), c: c}
-		s.accepted = append(s.accepted, h)
-		return h
-	})
-	if err != nil {
-		t.Fatal(err)
-	}
+	s.listener, err = s.server.Listen(netip.AddrPortFrom(serverAddr, 0), false, s.accept)
+	must(t, err)
 	return s
 }
 
+// accept is the AcceptFunc of the server's listener.
+func (s *simulation) accept(c *Conn, from netip.AddrPort) Handler {
+	if s.rejectAll {
+		return nil
+	}
+	h := &recordingHandler{s: s, name: fmt.Sprintf("server%d from %v", len(s.accepted), from), c: c}
+	s.accepted = append(s.accepted, h)
+	return h
+}
+
 // dial dials an address from the client's loop.
-func (s *simulation) dial(t *testing.T, to netip.AddrPort) *recordingHandler {
-	t.Helper()
+func (s *simulation) dial(to netip.AddrPort) *recordingHandler {
+	s.t.Helper()
 	h := &recordingHandler{s: s, name: fmt.Sprintf("client%d", len(s.dialed))}
 	var err error
 	if h.c, err = s.client.Dial(to, 50*testLatency, h); err != nil {
-		t.Fatal(err)
+		s.t.Fatal(err)
 	}
 	s.dialed = append(s.dialed, h)
 	return h
 }
 
 // connect dials the listener, with what is to be written at once, and runs until both ends are open.
-func (s *simulation) connect(t *testing.T) (client, server *recordingHandler) {
-	t.Helper()
+func (s *simulation) connect() (client, server *recordingHandler) {
+	s.t.Helper()
 	n := len(s.accepted)
-	h := s.dial(t, s.listener.Addr())
+	h := s.dial(s.listener.Addr())
 	h.c.Write([]byte("hello"))
 	s.run(4)
 	if len(s.accepted) != n+1 {
-		t.Fatalf("%d connections accepted, want %d", len(s.accepted), n+1)
+		s.t.Fatalf("%d connections accepted, want %d", len(s.accepted), n+1)
 	}
 	return h, s.accepted[n]
 }
@@ -136,51 +138,51 @@
 
 // TestSimulatedNetwork compares what handlers and taps see, and when, with recorded files.
 func TestSimulatedNetwork(t *testing.T) {
-	for name, play := range map[string]func(t *testing.T, s *simulation){
-		"echo and close": func(t *testing.T, s *simulation) {
-			c, srv := s.connect(t)
+	for name, play := range map[string]func(s *simulation){
+		"echo and close": func(s *simulation) {
+			c, srv := s.connect()
 			srv.echo = true
 			s.on(s.client, func() { c.c.Write([]byte("one")); c.c.Write([]byte("two")) })
 			s.on(s.client, func() { c.c.Write([]byte("last")); c.c.CloseWriteAfterFlush() })
 			s.on(s.server, func() { srv.c.Write([]byte("bye")); srv.c.CloseAfterFlush() })
 			s.on(s.client, func() { c.c.Close() })
 		},
-		"refused": func(t *testing.T, s *simulation) {
-			s.dial(t, netip.AddrPortFrom(serverAddr, 9))
+		"refused": func(s *simulation) {
+			s.dial(netip.AddrPortFrom(serverAddr, 9))
 			s.run(5)
 			s.on(s.server, func() { s.listener.Close() })
-			s.dial(t, s.listener.Addr())
+			s.dial(s.listener.Addr())
 			s.run(5)
 		},
-		"rejected by the listener": func(t *testing.T, s *simulation) {
-			s.rejectNext = true
-			s.dial(t, s.listener.Addr())
+		"rejected by the listener": func(s *simulation) {
+			s.rejectAll = true
+			s.dial(s.listener.Addr())
 			s.run(5)
 		},
-		"accept paused": func(t *testing.T, s *simulation) {
+		"accept paused": func(s *simulation) {
 			s.listener.SetAcceptPaused(true)
-			s.dial(t, s.listener.Addr())
-			s.dial(t, s.listener.Addr())
+			s.dial(s.listener.Addr())
+			s.dial(s.listener.Addr())
 			s.run(5)
 			s.on(s.server, func() { s.listener.SetAcceptPaused(false) })
 			s.listener.SetAcceptPaused(true)
-			s.dial(t, s.listener.Addr())
+			s.dial(s.listener.Addr())
 			s.run(5)
 			s.on(s.server, func() { s.listener.AcceptPendingAndClose() })
 			s.listener.SetAcceptPaused(true)
 		},
-		"partition": func(t *testing.T, s *simulation) {
-			c, srv := s.connect(t)
+		"partition": func(s *simulation) {
+			c, srv := s.connect()
 			s.network.SetPartitioned(s.client, s.server, true)
 			s.on(s.client, func() { c.c.Write([]byte("held")) })
 			s.on(s.server, func() { srv.c.Write([]byte("held too")) })
-			s.dial(t, s.listener.Addr())
+			s.dial(s.listener.Addr())
 			s.run(60)
 			s.network.SetPartitioned(s.server, s.client, false)
 			s.run(3)
 		},
-		"read paused": func(t *testing.T, s *simulation) {
-			c, srv := s.connect(t)
+		"read paused": func(s *simulation) {
+			c, srv := s.connect()
 			s.on(s.server, func() { srv.c.SetReadPaused(true) })
 			s.on(s.client, func() { c.c.Write([]byte("one")) })
 			s.on(s.client, func() { c.c.Write([]byte("two")) })
@@ -190,8 +192,8 @@
 			s.on(s.server, func() { srv.c.SetReadPaused(true) })
 			s.on(s.client, func() { c.c.Write([]byte("unread")); c.c.CloseAfterFlush() })
 		},
-		"blocked output": func(t *testing.T, s *simulation) {
-			c, srv := s.connect(t)
+		"blocked output": func(s *simulation) {
+			c, srv := s.connect()
 			s.on(s.server, func() { srv.c.SetReadPaused(true) })
 			s.on(s.client, func() { c.c.Write(make([]byte, 700<<10)) })
 			fmt.Fprintf(&s.log, "blocked %v, %d queued\n", c.c.WriteBlocked(), c.c.QueuedBytes())
@@ -200,10 +202,10 @@
 			s.on(s.server, func() { srv.c.SetReadPaused(true) })
 			s.on(s.client, func() { c.c.SetOutputLimit(1 << 20); c.c.Write(make([]byte, 2<<20)) })
 		},
-		"faults of the server": func(t *testing.T, s *simulation) {
-			one, _ := s.connect(t)
+		"faults of the server": func(s *simulation) {
+			one, _ := s.connect()
 			s.server.BlackholeConnections()
-			two, _ := s.connect(t)
+			two, _ := s.connect()
 			s.on(s.client, func() { one.c.Write([]byte("lost")); two.c.Write([]byte("arrives")) })
 			s.server.SetSlowdown(5*testLatency, true)
 			s.on(s.client, func() { two.c.Write([]byte("slow")) })
@@ -211,13 +213,13 @@
 			s.server.SetSlowdown(0, false)
 			s.server.ResetConnections()
 			s.run(3)
-			s.connect(t)
+			s.connect()
 			s.server.Kill()
 			s.run(3)
-			s.dial(t, s.listener.Addr())
+			s.dial(s.listener.Addr())
 			s.run(3)
 		},
-		"timers, stop": func(t *testing.T, s *simulation) {
+		"timers, stop": func(s *simulation) {
 			var first, second Timer
 			s.client.SetTimer(&first, 3*testLatency, func(now Nanos) {
 				fmt.Fprintf(&s.log, "%d first, wall %d\n", now, s.network.UnixNanos()-s.client.OriginUnixNanos())
@@ -227,14 +229,14 @@
 			s.client.SetOnIteration(func(now Nanos) { fmt.Fprintf(&s.log, "%d iteration\n", now) })
 			s.on(s.client, func() {})
 			s.on(s.client, func() { s.client.SkipNextWait() })
-			s.connect(t)
+			s.connect()
 			s.on(s.client, func() { s.client.Stop() })
 			s.on(s.client, func() {})
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newSimulation(t)
-			play(t, s)
+			play(s)
 			file := "testdata/simulated-" + strings.NewReplacer(" ", "-", ",", "").Replace(name) + ".golden"
 			if *updateGolden {
 				if err := os.WriteFile(file, s.log.Bytes(), 0o644); err != nil {
