--- a/internal/h2/golden_test.go
+++ b/internal/h2/golden_test.go
@@ -108,7 +108,7 @@
 		p.move("server", p.server, p.client, piece)
 	}
 	p.tr.line("open %d %d, resets %d %d", p.client.OpenStreamCount(), p.server.OpenStreamCount(),
-		p.client.PeerResetCount(), p.server.PeerResetCount())
+		p.client.peerResetCount, p.server.peerResetCount)
 }
 
 func (p *pair) move(name string, from, to *Conn, piece func() int) {
@@ -201,7 +201,7 @@
 	p.step("pings", func() { p.client.Ping(); p.server.Ping() })
 	p.step("drain", func() { p.server.StartDrain(); p.server.StartDrain() })
 	p.step("a stream after GOAWAY", func() {
-		p.tr.line("may open %v, final GOAWAY sent %v", p.client.CanOpenStream(), p.server.FinalGoAwaySent())
+		p.tr.line("may open %v, final GOAWAY sent %v", p.client.CanOpenStream(), p.server.finalGoAwaySent)
 		p.client.OpenStream("/x/Y", "there", 0)
 	})
 	p.step("connection lost", func() { p.client.TransportClosed(); p.server.TransportClosed() })
@@ -225,6 +225,30 @@
 			r.fr.WriteWindowUpdate(3, 200)
 			r.fr.WriteData(3, true, ok)
 		}},
+		{"rejected while output waits", func(r *raw) {
+			r.headers(1, r.usual(), false)
+			r.fr.WriteSettings(http2.Setting{ID: http2.SettingInitialWindowSize, Val: 2})
+			r.fr.WriteData(1, false, ok)
+			r.fr.WriteData(1, false, []byte{0, 1, 0, 0, 0, 0, 0, 0, 0, 1, 'x', 0, 0, 0, 0, 1, 'y'})
+			r.fr.WriteData(1, false, []byte{1, 0, 0, 0, 0, 0, 0, 0, 0, 1, 'z'})
+			r.fr.WriteData(1, true, ok)
+			r.fr.WriteWindowUpdate(1, 1000)
+		}},
+		{"compressed while output waits", func(r *raw) {
+			r.headers(1, r.usual(), false)
+			r.fr.WriteSettings(http2.Setting{ID: http2.SettingInitialWindowSize, Val: 2})
+			r.fr.WriteData(1, false, ok)
+			r.fr.WriteData(1, true, append([]byte{1, 0, 0, 0, 0}, ok...))
+			r.fr.WriteWindowUpdate(1, 1000)
+		}},
+		{"content length", func(r *raw) {
+			for i, length := range []string{"6", "7", "5", "-3", "-1", "0"} {
+				id := uint32(2*i + 1)
+				r.headers(id, r.block(":method", "POST", ":scheme", "http", ":path", "/", "content-type", "application/grpc",
+					"content-length", length), false)
+				r.fr.WriteData(id, true, ok)
+			}
+		}},
 		{"message in pieces", func(r *raw) {
 			r.headers(1, r.usual(), false)
 			for _, b := range ok {
@@ -405,7 +429,7 @@
 	p.carry(whole)
 	p.server.TransportClosed()
 	p.client.TransportClosed()
-	tr.line("budget %d used, %d rejected", budget.UsedBytes(), budget.RejectedStreams)
+	tr.line("budget %d used, %d rejected", budget.usedBytes, budget.RejectedStreams)
 }
 
 func (p *pair) randomAct(rng *rand.Rand) {
--- a/internal/h2/h2_test.go
+++ b/internal/h2/h2_test.go
@@ -450,7 +450,7 @@
 	s.StartDrain()
 	b := c.OpenStream("/x/Y", "there", 0) // crosses
 	carry(t, c, s, whole)
-	if !ask.away || !s.FinalGoAwaySent() || c.CanOpenStream() {
+	if !ask.away || !s.finalGoAwaySent || c.CanOpenStream() {
 		t.Fatal("the client does not know that the server leaves")
 	}
 	for _, st := range []*Stream{a, b} {
@@ -569,8 +569,8 @@
 		if err := bad.feed(1); err != nil {
 			t.Fatal(err)
 		}
-		if b.UsedBytes() > b.MaxBytes/8 {
-			t.Fatalf("one connection holds %d bytes, want at most an eighth of %d", b.UsedBytes(), b.MaxBytes)
+		if b.usedBytes > b.MaxBytes/8 {
+			t.Fatalf("one connection holds %d bytes, want at most an eighth of %d", b.usedBytes, b.MaxBytes)
 		}
 	}
 	if b.RejectedStreams == 0 {
@@ -586,7 +586,7 @@
 		t.Errorf("another connection's message in two parts ended with %q", statuses[1])
 	}
 	bad.c.TransportClosed()
-	if b.UsedBytes() != 0 {
-		t.Errorf("%d bytes in use when all connections are gone", b.UsedBytes())
+	if b.usedBytes != 0 {
+		t.Errorf("%d bytes in use when all connections are gone", b.usedBytes)
 	}
 }
--- /dev/null
+++ b/internal/h2/stream.go
@@ -0,0 +1,158 @@
+package h2
+
+import (
+	"cmp"
+	"slices"
+
+	"golang.org/x/net/http2"
+	"golang.org/x/net/http2/hpack"
+)
+
+const (
+	maxFreeStreams       = 256      // streams that a connection keeps for reuse
+	maxFreeStreamBytes   = 16 << 10 // larger buffers of free streams are left to the garbage collector
+	unknownContentLength = -1
+)
+
+// Stream is one call.
+type Stream struct {
+	UserID   uint64 // for the Handler's own use
+	UserData any    // for the Handler's own use
+
+	conn   *Conn
+	id     uint32
+	active bool // false once the stream has ended
+
+	headersSent     bool
+	headersReceived bool
+	localClosed     bool // this end has sent the end of its half
+	remoteClosed    bool // the peer has sent the end of its half
+
+	sendWindow     int64 // bytes that this end may send
+	pendingOutput  []byte
+	queued         bool // stands in the connection's sendQueue
+	endAfterOutput bool // the end of the stream follows pendingOutput
+	trailer        []hpack.HeaderField
+
+	recvWindow     int64 // bytes that the peer may send
+	uncredited     int64 // consumed bytes by which recvWindow has not been raised again
+	creditedAhead  int64 // bytes by which recvWindow was raised before they are consumed
+	partialMessage []byte
+	contentLength  int64 // announced by the request, or unknownContentLength
+	receivedBytes  int64
+}
+
+// ID returns the stream's identifier, which is unique on its connection.
+func (s *Stream) ID() uint32 { return s.id }
+
+// PendingBytes returns how many bytes wait to be sent on the stream.
+func (s *Stream) PendingBytes() int { return len(s.pendingOutput) }
+
+// HeadersSent reports whether this end has sent its headers.
+func (s *Stream) HeadersSent() bool { return s.headersSent }
+
+// isActiveAs reports whether the stream is still the one with this id. Handlers may end a stream, and its memory may
+// then already be used for another one.
+func (s *Stream) isActiveAs(id uint32) bool { return s.active && s.id == id }
+
+// isEnding reports whether a server has ended the stream and its output is still being sent.
+func (s *Stream) isEnding() bool { return s.endAfterOutput && s.conn.isServer }
+
+// Reset ends the stream at once. The Handler is not called for it again.
+func (s *Stream) Reset(code http2.ErrCode) {
+	if !s.active {
+		return
+	}
+	if s.conn.err == nil {
+		s.conn.frames.writeRSTStream(s.id, code)
+	}
+	s.conn.removeStream(s)
+}
+
+// OpenStreamCount returns how many streams are open.
+func (c *Conn) OpenStreamCount() int { return len(c.streams) }
+
+// CanOpenStream reports whether a client may open another stream.
+func (c *Conn) CanOpenStream() bool {
+	return c.err == nil && !c.goAwayReceived && uint32(len(c.streams)) < c.peerMaxStreams && c.nextStreamID < maxStreamID
+}
+
+// ForEachStream calls f for every open stream, in the order of their identifiers.
+func (c *Conn) ForEachStream(f func(s *Stream)) {
+	for _, s := range c.sortedStreams() {
+		if s.active {
+			f(s)
+		}
+	}
+}
+
+// sortedStreams returns the open streams in the order of their identifiers.
+func (c *Conn) sortedStreams() []*Stream {
+	list := make([]*Stream, 0, len(c.streams))
+	for _, s := range c.streams {
+		list = append(list, s)
+	}
+	slices.SortFunc(list, func(a, b *Stream) int { return cmp.Compare(a.id, b.id) })
+	return list
+}
+
+// isIdleStream reports whether no stream with this id was opened yet.
+func (c *Conn) isIdleStream(id uint32) bool {
+	openedByPeer := c.isServer == (id%2 == 1)
+	if openedByPeer {
+		return id > c.lastPeerStreamID
+	}
+	return id >= c.nextStreamID
+}
+
+// allocateStream returns a new open stream, in the memory of an ended one if there is any.
+func (c *Conn) allocateStream(id uint32) *Stream {
+	var s *Stream
+	if n := len(c.freeStreams); n > 0 {
+		s, c.freeStreams = c.freeStreams[n-1], c.freeStreams[:n-1]
+		*s = Stream{
+			partialMessage: s.partialMessage[:0],
+			pendingOutput:  s.pendingOutput[:0],
+			trailer:        s.trailer[:0],
+		}
+	} else {
+		s = &Stream{}
+	}
+	s.conn, s.id, s.active = c, id, true
+	s.sendWindow = c.peerInitialWindow
+	s.recvWindow = int64(c.limits.StreamWindow)
+	s.contentLength = unknownContentLength
+	if !c.settingsAcked { // the peer may still use the window that holds before any settings
+		s.recvWindow = max(s.recvWindow, initialWindow)
+	}
+	c.streams[id] = s
+	return s
+}
+
+// removeStream ends a stream. Its memory is used again once it has left the sendQueue.
+func (c *Conn) removeStream(s *Stream) {
+	if !s.active {
+		return
+	}
+	s.active = false
+	delete(c.streams, s.id)
+	c.reservePartialBytes(-int64(len(s.partialMessage)))
+	s.partialMessage = s.partialMessage[:0]
+	if !s.queued {
+		c.recycleStream(s)
+	}
+}
+
+// recycleStream keeps the memory of an ended stream for another one.
+func (c *Conn) recycleStream(s *Stream) {
+	if len(c.freeStreams) >= maxFreeStreams {
+		return
+	}
+	if cap(s.partialMessage) > maxFreeStreamBytes {
+		s.partialMessage = nil
+	}
+	if cap(s.pendingOutput) > maxFreeStreamBytes {
+		s.pendingOutput = nil
+	}
+	c.freeStreams = append(c.freeStreams, s)
+}
