--- a/internal/h2/receive_frames.go
+++ b/internal/h2/receive_frames.go
@@ -1,13 +1,13 @@
 package h2
 
 import (
-	"golang.org/x/net/http2"
-
 	"docksail/internal/decide/abuse"
+
+	"golang.org/x/net/http2"
 )
 
-// handleFrame handles one frame of the peer. It returns an http2.StreamError to reset one stream, and any other error to
-// end the connection.
+// handleFrame handles one frame of the peer. It returns an http2.StreamError to reset one stream, and any other error
+// to end the connection.
 func (c *Conn) handleFrame(frame http2.Frame) error {
 	if !c.settingsReceived {
 		if settings, ok := frame.(*http2.SettingsFrame); !ok || settings.IsAck() {
