--- a/internal/backend/platform/attempt.go
+++ b/internal/backend/platform/attempt.go
@@ -1,15 +1,16 @@
 package platform
 
 import (
+	"encoding/json"
+	"errors"
+	"net/http"
+	"strconv"
+
 	"docksail/internal/decide/inflight"
 	"docksail/internal/decide/serverconn"
 	"docksail/internal/dispatch"
 	"docksail/internal/eventloop"
 	"docksail/policy"
-	"encoding/json"
-	"errors"
-	"net/http"
-	"strconv"
 )
 
 // StartAttempt implements dispatch.Backend. A prefill attempt waits until no release of the request is pending: a
@@ -183,7 +184,7 @@
 // trackLostAttempt follows an attempt that was lost with its connection: its server may still work on it.
 func (c *conn) trackLostAttempt(now eventloop.Nanos, req *dispatch.Request) {
 	if tracker := c.backend.trackerFor(req); tracker != nil {
-		tracker.decisions.AttemptAbandoned(now, now+c.backend.maxClassTimeout, false)
+		tracker.decisions.AttemptAbandoned(now, now+c.backend.maxClassTimeout)
 		tracker.schedule(now)
 	}
 }
--- a/internal/backend/platform/backend.go
+++ b/internal/backend/platform/backend.go
@@ -11,6 +11,10 @@
 
 import (
 	"context"
+	"log/slog"
+	"math/rand/v2"
+	"net/netip"
+
 	"docksail/internal/decide/inflight"
 	"docksail/internal/decide/serverconn"
 	"docksail/internal/dispatch"
@@ -18,9 +22,6 @@
 	"docksail/internal/indexedheap"
 	"docksail/internal/platformconfig"
 	"docksail/policy"
-	"log/slog"
-	"math/rand/v2"
-	"net/netip"
 )
 
 // defaultConnectTimeout applies if the settings name no timeout.
--- a/internal/backend/platform/conn.go
+++ b/internal/backend/platform/conn.go
@@ -1,11 +1,12 @@
 package platform
 
 import (
+	"slices"
+
 	"docksail/internal/decide/inflight"
 	"docksail/internal/eventloop"
 	"docksail/internal/h1"
 	"docksail/policy"
-	"slices"
 )
 
 // conn is one connection to a server: its socket, its place in the pool, and the exchange that it carries.
--- a/internal/backend/platform/conn_test.go
+++ b/internal/backend/platform/conn_test.go
@@ -2,15 +2,16 @@
 
 import (
 	"bufio"
-	"docksail/internal/eventloop"
-	"docksail/internal/frontend"
-	"docksail/internal/platformconfig"
-	"docksail/policy"
 	"io"
 	"net"
 	"net/http"
 	"testing"
 	"time"
+
+	"docksail/internal/eventloop"
+	"docksail/internal/frontend"
+	"docksail/internal/platformconfig"
+	"docksail/policy"
 )
 
 // waitTimeout limits the wait for what a test expects of a running loop.
--- a/internal/backend/platform/discovery.go
+++ b/internal/backend/platform/discovery.go
@@ -1,11 +1,11 @@
 package platform
 
 import (
-	"docksail/internal/eventloop"
-	"docksail/internal/h1"
 	"net/netip"
 
 	decide "docksail/internal/decide/discovery"
+	"docksail/internal/eventloop"
+	"docksail/internal/h1"
 )
 
 // noVersion stands for the version of a list while discovery has sent none: the complete list is asked for then.
--- a/internal/backend/platform/discoverywatch.go
+++ b/internal/backend/platform/discoverywatch.go
@@ -1,8 +1,6 @@
 package platform
 
 import (
-	"docksail/internal/eventloop"
-	"docksail/internal/h1"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -11,6 +9,8 @@
 	"strconv"
 
 	decide "docksail/internal/decide/discovery"
+	"docksail/internal/eventloop"
+	"docksail/internal/h1"
 )
 
 // watch is one call to discovery, whose response is a stream of endpoint lists. It implements eventloop.Handler.
--- a/internal/backend/platform/exchange.go
+++ b/internal/backend/platform/exchange.go
@@ -1,12 +1,14 @@
 package platform
 
 import (
+	"time"
+
 	"docksail/internal/decide/inflight"
+	"docksail/internal/decide/serverconn"
 	"docksail/internal/dispatch"
 	"docksail/internal/eventloop"
 	"docksail/internal/h1"
 	"docksail/policy"
-	"time"
 )
 
 // exchange is one request to a server, an attempt or a release, and the response to it.
@@ -124,8 +126,14 @@
 // lostOutcome returns the outcome of an attempt whose connection was lost, and counts it if the connection was stale.
 func (c *conn) lostOutcome(now eventloop.Nanos) policy.Outcome {
 	x := &c.exchange
+	lost := serverconn.LostConn{
+		UseCount:         c.useCount,
+		RequestSent:      x.written,
+		ResponseStarted:  x.response.started,
+		LostAfterSending: now - x.sentAt,
+	}
 	switch {
-	case c.backend.connPolicy.IsStale(c.useCount, x.written, x.response.started, now-x.sentAt):
+	case c.backend.connPolicy.IsStale(lost):
 		c.backend.Counts.StaleConnections++
 		c.backend.Counts.IdleBeforeStale.add(x.sentAt - c.idleSince)
 		return policy.StaleConnection
--- a/internal/backend/platform/harness_test.go
+++ b/internal/backend/platform/harness_test.go
@@ -1,14 +1,15 @@
 package platform
 
 import (
+	"log/slog"
+	"net/netip"
+	"testing"
+
 	"docksail/internal/dispatch"
 	"docksail/internal/eventloop"
 	"docksail/internal/frontend"
 	"docksail/internal/platformconfig"
 	"docksail/policy"
-	"log/slog"
-	"net/netip"
-	"testing"
 )
 
 // newLoop returns an event loop that the test closes at its end.
--- a/internal/backend/platform/jsonobjects.go
+++ b/internal/backend/platform/jsonobjects.go
@@ -1,8 +1,9 @@
 package platform
 
 import (
-	"docksail/internal/h1"
 	"fmt"
+
+	"docksail/internal/h1"
 )
 
 // maxListObjectBytes limits one object of the stream that discovery sends.
--- a/internal/backend/platform/jsonobjects_test.go
+++ b/internal/backend/platform/jsonobjects_test.go
@@ -2,10 +2,11 @@
 
 import (
 	"bytes"
-	"docksail/internal/h1"
 	"errors"
 	"slices"
 	"testing"
+
+	"docksail/internal/h1"
 )
 
 // TestObjectSplitter: wherever a stream of objects is cut, they come out as they were.
--- a/internal/backend/platform/lingering.go
+++ b/internal/backend/platform/lingering.go
@@ -1,9 +1,10 @@
 package platform
 
 import (
+	"slices"
+
 	"docksail/internal/decide/inflight"
 	"docksail/internal/eventloop"
-	"slices"
 )
 
 // linger keeps the connection of an abandoned attempt. Its output is closed, by which the server learns that the
@@ -15,13 +16,13 @@
 	c.socket.SetReadPaused(false)
 	c.socket.CloseWriteAfterFlush()
 	tracker.lingering = append(tracker.lingering, c)
-	tracker.decisions.AttemptAbandoned(now, now+c.backend.maxClassTimeout, true)
+	tracker.decisions.WatchedAttemptAbandoned(now, now+c.backend.maxClassTimeout)
 	tracker.schedule(now)
 }
 
 // handleLingeringClosed takes the end of a lingering connection that the server did not end in order.
 func (c *conn) handleLingeringClosed(now eventloop.Nanos) {
-	if c.lingersFor.decisions.ConfirmsEnd(now, c.abandonedAt, false) {
+	if c.lingersFor.decisions.ConfirmsEnd(now, c.abandonedAt, inflight.ConnReset) {
 		c.confirmEnd(now)
 		return
 	}
--- a/internal/backend/platform/listupdate.go
+++ b/internal/backend/platform/listupdate.go
@@ -1,12 +1,13 @@
 package platform
 
 import (
-	"docksail/internal/dispatch"
-	"docksail/internal/eventloop"
-	"docksail/policy"
 	"fmt"
 	"net/netip"
 	"slices"
+
+	"docksail/internal/dispatch"
+	"docksail/internal/eventloop"
+	"docksail/policy"
 )
 
 // healthByState has the health that the states of an endpoint list stand for.
--- a/internal/backend/platform/listupdate_test.go
+++ b/internal/backend/platform/listupdate_test.go
@@ -1,9 +1,10 @@
 package platform
 
 import (
-	"docksail/internal/platformconfig"
 	"fmt"
 	"testing"
+
+	"docksail/internal/platformconfig"
 )
 
 // newLargeBackend returns a backend with so many servers and their entries.
--- a/internal/backend/platform/loadreport.go
+++ b/internal/backend/platform/loadreport.go
@@ -2,10 +2,11 @@
 
 import (
 	"bytes"
-	"docksail/internal/platformconfig"
-	"docksail/policy"
 	"encoding/json"
 	"strconv"
+
+	"docksail/internal/platformconfig"
+	"docksail/policy"
 )
 
 // maxLoadValue is the limit of the values of a load report; larger ones are ignored.
@@ -33,7 +34,7 @@
 	report := policy.NoLoadReport
 	for name, value := range values { // the order has no effect: each sets a field of its own
 		if x, err := strconv.ParseFloat(string(value), 64); err == nil && x >= 0 && x < maxLoadValue {
-			platformconfig.Report(&report, name, x)
+			platformconfig.SetLoadReportField(&report, name, x)
 		}
 	}
 	c.exchange.response.loadReport = report
--- a/internal/backend/platform/pool.go
+++ b/internal/backend/platform/pool.go
@@ -1,10 +1,11 @@
 package platform
 
 import (
+	"errors"
+
 	"docksail/internal/eventloop"
 	"docksail/internal/indexedheap"
 	"docksail/policy"
-	"errors"
 )
 
 // errConnLimit is returned if a connection is needed and all that are permitted are in use.
--- a/internal/backend/platform/releaseround.go
+++ b/internal/backend/platform/releaseround.go
@@ -1,13 +1,14 @@
 package platform
 
 import (
+	"errors"
+	"slices"
+	"time"
+
 	"docksail/internal/decide/inflight"
 	"docksail/internal/decide/serverconn"
 	"docksail/internal/eventloop"
 	"docksail/policy"
-	"errors"
-	"slices"
-	"time"
 )
 
 // sendRound sends the release to as many servers as the round has, first to those that have not been tried. It skips
--- a/internal/backend/platform/releasetracker.go
+++ b/internal/backend/platform/releasetracker.go
@@ -1,12 +1,13 @@
 package platform
 
 import (
+	"slices"
+	"time"
+
 	"docksail/internal/decide/inflight"
 	"docksail/internal/dispatch"
 	"docksail/internal/eventloop"
 	"docksail/policy"
-	"slices"
-	"time"
 )
 
 // releaseTracker releases the state that attempts of one request may have left at servers. It carries out what
--- a/internal/backend/platform/releasetracker_test.go
+++ b/internal/backend/platform/releasetracker_test.go
@@ -1,10 +1,11 @@
 package platform
 
 import (
-	"docksail/internal/dispatch"
-	"docksail/internal/platformconfig"
 	"net"
 	"testing"
+
+	"docksail/internal/dispatch"
+	"docksail/internal/platformconfig"
 )
 
 // TestReleaseSkipsServerThatCannotBeDialed: a release goes to the next server at once, not in the next round.
--- a/internal/backend/platform/response.go
+++ b/internal/backend/platform/response.go
@@ -2,11 +2,12 @@
 
 import (
 	"bytes"
+	"net/http"
+	"time"
+
 	"docksail/internal/eventloop"
 	"docksail/internal/h1"
 	"docksail/policy"
-	"net/http"
-	"time"
 )
 
 const (
--- a/internal/backend/platform/server.go
+++ b/internal/backend/platform/server.go
@@ -1,12 +1,13 @@
 package platform
 
 import (
-	"docksail/internal/eventloop"
-	"docksail/policy"
 	"maps"
 	"slices"
 
 	"github.com/cespare/xxhash/v2"
+
+	"docksail/internal/eventloop"
+	"docksail/policy"
 )
 
 // server is a model server of the endpoint list with the connections to it.
--- a/internal/backend/platform/stats.go
+++ b/internal/backend/platform/stats.go
@@ -1,9 +1,10 @@
 package platform
 
 import (
+	"math/bits"
+
 	"docksail/internal/eventloop"
 	"docksail/policy"
-	"math/bits"
 )
 
 // Counts are totals since the start of the process. The names of the fields appear in the log record "counts"; those
