--- a/internal/h1/h1_test.go
+++ b/internal/h1/h1_test.go
@@ -47,7 +47,7 @@
 	return got, f.Len(), err
 }
 
-var usual = Limits{HeadBytes: 1 << 10, BodyBytes: 4 << 10}
+var testLimits = Limits{HeadBytes: 1 << 10, BodyBytes: 4 << 10}
 
 // Every split gives the same messages.
 func TestSplitAtEveryByte(t *testing.T) {
@@ -57,12 +57,12 @@
 	answers := "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nLink: x\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
 		"5\r\ndata:\r\n2\r\n\n\n\r\n0\r\n\r\nHTTP/1.1 204 None\r\n\r\nHTTP/1.1 202 Accepted\r\nContent-Length: 2\r\n\r\n{}"
 	for part := 1; part < len(answers); part++ {
-		got, rest, err := decode(NewRequestDecoder(usual), []byte(requests), part)
+		got, rest, err := decode(NewRequestDecoder(testLimits), []byte(requests), part)
 		want := []message{{"POST /a?b=c", 0, "hello"}, {"GET /b", 0, ""}, {"POST /c", 0, "abc0123456789"}}
 		if err != nil || rest != 0 || len(got) != 3 || got[0] != want[0] || got[1] != want[1] || got[2] != want[2] {
 			t.Fatalf("requests in parts of %d: %v, %d left, %v", part, got, rest, err)
 		}
-		for _, lim := range []Limits{usual, {HeadBytes: 1 << 10, ChunkBytes: 64}} { // chunks as they come, and whole
+		for _, lim := range []Limits{testLimits, {HeadBytes: 1 << 10, ChunkBytes: 64}} { // chunks as they come, and whole
 			got, rest, err = decode(NewResponseDecoder(lim), []byte(answers), part)
 			if err != nil || rest != 0 || len(got) != 3 || got[0] != (message{" ", 200, "data:\n\n"}) || got[1].status != 204 || got[2].body != "{}" {
 				t.Fatalf("answers in parts of %d: %v, %d left, %v", part, got, rest, err)
@@ -117,7 +117,7 @@
 	}
 	for _, part := range []int{1, 7, 1 << 20} {
 		for text, want := range requests {
-			if got, _, err := decode(NewRequestDecoder(usual), []byte(text), part); !errors.Is(err, want) || len(got) > 0 {
+			if got, _, err := decode(NewRequestDecoder(testLimits), []byte(text), part); !errors.Is(err, want) || len(got) > 0 {
 				t.Errorf("request %.60q in parts of %d: %v, %v, want %v", text, part, got, err, want)
 			}
 		}
@@ -136,8 +136,8 @@
 	f.Add([]byte("GET /?q HTTP/1.1\r\nHost: x\r\nConnection: close, x\r\n\r\n"))
 	f.Add([]byte("POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, p []byte) {
-		got, _, err := decode(NewRequestDecoder(usual), p, len(p))
-		byBytes, _, err2 := decode(NewRequestDecoder(usual), p, 1)
+		got, _, err := decode(NewRequestDecoder(testLimits), p, len(p))
+		byBytes, _, err2 := decode(NewRequestDecoder(testLimits), p, 1)
 		if (err == nil) != (err2 == nil) || len(got) != len(byBytes) {
 			t.Fatalf("at once %v, %v; byte by byte %v, %v", got, err, byBytes, err2)
 		}
