--- a/internal/h1/decoder.go
+++ b/internal/h1/decoder.go
@@ -2,295 +2,196 @@
 
 import "bytes"
 
-// Event is what a decoder found.
+// Event is what a decoder has found.
 type Event uint8
 
+// The events of a message come in this order, BodyData any number of times.
 const (
-	NeedData    Event = iota // more bytes are needed
-	MessageHead              // a head: Decoder.Head holds it
+	NeedData    Event = iota // none: more bytes are needed
+	MessageHead              // a head, which Decoder.Head holds
 	BodyData                 // a part of the body
-	MessageEnd               // the message is at its end
+	MessageEnd               // the end of the message
+
+	stateChanged // none yet: the next state continues with the bytes that are left
 )
 
-type state uint8
+type decoderState uint8
 
 const (
-	inHead state = iota
-	inLength
-	inSize
-	inChunk
-	inChunkEnd
-	inTrailer
-	untilEnd
-	atEnd
+	stateHead decoderState = iota
+	stateFixedBody
+	stateChunkSize
+	stateChunkData  // as it arrives
+	stateWholeChunk // with its line end
+	stateChunkEnd
+	stateTrailer
+	stateBodyUntilClose
+	stateMessageEnd
 )
 
-const sizeLine = 256 // bytes of a chunk's size line, with what extensions it has
+const (
+	versionPrefix = "HTTP/1."
+	// maxInformational is how many informational (1xx) responses may come before a final one.
+	maxInformational = 16
+
+	statusSwitchingProtocols = 101
+	statusOK                 = 200
+	statusNoContent          = 204
+	statusNotModified        = 304
+)
 
-// Decoder takes the messages of one connection apart. Feed it what has come: it takes from the front.
+// Decoder decodes the messages of one direction of a connection. NewRequestDecoder and NewResponseDecoder make one.
 type Decoder struct {
-	Head    Head
-	lim     Limits
-	request bool
-	state   state
-	left    int64
-	total   int64
-	odd     int // 1xx answers in front
+	Head Head // of the message that is being decoded
+
+	limits        Limits
+	isRequest     bool
+	state         decoderState
+	remaining     int64 // bytes of the body or of the chunk that are still to come
+	bodyBytes     int64 // bytes of a body without Content-Length so far
+	informational int   // informational responses before the one that is being decoded
 }
 
-// NewRequestDecoder makes a decoder of requests, NewResponseDecoder one of answers.
-func NewRequestDecoder(lim Limits) Decoder { return Decoder{lim: lim, request: true} }
+// NewRequestDecoder returns a decoder of requests.
+func NewRequestDecoder(limits Limits) Decoder { return Decoder{limits: limits, isRequest: true} }
 
-// NewResponseDecoder makes a decoder of answers.
-func NewResponseDecoder(lim Limits) Decoder { return Decoder{lim: lim} }
+// NewResponseDecoder returns a decoder of responses.
+func NewResponseDecoder(limits Limits) Decoder { return Decoder{limits: limits} }
 
-// AtMessageStart tells that nothing of a message has been taken.
-func (d *Decoder) AtMessageStart() bool { return d.state == inHead }
+// AtMessageStart reports whether no byte of a message has been consumed yet.
+func (d *Decoder) AtMessageStart() bool { return d.state == stateHead }
 
-const mostOdd = 16 // 1xx answers that may come before one
-
-// Next takes the next piece from the front of p: n bytes of it are done with. data, and the Head's slices, point into
-// p. After an error the connection is of no more use.
-func (d *Decoder) Next(p []byte) (piece Event, data []byte, n int, err error) {
+// Next decodes the next event from the front of p and returns the number n of bytes that it has consumed. The caller
+// passes the bytes that are left, and more once they have arrived, to the next call. data, which comes with BodyData,
+// and the slices in Head point into p. The decoder must not be used again after an error.
+func (d *Decoder) Next(p []byte) (event Event, data []byte, n int, err error) {
 	for {
+		consumed := 0
 		switch d.state {
-		case inHead:
-			k, err := d.headEnd(p[n:])
-			if err != nil || k == 0 {
-				return NeedData, nil, n, err
-			}
-			if err := d.Head.parse(p[n:n+k], d.request); err != nil {
-				return NeedData, nil, n, err
-			}
-			n += k
-			if !d.request && d.Head.StatusCode < 200 {
-				if d.odd++; d.odd > mostOdd || d.Head.StatusCode == 101 {
-					return NeedData, nil, n, bad("status %d", d.Head.StatusCode)
-				}
-				continue
-			}
-			if err := d.begin(); err != nil {
-				return NeedData, nil, n, err
-			}
-			return MessageHead, nil, n, nil
-		case inLength:
-			k := int(min(int64(len(p)-n), d.left))
-			if k == 0 {
-				return NeedData, nil, n, nil
-			}
-			if d.left -= int64(k); d.left == 0 {
-				d.state = atEnd
-			}
-			return BodyData, p[n : n+k], n + k, nil
-		case untilEnd:
-			k := len(p) - n
-			if d.total += int64(k); d.lim.BodyBytes > 0 && d.total > d.lim.BodyBytes {
-				return NeedData, nil, n, ErrBodyTooLarge
-			}
-			if k == 0 {
-				return NeedData, nil, n, nil
-			}
-			return BodyData, p[n:], len(p), nil
-		case inSize:
-			k, err := d.size(p[n:])
-			if err != nil || k == 0 {
-				return NeedData, nil, n, err
-			}
-			n += k
-		case inChunk:
-			rest := p[n:]
-			if d.lim.ChunkBytes > 0 { // whole, so that what does not fit is known before any of it is given out
-				if int64(len(rest)) < d.left+2 {
-					return NeedData, nil, n, nil
-				}
-				if rest[d.left] != '\r' || rest[d.left+1] != '\n' {
-					return NeedData, nil, n, bad("a chunk does not fit its size")
-				}
-				k := int(d.left)
-				d.state = inSize
-				return BodyData, rest[:k], n + k + 2, nil
-			}
-			k := int(min(int64(len(rest)), d.left))
-			if k == 0 {
-				return NeedData, nil, n, nil
-			}
-			if d.left -= int64(k); d.left == 0 {
-				d.state = inChunkEnd
-			}
-			return BodyData, rest[:k], n + k, nil
-		case inChunkEnd:
-			rest := p[n:]
-			if len(rest) > 0 && rest[0] != '\r' || len(rest) > 1 && rest[1] != '\n' {
-				return NeedData, nil, n, bad("a chunk does not fit its size")
-			}
-			if len(rest) < 2 {
-				return NeedData, nil, n, nil
-			}
-			d.state, n = inSize, n+2
-		case inTrailer:
-			k, err := d.trailerEnd(p[n:])
-			if err != nil || k == 0 {
-				return NeedData, nil, n, err
-			}
-			n += k
-			d.state = atEnd
-		case atEnd:
-			d.state, d.odd, d.total = inHead, 0, 0
-			return MessageEnd, nil, n, nil
+		case stateHead:
+			event, consumed, err = d.decodeHead(p[n:])
+		case stateFixedBody:
+			event, data, consumed = d.decodeFixedBody(p[n:])
+		case stateBodyUntilClose:
+			event, data, consumed, err = d.decodeBodyUntilClose(p[n:])
+		case stateChunkSize:
+			event, consumed, err = d.decodeChunkSize(p[n:])
+		case stateChunkData:
+			event, data, consumed = d.decodeChunkData(p[n:])
+		case stateWholeChunk:
+			event, data, consumed, err = d.decodeWholeChunk(p[n:])
+		case stateChunkEnd:
+			event, consumed, err = d.decodeChunkEnd(p[n:])
+		case stateTrailer:
+			event, consumed, err = d.decodeTrailer(p[n:])
+		case stateMessageEnd:
+			d.state, d.informational, d.bodyBytes = stateHead, 0, 0
+			event = MessageEnd
+		}
+		n += consumed
+		if event != stateChanged {
+			return event, data, n, err
 		}
 	}
 }
 
-// EndOfInput tells the decoder that no more bytes come: Whole if that is how the message ends.
+// EndOfInput tells the decoder that no more bytes will arrive. It returns MessageEnd if that ends a message, NeedData
+// between messages, and ErrTruncated inside a message.
 func (d *Decoder) EndOfInput() (Event, error) {
 	switch d.state {
-	case untilEnd:
-		d.state = inHead
+	case stateBodyUntilClose:
+		d.state = stateHead
 		return MessageEnd, nil
-	case inHead:
+	case stateHead:
 		return NeedData, nil
+	default:
+		return NeedData, ErrTruncated
 	}
-	return NeedData, ErrTruncated
 }
 
-// headEnd finds the end of a head; 0 while it has not come.
-func (d *Decoder) headEnd(p []byte) (int, error) {
-	if len(p) > 0 && !d.request && !bytes.HasPrefix([]byte("HTTP/1."), p[:min(len(p), 7)]) {
-		return 0, bad("an answer begins with %.20q", p)
+// decodeHead consumes a complete head. Informational responses are passed over.
+func (d *Decoder) decodeHead(p []byte) (Event, int, error) {
+	if !d.isRequest {
+		prefix := min(len(p), len(versionPrefix))
+		if string(p[:prefix]) != versionPrefix[:prefix] {
+			return NeedData, 0, malformed("an answer begins with %.20q", p)
+		}
+	}
+	end, err := headEnd(p, d.limits.HeadBytes)
+	if err != nil || end == 0 {
+		return NeedData, 0, err
 	}
-	return blankLine(p, d.lim.HeadBytes)
+	if err := d.Head.parse(p[:end], d.isRequest); err != nil {
+		return NeedData, 0, err
+	}
+	if !d.isRequest && d.Head.StatusCode < statusOK {
+		d.informational++
+		if d.informational > maxInformational || d.Head.StatusCode == statusSwitchingProtocols {
+			return NeedData, end, malformed("status %d", d.Head.StatusCode)
+		}
+		return stateChanged, end, nil
+	}
+	if err := d.beginBody(); err != nil {
+		return NeedData, end, err
+	}
+	return MessageHead, end, nil
 }
 
-func blankLine(p []byte, most int) (int, error) {
-	i := bytes.Index(p, []byte("\r\n\r\n"))
+// headEnd returns the length of the head at the front of p with its empty line; 0 while it is incomplete.
+func headEnd(p []byte, limit int) (int, error) {
+	const emptyLine = "\r\n\r\n"
+	i := bytes.Index(p, []byte(emptyLine))
 	switch {
-	case i >= 0 && i+4 <= most:
-		return i + 4, nil
-	case i >= 0 || len(p) > most:
+	case i >= 0 && i+len(emptyLine) <= limit:
+		return i + len(emptyLine), nil
+	case i >= 0 || len(p) > limit:
 		return 0, ErrHeadTooLarge
 	}
 	return 0, nil
 }
 
-// trailerEnd takes trailers, which nobody reads.
-func (d *Decoder) trailerEnd(p []byte) (int, error) {
-	if bytes.HasPrefix(p, []byte("\r\n")) {
-		return 2, nil
-	}
-	if len(p) < 2 {
-		return 0, nil
-	}
-	k, err := blankLine(p, d.lim.HeadBytes)
-	if err != nil || k == 0 {
-		return 0, err
-	}
-	var h Head
-	return k, h.fields(p[:k])
-}
-
-// begin finds the state in which the body is read.
-func (d *Decoder) begin() error {
-	h := &d.Head
-	d.total = 0
+// beginBody sets the state in which the body behind Head is decoded.
+func (d *Decoder) beginBody() error {
+	head := &d.Head
+	d.bodyBytes = 0
+	bodiless := head.StatusCode == statusNoContent || head.StatusCode == statusNotModified
 	switch {
-	case h.Chunked:
-		d.state = inSize
-	case h.ContentLength > 0 && !(h.StatusCode == 204 || h.StatusCode == 304):
-		if d.state, d.left = inLength, h.ContentLength; d.lim.BodyBytes > 0 && h.ContentLength > d.lim.BodyBytes {
+	case head.Chunked:
+		d.state = stateChunkSize
+	case head.ContentLength > 0 && !bodiless:
+		d.state, d.remaining = stateFixedBody, head.ContentLength
+		if d.limits.BodyBytes > 0 && head.ContentLength > d.limits.BodyBytes {
 			return ErrBodyTooLarge
 		}
-	case h.ContentLength < 0 && !d.request && h.StatusCode != 204 && h.StatusCode != 304:
-		d.state, h.Close = untilEnd, true
+	case head.ContentLength < 0 && !d.isRequest && !bodiless:
+		d.state, head.Close = stateBodyUntilClose, true
 	default:
-		d.state = atEnd
+		d.state = stateMessageEnd
 	}
 	return nil
 }
 
-// size reads the size line of a chunk; 0 while it has not all come.
-func (d *Decoder) size(p []byte) (int, error) {
-	i := bytes.IndexByte(p, '\n')
-	if i < 0 && len(p) <= sizeLine {
-		for k, c := range p { // noise is known before its line ends
-			if _, ok := hexDigit(c); !ok && (k == 0 || c != '\r' && c != ';' && c != ' ' && c != '\t') {
-				return 0, bad("chunk size %.20q", p)
-			} else if !ok {
-				break
-			}
-		}
-		return 0, nil
+// decodeFixedBody consumes bytes of a body whose length the head states.
+func (d *Decoder) decodeFixedBody(p []byte) (Event, []byte, int) {
+	n := int(min(int64(len(p)), d.remaining))
+	if n == 0 {
+		return NeedData, nil, 0
 	}
-	if i < 1 || i > sizeLine || p[i-1] != '\r' {
-		return 0, bad("chunk size line %.20q", p)
+	d.remaining -= int64(n)
+	if d.remaining == 0 {
+		d.state = stateMessageEnd
 	}
-	line := p[:i-1]
-	if k := bytes.IndexByte(line, ';'); k >= 0 {
-		if !validValue(line[k:]) {
-			return 0, bad("chunk extension %.20q", line[k:])
-		}
-		line = bytes.TrimRight(line[:k], " \t")
-	}
-	if len(line) == 0 || len(line) > 15 {
-		return 0, bad("chunk size %.20q", line)
-	}
-	n := int64(0)
-	for _, c := range line {
-		x, ok := hexDigit(c)
-		if !ok {
-			return 0, bad("chunk size %.20q", line)
-		}
-		n = n<<4 | x
-	}
-	if d.total += n; d.lim.BodyBytes > 0 && d.total > d.lim.BodyBytes || d.lim.ChunkBytes > 0 && n > int64(d.lim.ChunkBytes) {
-		return 0, ErrBodyTooLarge
-	}
-	if d.state, d.left = inChunk, n; n == 0 {
-		d.state = inTrailer
-	}
-	return i + 1, nil
-}
-
-func hexDigit(c byte) (int64, bool) {
-	switch {
-	case '0' <= c && c <= '9':
-		return int64(c - '0'), true
-	case 'a' <= c && c <= 'f':
-		return int64(c-'a') + 10, true
-	case 'A' <= c && c <= 'F':
-		return int64(c-'A') + 10, true
-	}
-	return 0, false
+	return BodyData, p[:n], n
 }
 
-// InputBuffer keeps what a decoder has not taken yet between one arrival of bytes and the next.
-type InputBuffer struct{ rest []byte }
-
-// Len is how many bytes are kept.
-func (f *InputBuffer) Len() int { return len(f.rest) }
-
-// Process hands over what has come to take, which gives how many bytes from the front it is done with. Too little for
-// take is kept.
-func (f *InputBuffer) Process(p []byte, take func(p []byte) int) {
-	if len(f.rest) > 0 {
-		f.rest = append(f.rest, p...)
-		p = f.rest
+// decodeBodyUntilClose consumes bytes of a body that ends with the connection.
+func (d *Decoder) decodeBodyUntilClose(p []byte) (Event, []byte, int, error) {
+	d.bodyBytes += int64(len(p))
+	if d.limits.BodyBytes > 0 && d.bodyBytes > d.limits.BodyBytes {
+		return NeedData, nil, 0, ErrBodyTooLarge
 	}
-	n := take(p)
-	switch {
-	case n == len(p):
-		f.drop()
-	case len(f.rest) > 0:
-		f.rest = f.rest[:copy(f.rest, f.rest[n:])]
-	default:
-		f.rest = append(f.rest, p[n:]...)
-	}
-}
-
-const keepRoom = 1 << 10 // a buffer that has grown beyond this is not kept once it is empty
-
-func (f *InputBuffer) drop() {
-	if cap(f.rest) > keepRoom {
-		f.rest = nil
+	if len(p) == 0 {
+		return NeedData, nil, 0, nil
 	}
-	f.rest = f.rest[:0]
+	return BodyData, p, len(p), nil
 }
--- a/internal/h1/golden_test.go
+++ b/internal/h1/golden_test.go
@@ -11,6 +11,17 @@
 
 var update = flag.Bool("update", false, "rewrite the golden files of this package")
 
+const (
+	goldenPost    = "POST / HTTP/1.1\r\nHost: x\r\n"
+	goldenChunked = goldenPost + "Transfer-Encoding: chunked\r\n\r\n"
+	goldenStream  = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+)
+
+var (
+	goldenBodyLimit  = Limits{HeadBytes: 1 << 10, BodyBytes: 8}
+	goldenChunkLimit = Limits{HeadBytes: 1 << 10, ChunkBytes: 8}
+)
+
 // goldenMessages are inputs of the decoder, well formed and not, in the order of the golden file.
 var goldenMessages = []struct {
 	name     string
@@ -20,29 +31,43 @@
 }{
 	{"get", false, testLimits, "GET /a?b=c HTTP/1.1\r\nHost: x\r\nAccept:  a , b \t\r\n\r\n"},
 	{"get http/1.0", false, testLimits, "GET / HTTP/1.0\r\n\r\n"},
-	{"get then post", false, testLimits, "GET /b HTTP/1.1\r\nHost: x\r\n\r\nPOST /c HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\nhello"},
-	{"length zero", false, testLimits, "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n"},
-	{"length", false, testLimits, "POST / HTTP/1.1\r\nHOST: x\r\ncontent-LENGTH: 5\r\nExpect: 100-Continue\r\nConnection: x, Close\r\n\r\nhello"},
-	{"truncated body", false, testLimits, "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\nhel"},
-	{"chunked", false, testLimits, "POST /c HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: Chunked\r\n\r\n3;q=1\r\nabc\r\nA \r\n0123456789\r\n0\r\nTrailer: v\r\n\r\nGET"},
-	{"chunk extension with a control byte", false, testLimits, "POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n3;\x01\r\nabc\r\n"},
-	{"chunk size empty", false, testLimits, "POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n;q\r\nabc\r\n"},
-	{"chunk size of 16 digits", false, testLimits, "POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n0000000000000003\r\nabc\r\n"},
-	{"chunk size not hexadecimal", false, testLimits, "POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n3g\r\nabc\r\n"},
-	{"chunk longer than its size", false, testLimits, "POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabcd\r\n"},
-	{"chunk ends in CR only", false, testLimits, "POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\rd\r\n"},
-	{"chunk size line with LF", false, testLimits, "POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n3\nabc\r\n"},
-	{"trailer malformed", false, testLimits, "POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n0\r\nno colon\r\n\r\n"},
-	{"trailer too long", false, Limits{HeadBytes: 80}, "POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n0\r\nT: " + strings.Repeat("v", 90)},
-	{"chunks exceed body limit", false, Limits{HeadBytes: 1 << 10, BodyBytes: 8}, "POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n5\r\nworld\r\n"},
-	{"length exceeds body limit", false, Limits{HeadBytes: 1 << 10, BodyBytes: 8}, "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\n"},
-	{"head too long", false, Limits{HeadBytes: 64}, "GET / HTTP/1.1\r\nHost: x\r\nX: " + strings.Repeat("a", 64) + "\r\n\r\n"},
-	{"length twice", false, testLimits, "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\nContent-Length: 3\r\n\r\nabc"},
-	{"length and chunked", false, testLimits, "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\nabc"},
-	{"length with sign", false, testLimits, "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: +3\r\n\r\nabc"},
-	{"coding unknown", false, testLimits, "POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: gzip, chunked\r\n\r\n"},
+	{
+		"get then post", false, testLimits,
+		"GET /b HTTP/1.1\r\nHost: x\r\n\r\nPOST /c HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\nhello",
+	},
+	{"length zero", false, testLimits, goldenPost + "Content-Length: 0\r\n\r\n"},
+	{
+		"length", false, testLimits,
+		"POST / HTTP/1.1\r\nHOST: x\r\ncontent-LENGTH: 5\r\nExpect: 100-Continue\r\nConnection: x, Close\r\n\r\nhello",
+	},
+	{"truncated body", false, testLimits, goldenPost + "Content-Length: 5\r\n\r\nhel"},
+	{
+		"chunked", false, testLimits,
+		"POST /c HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: Chunked\r\n\r\n" +
+			"3;q=1\r\nabc\r\nA \r\n0123456789\r\n0\r\nTrailer: v\r\n\r\nGET",
+	},
+	{"chunk extension with a control byte", false, testLimits, goldenChunked + "3;\x01\r\nabc\r\n"},
+	{"chunk size empty", false, testLimits, goldenChunked + ";q\r\nabc\r\n"},
+	{"chunk size of 16 digits", false, testLimits, goldenChunked + "0000000000000003\r\nabc\r\n"},
+	{"chunk size not hexadecimal", false, testLimits, goldenChunked + "3g\r\nabc\r\n"},
+	{"chunk longer than its size", false, testLimits, goldenChunked + "3\r\nabcd\r\n"},
+	{"chunk ends in CR only", false, testLimits, goldenChunked + "3\r\nabc\rd\r\n"},
+	{"chunk size line with LF", false, testLimits, goldenChunked + "3\nabc\r\n"},
+	{"trailer malformed", false, testLimits, goldenChunked + "0\r\nno colon\r\n\r\n"},
+	{"trailer too long", false, Limits{HeadBytes: 80}, goldenChunked + "0\r\nT: " + strings.Repeat("v", 90)},
+	{"chunks exceed body limit", false, goldenBodyLimit, goldenChunked + "5\r\nhello\r\n5\r\nworld\r\n"},
+	{"length exceeds body limit", false, goldenBodyLimit, goldenPost + "Content-Length: 9\r\n\r\n"},
+	{
+		"head too long", false,
+		Limits{HeadBytes: 64},
+		"GET / HTTP/1.1\r\nHost: x\r\nX: " + strings.Repeat("a", 64) + "\r\n\r\n",
+	},
+	{"length twice", false, testLimits, goldenPost + "Content-Length: 3\r\nContent-Length: 3\r\n\r\nabc"},
+	{"length and chunked", false, testLimits, goldenPost + "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\nabc"},
+	{"length with sign", false, testLimits, goldenPost + "Content-Length: +3\r\n\r\nabc"},
+	{"coding unknown", false, testLimits, goldenPost + "Transfer-Encoding: gzip, chunked\r\n\r\n"},
 	{"coding in http/1.0", false, testLimits, "POST / HTTP/1.0\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n"},
-	{"expectation unknown", false, testLimits, "POST / HTTP/1.1\r\nHost: x\r\nExpect: 200-maybe\r\n\r\n"},
+	{"expectation unknown", false, testLimits, goldenPost + "Expect: 200-maybe\r\n\r\n"},
 	{"host missing", false, testLimits, "GET / HTTP/1.1\r\n\r\n"},
 	{"host twice", false, testLimits, "GET / HTTP/1.1\r\nHost: x\r\nHost: y\r\n\r\n"},
 	{"version", false, testLimits, "GET / HTTP/2.0\r\nHost: x\r\n\r\n"},
@@ -54,14 +79,20 @@
 	{"empty", false, testLimits, ""},
 
 	{"response length", true, testLimits, "HTTP/1.1 202 Accepted\r\nContent-Length: 2\r\n\r\n{}HTTP"},
-	{"response chunked", true, testLimits, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\ndata:\r\n2\r\n\n\n\r\n0\r\n\r\nHTTP/1.1 200 OK\r\n"},
-	{"response whole chunks", true, Limits{HeadBytes: 1 << 10, ChunkBytes: 8}, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\ndata:\r\n2\r\n\n\n\r\n0\r\n\r\n"},
-	{"response whole chunk unfit", true, Limits{HeadBytes: 1 << 10, ChunkBytes: 8}, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\ndata::\r\n0\r\n\r\n"},
-	{"response whole chunk too large", true, Limits{HeadBytes: 1 << 10, ChunkBytes: 8}, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\n123456789\r\n0\r\n\r\n"},
+	{"response chunked", true, testLimits, goldenStream + "5\r\ndata:\r\n2\r\n\n\n\r\n0\r\n\r\nHTTP/1.1 200 OK\r\n"},
+	{"response whole chunks", true, goldenChunkLimit, goldenStream + "5\r\ndata:\r\n2\r\n\n\n\r\n0\r\n\r\n"},
+	{"response whole chunk unfit", true, goldenChunkLimit, goldenStream + "5\r\ndata::\r\n0\r\n\r\n"},
+	{"response whole chunk too large", true, goldenChunkLimit, goldenStream + "9\r\n123456789\r\n0\r\n\r\n"},
 	{"response until close", true, testLimits, "HTTP/1.1 200 OK\r\nX: y\r\n\r\nsome bytes"},
-	{"response until close too large", true, Limits{HeadBytes: 1 << 10, BodyBytes: 8}, "HTTP/1.0 200 OK\r\n\r\nsome bytes"},
-	{"response without body", true, testLimits, "HTTP/1.1 204 None\r\n\r\nHTTP/1.1 304 Same\r\nContent-Length: 7\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"},
-	{"response informational", true, testLimits, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nLink: x\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx"},
+	{"response until close too large", true, goldenBodyLimit, "HTTP/1.0 200 OK\r\n\r\nsome bytes"},
+	{
+		"response without body", true, testLimits,
+		"HTTP/1.1 204 None\r\n\r\nHTTP/1.1 304 Same\r\nContent-Length: 7\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
+	},
+	{
+		"response informational", true, testLimits,
+		"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nLink: x\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx",
+	},
 	{"response informational too many", true, testLimits, strings.Repeat("HTTP/1.1 100 \r\n\r\n", 17)},
 	{"response switching protocols", true, testLimits, "HTTP/1.1 101 Switching\r\n\r\n"},
 	{"response other protocol", true, testLimits, "ICY 200 OK\r\n\r\n"},
@@ -71,7 +102,7 @@
 	{"response status alone", true, testLimits, "HTTP/1.1 200\r\nContent-Length: 0\r\n\r\n"},
 }
 
-// transcript feeds the parts through an InputBuffer to a new decoder and returns all that the decoder returned for them.
+// transcript decodes the parts with a new decoder and returns all that it returned.
 func transcript(response bool, limits Limits, parts ...[]byte) string {
 	var out strings.Builder
 	decoder := NewRequestDecoder(limits)
@@ -110,8 +141,9 @@
 }
 
 func writeHead(out *strings.Builder, head *Head) {
-	fmt.Fprintf(out, " head %q %q %d old=%v close=%v expect=%v length=%d chunked=%v", head.Method, head.Target, head.StatusCode,
-		head.HTTP10, head.Close, head.ExpectContinue, head.ContentLength, head.Chunked)
+	fmt.Fprintf(out, " head %q %q %d old=%v close=%v expect=%v length=%d chunked=%v",
+		head.Method, head.Target, head.StatusCode, head.HTTP10, head.Close, head.ExpectContinue,
+		head.ContentLength, head.Chunked)
 	for _, field := range head.Fields {
 		fmt.Fprintf(out, " %q=%q", field.Name, field.Value)
 	}
--- a/internal/h1/h1_test.go
+++ b/internal/h1/h1_test.go
@@ -6,73 +6,81 @@
 	"errors"
 	"io"
 	"net/http"
+	"slices"
 	"strings"
 	"testing"
 )
 
-// message is one that a decoder gave out.
+// message is a decoded message.
 type message struct {
 	head   string
 	status int
 	body   string
 }
 
-// decode feeds p in parts of at most so many bytes and gives the messages, and what error ended them.
-func decode(d Decoder, p []byte, part int) (got []message, rest int, err error) {
-	var f InputBuffer
-	var m message
+// decode decodes p, which arrives in parts of at most partSize bytes. It returns the messages, the number of bytes that
+// are kept and the error that ended decoding.
+func decode(decoder Decoder, p []byte, partSize int) (messages []message, kept int, err error) {
+	var input InputBuffer
+	var current message
 	for len(p) > 0 && err == nil {
-		n := min(part, len(p))
-		f.Process(p[:n], func(b []byte) (k int) {
+		size := min(partSize, len(p))
+		input.Process(p[:size], func(b []byte) (consumed int) {
 			for {
-				piece, data, n, e := d.Next(b[k:])
-				k += n
+				event, data, n, decodeErr := decoder.Next(b[consumed:])
+				consumed += n
 				switch {
-				case e != nil:
-					err = e
+				case decodeErr != nil:
+					err = decodeErr
 					return len(b)
-				case piece == NeedData:
-					return k
-				case piece == MessageHead:
-					m = message{head: string(d.Head.Method) + " " + string(d.Head.Target), status: d.Head.StatusCode}
-				case piece == BodyData:
-					m.body += string(data)
-				case piece == MessageEnd:
-					got = append(got, m)
+				case event == NeedData:
+					return consumed
+				case event == MessageHead:
+					head := &decoder.Head
+					current = message{head: string(head.Method) + " " + string(head.Target), status: head.StatusCode}
+				case event == BodyData:
+					current.body += string(data)
+				case event == MessageEnd:
+					messages = append(messages, current)
 				}
 			}
 		})
-		p = p[n:]
+		p = p[size:]
 	}
-	return got, f.Len(), err
+	return messages, input.Len(), err
 }
 
 var testLimits = Limits{HeadBytes: 1 << 10, BodyBytes: 4 << 10}
 
-// Every split gives the same messages.
+// TestSplitAtEveryByte checks that messages are decoded alike however their bytes are split.
 func TestSplitAtEveryByte(t *testing.T) {
 	requests := "POST /a?b=c HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\nhello" +
 		"GET /b HTTP/1.1\r\nHost: x\r\n\r\n" +
-		"POST /c HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n3;q=1\r\nabc\r\nA\r\n0123456789\r\n0\r\nTrailer: v\r\n\r\n"
-	answers := "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nLink: x\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
+		"POST /c HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n" +
+		"3;q=1\r\nabc\r\nA\r\n0123456789\r\n0\r\nTrailer: v\r\n\r\n"
+	responses := "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nLink: x\r\n\r\n" +
+		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
 		"5\r\ndata:\r\n2\r\n\n\n\r\n0\r\n\r\nHTTP/1.1 204 None\r\n\r\nHTTP/1.1 202 Accepted\r\nContent-Length: 2\r\n\r\n{}"
-	for part := 1; part < len(answers); part++ {
-		got, rest, err := decode(NewRequestDecoder(testLimits), []byte(requests), part)
+	for partSize := 1; partSize < len(responses); partSize++ {
+		got, kept, err := decode(NewRequestDecoder(testLimits), []byte(requests), partSize)
 		want := []message{{"POST /a?b=c", 0, "hello"}, {"GET /b", 0, ""}, {"POST /c", 0, "abc0123456789"}}
-		if err != nil || rest != 0 || len(got) != 3 || got[0] != want[0] || got[1] != want[1] || got[2] != want[2] {
-			t.Fatalf("requests in parts of %d: %v, %d left, %v", part, got, rest, err)
+		if err != nil || kept != 0 || !slices.Equal(got, want) {
+			t.Fatalf("requests in parts of %d bytes: got %v, %d bytes left, error %v", partSize, got, kept, err)
 		}
-		for _, lim := range []Limits{testLimits, {HeadBytes: 1 << 10, ChunkBytes: 64}} { // chunks as they come, and whole
-			got, rest, err = decode(NewResponseDecoder(lim), []byte(answers), part)
-			if err != nil || rest != 0 || len(got) != 3 || got[0] != (message{" ", 200, "data:\n\n"}) || got[1].status != 204 || got[2].body != "{}" {
-				t.Fatalf("answers in parts of %d: %v, %d left, %v", part, got, rest, err)
+		wholeChunks := Limits{HeadBytes: 1 << 10, ChunkBytes: 64}
+		for _, limits := range []Limits{testLimits, wholeChunks} {
+			got, kept, err = decode(NewResponseDecoder(limits), []byte(responses), partSize)
+			want := []message{{" ", 200, "data:\n\n"}, {" ", 204, ""}, {" ", 202, "{}"}}
+			if err != nil || kept != 0 || !slices.Equal(got, want) {
+				t.Fatalf("responses in parts of %d bytes: got %v, %d bytes left, error %v", partSize, got, kept, err)
 			}
 		}
 	}
 }
 
-// What two readers could take in two ways, and what has no bound, is refused, however it is split.
-func TestRefused(t *testing.T) {
+// TestMalformed checks that messages which two parsers could understand differently, and those over a limit, are
+// errors, however they are split.
+func TestMalformed(t *testing.T) {
 	post := "POST / HTTP/1.1\r\nHost: x\r\n"
 	requests := map[string]error{
 		post + "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n":  ErrMalformed,
@@ -102,7 +110,7 @@
 		post + "X: " + strings.Repeat("a", 2<<10):                                  ErrHeadTooLarge,
 		post + "Transfer-Encoding: chunked\r\n\r\n3;" + strings.Repeat("q", 1<<10): ErrMalformed,
 	}
-	answers := map[string]error{
+	responses := map[string]error{
 		"ICY 200 OK\r\n\r\n":                                                      ErrMalformed,
 		"HTTP/1.1 2x0 OK\r\n\r\n":                                                 ErrMalformed,
 		"HTTP/1.1 OK 200\r\n\r\n":                                                 ErrMalformed,
@@ -115,21 +123,24 @@
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabcdef":        ErrMalformed,
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\nHTTP/1": ErrMalformed,
 	}
-	for _, part := range []int{1, 7, 1 << 20} {
+	responseLimits := Limits{HeadBytes: 1 << 10, ChunkBytes: 1 << 10}
+	for _, partSize := range []int{1, 7, 1 << 20} {
 		for text, want := range requests {
-			if got, _, err := decode(NewRequestDecoder(testLimits), []byte(text), part); !errors.Is(err, want) || len(got) > 0 {
-				t.Errorf("request %.60q in parts of %d: %v, %v, want %v", text, part, got, err, want)
+			got, _, err := decode(NewRequestDecoder(testLimits), []byte(text), partSize)
+			if !errors.Is(err, want) || len(got) > 0 {
+				t.Errorf("request %.60q in parts of %d bytes: got %v, error %v, want error %v", text, partSize, got, err, want)
 			}
 		}
-		for text, want := range answers {
-			if got, _, err := decode(NewResponseDecoder(Limits{HeadBytes: 1 << 10, ChunkBytes: 1 << 10}), []byte(text), part); !errors.Is(err, want) || len(got) > 0 {
-				t.Errorf("answer %.60q in parts of %d: %v, %v, want %v", text, part, got, err, want)
+		for text, want := range responses {
+			got, _, err := decode(NewResponseDecoder(responseLimits), []byte(text), partSize)
+			if !errors.Is(err, want) || len(got) > 0 {
+				t.Errorf("response %.60q in parts of %d bytes: got %v, error %v, want error %v", text, partSize, got, err, want)
 			}
 		}
 	}
 }
 
-// What we take as one request, net/http takes as the same one.
+// FuzzRequest checks that what decodes as a request is the same request for net/http.
 func FuzzRequest(f *testing.F) {
 	f.Add([]byte("POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\nhello"))
 	f.Add([]byte("POST /c HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n3;q=1\r\nabc\r\n0\r\nT: v\r\n\r\n"))
@@ -137,23 +148,25 @@
 	f.Add([]byte("POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, p []byte) {
 		got, _, err := decode(NewRequestDecoder(testLimits), p, len(p))
-		byBytes, _, err2 := decode(NewRequestDecoder(testLimits), p, 1)
-		if (err == nil) != (err2 == nil) || len(got) != len(byBytes) {
-			t.Fatalf("at once %v, %v; byte by byte %v, %v", got, err, byBytes, err2)
+		byBytes, _, bytesErr := decode(NewRequestDecoder(testLimits), p, 1)
+		if (err == nil) != (bytesErr == nil) || len(got) != len(byBytes) {
+			t.Fatalf("at once: %v, error %v; byte by byte: %v, error %v", got, err, byBytes, bytesErr)
 		}
 		if len(got) == 0 {
 			return
 		}
 		req, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(p)))
 		if err != nil {
-			if !strings.HasPrefix(got[0].head, "CONNECT") && strings.Contains(got[0].head, " /") && !strings.ContainsAny(got[0].head, "%#?") {
-				t.Fatalf("net/http does not take %q: %v", p, err)
+			head := got[0].head
+			plainPath := strings.Contains(head, " /") && !strings.ContainsAny(head, "%#?")
+			if !strings.HasPrefix(head, "CONNECT") && plainPath {
+				t.Fatalf("net/http rejects %q: %v", p, err)
 			}
 			return
 		}
 		body, err := io.ReadAll(req.Body)
 		if req.Method+" "+req.RequestURI != got[0].head || err == nil && string(body) != got[0].body {
-			t.Fatalf("we read %v, net/http %s %s with %q, %v", got[0], req.Method, req.RequestURI, body, err)
+			t.Fatalf("decoded %v, net/http: %s %s with body %q, error %v", got[0], req.Method, req.RequestURI, body, err)
 		}
 	})
 }
--- a/internal/h1/head.go
+++ b/internal/h1/head.go
@@ -1,47 +1,28 @@
-// Package h1 takes HTTP/1.1 messages apart and puts them together, for both ends of a connection: bytes in, pieces of
-// messages out. It holds no socket and reads no clock. It is strict: what two readers could understand in two ways is
-// an error, and every part of a message has a bound.
 package h1
 
 import (
 	"bytes"
-	"errors"
-	"fmt"
 
 	"golang.org/x/net/http/httpguts"
 )
 
-// Limits bound a message.
-type Limits struct {
-	HeadBytes  int   // bytes of a head, and of trailers
-	BodyBytes  int64 // bytes of a body; 0 = no bound
-	ChunkBytes int   // bytes of one chunk, where chunks are given out whole; 0 = they are given out as they come
-}
-
-// Errors that callers tell apart; others are wrapped in ErrMalformed.
-var (
-	ErrMalformed    = errors.New("message cannot be read")
-	ErrHeadTooLarge = errors.New("head too long")
-	ErrBodyTooLarge = errors.New("body too large")
-	ErrTruncated    = errors.New("connection ended inside a message")
-)
-
-// Field is one line of a head. Its slices are valid as long as the head's.
+// Field is a header field. Its slices are valid as long as those of its Head.
 type Field struct{ Name, Value []byte }
 
-// Head is the first part of a message. Its slices point into what was fed and are valid until the next call.
+// Head is the first part of a message: the request or status line and the header fields. Its slices point into the
+// bytes that were decoded and are valid until the decoder is called again.
 type Head struct {
 	Method, Target []byte // of a request
-	StatusCode     int    // of an answer
-	HTTP10         bool   // HTTP/1.0
-	Close          bool   // the connection ends with this message
-	ExpectContinue bool   // the client waits for 100 Continue
-	ContentLength  int64  // of the body; -1 = not told
+	StatusCode     int    // of a response
+	HTTP10         bool   // the version is HTTP/1.0
+	Close          bool   // the connection ends after this message
+	ExpectContinue bool   // the client waits for 100 Continue before it sends the body
+	ContentLength  int64  // -1 = not stated
 	Chunked        bool
 	Fields         []Field
 }
 
-// Get gives the value of the first field of a name, in lower case; nil if there is none.
+// Get returns the value of the first field with a name, which is given in lower case; nil if there is none.
 func (h *Head) Get(name string) []byte {
 	for _, f := range h.Fields {
 		if equalFold(f.Name, name) {
@@ -51,18 +32,18 @@
 	return nil
 }
 
-// Count counts the fields of a name, in lower case.
+// Count returns the number of fields with a name, which is given in lower case.
 func (h *Head) Count(name string) int {
-	n := 0
+	count := 0
 	for _, f := range h.Fields {
 		if equalFold(f.Name, name) {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// equalFold compares with a name in lower case; field names are ASCII.
+// equalFold reports whether b is a name, which is given in lower case, in any case. Field names are ASCII.
 func equalFold(b []byte, lower string) bool {
 	if len(b) != len(lower) {
 		return false
@@ -78,83 +59,82 @@
 	return true
 }
 
-func bad(format string, args ...any) error {
-	return fmt.Errorf("%w: %s", ErrMalformed, fmt.Sprintf(format, args...))
-}
-
-// cutLine gives the next line of p without its end; an error if a line ends in anything but CR LF.
+// cutLine returns the first line of p without its line end, and what follows. It returns an error unless the line ends
+// in CR LF.
 func cutLine(p []byte) (line, rest []byte, err error) {
-	i := bytes.IndexByte(p, '\n')
-	if i < 1 || p[i-1] != '\r' {
-		return nil, nil, bad("a line does not end in CR LF")
+	end := bytes.IndexByte(p, '\n')
+	if end < 1 || p[end-1] != '\r' {
+		return nil, nil, malformed("a line does not end in CR LF")
 	}
-	return p[:i-1], p[i+1:], nil
+	return p[:end-1], p[end+1:], nil
 }
 
-// parse reads a whole head, which ends in an empty line.
-func (h *Head) parse(p []byte, request bool) error {
+// parse parses a complete head with the empty line at its end.
+func (h *Head) parse(p []byte, isRequest bool) error {
 	*h = Head{ContentLength: -1, Fields: h.Fields[:0]}
 	line, p, err := cutLine(p)
 	if err != nil {
 		return err
 	}
-	if request {
-		err = h.requestLine(line)
+	if isRequest {
+		err = h.parseRequestLine(line)
 	} else {
-		err = h.statusLine(line)
+		err = h.parseStatusLine(line)
 	}
 	if err != nil {
 		return err
 	}
-	if err := h.fields(p); err != nil {
+	if err := h.parseFields(p); err != nil {
 		return err
 	}
-	return h.framing(request)
+	return h.interpretFields(isRequest)
 }
 
-func (h *Head) version(v []byte) error {
-	switch string(v) {
+// parseVersion parses the HTTP version of a request or status line.
+func (h *Head) parseVersion(version []byte) error {
+	switch string(version) {
 	case "HTTP/1.1":
 	case "HTTP/1.0":
 		h.HTTP10, h.Close = true, true
 	default:
-		return bad("version %.20q", v)
+		return malformed("version %.20q", version)
 	}
 	return nil
 }
 
-func (h *Head) requestLine(line []byte) error {
-	method, rest, ok := bytes.Cut(line, []byte{' '})
-	target, version, ok2 := bytes.Cut(rest, []byte{' '})
-	if !ok || !ok2 || !validToken(method) || len(target) == 0 {
-		return bad("request line %.40q", line)
+func (h *Head) parseRequestLine(line []byte) error {
+	method, rest, hasTarget := bytes.Cut(line, []byte{' '})
+	target, version, hasVersion := bytes.Cut(rest, []byte{' '})
+	if !hasTarget || !hasVersion || !isToken(method) || len(target) == 0 {
+		return malformed("request line %.40q", line)
 	}
 	for _, c := range target {
 		if c <= ' ' || c >= 0x7f {
-			return bad("target %.40q", target)
+			return malformed("target %.40q", target)
 		}
 	}
 	h.Method, h.Target = method, target
-	return h.version(version)
+	return h.parseVersion(version)
 }
 
-func (h *Head) statusLine(line []byte) error {
+func (h *Head) parseStatusLine(line []byte) error {
 	if len(line) < 12 || line[8] != ' ' || len(line) > 12 && line[12] != ' ' {
-		return bad("status line %.40q", line)
+		return malformed("status line %.40q", line)
 	}
 	for _, c := range line[9:12] {
 		if c < '0' || c > '9' {
-			return bad("status line %.40q", line)
+			return malformed("status line %.40q", line)
 		}
 		h.StatusCode = 10*h.StatusCode + int(c-'0')
 	}
 	if h.StatusCode < 100 {
-		return bad("status %d", h.StatusCode)
+		return malformed("status %d", h.StatusCode)
 	}
-	return h.version(line[:8])
+	return h.parseVersion(line[:8])
 }
 
-func validToken(b []byte) bool {
+// isToken reports whether b is a token as RFC 9110 defines it.
+func isToken(b []byte) bool {
 	for _, c := range b {
 		if !httpguts.IsTokenRune(rune(c)) {
 			return false
@@ -163,7 +143,8 @@
 	return len(b) > 0
 }
 
-func validValue(b []byte) bool {
+// isFieldValue reports whether b has no control characters but tabs.
+func isFieldValue(b []byte) bool {
 	for _, c := range b {
 		if c < ' ' && c != '\t' || c == 0x7f {
 			return false
@@ -172,8 +153,8 @@
 	return true
 }
 
-// fields reads lines up to the empty one.
-func (h *Head) fields(p []byte) error {
+// parseFields parses field lines up to the empty line, which must end p.
+func (h *Head) parseFields(p []byte) error {
 	for {
 		line, rest, err := cutLine(p)
 		if err != nil {
@@ -181,74 +162,106 @@
 		}
 		if len(line) == 0 {
 			if len(rest) > 0 {
-				return bad("bytes after the end of a head")
+				return malformed("bytes after the end of a head")
 			}
 			return nil
 		}
 		name, value, ok := bytes.Cut(line, []byte{':'})
 		value = bytes.Trim(value, " \t")
-		if !ok || !validToken(name) || !validValue(value) {
-			return bad("header line %.40q", line)
+		if !ok || !isToken(name) || !isFieldValue(value) {
+			return malformed("header line %.40q", line)
 		}
 		h.Fields = append(h.Fields, Field{name, value})
 		p = rest
 	}
 }
 
-// framing finds how the body is told apart from what follows. A head that says it in two ways is an error.
-func (h *Head) framing(request bool) error {
+// interpretFields sets the members that the fields imply: how the body is delimited and whether the connection ends. It
+// returns an error if fields contradict each other.
+func (h *Head) interpretFields(isRequest bool) error {
 	hosts, lengths, codings := 0, 0, 0
 	for _, f := range h.Fields {
+		var err error
 		switch {
 		case equalFold(f.Name, "content-length"):
-			if lengths++; lengths > 1 {
-				return bad("several Content-Length")
-			}
-			n, ok := number(f.Value)
-			if !ok {
-				return bad("Content-Length %.20q", f.Value)
-			}
-			h.ContentLength = n
+			lengths++
+			err = h.setContentLength(f.Value, lengths)
 		case equalFold(f.Name, "transfer-encoding"):
-			if codings++; codings > 1 || !equalFold(f.Value, "chunked") || h.HTTP10 {
-				return bad("Transfer-Encoding %.20q", f.Value)
-			}
-			h.Chunked = true
+			codings++
+			err = h.setTransferEncoding(f.Value, codings)
 		case equalFold(f.Name, "connection"):
-			for v := range bytes.SplitSeq(f.Value, []byte{','}) {
-				if equalFold(bytes.Trim(v, " \t"), "close") {
-					h.Close = true
-				}
-			}
+			h.setConnectionOptions(f.Value)
 		case equalFold(f.Name, "expect"):
-			if !equalFold(f.Value, "100-continue") {
-				return bad("Expect %.20q", f.Value)
-			}
-			h.ExpectContinue = true
+			err = h.setExpect(f.Value)
 		case equalFold(f.Name, "host"):
 			hosts++
 		}
+		if err != nil {
+			return err
+		}
 	}
 	switch {
 	case lengths > 0 && h.Chunked:
-		return bad("both Content-Length and Transfer-Encoding")
-	case request && (hosts > 1 || hosts == 0 && !h.HTTP10):
-		return bad("%d Host fields, want one", hosts)
+		return malformed("both Content-Length and Transfer-Encoding")
+	case isRequest && (hosts > 1 || hosts == 0 && !h.HTTP10):
+		return malformed("%d Host fields, want one", hosts)
+	}
+	return nil
+}
+
+// setContentLength sets the length from a Content-Length field, the occurrence-th of the head.
+func (h *Head) setContentLength(value []byte, occurrence int) error {
+	if occurrence > 1 {
+		return malformed("several Content-Length")
+	}
+	length, ok := parseLength(value)
+	if !ok {
+		return malformed("Content-Length %.20q", value)
+	}
+	h.ContentLength = length
+	return nil
+}
+
+// setTransferEncoding sets Chunked from a Transfer-Encoding field, the occurrence-th of the head.
+func (h *Head) setTransferEncoding(value []byte, occurrence int) error {
+	if occurrence > 1 || !equalFold(value, "chunked") || h.HTTP10 {
+		return malformed("Transfer-Encoding %.20q", value)
+	}
+	h.Chunked = true
+	return nil
+}
+
+// setConnectionOptions sets Close if a Connection field lists "close".
+func (h *Head) setConnectionOptions(value []byte) {
+	for option := range bytes.SplitSeq(value, []byte{','}) {
+		if equalFold(bytes.Trim(option, " \t"), "close") {
+			h.Close = true
+		}
 	}
+}
+
+// setExpect sets ExpectContinue from an Expect field; no other expectation is known.
+func (h *Head) setExpect(value []byte) error {
+	if !equalFold(value, "100-continue") {
+		return malformed("Expect %.20q", value)
+	}
+	h.ExpectContinue = true
 	return nil
 }
 
-// number reads a length: digits only, and no more than any body could have.
-func number(v []byte) (int64, bool) {
-	if len(v) == 0 || len(v) > 18 {
+// maxLengthDigits bounds a Content-Length so that it fits an int64.
+const maxLengthDigits = 18
+
+// parseLength returns the value of a Content-Length; ok is false unless it is made of digits only.
+func parseLength(value []byte) (length int64, ok bool) {
+	if len(value) == 0 || len(value) > maxLengthDigits {
 		return 0, false
 	}
-	n := int64(0)
-	for _, c := range v {
+	for _, c := range value {
 		if c < '0' || c > '9' {
 			return 0, false
 		}
-		n = 10*n + int64(c-'0')
+		length = 10*length + int64(c-'0')
 	}
-	return n, true
+	return length, true
 }
--- a/internal/h1/speed_test.go
+++ b/internal/h1/speed_test.go
@@ -12,8 +12,8 @@
 	speedChunk    = "20\r\ndata: 0123456789012345678901234\n\r\n"
 )
 
-// decodeAll decodes p, which holds complete messages, and returns how many they are.
-func decodeAll(tb testing.TB, decoder *Decoder, p []byte) (messages int) {
+// decodeAll decodes p, which holds complete messages.
+func decodeAll(tb testing.TB, decoder *Decoder, p []byte) {
 	tb.Helper()
 	for {
 		event, _, n, err := decoder.Next(p)
@@ -21,10 +21,10 @@
 		switch {
 		case err != nil:
 			tb.Fatal(err)
-		case event == MessageEnd:
-			messages++
-		case event == NeedData && len(p) == 0:
-			return messages
+		case event == NeedData && len(p) > 0:
+			tb.Fatalf("%d bytes are left", len(p))
+		case event == NeedData:
+			return
 		}
 	}
 }
