--- /dev/null
+++ b/internal/frontend/platform/conn.go
@@ -0,0 +1,108 @@
+package platform
+
+import (
+	"docksail/internal/decide/clientconn"
+	"docksail/internal/eventloop"
+	"docksail/internal/h1"
+	"docksail/policy"
+	"errors"
+)
+
+// conn is one client's connection. It is the frontend.ResponseWriter of the request that is in flight on it.
+type conn struct {
+	server    *Server
+	transport *eventloop.Conn
+	sequence  uint64          // number of the connection in the order of arrival
+	now       eventloop.Nanos // time of the event that is being handled
+	closed    bool            // the transport has ended
+
+	lifecycle lifecycle
+	incoming  incomingRequest
+	response  response
+}
+
+// incomingRequest is the input of a connection, and what is known of the request that is being read.
+type incomingRequest struct {
+	decoder h1.Decoder
+	buffer  h1.InputBuffer
+	// firstByteAt is when the first byte of the request arrived, or of what waits behind the request in flight.
+	firstByteAt eventloop.Nanos
+	// decoding is set while decodeRequests runs; pipelinedBytes then tells how many bytes stand behind the request that
+	// is being handled.
+	decoding       bool
+	pipelinedBytes int
+	head           requestHead
+	healthPath     string // path of a health check, which is no request to the dispatcher; "" = none
+	body           []byte
+}
+
+// response is the state of the response that is being written.
+type response struct {
+	requestID  policy.RequestID // of the request in flight; 0 = none
+	headSent   bool             // the head of a stream was sent
+	closeAfter bool             // the connection ends with this response
+}
+
+// Opened implements eventloop.Handler.
+func (c *conn) Opened(now eventloop.Nanos) {
+	c.now = now
+	c.setState(clientconn.StateNew)
+}
+
+// Received implements eventloop.Handler.
+func (c *conn) Received(now eventloop.Nanos, p []byte) {
+	c.now = now
+	if c.lifecycle.state == clientconn.StateLingering {
+		c.discard(len(p))
+		return
+	}
+	waiting := c.incoming.buffer.Len()
+	if c.lifecycle.state != clientconn.StateReadingRequest && waiting == 0 {
+		c.incoming.firstByteAt = now
+	}
+	if c.lifecycle.state == clientconn.StateActive && waiting+len(p) > maxPipelinedBytes {
+		c.transport.SetReadPaused(true)
+	}
+	c.decode(p)
+}
+
+// PeerHalfClosed implements eventloop.Handler. A client that ends its half is taken to have left.
+func (c *conn) PeerHalfClosed(now eventloop.Nanos) {
+	c.now = now
+	c.transport.Close()
+}
+
+// OutputFlushed implements eventloop.Handler.
+func (c *conn) OutputFlushed(now eventloop.Nanos) {
+	c.now = now
+	if c.response.requestID != 0 {
+		c.server.dispatcher.ClientWritable(now, c.response.requestID)
+	}
+}
+
+// Closed implements eventloop.Handler.
+func (c *conn) Closed(now eventloop.Nanos, err error) {
+	c.now, c.closed = now, true
+	if errors.Is(err, eventloop.ErrOutputLimit) {
+		c.server.Counts.OutputOverflows++
+	}
+	if heap := c.server.heapOf(c.lifecycle.state); heap != nil {
+		heap.Remove(c)
+	}
+	c.server.loop.CancelTimer(&c.lifecycle.timer)
+	c.releaseBody()
+	c.server.connCount--
+	if id := c.response.requestID; id != 0 {
+		c.clearRequest()
+		c.server.dispatcher.ClientDisconnected(now, id)
+	}
+	if c.server.phase >= phaseDraining { // this may be the last connection that the drain waits for
+		c.server.loop.SkipNextWait()
+	}
+}
+
+// clearRequest records that no request is in flight on the connection.
+func (c *conn) clearRequest() {
+	c.response.requestID = 0
+	delete(c.server.requestIDs, string(c.incoming.head.id))
+}
--- /dev/null
+++ b/internal/frontend/platform/evict.go
@@ -0,0 +1,79 @@
+package platform
+
+import (
+	"docksail/internal/decide/clientconn"
+	"docksail/internal/eventloop"
+	"docksail/internal/indexedheap"
+)
+
+// newConnHeap returns a heap of connections, that which has been longest in its state first.
+func newConnHeap() indexedheap.Heap[*conn] {
+	return indexedheap.Heap[*conn]{
+		Index: func(c *conn) *int { return &c.lifecycle.heapIndex },
+		Less: func(a, b *conn) bool {
+			if a.lifecycle.stateSince != b.lifecycle.stateSince {
+				return a.lifecycle.stateSince < b.lifecycle.stateSince
+			}
+			return a.sequence < b.sequence
+		},
+	}
+}
+
+// heapOf returns the heap that holds the connections in a state; nil = none.
+func (s *Server) heapOf(state clientconn.ConnState) *indexedheap.Heap[*conn] {
+	switch state {
+	case clientconn.StateNew, clientconn.StateReadingRequest:
+		return &s.incomplete
+	case clientconn.StateIdle:
+		return &s.idle
+	default:
+		return nil
+	}
+}
+
+// evict closes a connection to make room for a new one. It reports whether there was one to close.
+func (s *Server) evict() bool {
+	s.Counts.ConnectionLimitHits++
+	incomplete, idle := oldestClosable(&s.incomplete), oldestClosable(&s.idle)
+	var c *conn
+	switch clientconn.ChooseEviction(s.loop.Now(), stateSinceOrZero(incomplete), stateSinceOrZero(idle)) {
+	case clientconn.EvictOldestIncomplete:
+		c = incomplete
+	case clientconn.EvictOldestIdle:
+		c = idle
+	default:
+		return false
+	}
+	s.heapOf(c.lifecycle.state).Remove(c)
+	c.transport.Close()
+	return true
+}
+
+// oldestClosable returns the connection of a heap that has been longest in its state, or nil. It passes over
+// connections with input that is not read or output that is not sent, which closing would reset, and gives up after
+// a few.
+func oldestClosable(heap *indexedheap.Heap[*conn]) (found *conn) {
+	var passed [clientconn.MaxEvictionCandidates]*conn
+	n := 0
+	for ; n < clientconn.MaxEvictionCandidates && heap.Len() > 0 && found == nil; n++ {
+		c := heap.Min()
+		if c.transport.InputEmpty() && c.transport.QueuedBytes() == 0 {
+			found = c
+			break
+		}
+		heap.Remove(c)
+		passed[n] = c
+	}
+	for _, c := range passed[:n] {
+		heap.PushOrFix(c)
+	}
+	return found
+}
+
+// stateSinceOrZero returns since when a connection has been in its state; 0 = there is no connection.
+func stateSinceOrZero(c *conn) eventloop.Nanos {
+	if c == nil {
+		return 0
+	}
+	return max(c.lifecycle.stateSince, 1)
+}
--- a/internal/frontend/platform/golden_test.go
+++ b/internal/frontend/platform/golden_test.go
@@ -8,7 +8,6 @@
 	"flag"
 	"fmt"
 	"io"
-	"log/slog"
 	"net"
 	"net/netip"
 	"os"
@@ -175,7 +174,8 @@
 		t.Fatal(err)
 	}
 	g := &goldenServer{loop: loop, dispatcher: &scriptedDispatcher{}}
-	g.server = New(loop, g.dispatcher, slog.New(slog.DiscardHandler), maxConns, maxPartial, func() bool { return true })
+	limits := Limits{Connections: maxConns, PartialRequestBytes: maxPartial}
+	g.server = New(loop, g.dispatcher, limits, func() bool { return true })
 	if g.addr, err = g.server.Listen(netip.MustParseAddrPort("127.0.0.1:0"), false); err != nil {
 		t.Fatal(err)
 	}
@@ -404,7 +404,7 @@
 	g.do(func() {
 		for id := policy.RequestID(1); id <= 2; id++ {
 			for _, c := range g.connections() {
-				if c.id == id {
+				if c.response.requestID == id {
 					c.Reject(id, frontend.RejectionError{Reason: "gone"})
 				}
 			}
--- /dev/null
+++ b/internal/frontend/platform/head.go
@@ -0,0 +1,238 @@
+package platform
+
+import (
+	"bytes"
+	"docksail/internal/frontend"
+	"docksail/internal/h1"
+	"errors"
+	"fmt"
+)
+
+const (
+	maxNameBytes      = 64 // of a session, prefix or tenant
+	maxClassNameBytes = 64
+	maxTokens         = maxBodyBytes // of a prompt: each takes a byte at least
+	nanosPerDay       = 86400e9
+	nanosPerMicro     = 1000
+	// bytesPerToken estimates the length of a prompt for which the client tells none.
+	bytesPerToken = 4
+)
+
+// requestHead is what the head of a request states, kept until the body has arrived. Its buffers are reused.
+type requestHead struct {
+	id, path, class, session, prefix, tenant []byte
+	forwardedFields                          []byte // header fields that servers are to see as well, as lines
+	remainingTime, lengthHint                int64  // nanoseconds
+	promptTokens, prefixTokens, maxTokens    int64
+	resent                                   bool
+}
+
+// requestField is a header field that the dispatcher reads itself. Others are forwarded.
+type requestField uint8
+
+const (
+	fieldID requestField = iota
+	fieldClass
+	fieldSession
+	fieldRemaining
+	fieldLabels
+	fieldEstimate
+	fieldResent
+	fieldTenant
+)
+
+const requestFieldCount = fieldTenant + 1
+
+// requestFieldsByName has the names in lower case.
+var requestFieldsByName = map[string]requestField{
+	"x-txn":       fieldID,
+	"x-lane":      fieldClass,
+	"x-entity":    fieldSession,
+	"x-remaining": fieldRemaining,
+	"x-labels":    fieldLabels,
+	"x-estimate":  fieldEstimate,
+	"x-resent":    fieldResent,
+	"x-org":       fieldTenant,
+}
+
+// hopByHopFields concern one connection only, or are written anew for the server. The names are in lower case.
+var hopByHopFields = map[string]bool{
+	"host": true, "content-length": true, "content-type": true, "transfer-encoding": true, "connection": true,
+	"keep-alive": true, "proxy-connection": true, "te": true, "trailer": true, "upgrade": true, "expect": true,
+}
+
+// parse reads the fields of a head.
+func (r *requestHead) parse(head *h1.Head) error {
+	r.reset(head.Target)
+	var seen [requestFieldCount]bool
+	for _, f := range head.Fields {
+		field, known := requestFieldsByName[string(lowerCase(f.Name))]
+		if !known {
+			r.forwardEndToEnd(head, f)
+			continue
+		}
+		if seen[field] {
+			return fmt.Errorf("several %s", f.Name)
+		}
+		seen[field] = true
+		if err := r.set(field, f.Value); err != nil {
+			return fmt.Errorf("%s %.40q: %w", f.Name, f.Value, err)
+		}
+	}
+	switch {
+	case !seen[fieldID]:
+		return errors.New("no X-Txn")
+	case !seen[fieldClass]:
+		return errors.New("no X-Lane")
+	case !seen[fieldRemaining]:
+		return errors.New("no X-Remaining")
+	}
+	return nil
+}
+
+// reset clears all members but the buffers, and sets the path.
+func (r *requestHead) reset(path []byte) {
+	*r = requestHead{
+		id:              r.id[:0],
+		path:            append(r.path[:0], path...),
+		class:           r.class[:0],
+		session:         r.session[:0],
+		prefix:          r.prefix[:0],
+		tenant:          r.tenant[:0],
+		forwardedFields: r.forwardedFields[:0],
+	}
+}
+
+// set sets what a field states.
+func (r *requestHead) set(field requestField, value []byte) (err error) {
+	switch field {
+	case fieldID:
+		if !isRequestID(value) {
+			return errors.New("want 16 hexadecimal digits")
+		}
+		r.id = append(r.id, value...)
+	case fieldClass:
+		if len(value) == 0 || len(value) > maxClassNameBytes {
+			return errors.New("want the name of a class")
+		}
+		r.class = append(r.class, value...)
+	case fieldSession:
+		if len(value) > maxNameBytes {
+			return errors.New("too long")
+		}
+		r.session = append(r.session, value...)
+	case fieldTenant:
+		if len(value) == 0 || len(value) > maxNameBytes {
+			return errors.New("want the name of a tenant")
+		}
+		r.tenant = append(r.tenant, value...)
+	case fieldRemaining:
+		r.remainingTime, err = parseSeconds(value)
+	case fieldLabels:
+		err = r.setLabels(value)
+	case fieldEstimate:
+		var micros int64
+		micros, err = parseNumber(value, nanosPerDay/nanosPerMicro)
+		r.lengthHint = micros * nanosPerMicro
+	case fieldResent:
+		r.resent = string(value) == "1"
+	}
+	return err
+}
+
+// setLabels sets what the client states about the prompt: pairs KEY=VALUE, with commas between them. Unknown keys are
+// ignored.
+func (r *requestHead) setLabels(labels []byte) error {
+	for len(labels) > 0 {
+		var pair []byte
+		pair, labels, _ = bytes.Cut(labels, []byte{','})
+		key, value, ok := bytes.Cut(bytes.TrimSpace(pair), []byte{'='})
+		if !ok {
+			return fmt.Errorf("label %.20q has no value", pair)
+		}
+		if err := r.setLabel(key, value); err != nil {
+			return fmt.Errorf("label %s: %w", key, err)
+		}
+	}
+	if r.prefixTokens > r.promptTokens {
+		return errors.New("prefix_len is more than prompt_len")
+	}
+	return nil
+}
+
+func (r *requestHead) setLabel(key, value []byte) (err error) {
+	switch string(key) {
+	case "prefix":
+		if len(value) == 0 || len(value) > maxNameBytes {
+			return errors.New("want a name")
+		}
+		r.prefix = append(r.prefix[:0], value...)
+	case "prompt_len":
+		r.promptTokens, err = parseNumber(value, maxTokens)
+	case "prefix_len":
+		r.prefixTokens, err = parseNumber(value, maxTokens)
+	case "max_out":
+		r.maxTokens, err = parseNumber(value, maxTokens)
+	}
+	return err
+}
+
+// forwardEndToEnd adds a field to those that go to the server, unless it concerns the client's connection only.
+func (r *requestHead) forwardEndToEnd(head *h1.Head, field h1.Field) {
+	if !isEndToEnd(head, field.Name) {
+		return
+	}
+	r.forwardedFields = append(r.forwardedFields, field.Name...)
+	r.forwardedFields = append(r.forwardedFields, ": "...)
+	r.forwardedFields = append(r.forwardedFields, field.Value...)
+	r.forwardedFields = append(r.forwardedFields, "\r\n"...)
+}
+
+// isEndToEnd reports whether a field is none of the connection's own, be it by its name or because the Connection field
+// lists it.
+func isEndToEnd(head *h1.Head, name []byte) bool {
+	if hopByHopFields[string(lowerCase(name))] {
+		return false
+	}
+	for _, f := range head.Fields {
+		if !bytes.EqualFold(f.Name, []byte("connection")) {
+			continue
+		}
+		for option := range bytes.SplitSeq(f.Value, []byte{','}) {
+			if bytes.EqualFold(bytes.TrimSpace(option), name) {
+				return false
+			}
+		}
+	}
+	return true
+}
+
+// buildRequest fills request from the head and the complete body. The slices in it are the head's and body. age is how
+// long ago the first byte of the request arrived, maybe while another was in flight: the client's time has run since.
+func (r *requestHead) buildRequest(request *frontend.Request, body []byte, age int64) error {
+	if err := checkBody(body); err != nil {
+		return fmt.Errorf("body: %w", err)
+	}
+	*request = frontend.Request{
+		Raw:               body,
+		ClientID:          r.id,
+		Path:              r.path,
+		Header:            r.forwardedFields,
+		Class:             r.class,
+		Tenant:            r.tenant,
+		Session:           r.session,
+		Prefix:            r.prefix,
+		PromptTokens:      r.promptTokens,
+		PrefixTokens:      r.prefixTokens,
+		MaxTokens:         r.maxTokens,
+		LengthHint:        r.lengthHint,
+		FirstTokenTimeout: max(r.remainingTime-age, 1),
+	}
+	if r.resent {
+		request.PreviousAttempts = 1
+	}
+	if request.PromptTokens == 0 {
+		request.PromptTokens = int64(len(body)) / bytesPerToken
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/frontend/platform/receive.go
@@ -0,0 +1,210 @@
+package platform
+
+import (
+	"bytes"
+	"docksail/internal/decide/clientconn"
+	"docksail/internal/frontend"
+	"docksail/internal/h1"
+	"errors"
+	"net/http"
+)
+
+const (
+	pathCompletions = "/v1/chat/completions"
+	pathReady       = "/health/ready"
+	pathLive        = "/health/live"
+)
+
+const (
+	maxPooledBodyBytes = 64 << 10 // larger buffers for bodies are freed
+	maxPooledBodies    = 16
+)
+
+// decode decodes p and the input that was kept before it.
+func (c *conn) decode(p []byte) {
+	c.incoming.decoding = true
+	c.incoming.buffer.Process(p, c.decodeRequests)
+	c.incoming.decoding = false
+}
+
+// decodeRequests decodes requests from the front of p until one is in flight, and returns how many bytes it consumed.
+func (c *conn) decodeRequests(p []byte) (consumed int) {
+	for !c.closed && c.lifecycle.state != clientconn.StateActive {
+		if c.lifecycle.state == clientconn.StateLingering {
+			return len(p)
+		}
+		atStart := consumed < len(p) && c.incoming.decoder.AtMessageStart()
+		if atStart && c.lifecycle.state != clientconn.StateReadingRequest {
+			c.setState(clientconn.StateReadingRequest)
+		}
+		event, data, n, err := c.incoming.decoder.Next(p[consumed:])
+		consumed += n
+		if err != nil {
+			c.rejectInvalid(statusOf(err), err.Error())
+			continue
+		}
+		switch event {
+		case h1.NeedData:
+			return consumed
+		case h1.MessageHead:
+			c.handleHead()
+		case h1.BodyData:
+			c.appendBody(data)
+		case h1.MessageEnd:
+			c.incoming.pipelinedBytes = len(p) - consumed
+			c.handleMessageEnd()
+		}
+	}
+	return consumed
+}
+
+// statusOf returns the status that answers an error of the decoder.
+func statusOf(err error) int {
+	switch {
+	case errors.Is(err, h1.ErrHeadTooLarge):
+		return http.StatusRequestHeaderFieldsTooLarge
+	case errors.Is(err, h1.ErrBodyTooLarge):
+		return http.StatusRequestEntityTooLarge
+	default:
+		return http.StatusBadRequest
+	}
+}
+
+// pipelinedBytes returns how many bytes have arrived behind the request that is or was in flight.
+func (c *conn) pipelinedBytes() int {
+	if c.incoming.decoding {
+		return c.incoming.pipelinedBytes
+	}
+	return c.incoming.buffer.Len()
+}
+
+// appendBody adds data to the body of the request that is being read.
+func (c *conn) appendBody(data []byte) {
+	s := c.server
+	s.partialBytes += int64(len(data))
+	if s.partialBytes > s.limits.PartialRequestBytes {
+		s.partialBytes -= int64(len(data))
+		c.rejectInvalid(http.StatusServiceUnavailable, "too much has come in part")
+		return
+	}
+	if last := len(s.bodyPool) - 1; c.incoming.body == nil && last >= 0 {
+		c.incoming.body, s.bodyPool = s.bodyPool[last], s.bodyPool[:last]
+	}
+	c.incoming.body = append(c.incoming.body, data...)
+}
+
+// releaseBody drops the body of the request that is being read. Its buffer goes to the pool, as most connections are
+// idle and hold none.
+func (c *conn) releaseBody() {
+	s, body := c.server, c.incoming.body
+	s.partialBytes -= int64(len(body))
+	if cap(body) > 0 && cap(body) <= maxPooledBodyBytes && len(s.bodyPool) < maxPooledBodies {
+		s.bodyPool = append(s.bodyPool, body[:0])
+	}
+	c.incoming.body = nil
+}
+
+// handleHead checks the head of a request, and lets a client that asks send its body.
+func (c *conn) handleHead() {
+	head := &c.incoming.decoder.Head
+	c.response.closeAfter = head.Close
+	if err := c.incoming.checkHead(head); err != nil {
+		c.rejectInvalid(err.status, err.reason)
+		return
+	}
+	if head.ExpectContinue && c.incoming.healthPath == "" {
+		c.transport.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
+	}
+}
+
+// invalidRequestError is a request that is answered with an error status.
+type invalidRequestError struct {
+	status int
+	reason string
+}
+
+func (e *invalidRequestError) Error() string { return e.reason }
+
+// checkHead sets the members that the head determines. It returns nil if the request can be served.
+func (r *incomingRequest) checkHead(head *h1.Head) *invalidRequestError {
+	r.healthPath = ""
+	path, _, _ := bytes.Cut(head.Target, []byte{'?'})
+	switch {
+	case string(path) == pathReady:
+		return r.checkHealthHead(head, pathReady)
+	case string(path) == pathLive:
+		return r.checkHealthHead(head, pathLive)
+	case string(path) != pathCompletions:
+		return &invalidRequestError{http.StatusNotFound, "no such path"}
+	case string(head.Method) != http.MethodPost:
+		return &invalidRequestError{http.StatusMethodNotAllowed, "want POST"}
+	case head.HTTP10:
+		return &invalidRequestError{http.StatusHTTPVersionNotSupported, "want HTTP/1.1"}
+	case head.ContentLength < 0 && !head.Chunked:
+		return &invalidRequestError{http.StatusLengthRequired, "want Content-Length"}
+	}
+	if err := r.head.parse(head); err != nil {
+		return &invalidRequestError{http.StatusBadRequest, err.Error()}
+	}
+	return nil
+}
+
+// checkHealthHead checks the head of a health check.
+func (r *incomingRequest) checkHealthHead(head *h1.Head, path string) *invalidRequestError {
+	if string(head.Method) != http.MethodGet || head.ContentLength > 0 || head.Chunked {
+		return &invalidRequestError{http.StatusMethodNotAllowed, "want GET without a body"}
+	}
+	r.healthPath = path
+	return nil
+}
+
+// handleMessageEnd answers a health check, or submits a complete request to the dispatcher.
+func (c *conn) handleMessageEnd() {
+	if c.incoming.healthPath != "" {
+		c.respond(c.healthStatus(), 0, "")
+		return
+	}
+	s, in := c.server, &c.incoming
+	if err := in.head.buildRequest(&s.request, in.body, c.now-in.firstByteAt); err != nil {
+		c.rejectInvalid(http.StatusBadRequest, err.Error())
+		return
+	}
+	if _, inFlight := s.requestIDs[string(in.head.id)]; inFlight {
+		s.Counts.DuplicateIDs++
+		c.rejectInvalid(http.StatusConflict, "a request with this id is in hand")
+		return
+	}
+	s.Counts.Requests++
+	c.setState(clientconn.StateActive)
+	if s.phase == phaseRejecting {
+		c.releaseBody()
+		c.Reject(0, frontend.RejectionError{Reason: "the dispatcher leaves"})
+		return
+	}
+	c.submit()
+}
+
+// healthStatus returns the status that answers a health check.
+func (c *conn) healthStatus() int {
+	notReady := c.server.phase >= phaseDraining || !c.server.isReady()
+	if c.incoming.healthPath == pathReady && notReady {
+		return http.StatusServiceUnavailable
+	}
+	return http.StatusOK
+}
+
+// submit hands the request in Server.request to the dispatcher.
+func (c *conn) submit() {
+	id, err := c.server.dispatcher.Submit(c.now, c, &c.server.request)
+	c.releaseBody()
+	var rejection frontend.RejectionError
+	switch {
+	case err == nil:
+		c.response.requestID = id
+		c.server.requestIDs[string(c.incoming.head.id)] = struct{}{}
+	case errors.As(err, &rejection):
+		c.Reject(0, rejection)
+	default:
+		c.rejectInvalid(http.StatusBadRequest, err.Error())
+	}
+}
--- a/internal/frontend/platform/server_test.go
+++ b/internal/frontend/platform/server_test.go
@@ -8,7 +8,6 @@
 	"docksail/policy"
 	"fmt"
 	"io"
-	"log/slog"
 	"net"
 	"net/http"
 	"net/netip"
@@ -44,7 +43,7 @@
 		t.Fatal(err)
 	}
 	v := &served{t: t, l: l, core: &core{}}
-	v.s = New(l, v.core, slog.New(slog.DiscardHandler), connections, 1<<20, func() bool { return true })
+	v.s = New(l, v.core, Limits{Connections: connections, PartialRequestBytes: 1 << 20}, func() bool { return true })
 	if v.addr, err = v.s.Listen(netip.MustParseAddrPort("127.0.0.1:0"), false); err != nil {
 		t.Fatal(err)
 	}
@@ -104,7 +103,7 @@
 	for queued := 0; queued == 0; {
 		v.on(func() { call.WriteTokens(1, piece) })
 		length += len(piece)
-		v.on(func() { queued = call.(*conn).conn.QueuedBytes() })
+		v.on(func() { queued = call.(*conn).transport.QueuedBytes() })
 	}
 	v.on(func() { call.Complete(1) })
 	return length
@@ -131,7 +130,7 @@
 	length := v.stuffed(c, "Connection: close\r\n")
 	call := v.core.calls[0].(*conn)
 	v.until("the connection's time is up", func() bool {
-		return call.gone || v.l.Now() > clientconn.StateDeadline(clientconn.StateLingering, call.stageSince)+100e6
+		return call.closed || v.l.Now() > clientconn.StateDeadline(clientconn.StateLingering, call.lifecycle.stateSince)+100e6
 	})
 	if got := wholeAnswer(t, c); got != length {
 		t.Errorf("%d bytes, want %d", got, length)
@@ -161,8 +160,8 @@
 	v.until("it is connected", func() bool { return v.s.ConnCount() == 1 })
 	v.on(func() {
 		var first eventloop.Timer // fires in the same turn, before the connection's own
-		silent := v.s.byStage[0].Min()
-		v.l.SetTimer(&first, clientconn.StateDeadline(clientconn.StateNew, silent.stageSince)-1, func(eventloop.Nanos) { io.WriteString(c, request("")) })
+		silent := v.s.incomplete.Min()
+		v.l.SetTimer(&first, clientconn.StateDeadline(clientconn.StateNew, silent.lifecycle.stateSince)-1, func(eventloop.Nanos) { io.WriteString(c, request("")) })
 	})
 	v.until("the request", func() bool { return len(v.core.calls) == 1 || v.s.ConnCount() == 0 })
 	if len(v.core.calls) != 1 {
@@ -178,13 +177,13 @@
 	v.until("the first", func() bool { return len(v.core.calls) == 1 })
 	io.WriteString(c, strings.Replace(request(""), "00aa", "00bb", 1))
 	first := v.core.calls[0].(*conn)
-	v.until("the second is read", func() bool { return first.pipelinedWaiting() > 0 })
+	v.until("the second is read", func() bool { return first.pipelinedBytes() > 0 })
 	var came, now eventloop.Nanos
 	v.on(func() { came = v.l.Now() })
 	v.until("some time", func() bool { now = v.l.Now(); return now > came+50e6 })
 	v.on(func() { first.Reject(1, frontend.RejectionError{}) })
 	v.until("the second", func() bool { return len(v.core.calls) == 2 })
-	if left := v.s.req.FirstTokenTimeout; left > int64(5e9)-50e6 {
+	if left := v.s.request.FirstTokenTimeout; left > int64(5e9)-50e6 {
 		t.Errorf("%d ms left of 5 s after 50 ms", left/1e6)
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -61,7 +61,8 @@
 	if n.dispatcher, err = dispatch.NewDirect(l, log, platformConfig.Policy, platformConfig.ClassNames, platformConfig.Classes, platformConfig.Tenant, maxRequests, maxPromptTokens, int64(platformConfig.MaxRetryAfter), silenceLimit, incarnation); err != nil {
 		return nil, err
 	}
-	n.frontend = frontend.New(l, n.dispatcher, log, clients, clientconn.MaxPartialRequestBytes(memory), n.dispatcher.HasEndpointList)
+	limits := frontend.Limits{Connections: clients, PartialRequestBytes: clientconn.MaxPartialRequestBytes(memory)}
+	n.frontend = frontend.New(l, n.dispatcher, limits, n.dispatcher.HasEndpointList)
 	n.backend = backend.New(l, n.dispatcher, log, platformConfig, servers, config.Discovery)
 	n.dispatcher.Attach(n.frontend, n.backend)
 	n.backend.SetInitialList(l.Now(), config.InitialList)
