--- /dev/null
+++ b/internal/state/batchstore/format_test.go
@@ -0,0 +1,446 @@
+package batchstore
+
+import (
+	"bytes"
+	"docksail/internal/decide/batchscheduler"
+	"encoding/hex"
+	"fmt"
+	"hash/crc32"
+	"io"
+	"maps"
+	"os"
+	"path/filepath"
+	"reflect"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"go.etcd.io/bbolt"
+)
+
+// formatDir is a store's directory that the program of commit 61b72d4 wrote, by the operations of writeSampleStore.
+const formatDir = "testdata/format-61b72d4"
+
+// formatRecordCount is the number of records in formatDir: 5 files, 6 batches, 10 lines and 5 results.
+const formatRecordCount = 5 + 6 + 10 + 5
+
+// IDs of the sample store: newID draws them from sequentialBytes.
+const (
+	inputFileID       = "file-0102030405060708090a0b0c"
+	deletedFileID     = "file-0d0e0f101112131415161718"
+	runningBatchID    = "batch_25262728292a2b2c2d2e2f30"
+	completedBatchID  = "batch_3132333435363738393a3b3c"
+	expiredBatchID    = "batch_3d3e3f404142434445464748"
+	failedBatchID     = "batch_494a4b4c4d4e4f5051525354"
+	validatingBatchID = "batch_55565758595a5b5c5d5e5f60"
+	cancelledBatchID  = "batch_6162636465666768696a6b6c"
+)
+
+// sequentialBytes is a source of IDs that yields 1, 2, 3 and so on.
+type sequentialBytes byte
+
+func (s *sequentialBytes) Read(p []byte) (int, error) {
+	for i := range p {
+		*s++
+		p[i] = byte(*s)
+	}
+	return len(p), nil
+}
+
+// sampleTime is a time of the sample store, in seconds after its first upload.
+func sampleTime(seconds int64) time.Time { return time.Unix(1_700_000_000+seconds, 0) }
+
+// sampleLines returns the text of the input file and its lines.
+func sampleLines() (text string, lines []Line) {
+	var b strings.Builder
+	for i := range 6 {
+		line := fmt.Sprintf(`{"custom_id":"größe-%d","method":"POST","url":"/v1/completions",`+
+			`"body":{"model":"draft","prompt":"Plan %d","max_tokens":8}}`, i, i)
+		lines = append(lines, Line{
+			Offset: int64(b.Len()), Length: int32(len(line)), Checksum: crc32.ChecksumIEEE([]byte(line)),
+			Cost: float32(100*i) + 0.5, PrefixGroup: uint64(i%3) << 60, CustomID: fmt.Sprint("größe-", i),
+		})
+		b.WriteString(line + "\n")
+	}
+	return b.String(), lines
+}
+
+// sampleMetadata is the metadata of every batch of the sample store.
+var sampleMetadata = map[string]string{"season": "winter", "for": "a test"}
+
+// sampleWriter makes the changes of the sample store and fails the test on the first error.
+type sampleWriter struct {
+	t     *testing.T
+	store *Store
+}
+
+func (w *sampleWriter) check(err error) {
+	w.t.Helper()
+	if err != nil {
+		w.t.Fatal(err)
+	}
+}
+
+func (w *sampleWriter) upload(tenant, name string) File {
+	w.t.Helper()
+	text, _ := sampleLines()
+	f, err := w.store.UploadFile(sampleTime(0), tenant, name, "batch", strings.NewReader(text), 1<<20)
+	w.check(err)
+	return f
+}
+
+func (w *sampleWriter) create(tenant, input string, lineCount int) Batch {
+	w.t.Helper()
+	b, err := w.store.CreateBatch(sampleTime(10), Batch{
+		Tenant: tenant, InputFileID: input, Endpoint: "/v1/completions", CompletionWindow: "24h", Metadata: sampleMetadata,
+	}, 24*time.Hour)
+	w.check(err)
+	if lineCount == 0 {
+		return b
+	}
+	_, lines := sampleLines()
+	w.check(w.store.AddLines(b.ID, 0, lines[:lineCount]))
+	b, err = w.store.TransitionBatch(b.ID, batchscheduler.StateInProgress, func(b *Batch) {
+		b.TotalLines, b.InProgressUnix = lineCount, sampleTime(20).Unix()
+	})
+	w.check(err)
+	return b
+}
+
+func (w *sampleWriter) end(b Batch, n batchscheduler.LineIndex, completed bool) {
+	w.t.Helper()
+	w.check(w.store.RecordResult(b.ID, n, completed, fmt.Appendf(nil, `{"custom_id":"größe-%d","done":%v}`, n, completed)))
+}
+
+func (w *sampleWriter) finalizing(b Batch, final batchscheduler.BatchState) Batch {
+	w.t.Helper()
+	b, err := w.store.TransitionBatch(b.ID, batchscheduler.StateFinalizing, func(b *Batch) {
+		b.FinalState, b.FinalizingUnix = final, sampleTime(40).Unix()
+	})
+	w.check(err)
+	return b
+}
+
+// writeSampleStore makes the changes by which commit 61b72d4 wrote formatDir.
+func writeSampleStore(t *testing.T, dir string) {
+	t.Helper()
+	s, err := Open(dir, 1<<20)
+	if err != nil {
+		t.Fatal(err)
+	}
+	s.idSource = new(sequentialBytes)
+	w := &sampleWriter{t, s}
+	input, other, removed := w.upload("a", "lines.jsonl"), w.upload("b", "other.jsonl"), w.upload("a", "removed.jsonl")
+	w.check(s.DeleteFile("a", removed.ID))
+
+	running := w.create("a", input.ID, 6)
+	w.check(s.SetLineState(running.ID, 1, batchscheduler.LineInFlight))
+	w.end(running, 2, true)
+	w.end(running, 3, false)
+	w.check(s.SetLineState(running.ID, 4, batchscheduler.LineInFlight))
+	w.check(s.SetLineState(running.ID, 4, batchscheduler.LineWaiting))
+
+	completed := w.create("a", input.ID, 3)
+	for n := range batchscheduler.LineIndex(3) {
+		w.end(completed, n, n != 1)
+	}
+	_, err = s.FinalizeBatch(sampleTime(50), w.finalizing(completed, batchscheduler.StateCompleted))
+	w.check(err)
+
+	expired := w.create("a", input.ID, 1)
+	w.end(expired, 0, false)
+	_, err = s.FinalizeBatch(sampleTime(50), w.finalizing(expired, batchscheduler.StateExpired))
+	w.check(err)
+
+	failed := w.create("a", input.ID, 0)
+	_, err = s.TransitionBatch(failed.ID, batchscheduler.StateFailed, func(b *Batch) {
+		b.EndedUnix = sampleTime(30).Unix()
+		b.ValidationErrors = sampleValidationErrors
+	})
+	w.check(err)
+
+	w.create("b", other.ID, 0) // stays validating
+
+	cancelled := w.create("b", other.ID, 4)
+	w.end(cancelled, 0, true)
+	_, err = s.TransitionBatch(cancelled.ID, batchscheduler.StateCancelling, func(b *Batch) {
+		b.CancellingUnix = sampleTime(35).Unix()
+	})
+	w.check(err)
+	w.check(s.FailLines(cancelled.ID, []batchscheduler.LineIndex{1, 3}, func(_ batchscheduler.LineIndex, l Line) []byte {
+		return fmt.Appendf(nil, `{"custom_id":%q,"error":{"code":"batch_cancelled"}}`, l.CustomID)
+	}))
+	w.finalizing(cancelled, batchscheduler.StateCancelled)
+	w.check(s.DeleteFile("b", other.ID)) // its batches still read it
+	w.check(s.Close())
+}
+
+var sampleValidationErrors = []ValidationError{
+	{LineNumber: 2, Code: "invalid_value", Message: "max_tokens 0, want 1 to 1048576"},
+	{Code: "unreadable", Message: "cut off"},
+}
+
+// dumpRecords returns all records of a store's directory as they lie in its database file, by bucket and key in hex.
+func dumpRecords(t *testing.T, dir string) map[string]string {
+	t.Helper()
+	db, err := bbolt.Open(filepath.Join(dir, "vault"), 0o600, &bbolt.Options{Timeout: time.Second})
+	if err != nil {
+		t.Fatal(err)
+	}
+	records := map[string]string{}
+	err = db.View(func(tx *bbolt.Tx) error {
+		return tx.ForEach(func(bucket []byte, b *bbolt.Bucket) error {
+			return b.ForEach(func(key, value []byte) error {
+				records[fmt.Sprintf("%s %x", bucket, key)] = hex.EncodeToString(value)
+				return nil
+			})
+		})
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := db.Close(); err != nil {
+		t.Fatal(err)
+	}
+	return records
+}
+
+// dumpFiles returns the contents of a store's files by their names.
+func dumpFiles(t *testing.T, dir string) map[string]string {
+	t.Helper()
+	entries, err := os.ReadDir(filepath.Join(dir, "files"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	contents := map[string]string{}
+	for _, entry := range entries {
+		content, err := os.ReadFile(filepath.Join(dir, "files", entry.Name()))
+		if err != nil {
+			t.Fatal(err)
+		}
+		contents[entry.Name()] = string(content)
+	}
+	return contents
+}
+
+// checkSameContents checks that two directories hold the same records or files.
+func checkSameContents(t *testing.T, kind string, got, want map[string]string) {
+	t.Helper()
+	for name, content := range want {
+		if got[name] != content {
+			t.Errorf("%s %s is %q, want %q as 61b72d4 wrote it", kind, name, got[name], content)
+		}
+	}
+	for name := range got {
+		if _, ok := want[name]; !ok {
+			t.Errorf("%s %s was not written by 61b72d4", kind, name)
+		}
+	}
+}
+
+// copyFormatDir copies formatDir, because opening a store changes its directory.
+func copyFormatDir(t *testing.T) string {
+	t.Helper()
+	dir := t.TempDir()
+	if err := os.CopyFS(dir, os.DirFS(formatDir)); err != nil {
+		t.Fatal(err)
+	}
+	return dir
+}
+
+// TestWritesFormat checks that the operations by which commit 61b72d4 wrote formatDir write the same buckets, keys,
+// records and files, byte for byte.
+func TestWritesFormat(t *testing.T) {
+	dir := t.TempDir()
+	writeSampleStore(t, dir)
+	want := copyFormatDir(t)
+	records := dumpRecords(t, want)
+	if len(records) != formatRecordCount {
+		t.Errorf("%d records in %s, want %d: %v",
+			len(records), formatDir, formatRecordCount, slices.Sorted(maps.Keys(records)))
+	}
+	checkSameContents(t, "record", dumpRecords(t, dir), records)
+	checkSameContents(t, "file", dumpFiles(t, dir), dumpFiles(t, want))
+}
+
+// TestReadsFormat checks that a directory which commit 61b72d4 wrote opens and that its files, batches, lines and
+// results read as they were written.
+func TestReadsFormat(t *testing.T) {
+	s, err := Open(copyFormatDir(t), 1<<20)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer s.Close()
+	t.Run("verify", func(t *testing.T) {
+		if all, corrupt, err := s.Verify(); err != nil || len(corrupt) > 0 || all != formatRecordCount {
+			t.Errorf("%d records, want %d; %v, %v", all, formatRecordCount, corrupt, err)
+		}
+	})
+	t.Run("files", func(t *testing.T) { checkFormatFiles(t, s) })
+	t.Run("batches", func(t *testing.T) { checkFormatBatches(t, s) })
+	t.Run("lines", func(t *testing.T) { checkFormatLines(t, s) })
+	t.Run("results", func(t *testing.T) { checkFormatResults(t, s) })
+}
+
+func checkFormatFiles(t *testing.T, s *Store) {
+	t.Helper()
+	text, _ := sampleLines()
+	created, finalized := sampleTime(0).Unix(), sampleTime(50).Unix()
+	files, more, err := s.Files("a", "", 10)
+	want := []File{
+		{
+			ID: inputFileID, Tenant: "a", Name: "lines.jsonl",
+			Purpose: "batch", SizeBytes: int64(len(text)), CreatedUnix: created,
+		},
+		{
+			ID: "file-3132333435363738393a3b3ce", Tenant: "a", Name: completedBatchID + "_errors.jsonl",
+			Purpose: "batch_output", SizeBytes: 39, CreatedUnix: finalized,
+		},
+		{
+			ID: "file-3132333435363738393a3b3co", Tenant: "a", Name: completedBatchID + "_output.jsonl",
+			Purpose: "batch_output", SizeBytes: 76, CreatedUnix: finalized,
+		},
+		{
+			ID: "file-3d3e3f404142434445464748e", Tenant: "a", Name: expiredBatchID + "_errors.jsonl",
+			Purpose: "batch_output", SizeBytes: 39, CreatedUnix: finalized,
+		},
+	}
+	if err != nil || more {
+		t.Errorf("files of tenant a: more %v, error %v", more, err)
+	}
+	if !slices.Equal(files, want) {
+		t.Errorf("files of tenant a: %+v, want %+v", files, want)
+	}
+	if files, _, err := s.Files("b", "", 10); err != nil || len(files) != 0 {
+		t.Errorf("files of tenant b, which has deleted its only one: %v, %v", files, err)
+	}
+	used := map[string]int64{"a": int64(len(text)) + 39 + 76 + 39, "b": int64(len(text))}
+	if !maps.Equal(s.usedBytes, used) {
+		t.Errorf("used bytes %v, want %v", s.usedBytes, used)
+	}
+	for id, want := range map[string]string{
+		inputFileID:                      text,
+		"file-3132333435363738393a3b3co": `{"custom_id":"größe-0","done":true}` + "\n" +
+			`{"custom_id":"größe-2","done":true}` + "\n",
+		"file-3132333435363738393a3b3ce": `{"custom_id":"größe-1","done":false}` + "\n",
+	} {
+		f, err := s.OpenContent("a", id)
+		if err != nil {
+			t.Fatal(err)
+		}
+		got, err := io.ReadAll(f)
+		f.Close()
+		if err != nil || string(got) != want {
+			t.Errorf("content of %s: %q, %v, want %q", id, got, err, want)
+		}
+	}
+}
+
+func checkFormatBatches(t *testing.T, s *Store) {
+	t.Helper()
+	batch := func(tenant, id, input string, state batchscheduler.BatchState, change func(b *Batch)) Batch {
+		b := Batch{
+			ID: id, Tenant: tenant, InputFileID: input, Endpoint: "/v1/completions", CompletionWindow: "24h",
+			Metadata: sampleMetadata, State: state,
+			CreatedUnix: sampleTime(10).Unix(), ExpiresUnix: sampleTime(10).Add(24 * time.Hour).Unix(),
+		}
+		change(&b)
+		return b
+	}
+	started, finalizing, ended := sampleTime(20).Unix(), sampleTime(40).Unix(), sampleTime(50).Unix()
+	for tenant, want := range map[string][]Batch{
+		"a": {
+			batch("a", runningBatchID, inputFileID, batchscheduler.StateInProgress, func(b *Batch) {
+				b.TotalLines, b.CompletedLines, b.FailedLines, b.InProgressUnix = 6, 1, 1, started
+			}),
+			batch("a", completedBatchID, inputFileID, batchscheduler.StateCompleted, func(b *Batch) {
+				b.TotalLines, b.CompletedLines, b.FailedLines = 3, 2, 1
+				b.InProgressUnix, b.FinalizingUnix, b.EndedUnix = started, finalizing, ended
+				b.FinalState = batchscheduler.StateCompleted
+				b.OutputFileID, b.ErrorFileID = "file-3132333435363738393a3b3co", "file-3132333435363738393a3b3ce"
+			}),
+			batch("a", expiredBatchID, inputFileID, batchscheduler.StateExpired, func(b *Batch) {
+				b.TotalLines, b.FailedLines = 1, 1
+				b.InProgressUnix, b.FinalizingUnix, b.EndedUnix = started, finalizing, ended
+				b.FinalState = batchscheduler.StateExpired
+				b.ErrorFileID = "file-3d3e3f404142434445464748e"
+			}),
+			batch("a", failedBatchID, inputFileID, batchscheduler.StateFailed, func(b *Batch) {
+				b.EndedUnix, b.ValidationErrors = sampleTime(30).Unix(), sampleValidationErrors
+			}),
+		},
+		"b": {
+			batch("b", validatingBatchID, deletedFileID, batchscheduler.StateValidating, func(*Batch) {}),
+			batch("b", cancelledBatchID, deletedFileID, batchscheduler.StateFinalizing, func(b *Batch) {
+				b.TotalLines, b.CompletedLines, b.FailedLines = 4, 1, 2
+				b.InProgressUnix, b.CancellingUnix, b.FinalizingUnix = started, sampleTime(35).Unix(), finalizing
+				b.FinalState = batchscheduler.StateCancelled
+			}),
+		},
+	} {
+		got, more, err := s.Batches(tenant, "", 10)
+		if err != nil || more {
+			t.Errorf("batches of tenant %s: more %v, error %v", tenant, more, err)
+		}
+		if !reflect.DeepEqual(got, want) {
+			t.Errorf("batches of tenant %s: %+v, want %+v", tenant, got, want)
+		}
+	}
+}
+
+func checkFormatLines(t *testing.T, s *Store) {
+	t.Helper()
+	_, lines := sampleLines()
+	for i := range lines {
+		lines[i].Cost = float32(100 * i) // stored as a whole number
+	}
+	lines[1].State = batchscheduler.LineInFlight
+	lines[2].State = batchscheduler.LineCompleted
+	lines[3].State = batchscheduler.LineFailed
+	var got []Line
+	err := s.ForEachLine(runningBatchID, func(n batchscheduler.LineIndex, l Line, corrupt error) error {
+		text, err := s.LineText(inputFileID, n, l)
+		if corrupt != nil || err != nil || !bytes.Contains(text, fmt.Appendf(nil, `"Plan %d"`, n)) {
+			t.Errorf("line %d: %q, %v, %v", n, text, corrupt, err)
+		}
+		got = append(got, l)
+		return nil
+	})
+	if err != nil {
+		t.Error(err)
+	}
+	if !slices.Equal(got, lines) {
+		t.Errorf("lines of %s: %+v, want %+v", runningBatchID, got, lines)
+	}
+	if l, err := s.Line(runningBatchID, 3); err != nil || l != lines[3] {
+		t.Errorf("line 3: %+v, %v, want %+v", l, err, lines[3])
+	}
+}
+
+// checkFormatResults finalizes the batch that 61b72d4 left finalizing and checks the files made of its results.
+func checkFormatResults(t *testing.T, s *Store) {
+	t.Helper()
+	b, err := s.Batch("b", cancelledBatchID)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if b, err = s.FinalizeBatch(sampleTime(60), b); err != nil || b.State != batchscheduler.StateCancelled {
+		t.Fatalf("finalized as %v, %v, want %v", b.State, err, batchscheduler.StateCancelled)
+	}
+	for id, want := range map[string]string{
+		b.OutputFileID: `{"custom_id":"größe-0","done":true}` + "\n",
+		b.ErrorFileID: `{"custom_id":"größe-1","error":{"code":"batch_cancelled"}}` + "\n" +
+			`{"custom_id":"größe-3","error":{"code":"batch_cancelled"}}` + "\n",
+	} {
+		f, err := s.OpenContent("b", id)
+		if err != nil {
+			t.Fatal(err)
+		}
+		got, err := io.ReadAll(f)
+		f.Close()
+		if err != nil || string(got) != want {
+			t.Errorf("content of %s: %q, %v, want %q", id, got, err, want)
+		}
+	}
+}
