--- a/internal/node/crossing_test.go
+++ b/internal/node/crossing_test.go
@@ -1,10 +1,6 @@
 package node
 
 import (
-	"bufio"
-	"net"
-	"net/http"
-	"net/netip"
 	"strings"
 	"testing"
 	"time"
@@ -223,41 +219,3 @@
 		client.expect("0\r\n\r\n")
 	})
 }
-
-// TestIdleClientsWhileDiscoveryIsAway clients that fill the descriptors while discovery is away leave one for the watch, and for those that ask. It is the
-// system's limits that matter here: sockets, not simulated ones.
-func TestIdleClientsWhileDiscoveryIsAway(t *testing.T) {
-	s := newNetHarness(t)
-	s.addServer("r1", "prefill", respondPrefill)
-	s.addServer("w1", "decode", respondDecode)
-	s.start(64)
-	away, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	at := away.Addr().String()
-	away.Close() // nobody listens there
-	changed := *s.config
-	changed.Discovery = netip.MustParseAddrPort(at)
-	s.node.Reload(&changed)
-	for range 200 {
-		s.dial()
-	}
-	back, err := net.Listen("tcp", at)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer back.Close()
-	watch, err := back.Accept()
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer watch.Close()
-	if _, err := http.ReadRequest(bufio.NewReader(watch)); err != nil {
-		t.Fatal(err)
-	}
-	had, _ := s.node.Status()
-	writeText(watch, watchHead+chunk(listText(backend.EndpointList{Version: 3, Full: true, Endpoints: s.endpoints})))
-	waitUntil(t, "the list", func() bool { v, _ := s.node.Status(); return v.Backend.ListUpdates > had.Backend.ListUpdates })
-	s.expectServed(s.dial(), 1)
-}
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -1,7 +1,6 @@
 package node
 
 import (
-	"docksail/internal/eventloop"
 	"encoding/json"
 	"log/slog"
 	"net/netip"
@@ -10,14 +9,9 @@
 	"time"
 
 	backend "docksail/internal/backend/platform"
+	"docksail/internal/eventloop"
 )
 
-// watchHead begins the answer to a watch.
-const watchHead = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
-
-// releaseResponse answers a release.
-const releaseResponse = "HTTP/1.1 204 No Content\r\n\r\n"
-
 // harness is a dispatcher between scripted servers and clients: nothing happens but what the test has happen. On the
 // simulated network a wait takes no time and what depends on time has the same verdict on any machine; on the loopback
 // network the same script runs over real connections.
@@ -313,15 +307,3 @@
 
 // waitUntilReusable has time pass in which a connection becomes one that may be used again.
 func (h *harness) waitUntilReusable() { h.advance(15 * time.Millisecond) }
-
-// listText is the text of a list as discovery writes it: an empty fleet is an empty array.
-func listText(list backend.EndpointList) string {
-	if list.Endpoints == nil {
-		list.Endpoints = []backend.Endpoint{}
-	}
-	text, err := json.Marshal(list)
-	if err != nil {
-		panic(err)
-	}
-	return string(text)
-}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -3,12 +3,6 @@
 package node
 
 import (
-	"docksail/internal/decide/clientconn"
-	"docksail/internal/decide/discovery"
-	"docksail/internal/dispatch"
-	"docksail/internal/eventloop"
-	"docksail/internal/platformconfig"
-	"docksail/policy"
 	"fmt"
 	"log/slog"
 	"net/netip"
@@ -17,7 +11,13 @@
 	"time"
 
 	backend "docksail/internal/backend/platform"
+	"docksail/internal/decide/clientconn"
+	"docksail/internal/decide/discovery"
+	"docksail/internal/dispatch"
+	"docksail/internal/eventloop"
 	frontend "docksail/internal/frontend/platform"
+	"docksail/internal/platformconfig"
+	"docksail/policy"
 )
 
 const (
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -5,108 +5,159 @@
 	"io"
 	"net"
 	"net/http"
+	"net/netip"
 	"testing"
 	"time"
+
+	backend "docksail/internal/backend/platform"
 )
 
-// An answer reaches a client that goes on to send a body nobody wants.
+// TestLargeBodyIsAnswered: the response reaches a client that goes on to send a body that is too large.
 func TestLargeBodyIsAnswered(t *testing.T) {
-	s := newNetHarness(t)
-	s.start(1024)
-	c := s.dial()
-	io.WriteString(c, request(requestID(1), contentLength, "Content-Length: 60000000"))
+	h := newNetHarness(t)
+	h.start(1024)
+	c := h.dial()
+	h.write(c, request(requestID(1), contentLength, "Content-Length: 60000000"))
 	sent := make(chan error, 1)
 	go func() { _, err := io.CopyN(c, zeroReader{}, 20e6); sent <- err }()
 	if err := <-sent; err != nil {
 		t.Fatalf("the body is cut off: %v", err)
 	}
-	if res, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || res.StatusCode != 413 {
+	res, err := http.ReadResponse(bufio.NewReader(c), nil)
+	if err != nil || res.StatusCode != http.StatusRequestEntityTooLarge {
 		t.Errorf("%v, %v, want 413", res, err)
 	}
 }
 
+// zeroReader reads zeros without an end.
 type zeroReader struct{}
 
 func (zeroReader) Read(p []byte) (int, error) { clear(p); return len(p), nil }
 
-// A client that has sent more than is read while its request is in hand, and goes, is gone at once.
+// TestDisconnectBehindUnreadBytes: a client that has sent more than is read while its request is in hand, and closes
+// its connection, is noticed at once.
 func TestDisconnectBehindUnreadBytes(t *testing.T) {
-	s := newNetHarness(t)
+	h := newNetHarness(t)
 	hung := make(chan bool)
-	s.addServer("reader", "prefill", func(net.Conn, *http.Request, int) bool { <-hung; return false })
-	s.addServer("writer", "decode", respondDecode)
-	s.start(1024)
+	h.addServer("reader", "prefill", func(net.Conn) error { <-hung; return io.EOF })
+	h.addServer("writer", "decode", respondWith(decodeResponse))
+	h.start(1024)
 	defer close(hung)
-	c := s.dial()
-	io.WriteString(c, request(requestID(1)))
-	waitUntil(t, "the read is out", func() bool { return s.attemptsAt("reader") == 1 })
+	c := h.dial()
+	h.write(c, request(requestID(1)))
+	waitUntil(t, "the prefill attempt is in flight", func() bool { return h.attemptsAt("reader") == 1 })
 	for range 3 { // more than is read, less than the system holds
-		c.Write(make([]byte, 50<<10))
+		h.write(c, string(make([]byte, 50<<10)))
 		time.Sleep(20 * time.Millisecond)
 	}
-	c.(*net.TCPConn).CloseWrite()
-	waitUntil(t, "the job is over", func() bool { v, _ := s.node.Status(); return v.Dispatch.ClientDisconnects == 1 && v.Requests == 0 })
+	if err := c.(*net.TCPConn).CloseWrite(); err != nil {
+		t.Fatal(err)
+	}
+	waitUntil(t, "the request has ended", func() bool {
+		status, _ := h.node.Status()
+		return status.Dispatch.ClientDisconnects == 1 && status.Requests == 0
+	})
 }
 
-// A dispatcher told to leave serves who has come and still comes, and ends when nobody is left.
+// TestDrain: a dispatcher that drains serves the clients that have come and still come, and ends with the last of them.
 func TestDrain(t *testing.T) {
-	s := newNetHarness(t)
-	s.addServer("reader", "prefill", respondPrefill)
-	let := make(chan bool)
-	s.addServer("writer", "decode", func(c net.Conn, r *http.Request, n int) bool { <-let; return respondDecode(c, r, n) })
-	s.start(1024)
-	resting, busy := s.dial(), s.dial()
-	if status, _, _, _ := roundTrip(resting, "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"); status != 200 {
-		t.Fatalf("ready: %d", status)
-	}
-	first := make(chan string, 1)
-	go func() { _, got, _, _ := roundTrip(busy, request(requestID(1))); first <- got }()
-	waitUntil(t, "the job is out", func() bool { return s.attemptsAt("writer") == 1 })
-	s.node.Drain()
-	waitUntil(t, "it is not ready any more", func() bool {
-		status, _, _, _ := roundTrip(s.dial(), "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
-		return status == 503
+	h := newNetHarness(t)
+	h.addServer("reader", "prefill", respondWith(prefillResponse))
+	proceed := make(chan bool)
+	h.addServer("writer", "decode", func(c net.Conn) error { <-proceed; return respondWith(decodeResponse)(c) })
+	h.start(1024)
+	idle, busy := h.dial(), h.dial()
+	if got := roundTrip(idle, readyRequest); got.status != http.StatusOK {
+		t.Fatalf("ready: %d", got.status)
+	}
+	inHand := make(chan netResponse, 1)
+	go func() { inHand <- roundTrip(busy, request(requestID(1))) }()
+	waitUntil(t, "the decode attempt is in flight", func() bool { return h.attemptsAt("writer") == 1 })
+	h.node.Drain()
+	waitUntil(t, "it is not ready", func() bool {
+		return roundTrip(h.dial(), readyRequest).status == http.StatusServiceUnavailable
 	})
-	waiting := make([]net.Conn, 50) // they lie in the accept queue as the door closes
+	waiting := make([]net.Conn, 50) // they are in the listener's queue when it closes
 	for i := range waiting {
-		waiting[i] = s.dial()
-		io.WriteString(waiting[i], request(requestID(100+i)))
+		waiting[i] = h.dial()
+		h.write(waiting[i], request(requestID(100+i)))
 	}
-	close(let)
-	if got := <-first; got != streamBody {
-		t.Errorf("the request in hand: %q", got)
+	close(proceed)
+	if got := <-inHand; got.body != streamBody {
+		t.Errorf("the request in hand: %q", got.body)
 	}
 	for i, c := range waiting {
-		if res, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || res.StatusCode != 200 || !res.Close {
+		res, err := http.ReadResponse(bufio.NewReader(c), nil)
+		if err != nil || res.StatusCode != http.StatusOK || !res.Close {
 			t.Errorf("client %d: %v, %v", i, res, err)
 		}
 		c.Close()
 	}
-	if b, err := io.ReadAll(resting); len(b) > 0 || err != nil {
-		t.Errorf("the resting connection: %q, %v", b, err)
+	if b, err := io.ReadAll(idle); len(b) > 0 || err != nil {
+		t.Errorf("the idle connection: %q, %v", b, err)
 	}
 	busy.Close()
 	select {
-	case <-s.node.Done():
-	case <-time.After(5 * time.Second):
+	case <-h.node.Done():
+	case <-time.After(netTimeout):
 		t.Error("it has not ended")
 	}
 }
 
-// Where descriptors are short, clients that say nothing and such as rest give way to those that ask.
+// TestDescriptorShortage: when descriptors are short, idle and silent clients are closed for those that send requests.
 func TestDescriptorShortage(t *testing.T) {
-	s := newNetHarness(t)
-	s.addServer("reader", "prefill", respondPrefill)
-	s.addServer("writer", "decode", respondDecode)
-	s.start(64)
+	h := newNetHarness(t)
+	h.addServer("reader", "prefill", respondWith(prefillResponse))
+	h.addServer("writer", "decode", respondWith(decodeResponse))
+	h.start(64)
 	for range 200 {
-		s.dial()
+		h.dial()
 	}
 	for n := range 40 {
-		c := s.dial()
-		s.expectServed(c, n)
+		h.expectServed(h.dial(), n)
 	}
-	if v, _ := s.node.Status(); v.Clients > 64 || v.Frontend.ConnectionLimitHits == 0 {
-		t.Errorf("%d connections, %d times crowded", v.Clients, v.Frontend.ConnectionLimitHits)
+	if v, _ := h.node.Status(); v.Clients > 64 || v.Frontend.ConnectionLimitHits == 0 {
+		t.Errorf("%d connections, the limit was hit %d times", v.Clients, v.Frontend.ConnectionLimitHits)
+	}
+}
+
+// TestIdleClientsWhileDiscoveryIsAway: idle clients that fill the descriptors while discovery is away leave one for the
+// watch, and for clients that send requests.
+func TestIdleClientsWhileDiscoveryIsAway(t *testing.T) {
+	h := newNetHarness(t)
+	h.addServer("r1", "prefill", respondWith(prefillResponse))
+	h.addServer("w1", "decode", respondWith(decodeResponse))
+	h.start(64)
+	away, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
 	}
+	addr := away.Addr().String()
+	away.Close() // nobody listens there
+	changed := *h.config
+	changed.Discovery = netip.MustParseAddrPort(addr)
+	h.node.Reload(&changed)
+	for range 200 {
+		h.dial()
+	}
+	back, err := net.Listen("tcp", addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer back.Close()
+	watch, err := back.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer watch.Close()
+	if _, err := http.ReadRequest(bufio.NewReader(watch)); err != nil {
+		t.Fatal(err)
+	}
+	before, _ := h.node.Status()
+	h.write(watch, watchHead+chunk(listText(backend.EndpointList{Version: 3, Full: true, Endpoints: h.endpoints})))
+	waitUntil(t, "the list is applied", func() bool {
+		status, _ := h.node.Status()
+		return status.Backend.ListUpdates > before.Backend.ListUpdates
+	})
+	h.expectServed(h.dial(), 1)
 }
--- a/internal/node/scripted_test.go
+++ b/internal/node/scripted_test.go
@@ -3,12 +3,13 @@
 import (
 	"bufio"
 	"bytes"
-	"docksail/internal/eventloop"
 	"io"
 	"net/http"
 	"net/netip"
 	"strings"
 	"time"
+
+	"docksail/internal/eventloop"
 )
 
 // The servers and clients of a harness.
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -1,12 +1,12 @@
 package node
 
 import (
-	"docksail/internal/dispatch"
-	"docksail/policy"
 	"runtime/metrics"
 
 	backend "docksail/internal/backend/platform"
+	"docksail/internal/dispatch"
 	frontend "docksail/internal/frontend/platform"
+	"docksail/policy"
 )
 
 // Status is the state of a dispatcher. The names of the fields appear in the log record "counts".
