--- a/cmd/docksail/node.go
+++ b/cmd/docksail/node.go
@@ -2,7 +2,7 @@
 
 import (
 	"context"
-	"docksail/internal/dispatch"
+	"docksail/internal/asynclog"
 	"docksail/internal/node"
 	"log/slog"
 	"os"
@@ -32,7 +32,7 @@
 			node.LimitResources(t)
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
-			log := slog.New(dispatch.NewAsyncLogHandler(ctx, slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})))
+			log := slog.New(asynclog.NewHandler(ctx, slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})))
 			n, err := node.Start(t, log)
 			if err != nil {
 				return err
--- a/cmd/docksail/serve.go
+++ b/cmd/docksail/serve.go
@@ -3,9 +3,10 @@
 import (
 	"cmp"
 	"context"
+	"docksail/internal/asynclog"
 	"docksail/internal/config"
 	"docksail/internal/decide/admission"
-	"docksail/internal/dispatch"
+	"docksail/internal/grpcnode"
 	"encoding/json"
 	"fmt"
 	"io"
@@ -36,12 +37,12 @@
 			}
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
-			beside := dispatch.NewAsyncLogHandler(ctx, slog.NewJSONHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
+			beside := asynclog.NewHandler(ctx, slog.NewJSONHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
 			log := slog.New(beside)
 			for _, warning := range s.Warnings {
 				log.Warn("settings", "former_name", warning)
 			}
-			r, err := dispatch.Start(s, log, nil)
+			r, err := grpcnode.Start(s, log, nil)
 			if err != nil {
 				return err
 			}
@@ -70,18 +71,19 @@
 			for {
 				select {
 				case <-tick.C:
-					r.RunOnLoop(func(d *dispatch.Dispatcher) { log.Info("counts", "view", d.Status(), "log_lost", beside.Dropped()) })
+					if v, err := r.Status(); err == nil {
+						log.Info("counts", "view", v, "log_lost", beside.Dropped())
+					}
 				case <-status:
-					var v dispatch.Status
-					if r.RunOnLoop(func(d *dispatch.Dispatcher) { v = d.Status() }) {
+					if v, err := r.Status(); err == nil {
 						if err := writeStatus(s.Status, v); err != nil {
 							log.Warn("status not written", "err", err)
 						}
 					}
 				case <-reload:
 					changed, err := config.Load(args[0])
-					if err == nil && !r.RunOnLoop(func(d *dispatch.Dispatcher) { err = d.SetTenantLimits(changed) }) {
-						err = fmt.Errorf("the dispatcher has ended")
+					if err == nil {
+						err = r.SetTenantLimits(changed)
 					}
 					if err != nil {
 						log.Error("terms of tenants stay as they were", "err", err)
@@ -113,12 +115,12 @@
 type status struct {
 	Format int       `json:"format"`
 	At     time.Time `json:"at"`
-	View   dispatch.Status
+	View   grpcnode.Status
 }
 
 const statusFormat = 1
 
-func writeStatus(name string, v dispatch.Status) error {
+func writeStatus(name string, v grpcnode.Status) error {
 	b, err := json.Marshal(status{statusFormat, time.Now(), v})
 	if err != nil {
 		return err
--- /dev/null
+++ b/internal/backend/grpc/discovery.go
@@ -0,0 +1,167 @@
+package grpc
+
+import (
+	"docksail/internal/dispatch"
+	"docksail/internal/eventloop"
+	"docksail/internal/h2"
+	"docksail/internal/state/endpointlist"
+	"docksail/policy"
+	"errors"
+	"log/slog"
+	"net/netip"
+	"os"
+	"time"
+)
+
+// checksPerRetryInterval is how often in a retry interval the file is checked or a silent discovery server is.
+const checksPerRetryInterval = 8
+
+// DiscoveryConfig says where the endpoint list comes from: a discovery server or a file.
+type DiscoveryConfig struct {
+	Addr          netip.AddrPort // of the discovery server; not used if there is a File
+	File          string
+	CacheFile     string // keeps the list for the next start; empty = none
+	RetryInterval int64  // nanoseconds
+}
+
+// endpointWatcher follows the endpoint list and applies its updates to the backend's servers and to the module. The watch on
+// a discovery server is in watch.go, the file is read in listfile.go.
+type endpointWatcher struct {
+	backend       *Backend
+	addr          netip.AddrPort
+	file          string
+	cacheFile     string
+	checkInterval int64 // nanoseconds
+	timer         eventloop.Timer
+
+	fileModTime time.Time
+	saves       chan []byte // lists for saveLists to write; nil = the list is not kept
+
+	conn             *eventloop.Conn // nil = there is no connection
+	http2            *h2.Conn
+	isOpen           bool
+	now              eventloop.Nanos // time of the event that is being handled
+	lastReceivedAt   eventloop.Nanos
+	lastPingAt       eventloop.Nanos
+	pingsWithoutData int
+}
+
+func (w *endpointWatcher) init(b *Backend, config DiscoveryConfig) {
+	*w = endpointWatcher{
+		backend: b, addr: config.Addr, file: config.File, cacheFile: config.CacheFile,
+		checkInterval: config.RetryInterval / checksPerRetryInterval,
+	}
+}
+
+// start applies the list that was kept by the last start, if there is one, and asks for the current one.
+func (w *endpointWatcher) start() {
+	now := w.backend.loop.Now()
+	if w.cacheFile != "" {
+		w.loadCache(now)
+		w.saves = make(chan []byte, 1)
+		go saveLists(w.cacheFile, w.saves, w.backend.log)
+	}
+	if w.file != "" {
+		w.pollFile(w.backend.loop.Now())
+		return
+	}
+	w.connect(w.backend.loop.Now())
+}
+
+// loadCache applies the list that was kept by the last start.
+func (w *endpointWatcher) loadCache(now eventloop.Nanos) {
+	b := w.backend
+	endpoints, err := b.list.Load(w.cacheFile)
+	switch {
+	case err == nil:
+		b.log.Info("cached endpoint list loaded", "servers", len(endpoints), "version", b.list.Version())
+		w.report(now, true, endpoints)
+	case !errors.Is(err, os.ErrNotExist):
+		b.log.Warn("cached endpoint list not loaded", "error", err)
+	}
+}
+
+// apply applies an update of the list and reports what it changes.
+func (w *endpointWatcher) apply(now eventloop.Nanos, version uint64, full bool, endpoints []endpointlist.Endpoint) error {
+	changed, err := w.backend.list.Apply(version, full, endpoints)
+	if err != nil {
+		return err
+	}
+	if full || len(changed) > 0 {
+		w.report(now, full, changed)
+		w.save()
+	}
+	return nil
+}
+
+// report updates the servers and reports them to the module. A full update names all servers, as the module forgets the
+// others.
+func (w *endpointWatcher) report(now eventloop.Nanos, full bool, endpoints []endpointlist.Endpoint) {
+	b := w.backend
+	if full {
+		endpoints = b.list.Endpoints()
+	}
+	b.dispatcher.EndpointListUpdated(now, full, len(endpoints) > 0, func(module dispatch.Module) {
+		for i := range endpoints {
+			b.updateServer(now, module, &endpoints[i])
+		}
+	})
+}
+
+// updateServer applies an entry of the list to its server, which may be new, and reports it to the module.
+func (b *Backend) updateServer(now eventloop.Nanos, module dispatch.Module, endpoint *endpointlist.Endpoint) {
+	s := b.servers[endpoint.ID]
+	if s == nil {
+		s = &server{backend: b, id: endpoint.ID}
+		b.servers[endpoint.ID] = s
+	}
+	s.update(now, endpoint)
+	startedAt := policy.Nanos(0)
+	if endpoint.StartedAt > 0 { // the engine's clock may be ahead of ours
+		startedAt = min(policy.Nanos(endpoint.StartedAt), b.dispatcher.ModuleTime(now))
+	}
+	module.ServerListed(endpoint.ID, b.list.ZoneID(endpoint.Zone), policy.KindID(endpoint.Role),
+		b.list.CellID(endpoint.Zone, endpoint.Cell), endpoint.Health, startedAt)
+	b.log.Info("endpoint updated", "server_id", endpoint.ID, "address", endpoint.Address, "role", int(endpoint.Role),
+		"health", int(endpoint.Health))
+}
+
+// isOutOfDate reports whether there is no watch on the list: servers may have restarted unseen.
+func (w *endpointWatcher) isOutOfDate() bool { return w.file == "" && !w.isOpen }
+
+// save has the list kept for the next start. If the writer is behind, an older list need not be written any more.
+func (w *endpointWatcher) save() {
+	if w.saves == nil {
+		return
+	}
+	encoded := w.backend.list.Encode()
+	select {
+	case w.saves <- encoded:
+		return
+	default:
+	}
+	select {
+	case <-w.saves:
+	default:
+	}
+	select {
+	case w.saves <- encoded:
+	default:
+	}
+}
+
+// saveLists writes lists to a file until the channel is closed. It runs on a goroutine of its own.
+func saveLists(name string, lists <-chan []byte, log *slog.Logger) {
+	for encoded := range lists {
+		if err := endpointlist.Save(name, encoded); err != nil {
+			log.Warn("endpoint list not saved", "error", err)
+		}
+	}
+}
+
+// close ends saveLists. The loop must have ended.
+func (w *endpointWatcher) close() {
+	if w.saves != nil {
+		close(w.saves)
+	}
+}
--- a/internal/dispatch/grpcrelease_test.go
+++ b/internal/backend/grpc/release_test.go
@@ -1,6 +1,7 @@
-package dispatch
+package grpc
 
 import (
+	"docksail/internal/dispatch"
 	"docksail/internal/h2"
 	"log/slog"
 	"testing"
@@ -11,9 +12,10 @@
 // A release that an engine answers with an error is counted as lost, one that it takes is not.
 func TestReleaseAnsweredByEngine(t *testing.T) {
 	for code, want := range map[codes.Code]uint64{codes.OK: 0, codes.Unavailable: 1, codes.Internal: 1} {
-		d := &Dispatcher{log: slog.New(slog.DiscardHandler)}
-		k := &serverConn{d: d, server: &grpcServer{d: d}}
-		k.StreamFinished(&h2.Stream{UserData: pendingRelease{1, 0}}, code, "", nil)
+		d := &dispatch.Dispatcher{}
+		b := &Backend{dispatcher: d, log: slog.New(slog.DiscardHandler)}
+		c := &conn{backend: b, server: &server{backend: b}}
+		c.StreamFinished(&h2.Stream{UserData: pendingRelease{1, 0}}, code, "", nil)
 		if d.Counts.ReleasesLost != want {
 			t.Errorf("%s: %d lost, want %d", code, d.Counts.ReleasesLost, want)
 		}
--- a/internal/backend/platform/exit_test.go
+++ b/internal/backend/platform/exit_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"docksail/internal/decide/intake"
 	"docksail/internal/dispatch"
 	"docksail/internal/eventloop"
 	"docksail/internal/frontend"
@@ -72,10 +73,10 @@
 	defer host.Close()
 	mod, call := &scriptedModule{}, &slowCall{}
 	log := slog.New(slog.DiscardHandler)
-	d, err := dispatch.NewDirect(l, log, mod, []string{"a"}, []policy.Class{{LatencyTarget: 1e9, Timeout: 9e9}}, nil, 10, 1000, 0, 0, 1)
-	if err != nil {
-		t.Fatal(err)
-	}
+	d := dispatch.NewDirect(l, log, &dispatch.Config{
+		Module: mod, ClassNames: []string{"a"}, Classes: []policy.Class{{LatencyTarget: 1e9, Timeout: 9e9}},
+		Intake: intake.Limits{MaxRequests: 10, MaxPromptTokens: 1000}, Incarnation: 1,
+	})
 	x := New(l, d, log, &platformconfig.Config{
 		Zones: []string{"z"}, Kinds: []string{"decode"}, Roles: []policy.Role{policy.Decode},
 		IdleTimeout: 15e9, ReleaseTime: 1e9, ConnectTimeout: 250e6,
--- a/internal/backend/platform/list_test.go
+++ b/internal/backend/platform/list_test.go
@@ -1,6 +1,7 @@
 package platform
 
 import (
+	"docksail/internal/decide/intake"
 	"docksail/internal/dispatch"
 	"docksail/internal/eventloop"
 	"docksail/internal/platformconfig"
@@ -20,10 +21,10 @@
 	}
 	tb.Cleanup(l.Close)
 	log := slog.New(slog.DiscardHandler)
-	d, err := dispatch.NewDirect(l, log, &scriptedModule{}, []string{"a"}, []policy.Class{{LatencyTarget: 1e9, Timeout: 9e9}}, nil, 10, 1000, 0, 0, 1)
-	if err != nil {
-		tb.Fatal(err)
-	}
+	d := dispatch.NewDirect(l, log, &dispatch.Config{
+		Module: &scriptedModule{}, ClassNames: []string{"a"}, Classes: []policy.Class{{LatencyTarget: 1e9, Timeout: 9e9}},
+		Intake: intake.Limits{MaxRequests: 10, MaxPromptTokens: 1000}, Incarnation: 1,
+	})
 	x := New(l, d, log, &platformconfig.Config{Zones: []string{"z"}, Kinds: []string{"decode"}, Roles: []policy.Role{policy.Decode}, ReleaseTime: 1e9},
 		10, netip.AddrPort{})
 	d.Attach(noClients{}, x)
--- a/internal/backend/platform/settlement_test.go
+++ b/internal/backend/platform/settlement_test.go
@@ -1,6 +1,7 @@
 package platform
 
 import (
+	"docksail/internal/decide/intake"
 	"docksail/internal/dispatch"
 	"docksail/internal/eventloop"
 	"docksail/internal/platformconfig"
@@ -24,17 +25,17 @@
 	}
 	defer sound.Close()
 	log := slog.New(slog.DiscardHandler)
-	d, err := dispatch.NewDirect(l, log, &scriptedModule{}, []string{"a"}, []policy.Class{{LatencyTarget: 1e9, Timeout: 9e9}}, nil, 10, 1000, 0, 0, 1)
-	if err != nil {
-		t.Fatal(err)
-	}
+	d := dispatch.NewDirect(l, log, &dispatch.Config{
+		Module: &scriptedModule{}, ClassNames: []string{"a"}, Classes: []policy.Class{{LatencyTarget: 1e9, Timeout: 9e9}},
+		Intake: intake.Limits{MaxRequests: 10, MaxPromptTokens: 1000}, Incarnation: 1,
+	})
 	x := New(l, d, log, &platformconfig.Config{Zones: []string{"z"}, Kinds: []string{"decode"}, Roles: []policy.Role{policy.Decode}, ReleaseTime: 1e9}, 10, netip.AddrPort{})
 	d.Attach(noClients{}, x)
 	x.SetInitialList(0, EndpointList{Full: true, Endpoints: []Endpoint{
 		{ID: "w1", Addr: "[fe80::1]:1", Zone: "z", Kind: "decode", State: "Ready"}, // refused within the call: no zone, or no such family
 		{ID: "w2", Addr: sound.Addr().String(), Zone: "z", Kind: "decode", State: "Ready"},
 	}})
-	req := &dispatch.Request{ClientRequestID: []byte("0000000000000001")}
+	req := &dispatch.Request{Message: dispatch.Message{ClientRequestID: []byte("0000000000000001")}}
 	req.ID = 7
 	x.Release(0, req, 0, 0, 0)
 	s := x.releaseTrackers[req.ID]
--- a/internal/dispatch/admission.go
+++ b/internal/dispatch/admission.go
@@ -5,56 +5,75 @@
 	"docksail/internal/eventloop"
 	"docksail/internal/frontend"
 	"docksail/policy"
-	"slices"
 )
 
-// Requests that wait in the admission queue, until the module takes them or they are refused.
+// admissionControl determines when a request that intake has accepted is handed to the module. It is told how admitted
+// requests proceed.
+type admissionControl interface {
+	// enqueue takes an arriving request. It returns the request as the admission queue knows it, which is kept with the
+	// request for later calls, or an error that rejects the request.
+	enqueue(now eventloop.Nanos, arrival arrival) (admission.Request, error)
+	// enqueued follows enqueue when the request's record is complete.
+	enqueued(now eventloop.Nanos, req *Request)
+	// cancel removes a request that still waits. It reports whether it did wait.
+	cancel(now eventloop.Nanos, req *Request) bool
 
-// unsentRequest is a request that the module has and has not sent.
-type unsentRequest struct {
-	id         policy.RequestID
-	admittedAt eventloop.Nanos // let in
-}
+	// iterationStarted is called at the start of each iteration of the event loop.
+	iterationStarted(now eventloop.Nanos)
+	// advance is called when the module has no decision left. It admits or rejects one waiting request at most, and
+	// reports whether it did.
+	advance(now eventloop.Nanos) bool
+	// iterationEnded is called when neither the module nor advance has anything left to do.
+	iterationEnded(now eventloop.Nanos)
 
-func (d *Dispatcher) unsentIndex(id policy.RequestID) int {
-	return slices.IndexFunc(d.unsent, func(u unsentRequest) bool { return u.id == id })
-}
+	// attemptStarted is called when an attempt of a request has begun.
+	attemptStarted(now eventloop.Nanos, req *Request)
+	// firstTokenReceived is called when the answer of a request has begun.
+	firstTokenReceived(now eventloop.Nanos, req *Request)
+	// answered is called when a request has its final answer.
+	answered(req *Request, served bool)
+	// policyRejection returns the answer for a request that the module rejects, with the delay that the module asks for.
+	policyRejection(now eventloop.Nanos, req *Request, retryAfter int64) frontend.RejectionError
 
-// admits tells whether the admission queue lets in another.
-func (d *Dispatcher) admits(now eventloop.Nanos) bool {
-	d.ages = d.ages[:0]
-	for _, u := range d.unsent {
-		d.ages = append(d.ages, now-u.admittedAt)
-	}
-	return d.queue.CanAdmit(d.ages)
+	// addStatus fills in what concerns the queue.
+	addStatus(status *Status)
+	tenantStatuses() []TenantStatus
+	setTenantLimits(tenants []Tenant) error
 }
 
-// admit hands a request that waited in the admission queue to the module.
-func (d *Dispatcher) admit(now eventloop.Nanos, id policy.RequestID) {
-	d.queue.Admit(now, admission.RequestID(id))
-	req := d.requests.Find(id)
-	req.queued, req.admitted = false, true
-	d.unsent = append(d.unsent, unsentRequest{id: id, admittedAt: now})
-	d.module.RequestArrived(d.ModuleTime(now), req.policyRequest)
+// arrival is a request that intake has accepted.
+type arrival struct {
+	request  *frontend.Request
+	id       policy.RequestID
+	tenant   policy.TenantID // -1 = none
+	deadline eventloop.Nanos // the answer has to leave by then
+	target   int64           // latency target, nanoseconds
 }
 
-// refuseQueued refuses a request that waits in the admission queue.
-func (d *Dispatcher) refuseQueued(now eventloop.Nanos, id policy.RequestID, why admission.Verdict) {
-	d.rejectQueued(id, why, d.queue.Reject(now, admission.RequestID(id), why))
+const policyRejectionReason = "no engine could take it in time"
+
+// directAdmission hands every request to the module as it arrives.
+type directAdmission struct{ dispatcher *Dispatcher }
+
+func (a *directAdmission) enqueue(eventloop.Nanos, arrival) (admission.Request, error) {
+	return admission.Request{}, nil
 }
 
-// rejectQueued answers a request that the admission queue has given up.
-func (d *Dispatcher) rejectQueued(id policy.RequestID, why admission.Verdict, a admission.RetryAdvice) {
-	req := d.requests.Find(id)
-	req.queued = false
-	d.answer(req, func() { req.call.Reject(req.ID, d.refusal(why.String(), why.IsTenantLimit(), a)) }, &d.Counts.Rejected)
-	d.dropIfDone(req)
+func (a *directAdmission) enqueued(now eventloop.Nanos, req *Request) {
+	a.dispatcher.module.RequestArrived(a.dispatcher.ModuleTime(now), req.policyRequest)
 }
 
-func (d *Dispatcher) refusal(why string, own bool, a admission.RetryAdvice) frontend.RejectionError {
-	no := frontend.RejectionError{Reason: why, TenantLimitExceeded: own, RetryAfter: min(a.RetryAfter, d.maxRetryAfter)}
-	if a.Ticket != nil && no.RetryAfter == a.RetryAfter {
-		no.Ticket = d.signer.Encode(a.Ticket)
-	}
-	return no
+func (a *directAdmission) cancel(eventloop.Nanos, *Request) bool        { return false }
+func (a *directAdmission) iterationStarted(eventloop.Nanos)             {}
+func (a *directAdmission) advance(eventloop.Nanos) bool                 { return false }
+func (a *directAdmission) iterationEnded(eventloop.Nanos)               {}
+func (a *directAdmission) attemptStarted(eventloop.Nanos, *Request)     {}
+func (a *directAdmission) firstTokenReceived(eventloop.Nanos, *Request) {}
+func (a *directAdmission) answered(*Request, bool)                      {}
+func (a *directAdmission) addStatus(*Status)                            {}
+func (a *directAdmission) tenantStatuses() []TenantStatus               { return nil }
+func (a *directAdmission) setTenantLimits([]Tenant) error               { return errNoAdmissionQueue }
+
+func (a *directAdmission) policyRejection(_ eventloop.Nanos, _ *Request, retryAfter int64) frontend.RejectionError {
+	return frontend.RejectionError{Reason: policyRejectionReason, RetryAfter: min(retryAfter, a.dispatcher.maxRetryAfter)}
 }
--- /dev/null
+++ b/internal/dispatch/decisions.go
@@ -0,0 +1,57 @@
+package dispatch
+
+import (
+	"docksail/internal/eventloop"
+	"docksail/policy"
+	"fmt"
+)
+
+// execute carries out a decision of the module.
+func (d *Dispatcher) execute(now eventloop.Nanos, decision policy.Decision) {
+	switch decision.Action {
+	case policy.SetTimer:
+		d.loop.SetTimer(&d.policyTimer, now+eventloop.Nanos(decision.Duration), d.onPolicyTimeout)
+	case policy.WatchEndpoints:
+		d.backend.WatchEndpoints(now)
+	case policy.LogMessage:
+		d.log.Info("module message", "message", decision.Text)
+	default:
+		d.executeForRequest(now, decision)
+	}
+}
+
+// executeForRequest carries out a decision about a request. The request may be removed by it.
+func (d *Dispatcher) executeForRequest(now eventloop.Nanos, decision policy.Decision) {
+	req := d.requests.Find(decision.Request)
+	if req == nil {
+		d.Counts.InvalidDecisions++
+		d.log.Error("invalid decision", "request_id", d.RequestName(decision.Request), "action", int(decision.Action),
+			"error", "request is done")
+		return
+	}
+	switch decision.Action {
+	case policy.SendAttempt:
+		req.ExpectedCachedTokens = decision.CachedTokens
+		req.setStartDeadline(decision.SendBefore)
+		d.startAttempt(now, req, decision.Server, int64(decision.Duration))
+	case policy.CancelAttempt:
+		d.cancelAttempt(now, req, decision.Attempt)
+	case policy.RejectRequest:
+		d.reject(req, d.admission.policyRejection(now, req, int64(decision.Duration)))
+	case policy.FailRequest:
+		d.fail(req, deadlineExceededReason)
+	case policy.ReleaseState:
+		d.releaseState(now, req, "decision")
+	default:
+		panic(fmt.Sprintf("decision with unknown action %d", decision.Action))
+	}
+	d.removeIfDone(req)
+}
+
+// cancelAttempt ends an attempt, unless it has ended already.
+func (d *Dispatcher) cancelAttempt(now eventloop.Nanos, req *Request, canceled policy.AttemptNumber) {
+	if attempt, outstanding := req.OutstandingAttempt(); outstanding && attempt == canceled {
+		d.Counts.Cancels++
+		d.endAttempt(now, req, policy.Canceled, false, policy.NoLoadReport)
+	}
+}
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,250 +1,198 @@
-// Package dispatch binds the loop, the wire and the decision module into one dispatcher: what happens on the
-// sockets is told to the module, and what the module decides is carried out on them. It decides nothing.
+// Package dispatch is the core of a dispatcher: it connects a frontend, a backend and the decision module on one event
+// loop. Events on the sockets are reported to the module, and the module's decisions are carried out on the sockets. The
+// package itself decides nothing.
+//
+// A Dispatcher is made by NewQueued, with an admission queue in front of the module, or by NewDirect, without one. Attach
+// gives it its frontend and backend, Start makes it serve, and RunIteration is called by the event loop from then on.
+// Everything in this package runs on the goroutine of that loop.
 package dispatch
 
 import (
 	"context"
-	"docksail/internal/config"
-	"docksail/internal/decide/admission"
 	"docksail/internal/decide/intake"
-	"docksail/internal/decide/keepalive"
 	"docksail/internal/eventloop"
-	"docksail/internal/frontend/grpc"
-	"docksail/internal/h2"
-	"docksail/internal/state/endpointlist"
 	"docksail/internal/state/requesttable"
 	"docksail/policy"
-	"encoding/binary"
-	"fmt"
-	"io"
 	"log/slog"
 	"net/netip"
 
 	"github.com/cespare/xxhash/v2"
 )
 
-// Module is the decision module as the dispatcher calls it; a test may stand between.
+// Module is the decision module as the dispatcher calls it. *policy.Router implements it; tests may wrap it.
 type Module interface {
 	ListUpdateStarted(full bool)
 	ServerListed(id policy.ServerID, zone policy.ZoneID, kind policy.KindID, cell policy.CellID,
-		health policy.Health, launched policy.Nanos)
+		health policy.Health, startedAt policy.Nanos)
 	ListUpdateEnded(now policy.Nanos)
 	ListUpdateFailed(now policy.Nanos)
-	RequestArrived(now policy.Nanos, given policy.Request)
-	StreamStarted(now policy.Nanos, id policy.RequestID, shot policy.AttemptNumber, elapsed policy.Nanos)
-	AttemptEnded(now policy.Nanos, id policy.RequestID, shot policy.AttemptNumber, how policy.Outcome, elapsed policy.Nanos,
-		over bool, load policy.LoadReport)
+	RequestArrived(now policy.Nanos, request policy.Request)
+	StreamStarted(now policy.Nanos, id policy.RequestID, attempt policy.AttemptNumber, elapsed policy.Nanos)
+	AttemptEnded(now policy.Nanos, id policy.RequestID, attempt policy.AttemptNumber, outcome policy.Outcome,
+		elapsed policy.Nanos, final bool, load policy.LoadReport)
 	RequestCanceled(now policy.Nanos, id policy.RequestID)
 	StateHeldSince(now policy.Nanos, id policy.RequestID, since policy.Nanos)
 	TimerFired(now policy.Nanos)
 	NextDecision(now policy.Nanos) (policy.Decision, bool)
 }
 
-// Dispatcher is one dispatcher on one loop. All of it belongs to the loop.
+// Config is what every dispatcher is made from. Durations are in nanoseconds.
+type Config struct {
+	Module Module
+	// ClassNames and Classes are the request classes that the module was made with, in its order. There is at least one.
+	ClassNames []string
+	Classes    []policy.Class
+	// TenantNames are the tenants that the module was made with, in its order; empty if tenants are not told apart.
+	TenantNames []string
+	Intake      intake.Limits
+	// MaxRetryAfter bounds the delay that a rejected client is told.
+	MaxRetryAfter int64
+	// AnswerLeadTime is how long before a client's deadline its answer has to leave.
+	AnswerLeadTime int64
+	// MaxSilence is how long a client may wait for a token after the last one; 0 = no limit of its own.
+	MaxSilence int64
+	// KeyHashSeed seeds the hashes that stand for sessions and prefixes. It is the same at all dispatchers.
+	KeyHashSeed uint64
+	// Incarnation identifies this start of the dispatcher. No two starts have the same.
+	Incarnation uint64
+}
+
+// ShortestLatencyTarget returns the shortest target to the first token among the classes.
+func (c *Config) ShortestLatencyTarget() int64 {
+	shortest := int64(c.Classes[0].LatencyTarget)
+	for _, class := range c.Classes {
+		shortest = min(shortest, int64(class.LatencyTarget))
+	}
+	return shortest
+}
+
+// Dispatcher is one dispatcher on one event loop. All of its state belongs to the loop's goroutine.
 type Dispatcher struct {
 	Counts Counts
 
-	loop          *eventloop.Loop
-	log           *slog.Logger
-	debug         bool // the log takes lines of single requests
-	module        Module
-	entry         Frontend
-	grpcEntry     *grpc.Server // the admission queue, where it is gRPC's
-	exit          Backend
-	direct        bool // requests go to the module as they come: no admission queue holds them back
-	gate          intake.Limits
-	queue         *admission.Queue
-	signer        *admission.TicketSigner
-	memory        memory
-	tenantTerms   []admission.TenantLimits // what tenants may do in the admission queue
-	tenantNames   []string
-	secretKey     uint64 // keys the hashes of clients' names
-	expiryTimer   eventloop.Timer
-	onExpiry      func(eventloop.Nanos)
-	ages          []eventloop.Nanos
-	unsent        []unsentRequest // requests that the module has and has not sent, by when they were let in
-	maxRetryAfter int64
-	incarnation   uint64 // this start of the dispatcher, in what engines are told
-	clockStart    int64  // module time at the loop's 0: Unix nanoseconds
-
-	requests requesttable.Table[Request]
-
-	classes      map[string]policy.ClassID
-	tenants      map[string]policy.TenantID
-	classTimes   []classTimes
-	hashKey      uint64
-	hash         xxhash.Digest
-	answerAhead  int64
-	silenceLimit int64 // a client may be left waiting so long after its last token; 0 = not told
-	wakeTimer    eventloop.Timer
-	onWake       func(eventloop.Nanos)
+	loop         *eventloop.Loop
+	log          *slog.Logger
+	debug        bool // records of single requests are logged
+	module       Module
+	frontend     Frontend
+	backend      Backend
+	intake       intake.Limits
+	admission    admissionControl
+	requests     requesttable.Table[Request]
+	incarnation  uint64
+	originUnixNs int64 // Unix time of the loop's time 0
+
+	classes         map[string]policy.ClassID
+	classTimes      []classTimes
+	tenants         map[string]policy.TenantID
+	tenantOptional  bool // a request may name no tenant though there are some
+	keysAreGlobal   bool // sessions and prefixes are the same whichever tenant names them
+	keyHashSeed     uint64
+	keyHash         xxhash.Digest
+	answerLeadTime  int64
+	maxRetryAfter   int64
+	maxSilence      int64
+	policyTimer     eventloop.Timer
+	onPolicyTimeout func(eventloop.Nanos)
 
 	draining   bool
 	drainTimer eventloop.Timer
 	onDrained  func()
 }
 
+// classTimes are the times of a class, in nanoseconds, and whether its requests may be repeated.
 type classTimes struct {
 	target, targetPer1k, timeout, tokenGap int64
 	idempotent                             bool
 }
 
-// NewGRPC makes a dispatcher on a loop, whose clients and engines speak gRPC; Start sets it going. life must differ from
-// one start to the next; secrets is where it draws keys from that nobody may guess, crypto/rand's Reader but for
-// simulations.
-func NewGRPC(l *eventloop.Loop, s *config.Dispatcher, log *slog.Logger, seed, incarnation uint64, secrets io.Reader, wrap func(Module) Module) (*Dispatcher, error) {
-	list := endpointlist.New()
-	module, err := s.Module(seed, list.ZoneID(s.Zone))
-	if err != nil {
-		return nil, fmt.Errorf("decision module: %w", err)
-	}
-	var names []string
-	for _, t := range s.Classes {
-		names = append(names, t.Name)
-	}
-	d, shortest := newDispatcher(l, log, module, names, s.PolicyClasses(), incarnation)
-	if wrap != nil {
-		d.module = wrap(module)
-	}
-	d.hashKey, d.answerAhead, d.maxRetryAfter = s.HashKey, int64(s.Answers.Ahead), int64(s.Answers.MaxAdvice)
-	for i, t := range s.Tenants {
-		d.tenants[t.Name] = policy.TenantID(i)
-	}
-	d.gate = intake.Limits{MaxRequests: s.Limits.Requests, MaxPromptTokens: int64(s.Limits.Prompt)}
-	lim := h2.Limits{
-		MaxStreams: uint32(s.Limits.Streams), StreamWindow: uint32(s.Limits.StreamWindow),
-		ConnWindow: h2.DefaultLimits.ConnWindow, MaxHeaderListBytes: uint32(s.Limits.Headers), MaxMessageBytes: uint32(s.Limits.Message),
-	}
-	var key [40]byte
-	if _, err := io.ReadFull(secrets, key[:]); err != nil {
-		return nil, fmt.Errorf("keys: %w", err)
-	}
-	d.signer, d.secretKey = admission.NewTicketSigner(key[:32]), binary.LittleEndian.Uint64(key[32:])
-	if !s.Answers.Advice {
-		d.signer = nil
-	}
-	if d.queue, err = admission.New(s.Limits.Waiting, s.Limits.Clients, shortest, d.signer); err != nil {
-		return nil, err
-	}
-	d.queue.FIFO = s.FirstCome
-	d.memory.most = uint64(s.Limits.Memory)
-	d.tenantTerms, d.tenantNames = s.TenantTerms(), []string{""}
-	for i, t := range d.tenantTerms {
-		if err := d.queue.SetTenant(i, t); err != nil {
-			return nil, err
-		}
-	}
-	if len(s.Tenants) > 0 {
-		d.tenantNames = nil
-		for _, t := range s.Tenants {
-			d.tenantNames = append(d.tenantNames, t.Name)
-		}
-	}
-	if d.grpcEntry, err = grpc.New(l, d, lim, s.Limits.Connections, s.Limits.Output, s.Limits.Partial); err != nil {
-		return nil, err
-	}
-	d.entry = d.grpcEntry
-	x := &grpcExit{
-		d: d, list: list, servers: make(map[policy.ServerID]*grpcServer), keeper: keepalive.Policy{LatencyTarget: shortest},
-		connect: int64(s.Attempts.Connect), lim: lim,
-	}
-	x.lister.init(x, s.Fleet)
-	d.exit = x
-	return d, nil
+// NewDirect returns a dispatcher without an admission queue: requests go to the module as they arrive. A request may name
+// no tenant, and a session or prefix is the same whichever tenant names it.
+func NewDirect(loop *eventloop.Loop, log *slog.Logger, config *Config) *Dispatcher {
+	d := newDispatcher(loop, log, config)
+	d.tenantOptional, d.keysAreGlobal = true, true
+	d.admission = &directAdmission{dispatcher: d}
+	return d
 }
 
-// NewDirect makes a dispatcher whose requests go to the module as they come, at most so many in hand, with the classes and tenants
-// that the module was made with; a request without a tenant is nobody's. Ends gives it its entry and exit, Start sets it going. advises is the longest advice;
-// hush, how long a client may be left waiting after a token.
-func NewDirect(l *eventloop.Loop, log *slog.Logger, module Module, names []string, classes []policy.Class, tenants []string, maxRequests int, maxPrompt, maxRetryAfter, silenceLimit int64, incarnation uint64) (*Dispatcher, error) {
-	d, shortest := newDispatcher(l, log, module, names, classes, incarnation)
-	d.direct, d.maxRetryAfter, d.silenceLimit = true, maxRetryAfter, silenceLimit
-	for i, name := range tenants {
-		d.tenants[name] = policy.TenantID(i)
-	}
-	d.gate = intake.Limits{MaxRequests: maxRequests, MaxPromptTokens: maxPrompt}
+// NewQueued returns a dispatcher whose requests wait in an admission queue until the module can place them.
+func NewQueued(loop *eventloop.Loop, log *slog.Logger, config *Config, queue *QueueConfig) (*Dispatcher, error) {
+	d := newDispatcher(loop, log, config)
 	var err error
-	d.queue, err = admission.New(1, 1, shortest, nil) // nothing ever waits there
+	d.admission, err = newQueuedAdmission(d, queue, config.ShortestLatencyTarget())
 	return d, err
 }
 
-// Attach gives a dispatcher made by Direct the ways in and out.
-func (d *Dispatcher) Attach(in Frontend, out Backend) { d.entry, d.exit = in, out }
-
-// newDispatcher makes what all dispatchers have, and gives the shortest expected time.
-func newDispatcher(l *eventloop.Loop, log *slog.Logger, module Module, names []string, classes []policy.Class, incarnation uint64) (*Dispatcher, int64) {
+func newDispatcher(loop *eventloop.Loop, log *slog.Logger, config *Config) *Dispatcher {
 	d := &Dispatcher{
-		loop: l, log: log, debug: log.Enabled(context.Background(), slog.LevelDebug), module: module, incarnation: incarnation, clockStart: l.OriginUnixNanos(), classes: make(map[string]policy.ClassID),
-		tenants: make(map[string]policy.TenantID),
-	}
-	shortest := int64(classes[0].LatencyTarget)
-	for i, t := range classes {
-		d.classes[names[i]] = policy.ClassID(i)
+		loop: loop, log: log, debug: log.Enabled(context.Background(), slog.LevelDebug),
+		module: config.Module, intake: config.Intake,
+		incarnation: config.Incarnation, originUnixNs: loop.OriginUnixNanos(),
+		classes: make(map[string]policy.ClassID), tenants: make(map[string]policy.TenantID),
+		keyHashSeed: config.KeyHashSeed, answerLeadTime: config.AnswerLeadTime,
+		maxRetryAfter: config.MaxRetryAfter, maxSilence: config.MaxSilence,
+	}
+	for i, class := range config.Classes {
+		d.classes[config.ClassNames[i]] = policy.ClassID(i)
 		d.classTimes = append(d.classTimes, classTimes{
-			int64(t.LatencyTarget), int64(t.LatencyTargetPer1k), int64(t.Timeout),
-			int64(t.InterTokenTarget), t.Idempotency == policy.Idempotent,
+			target: int64(class.LatencyTarget), targetPer1k: int64(class.LatencyTargetPer1k),
+			timeout: int64(class.Timeout), tokenGap: int64(class.InterTokenTarget),
+			idempotent: class.Idempotency == policy.Idempotent,
 		})
-		shortest = min(shortest, int64(t.LatencyTarget))
 	}
-	d.onWake = func(now eventloop.Nanos) { d.module.TimerFired(d.ModuleTime(now)) }
-	d.onExpiry = func(eventloop.Nanos) {} // the round looks
-	return d, shortest
+	for i, name := range config.TenantNames {
+		d.tenants[name] = policy.TenantID(i)
+	}
+	d.onPolicyTimeout = func(now eventloop.Nanos) { d.module.TimerFired(d.ModuleTime(now)) }
+	return d
+}
+
+// Attach sets the frontend and the backend. It must be called once, before Start.
+func (d *Dispatcher) Attach(frontend Frontend, backend Backend) {
+	d.frontend, d.backend = frontend, backend
 }
 
-// Start listens for clients and asks for the list of engines; it gives the address it listens on.
-func (d *Dispatcher) Start(at netip.AddrPort, share bool) (netip.AddrPort, error) {
-	addr, err := d.entry.Listen(at, share)
+// Start listens for clients and has the backend ask for the endpoint list. It returns the address that the frontend
+// listens on. sharePort lets other processes listen on the same port.
+func (d *Dispatcher) Start(listen netip.AddrPort, sharePort bool) (netip.AddrPort, error) {
+	addr, err := d.frontend.Listen(listen, sharePort)
 	if err != nil {
 		return addr, err
 	}
-	d.exit.Start(d.loop.Now())
+	d.backend.Start(d.loop.Now())
 	return addr, nil
 }
 
-// RunIteration is what the loop calls once a turn: decisions are pulled until there is none, requests that wait in the admission queue are
-// let in as the module takes them, then output is queued.
+// Close releases what the backend keeps beside the loop. It must be called when the loop has ended.
+func (d *Dispatcher) Close() { d.backend.Close() }
+
+// RunIteration is called by the event loop once an iteration, after the sockets were read and timers fired. It carries
+// out the module's decisions until there are none, admits waiting requests as long as the module places them, and then
+// has all output written.
 func (d *Dispatcher) RunIteration(now eventloop.Nanos) {
-	for n := d.queue.ShedCount(d.loop.LastIterationDuration(), d.memory.inUse(now), d.memory.most); n > 0; n-- {
-		id, ok := d.queue.NextToShed()
-		if !ok {
-			break
-		}
-		d.refuseQueued(now, policy.RequestID(id), admission.Overloaded)
-	}
-	for let := 0; ; {
+	d.admission.iterationStarted(now)
+	for {
 		if decision, ok := d.module.NextDecision(d.ModuleTime(now)); ok {
-			d.carryOut(now, decision)
-			continue
-		}
-		if id, a, ok := d.queue.PopDisplaced(now); ok {
-			d.rejectQueued(policy.RequestID(id), admission.QueueFull, a)
-			continue
-		}
-		if id, ok := d.queue.NextExpired(now); ok {
-			d.refuseQueued(now, policy.RequestID(id), admission.TooLate)
+			d.execute(now, decision)
 			continue
 		}
-		if id, ok := d.queue.NextAdmissible(now, len(d.unsent)); ok && d.admits(now) {
-			if let++; let > admission.MaxAdmissionsPerTurn {
-				d.loop.SkipNextWait()
-				break
-			}
-			d.admit(now, policy.RequestID(id))
-			continue
+		if !d.admission.advance(now) {
+			break
 		}
-		break
 	}
-	if at, ok := d.queue.NextWakeup(now); ok {
-		d.loop.SetTimer(&d.expiryTimer, max(at, now+1), d.onExpiry)
-	}
-	d.entry.Flush()
-	d.exit.Flush()
-	if d.draining && d.requests.Len() == 0 && d.entry.IsIdle() && d.exit.IsIdle() {
+	d.admission.iterationEnded(now)
+	d.frontend.Flush()
+	d.backend.Flush()
+	if d.draining && d.requests.Len() == 0 && d.frontend.IsIdle() && d.backend.IsIdle() {
 		d.onDrained()
 	}
 }
 
-// ModuleTime is the module's: Unix nanoseconds by the loop's clock, so that servers' starts compare with it.
+// ModuleTime returns the module's time at a time of the loop: Unix nanoseconds, carried on by the loop's monotonic clock,
+// so that they compare with the start times of servers.
 func (d *Dispatcher) ModuleTime(now eventloop.Nanos) policy.Nanos {
-	return policy.Nanos(d.clockStart + now)
+	return policy.Nanos(d.originUnixNs + now)
 }
+
+// Incarnation returns the number that identifies this start of the dispatcher to servers.
+func (d *Dispatcher) Incarnation() uint64 { return d.incarnation }
--- a/internal/dispatch/overdue_test.go
+++ b/internal/dispatch/overdue_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"docksail/internal/decide/inflight"
+	"docksail/internal/decide/intake"
 	"docksail/internal/eventloop"
 	"docksail/internal/frontend"
 	"docksail/policy"
@@ -108,11 +109,10 @@
 				class.Idempotency = policy.NonIdempotent
 			}
 			module, out, told := &deafModule{}, &silentExit{}, &answers{}
-			d, err := NewDirect(l, slog.New(slog.DiscardHandler), module, []string{"a"}, []policy.Class{class}, nil, 10, 1000, 0, 0, 1)
-			if err != nil {
-				t.Fatal(err)
-			}
-			d.gate.ListKnown = true
+			d := NewDirect(l, slog.New(slog.DiscardHandler), &Config{
+				Module: module, ClassNames: []string{"a"}, Classes: []policy.Class{class},
+				Intake: intake.Limits{MaxRequests: 10, MaxPromptTokens: 1000, ListKnown: true}, Incarnation: 1,
+			})
 			d.Attach(noEntry{}, out)
 			const left = 200e6
 			id, err := d.Submit(l.Now(), told, &frontend.Request{Class: []byte("a"), PromptTokens: 10, FirstTokenTimeout: left})
@@ -153,12 +153,11 @@
 	}
 	defer l.Close()
 	module := &deafModule{}
-	tracks := []policy.Class{{LatencyTarget: 1e9, Timeout: 5e9}}
-	d, err := NewDirect(l, slog.New(slog.DiscardHandler), module, []string{"a"}, tracks, []string{"north", "south"}, 10, 1000, 0, 0, 1)
-	if err != nil {
-		t.Fatal(err)
-	}
-	d.gate.ListKnown = true
+	classes := []policy.Class{{LatencyTarget: 1e9, Timeout: 5e9}}
+	d := NewDirect(l, slog.New(slog.DiscardHandler), &Config{
+		Module: module, ClassNames: []string{"a"}, Classes: classes, TenantNames: []string{"north", "south"},
+		Intake: intake.Limits{MaxRequests: 10, MaxPromptTokens: 1000, ListKnown: true}, Incarnation: 1,
+	})
 	for _, tenant := range []string{"south", "north", ""} {
 		r := frontend.Request{Class: []byte("a"), Tenant: []byte(tenant), Session: []byte("s"), Prefix: []byte("p"), PromptTokens: 10}
 		if _, err := d.Submit(l.Now(), &answers{}, &r); err != nil {
--- /dev/null
+++ b/internal/dispatch/queuedadmission.go
@@ -0,0 +1,310 @@
+package dispatch
+
+import (
+	"docksail/internal/decide/admission"
+	"docksail/internal/eventloop"
+	"docksail/internal/frontend"
+	"docksail/policy"
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"io"
+	"slices"
+
+	"github.com/cespare/xxhash/v2"
+)
+
+var errNoAdmissionQueue = errors.New("the dispatcher has no admission queue")
+
+// Tenant is a tenant of the admission queue.
+type Tenant struct {
+	Name   string
+	Limits admission.TenantLimits
+}
+
+// QueueConfig describes the admission queue of a dispatcher.
+type QueueConfig struct {
+	MaxWaiting int // requests that may wait
+	MaxClients int // clients whose recent use is remembered
+	FIFO       bool
+	// IssueTickets gives rejected clients a signed reservation to bring back.
+	IssueTickets bool
+	// MaxHeapBytes is the size of the heap above which waiting requests are shed; 0 = not bounded.
+	MaxHeapBytes uint64
+	// Tenants are the tenants in the module's order. Where tenants are not told apart there is one without a name.
+	Tenants []Tenant
+	// Secrets is the source of keys that nobody may guess: crypto/rand.Reader except in simulations.
+	Secrets io.Reader
+}
+
+const ticketKeyBytes = 32
+
+// queuedAdmission has requests wait in an admission queue until the module can place them.
+type queuedAdmission struct {
+	dispatcher *Dispatcher
+	queue      *admission.Queue
+	signer     *admission.TicketSigner // nil = no tickets are issued
+	tenants    []Tenant
+	heap       heapMonitor
+	hashSeed   uint64 // seeds the hashes of clients' names
+	hash       xxhash.Digest
+
+	unsent   []unsentRequest // admitted requests of which no attempt has begun, in the order of their admission
+	waits    []eventloop.Nanos
+	admitted int // requests admitted in this iteration of the loop
+
+	wakeupTimer eventloop.Timer
+	onWakeup    func(eventloop.Nanos)
+}
+
+// unsentRequest is a request that was admitted and of which no attempt has begun.
+type unsentRequest struct {
+	id         policy.RequestID
+	admittedAt eventloop.Nanos
+}
+
+func newQueuedAdmission(d *Dispatcher, config *QueueConfig, target int64) (*queuedAdmission, error) {
+	var keys [ticketKeyBytes + 8]byte
+	if _, err := io.ReadFull(config.Secrets, keys[:]); err != nil {
+		return nil, fmt.Errorf("keys of the admission queue: %w", err)
+	}
+	a := &queuedAdmission{
+		dispatcher: d, tenants: config.Tenants, heap: heapMonitor{maxBytes: config.MaxHeapBytes},
+		hashSeed: binary.LittleEndian.Uint64(keys[ticketKeyBytes:]),
+		onWakeup: func(eventloop.Nanos) {}, // an iteration of the loop is all that is needed
+	}
+	if config.IssueTickets {
+		a.signer = admission.NewTicketSigner(keys[:ticketKeyBytes])
+	}
+	var err error
+	if a.queue, err = admission.New(config.MaxWaiting, config.MaxClients, target, a.signer); err != nil {
+		return nil, err
+	}
+	a.queue.FIFO = config.FIFO
+	for i, tenant := range a.tenants {
+		if err := a.queue.SetTenant(i, tenant.Limits); err != nil {
+			return nil, err
+		}
+	}
+	return a, nil
+}
+
+func (a *queuedAdmission) enqueue(now eventloop.Nanos, arrival arrival) (admission.Request, error) {
+	request := a.queueRequest(arrival)
+	verdict, advice := a.queue.Enqueue(now, request)
+	if verdict == admission.Queued {
+		request.Ticket = nil
+		return request, nil
+	}
+	a.dispatcher.Counts.RejectedAtIntake++
+	if verdict == admission.PromptTooLong {
+		return admission.Request{}, fmt.Errorf("%s, %d tokens: %w", verdict, request.PromptTokens, frontend.ErrInvalidRequest)
+	}
+	return admission.Request{}, a.rejection(verdict.String(), verdict.IsTenantLimit(), advice)
+}
+
+// queueRequest returns a request as the admission queue knows it.
+func (a *queuedAdmission) queueRequest(arrival arrival) admission.Request {
+	r := arrival.request
+	request := admission.Request{
+		ID: admission.RequestID(arrival.id), Tenant: max(int(arrival.tenant), 0),
+		Client: a.hashName(arrival.tenant, r.Client), Source: a.hashName(-1, r.Source[:]),
+		PromptTokens: r.PromptTokens, MaxAnswerTokens: r.MaxTokens, Background: r.Background,
+		LatencyObjective: arrival.target, Deadline: arrival.deadline,
+	}
+	if r.Ticket != nil && a.signer != nil {
+		if ticket, err := a.signer.Decode(r.Ticket); err == nil {
+			request.Ticket = ticket
+		}
+	}
+	return request
+}
+
+// hashName returns a hash of a name that clients choose, under a secret seed, so that none can be chosen to collide with
+// another's. 0 stands for no name.
+func (a *queuedAdmission) hashName(owner policy.TenantID, name []byte) uint64 {
+	if len(name) == 0 {
+		return 0
+	}
+	a.hash.ResetWithSeed(a.hashSeed ^ uint64(owner)*0x9e3779b97f4a7c15)
+	a.hash.Write(name)
+	return max(a.hash.Sum64(), 1)
+}
+
+func (a *queuedAdmission) enqueued(_ eventloop.Nanos, req *Request) { req.isQueued = true }
+
+func (a *queuedAdmission) cancel(now eventloop.Nanos, req *Request) bool {
+	if !req.isQueued {
+		return false
+	}
+	req.isQueued = false
+	a.queue.Cancel(now, admission.RequestID(req.ID))
+	return true
+}
+
+// iterationStarted sheds waiting requests if the loop lags or memory runs short.
+func (a *queuedAdmission) iterationStarted(now eventloop.Nanos) {
+	a.admitted = 0
+	lag := a.dispatcher.loop.LastIterationDuration()
+	for n := a.queue.ShedCount(lag, a.heap.bytesInUse(now), a.heap.maxBytes); n > 0; n-- {
+		id, ok := a.queue.NextToShed()
+		if !ok {
+			break
+		}
+		a.reject(now, policy.RequestID(id), admission.Overloaded)
+	}
+}
+
+func (a *queuedAdmission) advance(now eventloop.Nanos) bool {
+	if id, advice, ok := a.queue.PopDisplaced(now); ok {
+		a.answerRejected(policy.RequestID(id), admission.QueueFull, advice)
+		return true
+	}
+	if id, ok := a.queue.NextExpired(now); ok {
+		a.reject(now, policy.RequestID(id), admission.TooLate)
+		return true
+	}
+	id, ok := a.queue.NextAdmissible(now, len(a.unsent))
+	if !ok || !a.canAdmit(now) {
+		return false
+	}
+	if a.admitted == admission.MaxAdmissionsPerTurn {
+		a.dispatcher.loop.SkipNextWait()
+		return false
+	}
+	a.admitted++
+	a.admit(now, policy.RequestID(id))
+	return true
+}
+
+// iterationEnded sets a timer for the time at which a waiting request expires or background work may go on.
+func (a *queuedAdmission) iterationEnded(now eventloop.Nanos) {
+	if at, ok := a.queue.NextWakeup(now); ok {
+		a.dispatcher.loop.SetTimer(&a.wakeupTimer, max(at, now+1), a.onWakeup)
+	}
+}
+
+// canAdmit reports whether another request may be admitted beside those that have not been sent yet.
+func (a *queuedAdmission) canAdmit(now eventloop.Nanos) bool {
+	a.waits = a.waits[:0]
+	for _, u := range a.unsent {
+		a.waits = append(a.waits, now-u.admittedAt)
+	}
+	return a.queue.CanAdmit(a.waits)
+}
+
+// admit hands a waiting request to the module.
+func (a *queuedAdmission) admit(now eventloop.Nanos, id policy.RequestID) {
+	d := a.dispatcher
+	a.queue.Admit(now, admission.RequestID(id))
+	req := d.requests.Find(id)
+	req.isQueued, req.isAdmitted = false, true
+	a.unsent = append(a.unsent, unsentRequest{id: id, admittedAt: now})
+	d.module.RequestArrived(d.ModuleTime(now), req.policyRequest)
+}
+
+// reject removes a waiting request from the queue and answers it.
+func (a *queuedAdmission) reject(now eventloop.Nanos, id policy.RequestID, verdict admission.Verdict) {
+	a.answerRejected(id, verdict, a.queue.Reject(now, admission.RequestID(id), verdict))
+}
+
+// answerRejected answers a request that the queue has removed.
+func (a *queuedAdmission) answerRejected(id policy.RequestID, verdict admission.Verdict, advice admission.RetryAdvice) {
+	d := a.dispatcher
+	req := d.requests.Find(id)
+	req.isQueued = false
+	d.reject(req, a.rejection(verdict.String(), verdict.IsTenantLimit(), advice))
+	d.removeIfDone(req)
+}
+
+// rejection returns the error that tells a client when to come back, with a signed ticket if one was granted.
+func (a *queuedAdmission) rejection(reason string, tenantLimit bool, advice admission.RetryAdvice) frontend.RejectionError {
+	rejection := frontend.RejectionError{
+		Reason: reason, TenantLimitExceeded: tenantLimit, RetryAfter: min(advice.RetryAfter, a.dispatcher.maxRetryAfter),
+	}
+	if advice.Ticket != nil && rejection.RetryAfter == advice.RetryAfter {
+		rejection.Ticket = a.signer.Encode(advice.Ticket)
+	}
+	return rejection
+}
+
+func (a *queuedAdmission) policyRejection(now eventloop.Nanos, req *Request, retryAfter int64) frontend.RejectionError {
+	if a.unsentIndex(req.ID) >= 0 {
+		a.queue.RecordNotSent()
+	}
+	if retryAfter > 0 { // the queue reserves a place at that time or later
+		advice := a.queue.ReserveRetry(now, req.queueRequest, retryAfter)
+		return a.rejection(policyRejectionReason, false, advice)
+	}
+	return frontend.RejectionError{Reason: policyRejectionReason, RetryAfter: min(retryAfter, a.dispatcher.maxRetryAfter)}
+}
+
+func (a *queuedAdmission) attemptStarted(now eventloop.Nanos, req *Request) {
+	if i := a.unsentIndex(req.ID); i >= 0 {
+		a.unsent = slices.Delete(a.unsent, i, i+1)
+		a.queue.RecordSent(now, req.queueRequest)
+	}
+}
+
+func (a *queuedAdmission) firstTokenReceived(now eventloop.Nanos, req *Request) {
+	if req.isAdmitted {
+		a.queue.RecordFirstToken(now, req.queueRequest, now-req.arrivedAt)
+	}
+}
+
+func (a *queuedAdmission) answered(req *Request, served bool) {
+	if !req.isAdmitted {
+		return
+	}
+	req.isAdmitted = false
+	a.queue.RecordFinished(a.dispatcher.loop.Now(), req.queueRequest, served, req.relayedMessages)
+	if i := a.unsentIndex(req.ID); i >= 0 {
+		a.unsent = slices.Delete(a.unsent, i, i+1)
+	}
+}
+
+func (a *queuedAdmission) unsentIndex(id policy.RequestID) int {
+	return slices.IndexFunc(a.unsent, func(u unsentRequest) bool { return u.id == id })
+}
+
+func (a *queuedAdmission) addStatus(status *Status) {
+	status.Waiting, status.Flows = a.queue.Waiting(), a.queue.FlowCount()
+	status.BackgroundWaiting = a.queue.BackgroundWaiting()
+	status.BackgroundInFlight = a.queue.BackgroundLimiter.InFlight()
+	status.BackgroundLimit = a.queue.BackgroundLimiter.Limit()
+}
+
+func (a *queuedAdmission) tenantStatuses() []TenantStatus {
+	var statuses []TenantStatus
+	for i, tenant := range a.tenants {
+		waiting, running := a.queue.TenantLoad(i)
+		statuses = append(statuses, TenantStatus{
+			Name: tenant.Name, Weight: tenant.Limits.Weight,
+			Waiting: waiting, Running: running, Counts: a.queue.TenantCounts(i),
+		})
+	}
+	return statuses
+}
+
+func (a *queuedAdmission) setTenantLimits(tenants []Tenant) error {
+	if len(tenants) != len(a.tenants) {
+		return fmt.Errorf("%d tenants, want the %d of the start", len(tenants), len(a.tenants))
+	}
+	for i, tenant := range tenants {
+		if tenant.Name != a.tenants[i].Name {
+			return fmt.Errorf("tenant %q is new or in another place, want the tenants of the start", tenant.Name)
+		}
+	}
+	for _, tenant := range tenants {
+		if err := tenant.Limits.Validate(); err != nil {
+			return err
+		}
+	}
+	for i, tenant := range tenants {
+		if err := a.queue.SetTenant(i, tenant.Limits); err != nil {
+			return err
+		}
+	}
+	a.tenants = tenants
+	return nil
+}
--- /dev/null
+++ b/internal/dispatch/streaming.go
@@ -0,0 +1,64 @@
+package dispatch
+
+import (
+	"docksail/internal/decide/streamwatch"
+	"docksail/internal/eventloop"
+	"docksail/policy"
+)
+
+// RelayTokens is called by the backend with a piece of the answer to a request. wireBytes is its size on the connection
+// to the server. It reports whether the server has to be held back until Attempt.CreditWindow is called. The request may be
+// removed by the call.
+func (d *Dispatcher) RelayTokens(now eventloop.Nanos, req *Request, piece []byte, wireBytes int) (holdBack bool) {
+	if req.Answered() { // nobody reads it
+		d.endAttempt(now, req, policy.Canceled, true, policy.NoLoadReport)
+		d.removeIfDone(req)
+		return false
+	}
+	if !req.IsStreaming() {
+		d.streamStarted(now, req)
+	}
+	req.lastTokenAt = now
+	req.relayedMessages++
+	d.Counts.Messages++
+	if !req.response.WriteTokens(req.ID, piece) {
+		return false
+	}
+	req.heldBackBytes += wireBytes
+	return true
+}
+
+// streamStarted records and reports the first token of an answer.
+func (d *Dispatcher) streamStarted(now eventloop.Nanos, req *Request) {
+	attempt, _ := req.OutstandingAttempt()
+	req.firstTokenAt, req.lastTokenAt = now, now
+	d.loop.CancelTimer(&req.answerTimer)
+	d.admission.firstTokenReceived(now, req)
+	req.MarkAnswerStarted()
+	d.module.StreamStarted(d.ModuleTime(now), req.ID, attempt, policy.Nanos(now-req.SentAt))
+	d.checkStream(now, req)
+}
+
+// checkStream ends an answer that has begun and that is not worth waiting for any more, or sets the timer of the next check.
+func (d *Dispatcher) checkStream(now eventloop.Nanos, req *Request) {
+	times := &d.classTimes[req.class]
+	verdict, nextCheck := streamwatch.Check(now, streamwatch.Stream{
+		FirstTokenAt: req.firstTokenAt, LastTokenAt: req.lastTokenAt,
+		TargetTokenGap: times.tokenGap, FirstTokenTarget: times.target,
+		CallDeadline: req.callDeadline, AnswerLeadTime: d.answerLeadTime, MaxSilence: d.maxSilence,
+		ClientBlocked: req.heldBackBytes > 0,
+	})
+	if verdict == streamwatch.Continue {
+		d.SetAttemptTimer(req, nextCheck)
+		return
+	}
+	if !req.Answered() {
+		d.fail(req, verdict.String())
+	}
+	outcome := policy.TimedOut
+	if verdict == streamwatch.ClientNotReading {
+		outcome = policy.Canceled
+	}
+	d.endAttempt(now, req, outcome, true, policy.NoLoadReport)
+	d.removeIfDone(req)
+}
--- /dev/null
+++ b/internal/dispatch/submit.go
@@ -0,0 +1,125 @@
+package dispatch
+
+import (
+	"docksail/internal/decide/intake"
+	"docksail/internal/eventloop"
+	"docksail/internal/frontend"
+	"docksail/policy"
+	"fmt"
+	"strconv"
+)
+
+const noTenant policy.TenantID = -1
+
+// Submit implements frontend.Dispatcher. It accepts a request and returns its ID, or an error that says why not: a
+// frontend.RejectionError if the request may be tried again, else one that wraps frontend.ErrInvalidRequest.
+func (d *Dispatcher) Submit(now eventloop.Nanos, response frontend.ResponseWriter, r *frontend.Request) (policy.RequestID, error) {
+	class, tenant, err := d.classAndTenant(r)
+	if err != nil {
+		return 0, err
+	}
+	times := &d.classTimes[class]
+	timeLeft := times.timeLeft(r) - d.answerLeadTime
+	target := times.target + times.targetPer1k*r.PromptTokens/1000
+	if err := d.checkIntake(r, timeLeft, target); err != nil {
+		return 0, err
+	}
+	id, req := d.requests.Add()
+	deadline := now + timeLeft
+	queueRequest, err := d.admission.enqueue(now, arrival{request: r, id: id, tenant: tenant, deadline: deadline, target: target})
+	if err != nil {
+		d.requests.Remove(id)
+		return 0, err
+	}
+	d.Counts.Requests++
+	req.reset(d, id, class, response, r, now)
+	req.queueRequest = queueRequest
+	req.policyRequest = d.policyRequest(id, class, tenant, r, d.ModuleTime(deadline))
+	d.loop.SetTimer(&req.answerTimer, deadline+intake.OverdueMargin, req.onAnswerDeadline)
+	d.admission.enqueued(now, req)
+	return id, nil
+}
+
+// classAndTenant looks up the class and the tenant that a request names.
+func (d *Dispatcher) classAndTenant(r *frontend.Request) (policy.ClassID, policy.TenantID, error) {
+	class, ok := d.classes[string(r.Class)]
+	if !ok {
+		return 0, noTenant, fmt.Errorf("class %q is unknown: %w", r.Class, frontend.ErrInvalidRequest)
+	}
+	if len(d.tenants) == 0 || d.tenantOptional && len(r.Tenant) == 0 {
+		return class, noTenant, nil
+	}
+	tenant, ok := d.tenants[string(r.Tenant)]
+	if !ok {
+		return 0, noTenant, fmt.Errorf("tenant %q is unknown: %w", r.Tenant, frontend.ErrInvalidRequest)
+	}
+	return class, tenant, nil
+}
+
+// timeLeft returns how long the client of an arriving request waits: its class's timeout, or less if the request says so.
+func (t *classTimes) timeLeft(r *frontend.Request) int64 {
+	left := t.timeout
+	if r.FirstTokenTimeout > 0 {
+		left = min(left, r.FirstTokenTimeout)
+	}
+	if r.CallTimeout > 0 {
+		left = min(left, r.CallTimeout)
+	}
+	return left
+}
+
+// checkIntake returns an error if the request is not accepted at all.
+func (d *Dispatcher) checkIntake(r *frontend.Request, timeLeft, target int64) error {
+	verdict, retryAfter := d.intake.Check(d.requests.Len(), r.PromptTokens, timeLeft, target)
+	if verdict == intake.Accepted {
+		return nil
+	}
+	d.Counts.RejectedAtIntake++
+	if verdict.IsRetryable() {
+		return frontend.RejectionError{Reason: verdict.String(), RetryAfter: min(retryAfter, d.maxRetryAfter)}
+	}
+	return fmt.Errorf("%s, %d tokens of at most %d: %w", verdict, r.PromptTokens, d.intake.MaxPromptTokens,
+		frontend.ErrInvalidRequest)
+}
+
+// policyRequest returns a request as the decision module knows it.
+func (d *Dispatcher) policyRequest(id policy.RequestID, class policy.ClassID, tenant policy.TenantID, r *frontend.Request,
+	deadline policy.Nanos,
+) policy.Request {
+	owner := tenant
+	if d.keysAreGlobal {
+		owner = noTenant
+	}
+	return policy.Request{
+		ID: id, Class: class, Tenant: tenant,
+		Session:      policy.SessionKey(d.hashKey(sessionKey, owner, r.Session)),
+		Prefix:       policy.PrefixKey(d.hashKey(prefixKey, owner, r.Prefix)),
+		PromptTokens: r.PromptTokens, PrefixTokens: r.PrefixTokens, MaxOutputTokens: r.MaxTokens,
+		Deadline: deadline, ExpectedDuration: policy.Nanos(r.LengthHint), IsRetry: r.PreviousAttempts > 0,
+	}
+}
+
+// Kinds of keys, hashed with them so that a session and a prefix of one name differ.
+const (
+	sessionKey byte = 's'
+	prefixKey  byte = 'b'
+)
+
+// hashKey returns the number that stands for a session or prefix of an owner, the same at every dispatcher. 0 stands for
+// no name.
+func (d *Dispatcher) hashKey(kind byte, owner policy.TenantID, name []byte) uint64 {
+	if len(name) == 0 {
+		return 0
+	}
+	d.keyHash.ResetWithSeed(d.keyHashSeed)
+	d.keyHash.Write([]byte{kind, byte(owner), byte(owner >> 8), byte(owner >> 16), byte(owner >> 24)})
+	d.keyHash.Write(name)
+	return max(d.keyHash.Sum64(), 1)
+}
+
+// RequestName implements frontend.Dispatcher. The name is made of the dispatcher's incarnation and the request's ID, and is
+// unique over dispatchers and restarts.
+func (d *Dispatcher) RequestName(id policy.RequestID) string {
+	var b [33]byte
+	return string(strconv.AppendUint(append(strconv.AppendUint(b[:0], d.incarnation, 16), '.'), uint64(id), 16))
+}
--- a/internal/e2e/door_test.go
+++ b/internal/e2e/door_test.go
@@ -359,13 +359,15 @@
 			t.Errorf("client %d of another address: %v", i, s)
 		}
 	}
-	st.Dispatcher(0).RunOnLoop(func(d *dispatch.Dispatcher) {
-		c := d.FrontendCounts().Connections
-		t.Logf("%+v, %d open", c, d.ClientConnCount())
-		if d.ClientConnCount() > 200 || c.SourceLimitReached == 0 {
-			t.Errorf("%d connections open of 200, %d refused for their address", d.ClientConnCount(), c.SourceLimitReached)
-		}
-	})
+	status, err := st.Dispatcher(0).Status()
+	if err != nil {
+		t.Fatal(err)
+	}
+	c := status.Frontend.Connections
+	t.Logf("%+v, %d open", c, status.ClientConns)
+	if status.ClientConns > 200 || c.SourceLimitReached == 0 {
+		t.Errorf("%d connections open of 200, %d refused for their address", status.ClientConns, c.SourceLimitReached)
+	}
 	clean(t, st)
 }
 
@@ -416,10 +418,7 @@
 	}
 	terms := st.Settings(0)
 	terms.Tenants[0].Rate = 0
-	apply := func() (err error) {
-		st.Dispatcher(0).RunOnLoop(func(d *dispatch.Dispatcher) { err = d.SetTenantLimits(terms) })
-		return err
-	}
+	apply := func() error { return st.Dispatcher(0).SetTenantLimits(terms) }
 	if err := apply(); err != nil {
 		t.Fatal(err)
 	}
@@ -491,8 +490,8 @@
 				t.Errorf("ended as %v, want honoured, nacked or abandoned", ends)
 			}
 			st.Dispatcher(0).RunOnLoop(func(d *dispatch.Dispatcher) {
-				if n := d.Status().Tenants[0].Counts.Rejected[admission.Overloaded]; n == 0 {
-					t.Errorf("nothing was shed; refused %v", d.Status().Tenants[0].Counts.Rejected)
+				if n := d.TenantStatuses()[0].Counts.Rejected[admission.Overloaded]; n == 0 {
+					t.Errorf("nothing was shed; refused %v", d.TenantStatuses()[0].Counts.Rejected)
 				}
 			})
 			clean(t, st)
--- /dev/null
+++ b/internal/grpcnode/build.go
@@ -0,0 +1,118 @@
+// Package grpcnode puts a dispatcher together whose clients and engines speak gRPC: settings, decision module, core, frontend
+// and backend. Package node does the same for the platform's protocol.
+package grpcnode
+
+import (
+	"docksail/internal/config"
+	"docksail/internal/decide/intake"
+	"docksail/internal/dispatch"
+	"docksail/internal/eventloop"
+	"docksail/internal/h2"
+	"docksail/internal/state/endpointlist"
+	"fmt"
+	"io"
+	"log/slog"
+
+	backend "docksail/internal/backend/grpc"
+	frontend "docksail/internal/frontend/grpc"
+)
+
+// Identity identifies one start of a dispatcher.
+type Identity struct {
+	// Seed seeds the module's random numbers.
+	Seed uint64
+	// Incarnation differs from one start of the dispatcher to the next.
+	Incarnation uint64
+	// Secrets is the source of keys that nobody may guess: crypto/rand.Reader except in simulations.
+	Secrets io.Reader
+}
+
+// WrapModule returns what stands between a dispatcher and its module, for tests.
+type WrapModule func(dispatch.Module) dispatch.Module
+
+// NewDispatcher returns a dispatcher on a loop, as its settings describe it. It is started by Dispatcher.Start. wrap may be
+// nil.
+func NewDispatcher(loop *eventloop.Loop, settings *config.Dispatcher, log *slog.Logger, identity Identity, wrap WrapModule,
+) (*dispatch.Dispatcher, error) {
+	dispatcher, _, err := build(loop, settings, log, identity, wrap)
+	return dispatcher, err
+}
+
+func build(loop *eventloop.Loop, settings *config.Dispatcher, log *slog.Logger, identity Identity, wrap WrapModule,
+) (*dispatch.Dispatcher, *frontend.Server, error) {
+	list := endpointlist.New()
+	router, err := settings.Module(identity.Seed, list.ZoneID(settings.Zone))
+	if err != nil {
+		return nil, nil, fmt.Errorf("decision module: %w", err)
+	}
+	core := coreConfig(settings, router, identity.Incarnation)
+	if wrap != nil {
+		core.Module = wrap(router)
+	}
+	dispatcher, err := dispatch.NewQueued(loop, log, core, queueConfig(settings, identity.Secrets))
+	if err != nil {
+		return nil, nil, err
+	}
+	limits := h2Limits(settings)
+	clients, err := frontend.New(loop, dispatcher, limits, settings.Limits.Connections, settings.Limits.Output,
+		settings.Limits.Partial)
+	if err != nil {
+		return nil, nil, err
+	}
+	dispatcher.Attach(clients, backend.New(loop, dispatcher, log, &backend.Config{
+		LatencyTarget: core.ShortestLatencyTarget(), ConnectTimeout: int64(settings.Attempts.Connect),
+		Limits: limits, List: list,
+		Discovery: backend.DiscoveryConfig{
+			Addr: settings.Fleet.Watch, File: settings.Fleet.File, CacheFile: settings.Fleet.Keep,
+			RetryInterval: int64(settings.Fleet.Retry),
+		},
+	}))
+	return dispatcher, clients, nil
+}
+
+func coreConfig(settings *config.Dispatcher, module dispatch.Module, incarnation uint64) *dispatch.Config {
+	core := &dispatch.Config{
+		Module: module, Classes: settings.PolicyClasses(),
+		Intake: intake.Limits{
+			MaxRequests: settings.Limits.Requests, MaxPromptTokens: int64(settings.Limits.Prompt),
+		},
+		MaxRetryAfter: int64(settings.Answers.MaxAdvice), AnswerLeadTime: int64(settings.Answers.Ahead),
+		KeyHashSeed: settings.HashKey, Incarnation: incarnation,
+	}
+	for _, class := range settings.Classes {
+		core.ClassNames = append(core.ClassNames, class.Name)
+	}
+	for _, tenant := range settings.Tenants {
+		core.TenantNames = append(core.TenantNames, tenant.Name)
+	}
+	return core
+}
+
+func queueConfig(settings *config.Dispatcher, secrets io.Reader) *dispatch.QueueConfig {
+	return &dispatch.QueueConfig{
+		MaxWaiting: settings.Limits.Waiting, MaxClients: settings.Limits.Clients, FIFO: settings.FirstCome,
+		IssueTickets: settings.Answers.Advice, MaxHeapBytes: uint64(settings.Limits.Memory),
+		Tenants: Tenants(settings), Secrets: secrets,
+	}
+}
+
+// Tenants returns the tenants of the admission queue. Where the settings name none, all requests are one tenant's.
+func Tenants(settings *config.Dispatcher) []dispatch.Tenant {
+	var tenants []dispatch.Tenant
+	for i, limits := range settings.TenantTerms() {
+		tenant := dispatch.Tenant{Limits: limits}
+		if len(settings.Tenants) > 0 {
+			tenant.Name = settings.Tenants[i].Name
+		}
+		tenants = append(tenants, tenant)
+	}
+	return tenants
+}
+
+func h2Limits(settings *config.Dispatcher) h2.Limits {
+	return h2.Limits{
+		MaxStreams: uint32(settings.Limits.Streams), StreamWindow: uint32(settings.Limits.StreamWindow),
+		ConnWindow:         h2.DefaultLimits.ConnWindow,
+		MaxHeaderListBytes: uint32(settings.Limits.Headers), MaxMessageBytes: uint32(settings.Limits.Message),
+	}
+}
--- a/internal/dispatch/status_test.go
+++ b/internal/grpcnode/status_test.go
@@ -1,6 +1,7 @@
-package dispatch
+package grpcnode
 
 import (
+	"docksail/internal/dispatch"
 	"encoding/json"
 	"testing"
 )
@@ -16,7 +17,7 @@
 		`"Tenants":[{"Name":"","Weight":0,"Waiting":0,"Running":0,"Counts":{"Arrived":0,"Admitted":0,"Cancelled":0,` +
 		`"Refused":[0,0,0,0,0,0,0,0],"Waited":0,"Longest":0,"Cost":0,"Booked":0,"Returned":0,"KeptBookings":0,` +
 		`"WithoutBooking":0}}]}`
-	got, err := json.Marshal(Status{Tenants: []TenantStatus{{}}})
+	got, err := json.Marshal(Status{Tenants: []dispatch.TenantStatus{{}}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/scenario/stage.go
+++ b/internal/lab/scenario/stage.go
@@ -5,6 +5,7 @@
 	"docksail/internal/config"
 	"docksail/internal/decide/admission"
 	"docksail/internal/dispatch"
+	"docksail/internal/grpcnode"
 	"docksail/internal/lab/discoveryserver"
 	"docksail/internal/lab/engine"
 	"docksail/internal/lab/eventlog"
@@ -37,7 +38,7 @@
 	listers []*discoveryserver.Lister
 	relays  [][]*faultproxy.Relay // by dispatcher, by host
 	mu      sync.Mutex
-	disp    []*dispatch.Node
+	disp    []*grpcnode.Node
 	addrs   []netip.AddrPort
 	sets    []*config.Dispatcher
 	health  map[int]pb.Health
@@ -128,7 +129,7 @@
 	if st.Wrap != nil {
 		wrap = st.Wrap(n)
 	}
-	r, err := dispatch.Start(&d, st.log.With("dispatcher", n), wrap)
+	r, err := grpcnode.Start(&d, st.log.With("dispatcher", n), wrap)
 	if err != nil {
 		return err
 	}
@@ -211,7 +212,7 @@
 }
 
 // Dispatcher gives dispatcher n; nil while it is down.
-func (st *Stage) Dispatcher(n int) *dispatch.Node {
+func (st *Stage) Dispatcher(n int) *grpcnode.Node {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	return st.disp[n]
@@ -375,7 +376,7 @@
 	for n := range st.disp {
 		if r := st.Dispatcher(n); r != nil {
 			r.RunOnLoop(func(d *dispatch.Dispatcher) {
-				for _, t := range d.Status().Tenants {
+				for _, t := range d.TenantStatuses() {
 					doors = append(doors, t.Counts)
 				}
 			})
--- a/internal/lab/simulation/simulation.go
+++ b/internal/lab/simulation/simulation.go
@@ -9,6 +9,7 @@
 	"docksail/internal/config"
 	"docksail/internal/dispatch"
 	"docksail/internal/eventloop"
+	"docksail/internal/grpcnode"
 	"docksail/internal/lab/engine"
 	"docksail/internal/lab/engine/batch"
 	"docksail/internal/lab/eventlog"
@@ -139,7 +140,8 @@
 		wrap = d.Wrap(x.n)
 	}
 	secrets := rand.NewChaCha8([32]byte{byte(life), byte(life >> 8), byte(life >> 16), byte(x.set.Seed)})
-	disp, err := dispatch.NewGRPC(x.l, x.set, d.Log.With("dispatcher", x.n), x.set.Seed, life, secrets, wrap)
+	disp, err := grpcnode.NewDispatcher(x.l, x.set, d.Log.With("dispatcher", x.n),
+		grpcnode.Identity{Seed: x.set.Seed, Incarnation: life, Secrets: secrets}, wrap)
 	if err != nil {
 		return err
 	}
@@ -272,7 +274,7 @@
 			continue
 		}
 		rep.Counts.Add(x.d.Counts)
-		for _, t := range x.d.Status().Tenants {
+		for _, t := range x.d.TenantStatuses() {
 			rep.Doors = append(rep.Doors, t.Counts)
 		}
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -3,6 +3,7 @@
 import (
 	"docksail/internal/decide/clientconn"
 	"docksail/internal/decide/discovery"
+	"docksail/internal/decide/intake"
 	"docksail/internal/dispatch"
 	"docksail/internal/eventloop"
 	"docksail/internal/platformconfig"
@@ -58,9 +59,12 @@
 	memory := config.Limits.Memory << 20
 	maxRequests := max(int(heapFraction*float64(memory)/2/requestBytes), 16)
 	n := &Node{loop: l, log: log, policy: platformConfig.Policy, done: make(chan struct{})}
-	if n.dispatcher, err = dispatch.NewDirect(l, log, platformConfig.Policy, platformConfig.ClassNames, platformConfig.Classes, platformConfig.Tenant, maxRequests, maxPromptTokens, int64(platformConfig.MaxRetryAfter), silenceLimit, incarnation); err != nil {
-		return nil, err
-	}
+	n.dispatcher = dispatch.NewDirect(l, log, &dispatch.Config{
+		Module: platformConfig.Policy, ClassNames: platformConfig.ClassNames, Classes: platformConfig.Classes,
+		TenantNames:   platformConfig.Tenant,
+		Intake:        intake.Limits{MaxRequests: maxRequests, MaxPromptTokens: maxPromptTokens},
+		MaxRetryAfter: int64(platformConfig.MaxRetryAfter), MaxSilence: silenceLimit, Incarnation: incarnation,
+	})
 	n.frontend = frontend.New(l, n.dispatcher, log, clients, clientconn.MaxPartialRequestBytes(memory), n.dispatcher.HasEndpointList)
 	n.backend = backend.New(l, n.dispatcher, log, platformConfig, servers, config.Discovery)
 	n.dispatcher.Attach(n.frontend, n.backend)
