--- a/internal/backend/grpc/attempt.go
+++ b/internal/backend/grpc/attempt.go
@@ -9,8 +9,8 @@
 	"golang.org/x/net/http2"
 )
 
-// attempt is the attempt of a request at an engine. It is kept with the request's record and used again, for the request's
-// further attempts and for later requests.
+// attempt is the attempt of a request at an engine. It is kept with the request's record and used again, for the
+// request's further attempts and for later requests.
 type attempt struct {
 	request      *dispatch.Request
 	conn         *conn      // nil = none is outstanding
@@ -33,7 +33,8 @@
 // Reset implements dispatch.BackendState.
 func (a *attempt) Reset() { *a = attempt{request: a.request} }
 
-// limitWait has the attempt wait for its engine's throttle, for a short time only: KV state may be held for it meanwhile.
+// limitWait has the attempt wait for its engine's throttle, for a short time only: KV state may be held for it
+// meanwhile.
 func (a *attempt) limitWait(now eventloop.Nanos) {
 	a.wasThrottled = true
 	b, req := a.conn.backend, a.request
@@ -72,8 +73,8 @@
 	}
 }
 
-// DeliveryState implements dispatch.Attempt. What was written on a connection with keepalive counts as received: an engine
-// that is cut off is noticed, and drops what it holds by itself.
+// DeliveryState implements dispatch.Attempt. What was written on a connection with keepalive counts as received: an
+// engine that is cut off is noticed, and drops what it holds by itself.
 func (a *attempt) DeliveryState() inflight.DeliveryState {
 	switch {
 	case a.stream != nil:
--- a/internal/backend/grpc/backend.go
+++ b/internal/backend/grpc/backend.go
@@ -1,8 +1,8 @@
-// Package grpc is the backend for engines that speak gRPC (docksail.v1.Engine) and for their endpoint list, which comes from
-// a discovery server (docksail.v1.Fleet) or from a file. It implements dispatch.Backend.
+// Package grpc is the backend for engines that speak gRPC (docksail.v1.Engine) and for their endpoint list, which
+// comes from a discovery server (docksail.v1.Fleet) or from a file. It implements dispatch.Backend.
 //
-// An engine has a few connections, and each of them carries many attempts as HTTP/2 streams. How many there are, when they
-// are pinged and when they are closed is decided by decide/keepalive.
+// An engine has a few connections, and each of them carries many attempts as HTTP/2 streams. How many there are, when
+// they are pinged and when they are closed is decided by decide/keepalive.
 package grpc
 
 import (
@@ -76,8 +76,8 @@
 // Close implements dispatch.Backend.
 func (b *Backend) Close() { b.watcher.close() }
 
-// IsIdle implements dispatch.Backend. It is always true: releases that wait for a connection are left to the engines, which
-// drop state after a time of their own.
+// IsIdle implements dispatch.Backend. It is always true: releases that wait for a connection are left to the engines,
+// which drop state after a time of their own.
 func (b *Backend) IsIdle() bool { return true }
 
 // IsPrefill implements dispatch.Backend.
@@ -95,9 +95,11 @@
 	b.unflushed = b.unflushed[:0]
 }
 
-// StartAttempt implements dispatch.Backend. An attempt waits while its connection is being made and while the server's
-// restart throttle allows no more. A request waits for a throttle once only: a second wait would use up the client's time.
-func (b *Backend) StartAttempt(now eventloop.Nanos, req *dispatch.Request, number policy.AttemptNumber) dispatch.Attempt {
+// StartAttempt implements dispatch.Backend. An attempt waits while its connection is being made and while the
+// server's restart throttle allows no more. A request waits for a throttle once only: a second wait would use up the
+// client's time.
+func (b *Backend) StartAttempt(now eventloop.Nanos, req *dispatch.Request, number policy.AttemptNumber,
+) dispatch.Attempt {
 	s := b.servers[req.Server]
 	c := s.connForAttempt(now)
 	if c == nil {
--- a/internal/backend/grpc/conn.go
+++ b/internal/backend/grpc/conn.go
@@ -114,7 +114,7 @@
 // Received implements eventloop.Handler.
 func (c *conn) Received(now eventloop.Nanos, p []byte) {
 	c.now, c.activity.LastReceivedAt = now, now
-	c.http2.Feed(now, p)
+	_ = c.http2.Feed(now, p) // flush looks at the error
 	c.scheduleFlush()
 }
 
--- a/internal/backend/grpc/discovery.go
+++ b/internal/backend/grpc/discovery.go
@@ -24,8 +24,8 @@
 	RetryInterval int64  // nanoseconds
 }
 
-// endpointWatcher follows the endpoint list and applies its updates to the backend's servers and to the module. The watch on
-// a discovery server is in watch.go, the file is read in listfile.go.
+// endpointWatcher follows the endpoint list and applies its updates to the backend's servers and to the module. The
+// watch on a discovery server is in watch.go, the file is read in listfile.go.
 type endpointWatcher struct {
 	backend       *Backend
 	addr          netip.AddrPort
@@ -82,7 +82,8 @@
 }
 
 // apply applies an update of the list and reports what it changes.
-func (w *endpointWatcher) apply(now eventloop.Nanos, version uint64, full bool, endpoints []endpointlist.Endpoint) error {
+func (w *endpointWatcher) apply(now eventloop.Nanos, version uint64, full bool, endpoints []endpointlist.Endpoint,
+) error {
 	changed, err := w.backend.list.Apply(version, full, endpoints)
 	if err != nil {
 		return err
--- a/internal/backend/grpc/encode.go
+++ b/internal/backend/grpc/encode.go
@@ -21,8 +21,9 @@
 	fieldPreviousAttempts protowire.Number = 7
 )
 
-// attemptHeader returns the header fields that name an attempt, and their number.
-func attemptHeader(requestName string, number policy.AttemptNumber, traceParent string) (fields [3]hpack.HeaderField, n int) {
+// attemptHeader returns the header fields that name an attempt, and how many they are.
+func attemptHeader(requestName string, number policy.AttemptNumber, traceParent string,
+) (fields [3]hpack.HeaderField, n int) {
 	fields[0] = hpack.HeaderField{Name: "docksail-job", Value: requestName, Sensitive: true}
 	fields[1] = hpack.HeaderField{Name: "docksail-shot", Value: strconv.Itoa(int(number))}
 	if traceParent == "" {
@@ -33,7 +34,8 @@
 }
 
 // appendAttempt appends the message that sends an attempt to an engine.
-func (b *Backend) appendAttempt(p []byte, now eventloop.Nanos, req *dispatch.Request, number policy.AttemptNumber) []byte {
+func (b *Backend) appendAttempt(p []byte, now eventloop.Nanos, req *dispatch.Request, number policy.AttemptNumber,
+) []byte {
 	p = appendAttemptID(p, b.dispatcher.Incarnation(), req.ID, number)
 	p = protowire.AppendTag(p, fieldMessage, protowire.BytesType)
 	p = protowire.AppendBytes(p, req.Raw)
--- a/internal/backend/grpc/listfile.go
+++ b/internal/backend/grpc/listfile.go
@@ -32,7 +32,7 @@
 		b.log.Warn("endpoint list file not read", "file", w.file, "error", err)
 		return
 	}
-	if file.modTime == w.fileModTime {
+	if file.modTime.Equal(w.fileModTime) {
 		return
 	}
 	w.fileModTime = file.modTime
--- a/internal/backend/grpc/load.go
+++ b/internal/backend/grpc/load.go
@@ -18,7 +18,8 @@
 	metricAge          = "age_ms"
 )
 
-// loadReport returns the ORCA load report of a trailer, or policy.NoLoadReport if there is none that is valid and recent.
+// loadReport returns the ORCA load report of a trailer, or policy.NoLoadReport if there is none that is valid and
+// recent.
 func (b *Backend) loadReport(trailer *h2.Header) policy.LoadReport {
 	text := trailer.Get(loadReportTrailer)
 	if text == "" {
--- a/internal/backend/grpc/release.go
+++ b/internal/backend/grpc/release.go
@@ -14,8 +14,8 @@
 	attempt policy.AttemptNumber
 }
 
-// sendRelease sends a release on a connection, which may be nil, or on another one. Without a usable connection the release
-// waits for the next one.
+// sendRelease sends a release on a connection, which may be nil, or on another one. Without a usable connection the
+// release waits for the next one.
 func (s *server) sendRelease(now eventloop.Nanos, c *conn, release pendingRelease) {
 	if c == nil || c.closed || c.retired || !c.http2.CanOpenStream() {
 		c = s.usableConn()
@@ -41,8 +41,8 @@
 	s.releases = s.releases[:0]
 }
 
-// dropPendingReleases gives up the releases that waited: the engine is out of reach. Either it has ended or it drops the
-// state after a time of its own.
+// dropPendingReleases gives up the releases that waited: the engine is out of reach. Either it has ended or it drops
+// the state after a time of its own.
 func (s *server) dropPendingReleases() {
 	for _, release := range s.releases {
 		s.releaseLost(release, "not reached")
--- a/internal/backend/grpc/stream.go
+++ b/internal/backend/grpc/stream.go
@@ -13,7 +13,8 @@
 // messageHeaderBytes precede each message on a gRPC stream.
 const messageHeaderBytes = 5
 
-// sendWaitingAttempt sends an attempt that has waited, unless it is too late for it or the connection takes no more streams.
+// sendWaitingAttempt sends an attempt that has waited, unless it is too late for it or the connection takes no more
+// streams.
 func (c *conn) sendWaitingAttempt(now eventloop.Nanos, a *attempt) {
 	number, outstanding := a.request.OutstandingAttempt()
 	switch {
@@ -43,8 +44,8 @@
 	c.scheduleFlush()
 }
 
-// sendRelease sends a release. If it is lost with the connection it is sent again on another one, as long as the engine can
-// be reached.
+// sendRelease sends a release. If it is lost with the connection it is sent again on another one, as long as the
+// engine can be reached.
 func (c *conn) sendRelease(release pendingRelease) {
 	b := c.backend
 	s := c.http2.OpenStream(pathRelease, c.server.name, b.keepalive.LatencyTarget)
@@ -133,8 +134,8 @@
 	return policy.Failed
 }
 
-// StreamReset implements h2.Handler: a stream was reset, or lost with the connection. refused says that the engine has not
-// processed it.
+// StreamReset implements h2.Handler: a stream was reset, or lost with the connection. refused says that the engine
+// has not processed it.
 func (c *conn) StreamReset(s *h2.Stream, _ http2.ErrCode, refused bool) {
 	if release, ok := s.UserData.(pendingRelease); ok && c.closed {
 		s.UserData = nil
--- a/internal/backend/grpc/watch.go
+++ b/internal/backend/grpc/watch.go
@@ -16,8 +16,8 @@
 	pb "docksail/api/docksail/v1"
 )
 
-// connect opens the watch on the discovery server, unless there is one. The loss of the watch is reported to the module,
-// which asks for another.
+// connect opens the watch on the discovery server, unless there is one. The loss of the watch is reported to the
+// module, which asks for another.
 func (w *endpointWatcher) connect(now eventloop.Nanos) {
 	if w.file != "" || w.conn != nil {
 		return
@@ -33,8 +33,8 @@
 	w.conn = conn
 }
 
-// checkKeepalive pings a discovery server that is silent, or closes its connection: on one that is half open no update would
-// ever come.
+// checkKeepalive pings a discovery server that is silent, or closes its connection: on one that is half open no
+// update would ever come.
 func (w *endpointWatcher) checkKeepalive(now eventloop.Nanos) {
 	if w.conn == nil {
 		return
@@ -74,7 +74,7 @@
 // Received implements eventloop.Handler.
 func (w *endpointWatcher) Received(now eventloop.Nanos, p []byte) {
 	w.now, w.lastReceivedAt = now, now
-	w.http2.Feed(now, p)
+	_ = w.http2.Feed(now, p) // Err returns the error
 	w.conn.Write(w.http2.TakeOutput())
 	if w.http2.Err() != nil {
 		w.conn.CloseAfterFlush()
@@ -101,8 +101,8 @@
 // HeadersReceived implements h2.Handler.
 func (w *endpointWatcher) HeadersReceived(*h2.Stream, *h2.Header) {}
 
-// MessageReceived implements h2.Handler: an update of the list has come. After an invalid one the watch is opened anew, and
-// begins with the whole list.
+// MessageReceived implements h2.Handler: an update of the list has come. After an invalid one the watch is opened
+// anew, and begins with the whole list.
 func (w *endpointWatcher) MessageReceived(_ *h2.Stream, p []byte) bool {
 	w.pingsWithoutData = 0
 	var update pb.FleetNews
--- a/internal/dispatch/answers.go
+++ b/internal/dispatch/answers.go
@@ -25,8 +25,8 @@
 	d.cancelRequest(now, req)
 }
 
-// ClientWritable implements frontend.Dispatcher: the client has taken all of the answer so far, and a server that was held
-// back for it gets its credit.
+// ClientWritable implements frontend.Dispatcher: the client has taken all of the answer so far, and a server that was
+// held back for it gets its credit.
 func (d *Dispatcher) ClientWritable(now eventloop.Nanos, id policy.RequestID) {
 	req := d.requests.Find(id)
 	if req == nil || req.heldBackBytes == 0 || req.attempt == nil {
@@ -91,8 +91,8 @@
 	d.cancelRequest(now, req)
 }
 
-// cancelRequest follows the end of a request that the module has not decided on: the queue or the module is told, and an
-// attempt ends that nobody reads or that has not been written yet.
+// cancelRequest follows the end of a request that the module has not decided on: the queue or the module is told, and
+// an attempt ends that nobody reads or that has not been written yet.
 func (d *Dispatcher) cancelRequest(now eventloop.Nanos, req *Request) {
 	if d.admission.cancel(now, req) {
 		d.removeIfDone(req)
--- a/internal/dispatch/attempts.go
+++ b/internal/dispatch/attempts.go
@@ -9,8 +9,8 @@
 // FindRequest returns the request in flight that has an ID, or nil.
 func (d *Dispatcher) FindRequest(id policy.RequestID) *Request { return d.requests.Find(id) }
 
-// SetAttemptTimer sets when the outstanding attempt of a request times out if its answer has not begun by then. A backend
-// may move it while the attempt waits for a connection.
+// SetAttemptTimer sets when the outstanding attempt of a request times out if its answer has not begun by then. A
+// backend may move it while the attempt waits for a connection.
 func (d *Dispatcher) SetAttemptTimer(req *Request, at eventloop.Nanos) {
 	d.loop.SetTimer(&req.attemptTimer, at, req.onAttemptTimer)
 }
@@ -52,8 +52,9 @@
 	}
 }
 
-// FinishAttempt is called by the backend when the outstanding attempt of a request has ended. If its answer had begun and
-// is not complete, the client is told that the stream broke, followed by detail. The request may be removed by the call.
+// FinishAttempt is called by the backend when the outstanding attempt of a request has ended. If its answer had begun
+// and is not complete, the client is told that the stream broke, followed by detail. The request may be removed by
+// the call.
 func (d *Dispatcher) FinishAttempt(now eventloop.Nanos, req *Request, outcome policy.Outcome, detail string,
 	load policy.LoadReport,
 ) {
@@ -69,8 +70,8 @@
 	d.removeIfDone(req)
 }
 
-// FailInvalidRequest is called by the backend when a server finds the request itself invalid. That says nothing about the
-// server, and no other server would accept the request. The request may be removed by the call.
+// FailInvalidRequest is called by the backend when a server finds the request itself invalid. That says nothing about
+// the server, and no other server would accept the request. The request may be removed by the call.
 func (d *Dispatcher) FailInvalidRequest(now eventloop.Nanos, req *Request, reason string) {
 	if !req.Answered() {
 		d.fail(req, reason)
@@ -102,10 +103,12 @@
 	d.removeIfDone(req)
 }
 
-// endAttempt ends the outstanding attempt of a request, if there is one, and reports it to the module. An attempt that the
-// server has not ended is canceled there first. final says that the module is to send no other attempt. The caller has to
-// call removeIfDone.
-func (d *Dispatcher) endAttempt(now eventloop.Nanos, req *Request, outcome policy.Outcome, final bool, load policy.LoadReport) {
+// endAttempt ends the outstanding attempt of a request, if there is one, and reports it to the module. An attempt
+// that the server has not ended is canceled there first. final says that the module is to send no other attempt. The
+// caller has to call removeIfDone.
+func (d *Dispatcher) endAttempt(now eventloop.Nanos, req *Request, outcome policy.Outcome, final bool,
+	load policy.LoadReport,
+) {
 	number, outstanding := req.OutstandingAttempt()
 	if !outstanding {
 		return
--- a/internal/dispatch/backend.go
+++ b/internal/dispatch/backend.go
@@ -36,7 +36,8 @@
 	StartAttempt(now eventloop.Nanos, req *Request, attempt policy.AttemptNumber) Attempt
 	// Release has the KV state released that an attempt of a request left at a server and that is held since then.
 	// The request may be done after the call.
-	Release(now eventloop.Nanos, req *Request, server policy.ServerID, attempt policy.AttemptNumber, heldSince eventloop.Nanos)
+	Release(now eventloop.Nanos, req *Request, server policy.ServerID, attempt policy.AttemptNumber,
+		heldSince eventloop.Nanos)
 	// Flush writes the output of this iteration of the loop to the sockets.
 	Flush()
 	// IsIdle reports whether nothing is left that still has to reach a server.
@@ -66,8 +67,8 @@
 	Reset()
 }
 
-// EndpointListUpdated reports an update of the endpoint list to the module. full says that the update names all servers,
-// hasServers that it names any. report is called to list the servers.
+// EndpointListUpdated reports an update of the endpoint list to the module. full says that the update names all
+// servers, hasServers that it names any. report is called to list the servers.
 func (d *Dispatcher) EndpointListUpdated(now eventloop.Nanos, full, hasServers bool, report func(module Module)) {
 	d.module.ListUpdateStarted(full)
 	report(d.module)
--- a/internal/dispatch/counts.go
+++ b/internal/dispatch/counts.go
@@ -1,7 +1,7 @@
 package dispatch
 
-// Counts are the counters of a dispatcher since its start. They are written to the status file and to the log: names and
-// order in JSON do not change.
+// Counts are the counters of a dispatcher since its start. They are written to the status file and to the log: names
+// and order in JSON do not change.
 type Counts struct {
 	Requests          uint64
 	Served            uint64
@@ -18,10 +18,13 @@
 	Messages          uint64 // messages relayed to clients
 	StaleLoadReports  uint64 `json:"LateReports"`
 	LoadReports       uint64 `json:"Reports"`
-	InvalidDecisions  uint64 // decisions that the request's state does not allow: faults of the program
-	MissedDeadlines   uint64 `json:"Overdue"` // requests answered only by the dispatcher's own deadline: faults of the program
-	Pings             uint64
-	DeadConnections   uint64
+	// InvalidDecisions counts decisions that the request's state does not allow. Each is a fault of the program.
+	InvalidDecisions uint64
+	// MissedDeadlines counts requests that were answered only by the dispatcher's own deadline. Each is a fault of the
+	// program.
+	MissedDeadlines uint64 `json:"Overdue"`
+	Pings           uint64
+	DeadConnections uint64
 }
 
 // Add adds the counters of other.
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,10 +1,10 @@
-// Package dispatch is the core of a dispatcher: it connects a frontend, a backend and the decision module on one event
-// loop. Events on the sockets are reported to the module, and the module's decisions are carried out on the sockets. The
-// package itself decides nothing.
+// Package dispatch is the core of a dispatcher: it connects a frontend, a backend and the decision module on one
+// event loop. Events on the sockets are reported to the module, and the module's decisions are carried out on the
+// sockets. The package itself decides nothing.
 //
-// A Dispatcher is made by NewQueued, with an admission queue in front of the module, or by NewDirect, without one. Attach
-// gives it its frontend and backend, Start makes it serve, and RunIteration is called by the event loop from then on.
-// Everything in this package runs on the goroutine of that loop.
+// A Dispatcher is made by NewQueued, with an admission queue in front of the module, or by NewDirect, without one.
+// Attach gives it its frontend and backend, Start makes it serve, and RunIteration is called by the event loop from
+// then on. Everything in this package runs on the goroutine of that loop.
 package dispatch
 
 import (
@@ -106,8 +106,8 @@
 	idempotent                             bool
 }
 
-// NewDirect returns a dispatcher without an admission queue: requests go to the module as they arrive. A request may name
-// no tenant, and a session or prefix is the same whichever tenant names it.
+// NewDirect returns a dispatcher without an admission queue: requests go to the module as they arrive. A request may
+// name no tenant, and a session or prefix is the same whichever tenant names it.
 func NewDirect(loop *eventloop.Loop, log *slog.Logger, config *Config) *Dispatcher {
 	d := newDispatcher(loop, log, config)
 	d.tenantOptional, d.keysAreGlobal = true, true
@@ -188,8 +188,8 @@
 	}
 }
 
-// ModuleTime returns the module's time at a time of the loop: Unix nanoseconds, carried on by the loop's monotonic clock,
-// so that they compare with the start times of servers.
+// ModuleTime returns the module's time at a time of the loop: Unix nanoseconds, carried on by the loop's monotonic
+// clock, so that they compare with the start times of servers.
 func (d *Dispatcher) ModuleTime(now eventloop.Nanos) policy.Nanos {
 	return policy.Nanos(d.originUnixNs + now)
 }
--- a/internal/dispatch/drain.go
+++ b/internal/dispatch/drain.go
@@ -5,8 +5,8 @@
 	"docksail/policy"
 )
 
-// Drain accepts no new clients and requests. Requests in flight have timeout nanoseconds to end; those that are left are
-// answered then. done is called once, when nothing is left or shortly after the timeout.
+// Drain accepts no new clients and requests. Requests in flight have timeout nanoseconds to end; those that are left
+// are answered then. done is called once, when nothing is left or shortly after the timeout.
 func (d *Dispatcher) Drain(timeout int64, done func()) {
 	if d.draining {
 		return
--- /dev/null
+++ b/internal/dispatch/fakes_test.go
@@ -0,0 +1,87 @@
+package dispatch
+
+import (
+	"docksail/internal/decide/inflight"
+	"docksail/internal/eventloop"
+	"docksail/internal/frontend"
+	"docksail/policy"
+	"net/netip"
+)
+
+// scriptedModule returns the decisions that it is given and no others: it forgets every request.
+type scriptedModule struct {
+	Module
+	decisions []policy.Decision
+	arrived   []policy.Request
+	outcomes  []policy.Outcome
+	canceled  int
+}
+
+func (m *scriptedModule) RequestArrived(_ policy.Nanos, request policy.Request) {
+	m.arrived = append(m.arrived, request)
+}
+
+func (m *scriptedModule) TimerFired(policy.Nanos) {}
+
+func (m *scriptedModule) AttemptEnded(_ policy.Nanos, _ policy.RequestID, _ policy.AttemptNumber,
+	outcome policy.Outcome, _ policy.Nanos, _ bool, _ policy.LoadReport,
+) {
+	m.outcomes = append(m.outcomes, outcome)
+}
+
+func (m *scriptedModule) RequestCanceled(policy.Nanos, policy.RequestID) { m.canceled++ }
+
+func (m *scriptedModule) StateHeldSince(policy.Nanos, policy.RequestID, policy.Nanos) {}
+
+func (m *scriptedModule) NextDecision(policy.Nanos) (policy.Decision, bool) {
+	if len(m.decisions) == 0 {
+		return policy.Decision{}, false
+	}
+	next := m.decisions[0]
+	m.decisions = m.decisions[1:]
+	return next, true
+}
+
+// idleFrontend is a frontend without clients.
+type idleFrontend struct{}
+
+func (idleFrontend) Listen(at netip.AddrPort, _ bool) (netip.AddrPort, error) { return at, nil }
+func (idleFrontend) Flush()                                                   {}
+func (idleFrontend) ConnCount() int                                           { return 0 }
+func (idleFrontend) IsIdle() bool                                             { return true }
+func (idleFrontend) Drain()                                                   {}
+
+// silentBackend is a backend whose servers never answer. It is its own attempts.
+type silentBackend struct{ finished int }
+
+func (*silentBackend) Start(eventloop.Nanos)          {}
+func (*silentBackend) WatchEndpoints(eventloop.Nanos) {}
+func (*silentBackend) Flush()                         {}
+func (*silentBackend) IsIdle() bool                   { return true }
+func (*silentBackend) Close()                         {}
+
+func (*silentBackend) IsPrefill(policy.ServerID) (isPrefill, known bool) { return false, true }
+
+func (b *silentBackend) StartAttempt(eventloop.Nanos, *Request, policy.AttemptNumber) Attempt {
+	return b
+}
+
+func (*silentBackend) Release(eventloop.Nanos, *Request, policy.ServerID, policy.AttemptNumber, eventloop.Nanos) {
+}
+
+func (b *silentBackend) Finish(eventloop.Nanos) bool {
+	b.finished++
+	return true
+}
+func (*silentBackend) AfterFinish(eventloop.Nanos)           {}
+func (*silentBackend) CreditWindow(int)                      {}
+func (*silentBackend) ServerResponsive() bool                { return true }
+func (*silentBackend) DeliveryState() inflight.DeliveryState { return inflight.Acknowledged }
+
+// answerCounts counts the answers that a client gets.
+type answerCounts struct{ rejected, failed int }
+
+func (*answerCounts) WriteTokens(policy.RequestID, []byte) bool          { return false }
+func (*answerCounts) Complete(policy.RequestID)                          {}
+func (a *answerCounts) Fail(policy.RequestID, string)                    { a.failed++ }
+func (a *answerCounts) Reject(policy.RequestID, frontend.RejectionError) { a.rejected++ }
--- a/internal/dispatch/queuedadmission.go
+++ b/internal/dispatch/queuedadmission.go
@@ -120,14 +120,14 @@
 	return request
 }
 
-// hashName returns a hash of a name that clients choose, under a secret seed, so that none can be chosen to collide with
-// another's. 0 stands for no name.
+// hashName returns a hash of a name that clients choose, under a secret seed, so that none can be chosen to collide
+// with another's. 0 stands for no name.
 func (a *queuedAdmission) hashName(owner policy.TenantID, name []byte) uint64 {
 	if len(name) == 0 {
 		return 0
 	}
 	a.hash.ResetWithSeed(a.hashSeed ^ uint64(owner)*0x9e3779b97f4a7c15)
-	a.hash.Write(name)
+	_, _ = a.hash.Write(name) // never fails
 	return max(a.hash.Sum64(), 1)
 }
 
@@ -218,7 +218,8 @@
 }
 
 // rejection returns the error that tells a client when to come back, with a signed ticket if one was granted.
-func (a *queuedAdmission) rejection(reason string, tenantLimit bool, advice admission.RetryAdvice) frontend.RejectionError {
+func (a *queuedAdmission) rejection(reason string, tenantLimit bool, advice admission.RetryAdvice,
+) frontend.RejectionError {
 	rejection := frontend.RejectionError{
 		Reason: reason, TenantLimitExceeded: tenantLimit, RetryAfter: min(advice.RetryAfter, a.dispatcher.maxRetryAfter),
 	}
--- a/internal/dispatch/release.go
+++ b/internal/dispatch/release.go
@@ -33,7 +33,8 @@
 
 // ReleasePermission returns whether a release may be sent now for a request, which may be done already, and whether an
 // attempt of the request is on its way to a server or there.
-func (d *Dispatcher) ReleasePermission(id policy.RequestID) (permission inflight.ReleasePermission, attemptInFlight bool) {
+func (d *Dispatcher) ReleasePermission(id policy.RequestID,
+) (permission inflight.ReleasePermission, attemptInFlight bool) {
 	req := d.requests.Find(id)
 	if req == nil {
 		return inflight.ReleaseAllowed, false
@@ -41,5 +42,5 @@
 	_, outstanding := req.OutstandingAttempt()
 	state := req.deliveryState()
 	responsive := req.attempt != nil && req.attempt.ServerResponsive()
-	return req.RequestState.ReleasePermission(state, responsive), outstanding && state > inflight.Planned
+	return req.ReleasePermission(state, responsive), outstanding && state > inflight.Planned
 }
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -9,8 +9,8 @@
 	"math"
 )
 
-// Request is a request in flight: from its arrival until it is answered, no attempt is outstanding and no KV state is held
-// for it. Its record is used again for later requests.
+// Request is a request in flight: from its arrival until it is answered, no attempt is outstanding and no KV state is
+// held for it. Its record is used again for later requests.
 type Request struct {
 	inflight.RequestState
 	Message
--- a/internal/dispatch/status.go
+++ b/internal/dispatch/status.go
@@ -2,8 +2,8 @@
 
 import "docksail/internal/decide/admission"
 
-// Status is the state of a dispatcher as operators see it. It is written to the status file and to the log: names and order
-// of the fields in JSON do not change.
+// Status is the state of a dispatcher as operators see it. It is written to the status file and to the log: names and
+// order of the fields in JSON do not change.
 type Status struct {
 	InFlight           int `json:"InHand"`
 	ClientConns        int `json:"Clients"`
--- a/internal/dispatch/streaming.go
+++ b/internal/dispatch/streaming.go
@@ -6,9 +6,9 @@
 	"docksail/policy"
 )
 
-// RelayTokens is called by the backend with a piece of the answer to a request. wireBytes is its size on the connection
-// to the server. It reports whether the server has to be held back until Attempt.CreditWindow is called. The request may be
-// removed by the call.
+// RelayTokens is called by the backend with a piece of the answer to a request. wireBytes is its size on the
+// connection to the server. It reports whether the server has to be held back until Attempt.CreditWindow is called.
+// The request may be removed by the call.
 func (d *Dispatcher) RelayTokens(now eventloop.Nanos, req *Request, piece []byte, wireBytes int) (holdBack bool) {
 	if req.Answered() { // nobody reads it
 		d.endAttempt(now, req, policy.Canceled, true, policy.NoLoadReport)
@@ -39,7 +39,8 @@
 	d.checkStream(now, req)
 }
 
-// checkStream ends an answer that has begun and that is not worth waiting for any more, or sets the timer of the next check.
+// checkStream ends an answer that has begun and that is not worth waiting for any more, or sets the timer of the next
+// check.
 func (d *Dispatcher) checkStream(now eventloop.Nanos, req *Request) {
 	times := &d.classTimes[req.class]
 	verdict, nextCheck := streamwatch.Check(now, streamwatch.Stream{
--- a/internal/dispatch/submit.go
+++ b/internal/dispatch/submit.go
@@ -13,7 +13,8 @@
 
 // Submit implements frontend.Dispatcher. It accepts a request and returns its ID, or an error that says why not: a
 // frontend.RejectionError if the request may be tried again, else one that wraps frontend.ErrInvalidRequest.
-func (d *Dispatcher) Submit(now eventloop.Nanos, response frontend.ResponseWriter, r *frontend.Request) (policy.RequestID, error) {
+func (d *Dispatcher) Submit(now eventloop.Nanos, response frontend.ResponseWriter, r *frontend.Request,
+) (policy.RequestID, error) {
 	class, tenant, err := d.classAndTenant(r)
 	if err != nil {
 		return 0, err
@@ -26,7 +27,9 @@
 	}
 	id, req := d.requests.Add()
 	deadline := now + timeLeft
-	queueRequest, err := d.admission.enqueue(now, arrival{request: r, id: id, tenant: tenant, deadline: deadline, target: target})
+	queueRequest, err := d.admission.enqueue(now, arrival{
+		request: r, id: id, tenant: tenant, deadline: deadline, target: target,
+	})
 	if err != nil {
 		d.requests.Remove(id)
 		return 0, err
@@ -56,7 +59,8 @@
 	return class, tenant, nil
 }
 
-// timeLeft returns how long the client of an arriving request waits: its class's timeout, or less if the request says so.
+// timeLeft returns how long the client of an arriving request waits: its class's timeout, or less if the request says
+// so.
 func (t *classTimes) timeLeft(r *frontend.Request) int64 {
 	left := t.timeout
 	if r.FirstTokenTimeout > 0 {
@@ -83,8 +87,8 @@
 }
 
 // policyRequest returns a request as the decision module knows it.
-func (d *Dispatcher) policyRequest(id policy.RequestID, class policy.ClassID, tenant policy.TenantID, r *frontend.Request,
-	deadline policy.Nanos,
+func (d *Dispatcher) policyRequest(id policy.RequestID, class policy.ClassID, tenant policy.TenantID,
+	r *frontend.Request, deadline policy.Nanos,
 ) policy.Request {
 	owner := tenant
 	if d.keysAreGlobal {
@@ -105,20 +109,20 @@
 	prefixKey  byte = 'b'
 )
 
-// hashKey returns the number that stands for a session or prefix of an owner, the same at every dispatcher. 0 stands for
-// no name.
+// hashKey returns the number that stands for a session or prefix of an owner, the same at every dispatcher. 0 stands
+// for no name.
 func (d *Dispatcher) hashKey(kind byte, owner policy.TenantID, name []byte) uint64 {
 	if len(name) == 0 {
 		return 0
 	}
 	d.keyHash.ResetWithSeed(d.keyHashSeed)
-	d.keyHash.Write([]byte{kind, byte(owner), byte(owner >> 8), byte(owner >> 16), byte(owner >> 24)})
-	d.keyHash.Write(name)
+	_, _ = d.keyHash.Write([]byte{kind, byte(owner), byte(owner >> 8), byte(owner >> 16), byte(owner >> 24)})
+	_, _ = d.keyHash.Write(name) // never fails
 	return max(d.keyHash.Sum64(), 1)
 }
 
-// RequestName implements frontend.Dispatcher. The name is made of the dispatcher's incarnation and the request's ID, and is
-// unique over dispatchers and restarts.
+// RequestName implements frontend.Dispatcher. The name is made of the dispatcher's incarnation and the request's ID,
+// and is unique over dispatchers and restarts.
 func (d *Dispatcher) RequestName(id policy.RequestID) string {
 	var b [33]byte
 	return string(strconv.AppendUint(append(strconv.AppendUint(b[:0], d.incarnation, 16), '.'), uint64(id), 16))
--- a/internal/grpcnode/build.go
+++ b/internal/grpcnode/build.go
@@ -1,5 +1,5 @@
-// Package grpcnode puts a dispatcher together whose clients and engines speak gRPC: settings, decision module, core, frontend
-// and backend. Package node does the same for the platform's protocol.
+// Package grpcnode puts a dispatcher together whose clients and engines speak gRPC: settings, decision module, core,
+// frontend and backend. Package node does the same for the platform's protocol.
 package grpcnode
 
 import (
@@ -30,9 +30,10 @@
 // WrapModule returns what stands between a dispatcher and its module, for tests.
 type WrapModule func(dispatch.Module) dispatch.Module
 
-// NewDispatcher returns a dispatcher on a loop, as its settings describe it. It is started by Dispatcher.Start. wrap may be
-// nil.
-func NewDispatcher(loop *eventloop.Loop, settings *config.Dispatcher, log *slog.Logger, identity Identity, wrap WrapModule,
+// NewDispatcher returns a dispatcher on a loop, as its settings describe it. It is started by Dispatcher.Start. wrap
+// may be nil.
+func NewDispatcher(loop *eventloop.Loop, settings *config.Dispatcher, log *slog.Logger, identity Identity,
+	wrap WrapModule,
 ) (*dispatch.Dispatcher, error) {
 	dispatcher, _, err := build(loop, settings, log, identity, wrap)
 	return dispatcher, err
--- a/internal/grpcnode/node.go
+++ b/internal/grpcnode/node.go
@@ -29,8 +29,8 @@
 	err        error
 }
 
-// Status is the state of a node. It is written to the status file and to the log: names and order of the fields in JSON do
-// not change.
+// Status is the state of a node. It is written to the status file and to the log: names and order of the fields in
+// JSON do not change.
 type Status struct {
 	dispatch.Status
 	Frontend frontend.Counts         `json:"Front"`
@@ -94,8 +94,8 @@
 // Done is closed when the dispatcher has ended.
 func (n *Node) Done() <-chan struct{} { return n.done }
 
-// RunOnLoop calls f on the loop's goroutine and waits for it. It reports false, and may not have called f, if the loop has
-// ended.
+// RunOnLoop calls f on the loop's goroutine and waits for it. It reports false, and may not have called f, if the
+// loop has ended.
 func (n *Node) RunOnLoop(f func(d *dispatch.Dispatcher)) bool {
 	called := make(chan struct{})
 	if !n.loop.Post(func() { f(n.dispatcher); close(called) }) {
