--- a/cmd/docksail/main_test.go
+++ b/cmd/docksail/main_test.go
@@ -148,7 +148,7 @@
 	if err := cmd.Wait(); err != nil {
 		t.Errorf("%v: %s", err, log)
 	}
-	if !strings.Contains(log.String(), "draining") {
+	if !strings.Contains(log.String(), "drain started") {
 		t.Errorf("no word of the drain: %s", log)
 	}
 }
