--- a/cmd/docksail/soak.go
+++ b/cmd/docksail/lab_soak.go
@@ -15,7 +15,7 @@
 func modelServerCommand() *cobra.Command {
 	var name, role, ledger string
 	c := &cobra.Command{
-		Use:    "modelserver",
+		Use:    "model-server",
 		Short:  "Run a stand-in model server that speaks the platform's protocol, for a soak",
 		Args:   cobra.NoArgs,
 		Hidden: true,
@@ -82,7 +82,7 @@
 }
 
 // runs makes commands of a program.
-func runs(program string) soak.Program {
+func runs(program string) soak.CommandFunc {
 	return func(args ...string) *exec.Cmd {
 		c := exec.Command(program, args...)
 		c.Env = os.Environ()
--- a/internal/backend/grpc/listfile.go
+++ b/internal/backend/grpc/listfile.go
@@ -55,7 +55,7 @@
 	if err != nil {
 		return unchanged, err
 	}
-	endpoints, warnings, err := config.Servers(name, text)
+	endpoints, warnings, err := config.ParseServers(name, text)
 	if err != nil {
 		return unchanged, err
 	}
--- a/internal/grpcnode/build.go
+++ b/internal/grpcnode/build.go
@@ -42,7 +42,7 @@
 func build(loop *eventloop.Loop, settings *config.Dispatcher, log *slog.Logger, identity Identity, wrap WrapModule,
 ) (*dispatch.Dispatcher, *frontend.Server, error) {
 	list := endpointlist.New()
-	router, err := settings.Module(identity.Seed, list.ZoneID(settings.Zone))
+	router, err := settings.NewPolicy(identity.Seed, list.ZoneID(settings.Zone))
 	if err != nil {
 		return nil, nil, fmt.Errorf("decision module: %w", err)
 	}
@@ -55,17 +55,17 @@
 		return nil, nil, err
 	}
 	limits := h2Limits(settings)
-	clients, err := frontend.New(loop, dispatcher, limits, settings.Limits.Connections, settings.Limits.Output,
-		settings.Limits.Partial)
+	clients, err := frontend.New(loop, dispatcher, limits, settings.Limits.MaxConnections, settings.Limits.MaxOutputBytes,
+		settings.Limits.MaxPartialBytes)
 	if err != nil {
 		return nil, nil, err
 	}
 	dispatcher.Attach(clients, backend.New(loop, dispatcher, log, &backend.Config{
-		LatencyTarget: core.ShortestLatencyTarget(), ConnectTimeout: int64(settings.Attempts.Connect),
+		LatencyTarget: core.ShortestLatencyTarget(), ConnectTimeout: int64(settings.Attempts.ConnectTimeout),
 		Limits: limits, List: list,
 		Discovery: backend.DiscoveryConfig{
-			Addr: settings.Fleet.Watch, File: settings.Fleet.File, CacheFile: settings.Fleet.Keep,
-			RetryInterval: int64(settings.Fleet.Retry),
+			Addr: settings.Discovery.Watch, File: settings.Discovery.File, CacheFile: settings.Discovery.CacheFile,
+			RetryInterval: int64(settings.Discovery.RetryInterval),
 		},
 	}))
 	return dispatcher, clients, nil
@@ -75,9 +75,9 @@
 	core := &dispatch.Config{
 		Module: module, Classes: settings.PolicyClasses(),
 		Intake: intake.Limits{
-			MaxRequests: settings.Limits.Requests, MaxPromptTokens: int64(settings.Limits.Prompt),
+			MaxRequests: settings.Limits.MaxRequests, MaxPromptTokens: int64(settings.Limits.MaxPromptTokens),
 		},
-		MaxRetryAfter: int64(settings.Answers.MaxAdvice), AnswerLeadTime: int64(settings.Answers.Ahead),
+		MaxRetryAfter: int64(settings.Responses.MaxRetryAfter), AnswerLeadTime: int64(settings.Responses.DeadlineMargin),
 		KeyHashSeed: settings.HashKey, Incarnation: incarnation,
 	}
 	for _, class := range settings.Classes {
@@ -91,8 +91,8 @@
 
 func queueConfig(settings *config.Dispatcher, secrets io.Reader) *dispatch.QueueConfig {
 	return &dispatch.QueueConfig{
-		MaxWaiting: settings.Limits.Waiting, MaxClients: settings.Limits.Clients, FIFO: settings.FirstCome,
-		IssueTickets: settings.Answers.Advice, MaxHeapBytes: uint64(settings.Limits.Memory),
+		MaxWaiting: settings.Limits.MaxWaiting, MaxClients: settings.Limits.MaxClients, FIFO: settings.FIFO,
+		IssueTickets: settings.Responses.SendRetryAfter, MaxHeapBytes: uint64(settings.Limits.MaxMemoryBytes),
 		Tenants: Tenants(settings), Secrets: secrets,
 	}
 }
@@ -100,7 +100,7 @@
 // Tenants returns the tenants of the admission queue. Where the settings name none, all requests are one tenant's.
 func Tenants(settings *config.Dispatcher) []dispatch.Tenant {
 	var tenants []dispatch.Tenant
-	for i, limits := range settings.TenantTerms() {
+	for i, limits := range settings.TenantLimits() {
 		tenant := dispatch.Tenant{Limits: limits}
 		if len(settings.Tenants) > 0 {
 			tenant.Name = settings.Tenants[i].Name
@@ -112,8 +112,8 @@
 
 func h2Limits(settings *config.Dispatcher) h2.Limits {
 	return h2.Limits{
-		MaxStreams: uint32(settings.Limits.Streams), StreamWindow: uint32(settings.Limits.StreamWindow),
+		MaxStreams: uint32(settings.Limits.MaxStreams), StreamWindow: uint32(settings.Limits.StreamWindowBytes),
 		ConnWindow:         h2.DefaultLimits.ConnWindow,
-		MaxHeaderListBytes: uint32(settings.Limits.Headers), MaxMessageBytes: uint32(settings.Limits.Message),
+		MaxHeaderListBytes: uint32(settings.Limits.MaxHeaderBytes), MaxMessageBytes: uint32(settings.Limits.MaxMessageBytes),
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -61,7 +61,7 @@
 	n := &Node{loop: l, log: log, policy: platformConfig.Policy, done: make(chan struct{})}
 	n.dispatcher = dispatch.NewDirect(l, log, &dispatch.Config{
 		Module: platformConfig.Policy, ClassNames: platformConfig.ClassNames, Classes: platformConfig.Classes,
-		TenantNames:   platformConfig.Tenant,
+		TenantNames:   platformConfig.Tenants,
 		Intake:        intake.Limits{MaxRequests: maxRequests, MaxPromptTokens: maxPromptTokens},
 		MaxRetryAfter: int64(platformConfig.MaxRetryAfter), MaxSilence: silenceLimit, Incarnation: incarnation,
 	})
