--- a/internal/backend/platform/harness_test.go
+++ b/internal/backend/platform/harness_test.go
@@ -5,6 +5,7 @@
 	"net/netip"
 	"testing"
 
+	"docksail/internal/decide/intake"
 	"docksail/internal/dispatch"
 	"docksail/internal/eventloop"
 	"docksail/internal/frontend"
@@ -28,10 +29,10 @@
 	tb.Helper()
 	log := slog.New(slog.DiscardHandler)
 	classes := []policy.Class{{LatencyTarget: 1e9, Timeout: 9e9}}
-	d, err := dispatch.NewDirect(l, log, module, []string{"a"}, classes, nil, 10, 1000, 0, 0, 1)
-	if err != nil {
-		tb.Fatal(err)
-	}
+	d := dispatch.NewDirect(l, log, &dispatch.Config{
+		Module: module, ClassNames: []string{"a"}, Classes: classes,
+		Intake: intake.Limits{MaxRequests: 10, MaxPromptTokens: 1000}, Incarnation: 1,
+	})
 	config.Zones, config.Kinds, config.Roles = []string{"z"}, []string{"decode"}, []policy.Role{policy.Decode}
 	config.ReleaseTime = 1e9
 	b := New(l, d, log, &config, 10, netip.AddrPort{})
--- a/internal/backend/platform/releasetracker_test.go
+++ b/internal/backend/platform/releasetracker_test.go
@@ -20,7 +20,7 @@
 		readyServer("w1", "[fe80::1]:1"), // Dial fails: the address has no zone, or its family is not supported
 		readyServer("w2", listener.Addr().String()),
 	}})
-	req := &dispatch.Request{ClientRequestID: []byte("0000000000000001")}
+	req := &dispatch.Request{Message: dispatch.Message{ClientRequestID: []byte("0000000000000001")}}
 	req.ID = 7
 	b.Release(0, req, 0, 0, 0)
 	tracker := b.releaseTrackers[req.ID]
--- a/internal/lab/simulation/simulation.go
+++ b/internal/lab/simulation/simulation.go
@@ -20,6 +20,7 @@
 	"docksail/internal/config"
 	"docksail/internal/dispatch"
 	"docksail/internal/eventloop"
+	"docksail/internal/grpcnode"
 	"docksail/internal/lab/engine"
 	"docksail/internal/lab/engine/batch"
 	"docksail/internal/lab/eventlog"
@@ -140,7 +141,8 @@
 		wrap = d.WrapModule(x.n)
 	}
 	secrets := rand.NewChaCha8([32]byte{byte(life), byte(life >> 8), byte(life >> 16), byte(x.set.Seed)})
-	disp, err := dispatch.NewGRPC(x.l, x.set, d.Logger.With("dispatcher", x.n), x.set.Seed, life, secrets, wrap)
+	disp, err := grpcnode.NewDispatcher(x.l, x.set, d.Logger.With("dispatcher", x.n),
+		grpcnode.Identity{Seed: x.set.Seed, Incarnation: life, Secrets: secrets}, wrap)
 	if err != nil {
 		return err
 	}
@@ -273,7 +275,7 @@
 			continue
 		}
 		rep.Counts.Add(x.d.Counts)
-		for _, t := range x.d.Status().Tenants {
+		for _, t := range x.d.TenantStatuses() {
 			rep.AdmissionCounts = append(rep.AdmissionCounts, t.Counts)
 		}
 	}
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -49,8 +49,8 @@
 	Descriptors int     `json:"sockets"`
 }
 
-// LoadConfig reads the file that RELAY_CONFIG names and completes it by the other variables and the defaults. An initial
-// list that cannot be read is no error: it is left empty, and discovery is asked.
+// LoadConfig reads the file that RELAY_CONFIG names and completes it by the other variables and the defaults. An
+// initial list that cannot be read is no error: it is left empty, and discovery is asked.
 func LoadConfig(getenv func(string) string) (*Config, error) {
 	name := getenv(configVariable)
 	if name == "" {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -13,6 +13,7 @@
 	backend "docksail/internal/backend/platform"
 	"docksail/internal/decide/clientconn"
 	"docksail/internal/decide/discovery"
+	"docksail/internal/decide/intake"
 	"docksail/internal/dispatch"
 	"docksail/internal/eventloop"
 	frontend "docksail/internal/frontend/platform"
@@ -55,7 +56,8 @@
 }
 
 // New returns a dispatcher on a loop, which listens for clients and watches the endpoint list as soon as the loop runs.
-// It must be called by the loop's goroutine, or before the loop runs. incarnation must differ from one start to the next.
+// It must be called by the loop's goroutine, or before the loop runs. incarnation must differ from one start to the
+// next.
 func New(l *eventloop.Loop, config *Config, incarnation uint64, log *slog.Logger) (*Node, error) {
 	platformConfig, err := platformconfig.New(config.seed(), config.Settings)
 	if err != nil {
@@ -65,9 +67,7 @@
 	memory := config.Limits.MemoryMB << 20
 	maxRequests := max(int(heapFraction*float64(memory)*requestFraction/maxRequestBytes), minRequests)
 	n := &Node{loop: l, log: log, policy: platformConfig.Policy, done: make(chan struct{})}
-	if n.dispatcher, err = dispatch.NewDirect(l, log, platformConfig.Policy, platformConfig.ClassNames, platformConfig.Classes, platformConfig.Tenants, maxRequests, maxPromptTokens, int64(platformConfig.MaxRetryAfter), silenceLimit, incarnation); err != nil {
-		return nil, err
-	}
+	n.dispatcher = newDispatcher(l, log, platformConfig, maxRequests, incarnation)
 	limits := frontend.Limits{Connections: clients, PartialRequestBytes: clientconn.MaxPartialRequestBytes(memory)}
 	n.frontend = frontend.New(l, n.dispatcher, limits, n.dispatcher.HasEndpointList)
 	n.backend = backend.New(l, n.dispatcher, log, platformConfig, servers, config.Discovery)
@@ -80,8 +80,24 @@
 	return n, nil
 }
 
-// pauseUntilFirstList accepts no clients until discovery has sent a list or its time is up: what discovery knows when the
-// process starts counts as delivered to it, so no request may be sent by an older list.
+// newDispatcher returns the dispatcher without its frontend and backend.
+func newDispatcher(
+	l *eventloop.Loop, log *slog.Logger, config *platformconfig.Config, maxRequests int, incarnation uint64,
+) *dispatch.Dispatcher {
+	return dispatch.NewDirect(l, log, &dispatch.Config{
+		Module:        config.Policy,
+		ClassNames:    config.ClassNames,
+		Classes:       config.Classes,
+		TenantNames:   config.Tenants,
+		Intake:        intake.Limits{MaxRequests: maxRequests, MaxPromptTokens: maxPromptTokens},
+		MaxRetryAfter: int64(config.MaxRetryAfter),
+		MaxSilence:    silenceLimit,
+		Incarnation:   incarnation,
+	})
+}
+
+// pauseUntilFirstList accepts no clients until discovery has sent a list or its time is up: what discovery knows when
+// the process starts counts as delivered to it, so no request may be sent by an older list.
 func (n *Node) pauseUntilFirstList() {
 	n.frontend.PauseAccepting(true)
 	resume := func() { n.frontend.PauseAccepting(false) }
