--- a/internal/node/crossing_test.go
+++ b/internal/node/crossing_test.go
@@ -1,6 +1,7 @@
 package node
 
 import (
+	"net/http"
 	"strings"
 	"testing"
 	"time"
@@ -8,9 +9,10 @@
 	backend "docksail/internal/backend/platform"
 )
 
-// Tests of events that cross: each forces the order in which one spoils the other, in simulated time.
+// Tests of races: each forces the order of two events in which one could spoil the other.
 
-// A read that waits behind a release is not sent to a server that has begun to drain meanwhile.
+// TestDrainWhilePrefillWaitsForRelease: a prefill attempt that waits for a release is not sent to a server that has begun
+// to drain meanwhile.
 func TestDrainWhilePrefillWaitsForRelease(t *testing.T) {
 	onEachNetwork(t, func(h *harness) {
 		prefill := h.addServer("r1", "prefill")
@@ -19,33 +21,32 @@
 		client.send(request(requestID(1)))
 		first := prefill.accept()
 		first.readRequest()
-		first.close() // it may have ended well: what it left is to be released
+		first.close() // it may have succeeded: the state that it may have left must be released
 		release := prefill.accept()
 		if line := release.readRequest(); !strings.HasPrefix(line, "DELETE ") {
 			h.t.Fatalf("%q, want a release", line)
 		}
 		h.waitForAttempt("r1")
-		h.sendList(watch, backend.EndpointList{Version: 43, Endpoints: []backend.Endpoint{h.drainingEndpoint("r1")}})
+		h.sendChange(watch, 43, h.drainingEndpoint("r1"))
 		release.send(releaseResponse)
-		if status := client.expect("\r\n"); !strings.Contains(status, " 503 ") {
-			h.t.Errorf("the client got %q, want 503", status)
-		}
-		release.expectNoAttempt() // releases are repeated: the server that cut the first read off may still work on it
+		client.expectStatus(http.StatusServiceUnavailable)
+		// Releases are repeated, as the server that closed the first attempt's connection may still work on it.
+		release.expectNoAttempt()
 		prefill.expectNoAttempt()
 	})
 }
 
-// An entry that cannot be read does not cost the others, and its server stays as it was.
+// TestUnreadableEntry: an entry that cannot be read does not invalidate the others, and its server stays as it was.
 func TestUnreadableEntry(t *testing.T) {
 	onEachNetwork(t, func(h *harness) {
 		h.addServer("r1", "prefill").response = prefillResponse
 		h.addServer("w1", "decode").response = decodeResponse
 		leftOut := h.addServer("w2", "decode")
 		watch := h.startInService()
-		taken := h.listUpdates()
+		before := h.listUpdates()
 		list := listText(backend.EndpointList{Version: 43, Full: true, Endpoints: h.endpoints[:2]})
 		watch.send(chunk(strings.Replace(list, `"cell":0`, `"cell":"x"`, 1))) // of r1
-		h.waitForListUpdate(taken)
+		h.waitForListUpdate(before)
 		for n := range 4 {
 			client := h.connectClient()
 			client.send(request(requestID(n)))
@@ -57,28 +58,28 @@
 	})
 }
 
-// A whole list of which nothing can be read leaves the servers that there are, and is asked for again; one that says that
-// there are none is taken as it is said.
+// TestUnreadableWholeList: a full list of which nothing can be read leaves the servers as they are, and is asked for
+// again. One that says that there are no servers is applied.
 func TestUnreadableWholeList(t *testing.T) {
 	for name, c := range map[string]struct {
 		list string
 		kept bool
 	}{
-		"no servers named":   {`{"version":43,"full":true}`, true},
-		"null":               {`{"version":43,"full":true,"servers":null}`, true},
-		"no entry readable":  {`{"version":43,"full":true,"servers":[{"id":5},7]}`, true},
-		"an empty fleet":     {`{"version":43,"full":true,"servers":[]}`, false},
-		"no changes, a name": {`{"version":43,"full":false}`, true},
+		"no servers named":  {`{"version":43,"full":true}`, true},
+		"null":              {`{"version":43,"full":true,"servers":null}`, true},
+		"no entry readable": {`{"version":43,"full":true,"servers":[{"id":5},7]}`, true},
+		"an empty array":    {`{"version":43,"full":true,"servers":[]}`, false},
+		"an empty change":   {`{"version":43,"full":false}`, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			onEachNetwork(t, func(h *harness) {
 				h.addServer("r1", "prefill").response = prefillResponse
 				h.addServer("w1", "decode").response = decodeResponse
 				watch := h.startInService()
-				taken := h.listUpdates()
+				before := h.listUpdates()
 				watch.send(chunk(c.list))
 				if !c.kept {
-					h.waitForListUpdate(taken)
+					h.waitForListUpdate(before)
 					h.expectRejected()
 					return
 				}
@@ -95,9 +96,11 @@
 	}
 }
 
-// A repeat whose connection comes up when its group may no longer remember the first run is not written.
+// TestRetryAfterDedupWindow: a retry is not sent if its connection comes up when the servers may no longer remember the
+// first attempt.
 func TestRetryAfterDedupWindow(t *testing.T) {
-	h := newHarness(t, simulated, `"effect":"idempotent"`, `"effect":"deduplicated"`, `"window_ns":5000000000`, `"window_ns":700000000`,
+	h := newHarness(t, simulated, `"effect":"idempotent"`, `"effect":"deduplicated"`,
+		`"window_ns":5000000000`, `"window_ns":700000000`,
 		`"connect_timeout_ns":250000000`, `"connect_timeout_ns":4000000000`)
 	h.addServer("r1", "prefill").response = prefillResponse
 	first := h.addServer("w1", "decode")
@@ -107,23 +110,22 @@
 	client.send(request(requestID(1)))
 	attempt := first.accept()
 	attempt.readRequest()
-	h.sendList(watch, backend.EndpointList{Version: 43, Endpoints: h.endpoints[2:]}) // only now: the first attempt is to go to w1
+	h.sendChange(watch, 43, h.endpoints[2:]...) // only now, so that the first attempt goes to w1
 	second.partition(true)
 	attempt.send("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
 	h.waitForAttempt("w2")
 	h.advance(700 * time.Millisecond) // the window is over
 	second.partition(false)
-	if status := client.expect("\r\n"); !strings.Contains(status, " 503 ") {
-		t.Errorf("the client got %q, want 503", status)
-	}
+	client.expectStatus(http.StatusServiceUnavailable)
 	second.expectNoRequest()
 }
 
-// An attempt whose connection is still under way as its client leaves does not begin, also where what has begun may not be
-// withdrawn.
+// TestDisconnectWhileConnecting: an attempt whose connection is not up yet when its client disconnects is not sent, even if
+// attempts may not be canceled.
 func TestDisconnectWhileConnecting(t *testing.T) {
-	h := newHarness(t, simulated, `"cancel":true`, `"cancel":false`, `"connect_timeout_ns":250000000`, `"connect_timeout_ns":4000000000`,
-		`"on_time_ns":1500000000`, `"on_time_ns":12000000000`) // so long that the attempt is not given up for its time
+	h := newHarness(t, simulated, `"cancel":true`, `"cancel":false`,
+		`"connect_timeout_ns":250000000`, `"connect_timeout_ns":4000000000`,
+		`"on_time_ns":1500000000`, `"on_time_ns":12000000000`) // so that the attempt does not time out
 	prefill := h.addServer("r1", "prefill")
 	h.startInService()
 	prefill.partition(true)
@@ -136,7 +138,7 @@
 	prefill.expectNoRequest()
 }
 
-// An attempt whose connection comes up after its server was told to drain does not begin.
+// TestDrainWhileConnecting: an attempt whose connection comes up after its server has begun to drain is not sent.
 func TestDrainWhileConnecting(t *testing.T) {
 	h := newHarness(t, simulated, `"connect_timeout_ns":250000000`, `"connect_timeout_ns":4000000000`)
 	prefill := h.addServer("r1", "prefill")
@@ -145,15 +147,13 @@
 	client := h.connectClient()
 	client.send(request(requestID(1)))
 	h.waitForAttempt("r1")
-	h.sendList(watch, backend.EndpointList{Version: 43, Endpoints: []backend.Endpoint{h.drainingEndpoint("r1")}})
+	h.sendChange(watch, 43, h.drainingEndpoint("r1"))
 	prefill.partition(false)
-	if status := client.expect("\r\n"); !strings.Contains(status, " 503 ") {
-		t.Errorf("the client got %q, want 503", status)
-	}
+	client.expectStatus(http.StatusServiceUnavailable)
 	prefill.expectNoRequest()
 }
 
-// A server that has started anew under its address is not sent anything on a connection to the process before.
+// TestServerRestarted: a server that has restarted under its address is sent nothing on connections to its former process.
 func TestServerRestarted(t *testing.T) {
 	onEachNetwork(t, func(h *harness) {
 		h.addServer("r1", "prefill").response = prefillResponse
@@ -166,15 +166,16 @@
 			conn.readRequest()
 			conn.send(decodeResponse)
 			client.expect("0\r\n\r\n")
-			anew := h.endpoints[1]
-			anew.StartedMS = started
-			h.sendList(watch, backend.EndpointList{Version: 43 + int64(n), Endpoints: []backend.Endpoint{anew}})
+			restarted := h.endpoints[1]
+			restarted.StartedMS = started
+			h.sendChange(watch, 43+int64(n), restarted)
 			conn.waitForClose()
 		}
 	})
 }
 
-// Half a line that a server writes on a resting connection is no beginning of the next answer: that connection goes.
+// TestPartialLineOnIdleConn: part of a line that a server sends on an idle connection is not taken for the start of the
+// next response: the connection is closed.
 func TestPartialLineOnIdleConn(t *testing.T) {
 	onEachNetwork(t, func(h *harness) {
 		h.addServer("r1", "prefill").response = prefillResponse
@@ -195,7 +196,7 @@
 	})
 }
 
-// An event is passed on when it is whole, whatever is still to come.
+// TestEventsAreRelayedAtOnce: an event is relayed when it is complete, whatever is still to come.
 func TestEventsAreRelayedAtOnce(t *testing.T) {
 	onEachNetwork(t, func(h *harness) {
 		h.addServer("r1", "prefill").response = prefillResponse
@@ -208,7 +209,7 @@
 		first := chunk(event1)
 		conn.send(streamHead + first[:len(first)-1])
 		conn.send(first[len(first)-1:])
-		client.expectSoon("oqvh") // nothing more was written
+		client.expectSoon("oqvh") // nothing more was sent
 		for range 3 {
 			conn.send(chunk(event1) + chunk(event2)[:9])
 			client.expectSoon("oqvh")
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 	"log/slog"
+	"net/http"
 	"net/netip"
 	"strings"
 	"testing"
@@ -12,30 +13,30 @@
 	"docksail/internal/eventloop"
 )
 
-// harness is a dispatcher between scripted servers and clients: nothing happens but what the test has happen. On the
-// simulated network a wait takes no time and what depends on time has the same verdict on any machine; on the loopback
-// network the same script runs over real connections.
+// harness is a dispatcher between scripted servers, a scripted discovery and scripted clients, which do only what the
+// test has them do. On the simulated network time passes only when the test waits, and results do not depend on the
+// machine; on the loopback network the same test runs over real connections.
 type harness struct {
 	t            *testing.T
-	world        *eventloop.SimulatedNetwork // nil = loopback
+	network      *eventloop.SimulatedNetwork // nil for loopback
 	loop         *eventloop.Loop             // the dispatcher's; on loopback, that of all
-	iteration    func(eventloop.Nanos)
+	onIteration  func(eventloop.Nanos)       // on loopback, the dispatcher's part of an iteration
 	startedAt    time.Time
 	node         *Node
 	config       *Config
 	discovery    *scriptedServer
 	endpoints    []backend.Endpoint
-	replaced     []string // pieces of the settings and what stands in their place, pairwise
-	addressCount byte     // given out so far
-	descriptors  int      // descriptors of the dispatcher
-	trace        *trace   // on the simulated network: what the scripted peers saw
+	replaced     []string // pieces of the settings and their replacements, pairwise
+	addressCount byte     // of addresses on the simulated network
+	descriptors  int      // the dispatcher's limit
+	trace        *trace   // on the simulated network, what the scripted peers saw
 }
 
-// network is what connections of a harness run over.
-type network int
+// networkKind is what the connections of a harness run over.
+type networkKind int
 
 const (
-	simulated network = iota
+	simulated networkKind = iota
 	loopback
 )
 
@@ -45,23 +46,26 @@
 	transitTime     = 100 * time.Microsecond    // of bytes on the simulated network
 	// scriptTimeout ends a wait for what does not come.
 	scriptTimeout = 20 * time.Second
+	// unexpectedWait is how long a test on the simulated network looks for what must not come.
+	unexpectedWait = 2 * time.Second
 )
 
-// onEachNetwork runs a test on the simulated network and over real connections. The pieces of the settings in replaced are
-// replaced, pairwise.
+// onEachNetwork runs a test on the simulated network and over real connections. The pieces of the settings in replaced
+// are replaced, pairwise.
 func onEachNetwork(t *testing.T, test func(h *harness), replaced ...string) {
 	t.Helper()
 	t.Run("simulated", func(t *testing.T) { test(newHarness(t, simulated, replaced...)) })
 	t.Run("loopback", func(t *testing.T) { test(newHarness(t, loopback, replaced...)) })
 }
 
-func newHarness(t *testing.T, on network, replaced ...string) *harness {
+// newHarness returns a harness whose dispatcher is not started yet.
+func newHarness(t *testing.T, kind networkKind, replaced ...string) *harness {
 	t.Helper()
 	h := &harness{t: t, startedAt: time.Now(), replaced: replaced, descriptors: 1024}
-	if on == simulated {
+	if kind == simulated {
 		h.trace = &trace{conns: map[*scriptedConn]int{}}
 		t.Cleanup(func() { h.trace.check(t) })
-		h.world = eventloop.NewSimulatedNetwork(simulationStart, int64(transitTime))
+		h.network = eventloop.NewSimulatedNetwork(simulationStart, int64(transitTime))
 	} else {
 		h.runLoop()
 	}
@@ -79,8 +83,8 @@
 	done := make(chan error, 1)
 	go func() {
 		done <- h.loop.Run(func(now eventloop.Nanos) {
-			if h.iteration != nil {
-				h.iteration(now)
+			if h.onIteration != nil {
+				h.onIteration(now)
 			}
 		})
 	}()
@@ -93,71 +97,75 @@
 	})
 }
 
-// onLoop runs something where the loops' state may be touched.
-func (h *harness) onLoop(action func()) {
+// onLoop runs f where it may access the state of loops.
+func (h *harness) onLoop(f func()) {
 	h.t.Helper()
-	if h.world != nil {
-		action()
+	if h.network != nil {
+		f()
 		return
 	}
 	done := make(chan struct{})
-	h.loop.Post(func() { action(); close(done) })
+	h.loop.Post(func() { f(); close(done) })
 	select {
 	case <-done:
 	case <-time.After(scriptTimeout):
-		h.t.Fatal("the loop does not turn")
+		h.t.Fatal("the loop does not respond")
 	}
 }
 
-// newEndpoint gives a loop at an address of its own, with any port where the network has others.
+// newEndpoint returns a loop and an address to listen on: one of its own on the simulated network, else any free port.
 func (h *harness) newEndpoint() (*eventloop.Loop, netip.AddrPort) {
-	if h.world == nil {
+	if h.network == nil {
 		return h.loop, netip.MustParseAddrPort("127.0.0.1:0")
 	}
 	h.addressCount++
-	at := netip.AddrFrom4([4]byte{127, 0, 1, h.addressCount})
-	return h.world.NewLoop(at, nil), netip.AddrPortFrom(at, simulationPort)
+	addr := netip.AddrFrom4([4]byte{127, 0, 1, h.addressCount})
+	return h.network.NewLoop(addr, nil), netip.AddrPortFrom(addr, simulationPort)
 }
 
-// newServer makes a scripted server.
+// newServer starts a scripted server.
 func (h *harness) newServer() *scriptedServer {
 	h.t.Helper()
-	p := &scriptedServer{h: h}
-	var at netip.AddrPort
-	p.loop, at = h.newEndpoint()
+	s := &scriptedServer{h: h}
+	var addr netip.AddrPort
+	s.loop, addr = h.newEndpoint()
 	h.onLoop(func() {
-		listener, err := p.loop.Listen(at, false, func(c *eventloop.Conn, _ netip.AddrPort) eventloop.Handler {
-			conn := &scriptedConn{h: h, server: p, loop: p.loop, conn: c}
-			p.conns = append(p.conns, conn)
-			p.acceptedCount++
-			return conn
+		listener, err := s.loop.Listen(addr, false, func(socket *eventloop.Conn, _ netip.AddrPort) eventloop.Handler {
+			c := &scriptedConn{h: h, server: s, loop: s.loop, socket: socket}
+			s.newConns = append(s.newConns, c)
+			s.acceptedCount++
+			return c
 		})
 		if err != nil {
 			h.t.Error(err)
 			return
 		}
-		p.listener, p.addr = listener, listener.Addr()
+		s.listener, s.addr = listener, listener.Addr()
 	})
-	return p
+	return s
 }
 
-// addServer makes a scripted model server and adds it to the list.
+// addServer starts a scripted model server and adds it to the list.
 func (h *harness) addServer(name, kind string) *scriptedServer {
 	h.t.Helper()
-	p := h.newServer()
-	h.endpoints = append(h.endpoints, backend.Endpoint{ID: name, Addr: p.addr.String(), Zone: "z", Kind: kind, State: "Ready"})
-	return p
+	s := h.newServer()
+	h.endpoints = append(h.endpoints, backend.Endpoint{
+		ID: name, Addr: s.addr.String(), Zone: "z", Kind: kind, State: "Ready",
+	})
+	return s
 }
 
-// start puts the dispatcher into service. Discovery takes its watch, and has told nothing yet.
+// start starts the dispatcher and returns its watch, on which discovery has sent nothing yet.
 func (h *harness) start() (watch *scriptedConn) {
 	h.t.Helper()
 	h.config = &Config{
-		Name: "n0", Discovery: h.discovery.addr, Seed: "8c1f30d27a5be964",
-		Settings: json.RawMessage(strings.NewReplacer(h.replaced...).Replace(testSettings)),
+		Name:        "n0",
+		Discovery:   h.discovery.addr,
+		Seed:        "8c1f30d27a5be964",
+		Limits:      Limits{Descriptors: h.descriptors, MemoryMB: 96},
+		InitialList: backend.EndpointList{Version: 41, Full: true, Endpoints: h.endpoints},
+		Settings:    json.RawMessage(strings.NewReplacer(h.replaced...).Replace(testSettings)),
 	}
-	h.config.Limits.Descriptors, h.config.Limits.MemoryMB = h.descriptors, 96
-	h.config.InitialList = backend.EndpointList{Version: 41, Full: true, Endpoints: h.endpoints}
 	h.loop, h.config.Listen = h.newEndpoint()
 	h.onLoop(func() {
 		var err error
@@ -165,9 +173,9 @@
 			h.t.Error(err)
 			return
 		}
-		h.iteration = h.node.dispatcher.RunIteration
+		h.onIteration = h.node.dispatcher.RunIteration
 	})
-	if h.world != nil {
+	if h.network != nil {
 		h.loop.SetOnIteration(h.node.dispatcher.RunIteration)
 		h.loop.Post(func() {})
 	}
@@ -176,7 +184,7 @@
 	return watch
 }
 
-// startInService is start with discovery's first word, after which clients are taken.
+// startInService is start and the first list of discovery, after which the dispatcher accepts clients.
 func (h *harness) startInService() (watch *scriptedConn) {
 	h.t.Helper()
 	watch = h.start()
@@ -185,33 +193,33 @@
 	return watch
 }
 
-// now is the time that passes for the dispatcher, in nanoseconds.
+// now returns the time as it passes for the dispatcher, in nanoseconds.
 func (h *harness) now() int64 {
-	if h.world != nil {
-		return h.world.Now()
+	if h.network != nil {
+		return h.network.Now()
 	}
 	return int64(time.Since(h.startedAt))
 }
 
-// elapsedSince tells how much time has passed.
+// elapsedSince returns the time since a result of now.
 func (h *harness) elapsedSince(at int64) time.Duration { return time.Duration(h.now() - at) }
 
-// advance has time pass.
-func (h *harness) advance(span time.Duration) {
-	if h.world != nil {
-		h.world.RunUntil(h.world.Now() + int64(span))
+// advance lets time pass.
+func (h *harness) advance(d time.Duration) {
+	if h.network != nil {
+		h.network.RunUntil(h.network.Now() + int64(d))
 		return
 	}
-	time.Sleep(span)
+	time.Sleep(d)
 }
 
-// waitUntil has time pass until something is so; is may touch the loops' state.
-func (h *harness) waitUntil(what string, is func() bool) {
+// waitUntil lets time pass until a condition holds, which may access the state of loops.
+func (h *harness) waitUntil(what string, condition func() bool) {
 	h.t.Helper()
 	for began := h.now(); ; h.advance(transitTime) {
-		so := false
-		h.onLoop(func() { so = is() })
-		if so {
+		holds := false
+		h.onLoop(func() { holds = condition() })
+		if holds {
 			return
 		}
 		if h.elapsedSince(began) > scriptTimeout {
@@ -220,48 +228,57 @@
 	}
 }
 
-// waitForListUpdate waits until discovery has told something more often than so many times.
-func (h *harness) waitForListUpdate(had uint64) {
-	h.t.Helper()
-	h.waitUntil("the list is taken", func() bool { return h.node.backend.Counts.ListUpdates > had })
-}
+// waitUntilReusable lets the time pass after which an idle connection to a server may be reused.
+func (h *harness) waitUntilReusable() { h.advance(15 * time.Millisecond) }
 
-// listUpdates counts what discovery has told so far.
+// listUpdates returns how many lists and changes the dispatcher has applied.
 func (h *harness) listUpdates() (count uint64) {
 	h.onLoop(func() { count = h.node.backend.Counts.ListUpdates })
 	return count
 }
 
-// sendList sends a list over a watch and waits until it has been taken.
+// waitForListUpdate waits until the dispatcher has applied more than so many lists and changes.
+func (h *harness) waitForListUpdate(before uint64) {
+	h.t.Helper()
+	h.waitUntil("the list is applied", func() bool { return h.node.backend.Counts.ListUpdates > before })
+}
+
+// sendList sends a list over a watch and waits until the dispatcher has applied it.
 func (h *harness) sendList(watch *scriptedConn, list backend.EndpointList) {
 	h.t.Helper()
-	had := h.listUpdates()
+	before := h.listUpdates()
 	watch.send(chunk(listText(list)))
-	h.waitForListUpdate(had)
+	h.waitForListUpdate(before)
 }
 
-// setDiscovery has the dispatcher look for discovery at another address.
-func (h *harness) setDiscovery(p *scriptedServer) {
+// sendChange is sendList for a change of the list.
+func (h *harness) sendChange(watch *scriptedConn, version int64, endpoints ...backend.Endpoint) {
+	h.t.Helper()
+	h.sendList(watch, backend.EndpointList{Version: version, Endpoints: endpoints})
+}
+
+// setDiscovery reloads the configuration with another address of discovery.
+func (h *harness) setDiscovery(s *scriptedServer) {
 	changed := *h.config
-	changed.Discovery = p.addr
+	changed.Discovery = s.addr
 	h.node.Reload(&changed)
 }
 
-// dialClient has a client connect to the dispatcher; what it sends meanwhile waits.
+// dialClient begins the connection of a client to the dispatcher. The client may send before it is accepted.
 func (h *harness) dialClient() *scriptedConn {
 	h.t.Helper()
 	c := &scriptedConn{h: h}
 	c.loop, _ = h.newEndpoint()
 	c.loop.Post(func() {
 		var err error
-		if c.conn, err = c.loop.Dial(h.node.addr, int64(scriptTimeout), c); err != nil {
+		if c.socket, err = c.loop.Dial(h.node.addr, int64(scriptTimeout), c); err != nil {
 			h.t.Error(err)
 		}
 	})
 	return c
 }
 
-// connectClient connects a client to the dispatcher.
+// connectClient returns a client that is connected to the dispatcher.
 func (h *harness) connectClient() *scriptedConn {
 	h.t.Helper()
 	c := h.dialClient()
@@ -269,41 +286,37 @@
 	return c
 }
 
-// waitForAttempt waits until an attempt is out to a server.
-func (h *harness) waitForAttempt(name string) {
+// waitForAttempt waits until one attempt is in flight to a server.
+func (h *harness) waitForAttempt(server string) {
 	h.t.Helper()
-	h.waitUntil("an attempt is out to "+name, func() bool {
-		out := 0
-		h.node.backend.EachServer(h.loop.Now(), func(v backend.ServerStats) {
-			if v.Name == name {
-				out = v.InFlightAttempts
+	h.waitUntil("an attempt is in flight to "+server, func() bool {
+		inFlight := 0
+		h.node.backend.EachServer(h.loop.Now(), func(stats backend.ServerStats) {
+			if stats.Name == server {
+				inFlight = stats.InFlightAttempts
 			}
 		})
-		return out == 1
+		return inFlight == 1
 	})
 }
 
-// drainingEndpoint gives a server's entry with the state in which it takes nothing new.
-func (h *harness) drainingEndpoint(name string) backend.Endpoint {
-	for _, server := range h.endpoints {
-		if server.ID == name {
-			server.State = "Terminating"
-			return server
+// drainingEndpoint returns the entry of a server with the state in which it takes no new requests.
+func (h *harness) drainingEndpoint(server string) backend.Endpoint {
+	h.t.Helper()
+	for _, endpoint := range h.endpoints {
+		if endpoint.ID == server {
+			endpoint.State = "Terminating"
+			return endpoint
 		}
 	}
-	h.t.Fatalf("no server %q", name)
+	h.t.Fatalf("no server %q", server)
 	return backend.Endpoint{}
 }
 
-// expectRejected asks for something, which no server may be there for.
+// expectRejected sends a request, which must be rejected as no server takes it.
 func (h *harness) expectRejected() {
 	h.t.Helper()
 	client := h.connectClient()
 	client.send(request(requestID(99)))
-	if status := client.expect("\r\n"); !strings.Contains(status, " 503 ") {
-		h.t.Errorf("the client got %q, want 503", status)
-	}
+	client.expectStatus(http.StatusServiceUnavailable)
 }
-
-// waitUntilReusable has time pass in which a connection becomes one that may be used again.
-func (h *harness) waitUntilReusable() { h.advance(15 * time.Millisecond) }
--- a/internal/node/serve_test.go
+++ b/internal/node/serve_test.go
@@ -382,7 +382,7 @@
 			answered := map[*scriptedConn]bool{}
 			return func(r *scriptedRequest) {
 				if answered[r.conn] {
-					r.conn.conn.Close()
+					r.conn.socket.Close()
 					return
 				}
 				answered[r.conn] = true
--- a/internal/node/slow_test.go
+++ b/internal/node/slow_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"net/http"
 	"strings"
 	"testing"
 	"time"
@@ -22,9 +23,7 @@
 	if took := h.elapsedSince(began); took >= 3*time.Second {
 		t.Errorf("the one that sends drop by drop was ended after %v", took)
 	}
-	if status := half.expect("\r\n"); !strings.Contains(status, " 408 ") {
-		t.Errorf("half a request got %q, want 408", status)
-	}
+	half.expectStatus(http.StatusRequestTimeout)
 	half.waitForClose()
 	silent.waitForClose()
 	if took := h.elapsedSince(began); took >= 3*time.Second {
@@ -130,8 +129,8 @@
 	client.waitForClose()
 	client.expectNoInput()
 	watch.waitForClose() // the process has ended
-	if len(prefill.conns) != 1 {
-		t.Errorf("%d connections to the prefill server, want the one of the first request", len(prefill.conns))
+	if len(prefill.newConns) != 1 {
+		t.Errorf("%d connections to the prefill server, want the one of the first request", len(prefill.newConns))
 	}
 }
 
