--- a/internal/decide/admission/golden_test.go
+++ b/internal/decide/admission/golden_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// goldenRuns are runs of random operations with the SHA-256 digests of the decisions taken in them. A change of a digest
-// means that the queue decides differently than before.
+// goldenRuns are runs of random operations with the SHA-256 digests of the decisions taken in them. A change of a
+// digest means that the queue decides differently than before.
 var goldenRuns = []struct {
 	name             string
 	seed             uint64
@@ -18,11 +18,26 @@
 	maxFlows         int // 0 = as many as usual
 	digest           string
 }{
-	{name: "seed 1", seed: 1, clients: 12, sources: 5, digest: "ac4e1db5c314b9e74ec55b108fec1bb9a56ec5ec5a47d37362617516664a49c4"},
-	{name: "seed 2", seed: 2, clients: 12, sources: 5, digest: "31a398bf9272de81c0297fd65b008d7bf2d77af74e7feba5c60f898a574cda7b"},
-	{name: "seed 3", seed: 3, clients: 12, sources: 5, digest: "4d2ac20915b0e5001243ee7a64fc4f4bbad77ad81bb1e6164d22e7f7824e9b10"},
-	{name: "FIFO", seed: 1, fifo: true, clients: 12, sources: 5, digest: "f54eadd17b31c8b8c414ccd949bf62bd2fd898915c46938ec20306c4ead25e79"},
-	{name: "many flows", seed: 1, clients: 60, sources: 200, maxFlows: 20, digest: "76844f915c609f5e334539816bf18a1fea96427cbd10fb37099be1cf7f6fabe8"},
+	{
+		name: "seed 1", seed: 1, clients: 12, sources: 5,
+		digest: "ac4e1db5c314b9e74ec55b108fec1bb9a56ec5ec5a47d37362617516664a49c4",
+	},
+	{
+		name: "seed 2", seed: 2, clients: 12, sources: 5,
+		digest: "31a398bf9272de81c0297fd65b008d7bf2d77af74e7feba5c60f898a574cda7b",
+	},
+	{
+		name: "seed 3", seed: 3, clients: 12, sources: 5,
+		digest: "4d2ac20915b0e5001243ee7a64fc4f4bbad77ad81bb1e6164d22e7f7824e9b10",
+	},
+	{
+		name: "FIFO", seed: 1, fifo: true, clients: 12, sources: 5,
+		digest: "f54eadd17b31c8b8c414ccd949bf62bd2fd898915c46938ec20306c4ead25e79",
+	},
+	{
+		name: "many flows", seed: 1, clients: 60, sources: 200, maxFlows: 20,
+		digest: "76844f915c609f5e334539816bf18a1fea96427cbd10fb37099be1cf7f6fabe8",
+	},
 }
 
 // TestGoldenDecisions checks that the queue still takes the recorded decisions.
--- /dev/null
+++ b/internal/decide/admission/helpers_test.go
@@ -0,0 +1,98 @@
+package admission
+
+import "testing"
+
+const (
+	ms  = Nanos(1e6)
+	sec = Nanos(1e9)
+)
+
+// newQueue returns a queue for maxWaiting requests with the given tenants.
+func newQueue(tb testing.TB, maxWaiting int, tenants ...TenantLimits) *Queue {
+	tb.Helper()
+	q, err := New(Config{
+		MaxWaiting: maxWaiting, MaxKnownClients: 1024, LatencyObjective: sec, Signer: NewTicketSigner([]byte("a key")),
+	})
+	if err != nil {
+		tb.Fatal(err)
+	}
+	setTenants(tb, q, tenants...)
+	return q
+}
+
+func setTenants(tb testing.TB, q *Queue, tenants ...TenantLimits) {
+	tb.Helper()
+	for number, limits := range tenants {
+		if err := q.SetTenant(number, limits); err != nil {
+			tb.Fatal(err)
+		}
+	}
+}
+
+// makeKnown records as many served requests of the clients as make them known.
+func makeKnown(q *Queue, now Nanos, tenant int, clients ...uint64) {
+	for _, client := range clients {
+		for range knownAfter {
+			q.interactive.clients.recordServed(now, tenant, client, 1000*sec)
+		}
+	}
+}
+
+var lastRequestID RequestID
+
+// newRequest returns a request with an ID of its own, no answer tokens and no deadline to speak of.
+func newRequest(tenant int, client uint64, promptTokens int64) Request {
+	lastRequestID++
+	return Request{
+		ID: lastRequestID, Tenant: tenant, Client: client, Source: 1, PromptTokens: promptTokens, LatencyObjective: sec,
+		Deadline: 1 << 60,
+	}
+}
+
+// admitNext admits the next request and returns its ID; 0 if there is none.
+func admitNext(q *Queue, now Nanos) RequestID {
+	id, _ := q.NextAdmissible(now, 0)
+	q.Admit(now, id)
+	return id
+}
+
+// sendNext admits the next request, if there is one, and records that it was sent.
+func sendNext(q *Queue, now Nanos) {
+	if id, ok := q.NextAdmissible(0, 0); ok {
+		q.RecordSent(now, q.interactive.requests[id].Request)
+		q.Admit(now, id)
+	}
+}
+
+// rejectExpired rejects the requests for which it is too late.
+func rejectExpired(q *Queue, now Nanos) {
+	for id, ok := q.NextExpired(now); ok; id, ok = q.NextExpired(now) {
+		q.Reject(now, id, TooLate)
+	}
+}
+
+// fleet serves requests at once, at a limited throughput.
+type fleet struct {
+	queue  *Queue
+	credit float64                      // cost that may be served now
+	served func(id RequestID, at Nanos) // called for each request
+}
+
+// serve admits and serves requests of costPerMS in each millisecond.
+func (f *fleet) serve(from, to Nanos, costPerMS float64) {
+	for now := from; now < to; now += ms {
+		f.credit = min(f.credit+costPerMS, 10*costPerMS)
+		for f.credit > 0 {
+			id, ok := f.queue.NextAdmissible(0, 0)
+			if !ok {
+				break
+			}
+			request := f.queue.interactive.requests[id].Request
+			f.credit -= EstimatedCost(request.PromptTokens, request.MaxAnswerTokens)
+			f.queue.RecordSent(now, request)
+			f.queue.Admit(now, id)
+			f.queue.RecordFinished(now, request, Result{Served: true})
+			f.served(id, now)
+		}
+	}
+}
