--- a/internal/decide/admission/displacement.go
+++ b/internal/decide/admission/displacement.go
@@ -59,6 +59,7 @@
 	q.remove(now, w)
 }
 
+// popDisplaced returns the displaced request that was first, and whether there is one.
 func (q *fairQueue) popDisplaced(now Nanos) (RequestID, RetryAdvice, bool) {
 	if len(q.displacedRequests) == 0 {
 		return 0, RetryAdvice{}, false
--- a/internal/decide/admission/fairqueue.go
+++ b/internal/decide/admission/fairqueue.go
@@ -96,6 +96,7 @@
 	return now + Nanos(maxWaitPart*float64(min(request.LatencyObjective, request.Deadline-now)))
 }
 
+// enqueue adds a request, or rejects it and returns when its client should retry.
 func (q *fairQueue) enqueue(now Nanos, request *Request) (Verdict, RetryAdvice) {
 	t := q.tenant(request.Tenant)
 	if t == nil {
@@ -173,6 +174,7 @@
 	return max(places, 1)
 }
 
+// insert adds a request that may wait.
 func (q *fairQueue) insert(now Nanos, t *tenant, request pricedRequest, reserved bool) {
 	f := q.findOrAddFlow(now, t, request.Request)
 	w := q.newQueuedRequest()
@@ -232,6 +234,7 @@
 	return w
 }
 
+// nextSequence returns the sequence number of a new request or flow, by which ties are broken.
 func (q *fairQueue) nextSequence() uint64 {
 	q.lastSequence++
 	return q.lastSequence
@@ -263,6 +266,7 @@
 	return wait, true
 }
 
+// recordFinished records the end of an admitted request; see Queue.RecordFinished.
 func (q *fairQueue) recordFinished(now Nanos, request *Request, result Result) {
 	t := q.tenant(request.Tenant)
 	if t == nil {
--- a/internal/decide/admission/queue.go
+++ b/internal/decide/admission/queue.go
@@ -15,9 +15,9 @@
 	// unsentIncrease is how much the limit of unsent requests grows with each one sent. A request that could not be sent
 	// halves it, so many attempts make up for one rejection.
 	unsentIncrease = 1.0 / 8
-	// unsentPatience is the time that an unsent request keeps others from being admitted, as a part of the latency
+	// unsentGracePart is how long an unsent request keeps others from being admitted, as a part of the latency
 	// objective: half of the time for which the policy module lets a request wait.
-	unsentPatience = 1.0 / 16
+	unsentGracePart = 1.0 / 16
 	// overloadPart is the part of the latency objective that one iteration of the event loop may take: a request needs
 	// several of them.
 	overloadPart = 1.0 / 8
@@ -110,8 +110,8 @@
 	return q.interactive
 }
 
-// queueOf returns the queue in which a request waits; the interactive one if it does not wait.
-func (q *Queue) queueOf(id RequestID) *fairQueue {
+// queueHolding returns the queue in which a request waits; the interactive one if it does not wait.
+func (q *Queue) queueHolding(id RequestID) *fairQueue {
 	if q.background.contains(id) {
 		return q.background
 	}
@@ -135,7 +135,7 @@
 func (q *Queue) CanAdmit(unsentAges []Nanos) bool {
 	fresh := 0
 	for _, age := range unsentAges {
-		if age <= Nanos(unsentPatience*float64(q.latencyObjective)) {
+		if age <= Nanos(unsentGracePart*float64(q.latencyObjective)) {
 			fresh++
 		}
 	}
@@ -157,7 +157,7 @@
 
 // Admit removes a request that NextAdmissible returned from the queue.
 func (q *Queue) Admit(now Nanos, id RequestID) {
-	queue := q.queueOf(id)
+	queue := q.queueHolding(id)
 	wait, admitted := queue.admit(now, id)
 	switch {
 	case !admitted:
@@ -206,7 +206,7 @@
 // Cancel removes a request whose client has left or whose time is up. It reports whether the request was waiting. A
 // request that was displaced is not returned by PopDisplaced any more.
 func (q *Queue) Cancel(now Nanos, id RequestID) bool {
-	if q.queueOf(id).cancel(now, id) {
+	if q.queueHolding(id).cancel(now, id) {
 		return true
 	}
 	q.background.dropDisplaced(id)
@@ -255,7 +255,7 @@
 	if q.interactive.contains(id) {
 		q.backgroundLimiter.ObserveRejection(now)
 	}
-	return q.queueOf(id).reject(now, id, reason)
+	return q.queueHolding(id).reject(now, id, reason)
 }
 
 // ReserveRetry returns when the client of a request that was admitted and then rejected by the policy module should
--- a/internal/decide/admission/tenant.go
+++ b/internal/decide/admission/tenant.go
@@ -111,6 +111,7 @@
 	return nil
 }
 
+// refillTokens adds the tokens for the time that has passed.
 func (t *tenant) refillTokens(now Nanos) {
 	if t.RequestsPerSecond > 0 {
 		refill := float64(now-t.refilledAt) / nanosPerSecond * t.RequestsPerSecond
