--- a/internal/eventloop/conn_io.go
+++ b/internal/eventloop/conn_io.go
@@ -95,7 +95,7 @@
 	return true
 }
 
-// peerHalfClosed notes the end of the peer's half and tells the handler.
+// peerHalfClosed records the end of the peer's half and notifies the handler.
 func (c *Conn) peerHalfClosed() {
 	c.readOpen = false
 	c.updateInterest()
--- a/internal/eventloop/dial.go
+++ b/internal/eventloop/dial.go
@@ -81,7 +81,7 @@
 	c.notifyOpened()
 }
 
-// notifyOpened tells the handler of a dialed connection that it is made, and queues what was written meanwhile.
+// notifyOpened notifies the handler of a dialed connection that it is made, and queues the output written meanwhile.
 func (c *Conn) notifyOpened() {
 	c.handler.Opened(c.loop.now)
 	if c.fd >= 0 {
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -47,7 +47,7 @@
 	stopped atomic.Bool
 
 	flushQueue   []*Conn // connections with output or a close to carry out
-	closedConns  []*Conn // connections whose handlers have not been told of their end
+	closedConns  []*Conn // ended connections whose handlers are not notified yet
 	readBuffer   []byte
 	buffers      bufferPool
 	skipNextWait bool
--- a/internal/eventloop/simulated_conn.go
+++ b/internal/eventloop/simulated_conn.go
@@ -23,8 +23,8 @@
 	tap               Tap
 }
 
-// SimulatedID returns a number that tells the connections of a SimulatedNetwork apart. It ascends in the order in which
-// they are made.
+// SimulatedID returns the identifier of a connection of a SimulatedNetwork. It ascends in the order in which connections
+// are made.
 func (c *Conn) SimulatedID() uint64 { return c.sim.id }
 
 func (l *Loop) newSimulatedConn() *Conn {
@@ -103,7 +103,7 @@
 	c.deliver(p)
 }
 
-// handlePeerClosed tells the handler of the peer's end, or resets a connection whose handler has unread input.
+// handlePeerClosed notifies the handler of the peer's end, or resets a connection with unread input.
 func (c *Conn) handlePeerClosed() {
 	if c.fd < 0 || !c.readOpen {
 		return
--- a/internal/eventloop/simulated_event.go
+++ b/internal/eventloop/simulated_event.go
@@ -8,7 +8,7 @@
 const (
 	eventTimersDue    eventKind = iota // a timer is due, or the loop has to iterate again
 	eventCall                          // callback is to be called
-	eventDial                          // conn, of another loop, wants to reach this loop's listener
+	eventDial                          // conn, of another loop, dials this loop's listener
 	eventDialAccepted                  // conn's dial was accepted
 	eventDialRefused                   // conn's dial was refused
 	eventData                          // data has arrived for conn
--- a/internal/h2/conn.go
+++ b/internal/h2/conn.go
@@ -32,7 +32,7 @@
 const http1Response = "HTTP/1.1 400 Bad Request\r\nConnection: close\r\nContent-Type: text/plain\r\n" +
 	"\r\nthis port speaks gRPC over HTTP/2\n"
 
-// The data of the pings that this end sends tells their acknowledgements apart.
+// The data of the pings that this end sends, by which their acknowledgements differ.
 var (
 	drainPingData     = [8]byte{'d', 'r', 'a', 'i', 'n'}
 	keepalivePingData = [8]byte{'a', 'l', 'i', 'v', 'e'}
@@ -64,7 +64,7 @@
 	lastPeerStreamID uint32    // the highest stream that the peer has opened
 	peerResetCount   uint64
 
-	sendQueue    []*Stream // streams whose output waits for a window or for the socket, in the order of their turns
+	sendQueue    []*Stream // streams whose output waits for a window or for the socket, first come first served
 	flushing     bool      // flushStreams is running
 	outputPaused bool
 	sendWindow   int64 // bytes that this end may send on all streams together
@@ -242,7 +242,7 @@
 	}
 }
 
-// Ping asks the peer for a sign of life, which Handler.PingAcked reports.
+// Ping sends a keepalive ping. Handler.PingAcked reports its acknowledgement.
 func (c *Conn) Ping() {
 	if c.err == nil {
 		c.frames.writePing(false, keepalivePingData)
--- a/internal/h2/errors.go
+++ b/internal/h2/errors.go
@@ -84,7 +84,7 @@
 	}
 }
 
-// fail ends the connection and tells the peer why.
+// fail ends the connection and sends the reason to the peer.
 func (c *Conn) fail(err connectionError) {
 	if c.err == nil {
 		c.frames.writeGoAway(c.lastPeerStreamID, err.code, []byte(err.reason))
--- a/internal/h2/faults_test.go
+++ b/internal/h2/faults_test.go
@@ -59,7 +59,7 @@
 				p.frames.WriteData(1, false, append([]byte{0, 0, 0, chunk >> 8, chunk & 0xff}, make([]byte, chunk)...))
 			}
 		}, noErrCode, http2.ErrCodeFlowControl, ""},
-		{"length told and not kept", func(p *scriptedPeer) {
+		{"content length exceeded", func(p *scriptedPeer) {
 			p.headers(1, p.encodeRequest("content-length", "3"), false)
 			p.frames.WriteData(1, false, []byte{0, 0, 0, 0, 1, 7})
 		}, noErrCode, http2.ErrCodeProtocol, ""},
@@ -134,7 +134,7 @@
 	}
 }
 
-// A client that speaks HTTP/1 is told so in HTTP/1.
+// A client that speaks HTTP/1 receives an HTTP/1 response that names the fault.
 func TestHTTP1ClientIsAnsweredInHTTP1(t *testing.T) {
 	p := newScriptedClient(t)
 	err := p.conn.Feed(1, []byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"))
--- a/internal/h2/receive_data.go
+++ b/internal/h2/receive_data.go
@@ -71,19 +71,19 @@
 	return s.receivedBytes < s.contentLength && !ended || s.receivedBytes == s.contentLength
 }
 
-// receiveMessages cuts content of the stream into messages and passes them to the Handler. It reports whether the
-// stream goes on: it does not if the Handler has ended it or a message was rejected.
+// receiveMessages cuts content of the stream into messages and passes them to the Handler. It returns false if the
+// Handler has ended the stream or a message was rejected.
 func (s *Stream) receiveMessages(p []byte) bool {
 	for len(p) > 0 {
 		var n int
-		var goesOn bool
+		var ok bool
 		if len(s.partialMessage) == 0 && s.hasCompleteMessage(p) { // no copy
 			n = messagePrefixBytes + int(messageLength(p))
-			goesOn = s.deliverMessage(p[:n], 0)
+			ok = s.deliverMessage(p[:n], 0)
 		} else {
-			n, goesOn = s.receivePart(p)
+			n, ok = s.receivePart(p)
 		}
-		if !goesOn {
+		if !ok {
 			return false
 		}
 		p = p[n:]
@@ -101,8 +101,8 @@
 }
 
 // receivePart adds the beginning of p to the partial message, up to the end of the message or of its prefix. A message
-// that is complete is delivered. It returns how many bytes it took and whether the stream goes on.
-func (s *Stream) receivePart(p []byte) (n int, goesOn bool) {
+// that is complete is delivered. It returns how many bytes it took; ok is false as in receiveMessages.
+func (s *Stream) receivePart(p []byte) (n int, ok bool) {
 	want := messagePrefixBytes
 	if len(s.partialMessage) >= messagePrefixBytes {
 		want += int(messageLength(s.partialMessage))
@@ -139,7 +139,7 @@
 }
 
 // deliverPartialMessage delivers the partial message, which is now complete; its last n bytes are not credited yet. It
-// reports whether the stream goes on.
+// returns false as receiveMessages does.
 func (s *Stream) deliverPartialMessage(n int) bool {
 	message := s.partialMessage
 	ahead := int64(len(message) - n)
@@ -156,7 +156,7 @@
 }
 
 // deliverMessage passes a message, with its prefix, to the Handler. credited says how many of its bytes have been
-// credited to the peer already. It reports whether the stream goes on.
+// credited to the peer already. It returns false as receiveMessages does.
 func (s *Stream) deliverMessage(p []byte, credited int64) bool {
 	if p[0] != 0 {
 		s.rejectMessage(codes.Unimplemented, "compressed message: this end takes none")
--- a/internal/h2/send.go
+++ b/internal/h2/send.go
@@ -20,7 +20,7 @@
 	c.encodeField(":authority", authority)
 	c.encodeField("content-type", grpcContentType)
 	c.encodeField("te", "trailers")
-	if timeoutNanos > 0 { // each one differs, so it must not enter the table of compression: Sensitive
+	if timeoutNanos > 0 { // Sensitive keeps it out of the compression table: few timeouts are equal
 		timeout := hpack.HeaderField{Name: "grpc-timeout", Value: FormatTimeout(timeoutNanos), Sensitive: true}
 		c.encodeFields(timeout)
 	}
@@ -178,7 +178,7 @@
 	}
 }
 
-// flushStreams sends waiting output as far as the windows and the socket allow, one frame of each stream in turn.
+// flushStreams sends waiting output as far as the windows and the socket allow, one frame a stream, round-robin.
 func (c *Conn) flushStreams() {
 	if c.flushing { // called by the Handler from inside the loop below, which goes on
 		return
