--- a/internal/eventloop/simulated_conn.go
+++ b/internal/eventloop/simulated_conn.go
@@ -23,8 +23,8 @@
 	tap               Tap
 }
 
-// SimulatedID returns the identifier of a connection of a SimulatedNetwork. It ascends in the order in which connections
-// are made.
+// SimulatedID returns the identifier of a connection of a SimulatedNetwork. It ascends in the order in which
+// connections are made.
 func (c *Conn) SimulatedID() uint64 { return c.sim.id }
 
 func (l *Loop) newSimulatedConn() *Conn {
--- a/internal/h2/receive_data.go
+++ b/internal/h2/receive_data.go
@@ -65,7 +65,7 @@
 // addReceivedBytes counts the bytes of the stream's content. It reports whether they agree with the content length.
 func (s *Stream) addReceivedBytes(n int, ended bool) bool {
 	s.receivedBytes += int64(n)
-	if s.contentLength < 0 {
+	if s.contentLength < 0 { // unknown; a negative number in the request counts as none
 		return true
 	}
 	return s.receivedBytes < s.contentLength && !ended || s.receivedBytes == s.contentLength
