--- a/internal/eventloop/simulated_network.go
+++ b/internal/eventloop/simulated_network.go
@@ -1,8 +1,9 @@
 package eventloop
 
 import (
-	"docksail/internal/indexedheap"
 	"net/netip"
+
+	"docksail/internal/indexedheap"
 )
 
 // firstEphemeralPort is the port below the first one that a listener on port 0 is given.
--- a/internal/h2/conn.go
+++ b/internal/h2/conn.go
@@ -8,11 +8,12 @@
 
 import (
 	"bytes"
-	"docksail/internal/decide/abuse"
 	"io"
 
 	"golang.org/x/net/http2"
 	"golang.org/x/net/http2/hpack"
+
+	"docksail/internal/decide/abuse"
 )
 
 const (
--- a/internal/h2/errors.go
+++ b/internal/h2/errors.go
@@ -1,12 +1,13 @@
 package h2
 
 import (
-	"docksail/internal/decide/abuse"
 	"errors"
 	"fmt"
 	"io"
 
 	"golang.org/x/net/http2"
+
+	"docksail/internal/decide/abuse"
 )
 
 // errNoPreface ends a connection whose client does not speak HTTP/2.
--- a/internal/h2/receive_data.go
+++ b/internal/h2/receive_data.go
@@ -1,11 +1,12 @@
 package h2
 
 import (
-	"docksail/internal/decide/abuse"
 	"strconv"
 
 	"golang.org/x/net/http2"
 	"google.golang.org/grpc/codes"
+
+	"docksail/internal/decide/abuse"
 )
 
 // maxKeptMessageBytes is how large a buffer for partial messages may be to be used again.
--- a/internal/h2/receive_frames.go
+++ b/internal/h2/receive_frames.go
@@ -1,9 +1,9 @@
 package h2
 
 import (
-	"docksail/internal/decide/abuse"
-
 	"golang.org/x/net/http2"
+
+	"docksail/internal/decide/abuse"
 )
 
 // handleFrame handles one frame of the peer. It returns an http2.StreamError to reset one stream, and any other error
--- a/internal/h2/receive_headers.go
+++ b/internal/h2/receive_headers.go
@@ -1,13 +1,14 @@
 package h2
 
 import (
-	"docksail/internal/decide/abuse"
 	"strconv"
 	"strings"
 
 	"golang.org/x/net/http2"
 	"golang.org/x/net/http2/hpack"
 	"google.golang.org/grpc/codes"
+
+	"docksail/internal/decide/abuse"
 )
 
 const (
