--- a/internal/backend/grpc/server.go
+++ b/internal/backend/grpc/server.go
@@ -24,7 +24,7 @@
 	lostLastConn bool // the last connection was lost or could not be made
 }
 
-// update takes over the entry of the server in the endpoint list.
+// update applies the entry of the server in the endpoint list.
 func (s *server) update(now eventloop.Nanos, endpoint *endpointlist.Endpoint) {
 	s.role = endpoint.Role
 	if s.addr != endpoint.Address {
--- a/internal/dispatch/admission.go
+++ b/internal/dispatch/admission.go
@@ -35,7 +35,7 @@
 	// policyRejection returns the answer for a request that the module rejects, with the delay that the module asks for.
 	policyRejection(now eventloop.Nanos, req *Request, retryAfter int64) frontend.RejectionError
 
-	// addStatus fills in what concerns the queue.
+	// addStatus sets the fields about the queue.
 	addStatus(status *Status)
 	tenantStatuses() []TenantStatus
 	setTenantLimits(tenants []Tenant) error
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -15,7 +15,7 @@
 	inflight.RequestState
 	Message
 	AttemptInfo
-	// BackendState is what the backend keeps with the record. Of a record that is used again it is reset, not removed.
+	// BackendState is what the backend keeps with the record. It is reset, not removed, when the record is used again.
 	BackendState BackendState
 
 	dispatcher *Dispatcher
@@ -31,7 +31,7 @@
 	ClientRequestID  []byte // the client's own name for the request
 	Path             []byte // the path that the client used
 	Header           []byte // header fields, as lines
-	PreviousAttempts uint32 // attempts by other dispatchers, as far as the client tells
+	PreviousAttempts uint32 // earlier attempts of the client, as it tells
 	TraceParent      string
 }
 
@@ -51,7 +51,7 @@
 	mayHaveRun  bool            // a decode attempt was sent
 }
 
-// clientState is what concerns the client and its answer.
+// clientState is the client's side of a request: its call and the answer so far.
 type clientState struct {
 	response        frontend.ResponseWriter // nil once the request is answered
 	class           policy.ClassID
@@ -59,7 +59,7 @@
 	callDeadline    eventloop.Nanos // end of the call as the client set it; 0 = none
 	firstTokenAt    eventloop.Nanos // 0 = the answer has not begun
 	lastTokenAt     eventloop.Nanos
-	heldBackBytes   int // bytes of the answer for which the server gets no credit until the client takes them
+	heldBackBytes   int // bytes of the answer that the client has to take before the server gets credit for them
 	relayedMessages int64
 }
 
--- a/internal/dispatch/status.go
+++ b/internal/dispatch/status.go
@@ -26,7 +26,7 @@
 // InFlight returns the number of requests in flight.
 func (d *Dispatcher) InFlight() int { return d.requests.Len() }
 
-// Status returns the current state. Without an admission queue what concerns the queue is 0.
+// Status returns the current state. Without an admission queue the fields about the queue are 0.
 func (d *Dispatcher) Status() Status {
 	status := Status{InFlight: d.requests.Len(), ClientConns: d.frontend.ConnCount(), Counts: d.Counts}
 	d.admission.addStatus(&status)
