--- a/cmd/docksail/serve.go
+++ b/cmd/docksail/serve.go
@@ -3,10 +3,6 @@
 import (
 	"cmp"
 	"context"
-	"docksail/internal/asynclog"
-	"docksail/internal/config"
-	"docksail/internal/decide/admission"
-	"docksail/internal/grpcnode"
 	"encoding/json"
 	"fmt"
 	"io"
@@ -18,6 +14,12 @@
 	"time"
 
 	"github.com/spf13/cobra"
+
+	"docksail/internal/asynclog"
+	"docksail/internal/batchservice"
+	"docksail/internal/config"
+	"docksail/internal/decide/admission"
+	"docksail/internal/grpcnode"
 )
 
 func serveCommand() *cobra.Command {
@@ -48,12 +50,12 @@
 			}
 			log.Info("serving", "at", r.Addr, "zone", s.Zone, "number", s.Index, "of", s.Count)
 			if s.Batch.Listen.IsValid() {
-				stop, err := startBatches(ctx, s, r.Addr, log)
+				batches, err := batchservice.Start(ctx, s, r.Addr, log)
 				if err != nil {
 					r.Kill()
 					return err
 				}
-				defer stop()
+				defer batches.Stop()
 			}
 			signals := make(chan os.Signal, 2)
 			signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
--- a/internal/backend/grpc/backend.go
+++ b/internal/backend/grpc/backend.go
@@ -6,13 +6,14 @@
 package grpc
 
 import (
+	"log/slog"
+
 	"docksail/internal/decide/keepalive"
 	"docksail/internal/dispatch"
 	"docksail/internal/eventloop"
 	"docksail/internal/h2"
 	"docksail/internal/state/endpointlist"
 	"docksail/policy"
-	"log/slog"
 )
 
 const (
--- a/internal/backend/grpc/discovery.go
+++ b/internal/backend/grpc/discovery.go
@@ -1,16 +1,17 @@
 package grpc
 
 import (
-	"docksail/internal/dispatch"
-	"docksail/internal/eventloop"
-	"docksail/internal/h2"
-	"docksail/internal/state/endpointlist"
-	"docksail/policy"
 	"errors"
 	"log/slog"
 	"net/netip"
 	"os"
 	"time"
+
+	"docksail/internal/dispatch"
+	"docksail/internal/eventloop"
+	"docksail/internal/h2"
+	"docksail/internal/state/endpointlist"
+	"docksail/policy"
 )
 
 // checksPerRetryInterval is how often in a retry interval the file is checked or a silent discovery server is.
@@ -84,7 +85,7 @@
 // apply applies an update of the list and reports what it changes.
 func (w *endpointWatcher) apply(now eventloop.Nanos, version uint64, full bool, endpoints []endpointlist.Endpoint,
 ) error {
-	changed, err := w.backend.list.Apply(version, full, endpoints)
+	changed, err := w.backend.list.Apply(endpointlist.Update{Version: version, Full: full, Endpoints: endpoints})
 	if err != nil {
 		return err
 	}
--- a/internal/backend/grpc/encode.go
+++ b/internal/backend/grpc/encode.go
@@ -1,10 +1,11 @@
 package grpc
 
 import (
+	"strconv"
+
 	"docksail/internal/dispatch"
 	"docksail/internal/eventloop"
 	"docksail/policy"
-	"strconv"
 
 	"golang.org/x/net/http2/hpack"
 	"google.golang.org/protobuf/encoding/protowire"
--- a/internal/backend/grpc/encode_test.go
+++ b/internal/backend/grpc/encode_test.go
@@ -2,10 +2,11 @@
 
 import (
 	"bytes"
+	"testing"
+
 	"docksail/internal/decide/inflight"
 	"docksail/internal/dispatch"
 	"docksail/policy"
-	"testing"
 
 	"google.golang.org/protobuf/proto"
 
@@ -45,7 +46,10 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				if _, err := req.EndAttempt(60, number, policy.Prefilled, holder, inflight.Acknowledged, true); err != nil {
+				result := inflight.AttemptResult{
+					Outcome: policy.Prefilled, Server: holder, State: inflight.Acknowledged, MayHaveBeenReceived: true,
+				}
+				if _, err := req.EndAttempt(60, number, result); err != nil {
 					t.Fatal(err)
 				}
 			}
--- a/internal/backend/grpc/listfile.go
+++ b/internal/backend/grpc/listfile.go
@@ -1,11 +1,12 @@
 package grpc
 
 import (
+	"os"
+	"time"
+
 	"docksail/internal/config"
 	"docksail/internal/eventloop"
 	"docksail/internal/state/endpointlist"
-	"os"
-	"time"
 )
 
 // listFile is what was read from the file with the endpoint list.
--- a/internal/backend/grpc/load.go
+++ b/internal/backend/grpc/load.go
@@ -1,11 +1,12 @@
 package grpc
 
 import (
-	"docksail/internal/h2"
-	"docksail/policy"
 	"encoding/base64"
 	"strings"
 
+	"docksail/internal/h2"
+	"docksail/policy"
+
 	orca "github.com/cncf/xds/go/xds/data/orca/v3"
 	"google.golang.org/protobuf/proto"
 )
--- a/internal/backend/grpc/release_test.go
+++ b/internal/backend/grpc/release_test.go
@@ -1,11 +1,12 @@
 package grpc
 
 import (
-	"docksail/internal/dispatch"
-	"docksail/internal/h2"
 	"log/slog"
 	"testing"
 
+	"docksail/internal/dispatch"
+	"docksail/internal/h2"
+
 	"google.golang.org/grpc/codes"
 )
 
--- a/internal/backend/grpc/server.go
+++ b/internal/backend/grpc/server.go
@@ -1,13 +1,14 @@
 package grpc
 
 import (
+	"net/netip"
+	"slices"
+
 	"docksail/internal/decide/keepalive"
 	"docksail/internal/eventloop"
 	"docksail/internal/h2"
 	"docksail/internal/state/endpointlist"
 	"docksail/policy"
-	"net/netip"
-	"slices"
 )
 
 // server is an engine of the endpoint list and the connections to it.
@@ -55,14 +56,15 @@
 	for _, c := range s.conns {
 		b.statuses = append(b.statuses, c.status())
 	}
-	i, dial, none := keepalive.SelectConn(b.statuses)
-	switch {
-	case none:
-		return nil
-	case dial:
+	choice, index := keepalive.SelectConn(b.statuses)
+	switch choice {
+	case keepalive.UseConn:
+		return s.conns[index]
+	case keepalive.DialConn:
 		return s.dial(now)
+	case keepalive.NoConn:
 	}
-	return s.conns[i]
+	return nil
 }
 
 // dial begins to connect to the server. It returns nil if no socket can be had.
--- a/internal/backend/grpc/watch.go
+++ b/internal/backend/grpc/watch.go
@@ -1,13 +1,14 @@
 package grpc
 
 import (
+	"fmt"
+	"net/netip"
+
 	"docksail/internal/decide/keepalive"
 	"docksail/internal/eventloop"
 	"docksail/internal/h2"
 	"docksail/internal/state/endpointlist"
 	"docksail/policy"
-	"fmt"
-	"net/netip"
 
 	"golang.org/x/net/http2"
 	"google.golang.org/grpc/codes"
--- a/internal/dispatch/attempts.go
+++ b/internal/dispatch/attempts.go
@@ -115,9 +115,11 @@
 	}
 	d.loop.CancelTimer(&req.attemptTimer)
 	attempt, state := req.attempt, req.deliveryState()
-	mayHaveArrived := attempt != nil && attempt.Finish(now)
+	mayHaveBeenReceived := attempt != nil && attempt.Finish(now)
 	req.attempt, req.heldBackBytes = nil, 0
-	end, err := req.EndAttempt(now, number, outcome, req.Server, state, mayHaveArrived)
+	end, err := req.EndAttempt(now, number, inflight.AttemptResult{
+		Outcome: outcome, Server: req.Server, State: state, MayHaveBeenReceived: mayHaveBeenReceived,
+	})
 	if err != nil {
 		d.Counts.InvalidDecisions++
 		d.log.Error("invalid end of an attempt", "request_id", req.logID(), "attempt", number, "error", err)
--- a/internal/dispatch/queuedadmission.go
+++ b/internal/dispatch/queuedadmission.go
@@ -77,10 +77,13 @@
 		a.signer = admission.NewTicketSigner(keys[:ticketKeyBytes])
 	}
 	var err error
-	if a.queue, err = admission.New(config.MaxWaiting, config.MaxClients, target, a.signer); err != nil {
+	a.queue, err = admission.New(admission.Config{
+		MaxWaiting: config.MaxWaiting, MaxKnownClients: config.MaxClients, LatencyObjective: target,
+		Signer: a.signer, FIFO: config.FIFO,
+	})
+	if err != nil {
 		return nil, err
 	}
-	a.queue.FIFO = config.FIFO
 	for i, tenant := range a.tenants {
 		if err := a.queue.SetTenant(i, tenant.Limits); err != nil {
 			return nil, err
@@ -258,7 +261,8 @@
 		return
 	}
 	req.isAdmitted = false
-	a.queue.RecordFinished(a.dispatcher.loop.Now(), req.queueRequest, served, req.relayedMessages)
+	result := admission.Result{Served: served, AnswerTokens: req.relayedMessages}
+	a.queue.RecordFinished(a.dispatcher.loop.Now(), req.queueRequest, result)
 	if i := a.unsentIndex(req.ID); i >= 0 {
 		a.unsent = slices.Delete(a.unsent, i, i+1)
 	}
@@ -271,8 +275,8 @@
 func (a *queuedAdmission) addStatus(status *Status) {
 	status.Waiting, status.Flows = a.queue.Waiting(), a.queue.FlowCount()
 	status.BackgroundWaiting = a.queue.BackgroundWaiting()
-	status.BackgroundInFlight = a.queue.BackgroundLimiter.InFlight()
-	status.BackgroundLimit = a.queue.BackgroundLimiter.Limit()
+	status.BackgroundInFlight = a.queue.BackgroundInFlight()
+	status.BackgroundLimit = a.queue.BackgroundLimit()
 }
 
 func (a *queuedAdmission) tenantStatuses() []TenantStatus {
