--- a/internal/backend/grpc/attempt.go
+++ b/internal/backend/grpc/attempt.go
@@ -1,12 +1,12 @@
 package grpc
 
 import (
+	"golang.org/x/net/http2"
+
 	"docksail/internal/decide/inflight"
 	"docksail/internal/dispatch"
 	"docksail/internal/eventloop"
 	"docksail/internal/h2"
-
-	"golang.org/x/net/http2"
 )
 
 // attempt is the attempt of a request at an engine. It is kept with the request's record and used again, for the
--- a/internal/backend/grpc/encode.go
+++ b/internal/backend/grpc/encode.go
@@ -3,12 +3,12 @@
 import (
 	"strconv"
 
+	"golang.org/x/net/http2/hpack"
+	"google.golang.org/protobuf/encoding/protowire"
+
 	"docksail/internal/dispatch"
 	"docksail/internal/eventloop"
 	"docksail/policy"
-
-	"golang.org/x/net/http2/hpack"
-	"google.golang.org/protobuf/encoding/protowire"
 )
 
 // Field numbers of docksail.v1.Launch. Those of the attempt's identity are the same in docksail.v1.ReleaseRequest.
--- a/internal/backend/grpc/encode_test.go
+++ b/internal/backend/grpc/encode_test.go
@@ -4,13 +4,12 @@
 	"bytes"
 	"testing"
 
-	"docksail/internal/decide/inflight"
-	"docksail/internal/dispatch"
-	"docksail/policy"
-
 	"google.golang.org/protobuf/proto"
 
 	pb "docksail/api/docksail/v1"
+	"docksail/internal/decide/inflight"
+	"docksail/internal/dispatch"
+	"docksail/policy"
 )
 
 // The messages that are put together field by field are those that protobuf marshals.
--- a/internal/backend/grpc/load.go
+++ b/internal/backend/grpc/load.go
@@ -4,11 +4,11 @@
 	"encoding/base64"
 	"strings"
 
-	"docksail/internal/h2"
-	"docksail/policy"
-
 	orca "github.com/cncf/xds/go/xds/data/orca/v3"
 	"google.golang.org/protobuf/proto"
+
+	"docksail/internal/h2"
+	"docksail/policy"
 )
 
 // Names of the load report in trailers and of the metrics in it.
--- a/internal/backend/grpc/release.go
+++ b/internal/backend/grpc/release.go
@@ -1,11 +1,11 @@
 package grpc
 
 import (
+	"google.golang.org/grpc/codes"
+
 	"docksail/internal/decide/keepalive"
 	"docksail/internal/eventloop"
 	"docksail/policy"
-
-	"google.golang.org/grpc/codes"
 )
 
 // pendingRelease is a release of the KV state that an attempt left at a server.
--- a/internal/backend/grpc/release_test.go
+++ b/internal/backend/grpc/release_test.go
@@ -4,10 +4,10 @@
 	"log/slog"
 	"testing"
 
+	"google.golang.org/grpc/codes"
+
 	"docksail/internal/dispatch"
 	"docksail/internal/h2"
-
-	"google.golang.org/grpc/codes"
 )
 
 // A release that an engine answers with an error is counted as lost, one that it takes is not.
--- a/internal/backend/grpc/stream.go
+++ b/internal/backend/grpc/stream.go
@@ -1,13 +1,13 @@
 package grpc
 
 import (
+	"golang.org/x/net/http2"
+	"google.golang.org/grpc/codes"
+
 	"docksail/internal/dispatch"
 	"docksail/internal/eventloop"
 	"docksail/internal/h2"
 	"docksail/policy"
-
-	"golang.org/x/net/http2"
-	"google.golang.org/grpc/codes"
 )
 
 // messageHeaderBytes precede each message on a gRPC stream.
--- a/internal/backend/grpc/watch.go
+++ b/internal/backend/grpc/watch.go
@@ -4,17 +4,16 @@
 	"fmt"
 	"net/netip"
 
-	"docksail/internal/decide/keepalive"
-	"docksail/internal/eventloop"
-	"docksail/internal/h2"
-	"docksail/internal/state/endpointlist"
-	"docksail/policy"
-
 	"golang.org/x/net/http2"
 	"google.golang.org/grpc/codes"
 	"google.golang.org/protobuf/proto"
 
 	pb "docksail/api/docksail/v1"
+	"docksail/internal/decide/keepalive"
+	"docksail/internal/eventloop"
+	"docksail/internal/h2"
+	"docksail/internal/state/endpointlist"
+	"docksail/policy"
 )
 
 // connect opens the watch on the discovery server, unless there is one. The loss of the watch is reported to the
--- a/internal/dispatch/backend.go
+++ b/internal/dispatch/backend.go
@@ -1,10 +1,11 @@
 package dispatch
 
 import (
+	"net/netip"
+
 	"docksail/internal/decide/inflight"
 	"docksail/internal/eventloop"
 	"docksail/policy"
-	"net/netip"
 )
 
 // Frontend accepts clients. It hands their requests to the dispatcher by Submit and is answered by the
--- a/internal/dispatch/deadline_test.go
+++ b/internal/dispatch/deadline_test.go
@@ -1,12 +1,13 @@
 package dispatch
 
 import (
+	"log/slog"
+	"testing"
+
 	"docksail/internal/decide/intake"
 	"docksail/internal/eventloop"
 	"docksail/internal/frontend"
 	"docksail/policy"
-	"log/slog"
-	"testing"
 )
 
 // A request that the module forgets has its final answer by the dispatcher's own deadline, within half a second of its
--- a/internal/dispatch/decisions.go
+++ b/internal/dispatch/decisions.go
@@ -1,9 +1,10 @@
 package dispatch
 
 import (
+	"fmt"
+
 	"docksail/internal/eventloop"
 	"docksail/policy"
-	"fmt"
 )
 
 // execute carries out a decision of the module.
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -9,14 +9,15 @@
 
 import (
 	"context"
-	"docksail/internal/decide/intake"
-	"docksail/internal/eventloop"
-	"docksail/internal/state/requesttable"
-	"docksail/policy"
 	"log/slog"
 	"net/netip"
 
 	"github.com/cespare/xxhash/v2"
+
+	"docksail/internal/decide/intake"
+	"docksail/internal/eventloop"
+	"docksail/internal/state/requesttable"
+	"docksail/policy"
 )
 
 // Module is the decision module as the dispatcher calls it. *policy.Router implements it; tests may wrap it.
--- a/internal/dispatch/fakes_test.go
+++ b/internal/dispatch/fakes_test.go
@@ -1,11 +1,12 @@
 package dispatch
 
 import (
+	"net/netip"
+
 	"docksail/internal/decide/inflight"
 	"docksail/internal/eventloop"
 	"docksail/internal/frontend"
 	"docksail/policy"
-	"net/netip"
 )
 
 // scriptedModule returns the decisions that it is given and no others: it forgets every request.
--- a/internal/dispatch/heap.go
+++ b/internal/dispatch/heap.go
@@ -1,8 +1,9 @@
 package dispatch
 
 import (
-	"docksail/internal/eventloop"
 	"runtime/metrics"
+
+	"docksail/internal/eventloop"
 )
 
 // heapSampleInterval is the time between two readings of the heap's size, in nanoseconds. Each takes some microseconds.
--- a/internal/dispatch/queuedadmission.go
+++ b/internal/dispatch/queuedadmission.go
@@ -1,10 +1,6 @@
 package dispatch
 
 import (
-	"docksail/internal/decide/admission"
-	"docksail/internal/eventloop"
-	"docksail/internal/frontend"
-	"docksail/policy"
 	"encoding/binary"
 	"errors"
 	"fmt"
@@ -12,6 +8,11 @@
 	"slices"
 
 	"github.com/cespare/xxhash/v2"
+
+	"docksail/internal/decide/admission"
+	"docksail/internal/eventloop"
+	"docksail/internal/frontend"
+	"docksail/policy"
 )
 
 var errNoAdmissionQueue = errors.New("the dispatcher has no admission queue")
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -1,12 +1,13 @@
 package dispatch
 
 import (
+	"math"
+
 	"docksail/internal/decide/admission"
 	"docksail/internal/decide/inflight"
 	"docksail/internal/eventloop"
 	"docksail/internal/frontend"
 	"docksail/policy"
-	"math"
 )
 
 // Request is a request in flight: from its arrival until it is answered, no attempt is outstanding and no KV state is
--- a/internal/dispatch/submit.go
+++ b/internal/dispatch/submit.go
@@ -1,12 +1,13 @@
 package dispatch
 
 import (
+	"fmt"
+	"strconv"
+
 	"docksail/internal/decide/intake"
 	"docksail/internal/eventloop"
 	"docksail/internal/frontend"
 	"docksail/policy"
-	"fmt"
-	"strconv"
 )
 
 const noTenant policy.TenantID = -1
--- a/internal/dispatch/submit_test.go
+++ b/internal/dispatch/submit_test.go
@@ -1,12 +1,13 @@
 package dispatch
 
 import (
+	"log/slog"
+	"testing"
+
 	"docksail/internal/decide/intake"
 	"docksail/internal/eventloop"
 	"docksail/internal/frontend"
 	"docksail/policy"
-	"log/slog"
-	"testing"
 )
 
 // Without an admission queue the module learns the tenant of a request, and its session and prefix are the same
--- a/internal/grpcnode/build.go
+++ b/internal/grpcnode/build.go
@@ -3,18 +3,18 @@
 package grpcnode
 
 import (
-	"docksail/internal/config"
-	"docksail/internal/decide/intake"
-	"docksail/internal/dispatch"
-	"docksail/internal/eventloop"
-	"docksail/internal/h2"
-	"docksail/internal/state/endpointlist"
 	"fmt"
 	"io"
 	"log/slog"
 
 	backend "docksail/internal/backend/grpc"
+	"docksail/internal/config"
+	"docksail/internal/decide/intake"
+	"docksail/internal/dispatch"
+	"docksail/internal/eventloop"
 	frontend "docksail/internal/frontend/grpc"
+	"docksail/internal/h2"
+	"docksail/internal/state/endpointlist"
 )
 
 // Identity identifies one start of a dispatcher.
--- a/internal/grpcnode/node.go
+++ b/internal/grpcnode/node.go
@@ -2,15 +2,15 @@
 
 import (
 	"crypto/rand"
-	"docksail/internal/config"
-	"docksail/internal/dispatch"
-	"docksail/internal/eventloop"
 	"errors"
 	"fmt"
 	"log/slog"
 	"net/netip"
 	"time"
 
+	"docksail/internal/config"
+	"docksail/internal/dispatch"
+	"docksail/internal/eventloop"
 	frontend "docksail/internal/frontend/grpc"
 )
 
--- a/internal/grpcnode/status_test.go
+++ b/internal/grpcnode/status_test.go
@@ -1,9 +1,10 @@
 package grpcnode
 
 import (
-	"docksail/internal/dispatch"
 	"encoding/json"
 	"testing"
+
+	"docksail/internal/dispatch"
 )
 
 // The status file and the log record of the counts are read by other programs: names and order of their fields do not
