--- a/internal/h2/errors.go
+++ b/internal/h2/errors.go
@@ -1,12 +1,13 @@
 package h2
 
 import (
-	"docksail/internal/decide/abuse"
 	"errors"
 	"fmt"
 	"io"
 
 	"golang.org/x/net/http2"
+
+	"docksail/internal/decide/abuse"
 )
 
 // errNoPreface ends a connection whose client does not speak HTTP/2.
@@ -84,7 +85,7 @@
 	}
 }
 
-// fail ends the connection and tells the peer why.
+// fail ends the connection and sends the reason to the peer.
 func (c *Conn) fail(err connectionError) {
 	if c.err == nil {
 		c.frames.writeGoAway(c.lastPeerStreamID, err.code, []byte(err.reason))
