--- a/internal/backend/platform/pool.go
+++ b/internal/backend/platform/pool.go
@@ -75,7 +75,7 @@
 	if oldest == nil {
 		return false
 	}
-	b.Counts.LingeringDropped++
+	b.Counts.WatchesDropped++
 	oldest.dropLingering(now, "descriptor needed")
 	return true
 }
--- a/internal/backend/platform/stats.go
+++ b/internal/backend/platform/stats.go
@@ -15,7 +15,7 @@
 	Reused           uint64
 	IdleUnusable     uint64 // idle connections that had ended, or had input, when they were to be reused
 	IdleClosed       uint64 // idle connections that were closed by this side
-	LingeringDropped uint64 // lingering connections that were closed because their descriptors were needed
+	WatchesDropped   uint64 // lingering connections that were closed because their descriptors were needed
 	NoRoom           uint64 // a connection was needed at the limit of connections
 	StaleConnections uint64 // attempts that were lost because a reused connection had died unnoticed
 	IdleBeforeReuse  idleTimes
--- a/internal/node/endpointlist_test.go
+++ b/internal/node/endpointlist_test.go
@@ -28,13 +28,7 @@
 		if w1.attempts() != before {
 			h.t.Error("a draining server got a request")
 		}
-		fresh := h.newServer()
-		h.setDiscovery(fresh)
-		watch := fresh.accept()
-		if line := watch.readRequest(); strings.Contains(line, "from=") {
-			h.t.Errorf("%q, want a call for the complete list", line)
-		}
-		watch.send(watchHead)
+		watch := h.moveDiscovery()
 		h.sendList(watch, backend.EndpointList{Version: 44, Full: true, Endpoints: h.endpoints})
 		old.waitForClose()
 	})
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -264,6 +264,20 @@
 	h.node.Reload(&changed)
 }
 
+// moveDiscovery reloads the configuration with another discovery and returns the watch on it, on which the response has
+// begun. The watch must ask for the complete list.
+func (h *harness) moveDiscovery() (watch *scriptedConn) {
+	h.t.Helper()
+	moved := h.newServer()
+	h.setDiscovery(moved)
+	watch = moved.accept()
+	if line := watch.readRequest(); strings.Contains(line, "from=") {
+		h.t.Errorf("%q, want a call for the complete list", line)
+	}
+	watch.send(watchHead)
+	return watch
+}
+
 // dialClient begins the connection of a client to the dispatcher. The client may send before it is accepted.
 func (h *harness) dialClient() *scriptedConn {
 	h.t.Helper()
--- a/internal/node/watch_test.go
+++ b/internal/node/watch_test.go
@@ -111,11 +111,7 @@
 func TestReloadKeepsOldWatchUntilNews(t *testing.T) {
 	onEachNetwork(t, func(h *harness) {
 		old := h.startInService()
-		fresh := h.newServer()
-		h.setDiscovery(fresh)
-		watch := fresh.accept()
-		watch.readRequest()
-		watch.send(watchHead)
+		watch := h.moveDiscovery()
 		h.sendList(old, backend.EndpointList{Version: 43, Full: true, Endpoints: h.endpoints})
 		h.sendList(watch, backend.EndpointList{Version: 3, Full: true, Endpoints: h.endpoints})
 		old.waitForClose()
@@ -128,13 +124,7 @@
 	onEachNetwork(t, func(h *harness) {
 		h.addServer("r1", "prefill")
 		h.startInService()
-		fresh := h.newServer()
-		h.setDiscovery(fresh)
-		watch := fresh.accept()
-		if line := watch.readRequest(); strings.Contains(line, "from=") {
-			h.t.Errorf("%q, want a call for the complete list", line)
-		}
-		watch.send(watchHead)
+		watch := h.moveDiscovery()
 		h.sendList(watch, backend.EndpointList{Version: 3, Full: true, Endpoints: h.endpoints})
 		h.sendChange(watch, 4, h.drainingEndpoint("r1"))
 		h.expectRejected()
