--- a/internal/frontend/platform/conn.go
+++ b/internal/frontend/platform/conn.go
@@ -1,11 +1,12 @@
 package platform
 
 import (
+	"errors"
+
 	"docksail/internal/decide/clientconn"
 	"docksail/internal/eventloop"
 	"docksail/internal/h1"
 	"docksail/policy"
-	"errors"
 )
 
 // conn is one client's connection. It is the frontend.ResponseWriter of the request that is in flight on it.
--- a/internal/frontend/platform/head.go
+++ b/internal/frontend/platform/head.go
@@ -2,10 +2,11 @@
 
 import (
 	"bytes"
-	"docksail/internal/frontend"
-	"docksail/internal/h1"
 	"errors"
 	"fmt"
+
+	"docksail/internal/frontend"
+	"docksail/internal/h1"
 )
 
 const (
@@ -41,7 +42,7 @@
 	fieldTenant
 )
 
-const requestFieldCount = fieldTenant + 1
+const requestFieldCount = int(fieldTenant) + 1
 
 // requestFieldsByName has the names in lower case.
 var requestFieldsByName = map[string]requestField{
--- a/internal/frontend/platform/lifecycle.go
+++ b/internal/frontend/platform/lifecycle.go
@@ -1,9 +1,10 @@
 package platform
 
 import (
+	"net/http"
+
 	"docksail/internal/decide/clientconn"
 	"docksail/internal/eventloop"
-	"net/http"
 )
 
 // lifecycle is the state of a connection, and the time that it has in it.
--- a/internal/frontend/platform/receive.go
+++ b/internal/frontend/platform/receive.go
@@ -2,11 +2,12 @@
 
 import (
 	"bytes"
+	"errors"
+	"net/http"
+
 	"docksail/internal/decide/clientconn"
 	"docksail/internal/frontend"
 	"docksail/internal/h1"
-	"errors"
-	"net/http"
 )
 
 const (
--- a/internal/frontend/platform/respond.go
+++ b/internal/frontend/platform/respond.go
@@ -1,13 +1,14 @@
 package platform
 
 import (
+	"encoding/json"
+	"net/http"
+	"strconv"
+
 	"docksail/internal/decide/clientconn"
 	"docksail/internal/eventloop"
 	"docksail/internal/frontend"
 	"docksail/policy"
-	"encoding/json"
-	"net/http"
-	"strconv"
 )
 
 const statusClassOK = 2 // of statuses 2xx
--- a/internal/frontend/platform/server.go
+++ b/internal/frontend/platform/server.go
@@ -3,11 +3,12 @@
 package platform
 
 import (
+	"net/netip"
+
 	"docksail/internal/eventloop"
 	"docksail/internal/frontend"
 	"docksail/internal/h1"
 	"docksail/internal/indexedheap"
-	"net/netip"
 )
 
 const (
