--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -3,9 +3,10 @@
 package frontend
 
 import (
+	"errors"
+
 	"docksail/internal/eventloop"
 	"docksail/policy"
-	"errors"
 )
 
 // ErrInvalidRequest is wrapped by the core's errors about a request that can never be taken as it is.
--- a/internal/frontend/grpc/aside.go
+++ b/internal/frontend/grpc/aside.go
@@ -1,7 +1,6 @@
 package grpc
 
 import (
-	"docksail/internal/h2"
 	"strings"
 
 	"google.golang.org/grpc/codes"
@@ -13,6 +12,7 @@
 	"google.golang.org/protobuf/reflect/protoregistry"
 
 	_ "docksail/api/docksail/v1" // what reflection tells of
+	"docksail/internal/h2"
 )
 
 // aside is a call of the side services: health and reflection.
--- a/internal/frontend/grpc/grpc.go
+++ b/internal/frontend/grpc/grpc.go
@@ -3,11 +3,6 @@
 package grpc
 
 import (
-	"docksail/internal/decide/connlimit"
-	"docksail/internal/eventloop"
-	"docksail/internal/frontend"
-	"docksail/internal/h2"
-	"docksail/policy"
 	"encoding/base64"
 	"errors"
 	"net/netip"
@@ -24,6 +19,12 @@
 	"google.golang.org/protobuf/proto"
 	"google.golang.org/protobuf/types/known/anypb"
 	"google.golang.org/protobuf/types/known/durationpb"
+
+	"docksail/internal/decide/connlimit"
+	"docksail/internal/eventloop"
+	"docksail/internal/frontend"
+	"docksail/internal/h2"
+	"docksail/policy"
 )
 
 const (
--- a/internal/frontend/grpc/request.go
+++ b/internal/frontend/grpc/request.go
@@ -1,11 +1,12 @@
 package grpc
 
 import (
-	"docksail/internal/frontend"
 	"fmt"
 	"unicode/utf8"
 
 	"google.golang.org/protobuf/encoding/protowire"
+
+	"docksail/internal/frontend"
 )
 
 // decode reads a message; unknown fields are passed over, as the format wants it.
