--- a/cmd/docksail/node.go
+++ b/cmd/docksail/node.go
@@ -2,8 +2,6 @@
 
 import (
 	"context"
-	"docksail/internal/dispatch"
-	"docksail/internal/node"
 	"log/slog"
 	"os"
 	"os/signal"
@@ -11,6 +9,9 @@
 	"time"
 
 	"github.com/spf13/cobra"
+
+	"docksail/internal/asynclog"
+	"docksail/internal/node"
 )
 
 func nodeCommand() *cobra.Command {
@@ -32,12 +33,12 @@
 			node.LimitResources(t)
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
-			log := slog.New(dispatch.NewAsyncLogHandler(ctx, slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})))
+			log := slog.New(asynclog.NewHandler(ctx, slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})))
 			n, err := node.Start(t, log)
 			if err != nil {
 				return err
 			}
-			log.Info("in service", "name", t.Name, "at", t.Listen, "memory_mb", t.Limits.Memory, "sockets", t.Limits.Sockets)
+			log.Info("in service", "name", t.Name, "at", t.Listen, "memory_mb", t.Limits.MemoryMB, "sockets", t.Limits.Descriptors)
 			tick := time.NewTicker(every)
 			defer tick.Stop()
 			for {
@@ -69,7 +70,8 @@
 	return c
 }
 
-// logView logs how a dispatcher does, with a line for each server that has something of it: in a large fleet these are few.
+// logView logs how a dispatcher does, with a line for each server that has something of it: in a large fleet these
+// are few.
 func logView(log *slog.Logger, n *node.Node) {
 	view, ok := n.Status()
 	if !ok {
--- a/cmd/docksail/serve.go
+++ b/cmd/docksail/serve.go
@@ -3,9 +3,6 @@
 import (
 	"cmp"
 	"context"
-	"docksail/internal/config"
-	"docksail/internal/decide/admission"
-	"docksail/internal/dispatch"
 	"encoding/json"
 	"fmt"
 	"io"
@@ -17,6 +14,12 @@
 	"time"
 
 	"github.com/spf13/cobra"
+
+	"docksail/internal/asynclog"
+	"docksail/internal/batchservice"
+	"docksail/internal/config"
+	"docksail/internal/decide/admission"
+	"docksail/internal/grpcnode"
 )
 
 func serveCommand() *cobra.Command {
@@ -36,30 +39,30 @@
 			}
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
-			beside := dispatch.NewAsyncLogHandler(ctx, slog.NewJSONHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
+			beside := asynclog.NewHandler(ctx, slog.NewJSONHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
 			log := slog.New(beside)
 			for _, warning := range s.Warnings {
 				log.Warn("settings", "former_name", warning)
 			}
-			r, err := dispatch.Start(s, log, nil)
+			r, err := grpcnode.Start(s, log, nil)
 			if err != nil {
 				return err
 			}
-			log.Info("serving", "at", r.Addr, "zone", s.Zone, "number", s.Number, "of", s.Count)
+			log.Info("serving", "at", r.Addr, "zone", s.Zone, "number", s.Index, "of", s.Count)
 			if s.Batch.Listen.IsValid() {
-				stop, err := startBatches(ctx, s, r.Addr, log)
+				batches, err := batchservice.Start(ctx, s, r.Addr, log)
 				if err != nil {
 					r.Kill()
 					return err
 				}
-				defer stop()
+				defer batches.Stop()
 			}
 			signals := make(chan os.Signal, 2)
 			signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 			reload := make(chan os.Signal, 1)
 			signal.Notify(reload, syscall.SIGHUP)
 			var status <-chan time.Time
-			if s.Status != "" {
+			if s.StatusFile != "" {
 				t := time.NewTicker(time.Second)
 				defer t.Stop()
 				status = t.C
@@ -70,18 +73,19 @@
 			for {
 				select {
 				case <-tick.C:
-					r.RunOnLoop(func(d *dispatch.Dispatcher) { log.Info("counts", "view", d.Status(), "log_lost", beside.Dropped()) })
+					if v, err := r.Status(); err == nil {
+						log.Info("counts", "view", v, "log_lost", beside.Dropped())
+					}
 				case <-status:
-					var v dispatch.Status
-					if r.RunOnLoop(func(d *dispatch.Dispatcher) { v = d.Status() }) {
-						if err := writeStatus(s.Status, v); err != nil {
+					if v, err := r.Status(); err == nil {
+						if err := writeStatus(s.StatusFile, v); err != nil {
 							log.Warn("status not written", "err", err)
 						}
 					}
 				case <-reload:
 					changed, err := config.Load(args[0])
-					if err == nil && !r.RunOnLoop(func(d *dispatch.Dispatcher) { err = d.SetTenantLimits(changed) }) {
-						err = fmt.Errorf("the dispatcher has ended")
+					if err == nil {
+						err = r.SetTenantLimits(changed)
 					}
 					if err != nil {
 						log.Error("terms of tenants stay as they were", "err", err)
@@ -94,7 +98,7 @@
 						return fmt.Errorf("ended at once by a second signal")
 					}
 					asked = true
-					r.Drain(s.Drain)
+					r.Drain(s.DrainTimeout)
 				case <-r.Done():
 					err := r.Wait()
 					log.Info("ended", "err", err)
@@ -113,12 +117,12 @@
 type status struct {
 	Format int       `json:"format"`
 	At     time.Time `json:"at"`
-	View   dispatch.Status
+	View   grpcnode.Status
 }
 
 const statusFormat = 1
 
-func writeStatus(name string, v dispatch.Status) error {
+func writeStatus(name string, v grpcnode.Status) error {
 	b, err := json.Marshal(status{statusFormat, time.Now(), v})
 	if err != nil {
 		return err
@@ -208,7 +212,7 @@
 			if err != nil {
 				return err
 			}
-			if _, err := s.Module(1, 0); err != nil {
+			if _, err := s.NewPolicy(1, 0); err != nil {
 				return fmt.Errorf("%s: %w", args[0], err)
 			}
 			for _, warning := range s.Warnings {
--- a/internal/frontend/platform/lifecycle.go
+++ b/internal/frontend/platform/lifecycle.go
@@ -70,7 +70,9 @@
 func (c *conn) enterNextState() {
 	listenerClosed := c.server.phase >= phaseListenerClosed
 	unread := listenerClosed && (c.pipelinedBytes() > 0 || !c.transport.InputEmpty())
-	next := clientconn.NextState(c.response.closeAfter, listenerClosed, unread)
+	next := clientconn.NextState(clientconn.AnswerEnd{
+		CloseAnnounced: c.response.closeAfter, ListenerClosed: listenerClosed, HasUnreadInput: unread,
+	})
 	c.setState(next)
 	if next == clientconn.StateLingering {
 		c.transport.CloseWriteAfterFlush()
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -2,14 +2,15 @@
 
 import (
 	"bytes"
-	"docksail/internal/lab/eventlog"
-	"docksail/internal/lab/experiment"
-	"docksail/internal/lab/scenario"
 	"image/png"
 	"os"
 	"path/filepath"
 	"strings"
 	"testing"
+
+	"docksail/internal/lab/eventlog"
+	"docksail/internal/lab/experiment"
+	"docksail/internal/lab/scenario"
 )
 
 // TestReport: the page of a played day names its tracks and troubles and holds plots that are pictures; a record whose
@@ -19,8 +20,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.For = 10 * s.For / 46
-	rep, err := experiment.Play(t.Context(), s, "", s.For/20)
+	s.Duration = 10 * s.Duration / 46
+	rep, err := experiment.Simulate(t.Context(), s, "", s.Duration/20)
 	if err != nil {
 		t.Fatal(err)
 	}
