--- /dev/null
+++ b/internal/frontend/grpc/conn.go
@@ -0,0 +1,83 @@
+package grpc
+
+import (
+	"errors"
+
+	"docksail/internal/decide/connlimit"
+	"docksail/internal/eventloop"
+	"docksail/internal/h2"
+)
+
+// conn is one client's connection. It handles the events of its socket and of HTTP/2.
+type conn struct {
+	server         *Server
+	transport      *eventloop.Conn
+	protocol       *h2.Conn
+	now            eventloop.Nanos // time of the event that is being handled
+	source         connlimit.Source
+	flushScheduled bool
+	receivedAny    bool
+	firstByteTimer eventloop.Timer
+}
+
+// scheduleFlush has Server.Flush queue the connection's output on its socket.
+func (c *conn) scheduleFlush() {
+	if !c.flushScheduled {
+		c.flushScheduled = true
+		c.server.unflushed = append(c.server.unflushed, c)
+	}
+}
+
+// flush queues output on the socket, and closes the connection once it is sent if HTTP/2 has ended.
+func (c *conn) flush() {
+	if c.protocol.HasOutput() {
+		c.transport.Write(c.protocol.TakeOutput())
+	}
+	if c.protocol.Err() != nil {
+		c.transport.CloseAfterFlush()
+	} else if c.transport.QueuedBytes() > backpressureBytes {
+		c.protocol.SetOutputPaused(true)
+	}
+}
+
+// Opened implements eventloop.Handler.
+func (c *conn) Opened(now eventloop.Nanos) {
+	c.server.loop.SetTimer(&c.firstByteTimer, now+firstByteTimeout, func(eventloop.Nanos) { c.transport.Close() })
+	c.scheduleFlush()
+}
+
+// Received implements eventloop.Handler.
+func (c *conn) Received(now eventloop.Nanos, p []byte) {
+	c.now = now
+	if !c.receivedAny {
+		c.receivedAny = true
+		c.server.loop.CancelTimer(&c.firstByteTimer)
+	}
+	_ = c.protocol.Feed(now, p) // flush closes the connection after an error
+	c.scheduleFlush()
+}
+
+// PeerHalfClosed implements eventloop.Handler. HTTP/2 needs both directions.
+func (c *conn) PeerHalfClosed(eventloop.Nanos) { c.transport.Close() }
+
+// OutputFlushed implements eventloop.Handler.
+func (c *conn) OutputFlushed(now eventloop.Nanos) {
+	c.now = now
+	c.protocol.SetOutputPaused(false)
+	c.flush()
+	if c.server.draining { // this may be the last output that the drain waits for
+		c.server.loop.SkipNextWait()
+	}
+}
+
+// Closed implements eventloop.Handler.
+func (c *conn) Closed(now eventloop.Nanos, err error) {
+	c.now = now
+	if errors.Is(err, eventloop.ErrOutputLimit) {
+		c.server.counts.OutputOverflows++
+	}
+	c.server.loop.CancelTimer(&c.firstByteTimer)
+	c.protocol.TransportClosed()
+	delete(c.server.conns, c)
+	c.server.connLimiter.Closed(c.source)
+}
--- a/internal/grpcnode/build.go
+++ b/internal/grpcnode/build.go
@@ -55,8 +55,10 @@
 		return nil, nil, err
 	}
 	limits := h2Limits(settings)
-	clients, err := frontend.New(loop, dispatcher, limits, settings.Limits.MaxConnections, settings.Limits.MaxOutputBytes,
-		settings.Limits.MaxPartialBytes)
+	clients, err := frontend.New(loop, dispatcher, frontend.Limits{
+		HTTP2: limits, Connections: settings.Limits.MaxConnections, OutputBytes: settings.Limits.MaxOutputBytes,
+		PartialMessageBytes: settings.Limits.MaxPartialBytes,
+	})
 	if err != nil {
 		return nil, nil, err
 	}
