--- /dev/null
+++ b/policy/decisions_test.go
@@ -0,0 +1,260 @@
+package policy
+
+import (
+	"crypto/sha256"
+	"fmt"
+	"math/rand/v2"
+	"runtime"
+	"testing"
+)
+
+// decisionRecorder drives one router with random events and hashes every decision it returns.
+type decisionRecorder struct {
+	router    *Router
+	rng       *rand.Rand
+	now       Nanos
+	timer     Nanos // when the router wants TimerFired; Never = not set
+	nextID    RequestID
+	attempts  map[RequestID]AttemptNumber // the last attempt of each request
+	pending   []pendingAttempt
+	held      []RequestID // requests whose state is held
+	decisions int
+	digest    [sha256.Size]byte
+}
+
+type pendingAttempt struct {
+	request RequestID
+	attempt AttemptNumber
+	server  ServerID
+	sentAt  Nanos
+	begun   bool
+}
+
+const (
+	recordedServers = 24
+	recordedSteps   = 6000
+)
+
+// roleOf returns the role of a server of the recorded fleet: two in eight are mixed.
+func roleOf(id ServerID) Role {
+	return []Role{Prefill, Decode, Prefill, Mixed, Decode, Prefill, Decode, Mixed}[id%8]
+}
+
+func newDecisionRecorder(t *testing.T, seed uint64, discovery Discovery, limits AttemptLimits) *decisionRecorder {
+	t.Helper()
+	classes := []Class{
+		{LatencyTarget: 1e9, LatencyTargetPer1k: 40e6, Timeout: 5e9, Value: 1},
+		{
+			LatencyTarget: 3e9, LatencyTargetPer1k: 60e6, Timeout: 9e9, Value: 3, Idempotency: Deduplicated,
+			DedupScope: DedupScopeZone, DedupWindow: 2e9,
+		},
+		{
+			LatencyTarget: 2e9, Timeout: 6e9, Value: 2, Idempotency: Deduplicated, DedupScope: DedupScopeCell,
+			DedupWindow: 4e9,
+		},
+		{LatencyTarget: 2e9, Timeout: 6e9, Value: 2, Idempotency: NonIdempotent},
+	}
+	router, err := New(seed, Identity{Number: 1, Count: 3, Zone: 1}, classes,
+		[]Tenant{{RequestsPerSecond: 20}, {RequestsPerSecond: 60}}, []Role{Prefill, Decode, Mixed},
+		SlowStart{InitialCapacity: 0.3, WarmupTime: 8e9, OverloadFactor: 2.5, OverloadWindow: 3e9}, limits,
+		ResponseSettings{DeadlineGrace: 16e6, RoundInterval: 4e6, SendRetryAfter: true, MaxRetryAfter: 800e6},
+		discovery, 1500e6)
+	if err != nil {
+		t.Fatal(err)
+	}
+	r := &decisionRecorder{
+		router: router, rng: rand.New(rand.NewPCG(seed, 1)), now: 20e9, timer: Never,
+		attempts: map[RequestID]AttemptNumber{},
+	}
+	r.listAll()
+	return r
+}
+
+func (r *decisionRecorder) list(id ServerID, health Health, startedAt Nanos) {
+	r.router.ServerListed(id, ZoneID(id%3), KindID(roleOf(id)), CellID(id%7/2), health, startedAt)
+}
+
+func (r *decisionRecorder) listAll() {
+	r.router.ListUpdateStarted(true)
+	for id := ServerID(1); id <= recordedServers; id++ {
+		r.list(id, Serving, 0)
+	}
+	r.router.ListUpdateEnded(r.now)
+}
+
+// takeDecisions hashes the decisions due now and remembers the attempts among them.
+func (r *decisionRecorder) takeDecisions() {
+	for decision, ok := r.router.NextDecision(r.now); ok; decision, ok = r.router.NextDecision(r.now) {
+		r.decisions++
+		r.digest = sha256.Sum256(fmt.Appendf(r.digest[:], "%d %d %d %d %d %d %d %d %s", r.now, decision.Action,
+			decision.Request, decision.Server, decision.Attempt, decision.Duration, decision.CachedTokens,
+			decision.SendBefore, decision.Text))
+		switch decision.Action {
+		case SetTimer:
+			r.timer = r.now + decision.Duration
+		case SendAttempt:
+			attempt, again := r.attempts[decision.Request]
+			if again {
+				attempt++
+			}
+			r.attempts[decision.Request] = attempt
+			r.pending = append(r.pending, pendingAttempt{decision.Request, attempt, decision.Server, r.now, false})
+		case CancelAttempt:
+			for i, p := range r.pending {
+				if p.request == decision.Request && p.attempt == decision.Attempt {
+					r.pending = append(r.pending[:i], r.pending[i+1:]...)
+					r.router.AttemptEnded(r.now, p.request, p.attempt, Canceled, r.now-p.sentAt, r.rng.IntN(3) == 0,
+						NoLoadReport)
+					break
+				}
+			}
+		}
+	}
+}
+
+func (r *decisionRecorder) arrive() {
+	r.nextID++
+	request := Request{
+		ID: r.nextID, Class: ClassID(r.rng.IntN(4)), Tenant: TenantID(r.rng.IntN(3) - 1),
+		PromptTokens: 100 + r.rng.Int64N(5000), MaxOutputTokens: 100,
+		Deadline: r.now + Nanos(50e6+r.rng.Int64N(8e9)),
+	}
+	if r.rng.IntN(4) > 0 {
+		request.Session = SessionKey(r.rng.IntN(60) + 1)
+	}
+	if r.rng.IntN(3) > 0 {
+		request.Prefix, request.PrefixTokens = PrefixKey(r.rng.IntN(12)+1), r.rng.Int64N(request.PromptTokens)
+	}
+	r.router.RequestArrived(r.now, request)
+}
+
+// progress begins the stream of a pending attempt or ends the attempt. Server 5 fails often, server 2 is slow.
+func (r *decisionRecorder) progress() {
+	if len(r.pending) == 0 {
+		return
+	}
+	i := r.rng.IntN(len(r.pending))
+	p := &r.pending[i]
+	elapsed := r.now - p.sentAt
+	if p.server == 2 {
+		elapsed *= 6
+	}
+	if !p.begun && roleOf(p.server) != Prefill && r.rng.IntN(2) == 0 {
+		p.begun = true
+		r.router.StreamStarted(r.now, p.request, p.attempt, elapsed)
+		return
+	}
+	ended := *p
+	r.pending = append(r.pending[:i], r.pending[i+1:]...)
+	outcome := Served
+	if roleOf(p.server) == Prefill && !ended.begun {
+		outcome = Prefilled
+		r.held = append(r.held, ended.request)
+	}
+	if r.rng.IntN(12) == 0 || ended.server == 5 && r.rng.IntN(3) > 0 {
+		outcome = []Outcome{
+			Rejected, StateMissing, Unreachable, NotSent, Failed, TimedOut, ConnectionLost,
+			StaleConnection,
+		}[r.rng.IntN(8)]
+	}
+	load := NoLoadReport
+	if r.rng.IntN(3) == 0 {
+		load = LoadReport{Requests: 3, MemoryUtilization: r.rng.Float64(), QueuedPromptTokens: r.rng.Float64() * 9000}
+	}
+	r.router.AttemptEnded(r.now, ended.request, ended.attempt, outcome, elapsed, outcome == Served, load)
+}
+
+func (r *decisionRecorder) changeList() {
+	id := ServerID(r.rng.IntN(recordedServers+6) + 1)
+	switch r.rng.IntN(12) {
+	case 0:
+		r.router.ListUpdateFailed(r.now)
+	case 1:
+		r.listAll()
+	case 2, 3, 4:
+		r.router.ListUpdateStarted(false)
+		r.list(id, Serving, r.now-Nanos(r.rng.IntN(4)*1e9))
+		r.router.ListUpdateEnded(r.now)
+	default:
+		r.router.ListUpdateStarted(false)
+		r.list(id, Health(r.rng.IntN(3)), 0)
+		r.router.ListUpdateEnded(r.now)
+	}
+}
+
+// drainPrefill takes all prefill servers out of service.
+func (r *decisionRecorder) drainPrefill() {
+	r.router.ListUpdateStarted(false)
+	for id := ServerID(1); id <= recordedServers+6; id++ {
+		if roleOf(id) == Prefill {
+			r.list(id, Draining, 0)
+		}
+	}
+	r.router.ListUpdateEnded(r.now)
+}
+
+func (r *decisionRecorder) run() {
+	for step := range recordedSteps {
+		r.now += Nanos(r.rng.Int64N(12e6))
+		if r.rng.IntN(60) == 0 {
+			r.now += Nanos(r.rng.Int64N(2e9))
+		}
+		if r.now >= r.timer {
+			r.timer = Never
+			r.router.TimerFired(r.now)
+		}
+		if step/1500%2 == 1 || r.rng.IntN(2) == 0 { // every other quarter has more load than it can bear
+			r.arrive()
+		}
+		switch step {
+		case 4800:
+			r.drainPrefill()
+		case 5100:
+			r.listAll()
+		}
+		for range r.rng.IntN(3) {
+			r.progress()
+		}
+		switch r.rng.IntN(60) {
+		case 0, 1:
+			r.changeList()
+		case 2, 3:
+			r.router.RequestCanceled(r.now, r.nextID-RequestID(r.rng.IntN(20)))
+		case 4, 5:
+			if n := len(r.held); n > 0 {
+				since := r.now - Nanos(r.rng.Int64N(2e9))
+				if r.rng.IntN(2) == 0 {
+					since = Never
+				}
+				r.router.StateHeldSince(r.now, r.held[r.rng.IntN(n)], since)
+			}
+		}
+		r.takeDecisions()
+	}
+}
+
+// TestDecisionsAreRecorded compares all decisions under random events with a recorded digest. A change that is meant to
+// alter decisions records the digests anew, and says so; any other change must keep them.
+func TestDecisionsAreRecorded(t *testing.T) {
+	if runtime.GOARCH != "amd64" {
+		t.Skip("recorded on amd64: other architectures fuse multiplications and additions, which rounds differently")
+	}
+	for i, c := range []struct {
+		discovery Discovery
+		limits    AttemptLimits
+		want      string
+	}{
+		{Discovery{MaxInterval: 10e9}, AttemptLimits{MaxAttempts: 4, CanCancel: true}, "474029de772bea1f"},
+		{Discovery{OnRequest: true, MaxInterval: 10e9}, AttemptLimits{MaxAttempts: 3}, "1a9229d79dee6413"},
+		{Discovery{MaxInterval: 4e9}, AttemptLimits{MaxAttempts: 5, CanCancel: true, DecodeCanPrefill: true}, "536f99756848b5d2"},
+		{Discovery{MaxInterval: 4e9}, AttemptLimits{MaxAttempts: 6, DecodeCanPrefill: true}, "b198c08ca5edd95c"},
+	} {
+		t.Run(fmt.Sprint(i), func(t *testing.T) {
+			recorder := newDecisionRecorder(t, uint64(i+1), c.discovery, c.limits)
+			recorder.run()
+			if got := fmt.Sprintf("%x", recorder.digest[:8]); got != c.want {
+				t.Errorf("the digest of %d decisions is %s, want %s", recorder.decisions, got, c.want)
+			}
+		})
+	}
+}
