--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -337,18 +337,24 @@
 	for _, t := range s.Tenants {
 		tenants = append(tenants, policy.Tenant{RequestsPerSecond: t.PerSecond})
 	}
-	return policy.New(seed, policy.Identity{Number: s.Number, Count: s.Count, Zone: zone}, tracks, tenants,
-		[]policy.Role{policy.Prefill, policy.Decode, policy.Mixed},
-		policy.SlowStart{
+	return policy.New(policy.Config{
+		Seed:    seed,
+		Self:    policy.Identity{Number: s.Number, Count: s.Count, Zone: zone},
+		Classes: tracks,
+		Tenants: tenants,
+		Roles:   []policy.Role{policy.Prefill, policy.Decode, policy.Mixed},
+		SlowStart: policy.SlowStart{
 			InitialCapacity: s.Cold.From, WarmupTime: policy.Nanos(s.Cold.Warm), OverloadFactor: s.Cold.Multiple,
 			OverloadWindow: policy.Nanos(s.Cold.Window),
 		},
-		policy.AttemptLimits{MaxAttempts: s.Attempts.Most, CanCancel: s.Attempts.Cancel, DecodeCanPrefill: s.Attempts.DecodeReads},
-		policy.ResponseSettings{
+		Attempts: policy.AttemptLimits{MaxAttempts: s.Attempts.Most, CanCancel: s.Attempts.Cancel, DecodeCanPrefill: s.Attempts.DecodeReads},
+		Responses: policy.ResponseSettings{
 			DeadlineGrace: 0, RoundInterval: policy.Nanos(s.Answers.Round), SendRetryAfter: s.Answers.Advice,
 			MaxRetryAfter: policy.Nanos(s.Answers.MaxAdvice),
 		},
-		policy.Discovery{MaxInterval: policy.Nanos(s.Fleet.Retry)}, policy.Nanos(s.Rules.Release))
+		Discovery:   policy.Discovery{MaxInterval: policy.Nanos(s.Fleet.Retry)},
+		ReleaseTime: policy.Nanos(s.Rules.Release),
+	})
 }
 
 // PolicyClasses gives the tracks as the decision module takes them.
--- a/internal/platformconfig/platformconfig.go
+++ b/internal/platformconfig/platformconfig.go
@@ -134,20 +134,24 @@
 		tenants = append(tenants, policy.Tenant{RequestsPerSecond: t.Allowance})
 		m.Tenant = append(m.Tenant, t.Name)
 	}
-	d, err := policy.New(seed,
-		policy.Identity{Number: s.Me, Count: s.Siblings, Zone: policy.ZoneID(slices.Index(s.Zones, s.Zone))},
-		m.Classes, tenants, m.Roles,
-		policy.SlowStart{
+	d, err := policy.New(policy.Config{
+		Seed:    seed,
+		Self:    policy.Identity{Number: s.Me, Count: s.Siblings, Zone: policy.ZoneID(slices.Index(s.Zones, s.Zone))},
+		Classes: m.Classes,
+		Tenants: tenants,
+		Roles:   m.Roles,
+		SlowStart: policy.SlowStart{
 			InitialCapacity: s.Rules.ColdFrom, WarmupTime: policy.Nanos(s.Rules.Cold), OverloadFactor: s.Rules.Multiple,
 			OverloadWindow: policy.Nanos(s.Rules.Fall),
 		},
-		policy.AttemptLimits{MaxAttempts: s.Limits.Most, CanCancel: s.Limits.Cancel, DecodeCanPrefill: s.Family.PensRead},
-		policy.ResponseSettings{
+		Attempts: policy.AttemptLimits{MaxAttempts: s.Limits.Most, CanCancel: s.Limits.Cancel, DecodeCanPrefill: s.Family.PensRead},
+		Responses: policy.ResponseSettings{
 			DeadlineGrace: policy.Nanos(s.Rules.Slack), RoundInterval: policy.Nanos(s.Round),
 			SendRetryAfter: s.Limits.RetryAfter, MaxRetryAfter: policy.Nanos(s.Limits.MaxAdvice),
 		},
-		policy.Discovery{OnRequest: s.Mode == "on_request", MaxInterval: policy.Nanos(s.Rules.Within)},
-		policy.Nanos(*s.Family.Release))
+		Discovery:   policy.Discovery{OnRequest: s.Mode == "on_request", MaxInterval: policy.Nanos(s.Rules.Within)},
+		ReleaseTime: policy.Nanos(*s.Family.Release),
+	})
 	if err != nil {
 		return nil, fmt.Errorf("setup: %w", err)
 	}
--- /dev/null
+++ b/policy/attempts.go
@@ -0,0 +1,175 @@
+package policy
+
+// firstResponse says what the first response to an attempt tells of its latency.
+type firstResponse uint8
+
+const (
+	responseSucceeded firstResponse = iota // the prompt was read, or the stream began
+	responseTooSlow                        // it timed out or was cancelled: it would have taken at least this long
+	responseFailed                         // it tells nothing
+)
+
+// firstResponseOf returns what the outcome of a request's outstanding attempt tells of its latency.
+func firstResponseOf(req *requestState, outcome Outcome) firstResponse {
+	switch {
+	case outcome == Prefilled || outcome == Served:
+		return responseSucceeded
+	case outcome == TimedOut || req.cancelSent:
+		return responseTooSlow
+	}
+	return responseFailed
+}
+
+// isCurrentAttempt reports whether an attempt is the outstanding one of a request in hand.
+func isCurrentAttempt(req *requestState, attempt AttemptNumber) bool {
+	return req != nil && req.attemptOutstanding && attempt == AttemptNumber(req.attempts-1)
+}
+
+// sendAttempt records an attempt to send a request to a server, and returns the decision to make it.
+func (r *Router) sendAttempt(now Nanos, req *requestState, to int32) Decision {
+	srv := &r.servers[to]
+	srv.attemptSent(now, req.Class)
+	r.roleLimits[srv.role].attemptSent(now)
+	promptAllowance := req.latencyTarget - r.config.Classes[req.Class].LatencyTarget
+	srv.maxPromptAllowance = max(srv.maxPromptAllowance, promptAllowance)
+	srv.creditSpent++
+	if srv.role != Prefill {
+		srv.streams++
+	}
+	cached := int64(0)
+	if req.phase == awaitingDecode {
+		if from := &r.servers[req.prefillServer]; from.cell != srv.cell {
+			r.locality.cells[from.cellIndex].link.attemptSent(now)
+		}
+	} else {
+		cached = r.affinity.cachedTokens(now, req, to)
+		req.combined = srv.role != Prefill
+		req.queuedTokens = req.PromptTokens - cached
+		srv.queuedTokens += req.queuedTokens
+		r.markCached(now, req, to)
+	}
+	req.attemptOutstanding, req.cancelSent, req.attemptServer, req.sentAt = true, false, to, now
+	if req.attempts++; req.attempts == 1 {
+		r.activeCount++
+	}
+	return Decision{
+		Action: SendAttempt, Request: req.ID, Server: srv.id, CachedTokens: cached,
+		Duration: r.attemptTimeout(now, req, srv.role), SendBefore: r.repeatBefore(req, srv),
+	}
+}
+
+// StreamStarted reports that the answer to an attempt has begun, so long after it was sent. The request has no deadline
+// any more.
+func (r *Router) StreamStarted(now Nanos, id RequestID, attempt AttemptNumber, elapsed Nanos) {
+	_, req := r.requests.find(id)
+	if !isCurrentAttempt(req, attempt) || req.phase == streaming {
+		return
+	}
+	r.recordFirstResponse(now, req, elapsed, responseSucceeded)
+	req.phase, req.stateHeld, req.reviewAt = streaming, false, Never
+}
+
+// AttemptEnded reports the outcome of an attempt, so long after it was sent. answered says that the request has its
+// final answer. load is the report that the server sent along.
+func (r *Router) AttemptEnded(now Nanos, id RequestID, attempt AttemptNumber, outcome Outcome, elapsed Nanos,
+	answered bool, load LoadReport,
+) {
+	slot, req := r.requests.find(id)
+	if !isCurrentAttempt(req, attempt) {
+		return
+	}
+	srv := &r.servers[req.attemptServer]
+	if load != NoLoadReport {
+		srv.load, srv.loadReportedAt = load, now
+	}
+	r.recordOutcome(now, srv, req, outcome)
+	if req.phase != streaming {
+		r.recordFirstResponse(now, req, elapsed, firstResponseOf(req, outcome))
+	}
+	if req.phase != awaitingPrefill || req.combined {
+		srv.streams--
+	}
+	if outcome.mayHaveRun() && srv.role != Prefill && !req.mayHaveRun {
+		req.mayHaveRun, req.firstRunServer, req.firstRunAt = true, req.attemptServer, req.sentAt
+	}
+	if outcome.blamesServer() && (outcome != ConnectionLost || r.failsMoreThanPeers(srv)) {
+		req.avoid(req.attemptServer)
+	}
+	req.advance(now, outcome)
+	req.finished = req.finished || answered
+	req.attemptOutstanding, req.attemptServer, req.combined = false, noServer, false
+	r.requests.enqueue(slot)
+}
+
+// advance changes the phase of a request and its KV state after an attempt.
+func (req *requestState) advance(now Nanos, outcome Outcome) {
+	switch {
+	case outcome == Prefilled:
+		req.phase, req.prefillServer, req.stateHeld, req.heldSince = awaitingDecode, req.attemptServer, true, now
+	case outcome == StateMissing: // the state may be out of reach rather than gone: released before the next prefill
+		req.phase, req.heldSince = awaitingPrefill, now
+		req.avoid(req.prefillServer)
+	case req.phase == streaming:
+		req.finished = true
+	case !req.stateHeld:
+		req.phase = awaitingPrefill
+	case outcome != NotSent && outcome != StaleConnection:
+		req.heldSince = now
+	}
+}
+
+// recordFirstResponse records the first response to the outstanding attempt of a request.
+func (r *Router) recordFirstResponse(now Nanos, req *requestState, elapsed Nanos, response firstResponse) {
+	srv := &r.servers[req.attemptServer]
+	srv.attemptAnswered(now, req.Class)
+	r.roleLimits[srv.role].outstanding--
+	srv.queuedTokens = max(srv.queuedTokens-req.queuedTokens, 0)
+	req.queuedTokens = 0
+	if srv.outstanding == 0 {
+		srv.maxPromptAllowance = 0
+	}
+	latency := float64(elapsed) / float64(req.latencyTarget)
+	if req.phase == awaitingDecode {
+		r.recordTransfer(now, req, srv, latency, response)
+	}
+	switch response {
+	case responseSucceeded:
+		r.recordFirstAnswer(now, req, srv, latency)
+	case responseTooSlow:
+		r.latency.samples[srv.role].add(now, latency)
+	case responseFailed:
+	}
+}
+
+// recordTransfer records the end of the transfer of a KV state to a decode server.
+func (r *Router) recordTransfer(now Nanos, req *requestState, to *server, latency float64, response firstResponse) {
+	from, scope := &r.servers[req.prefillServer], transferWithinCell
+	c := &r.locality.cells[from.cellIndex]
+	if from.cell != to.cell {
+		scope = transferBetweenCells
+		c.link.outstanding--
+	}
+	if response == responseFailed {
+		return
+	}
+	r.transferLatencies[scope].add(now, latency)
+	if scope == transferBetweenCells {
+		c.link.adjust(latency, c.share[Prefill]*r.counts.serving[Prefill], r.config.Self.Count)
+	}
+}
+
+// recordFirstAnswer takes the latency of a first answer, as a share of its request's latency target, as a sign of the
+// load and of its server's health.
+func (r *Router) recordFirstAnswer(now Nanos, req *requestState, srv *server, latency float64) {
+	srv.lastLatency = latency
+	if !r.inSlowStart(now, srv) {
+		r.throughput.warmAnswers[srv.role]++
+	}
+	r.roleLimits[srv.role].adjust(latency, r.counts.serving[srv.role], r.config.Self.Count)
+	r.latency.samples[srv.role].add(now, latency)
+	if r.transferSlow(now, req) {
+		return
+	}
+	srv.addLatency(now, latency)
+	r.requestLimit.recordAnswer(latency > lateLatency)
+}
--- a/policy/classes_test.go
+++ b/policy/classes_test.go
@@ -9,11 +9,16 @@
 // and gives all that it decides.
 func play(t *testing.T, seed uint64, tracks []Class, place []ClassID) (decided []Decision) {
 	t.Helper()
-	d, err := New(7, Identity{Count: 3}, tracks, nil, []Role{Prefill, Decode}, SlowStart{InitialCapacity: 0.3, WarmupTime: 5e9, OverloadFactor: 2.5, OverloadWindow: 3e9},
-		AttemptLimits{MaxAttempts: 4, CanCancel: true}, ResponseSettings{DeadlineGrace: 16e6, RoundInterval: 4e6, SendRetryAfter: true, MaxRetryAfter: 1e9}, Discovery{}, 1e9)
-	if err != nil {
-		t.Fatal(err)
-	}
+	d := newRouter(t, Config{
+		Seed:        7,
+		Self:        Identity{Count: 3},
+		Classes:     tracks,
+		Roles:       []Role{Prefill, Decode},
+		SlowStart:   SlowStart{InitialCapacity: 0.3, WarmupTime: 5e9, OverloadFactor: 2.5, OverloadWindow: 3e9},
+		Attempts:    AttemptLimits{MaxAttempts: 4, CanCancel: true},
+		Responses:   ResponseSettings{DeadlineGrace: 16e6, RoundInterval: 4e6, SendRetryAfter: true, MaxRetryAfter: 1e9},
+		ReleaseTime: 1e9,
+	})
 	now, rng, out := Nanos(10e9), rand.New(rand.NewPCG(seed, 0)), []Decision{}
 	d.ListUpdateStarted(true)
 	for id := range ServerID(8) {
@@ -87,11 +92,15 @@
 // A server that has not answered a class whose target is long is not taken for silent at the pace of a quicker one.
 func TestSilenceByOwnTarget(t *testing.T) {
 	quick, slow := Class{LatencyTarget: 1e9, Timeout: 20e9}, Class{LatencyTarget: 6e9, Timeout: 20e9}
-	d, err := New(7, Identity{Count: 1}, []Class{quick, slow}, nil, []Role{Prefill, Decode}, SlowStart{}, AttemptLimits{MaxAttempts: 4, CanCancel: true},
-		ResponseSettings{DeadlineGrace: 16e6, RoundInterval: 4e6}, Discovery{}, 5e9)
-	if err != nil {
-		t.Fatal(err)
-	}
+	d := newRouter(t, Config{
+		Seed:        7,
+		Self:        Identity{Count: 1},
+		Classes:     []Class{quick, slow},
+		Roles:       []Role{Prefill, Decode},
+		Attempts:    AttemptLimits{MaxAttempts: 4, CanCancel: true},
+		Responses:   ResponseSettings{DeadlineGrace: 16e6, RoundInterval: 4e6},
+		ReleaseTime: 5e9,
+	})
 	now := Nanos(1e9)
 	d.ListUpdateStarted(true)
 	d.ServerListed(1, 0, 0, 0, Serving, 0)
--- a/policy/decisions_test.go
+++ b/policy/decisions_test.go
@@ -54,14 +54,18 @@
 		},
 		{LatencyTarget: 2e9, Timeout: 6e9, Value: 2, Idempotency: NonIdempotent},
 	}
-	router, err := New(seed, Identity{Number: 1, Count: 3, Zone: 1}, classes,
-		[]Tenant{{RequestsPerSecond: 20}, {RequestsPerSecond: 60}}, []Role{Prefill, Decode, Mixed},
-		SlowStart{InitialCapacity: 0.3, WarmupTime: 8e9, OverloadFactor: 2.5, OverloadWindow: 3e9}, limits,
-		ResponseSettings{DeadlineGrace: 16e6, RoundInterval: 4e6, SendRetryAfter: true, MaxRetryAfter: 800e6},
-		discovery, 1500e6)
-	if err != nil {
-		t.Fatal(err)
-	}
+	router := newRouter(t, Config{
+		Seed:        seed,
+		Self:        Identity{Number: 1, Count: 3, Zone: 1},
+		Classes:     classes,
+		Tenants:     []Tenant{{RequestsPerSecond: 20}, {RequestsPerSecond: 60}},
+		Roles:       []Role{Prefill, Decode, Mixed},
+		SlowStart:   SlowStart{InitialCapacity: 0.3, WarmupTime: 8e9, OverloadFactor: 2.5, OverloadWindow: 3e9},
+		Attempts:    limits,
+		Responses:   ResponseSettings{DeadlineGrace: 16e6, RoundInterval: 4e6, SendRetryAfter: true, MaxRetryAfter: 800e6},
+		Discovery:   discovery,
+		ReleaseTime: 1500e6,
+	})
 	r := &decisionRecorder{
 		router: router, rng: rand.New(rand.NewPCG(seed, 1)), now: 20e9, timer: Never,
 		attempts: map[RequestID]AttemptNumber{},
--- a/policy/fair_test.go
+++ b/policy/fair_test.go
@@ -46,11 +46,16 @@
 	t.Helper()
 	s := &shop{now: 10e9, free: map[ServerID]Nanos{}}
 	for n := range modules {
-		d, err := New(uint64(n), Identity{Number: int32(n), Count: int32(modules)}, classes, tenants, []Role{Prefill}, SlowStart{},
-			AttemptLimits{MaxAttempts: 6, CanCancel: true}, ResponseSettings{DeadlineGrace: 16e6, RoundInterval: 4e6, SendRetryAfter: true, MaxRetryAfter: 1e9}, Discovery{}, 1e9)
-		if err != nil {
-			t.Fatal(err)
-		}
+		d := newRouter(t, Config{
+			Seed:        uint64(n),
+			Self:        Identity{Number: int32(n), Count: int32(modules)},
+			Classes:     classes,
+			Tenants:     tenants,
+			Roles:       []Role{Prefill},
+			Attempts:    AttemptLimits{MaxAttempts: 6, CanCancel: true},
+			Responses:   ResponseSettings{DeadlineGrace: 16e6, RoundInterval: 4e6, SendRetryAfter: true, MaxRetryAfter: 1e9},
+			ReleaseTime: 1e9,
+		})
 		d.ListUpdateStarted(true)
 		for id := ServerID(1); id <= shopReaders; id++ {
 			d.ServerListed(id, 0, 0, 0, Serving, 0)
--- /dev/null
+++ b/policy/heldstate.go
@@ -0,0 +1,33 @@
+package policy
+
+// maxHeldShare is the share of the release time for which a held KV state may wait for a decode server.
+const maxHeldShare = 0.6
+
+// StateHeldSince reports, after the end of an attempt that may never have reached its server, since when the KV state
+// of its request counts as held; Never means that the state has been released. Where decode servers fall silent, vain
+// attempts must not extend the time in which a state has to be released (rule five). A state that is too old for
+// another attempt is released and its prompt read anew.
+func (r *Router) StateHeldSince(now Nanos, id RequestID, since Nanos) {
+	_, req := r.requests.find(id)
+	switch {
+	case req == nil || !req.stateHeld || req.attemptOutstanding:
+	case since == Never:
+		req.stateHeld, req.phase = false, awaitingPrefill
+	default:
+		req.heldSince = since
+		if r.heldTooLong(now, req) {
+			req.phase = awaitingPrefill
+		}
+	}
+}
+
+// heldTooLong reports whether the KV state of a request is too old to wait for a decode server.
+func (r *Router) heldTooLong(now Nanos, req *requestState) bool {
+	return now >= req.heldSince+Nanos(maxHeldShare*float64(r.config.ReleaseTime))
+}
+
+// releaseState returns the decision to release the KV state of a request.
+func (r *Router) releaseState(req *requestState) (Decision, bool) {
+	req.stateHeld = false
+	return Decision{Action: ReleaseState, Request: req.ID}, true
+}
--- /dev/null
+++ b/policy/next.go
@@ -0,0 +1,161 @@
+package policy
+
+// NextDecision returns the next decision, and whether there is one.
+func (r *Router) NextDecision(now Nanos) (Decision, bool) {
+	if n := len(r.logLines); n > 0 {
+		text := r.logLines[n-1]
+		r.logLines = r.logLines[:n-1]
+		return Decision{Action: LogMessage, Text: text}, true
+	}
+	if decision, ok := r.nextRequestDecision(now); ok {
+		return decision, true
+	}
+	if !r.watching && now >= r.watchAt {
+		r.watching = true
+		return Decision{Action: WatchEndpoints}, true
+	}
+	if r.reviewAt < r.timerAt {
+		r.timerAt = max(r.reviewAt, now+1)
+		return Decision{Action: SetTimer, Duration: r.timerAt - now}, true
+	}
+	return Decision{}, false
+}
+
+// TimerFired reports that the time of the last SetTimer has come.
+func (r *Router) TimerFired(now Nanos) {
+	r.timerAt = Never
+	if now >= r.reviewAt {
+		r.review(now)
+	}
+}
+
+// nextRequestDecision returns the next decision about a request in the work queue, and whether there is one.
+func (r *Router) nextRequestDecision(now Nanos) (Decision, bool) {
+	for {
+		slot, ok := r.requests.peek()
+		if !ok {
+			return Decision{}, false
+		}
+		if decision, ok := r.decide(now, &r.requests.entries[slot]); ok {
+			return decision, true
+		}
+		r.requests.dequeue()
+		r.removeIfFinished(slot)
+	}
+}
+
+// removeIfFinished removes a request that needs nothing any more.
+func (r *Router) removeIfFinished(slot int32) {
+	req := &r.requests.entries[slot]
+	if !req.used || !req.finished || req.attemptOutstanding {
+		return
+	}
+	if req.attempts > 0 {
+		r.activeCount--
+	}
+	r.requests.remove(slot)
+}
+
+// decide returns the next decision about a request, and whether there is one.
+func (r *Router) decide(now Nanos, req *requestState) (Decision, bool) {
+	switch {
+	case req.finished:
+		return r.decideFinished(req)
+	case req.phase == streaming:
+		return Decision{}, false
+	case req.attemptOutstanding:
+		return r.decideOutstanding(now, req)
+	case req.phase == awaitingPrefill && req.stateHeld:
+		return r.releaseState(req)
+	case r.isHopeless(now, req):
+		return r.giveUp(now, req)
+	case req.attempts == 0 && float64(r.activeCount) >= r.requestLimit.limitFor(req.overQuota):
+		return r.waitOrGiveUp(now, req, r.waitedTooLongForFirstAttempt(now, req))
+	}
+	to := r.pickServer(now, req)
+	if to == noServer {
+		return r.waitOrGiveUp(now, req, r.waitedTooLong(now, req))
+	}
+	return r.sendAttempt(now, req, to), true
+}
+
+// decideFinished ends what is left of a finished request. Whatever ended it, no KV state stays held (rule five).
+func (r *Router) decideFinished(req *requestState) (Decision, bool) {
+	req.reviewAt = Never
+	switch {
+	case !req.attemptOutstanding && req.stateHeld:
+		return r.releaseState(req)
+	case req.attemptOutstanding && req.phase != streaming && r.config.Attempts.CanCancel && !req.cancelSent:
+		return r.cancelAttempt(req)
+	}
+	return Decision{}, false
+}
+
+// decideOutstanding decides about a request that waits for the response to its attempt.
+func (r *Router) decideOutstanding(now Nanos, req *requestState) (Decision, bool) {
+	lastAnswerAt := req.Deadline + r.config.Responses.DeadlineGrace/2
+	if now >= lastAnswerAt { // an outcome that never comes must not cost the final answer
+		return r.giveUp(now, req)
+	}
+	if r.shouldCancel(now, req) {
+		return r.cancelAttempt(req)
+	}
+	r.reviewLater(now, req, min(lastAnswerAt, now+r.reviewInterval))
+	return Decision{}, false
+}
+
+// shouldCancel reports whether the outstanding attempt of a request should be cancelled because its server is stalled.
+func (r *Router) shouldCancel(now Nanos, req *requestState) bool {
+	if !r.config.Attempts.CanCancel || req.cancelSent || !r.mayRetryAfterCancel(req) {
+		return false
+	}
+	srv := &r.servers[req.attemptServer]
+	return (srv.role != Prefill || srv.outstanding >= manyUnanswered) && r.stalled(now, srv, req.Class)
+}
+
+// cancelAttempt returns the decision to cancel the outstanding attempt of a request.
+func (r *Router) cancelAttempt(req *requestState) (Decision, bool) {
+	req.cancelSent = true
+	return Decision{Action: CancelAttempt, Request: req.ID, Attempt: AttemptNumber(req.attempts - 1)}, true
+}
+
+// isHopeless reports whether a request must not or need not be sent any more.
+func (r *Router) isHopeless(now Nanos, req *requestState) bool {
+	return req.givenUp ||
+		now+r.config.Responses.RoundInterval >= req.Deadline ||
+		req.attempts >= r.config.Attempts.MaxAttempts ||
+		!r.mayAttempt(now, req) ||
+		req.phase == awaitingPrefill && r.deadlineTooClose(now, req)
+}
+
+// waitOrGiveUp gives up a request that has waited too long, else has it reviewed again before its deadline.
+func (r *Router) waitOrGiveUp(now Nanos, req *requestState, tooLong bool) (Decision, bool) {
+	if tooLong {
+		return r.giveUp(now, req)
+	}
+	r.reviewLater(now, req, min(now+r.reviewInterval, req.Deadline-r.config.Responses.RoundInterval))
+	return Decision{}, false
+}
+
+// pickServer returns the server for the next stage of a request, or noServer.
+func (r *Router) pickServer(now Nanos, req *requestState) int32 {
+	for pass := range selectionPasses {
+		if to := r.pickServerInPass(now, req, pass); to != noServer {
+			return to
+		}
+	}
+	return noServer
+}
+
+func (r *Router) pickServerInPass(now Nanos, req *requestState, pass selectionPass) int32 {
+	if req.phase == awaitingDecode {
+		return r.pickDecode(now, req, pass)
+	}
+	if to := r.pickMixed(now, req, pass); to != noServer {
+		return to
+	}
+	if to := r.pickPrefill(now, req, pass); to != noServer {
+		return to
+	}
+	return r.pickWithoutPrefill(now, req, pass)
+}
--- a/policy/ramp_test.go
+++ b/policy/ramp_test.go
@@ -40,11 +40,16 @@
 // join starts a module, or starts it anew.
 func (r *ramp) join(t *testing.T, n int) {
 	t.Helper()
-	d, err := New(uint64(n)+uint64(r.now), Identity{Number: int32(n), Count: int32(len(r.modules))}, []Class{{LatencyTarget: 1e9, Timeout: 5e9}}, nil,
-		[]Role{Prefill}, rampTerms, AttemptLimits{MaxAttempts: 3}, ResponseSettings{RoundInterval: rampTick}, Discovery{}, 1e9)
-	if err != nil {
-		t.Fatal(err)
-	}
+	d := newRouter(t, Config{
+		Seed:        uint64(n) + uint64(r.now),
+		Self:        Identity{Number: int32(n), Count: int32(len(r.modules))},
+		Classes:     []Class{{LatencyTarget: 1e9, Timeout: 5e9}},
+		Roles:       []Role{Prefill},
+		SlowStart:   rampTerms,
+		Attempts:    AttemptLimits{MaxAttempts: 3},
+		Responses:   ResponseSettings{RoundInterval: rampTick},
+		ReleaseTime: 1e9,
+	})
 	r.modules[n], r.wakes[n] = d, Never
 	d.ListUpdateStarted(true)
 	for id := ServerID(1); id <= rampHosts; id++ {
--- a/policy/replace_test.go
+++ b/policy/replace_test.go
@@ -4,12 +4,16 @@
 
 // Servers that are replaced under new names, each in a cell of its own, leave nothing behind.
 func TestReplacedHostsLeaveNothing(t *testing.T) {
-	d, err := New(1, Identity{Count: 2}, []Class{{LatencyTarget: 1e9, Timeout: 5e9, Value: 1}}, nil, []Role{Prefill, Decode},
-		SlowStart{InitialCapacity: 0.3, WarmupTime: 1e9, OverloadFactor: 2.5, OverloadWindow: 1e9}, AttemptLimits{MaxAttempts: 6, CanCancel: true},
-		ResponseSettings{RoundInterval: 4e6}, Discovery{}, 1e9)
-	if err != nil {
-		t.Fatal(err)
-	}
+	d := newRouter(t, Config{
+		Seed:        1,
+		Self:        Identity{Count: 2},
+		Classes:     []Class{{LatencyTarget: 1e9, Timeout: 5e9, Value: 1}},
+		Roles:       []Role{Prefill, Decode},
+		SlowStart:   SlowStart{InitialCapacity: 0.3, WarmupTime: 1e9, OverloadFactor: 2.5, OverloadWindow: 1e9},
+		Attempts:    AttemptLimits{MaxAttempts: 6, CanCancel: true},
+		Responses:   ResponseSettings{RoundInterval: 4e6},
+		ReleaseTime: 1e9,
+	})
 	now, next := Nanos(1e9), ServerID(1)
 	d.ListUpdateStarted(true)
 	for ; next <= 14; next++ {
@@ -52,9 +56,9 @@
 		d.AttemptEnded(now, id, 1, Served, 1e6, true, NoLoadReport)
 		drain()
 	}
-	if len(d.servers) > 20 || len(d.byID) > 20 || len(d.cells) > 20 {
+	if len(d.servers) > 20 || len(d.serverIndex) > 20 || len(d.locality.cells) > 20 {
 		t.Errorf("after 10000 replacements %d hosts, %d ids, %d cells, want about the 14 there are", len(d.servers),
-			len(d.byID), len(d.cells))
+			len(d.serverIndex), len(d.locality.cells))
 	}
 	if n := len(d.prefixes.marks); n > 2000 { // what is believed held for 30 s
 		t.Errorf("%d marks of beginnings", n)
--- a/policy/replicas_test.go
+++ b/policy/replicas_test.go
@@ -8,11 +8,15 @@
 	const prefix = PrefixKey(99)
 	at := map[ServerID]bool{}
 	for session := range 40 {
-		d, err := New(1, Identity{Number: int32(session), Count: 40}, []Class{{LatencyTarget: 1e9, Timeout: 5e9, Value: 1}}, nil, []Role{Prefill},
-			SlowStart{}, AttemptLimits{MaxAttempts: 3}, ResponseSettings{RoundInterval: 1e6}, Discovery{}, 1e9)
-		if err != nil {
-			t.Fatal(err)
-		}
+		d := newRouter(t, Config{
+			Seed:        1,
+			Self:        Identity{Number: int32(session), Count: 40},
+			Classes:     []Class{{LatencyTarget: 1e9, Timeout: 5e9, Value: 1}},
+			Roles:       []Role{Prefill},
+			Attempts:    AttemptLimits{MaxAttempts: 3},
+			Responses:   ResponseSettings{RoundInterval: 1e6},
+			ReleaseTime: 1e9,
+		})
 		now := Nanos(1e9)
 		d.ListUpdateStarted(true)
 		for id := range ServerID(20) {
--- /dev/null
+++ b/policy/router.go
@@ -0,0 +1,107 @@
+// Package policy decides, for one dispatcher, which prefill server reads the prompt of each request and which decode
+// server writes its answer, and when requests are retried, rejected or failed.
+//
+// A Router is a state machine. Its caller reports events:
+//
+//   - the endpoint list: ListUpdateStarted, ServerListed, ListUpdateEnded, ListUpdateFailed
+//   - requests: RequestArrived, RequestCanceled
+//   - attempts: StreamStarted, AttemptEnded, StateHeldSince
+//   - time: TimerFired
+//
+// After one or more events the caller calls NextDecision until there is no further decision, and carries out each
+// one. The caller passes the current time, which must not go back; a timer that is due must be reported before
+// NextDecision is called. The package does no I/O and reads no clock, and a Router is not safe for concurrent use.
+package policy
+
+import "math"
+
+// reviewsPerTarget is how many reviews take place within the shortest latency target.
+const reviewsPerTarget = 16
+
+// Router decides for one dispatcher. It shares no state with the routers of other dispatchers.
+type Router struct {
+	config         Config
+	shortestTarget Nanos // shortest latency target of all classes: how fast observations of the servers go stale
+
+	requests     requestTable
+	activeCount  int32 // requests that were sent to a server and are not finished
+	requestLimit requestLimiter
+	quotas       []tokenBucket // by tenant
+
+	servers     []server
+	serverIndex map[ServerID]int32 // index into servers
+	listUpdates uint64             // number of list updates so far
+	counts      serverCounts
+	locality    localityIndex
+	roleLimits  [roleCount]concurrencyLimit // attempts at servers of a role that have not been answered
+
+	latency           latencyStats
+	transferLatencies [2]sampleRing // first answers of decode servers, by transferScope
+	throughput        throughputStats
+
+	prefixes prefixIndex
+	affinity affinityLookup
+
+	reviewInterval Nanos // longest time between two reviews
+	reviewedAt     Nanos // last review
+	reviewAt       Nanos // next review
+	timerAt        Nanos // when the caller calls TimerFired; Never = no timer is set
+	watching       bool  // the endpoint list is being watched
+	watchAt        Nanos // no earlier request for the endpoint list than this
+
+	random   pcg
+	logLines []string
+	scratch  []float64 // reused by medianOverServers
+}
+
+// New returns a router that knows no servers and no requests.
+func New(config Config) (*Router, error) {
+	if err := config.validate(); err != nil {
+		return nil, err
+	}
+	shortestTarget := Never
+	for _, class := range config.Classes {
+		shortestTarget = min(shortestTarget, class.LatencyTarget)
+	}
+	shortestWait := min(config.ReleaseTime, shortestTarget)
+	r := &Router{
+		config:         config,
+		shortestTarget: shortestTarget,
+		requests:       newRequestTable(),
+		requestLimit:   requestLimiter{limit: math.MaxInt32},
+		quotas:         make([]tokenBucket, len(config.Tenants)),
+		serverIndex:    make(map[ServerID]int32),
+		locality:       newLocalityIndex(),
+		prefixes:       newPrefixIndex(),
+		reviewInterval: max(shortestWait/reviewsPerTarget, config.Responses.RoundInterval, 1),
+		reviewAt:       Never,
+		timerAt:        Never,
+		watching:       !config.Discovery.OnRequest,
+		random:         pcg{config.Seed},
+	}
+	r.random.intn(1) // the first output of a small seed is hardly random
+	return r, nil
+}
+
+// ServerEstimate is what a router assumes about a server.
+type ServerEstimate struct {
+	QueuedPromptTokens int64 // prompt tokens sent by this dispatcher and not read yet
+	UnansweredAttempts int32 // attempts of this dispatcher that have not been answered
+	Streams            int32 // requests of this dispatcher that the server answers or is to answer
+	Ejected            bool  // gets no new requests, or one at a time as a probe
+}
+
+// EstimateServer returns what the router assumes about a server, and whether it knows the server.
+func (r *Router) EstimateServer(now Nanos, id ServerID) (ServerEstimate, bool) {
+	i, ok := r.serverIndex[id]
+	if !ok {
+		return ServerEstimate{}, false
+	}
+	srv := &r.servers[i]
+	return ServerEstimate{
+		QueuedPromptTokens: srv.queuedTokens,
+		UnansweredAttempts: srv.outstanding,
+		Streams:            srv.streams,
+		Ejected:            now < srv.ejectedUntil || srv.halfOpen,
+	}, true
+}
--- /dev/null
+++ b/policy/router_test.go
@@ -0,0 +1,69 @@
+package policy
+
+import (
+	"fmt"
+	"testing"
+)
+
+// newRouter returns a router with these settings.
+func newRouter(tb testing.TB, config Config) *Router {
+	tb.Helper()
+	router, err := New(config)
+	if err != nil {
+		tb.Fatal(err)
+	}
+	return router
+}
+
+func TestNewChecksItsSettings(t *testing.T) {
+	valid := Config{
+		Self: Identity{Count: 1}, Classes: []Class{{LatencyTarget: 1e9, Timeout: 5e9}}, Roles: []Role{Prefill},
+		Attempts: AttemptLimits{MaxAttempts: 1}, ReleaseTime: 1e9,
+	}
+	newRouter(t, valid)
+	for name, invalidate := range map[string]func(c *Config){
+		"no classes":      func(c *Config) { c.Classes = nil },
+		"no roles":        func(c *Config) { c.Roles = nil },
+		"no attempts":     func(c *Config) { c.Attempts.MaxAttempts = 0 },
+		"no release time": func(c *Config) { c.ReleaseTime = 0 },
+		"no dispatchers":  func(c *Config) { c.Self.Count = 0 },
+		"no target":       func(c *Config) { c.Classes = []Class{{Timeout: 5e9}} },
+		"no timeout":      func(c *Config) { c.Classes = []Class{{LatencyTarget: 1e9}} },
+	} {
+		t.Run(name, func(t *testing.T) {
+			config := valid
+			invalidate(&config)
+			if _, err := New(config); err == nil {
+				t.Error("New accepts the settings, want an error")
+			}
+		})
+	}
+}
+
+// TestNames checks that every value of an enumeration has a name of its own.
+func TestNames(t *testing.T) {
+	for _, c := range []struct {
+		enumeration string
+		count       int
+		name        func(value uint8) fmt.Stringer
+	}{
+		{"Role", int(roleCount), func(v uint8) fmt.Stringer { return Role(v) }},
+		{"Idempotency", int(NonIdempotent) + 1, func(v uint8) fmt.Stringer { return Idempotency(v) }},
+		{"DedupScope", int(DedupScopeCell) + 1, func(v uint8) fmt.Stringer { return DedupScope(v) }},
+		{"Health", int(Gone) + 1, func(v uint8) fmt.Stringer { return Health(v) }},
+		{"Outcome", int(StaleConnection) + 1, func(v uint8) fmt.Stringer { return Outcome(v) }},
+		{"Action", int(LogMessage) + 1, func(v uint8) fmt.Stringer { return Action(v) }},
+	} {
+		seen := map[string]bool{}
+		for value := range c.count {
+			name := c.name(uint8(value)).String()
+			if name == "unknown" || seen[name] {
+				t.Errorf("%s %d is named %q, want a name of its own", c.enumeration, value, name)
+			}
+			seen[name] = true
+		}
+		if name := c.name(uint8(c.count)).String(); name != "unknown" {
+			t.Errorf("%s %d, which does not exist, is named %q", c.enumeration, c.count, name)
+		}
+	}
+}
--- a/policy/scale_test.go
+++ b/policy/scale_test.go
@@ -35,12 +35,16 @@
 // newFleetPlay makes a module before half as many prefill servers as decode servers.
 func newFleetPlay(tb testing.TB, servers, perSecond int) *fleetPlay {
 	tb.Helper()
-	module, err := New(1, Identity{Count: 300}, []Class{{LatencyTarget: 1e9, LatencyTargetPer1k: 60e6, Timeout: 5e9}}, nil, []Role{Prefill, Decode},
-		SlowStart{InitialCapacity: 0.3, WarmupTime: 10e9, OverloadFactor: 2.5, OverloadWindow: 3e9}, AttemptLimits{MaxAttempts: 4, CanCancel: true}, ResponseSettings{DeadlineGrace: 50e6, RoundInterval: 4e6},
-		Discovery{}, 1e9)
-	if err != nil {
-		tb.Fatal(err)
-	}
+	module := newRouter(tb, Config{
+		Seed:        1,
+		Self:        Identity{Count: 300},
+		Classes:     []Class{{LatencyTarget: 1e9, LatencyTargetPer1k: 60e6, Timeout: 5e9}},
+		Roles:       []Role{Prefill, Decode},
+		SlowStart:   SlowStart{InitialCapacity: 0.3, WarmupTime: 10e9, OverloadFactor: 2.5, OverloadWindow: 3e9},
+		Attempts:    AttemptLimits{MaxAttempts: 4, CanCancel: true},
+		Responses:   ResponseSettings{DeadlineGrace: 50e6, RoundInterval: 4e6},
+		ReleaseTime: 1e9,
+	})
 	play := &fleetPlay{module: module, now: 1e9, wake: Never, every: 1e9 / Nanos(perSecond)}
 	module.ListUpdateStarted(true)
 	for i := range servers {
@@ -64,7 +68,7 @@
 		case SendAttempt:
 			_, req := p.module.requests.find(decision.Request)
 			outcome := Prefilled
-			if req.phase == toWrite {
+			if req.phase == awaitingDecode {
 				outcome = Served
 			}
 			p.ends = append(p.ends, fleetEnd{p.now + fleetLatency, decision.Request, AttemptNumber(req.attempts - 1), outcome})
@@ -132,10 +136,10 @@
 	d := play.module
 	for n := range 200 {
 		req := &requestState{Request: Request{ID: RequestID(1e6 + n), Prefix: PrefixKey(n % 70), Session: SessionKey(n + 1), PromptTokens: 4000}}
-		d.findReplicas(play.now, req, Prefill, 0, int64(Never))
+		d.findReplicas(play.now, req, Prefill, passStrict, int64(Never))
 		want := []int32{}
 		for i := range d.servers {
-			if d.servers[i].role == Prefill && d.eligible(play.now, req, int32(i), 0) {
+			if d.servers[i].role == Prefill && d.eligible(play.now, req, int32(i), passStrict) {
 				want = append(want, int32(i))
 			}
 		}
@@ -144,7 +148,7 @@
 		want = want[:min(d.replicaCount(req), len(want))]
 		got := []int32{}
 		for i := range d.servers {
-			if d.servers[i].replicaPick == d.replicaPick {
+			if d.servers[i].replicaLookup == d.affinity.number {
 				got = append(got, int32(i))
 			}
 		}
@@ -152,8 +156,8 @@
 		if !slices.Equal(got, want) {
 			t.Fatalf("prefix %d: replicas %v, want %v", req.Prefix, got, want)
 		}
-		if !slices.Contains(want, d.sessionReplica) {
-			t.Fatalf("prefix %d: the session's replica %d is none of %v", req.Prefix, d.sessionReplica, want)
+		if !slices.Contains(want, d.affinity.sessionReplica) {
+			t.Fatalf("prefix %d: the session's replica %d is none of %v", req.Prefix, d.affinity.sessionReplica, want)
 		}
 	}
 }
@@ -175,29 +179,29 @@
 			d.ServerListed(id, ZoneID(rng.IntN(3)), KindID(rng.IntN(2)), CellID(rng.IntN(6)), Health(rng.IntN(3)), max(started, 0))
 			d.ListUpdateEnded(play.now)
 		case 1:
-			if i, ok := d.byID[id]; ok {
-				d.eject(play.now, &d.servers[i], "test", false)
+			if i, ok := d.serverIndex[id]; ok {
+				d.eject(play.now, &d.servers[i], "test")
 			}
 		}
 		d.review(play.now)
-		serving, warming, warm := d.serving, d.warming, d.warm
-		cells, zones := slices.Clone(d.cells), slices.Clone(d.zones)
-		d.countsStale = true
+		serving, warming, warm := d.counts.serving, d.counts.warming, d.counts.warm
+		cells, zones := slices.Clone(d.locality.cells), slices.Clone(d.locality.zones)
+		d.counts.stale = true
 		d.countServers(play.now)
-		d.shareCapacity()
-		if serving != d.serving || warming != d.warming || warm != d.warm || !slices.Equal(cells, d.cells) || !slices.Equal(zones, d.zones) {
+		d.locality.shareCapacity()
+		if serving != d.counts.serving || warming != d.counts.warming || warm != d.counts.warm || !slices.Equal(cells, d.locality.cells) || !slices.Equal(zones, d.locality.zones) {
 			t.Fatalf("step %d: serving %v, warming up %v, warm %v, want %v, %v, %v; cells %v, want %v",
-				n, serving, warming, warm, d.serving, d.warming, d.warm, cells, d.cells)
+				n, serving, warming, warm, d.counts.serving, d.counts.warming, d.counts.warm, cells, d.locality.cells)
 		}
-		members := make([]int32, len(d.cells))
+		members := make([]int32, len(d.locality.cells))
 		for i := range d.servers {
 			if at := d.servers[i].cellIndex; at != noCell {
 				members[at]++
 			}
 		}
-		for i := range d.cells {
-			if d.cells[i].servers != members[i] || d.cellIndex[d.cells[i].key()] != int32(i) {
-				t.Fatalf("step %d: cell %d has %d servers, said to be %d", n, i, members[i], d.cells[i].servers)
+		for i := range d.locality.cells {
+			if d.locality.cells[i].serverCount != members[i] || d.locality.index[d.locality.cells[i].key()] != int32(i) {
+				t.Fatalf("step %d: cell %d has %d servers, said to be %d", n, i, members[i], d.locality.cells[i].serverCount)
 			}
 		}
 	}
--- a/policy/scenario_test.go
+++ b/policy/scenario_test.go
@@ -103,22 +103,25 @@
 
 func (p *player) start() {
 	s := func(name string) Nanos { return Nanos(p.set[name]) * ms }
-	var err error
-	p.d, err = New(1, Identity{Number: int32(p.set["number"]), Count: int32(p.set["count"])}, []Class{{
-		LatencyTarget: s("target"), LatencyTargetPer1k: s("per1k"),
-		Timeout: s("timeout"), Value: 1, InterTokenTarget: 50 * ms, Idempotency: Idempotency(p.set["effect"]), DedupScope: DedupScope(p.set["group"]),
-		DedupWindow: s("memory"),
-	}}, []Tenant{{RequestsPerSecond: float64(p.set["share"])}}, []Role{Prefill, Decode, Mixed},
-		SlowStart{
+	p.d = newRouter(p.t, Config{
+		Seed: 1,
+		Self: Identity{Number: int32(p.set["number"]), Count: int32(p.set["count"])},
+		Classes: []Class{{
+			LatencyTarget: s("target"), LatencyTargetPer1k: s("per1k"),
+			Timeout: s("timeout"), Value: 1, InterTokenTarget: 50 * ms, Idempotency: Idempotency(p.set["effect"]), DedupScope: DedupScope(p.set["group"]),
+			DedupWindow: s("memory"),
+		}},
+		Tenants: []Tenant{{RequestsPerSecond: float64(p.set["share"])}},
+		Roles:   []Role{Prefill, Decode, Mixed},
+		SlowStart: SlowStart{
 			InitialCapacity: float64(p.set["from"]) / 100, WarmupTime: s("warm"), OverloadFactor: float64(p.set["multiple"]) / 100,
 			OverloadWindow: s("window"),
 		},
-		AttemptLimits{MaxAttempts: int32(p.set["most"]), CanCancel: p.set["cancel"] == 1, DecodeCanPrefill: p.set["pens"] == 1},
-		ResponseSettings{DeadlineGrace: s("slack"), RoundInterval: s("round"), SendRetryAfter: p.set["advice"] == 1, MaxRetryAfter: s("maxadvice")},
-		Discovery{OnRequest: p.set["asked"] == 1, MaxInterval: 10000 * ms}, s("release"))
-	if err != nil {
-		p.t.Fatal(err)
-	}
+		Attempts:    AttemptLimits{MaxAttempts: int32(p.set["most"]), CanCancel: p.set["cancel"] == 1, DecodeCanPrefill: p.set["pens"] == 1},
+		Responses:   ResponseSettings{DeadlineGrace: s("slack"), RoundInterval: s("round"), SendRetryAfter: p.set["advice"] == 1, MaxRetryAfter: s("maxadvice")},
+		Discovery:   Discovery{OnRequest: p.set["asked"] == 1, MaxInterval: 10000 * ms},
+		ReleaseTime: s("release"),
+	})
 }
 
 // settle closes an open list and pulls what was decided.
--- a/policy/types.go
+++ b/policy/types.go
@@ -1,180 +1,159 @@
-// Package policy decides, for one dispatcher, where the prompt of each request is read (prefill) and where
-// its answer is written (decode). This file is its interface: ids, settings, events and decisions.
 package policy
 
-// Nanos is a time on the caller's clock, or a span of it, in whole nanoseconds.
+// Nanos is a point on the caller's clock or a duration, in nanoseconds.
 type Nanos int64
 
 // Never is later than every time on the caller's clock.
 const Never = Nanos(1 << 62)
 
-type (
-	RequestID     uint64 // a request, as the caller names it
-	ServerID      uint32 // a server, as the list names it
-	SessionKey    uint64 // a conversation; 0 = none
-	PrefixKey     uint64 // a prefix shared with other sessions; 0 = none
-	ClassID       int32  // an index into the classes given at start
-	TenantID      int32  // an index into the tenants given at start; -1 = none
-	ZoneID        int32  // an index into the zones of the settings
-	KindID        int32  // an index into the kinds of server given at start
-	CellID        int64  // servers on one link, within a zone
-	AttemptNumber int32  // the number of an attempt within its request, from 0
-)
+// RequestID identifies a request. The caller assigns it.
+type RequestID uint64
+
+// ServerID identifies a server. The endpoint list assigns it.
+type ServerID uint32
+
+// SessionKey identifies a conversation; 0 means none.
+type SessionKey uint64
+
+// PrefixKey identifies a prompt prefix that sessions share; 0 means none.
+type PrefixKey uint64
+
+// ClassID is an index into Config.Classes.
+type ClassID int32
+
+// TenantID is an index into Config.Tenants; -1 means none.
+type TenantID int32
+
+// ZoneID identifies a zone. The caller numbers zones from 0.
+type ZoneID int32
 
-// Role is what a kind of server can do.
+// KindID is an index into Config.Roles: the kind of machine that a server runs on.
+type KindID int32
+
+// CellID identifies, within its zone, a cell: the servers on one network link.
+type CellID int64
+
+// AttemptNumber counts the attempts of one request from 0.
+type AttemptNumber int32
+
+// Role says which stages of a request a server can do.
 type Role uint8
 
+// The roles of servers.
 const (
-	Prefill Role = iota
-	Decode
-	Mixed
+	Prefill Role = iota // reads prompts
+	Decode              // writes answers
+	Mixed               // does both
 	roleCount
 )
 
-// Idempotency says what a repeated run of a request would do.
+// String returns the role in lower case.
+func (r Role) String() string { return nameOf(r, "prefill", "decode", "mixed") }
+
+// Idempotency says what running a request twice does.
 type Idempotency uint8
 
+// The kinds of idempotency.
 const (
 	Idempotent    Idempotency = iota // may run any number of times
-	Deduplicated                     // repeats are known and dropped within a group of servers, for a time
+	Deduplicated                     // servers within DedupScope drop repeats, for as long as DedupWindow
 	NonIdempotent                    // must never run twice
 )
 
-// DedupScope is the set of servers that knows a deduplicated request's repeats.
+// String returns the idempotency in lower case.
+func (i Idempotency) String() string {
+	return nameOf(i, "idempotent", "deduplicated", "non-idempotent")
+}
+
+// DedupScope is the set of servers that recognize each other's repeats of a Deduplicated request.
 type DedupScope uint8
 
+// The deduplication scopes.
 const (
-	DedupScopeAll DedupScope = iota
-	DedupScopeZone
-	DedupScopeCell
+	DedupScopeAll  DedupScope = iota // all servers
+	DedupScopeZone                   // servers of one zone
+	DedupScopeCell                   // servers of one cell
 )
 
-// Health is what the list says of a server's process.
+// String returns the scope in lower case.
+func (s DedupScope) String() string { return nameOf(s, "all", "zone", "cell") }
+
+// Health is the state of a server in the endpoint list.
 type Health uint8
 
+// The states of servers.
 const (
-	Serving Health = iota
-	Draining
-	Gone
+	Serving  Health = iota // accepts requests
+	Draining               // finishes what it has
+	Gone                   // no longer exists
 )
 
-// Outcome is how an attempt ended.
+// String returns the state in lower case.
+func (h Health) String() string { return nameOf(h, "serving", "draining", "gone") }
+
+// Outcome says how an attempt ended.
 type Outcome uint8
 
+// The outcomes of attempts.
 const (
-	Served          Outcome = iota // answered to the end
-	Prefilled                      // the prompt is read, its state waits at the prefill server
-	Rejected                       // turned away: full, draining
-	StateMissing                   // turned away: there was no state to fetch
-	Unreachable                    // no connection; it never ran
-	NotSent                        // never left the dispatcher
+	Served          Outcome = iota // the answer is complete
+	Prefilled                      // the prompt has been read; its KV state waits at the prefill server
+	Rejected                       // the server refused: full or draining
+	StateMissing                   // the decode server refused: it could not fetch the KV state
+	Unreachable                    // no connection could be established; the request never ran
+	NotSent                        // the request never left the dispatcher
 	Failed                         // the server returned an error
-	TimedOut                       // its time ran out
+	TimedOut                       // the attempt's timeout passed
 	ConnectionLost                 // the connection broke
-	Canceled                       // cancelled by this dispatcher
-	StaleConnection                // lost with a connection kept from before, dead by then: it may have run
+	Canceled                       // this dispatcher cancelled the attempt
+	StaleConnection                // a reused connection turned out to be dead; the request may have run
 )
 
-// Class is one class of requests.
-type Class struct {
-	LatencyTarget      Nanos // first token wanted within this time of arrival ...
-	LatencyTargetPer1k Nanos // ... and so much more for each 1,000 prompt tokens
-	Timeout            Nanos // the client's whole time, all its tries together
-	Value              float64
-	LateValue          float64 // share paid after the target
-	InterTokenTarget   Nanos   // wanted between tokens
-	Idempotency        Idempotency
-	DedupScope         DedupScope
-	DedupWindow        Nanos // for this long the group remembers a deduplicated request
-}
-
-// Tenant is one payer and what it is entitled to, over all dispatchers.
-type Tenant struct{ RequestsPerSecond float64 }
-
-// Identity tells a dispatcher which one of them it is.
-type Identity struct {
-	Number, Count int32
-	Zone          ZoneID
-}
-
-// SlowStart describes servers that have just started, and what makes them fail.
-type SlowStart struct {
-	InitialCapacity float64 // share of its capacity with which a server starts, at least
-	WarmupTime      Nanos   // warm after this time
-	OverloadFactor  float64 // sent this multiple of what it can do ...
-	OverloadWindow  Nanos   // ... over this long, it falls over
+// String returns the outcome in lower case.
+func (o Outcome) String() string {
+	return nameOf(o, "served", "prefilled", "rejected", "state missing", "unreachable", "not sent", "failed",
+		"timed out", "connection lost", "canceled", "stale connection")
 }
 
-// AttemptLimits bounds what may be sent.
-type AttemptLimits struct {
-	MaxAttempts      int32 // attempts for one request
-	CanCancel        bool
-	DecodeCanPrefill bool // decode servers read a prompt themselves when no state waits
+// mayHaveRun reports whether a request may have been executed by an attempt with this outcome.
+func (o Outcome) mayHaveRun() bool {
+	return o == Failed || o == TimedOut || o == ConnectionLost || o == Canceled || o == StaleConnection
 }
 
-// ResponseSettings bounds final answers.
-type ResponseSettings struct {
-	DeadlineGrace  Nanos // still accepted so long after the client's deadline
-	RoundInterval  Nanos // time between two rounds of events
-	SendRetryAfter bool  // clients are told when to come back
-	MaxRetryAfter  Nanos
+// blamesServer reports whether the request should avoid the server of an attempt with this outcome.
+func (o Outcome) blamesServer() bool {
+	return o != Prefilled && o != StateMissing && o != StaleConnection
 }
 
-// Discovery says how the list of servers is come by.
-type Discovery struct {
-	OnRequest   bool  // only on request
-	MaxInterval Nanos // to be asked for at least so often
+// nameOf returns the name of an enumerated value, or "unknown".
+func nameOf[T ~uint8](value T, names ...string) string {
+	if int(value) < len(names) {
+		return names[value]
+	}
+	return "unknown"
 }
 
-// Request is what the client tells of a request.
+// Request describes a request of a client.
 type Request struct {
 	ID               RequestID
 	Class            ClassID
 	Tenant           TenantID
 	Session          SessionKey
 	Prefix           PrefixKey
-	PromptTokens     int64 // tokens of the prompt
-	PrefixTokens     int64 // how many of them are the shared prefix
-	MaxOutputTokens  int64 // most tokens in the answer
-	Deadline         Nanos // the client gives this try up then
-	ExpectedDuration Nanos // rough length of the answer; 0 = none
-	IsRetry          bool
+	PromptTokens     int64 // length of the prompt
+	PrefixTokens     int64 // length of the shared prefix, which is part of the prompt
+	MaxOutputTokens  int64 // upper bound of the answer's length
+	Deadline         Nanos // the client gives up at this time
+	ExpectedDuration Nanos // the client's rough estimate for the answer; 0 means none
+	IsRetry          bool  // the client has sent the request before
 }
 
-// LoadReport is a server's own report; a negative value was not reported.
+// LoadReport is a server's own report of its load. A negative value means that it was not reported.
 type LoadReport struct {
-	Requests           float64 // held now
-	MemoryUtilization  float64 // share held
-	QueuedPromptTokens float64 // prompt tokens waiting to be read or fetched
+	Requests           float64 // requests at the server
+	MemoryUtilization  float64 // used share of the KV memory
+	QueuedPromptTokens float64 // prompt tokens that wait to be read or fetched
 }
 
 // NoLoadReport is the report of a server that reports nothing.
-var NoLoadReport = LoadReport{-1, -1, -1}
-
-// Action names what a decision asks of the caller.
-type Action uint8
-
-const (
-	SendAttempt    Action = iota + 1 // send Request to Server, for at most For
-	CancelAttempt                    // cancel the attempt Attempt of Request
-	RejectRequest                    // final: refused, may come back after For
-	FailRequest                      // final: failed
-	ReleaseState                     // have the KV state that is held for Request released
-	SetTimer                         // call Woken after For
-	WatchEndpoints                   // subscribe to the list
-	LogMessage                       // write Text to the log
-)
-
-// Decision is one thing to be done now.
-type Decision struct {
-	Action       Action
-	Request      RequestID
-	Server       ServerID
-	Attempt      AttemptNumber
-	Duration     Nanos
-	CachedTokens int64 // of an attempt that reads: prompt tokens expected to be kept there
-
-	// SendBefore is until when an attempt may begin to be written; 0 = that does not matter.
-	SendBefore Nanos
-	Text       string
-}
+var NoLoadReport = LoadReport{Requests: -1, MemoryUtilization: -1, QueuedPromptTokens: -1}
