--- /dev/null
+++ b/policy/affinity_test.go
@@ -0,0 +1,68 @@
+package policy
+
+import "testing"
+
+// replicasUsed returns how many of twenty prefill servers the first requests of forty sessions with one prefix go to.
+// Each session comes to a dispatcher of its own, which has seen otherCount other requests; one of every of them has the
+// prefix, none if every is 0.
+func replicasUsed(t *testing.T, otherCount, every int) int {
+	t.Helper()
+	const prefix = PrefixKey(99)
+	used := map[ServerID]bool{}
+	for session := range 40 {
+		router := newRouter(t, Config{
+			Seed:        1,
+			Self:        Identity{Number: int32(session), Count: 40},
+			Classes:     []Class{{LatencyTarget: 1e9, Timeout: 5e9, Value: 1}},
+			Roles:       []Role{Prefill},
+			Attempts:    AttemptLimits{MaxAttempts: 3},
+			Responses:   ResponseSettings{RoundInterval: 1e6},
+			ReleaseTime: 1e9,
+		})
+		now := Nanos(1e9)
+		router.ListUpdateStarted(true)
+		for id := range ServerID(20) {
+			router.ServerListed(id+1, 0, 0, 0, Serving, 0)
+		}
+		router.ListUpdateEnded(now)
+		send := func(id RequestID, session SessionKey, prefix PrefixKey) ServerID {
+			now += 1e6
+			router.RequestArrived(now, Request{
+				ID: id, Tenant: -1, Session: session, Prefix: prefix, PromptTokens: 1500, PrefixTokens: 1000,
+				Deadline: now + 5e9,
+			})
+			server := takeAttempt(router, now)
+			router.AttemptEnded(now, id, 0, Prefilled, 1e6, true, NoLoadReport)
+			discardDecisions(router, now)
+			return server
+		}
+		for n := range otherCount {
+			other := PrefixKey(1000 + n)
+			if every > 0 && n%every == 0 {
+				other = prefix
+			}
+			send(RequestID(n+1), SessionKey(5000+100*session+n), other)
+		}
+		router.prefixes.marks = map[uint64]prefixMarks{} // the dispatcher's own requests must not lead the way
+		used[send(1000, SessionKey(session+1), prefix)] = true
+	}
+	return len(used)
+}
+
+// TestReplicas checks that a prefix that few other requests have goes to one replica at every dispatcher, and one that
+// many have to several. A dispatcher that has seen too little to tell uses four, so that a common prefix does not
+// overload one server while all are new.
+func TestReplicas(t *testing.T) {
+	for _, c := range []struct{ otherCount, every, least, most int }{
+		{24, 0, 1, 1},
+		{0, 0, 4, 4},
+		{6, 0, 4, 4},
+		{24, 4, 4, 12},
+		{12, 4, 4, 12},
+	} {
+		if n := replicasUsed(t, c.otherCount, c.every); n < c.least || n > c.most {
+			t.Errorf("%d requests seen, one in %d with the prefix: %d replicas, want %d to %d",
+				c.otherCount, c.every, n, c.least, c.most)
+		}
+	}
+}
--- a/policy/decisions_test.go
+++ b/policy/decisions_test.go
@@ -112,6 +112,7 @@
 					break
 				}
 			}
+		default:
 		}
 	}
 }
@@ -237,27 +238,49 @@
 	}
 }
 
-// TestDecisionsAreRecorded compares all decisions under random events with a recorded digest. A change that is meant to
+// TestDecisionsAsRecorded compares all decisions under random events with a recorded digest. A change that is meant to
 // alter decisions records the digests anew, and says so; any other change must keep them.
-func TestDecisionsAreRecorded(t *testing.T) {
+func TestDecisionsAsRecorded(t *testing.T) {
 	if runtime.GOARCH != "amd64" {
-		t.Skip("recorded on amd64: other architectures fuse multiplications and additions, which rounds differently")
+		t.Skip("recorded on amd64; other architectures may fuse multiplications and additions and so round differently")
 	}
-	for i, c := range []struct {
-		discovery Discovery
-		limits    AttemptLimits
-		want      string
+	for _, c := range []struct {
+		name       string
+		seed       uint64
+		discovery  Discovery
+		limits     AttemptLimits
+		wantDigest string
 	}{
-		{Discovery{MaxInterval: 10e9}, AttemptLimits{MaxAttempts: 4, CanCancel: true}, "474029de772bea1f"},
-		{Discovery{OnRequest: true, MaxInterval: 10e9}, AttemptLimits{MaxAttempts: 3}, "1a9229d79dee6413"},
-		{Discovery{MaxInterval: 4e9}, AttemptLimits{MaxAttempts: 5, CanCancel: true, DecodeCanPrefill: true}, "536f99756848b5d2"},
-		{Discovery{MaxInterval: 4e9}, AttemptLimits{MaxAttempts: 6, DecodeCanPrefill: true}, "b198c08ca5edd95c"},
+		{
+			"attempts can be cancelled", 1,
+			Discovery{MaxInterval: 10e9},
+			AttemptLimits{MaxAttempts: 4, CanCancel: true},
+			"474029de772bea1f",
+		},
+		{
+			"the endpoint list comes on request", 2,
+			Discovery{OnRequest: true, MaxInterval: 10e9},
+			AttemptLimits{MaxAttempts: 3},
+			"1a9229d79dee6413",
+		},
+		{
+			"decode servers can read prompts", 3,
+			Discovery{MaxInterval: 4e9},
+			AttemptLimits{MaxAttempts: 5, CanCancel: true, DecodeCanPrefill: true},
+			"536f99756848b5d2",
+		},
+		{
+			"decode servers can read prompts, attempts cannot be cancelled", 4,
+			Discovery{MaxInterval: 4e9},
+			AttemptLimits{MaxAttempts: 6, DecodeCanPrefill: true},
+			"b198c08ca5edd95c",
+		},
 	} {
-		t.Run(fmt.Sprint(i), func(t *testing.T) {
-			recorder := newDecisionRecorder(t, uint64(i+1), c.discovery, c.limits)
+		t.Run(c.name, func(t *testing.T) {
+			recorder := newDecisionRecorder(t, c.seed, c.discovery, c.limits)
 			recorder.run()
-			if got := fmt.Sprintf("%x", recorder.digest[:8]); got != c.want {
-				t.Errorf("the digest of %d decisions is %s, want %s", recorder.decisions, got, c.want)
+			if got := fmt.Sprintf("%x", recorder.digest[:8]); got != c.wantDigest {
+				t.Errorf("the digest of %d decisions is %s, want %s", recorder.decisions, got, c.wantDigest)
 			}
 		})
 	}
--- a/policy/router_test.go
+++ b/policy/router_test.go
@@ -15,6 +15,24 @@
 	return router
 }
 
+// discardDecisions takes all decisions that are due.
+func discardDecisions(router *Router, now Nanos) {
+	for ok := true; ok; {
+		_, ok = router.NextDecision(now)
+	}
+}
+
+// takeAttempt takes all decisions that are due and returns the server of the last attempt among them, or 0.
+func takeAttempt(router *Router, now Nanos) ServerID {
+	server := ServerID(0)
+	for decision, ok := router.NextDecision(now); ok; decision, ok = router.NextDecision(now) {
+		if decision.Action == SendAttempt {
+			server = decision.Server
+		}
+	}
+	return server
+}
+
 func TestNewChecksItsSettings(t *testing.T) {
 	valid := Config{
 		Self: Identity{Count: 1}, Classes: []Class{{LatencyTarget: 1e9, Timeout: 5e9}}, Roles: []Role{Prefill},
--- a/policy/scenario_test.go
+++ b/policy/scenario_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"maps"
 	"os"
 	"path/filepath"
 	"strconv"
@@ -9,41 +10,80 @@
 	"testing"
 )
 
-// The scenarios in testdata are played line by line; all times are milliseconds. A line holds one
-// or several of these, set apart by semicolons; loop and end stand alone:
+// The scenarios in testdata are played line by line. All times are milliseconds. A scenario starts with a line of two
+// equals signs and its name. A line holds one or several of these commands, separated by semicolons; loop and end stand
+// alone:
 //
-//	set NAME VALUE                     a setting, before anything else
-//	server ID ROLE [zone=Z cell=C health=H sent=T]   the list names a server
-//	full                               the servers that follow are all there are
-//	restored-failed                    the list could not be had
-//	at T                               time goes on; wakes that fall due on the way are delivered
+//	set NAME VALUE                        a setting (see defaultSettings), before anything else
+//	server ID ROLE [zone=Z cell=C health=H started=T]   the endpoint list names a server
+//	full                                  the servers that follow are a full list
+//	list-failed                           the endpoint list could not be obtained
+//	at T                                  time advances; timers that are due on the way fire
 //	request ID [prompt=N shared=N prefix=K session=K timeout=T tenant=N]
-//	began ID | ended ID OUTCOME [after=T] [held=T] [over] | left ID
-//	                                   held: since then its state counts as held, 0 = it was released
-//	expect VERB [ID] [on HOST[|HOST]] [for T] [before T]  the next decision, wakes and log lines left out
-//	tally HOST                         attempts on HOST among the decisions now taken are counted
-//	between A B                        the count is within these; it starts anew
-//	restart                            another dispatcher, with the next number, at the first time
-//	nothing                            no decision is left
-//	log TEXT                           a log line with TEXT was given
-//	loop A B ... end                   the lines between, with $ standing for A to B
+//	began ID [after=T]                    the stream of the last attempt begins, T after it was sent
+//	ended ID OUTCOME [after=T] [held=T] [answered]      the last attempt ends; held is since when the KV state
+//	                                      counts as held, 0 = it was released; answered: finally
+//	canceled ID                           the client cancels a request
+//	expect ACTION [ID] [on SERVER[|SERVER]] [for T] [before T]   the next decision, timers and log lines left out
+//	count SERVER                          takes all decisions now and adds up the attempts at SERVER among them
+//	counted A B                           the sum is from A to B; it starts anew
+//	next-dispatcher                       another dispatcher, with the next number, at the first time
+//	nothing                               no decision is left
+//	log TEXT                              a log line with TEXT was returned
+//	loop A B ... end                      the lines between, with $ standing for A to B
 //
-// A scenario fails if a decision is left at its end.
+// A scenario fails if a decision is left at its end. Idempotency, scopes and health are given by number.
 
-const ms = Nanos(1e6)
+const (
+	ms            = Nanos(1e6)
+	scenarioStart = 1000 * ms
+)
+
+// defaultSettings are the settings of a scenario that sets nothing; shares are in percent.
+var defaultSettings = map[string]int{
+	"target": 1000, "target-per-1k": 60, "timeout": 5000, "max-attempts": 6, "can-cancel": 1, "grace": 16, "round": 4,
+	"release": 500, "initial-capacity": 30, "warmup": 10000, "overload-factor": 250, "overload-window": 2000,
+	"retry-after": 1, "max-retry-after": 1000, "dispatchers": 2, "number": 0, "on-request": 0, "idempotency": 0,
+	"dedup-scope": 0, "dedup-window": 0, "decode-can-prefill": 0, "quota": 0,
+}
+
+// actionNames are the actions as expect names them.
+var actionNames = map[Action]string{
+	SendAttempt: "attempt", CancelAttempt: "cancel", RejectRequest: "reject", FailRequest: "fail",
+	ReleaseState: "release", WatchEndpoints: "watch",
+}
+
+// outcomeByName returns the outcome that ended names, such as timed-out.
+func outcomeByName(name string) (Outcome, bool) {
+	for outcome := Served; outcome <= StaleConnection; outcome++ {
+		if strings.ReplaceAll(outcome.String(), " ", "-") == name {
+			return outcome, true
+		}
+	}
+	return 0, false
+}
 
+// player plays one scenario.
 type player struct {
-	t        *testing.T
-	at       string
-	set      map[string]int
-	d        *Router
-	now      Nanos
-	wake     Nanos
-	queue    []Decision
-	log      []string
-	attempts map[int]AttemptNumber
-	listing  bool
-	count    int
+	t            *testing.T
+	command      string // being played, for messages
+	settings     map[string]int
+	router       *Router
+	now          Nanos
+	timer        Nanos
+	decisions    []Decision // not expected yet
+	log          []string
+	lastAttempts map[int]AttemptNumber // by request
+	listing      bool                  // a list update is open
+	attemptCount int                   // by the command count
+}
+
+func newPlayer(t *testing.T) *player {
+	t.Helper()
+	return &player{
+		t: t, now: scenarioStart, timer: Never, lastAttempts: map[int]AttemptNumber{},
+		settings: maps.Clone(defaultSettings),
+	}
 }
 
 func TestScenarios(t *testing.T) {
@@ -59,269 +99,280 @@
 		for _, part := range strings.Split(string(text), "\n== ")[1:] {
 			name, body, _ := strings.Cut(part, "\n")
 			t.Run(strings.TrimSuffix(filepath.Base(file), ".txt")+"/"+name, func(t *testing.T) {
-				p := &player{t: t, now: 1000 * ms, wake: Never, attempts: map[int]AttemptNumber{}, set: map[string]int{
-					"target": 1000,
-					"per1k":  60, "timeout": 5000, "most": 6, "cancel": 1, "slack": 16, "round": 4, "release": 500,
-					"from": 30, "warm": 10000, "multiple": 250, "window": 2000, "advice": 1, "maxadvice": 1000, "count": 2,
-				}}
+				p := newPlayer(t)
 				p.play(strings.Split(body, "\n"))
-				p.queueEmpty("the end")
+				p.expectNothing("the end")
 			})
 		}
 	}
 }
 
 func (p *player) play(lines []string) {
+	p.t.Helper()
 	for i := 0; i < len(lines); i++ {
 		line, _, _ := strings.Cut(lines[i], "#")
-		if w := strings.Fields(line); len(w) > 0 && w[0] == "loop" {
-			last := i
-			for strings.TrimSpace(lines[last]) != "end" {
-				last++
+		if words := strings.Fields(line); len(words) > 0 && words[0] == "loop" {
+			end := i
+			for strings.TrimSpace(lines[end]) != "end" {
+				end++
 			}
-			for n := p.whole(w[1]); n <= p.whole(w[2]); n++ {
-				p.play(strings.Split(strings.ReplaceAll(strings.Join(lines[i+1:last], "\n"), "$", strconv.Itoa(n)), "\n"))
+			body := strings.Join(lines[i+1:end], "\n")
+			for n := p.number(words[1]); n <= p.number(words[2]); n++ {
+				p.play(strings.Split(strings.ReplaceAll(body, "$", strconv.Itoa(n)), "\n"))
 			}
-			i = last
+			i = end
 			continue
 		}
-		for p.at = range strings.SplitSeq(line, ";") {
-			if w := strings.Fields(p.at); len(w) > 0 {
-				p.do(w)
+		for p.command = range strings.SplitSeq(line, ";") {
+			if words := strings.Fields(p.command); len(words) > 0 {
+				p.do(words)
 			}
 		}
 	}
 }
 
-func (p *player) whole(s string) int {
+func (p *player) number(s string) int {
+	p.t.Helper()
 	n, err := strconv.Atoi(s)
 	if err != nil {
-		p.t.Fatalf("%s: %v", p.at, err)
+		p.t.Fatalf("%s: %v", p.command, err)
 	}
 	return n
 }
 
+// start makes the router with the scenario's settings.
 func (p *player) start() {
-	s := func(name string) Nanos { return Nanos(p.set[name]) * ms }
-	p.d = newRouter(p.t, Config{
+	p.t.Helper()
+	set := p.settings
+	duration := func(name string) Nanos { return Nanos(set[name]) * ms }
+	share := func(name string) float64 { return float64(set[name]) / 100 }
+	p.router = newRouter(p.t, Config{
 		Seed: 1,
-		Self: Identity{Number: int32(p.set["number"]), Count: int32(p.set["count"])},
+		Self: Identity{Number: int32(set["number"]), Count: int32(set["dispatchers"])},
 		Classes: []Class{{
-			LatencyTarget: s("target"), LatencyTargetPer1k: s("per1k"),
-			Timeout: s("timeout"), Value: 1, InterTokenTarget: 50 * ms, Idempotency: Idempotency(p.set["effect"]), DedupScope: DedupScope(p.set["group"]),
-			DedupWindow: s("memory"),
+			LatencyTarget: duration("target"), LatencyTargetPer1k: duration("target-per-1k"),
+			Timeout: duration("timeout"), Value: 1, InterTokenTarget: 50 * ms,
+			Idempotency: Idempotency(set["idempotency"]), DedupScope: DedupScope(set["dedup-scope"]),
+			DedupWindow: duration("dedup-window"),
 		}},
-		Tenants: []Tenant{{RequestsPerSecond: float64(p.set["share"])}},
+		Tenants: []Tenant{{RequestsPerSecond: float64(set["quota"])}},
 		Roles:   []Role{Prefill, Decode, Mixed},
 		SlowStart: SlowStart{
-			InitialCapacity: float64(p.set["from"]) / 100, WarmupTime: s("warm"), OverloadFactor: float64(p.set["multiple"]) / 100,
-			OverloadWindow: s("window"),
+			InitialCapacity: share("initial-capacity"), WarmupTime: duration("warmup"),
+			OverloadFactor: share("overload-factor"), OverloadWindow: duration("overload-window"),
+		},
+		Attempts: AttemptLimits{
+			MaxAttempts: int32(set["max-attempts"]), CanCancel: set["can-cancel"] == 1,
+			DecodeCanPrefill: set["decode-can-prefill"] == 1,
+		},
+		Responses: ResponseSettings{
+			DeadlineGrace: duration("grace"), RoundInterval: duration("round"),
+			SendRetryAfter: set["retry-after"] == 1, MaxRetryAfter: duration("max-retry-after"),
 		},
-		Attempts:    AttemptLimits{MaxAttempts: int32(p.set["most"]), CanCancel: p.set["cancel"] == 1, DecodeCanPrefill: p.set["pens"] == 1},
-		Responses:   ResponseSettings{DeadlineGrace: s("slack"), RoundInterval: s("round"), SendRetryAfter: p.set["advice"] == 1, MaxRetryAfter: s("maxadvice")},
-		Discovery:   Discovery{OnRequest: p.set["asked"] == 1, MaxInterval: 10000 * ms},
-		ReleaseTime: s("release"),
+		Discovery:   Discovery{OnRequest: set["on-request"] == 1, MaxInterval: 10000 * ms},
+		ReleaseTime: duration("release"),
 	})
 }
 
-// settle closes an open list and pulls what was decided.
+// settle closes an open list update and takes the decisions that are due.
 func (p *player) settle() {
 	if p.listing {
 		p.listing = false
-		p.d.ListUpdateEnded(p.now)
+		p.router.ListUpdateEnded(p.now)
 	}
-	for what, ok := p.d.NextDecision(p.now); ok; what, ok = p.d.NextDecision(p.now) {
-		switch what.Action {
+	for decision, ok := p.router.NextDecision(p.now); ok; decision, ok = p.router.NextDecision(p.now) {
+		switch decision.Action {
 		case SetTimer:
-			p.wake = min(p.wake, p.now+what.Duration)
+			p.timer = min(p.timer, p.now+decision.Duration)
 		case LogMessage:
-			p.log = append(p.log, what.Text)
+			p.log = append(p.log, decision.Text)
 		case SendAttempt:
-			if _, again := p.attempts[int(what.Request)]; again {
-				p.attempts[int(what.Request)]++
+			if _, again := p.lastAttempts[int(decision.Request)]; again {
+				p.lastAttempts[int(decision.Request)]++
 			} else {
-				p.attempts[int(what.Request)] = 0
+				p.lastAttempts[int(decision.Request)] = 0
 			}
-			fallthrough
+			p.decisions = append(p.decisions, decision)
 		default:
-			p.queue = append(p.queue, what)
+			p.decisions = append(p.decisions, decision)
 		}
 	}
 }
 
-func (p *player) do(w []string) {
-	if p.d == nil && w[0] != "set" {
-		p.start()
-	}
-	opts := map[string]int{
+// options returns the options NAME=VALUE of a command, with the defaults of those it leaves out.
+func (p *player) options(words []string) map[string]int {
+	p.t.Helper()
+	options := map[string]int{
 		"zone": 0, "cell": 0, "started": 0, "prompt": 500, "shared": 0, "prefix": 0, "session": 0,
-		"timeout": p.set["timeout"], "tenant": -1, "after": 50, "health": 0, "held": -1,
+		"timeout": p.settings["timeout"], "tenant": -1, "after": 50, "health": 0, "held": -1,
 	}
-	for _, o := range w {
-		if k, v, ok := strings.Cut(o, "="); ok {
-			if _, known := opts[k]; !known {
-				p.t.Fatalf("%s: unknown option %s", p.at, k)
+	for _, word := range words {
+		if name, value, ok := strings.Cut(word, "="); ok {
+			if _, known := options[name]; !known {
+				p.t.Fatalf("%s: unknown option %s", p.command, name)
 			}
-			opts[k] = p.whole(v)
+			options[name] = p.number(value)
 		}
 	}
+	return options
+}
+
+func (p *player) do(words []string) {
+	p.t.Helper()
+	if p.router == nil && words[0] != "set" {
+		p.start()
+	}
+	options := p.options(words)
 	id := 0
-	if len(w) > 1 && w[0] != "set" && w[0] != "log" && w[0] != "expect" {
-		id = p.whole(w[1])
+	if len(words) > 1 && words[0] != "set" && words[0] != "log" && words[0] != "expect" {
+		id = p.number(words[1])
 	}
-	over := w[len(w)-1] == "over"
-	switch w[0] {
+	switch words[0] {
 	case "set":
-		if p.d != nil {
-			p.t.Fatalf("%s: settings come first", p.at)
-		}
-		p.set[w[1]] = p.whole(w[2])
+		p.set(words[1], words[2])
 		return
 	case "server", "full":
-		if !p.listing || w[0] == "full" {
-			p.d.ListUpdateStarted(w[0] == "full")
-		}
-		if p.listing = true; w[0] == "server" {
-			role := map[string]KindID{"prefill": 0, "decode": 1, "mixed": 2}[w[2]]
-			launched := Nanos(opts["started"]) * ms
-			p.d.ServerListed(ServerID(id), ZoneID(opts["zone"]), role, CellID(opts["cell"]), Health(opts["health"]), launched)
-		}
+		p.list(words, ServerID(id), options)
 		return
-	case "restored-failed":
-		p.d.ListUpdateFailed(p.now)
+	case "list-failed":
+		p.router.ListUpdateFailed(p.now)
 	case "at":
-		p.settle()
-		for to := Nanos(id) * ms; p.wake <= to; {
-			p.now, p.wake = max(p.wake, p.now), Never
-			p.d.TimerFired(p.now)
-			p.settle()
-		}
-		p.now = Nanos(id) * ms
+		p.advance(Nanos(id) * ms)
 	case "request":
 		p.settle()
-		p.d.RequestArrived(p.now, Request{
-			ID: RequestID(id), Tenant: TenantID(opts["tenant"]), Session: SessionKey(opts["session"]),
-			Prefix: PrefixKey(opts["prefix"]), PromptTokens: int64(opts["prompt"]), PrefixTokens: int64(opts["shared"]), MaxOutputTokens: 200,
-			Deadline: p.now + Nanos(opts["timeout"])*ms,
+		p.router.RequestArrived(p.now, Request{
+			ID: RequestID(id), Tenant: TenantID(options["tenant"]), Session: SessionKey(options["session"]),
+			Prefix: PrefixKey(options["prefix"]), PromptTokens: int64(options["prompt"]),
+			PrefixTokens: int64(options["shared"]), MaxOutputTokens: 200,
+			Deadline: p.now + Nanos(options["timeout"])*ms,
 		})
 	case "began":
-		p.d.StreamStarted(p.now, RequestID(id), p.attempts[id], Nanos(opts["after"])*ms)
+		p.router.StreamStarted(p.now, RequestID(id), p.lastAttempts[id], Nanos(options["after"])*ms)
 	case "ended":
-		outcome, ok := map[string]Outcome{
-			"served": Served, "read": Prefilled, "rejected": Rejected, "stateless": StateMissing,
-			"unreachable": Unreachable, "notsent": NotSent, "failed": Failed, "late": TimedOut, "broken": ConnectionLost,
-			"canceled": Canceled, "stale": StaleConnection,
-		}[w[2]]
-		if !ok {
-			p.t.Fatalf("%s: unknown outcome", p.at)
-		}
-		p.d.AttemptEnded(p.now, RequestID(id), p.attempts[id], outcome, Nanos(opts["after"])*ms, over, NoLoadReport)
-		if held := opts["held"]; held == 0 {
-			p.d.StateHeldSince(p.now, RequestID(id), Never)
-		} else if held > 0 {
-			p.d.StateHeldSince(p.now, RequestID(id), Nanos(held)*ms)
-		}
-	case "left":
-		p.d.RequestCanceled(p.now, RequestID(id))
+		p.endAttempt(words, id, options)
+	case "canceled":
+		p.router.RequestCanceled(p.now, RequestID(id))
 	case "expect":
-		p.expect(w[1:])
-	case "tally":
-		p.settle()
-		for _, what := range p.queue {
-			if what.Action == SendAttempt && int(what.Server) == id {
-				p.count++
-			}
+		p.expect(words[1:])
+	case "count":
+		p.countAttempts(ServerID(id))
+	case "counted":
+		if most := p.number(words[2]); p.attemptCount < id || p.attemptCount > most {
+			p.t.Fatalf("%s: counted %d", p.command, p.attemptCount)
 		}
-		p.queue = p.queue[:0]
-	case "between":
-		if most := p.whole(w[2]); p.count < id || p.count > most {
-			p.t.Fatalf("%s: counted %d", p.at, p.count)
-		}
-		p.count = 0
-	case "restart":
-		p.now, p.wake, p.attempts = 1000*ms, Never, map[int]AttemptNumber{}
-		p.set["number"]++
+		p.attemptCount = 0
+	case "next-dispatcher":
+		p.now, p.timer, p.lastAttempts = scenarioStart, Never, map[int]AttemptNumber{}
+		p.settings["number"]++
 		p.start()
 	case "nothing":
-		p.queueEmpty(p.at)
+		p.expectNothing(p.command)
 	case "log":
 		p.settle()
-		if want := strings.Join(w[1:], " "); !strings.Contains(strings.Join(p.log, "\n"), want) {
+		if want := strings.Join(words[1:], " "); !strings.Contains(strings.Join(p.log, "\n"), want) {
 			p.t.Fatalf("no log line with %q among %q", want, p.log)
 		}
 	default:
-		p.t.Fatalf("%s: unknown line", p.at)
+		p.t.Fatalf("%s: unknown command", p.command)
 	}
 	p.settle()
 }
 
-func (p *player) expect(w []string) {
+func (p *player) set(name, value string) {
 	p.t.Helper()
-	if len(p.queue) == 0 {
-		p.t.Fatalf("at %d: %s: nothing was decided", p.now/ms, p.at)
+	if p.router != nil {
+		p.t.Fatalf("%s: settings come first", p.command)
 	}
-	got := p.queue[0]
-	p.queue = p.queue[1:]
-	name := map[Action]string{
-		SendAttempt: "attempt", CancelAttempt: "cancel", RejectRequest: "reject", FailRequest: "fail", ReleaseState: "release",
-		WatchEndpoints: "watch",
-	}[got.Action]
-	ok := name == w[0] && (len(w) < 2 || fmt.Sprint(got.Request) == w[1])
-	if n := len(w) - 2; n > 0 && w[n] == "before" {
-		before := "never"
-		if got.SendBefore > 0 {
-			before = fmt.Sprint(int64(got.SendBefore / ms))
-		}
-		ok = ok && before == w[n+1]
-		w = w[:n]
+	if _, known := p.settings[name]; !known {
+		p.t.Fatalf("%s: unknown setting", p.command)
 	}
-	if ok && len(w) > 3 && w[2] == "for" {
-		ok = fmt.Sprint(int64(got.Duration/ms)) == w[3]
-	} else if ok && len(w) > 3 {
-		ok = false
-		for _, srv := range strings.Split(w[3], "|") {
-			ok = ok || fmt.Sprint(got.Server) == srv
-		}
+	p.settings[name] = p.number(value)
+}
+
+func (p *player) list(words []string, id ServerID, options map[string]int) {
+	full := words[0] == "full"
+	if !p.listing || full {
+		p.router.ListUpdateStarted(full)
 	}
-	if !ok {
-		p.t.Fatalf("at %d: %s: got %s %d on %d", p.now/ms, p.at, name, got.Request, got.Server)
+	p.listing = true
+	if !full {
+		kind := map[string]KindID{"prefill": 0, "decode": 1, "mixed": 2}[words[2]]
+		p.router.ServerListed(id, ZoneID(options["zone"]), kind, CellID(options["cell"]), Health(options["health"]),
+			Nanos(options["started"])*ms)
+	}
+}
+
+// advance lets time go on to a time; timers that are due on the way fire.
+func (p *player) advance(to Nanos) {
+	p.settle()
+	for p.timer <= to {
+		p.now, p.timer = max(p.timer, p.now), Never
+		p.router.TimerFired(p.now)
+		p.settle()
 	}
+	p.now = to
 }
 
-func (p *player) queueEmpty(where string) {
+func (p *player) endAttempt(words []string, id int, options map[string]int) {
 	p.t.Helper()
+	outcome, ok := outcomeByName(words[2])
+	if !ok {
+		p.t.Fatalf("%s: unknown outcome", p.command)
+	}
+	answered := words[len(words)-1] == "answered"
+	p.router.AttemptEnded(p.now, RequestID(id), p.lastAttempts[id], outcome, Nanos(options["after"])*ms, answered,
+		NoLoadReport)
+	if held := options["held"]; held == 0 {
+		p.router.StateHeldSince(p.now, RequestID(id), Never)
+	} else if held > 0 {
+		p.router.StateHeldSince(p.now, RequestID(id), Nanos(held)*ms)
+	}
+}
+
+func (p *player) countAttempts(server ServerID) {
 	p.settle()
-	if len(p.queue) > 0 {
-		p.t.Fatalf("at %d: %s: left over: %+v", p.now/ms, where, p.queue[0])
+	for _, decision := range p.decisions {
+		if decision.Action == SendAttempt && decision.Server == server {
+			p.attemptCount++
+		}
 	}
+	p.decisions = p.decisions[:0]
 }
 
-func TestOrdinaryPathAllocatesNothing(t *testing.T) {
-	p := &player{t: t, set: map[string]int{"target": 1000, "timeout": 5000, "most": 6, "release": 500, "count": 1}}
-	p.start()
-	p.d.ListUpdateStarted(true)
-	p.d.ServerListed(1, 0, 0, 0, Serving, 0)
-	p.d.ServerListed(2, 0, 1, 0, Serving, 0)
-	p.d.ListUpdateEnded(0)
-	now, id := 1000*ms, RequestID(0)
-	pull := func() {
-		for _, ok := p.d.NextDecision(now); ok; _, ok = p.d.NextDecision(now) {
+func (p *player) expect(words []string) {
+	p.t.Helper()
+	if len(p.decisions) == 0 {
+		p.t.Fatalf("at %d: %s: nothing was decided", p.now/ms, p.command)
+	}
+	got := p.decisions[0]
+	p.decisions = p.decisions[1:]
+	name := actionNames[got.Action]
+	ok := name == words[0] && (len(words) < 2 || fmt.Sprint(got.Request) == words[1])
+	if n := len(words) - 2; n > 0 && words[n] == "before" {
+		before := "never"
+		if got.SendBefore > 0 {
+			before = fmt.Sprint(int64(got.SendBefore / ms))
 		}
+		ok = ok && before == words[n+1]
+		words = words[:n]
 	}
-	one := func() {
-		now, id = now+10*ms, id+1
-		p.d.RequestArrived(now, Request{ID: id, Tenant: -1, Session: 5, Prefix: 7, PromptTokens: 500, PrefixTokens: 400, Deadline: now + 5e9})
-		pull()
-		p.d.AttemptEnded(now, id, 0, Prefilled, 5*ms, false, NoLoadReport)
-		pull()
-		p.d.StreamStarted(now, id, 1, 5*ms)
-		p.d.AttemptEnded(now, id, 1, Served, 5*ms, true, NoLoadReport)
-		pull()
+	if ok && len(words) > 3 && words[2] == "for" {
+		ok = fmt.Sprint(int64(got.Duration/ms)) == words[3]
+	} else if ok && len(words) > 3 {
+		ok = false
+		for server := range strings.SplitSeq(words[3], "|") {
+			ok = ok || fmt.Sprint(got.Server) == server
+		}
 	}
-	for range 100 {
-		one()
+	if !ok {
+		p.t.Fatalf("at %d: %s: got %s %d on %d", p.now/ms, p.command, name, got.Request, got.Server)
 	}
-	if n := testing.AllocsPerRun(500, one); n > 0 {
-		t.Fatalf("%v allocations for a job, want none", n)
+}
+
+func (p *player) expectNothing(where string) {
+	p.t.Helper()
+	p.settle()
+	if len(p.decisions) > 0 {
+		p.t.Fatalf("at %d: %s: left over: %+v", p.now/ms, where, p.decisions[0])
 	}
 }
