--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -337,18 +337,26 @@
 	for _, t := range s.Tenants {
 		tenants = append(tenants, policy.Tenant{RequestsPerSecond: t.RequestsPerSecond})
 	}
-	return policy.New(seed, policy.Identity{Number: s.Index, Count: s.Count, Zone: zone}, tracks, tenants,
-		[]policy.Role{policy.Prefill, policy.Decode, policy.Mixed},
-		policy.SlowStart{
-			InitialCapacity: s.SlowStart.InitialCapacity, WarmupTime: policy.Nanos(s.SlowStart.WarmupTime), OverloadFactor: s.SlowStart.OverloadFactor,
-			OverloadWindow: policy.Nanos(s.SlowStart.OverloadWindow),
+	return policy.New(policy.Config{
+		Seed:    seed,
+		Self:    policy.Identity{Number: s.Index, Count: s.Count, Zone: zone},
+		Classes: tracks,
+		Tenants: tenants,
+		Roles:   []policy.Role{policy.Prefill, policy.Decode, policy.Mixed},
+		SlowStart: policy.SlowStart{
+			InitialCapacity: s.SlowStart.InitialCapacity, WarmupTime: policy.Nanos(s.SlowStart.WarmupTime),
+			OverloadFactor: s.SlowStart.OverloadFactor, OverloadWindow: policy.Nanos(s.SlowStart.OverloadWindow),
 		},
-		policy.AttemptLimits{MaxAttempts: s.Attempts.MaxAttempts, CanCancel: s.Attempts.CanCancel, DecodeCanPrefill: s.Attempts.DecodeCanPrefill},
-		policy.ResponseSettings{
+		Attempts: policy.AttemptLimits{
+			MaxAttempts: s.Attempts.MaxAttempts, CanCancel: s.Attempts.CanCancel, DecodeCanPrefill: s.Attempts.DecodeCanPrefill,
+		},
+		Responses: policy.ResponseSettings{
 			DeadlineGrace: 0, RoundInterval: policy.Nanos(s.Responses.RoundInterval), SendRetryAfter: s.Responses.SendRetryAfter,
 			MaxRetryAfter: policy.Nanos(s.Responses.MaxRetryAfter),
 		},
-		policy.Discovery{MaxInterval: policy.Nanos(s.Discovery.RetryInterval)}, policy.Nanos(s.Rules.ReleaseTime))
+		Discovery:   policy.Discovery{MaxInterval: policy.Nanos(s.Discovery.RetryInterval)},
+		ReleaseTime: policy.Nanos(s.Rules.ReleaseTime),
+	})
 }
 
 // PolicyClasses gives the tracks as the decision module takes them.
