--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -2,15 +2,16 @@
 
 import (
 	"crypto/sha256"
-	"docksail/internal/decide/admission"
-	"docksail/internal/state/endpointlist"
-	"docksail/policy"
 	"encoding/hex"
 	"fmt"
 	"net/netip"
 	"os"
 	"strings"
 	"time"
+
+	"docksail/internal/decide/admission"
+	"docksail/internal/state/endpointlist"
+	"docksail/policy"
 )
 
 // Dispatcher is what one dispatcher is told at its start.
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -1,13 +1,14 @@
 package config
 
 import (
-	"docksail/policy"
 	"os"
 	"reflect"
 	"slices"
 	"strings"
 	"testing"
 	"time"
+
+	"docksail/policy"
 )
 
 const good = `// comments are fine
--- a/internal/config/print.go
+++ b/internal/config/print.go
@@ -2,10 +2,11 @@
 
 import (
 	"bytes"
-	"docksail/policy"
 	"encoding/json"
 	"reflect"
 	"time"
+
+	"docksail/policy"
 )
 
 // MarshalText gives the name.
--- a/internal/e2e/batch_test.go
+++ b/internal/e2e/batch_test.go
@@ -2,13 +2,14 @@
 
 import (
 	"context"
-	"docksail/internal/lab/scenario"
 	"fmt"
 	"strings"
 	"testing"
 	"time"
 
 	"google.golang.org/grpc/codes"
+
+	"docksail/internal/lab/scenario"
 )
 
 // TestBatchingHosts: a day with troubles against hosts that batch keeps the rules and gives whole answers; memory that
--- a/internal/e2e/batchapi_test.go
+++ b/internal/e2e/batchapi_test.go
@@ -5,12 +5,6 @@
 	"bytes"
 	"context"
 	"crypto/sha256"
-	"docksail/internal/batchrunner"
-	"docksail/internal/decide/batchscheduler"
-	"docksail/internal/lab/engine"
-	"docksail/internal/lab/eventlog"
-	"docksail/internal/lab/scenario"
-	"docksail/internal/state/batchstore"
 	"encoding/hex"
 	"encoding/json"
 	"fmt"
@@ -26,7 +20,13 @@
 	"time"
 
 	pb "docksail/api/docksail/v1"
+	"docksail/internal/batchrunner"
+	"docksail/internal/decide/batchscheduler"
 	frontend "docksail/internal/frontend/batch"
+	"docksail/internal/lab/engine"
+	"docksail/internal/lab/eventlog"
+	"docksail/internal/lab/scenario"
+	"docksail/internal/state/batchstore"
 )
 
 // api is a batch API and its caller.
--- a/internal/e2e/door_test.go
+++ b/internal/e2e/door_test.go
@@ -2,10 +2,6 @@
 
 import (
 	"context"
-	"docksail/internal/decide/admission"
-	"docksail/internal/dispatch"
-	"docksail/internal/lab/scenario"
-	"docksail/policy"
 	"fmt"
 	"net"
 	"runtime"
@@ -23,6 +19,10 @@
 	"google.golang.org/grpc/metadata"
 
 	pb "docksail/api/docksail/v1"
+	"docksail/internal/decide/admission"
+	"docksail/internal/dispatch"
+	"docksail/internal/lab/scenario"
+	"docksail/policy"
 )
 
 // crowd is a day on which one client of many asks for more than the fleet bears; the tests change it.
--- a/internal/e2e/hard_test.go
+++ b/internal/e2e/hard_test.go
@@ -3,10 +3,6 @@
 import (
 	"bytes"
 	"context"
-	"docksail/internal/dispatch"
-	"docksail/internal/h2"
-	"docksail/internal/lab/engine"
-	"docksail/internal/lab/scenario"
 	"errors"
 	"fmt"
 	"io"
@@ -28,6 +24,10 @@
 	"google.golang.org/protobuf/proto"
 
 	pb "docksail/api/docksail/v1"
+	"docksail/internal/dispatch"
+	"docksail/internal/h2"
+	"docksail/internal/lab/engine"
+	"docksail/internal/lab/scenario"
 )
 
 // stage is one dispatcher with two readers (hosts 1 and 2) and two writers (3 and 4).
--- a/internal/e2e/rules_test.go
+++ b/internal/e2e/rules_test.go
@@ -3,15 +3,16 @@
 
 import (
 	"context"
-	"docksail/internal/dispatch"
-	"docksail/internal/lab/scenario"
-	"docksail/policy"
 	"io"
 	"log/slog"
 	"os"
 	"slices"
 	"strings"
 	"testing"
+
+	"docksail/internal/dispatch"
+	"docksail/internal/lab/scenario"
+	"docksail/policy"
 )
 
 var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
--- a/internal/platformconfig/platformconfig.go
+++ b/internal/platformconfig/platformconfig.go
@@ -3,10 +3,11 @@
 package platformconfig
 
 import (
-	"docksail/policy"
 	"encoding/json"
 	"fmt"
 	"slices"
+
+	"docksail/policy"
 )
 
 // settings is the part of the object that the decisions need; unknown keys are passed over.
--- a/internal/simulatorwire/wire.go
+++ b/internal/simulatorwire/wire.go
@@ -5,13 +5,14 @@
 import (
 	"bufio"
 	"bytes"
-	"docksail/internal/platformconfig"
-	"docksail/policy"
 	"errors"
 	"fmt"
 	"io"
 	"slices"
 	"strconv"
+
+	"docksail/internal/platformconfig"
+	"docksail/policy"
 )
 
 const longestLine = 64 << 20 // batches run to megabytes, a line never near this
