--- a/internal/lab/engine/batch/blocks.go
+++ b/internal/lab/engine/batchmodel/memory.go
@@ -1,8 +1,8 @@
-// Package batch models a model host's inside: continuous batching in steps, memory in blocks with reference counts,
+// Package batchmodel models a model host's inside: continuous batching in steps, memory in blocks with reference counts,
 // kept beginnings shared by what stands in them, eviction of the least recently used, and preemption of the newest
 // answer when memory runs out. It does no I/O and reads no clock, so it runs behind gRPC on the clock as well as in
 // simulated time. Its figures are a model's and measure nothing real.
-package batch
+package batchmodel
 
 import "docksail/internal/indexedheap"
 
--- a/internal/lab/engine/batch/host.go
+++ b/internal/lab/engine/batchmodel/server.go
@@ -1,4 +1,4 @@
-package batch
+package batchmodel
 
 import (
 	"errors"
--- a/internal/lab/engine/driver.go
+++ b/internal/lab/engine/driver.go
@@ -13,22 +13,22 @@
 	"google.golang.org/grpc/status"
 
 	pb "docksail/api/docksail/v1"
-	"docksail/internal/lab/engine/batch"
+	"docksail/internal/lab/engine/batchmodel"
 	"docksail/internal/lab/eventlog"
 )
 
-// driver runs a batch.Server on the clock.
+// driver runs a batchmodel.Server on the clock.
 type driver struct {
 	mu   sync.Mutex
-	host *batch.Server
-	last batch.ID
-	subs map[batch.ID]*sub
+	host *batchmodel.Server
+	last batchmodel.ID
+	subs map[batchmodel.ID]*sub
 	wake chan struct{}
 }
 
 // sub is who waits for the events of one piece of work.
 type sub struct {
-	events []batch.Event
+	events []batchmodel.Event
 	ready  chan struct{}
 }
 
@@ -41,23 +41,23 @@
 )
 
 // BatchShape is a spec as the batch model has it.
-func (s *Spec) BatchShape() batch.Shape {
+func (s *Spec) BatchShape() batchmodel.Shape {
 	step := s.TokenGap
 	if step <= 0 {
 		step = readerStep
 	}
-	return batch.Shape{
+	return batchmodel.Shape{
 		Slots: s.Slots, Queue: s.Queue, MaxChunkTokens: ChunkTokens, StepTime: int64(step), TimePerPromptToken: int64(1e9 / s.PrefillRate),
 		TimePerAnswer: int64(step) / int64(2*s.Slots), TimePer1kContext: int64(step) / int64(20*s.Slots),
 	}
 }
 
 func newDriver(s *Spec) (*driver, error) {
-	h, err := batch.NewServer(s.BatchShape(), int(s.MemoryTokens), BlockTokens)
+	h, err := batchmodel.NewServer(s.BatchShape(), int(s.MemoryTokens), BlockTokens)
 	if err != nil {
 		return nil, err
 	}
-	return &driver{host: h, subs: map[batch.ID]*sub{}, wake: make(chan struct{}, 1)}, nil
+	return &driver{host: h, subs: map[batchmodel.ID]*sub{}, wake: make(chan struct{}, 1)}, nil
 }
 
 // run steps the host until its process ends.
@@ -87,7 +87,7 @@
 }
 
 // tell hands events to who waits for them. The lock is held.
-func (d *driver) tell(events []batch.Event) {
+func (d *driver) tell(events []batchmodel.Event) {
 	for _, ev := range events {
 		if s := d.subs[ev.ID]; s != nil {
 			s.events = append(s.events, ev)
@@ -106,7 +106,7 @@
 	}
 }
 
-func (d *driver) arrive(w batch.Work) (batch.ID, *sub, error) {
+func (d *driver) arrive(w batchmodel.Work) (batchmodel.ID, *sub, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.last++
@@ -121,7 +121,7 @@
 }
 
 // next waits for an event.
-func (d *driver) next(ctx context.Context, s *sub) (batch.Event, error) {
+func (d *driver) next(ctx context.Context, s *sub) (batchmodel.Event, error) {
 	for {
 		d.mu.Lock()
 		if len(s.events) > 0 {
@@ -134,12 +134,12 @@
 		select {
 		case <-s.ready:
 		case <-ctx.Done():
-			return batch.Event{}, ctx.Err()
+			return batchmodel.Event{}, ctx.Err()
 		}
 	}
 }
 
-func (d *driver) fetched(id batch.ID) {
+func (d *driver) fetched(id batchmodel.ID) {
 	d.mu.Lock()
 	d.host.StateFetched(id)
 	d.mu.Unlock()
@@ -147,13 +147,13 @@
 }
 
 // deaf forgets who waits; drop takes the work out as well.
-func (d *driver) deaf(id batch.ID) {
+func (d *driver) deaf(id batchmodel.ID) {
 	d.mu.Lock()
 	delete(d.subs, id)
 	d.mu.Unlock()
 }
 
-func (d *driver) drop(id batch.ID) {
+func (d *driver) drop(id batchmodel.ID) {
 	d.mu.Lock()
 	delete(d.subs, id)
 	d.host.Remove(id)
@@ -162,34 +162,34 @@
 }
 
 // BatchWork is a request as the batch model has it: its blocks are named by the shared beginning, then by the session.
-func BatchWork(req *pb.GenerateRequest, answer int, fetch bool) batch.Work {
-	w := batch.Work{PromptTokens: max(int(req.PromptTokens), 1), AnswerTokens: answer, FetchState: fetch}
+func BatchWork(req *pb.GenerateRequest, answer int, fetch bool) batchmodel.Work {
+	w := batchmodel.Work{PromptTokens: max(int(req.PromptTokens), 1), AnswerTokens: answer, FetchState: fetch}
 	begin := xxhash.Sum64String(req.Tenant + "/b/" + req.Beginning)
 	rest := xxhash.Sum64String(req.Tenant + "/s/" + req.Session)
 	if req.Session == "" {
 		rest = xxhash.Sum64String(req.Tenant + "/l/" + req.Label)
 	}
-	h := batch.BlockHash(0)
+	h := batchmodel.BlockHash(0)
 	for at := BlockTokens; at <= w.PromptTokens; at += BlockTokens {
 		key := rest
 		if req.Beginning != "" && at <= int(req.BeginningTokens) {
 			key = begin
 		}
-		h = batch.ChainHash(h, key)
+		h = batchmodel.ChainHash(h, key)
 		w.Blocks = append(w.Blocks, h)
 	}
 	return w
 }
 
 func refused(err error) error {
-	if errors.Is(err, batch.ErrQueueFull) {
+	if errors.Is(err, batchmodel.ErrQueueFull) {
 		return status.Error(codes.ResourceExhausted, err.Error())
 	}
 	return status.Error(codes.InvalidArgument, err.Error())
 }
 
 // readBatch reads a prompt by the batch model; its state is held when it returns.
-func (e *Engine) readBatch(ctx context.Context, d *driver, req *pb.GenerateRequest) (batch.ID, int, error) {
+func (e *Engine) readBatch(ctx context.Context, d *driver, req *pb.GenerateRequest) (batchmodel.ID, int, error) {
 	if err := e.sleep(ctx, req.Track, 0); err != nil { // deaf to its track
 		return 0, 0, status.FromContextError(err).Err()
 	}
@@ -203,7 +203,7 @@
 			d.drop(id)
 			return 0, 0, status.FromContextError(err).Err()
 		}
-		if ev.Kind == batch.PrefillDone {
+		if ev.Kind == batchmodel.PrefillDone {
 			d.deaf(id)
 			return id, ev.N, nil
 		}
@@ -231,12 +231,12 @@
 			return status.Error(codes.DeadlineExceeded, "its time to begin is up")
 		}
 		switch ev.Kind {
-		case batch.NeedsFetch:
+		case batchmodel.NeedsFetch:
 			if err := e.fetch(ctx, l); err != nil {
 				return err
 			}
 			d.fetched(id)
-		case batch.Token:
+		case batchmodel.Token:
 			if !ran {
 				ran = true
 				e.book.Add(eventlog.Entry{
@@ -257,7 +257,7 @@
 			if err := out.Send(&pb.Tokens{Position: uint32(ev.N), Tokens: []uint32{TokenAt(req, ev.N)}, Text: []byte("tok ")}); err != nil {
 				return err
 			}
-		case batch.AnswerDone:
+		case batchmodel.AnswerDone:
 			e.mu.Lock()
 			e.Served++
 			e.mu.Unlock()
@@ -286,7 +286,7 @@
 	d.mu.Lock()
 	h := d.host
 	unread := h.QueuedPromptTokens()
-	e.rep.Observe(now, batch.Load{
+	e.rep.Observe(now, batchmodel.Load{
 		Requests: float64(h.Queued() + h.Running()), MemoryUtilization: float64(h.Memory.InUse()) / float64(h.Memory.Blocks()),
 		QueuedPromptTokens: float64(unread), QueueTime: int64(float64(unread) / e.Spec.PrefillRate * 1e9),
 	})
--- a/internal/lab/engine/engine.go
+++ b/internal/lab/engine/engine.go
@@ -20,7 +20,7 @@
 	"google.golang.org/protobuf/proto"
 
 	pb "docksail/api/docksail/v1"
-	"docksail/internal/lab/engine/batch"
+	"docksail/internal/lab/engine/batchmodel"
 	"docksail/internal/lab/eventlog"
 )
 
@@ -132,7 +132,7 @@
 	reportAt time.Time
 	peers    map[string]*grpc.ClientConn
 	drv      *driver // nil: the simple model
-	rep      *batch.Reporter
+	rep      *batchmodel.Reporter
 	Served   uint64
 }
 
@@ -141,7 +141,7 @@
 	tokens int64
 	gone   chan struct{}
 	drv    *driver
-	id     batch.ID
+	id     batchmodel.ID
 }
 
 type keptPrefix struct {
@@ -185,7 +185,7 @@
 			e.srv = nil
 			return fmt.Errorf("engine %d: %w", e.Spec.ID, err)
 		}
-		if e.rep, err = batch.NewReporter(uint64(e.Spec.ID), int64(e.Spec.ReportInterval), 0, e.Spec.ReportNoise); err != nil {
+		if e.rep, err = batchmodel.NewReporter(uint64(e.Spec.ID), int64(e.Spec.ReportInterval), 0, e.Spec.ReportNoise); err != nil {
 			ln.Close()
 			e.srv = nil
 			return fmt.Errorf("engine %d: %w", e.Spec.ID, err)
--- a/internal/lab/engine/links.go
+++ b/internal/lab/engine/links.go
@@ -5,7 +5,7 @@
 	"sync"
 	"time"
 
-	"docksail/internal/lab/engine/batch"
+	"docksail/internal/lab/engine/batchmodel"
 )
 
 // Links are the ways over which states move between the engines of a day: each host's port and each cell's one link,
@@ -15,12 +15,12 @@
 	zoneSlower float64
 
 	mu    sync.Mutex
-	net   *batch.Network
+	net   *batchmodel.Network
 	begin time.Time
 	ports map[int]int
 	cells map[string]int
-	last  batch.TransferID
-	wait  map[batch.TransferID]chan struct{}
+	last  batchmodel.TransferID
+	wait  map[batchmodel.TransferID]chan struct{}
 	timer *time.Timer
 }
 
@@ -28,8 +28,8 @@
 // zone takes so many times as long.
 func NewLinks(cellFactor, zoneSlower float64) *Links {
 	l := &Links{
-		cellFactor: cellFactor, zoneSlower: max(zoneSlower, 1), net: batch.NewNetwork(), begin: time.Now(), ports: map[int]int{},
-		cells: map[string]int{}, wait: map[batch.TransferID]chan struct{}{},
+		cellFactor: cellFactor, zoneSlower: max(zoneSlower, 1), net: batchmodel.NewNetwork(), begin: time.Now(), ports: map[int]int{},
+		cells: map[string]int{}, wait: map[batchmodel.TransferID]chan struct{}{},
 	}
 	l.timer = time.AfterFunc(time.Hour, l.tick)
 	return l
@@ -38,7 +38,7 @@
 // Close ends the links' timer.
 func (l *Links) Close() { l.timer.Stop() }
 
-func (l *Links) now() batch.Nanos { return int64(time.Since(l.begin)) }
+func (l *Links) now() batchmodel.Nanos { return int64(time.Since(l.begin)) }
 
 func (l *Links) tick() {
 	l.mu.Lock()
--- a/internal/lab/simulation/host.go
+++ b/internal/lab/simulation/host.go
@@ -15,7 +15,7 @@
 	"docksail/internal/eventloop"
 	"docksail/internal/h2"
 	"docksail/internal/lab/engine"
-	"docksail/internal/lab/engine/batch"
+	"docksail/internal/lab/engine/batchmodel"
 	"docksail/internal/lab/eventlog"
 )
 
@@ -27,16 +27,16 @@
 	l       *eventloop.Loop // nil while its process does not run
 	rng     *rand.Rand
 	began   eventloop.Nanos // start of its process
-	model   *batch.Server
-	rep     *batch.Reporter
-	last    batch.ID
-	calls   map[batch.ID]*call
+	model   *batchmodel.Server
+	rep     *batchmodel.Reporter
+	last    batchmodel.ID
+	calls   map[batchmodel.ID]*call
 	states  map[string]*state
 	parked  []*call // of the track to which it is deaf
 	step    eventloop.Timer
 	onStep  func(eventloop.Nanos)
 	inStep  bool
-	events  []batch.Event
+	events  []batchmodel.Event
 	faults  engine.Faults
 	toppled bool
 	arrived []eventloop.Nanos
@@ -51,10 +51,10 @@
 	path   string
 	launch pb.Launch
 	name   string
-	id     batch.ID
+	id     batchmodel.ID
 	came   eventloop.Nanos
 	ran    bool
-	move   batch.TransferID
+	move   batchmodel.TransferID
 	late   []int // tokens held back while the host is deaf to the track
 	done   bool
 }
@@ -62,22 +62,22 @@
 type state struct {
 	shot   uint32
 	tokens int
-	id     batch.ID
+	id     batchmodel.ID
 	ends   eventloop.Timer
 }
 
 // start starts the host's process.
 func (h *host) start(ago eventloop.Nanos) error {
 	var err error
-	if h.model, err = batch.NewServer(h.spec.BatchShape(), int(h.spec.MemoryTokens), engine.BlockTokens); err != nil {
+	if h.model, err = batchmodel.NewServer(h.spec.BatchShape(), int(h.spec.MemoryTokens), engine.BlockTokens); err != nil {
 		return err
 	}
-	if h.rep, err = batch.NewReporter(uint64(h.spec.ID), int64(h.spec.ReportInterval), int64(h.faults.ReportDelay), h.spec.ReportNoise); err != nil {
+	if h.rep, err = batchmodel.NewReporter(uint64(h.spec.ID), int64(h.spec.ReportInterval), int64(h.faults.ReportDelay), h.spec.ReportNoise); err != nil {
 		return err
 	}
 	h.l = h.d.world.NewLoop(h.addr.Addr(), nil)
 	h.began = h.d.world.Now() - ago
-	h.calls, h.states, h.parked = map[batch.ID]*call{}, map[string]*state{}, nil
+	h.calls, h.states, h.parked = map[batchmodel.ID]*call{}, map[string]*state{}, nil
 	h.step, h.inStep, h.toppled, h.arrived = eventloop.Timer{}, false, false, nil
 	h.onStep = h.stepped
 	_, err = h.l.Listen(h.addr, false, func(c *eventloop.Conn, _ netip.AddrPort) eventloop.Handler { return serveWire(h.l, c, h) })
@@ -94,7 +94,7 @@
 		h.d.Log.Add(eventlog.Entry{Kind: eventlog.StateReleased, Server: h.spec.ID, Request: name, Note: "crash"})
 	}
 	h.l.Kill()
-	h.l, h.states, h.calls = nil, map[string]*state{}, map[batch.ID]*call{}
+	h.l, h.states, h.calls = nil, map[string]*state{}, map[batchmodel.ID]*call{}
 }
 
 // fail changes what it acts out.
@@ -134,7 +134,7 @@
 	if h.inStep || h.l == nil || h.stands() {
 		return
 	}
-	var took batch.Nanos
+	var took batchmodel.Nanos
 	took, h.events, h.inStep = h.model.BeginStep(h.events[:0])
 	h.tell()
 	if h.inStep {
@@ -163,20 +163,20 @@
 			continue
 		}
 		switch ev.Kind {
-		case batch.NeedsFetch:
+		case batchmodel.NeedsFetch:
 			h.fetch(c)
-		case batch.PrefillDone:
+		case batchmodel.PrefillDone:
 			if c.path == pathRead {
 				h.hold(c, ev.N)
 			}
-		case batch.Token:
+		case batchmodel.Token:
 			if b := c.launch.BeginWithinNs; b > 0 && !c.ran && h.l.Now()-c.came > int64(b) {
 				h.end(c, codes.DeadlineExceeded, "its time to begin is up")
 				continue
 			}
 			c.late = append(c.late, ev.N)
 			h.catchUp(c)
-		case batch.AnswerDone:
+		case batchmodel.AnswerDone:
 			c.done = true
 			h.catchUp(c)
 		}
@@ -222,7 +222,7 @@
 	var extra []hpack.HeaderField
 	now := h.d.world.Now()
 	unread := h.model.QueuedPromptTokens()
-	h.rep.Observe(now, batch.Load{
+	h.rep.Observe(now, batchmodel.Load{
 		Requests:          float64(h.model.Queued() + h.model.Running()),
 		MemoryUtilization: float64(h.model.Memory.InUse()) / float64(h.model.Memory.Blocks()), QueuedPromptTokens: float64(unread),
 		QueueTime: int64(float64(unread) / h.spec.PrefillRate * 1e9),
@@ -352,7 +352,7 @@
 		h.parked = append(h.parked, c)
 		return
 	}
-	w := batch.Work{}
+	w := batchmodel.Work{}
 	if c.path == pathRead {
 		w = engine.BatchWork(req, 0, false)
 	} else {
@@ -365,7 +365,7 @@
 		c.id = w.ID
 		h.calls[c.id] = c
 		h.kick()
-	case batch.ErrQueueFull:
+	case batchmodel.ErrQueueFull:
 		h.end(c, codes.ResourceExhausted, err.Error())
 	default:
 		h.end(c, codes.InvalidArgument, err.Error())
@@ -481,17 +481,17 @@
 // moves are the states under way between all hosts of a day.
 type moves struct {
 	l     *eventloop.Loop
-	net   *batch.Network
+	net   *batchmodel.Network
 	ports map[int]int
 	cells map[string]int
-	last  batch.TransferID
-	ended map[batch.TransferID]func()
+	last  batchmodel.TransferID
+	ended map[batchmodel.TransferID]func()
 	timer eventloop.Timer
-	list  []batch.TransferID
+	list  []batchmodel.TransferID
 }
 
 // start begins to move a state; done is called when it is over.
-func (m *moves) start(from, to *host, tokens int, slow float64, done func()) batch.TransferID {
+func (m *moves) start(from, to *host, tokens int, slow float64, done func()) batchmodel.TransferID {
 	way := func(w int, err error) int {
 		if err != nil {
 			panic(err) // rates were checked with the script
@@ -524,7 +524,7 @@
 
 func (m *moves) now() eventloop.Nanos { return m.l.ReadClock() }
 
-func (m *moves) stop(id batch.TransferID) {
+func (m *moves) stop(id batchmodel.TransferID) {
 	delete(m.ended, id)
 	m.net.Stop(m.now(), id)
 	m.settle()
--- a/internal/lab/simulation/simulation.go
+++ b/internal/lab/simulation/simulation.go
@@ -22,7 +22,7 @@
 	"docksail/internal/eventloop"
 	"docksail/internal/grpcnode"
 	"docksail/internal/lab/engine"
-	"docksail/internal/lab/engine/batch"
+	"docksail/internal/lab/engine/batchmodel"
 	"docksail/internal/lab/eventlog"
 	"docksail/internal/lab/faultproxy"
 	"docksail/internal/lab/invariants"
@@ -80,8 +80,8 @@
 	d.Log.Clock = d.world.UnixNanos
 	d.ctl = d.world.NewLoop(addr(0, 0), nil)
 	d.net = &moves{
-		l: d.world.NewLoop(addr(0, 1), nil), net: batch.NewNetwork(), ports: map[int]int{}, cells: map[string]int{},
-		ended: map[batch.TransferID]func(){},
+		l: d.world.NewLoop(addr(0, 1), nil), net: batchmodel.NewNetwork(), ports: map[int]int{}, cells: map[string]int{},
+		ended: map[batchmodel.TransferID]func(){},
 	}
 	var list []*pb.Host
 	for i, spec := range s.EngineSpecs() {
