--- a/internal/backend/platform/discovery.go
+++ b/internal/backend/platform/discovery.go
@@ -41,7 +41,7 @@
 	}
 	socket, err := d.backend.loop.Dial(d.addr, decide.ConnectTimeout, w)
 	if err != nil {
-		d.backend.log.Warn("discovery dial failed", "addr", d.addr, "error", err)
+		d.backend.log.Warn("discovery connect failed", "address", d.addr, "error", err)
 		d.failedWatches++
 		d.scheduleRetry(now)
 		return
@@ -79,7 +79,7 @@
 	if replaced != nil {
 		replaced.end()
 	}
-	d.backend.log.Info("discovery watch established", "addr", w.addr)
+	d.backend.log.Info("discovery watch established", "address", w.addr)
 }
 
 // applyList applies a list or a change of it that a watch has delivered. A change that is older than the last one is
--- a/internal/backend/platform/discoverywatch.go
+++ b/internal/backend/platform/discoverywatch.go
@@ -88,7 +88,7 @@
 			err = w.handleEvent(now, event, data)
 		}
 		if err != nil {
-			w.discovery.backend.log.Warn("discovery watch failed", "addr", w.addr, "error", err)
+			w.discovery.backend.log.Warn("discovery watch failed", "address", w.addr, "error", err)
 			w.socket.Close()
 			return len(p)
 		}
@@ -150,7 +150,7 @@
 		return
 	}
 	w.ended = true
-	d.backend.log.Warn("discovery lost", "addr", w.addr, "timed_out", w.timedOut, "established", d.current == w,
+	d.backend.log.Warn("discovery lost", "address", w.addr, "timed_out", w.timedOut, "established", d.current == w,
 		"error", err)
 	d.handleLost(now, w)
 }
--- a/internal/backend/platform/pool.go
+++ b/internal/backend/platform/pool.go
@@ -47,7 +47,7 @@
 	c.onTimer = c.handleTimer
 	socket, err := b.loop.Dial(srv.listing.addr, b.connectTimeout, c)
 	if err != nil {
-		b.log.Warn("dial failed", "server_id", srv.name, "error", err)
+		b.log.Warn("connect failed", "server_id", srv.name, "error", err)
 		return nil, err
 	}
 	b.Counts.Dialed++
--- a/internal/backend/platform/stats.go
+++ b/internal/backend/platform/stats.go
@@ -46,11 +46,11 @@
 	Violations uint64 // actions that the rules of inflight forbid: faults of the program
 }
 
-// idleTimes is a histogram of how long connections were idle. The first bucket holds times under 16 ms; the limit of
-// each next bucket is twice that of the one before.
+// idleTimes is a histogram of how long connections were idle. The first bucket holds times under 2^24 ns (16.8 ms); the
+// limit of each next bucket is twice that of the one before.
 type idleTimes [12]uint64
 
-// firstIdleBits is the number of bits of a time in nanoseconds that fits the first bucket: 2^24 ns are 16.8 ms.
+// firstIdleBits is the number of bits of a time in nanoseconds that fits the first bucket.
 const firstIdleBits = 24
 
 // add counts an idle time.
