--- a/internal/backend/platform/attempt_test.go
+++ b/internal/backend/platform/attempt_test.go
@@ -6,8 +6,8 @@
 	"docksail/policy"
 )
 
-// TestAttemptOutcome: a complete response stands for one outcome by its status, the mark of a server that has not run the
-// request, and the role of the server.
+// TestAttemptOutcome: a complete response stands for one outcome by its status, the mark of a server that has not run
+// the request, and the role of the server.
 func TestAttemptOutcome(t *testing.T) {
 	for name, c := range map[string]struct {
 		result  attemptResult
--- a/internal/backend/platform/exchange.go
+++ b/internal/backend/platform/exchange.go
@@ -22,15 +22,15 @@
 }
 
 // inProgress reports whether the exchange carries an attempt or a release.
-func (x *exchange) inProgress() bool { return x.request != nil || x.release != nil }
+func (e *exchange) inProgress() bool { return e.request != nil || e.release != nil }
 
 // clientID returns the client's name for the request that the exchange belongs to; nil if there is none.
-func (x *exchange) clientID() []byte {
+func (e *exchange) clientID() []byte {
 	switch {
-	case x.request != nil:
-		return x.request.ClientRequestID
-	case x.release != nil:
-		return x.release.clientID
+	case e.request != nil:
+		return e.request.ClientRequestID
+	case e.release != nil:
+		return e.release.clientID
 	}
 	return nil
 }
@@ -125,19 +125,19 @@
 
 // lostOutcome returns the outcome of an attempt whose connection was lost, and counts it if the connection was stale.
 func (c *conn) lostOutcome(now eventloop.Nanos) policy.Outcome {
-	x := &c.exchange
+	e := &c.exchange
 	lost := serverconn.LostConn{
 		UseCount:         c.useCount,
-		RequestSent:      x.written,
-		ResponseStarted:  x.response.started,
-		LostAfterSending: now - x.sentAt,
+		RequestSent:      e.written,
+		ResponseStarted:  e.response.started,
+		LostAfterSending: now - e.sentAt,
 	}
 	switch {
 	case c.backend.connPolicy.IsStale(lost):
 		c.backend.Counts.StaleConnections++
-		c.backend.Counts.IdleBeforeStale.add(x.sentAt - c.idleSince)
+		c.backend.Counts.IdleBeforeStale.add(e.sentAt - c.idleSince)
 		return policy.StaleConnection
-	case !x.written:
+	case !e.written:
 		return policy.Unreachable
 	}
 	return policy.ConnectionLost
@@ -172,7 +172,7 @@
 	}
 	c.advance(inflight.Completed)
 	c.exchange.request, c.exchange.release = nil, nil
-	c.releaseConn(now, reuse, head)
+	c.reuseOrClose(now, reuse, head)
 	if tracker != nil {
 		tracker.handleResponse(now, c, result.statusCode)
 		return
@@ -180,8 +180,8 @@
 	c.finishAttempt(now, req, result)
 }
 
-// releaseConn returns the connection to the pool after a complete response, or closes it.
-func (c *conn) releaseConn(now eventloop.Nanos, reuse connReuse, head *h1.Head) {
+// reuseOrClose returns the connection to the pool after a complete response, or closes it.
+func (c *conn) reuseOrClose(now eventloop.Nanos, reuse connReuse, head *h1.Head) {
 	if reuse == connReusable && c.exchange.written && !head.Close {
 		c.becomeIdle(now)
 		return
