--- a/internal/h1/decoder.go
+++ b/internal/h1/decoder.go
@@ -34,6 +34,7 @@
 	// maxInformational is how many informational (1xx) responses may come before a final one.
 	maxInformational = 16
 
+	statusContinue           = 100
 	statusSwitchingProtocols = 101
 	statusOK                 = 200
 	statusNoContent          = 204
--- a/internal/h1/head.go
+++ b/internal/h1/head.go
@@ -6,6 +6,8 @@
 	"golang.org/x/net/http/httpguts"
 )
 
+const deleteByte = 0x7f // the last ASCII character, a control character
+
 // Field is a header field. Its slices are valid as long as those of its Head.
 type Field struct{ Name, Value []byte }
 
@@ -32,17 +34,6 @@
 	return nil
 }
 
-// Count returns the number of fields with a name, which is given in lower case.
-func (h *Head) Count(name string) int {
-	count := 0
-	for _, f := range h.Fields {
-		if equalFold(f.Name, name) {
-			count++
-		}
-	}
-	return count
-}
-
 // equalFold reports whether b is a name, which is given in lower case, in any case. Field names are ASCII.
 func equalFold(b []byte, lower string) bool {
 	if len(b) != len(lower) {
@@ -102,6 +93,7 @@
 	return nil
 }
 
+// parseRequestLine parses METHOD TARGET VERSION.
 func (h *Head) parseRequestLine(line []byte) error {
 	method, rest, hasTarget := bytes.Cut(line, []byte{' '})
 	target, version, hasVersion := bytes.Cut(rest, []byte{' '})
@@ -109,7 +101,7 @@
 		return malformed("request line %.40q", line)
 	}
 	for _, c := range target {
-		if c <= ' ' || c >= 0x7f {
+		if c <= ' ' || c >= deleteByte {
 			return malformed("target %.40q", target)
 		}
 	}
@@ -117,20 +109,25 @@
 	return h.parseVersion(version)
 }
 
+// parseStatusLine parses VERSION STATUS REASON; the reason may be missing.
 func (h *Head) parseStatusLine(line []byte) error {
-	if len(line) < 12 || line[8] != ' ' || len(line) > 12 && line[12] != ' ' {
+	const (
+		versionEnd = len("HTTP/1.1")
+		codeEnd    = versionEnd + len(" 200")
+	)
+	if len(line) < codeEnd || line[versionEnd] != ' ' || len(line) > codeEnd && line[codeEnd] != ' ' {
 		return malformed("status line %.40q", line)
 	}
-	for _, c := range line[9:12] {
+	for _, c := range line[versionEnd+1 : codeEnd] {
 		if c < '0' || c > '9' {
 			return malformed("status line %.40q", line)
 		}
 		h.StatusCode = 10*h.StatusCode + int(c-'0')
 	}
-	if h.StatusCode < 100 {
+	if h.StatusCode < statusContinue {
 		return malformed("status %d", h.StatusCode)
 	}
-	return h.parseVersion(line[:8])
+	return h.parseVersion(line[:versionEnd])
 }
 
 // isToken reports whether b is a token as RFC 9110 defines it.
@@ -146,7 +143,7 @@
 // isFieldValue reports whether b has no control characters but tabs.
 func isFieldValue(b []byte) bool {
 	for _, c := range b {
-		if c < ' ' && c != '\t' || c == 0x7f {
+		if c < ' ' && c != '\t' || c == deleteByte {
 			return false
 		}
 	}
