--- a/policy/decisions_test.go
+++ b/policy/decisions_test.go
@@ -187,11 +187,11 @@
 	}
 }
 
-// drainPrefill takes all prefill servers out of service.
-func (r *decisionRecorder) drainPrefill() {
+// drain takes all servers of a role out of service.
+func (r *decisionRecorder) drain(role Role) {
 	r.router.ListUpdateStarted(false)
 	for id := ServerID(1); id <= recordedServers+6; id++ {
-		if roleOf(id) == Prefill {
+		if roleOf(id) == role {
 			r.list(id, Draining, 0)
 		}
 	}
@@ -212,9 +212,12 @@
 			r.arrive()
 		}
 		switch step {
+		case 4200:
+			r.drain(Decode)
+			r.drain(Mixed)
 		case 4800:
-			r.drainPrefill()
-		case 5100:
+			r.drain(Prefill)
+		case 4500, 5100:
 			r.listAll()
 		}
 		for range r.rng.IntN(3) {
@@ -255,25 +258,25 @@
 			"attempts can be cancelled", 1,
 			Discovery{MaxInterval: 10e9},
 			AttemptLimits{MaxAttempts: 4, CanCancel: true},
-			"474029de772bea1f",
+			"ee84cbbbf91f1879",
 		},
 		{
 			"the endpoint list comes on request", 2,
 			Discovery{OnRequest: true, MaxInterval: 10e9},
 			AttemptLimits{MaxAttempts: 3},
-			"1a9229d79dee6413",
+			"c7a8e6505f486ea7",
 		},
 		{
 			"decode servers can read prompts", 3,
 			Discovery{MaxInterval: 4e9},
 			AttemptLimits{MaxAttempts: 5, CanCancel: true, DecodeCanPrefill: true},
-			"536f99756848b5d2",
+			"aac899c18ad87ffe",
 		},
 		{
 			"decode servers can read prompts, attempts cannot be cancelled", 4,
 			Discovery{MaxInterval: 4e9},
 			AttemptLimits{MaxAttempts: 6, DecodeCanPrefill: true},
-			"b198c08ca5edd95c",
+			"12a1c036c8f1720b",
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
