--- a/internal/lab/engine/driver.go
+++ b/internal/lab/engine/driver.go
@@ -2,8 +2,6 @@
 
 import (
 	"context"
-	"docksail/internal/lab/engine/batch"
-	"docksail/internal/lab/eventlog"
 	"errors"
 	"sync"
 	"time"
@@ -15,20 +13,22 @@
 	"google.golang.org/grpc/status"
 
 	pb "docksail/api/docksail/v1"
+	"docksail/internal/lab/engine/batchmodel"
+	"docksail/internal/lab/eventlog"
 )
 
-// driver runs a batch.Host on the clock.
+// driver runs a batchmodel.Server on the clock.
 type driver struct {
 	mu   sync.Mutex
-	host *batch.Host
-	last batch.ID
-	subs map[batch.ID]*sub
+	host *batchmodel.Server
+	last batchmodel.ID
+	subs map[batchmodel.ID]*sub
 	wake chan struct{}
 }
 
 // sub is who waits for the events of one piece of work.
 type sub struct {
-	events []batch.Event
+	events []batchmodel.Event
 	ready  chan struct{}
 }
 
@@ -40,31 +40,31 @@
 	readerStep  = 5 * time.Millisecond // of a host whose spec names no time between tokens
 )
 
-// Shape is a spec as the batch model has it.
-func (s *Spec) Shape() batch.Shape {
+// BatchShape is a spec as the batch model has it.
+func (s *Spec) BatchShape() batchmodel.Shape {
 	step := s.TokenGap
 	if step <= 0 {
 		step = readerStep
 	}
-	return batch.Shape{
-		Slots: s.Slots, Queue: s.Queue, Chunk: ChunkTokens, Step: int64(step), PerRead: int64(1e9 / s.ReadRate),
-		PerRun: int64(step) / int64(2*s.Slots), PerThing: int64(step) / int64(20*s.Slots),
+	return batchmodel.Shape{
+		Slots: s.Slots, Queue: s.Queue, MaxChunkTokens: ChunkTokens, StepTime: int64(step), TimePerPromptToken: int64(1e9 / s.PrefillRate),
+		TimePerAnswer: int64(step) / int64(2*s.Slots), TimePer1kContext: int64(step) / int64(20*s.Slots),
 	}
 }
 
 func newDriver(s *Spec) (*driver, error) {
-	h, err := batch.NewHost(s.Shape(), int(s.Memory), BlockTokens)
+	h, err := batchmodel.NewServer(s.BatchShape(), int(s.MemoryTokens), BlockTokens)
 	if err != nil {
 		return nil, err
 	}
-	return &driver{host: h, subs: map[batch.ID]*sub{}, wake: make(chan struct{}, 1)}, nil
+	return &driver{host: h, subs: map[batchmodel.ID]*sub{}, wake: make(chan struct{}, 1)}, nil
 }
 
 // run steps the host until its process ends.
 func (d *driver) run(ctx context.Context, e *Engine) {
 	for ctx.Err() == nil {
 		d.mu.Lock()
-		took, events, ok := d.host.Begin(nil)
+		took, events, ok := d.host.BeginStep(nil)
 		d.tell(events)
 		d.mu.Unlock()
 		if !ok {
@@ -81,13 +81,13 @@
 			return
 		}
 		d.mu.Lock()
-		d.tell(d.host.End(nil))
+		d.tell(d.host.EndStep(nil))
 		d.mu.Unlock()
 	}
 }
 
 // tell hands events to who waits for them. The lock is held.
-func (d *driver) tell(events []batch.Event) {
+func (d *driver) tell(events []batchmodel.Event) {
 	for _, ev := range events {
 		if s := d.subs[ev.ID]; s != nil {
 			s.events = append(s.events, ev)
@@ -106,12 +106,12 @@
 	}
 }
 
-func (d *driver) arrive(w batch.Work) (batch.ID, *sub, error) {
+func (d *driver) arrive(w batchmodel.Work) (batchmodel.ID, *sub, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.last++
 	w.ID = d.last
-	if err := d.host.Arrive(w); err != nil {
+	if err := d.host.Enqueue(w); err != nil {
 		return 0, nil, err
 	}
 	s := &sub{ready: make(chan struct{}, 1)}
@@ -121,7 +121,7 @@
 }
 
 // next waits for an event.
-func (d *driver) next(ctx context.Context, s *sub) (batch.Event, error) {
+func (d *driver) next(ctx context.Context, s *sub) (batchmodel.Event, error) {
 	for {
 		d.mu.Lock()
 		if len(s.events) > 0 {
@@ -134,66 +134,66 @@
 		select {
 		case <-s.ready:
 		case <-ctx.Done():
-			return batch.Event{}, ctx.Err()
+			return batchmodel.Event{}, ctx.Err()
 		}
 	}
 }
 
-func (d *driver) fetched(id batch.ID) {
+func (d *driver) fetched(id batchmodel.ID) {
 	d.mu.Lock()
-	d.host.Fetched(id)
+	d.host.StateFetched(id)
 	d.mu.Unlock()
 	d.nudge()
 }
 
 // deaf forgets who waits; drop takes the work out as well.
-func (d *driver) deaf(id batch.ID) {
+func (d *driver) deaf(id batchmodel.ID) {
 	d.mu.Lock()
 	delete(d.subs, id)
 	d.mu.Unlock()
 }
 
-func (d *driver) drop(id batch.ID) {
+func (d *driver) drop(id batchmodel.ID) {
 	d.mu.Lock()
 	delete(d.subs, id)
-	d.host.Drop(id)
+	d.host.Remove(id)
 	d.mu.Unlock()
 	d.nudge()
 }
 
-// WorkOf is a request as the batch model has it: its blocks are named by the shared beginning, then by the session.
-func WorkOf(req *pb.GenerateRequest, answer int, fetch bool) batch.Work {
-	w := batch.Work{Prompt: max(int(req.PromptTokens), 1), Answer: answer, Fetch: fetch}
+// BatchWork is a request as the batch model has it: its blocks are named by the shared beginning, then by the session.
+func BatchWork(req *pb.GenerateRequest, answer int, fetch bool) batchmodel.Work {
+	w := batchmodel.Work{PromptTokens: max(int(req.PromptTokens), 1), AnswerTokens: answer, FetchState: fetch}
 	begin := xxhash.Sum64String(req.Tenant + "/b/" + req.Beginning)
 	rest := xxhash.Sum64String(req.Tenant + "/s/" + req.Session)
 	if req.Session == "" {
 		rest = xxhash.Sum64String(req.Tenant + "/l/" + req.Label)
 	}
-	h := batch.Hash(0)
-	for at := BlockTokens; at <= w.Prompt; at += BlockTokens {
+	h := batchmodel.BlockHash(0)
+	for at := BlockTokens; at <= w.PromptTokens; at += BlockTokens {
 		key := rest
 		if req.Beginning != "" && at <= int(req.BeginningTokens) {
 			key = begin
 		}
-		h = batch.Chain(h, key)
-		w.Chain = append(w.Chain, h)
+		h = batchmodel.ChainHash(h, key)
+		w.Blocks = append(w.Blocks, h)
 	}
 	return w
 }
 
 func refused(err error) error {
-	if errors.Is(err, batch.ErrFull) {
+	if errors.Is(err, batchmodel.ErrQueueFull) {
 		return status.Error(codes.ResourceExhausted, err.Error())
 	}
 	return status.Error(codes.InvalidArgument, err.Error())
 }
 
 // readBatch reads a prompt by the batch model; its state is held when it returns.
-func (e *Engine) readBatch(ctx context.Context, d *driver, req *pb.GenerateRequest) (batch.ID, int, error) {
+func (e *Engine) readBatch(ctx context.Context, d *driver, req *pb.GenerateRequest) (batchmodel.ID, int, error) {
 	if err := e.sleep(ctx, req.Track, 0); err != nil { // deaf to its track
 		return 0, 0, status.FromContextError(err).Err()
 	}
-	id, s, err := d.arrive(WorkOf(req, 0, false))
+	id, s, err := d.arrive(BatchWork(req, 0, false))
 	if err != nil {
 		return 0, 0, refused(err)
 	}
@@ -203,7 +203,7 @@
 			d.drop(id)
 			return 0, 0, status.FromContextError(err).Err()
 		}
-		if ev.What == batch.ReadDone {
+		if ev.Kind == batchmodel.PrefillDone {
 			d.deaf(id)
 			return id, ev.N, nil
 		}
@@ -216,7 +216,7 @@
 	if err := e.sleep(ctx, req.Track, 0); err != nil {
 		return status.FromContextError(err).Err()
 	}
-	id, s, err := d.arrive(WorkOf(req, Answer(req), l.StateAddress != ""))
+	id, s, err := d.arrive(BatchWork(req, AnswerTokens(req), l.StateAddress != ""))
 	if err != nil {
 		return refused(err)
 	}
@@ -230,18 +230,18 @@
 		if l.BeginWithinNs > 0 && !ran && time.Since(begin) > time.Duration(l.BeginWithinNs) {
 			return status.Error(codes.DeadlineExceeded, "its time to begin is up")
 		}
-		switch ev.What {
-		case batch.NeedsFetch:
+		switch ev.Kind {
+		case batchmodel.NeedsFetch:
 			if err := e.fetch(ctx, l); err != nil {
 				return err
 			}
 			d.fetched(id)
-		case batch.Token:
+		case batchmodel.Token:
 			if !ran {
 				ran = true
 				e.book.Add(eventlog.Entry{
-					Kind: eventlog.Ran, Server: e.Spec.ID, Request: jobName(l.Dispatcher, l.Job), Attempt: int(l.Shot), Label: req.Label,
-					Try: int(l.Repeat), Class: req.Track,
+					Kind: eventlog.AnswerStarted, Server: e.Spec.ID, Request: jobName(l.Dispatcher, l.Job), Attempt: int(l.Shot), RequestLabel: req.Label,
+					ClientAttempt: int(l.Repeat), Class: req.Track,
 				})
 			}
 			e.mu.Lock()
@@ -254,10 +254,10 @@
 			if err := e.sleep(ctx, req.Track, 0); err != nil { // deaf to its track
 				return status.FromContextError(err).Err()
 			}
-			if err := out.Send(&pb.Tokens{Position: uint32(ev.N), Tokens: []uint32{Tok(req, ev.N)}, Text: []byte("tok ")}); err != nil {
+			if err := out.Send(&pb.Tokens{Position: uint32(ev.N), Tokens: []uint32{TokenAt(req, ev.N)}, Text: []byte("tok ")}); err != nil {
 				return err
 			}
-		case batch.Done:
+		case batchmodel.AnswerDone:
 			e.mu.Lock()
 			e.Served++
 			e.mu.Unlock()
@@ -266,8 +266,8 @@
 	}
 }
 
-// Preempted counts answers that the batch model sent back to the queue.
-func (e *Engine) Preempted() uint64 {
+// Preemptions counts answers that the batch model sent back to the queue.
+func (e *Engine) Preemptions() uint64 {
 	e.mu.Lock()
 	d := e.drv
 	e.mu.Unlock()
@@ -276,7 +276,7 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.host.Counts.Preempted
+	return d.host.Counts.Preemptions
 }
 
 // batchReport makes the report that is known of a batching host now; false if there is none yet. The engine's lock is
@@ -285,18 +285,18 @@
 	d, now := e.drv, int64(time.Since(e.started))
 	d.mu.Lock()
 	h := d.host
-	unread := h.Unread()
-	e.rep.See(now, batch.Figures{
-		Requests: float64(h.Queued() + h.Running()), Memory: float64(h.Memory.InUse()) / float64(h.Memory.Blocks()),
-		Unread: float64(unread), Finish: int64(float64(unread) / e.Spec.ReadRate * 1e9),
+	unread := h.QueuedPromptTokens()
+	e.rep.Observe(now, batchmodel.Load{
+		Requests: float64(h.Queued() + h.Running()), MemoryUtilization: float64(h.Memory.InUse()) / float64(h.Memory.Blocks()),
+		QueuedPromptTokens: float64(unread), QueueTime: int64(float64(unread) / e.Spec.PrefillRate * 1e9),
 	})
 	d.mu.Unlock()
-	e.rep.Late(int64(late))
-	f, age, ok := e.rep.Known(now)
+	e.rep.SetDelay(int64(late))
+	f, age, ok := e.rep.Latest(now)
 	if ok {
-		e.report = &orca.OrcaLoadReport{MemUtilization: f.Memory, NamedMetrics: map[string]float64{
+		e.report = &orca.OrcaLoadReport{MemUtilization: f.MemoryUtilization, NamedMetrics: map[string]float64{
 			"requests":      f.Requests,
-			"unread_tokens": f.Unread, "finish_ms": float64(f.Finish) / 1e6, "age_ms": float64(age) / 1e6,
+			"unread_tokens": f.QueuedPromptTokens, "finish_ms": float64(f.QueueTime) / 1e6, "age_ms": float64(age) / 1e6,
 		}}
 	}
 	return ok
--- a/internal/node/watch_test.go
+++ b/internal/node/watch_test.go
@@ -8,14 +8,14 @@
 	backend "docksail/internal/backend/platform"
 )
 
-// Tests of the watch on discovery's list, in simulated time.
+// Tests of the watch on the endpoint list.
 
-// silentMost is how late a watch that fell silent may be replaced: a change counts as told six seconds after discovery had
-// it, and one more call may fail in that time.
-const silentMost = 4500 * time.Millisecond
+// maxSilentWatch is the time within which a silent watch must be replaced: a change counts as delivered six seconds
+// after discovery had it, and one more call may fail in that time.
+const maxSilentWatch = 4500 * time.Millisecond
 
-// bytewise cuts a text into chunks of one byte.
-func bytewise(text string) []string {
+// chunksOfOneByte returns a text in chunks of one byte.
+func chunksOfOneByte(text string) []string {
 	var pieces []string
 	for i := range text {
 		pieces = append(pieces, chunk(text[i:i+1]))
@@ -23,192 +23,176 @@
 	return pieces
 }
 
-// A watch that falls silent, stops in the middle of its news, or sends what never becomes whole, is replaced in time by one
-// that asks for what came since.
+// TestSilentWatch: a watch that falls silent, stops in the middle of a change, or sends one that never becomes
+// complete, is replaced in time by one that asks for the changes since.
 func TestSilentWatch(t *testing.T) {
 	unfinished := `{"version":43,"full":false,"servers":[` + strings.Repeat(" ", 60)
 	for name, pieces := range map[string][]string{
 		"silent":       nil,
 		"half an item": {chunk(unfinished)},
 		"half a chunk": {chunk(unfinished)[:20]},
-		"trickle":      bytewise(unfinished),
+		"trickle":      chunksOfOneByte(unfinished),
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, simulated)
 			watch := h.startInService()
 			began := h.now()
 			watch.sendSlowly(pieces, 100*time.Millisecond)
-			if line := h.discovery.accept().request(); !strings.Contains(line, "from=42") {
+			if line := h.discovery.accept().readRequest(); !strings.Contains(line, "from=42") {
 				t.Errorf("%q, want what came after version 42", line)
 			}
-			if took := h.since(began); took > silentMost {
-				t.Errorf("replaced after %v, want %v at most", took, silentMost)
+			if took := h.elapsedSince(began); took > maxSilentWatch {
+				t.Errorf("replaced after %v, want %v at most", took, maxSilentWatch)
 			}
 		})
 	}
 }
 
-// A watch on which nothing changes lives by its blank lines.
-func TestQuietWatchStays(t *testing.T) {
+// TestIdleWatchStaysOpen: a watch on which nothing changes is kept open by blank lines.
+func TestIdleWatchStaysOpen(t *testing.T) {
 	h := newHarness(t, simulated)
 	watch := h.startInService()
 	for range 30 {
-		h.run(2 * time.Second)
+		h.advance(2 * time.Second)
 		watch.send(chunk("\n"))
 	}
-	h.run(time.Second)
-	if !watch.stands() || !h.discovery.idle() {
-		t.Error("a watch with a sign of life every two seconds was given up")
+	h.advance(time.Second)
+	if !watch.isOpen() || !h.discovery.hasNoNewConns() {
+		t.Error("a watch with a blank line every two seconds was closed")
 	}
 }
 
-// A watch that begins its answer and tells nothing, or does not begin it, is given up early.
+// TestWatchWithoutNews: a watch whose response does not begin, or begins and delivers nothing, is closed early.
 func TestWatchWithoutNews(t *testing.T) {
-	for name, head := range map[string]string{"no answer": "", "no news": watchHead} {
+	for name, head := range map[string]string{"no response": "", "no list": watchHead} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, simulated)
 			watch := h.start()
 			began := h.now()
 			watch.send(head)
-			h.discovery.accept().request()
-			if took := h.since(began); took > 1500*time.Millisecond {
+			h.discovery.accept().readRequest()
+			if took := h.elapsedSince(began); took > 1500*time.Millisecond {
 				t.Errorf("replaced after %v", took)
 			}
 		})
 	}
 }
 
-// Where lists are asked for, a call that discovery takes its time to answer is not given up: its answer counts.
-func TestAskedListTakesItsTime(t *testing.T) {
+// TestListOnRequestMayTakeLong: with lists on request, a call is not closed while discovery takes its time to answer.
+func TestListOnRequestMayTakeLong(t *testing.T) {
 	h := newHarness(t, simulated, `"membership_mode":"pushed"`, `"membership_mode":"on_request"`)
 	call := h.start()
-	h.run(2 * time.Second)
+	h.advance(2 * time.Second)
 	call.send(watchHead)
-	h.tell(call, backend.EndpointList{Version: 42, Full: true})
-	if !call.stands() || !h.discovery.idle() {
-		t.Error("the call was given up, or another one came meanwhile")
+	h.sendList(call, backend.EndpointList{Version: 42, Full: true})
+	if !call.isOpen() || !h.discovery.hasNoNewConns() {
+		t.Error("the call was closed, or another one made")
 	}
 }
 
-// A discovery that refuses calls, as it has more of them than it takes, is asked ever more seldom.
-func TestRefusedCallsSlacken(t *testing.T) {
+// TestRejectedCallsBackOff: a discovery that rejects calls is called at growing intervals.
+func TestRejectedCallsBackOff(t *testing.T) {
 	h := newHarness(t, simulated)
 	call := h.start()
 	for n := 1; n < 5; n++ {
 		call.send("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
-		refused := h.now()
+		rejectedAt := h.now()
 		call = h.discovery.accept()
-		call.request()
-		if gap, want := h.since(refused), time.Duration(min(1<<n, 8))*100*time.Millisecond; gap < want {
-			t.Errorf("call %d came %v after a refusal, want %v at least", n+1, gap, want)
+		call.readRequest()
+		want := time.Duration(min(1<<n, 8)) * 100 * time.Millisecond
+		if gap := h.elapsedSince(rejectedAt); gap < want {
+			t.Errorf("call %d came %v after a rejection, want %v at least", n+1, gap, want)
 		}
 	}
 }
 
-// The old watch stays until the new one has told something: what the old one tells meanwhile is taken.
+// TestReloadKeepsOldWatchUntilNews: after a change of the address, the watch at the old one stays open until the new
+// one has delivered a list. What it delivers meanwhile is applied.
 func TestReloadKeepsOldWatchUntilNews(t *testing.T) {
-	onEachNetwork(t, func(t *testing.T, on network) {
-		h := newHarness(t, on)
+	onEachNetwork(t, func(h *harness) {
 		old := h.startInService()
 		fresh := h.newServer()
-		h.reload(fresh)
+		h.setDiscovery(fresh)
 		watch := fresh.accept()
-		watch.request()
+		watch.readRequest()
 		watch.send(watchHead)
-		h.tell(old, backend.EndpointList{Version: 43, Full: true, Endpoints: h.servers})
-		h.tell(watch, backend.EndpointList{Version: 3, Full: true, Endpoints: h.servers})
-		old.untilEnd()
+		h.sendList(old, backend.EndpointList{Version: 43, Full: true, Endpoints: h.endpoints})
+		h.sendList(watch, backend.EndpointList{Version: 3, Full: true, Endpoints: h.endpoints})
+		old.waitForClose()
 	})
 }
 
-// A discovery at a new address may count its versions otherwise: it is asked for the whole list, and its changes are
-// taken however low their versions are.
+// TestReloadToLowerVersions: a discovery at a new address has versions of its own. It is asked for the complete list,
+// and its changes are applied however low their versions are.
 func TestReloadToLowerVersions(t *testing.T) {
-	onEachNetwork(t, func(t *testing.T, on network) {
-		h := newHarness(t, on)
-		h.server("r1", "prefill")
+	onEachNetwork(t, func(h *harness) {
+		h.addServer("r1", "prefill")
 		h.startInService()
 		fresh := h.newServer()
-		h.reload(fresh)
+		h.setDiscovery(fresh)
 		watch := fresh.accept()
-		if line := watch.request(); strings.Contains(line, "from=") {
-			t.Errorf("%q, want a whole list asked for", line)
+		if line := watch.readRequest(); strings.Contains(line, "from=") {
+			h.t.Errorf("%q, want a call for the complete list", line)
 		}
 		watch.send(watchHead)
-		h.tell(watch, backend.EndpointList{Version: 3, Full: true, Endpoints: h.servers})
-		h.tell(watch, backend.EndpointList{Version: 4, Endpoints: []backend.Endpoint{h.draining("r1")}})
-		h.wantRefused()
+		h.sendList(watch, backend.EndpointList{Version: 3, Full: true, Endpoints: h.endpoints})
+		h.sendChange(watch, 4, h.drainingEndpoint("r1"))
+		h.expectRejected()
 	})
 }
 
-// What a watch had not told when it was cut off is asked for by the next.
+// TestWatchResetBeforeItsNews: a change that a watch had not delivered when it was closed is asked for by the next.
 func TestWatchResetBeforeItsNews(t *testing.T) {
-	onEachNetwork(t, func(t *testing.T, on network) {
-		h := newHarness(t, on)
-		h.server("r1", "prefill")
+	onEachNetwork(t, func(h *harness) {
+		h.addServer("r1", "prefill")
 		watch := h.startInService()
-		change := chunk(listText(backend.EndpointList{Version: 43, Endpoints: []backend.Endpoint{h.draining("r1")}}))
+		endpoints := []backend.Endpoint{h.drainingEndpoint("r1")}
+		change := chunk(listText(backend.EndpointList{Version: 43, Endpoints: endpoints}))
 		watch.send(change[:40])
-		h.run(transitTime)
+		h.advance(transitTime)
 		watch.close()
 		next := h.discovery.accept()
-		if line := next.request(); !strings.Contains(line, "from=42") {
-			t.Errorf("%q, want what came after version 42", line)
+		if line := next.readRequest(); !strings.Contains(line, "from=42") {
+			h.t.Errorf("%q, want what came after version 42", line)
 		}
 		next.send(watchHead + change)
-		h.untilNews(1)
-		h.wantRefused()
+		h.waitForListUpdate(1)
+		h.expectRejected()
 	})
 }
 
-// What discovery knows counts as told from a process's first moment: no request is served before it is asked.
+// TestListBeforeRequests: what discovery knows when a process starts counts as delivered to it, so no request is sent
+// before its list has come.
 func TestListBeforeRequests(t *testing.T) {
 	h := newHarness(t, simulated)
-	reader := h.server("r1", "prefill")
-	stale := h.server("r2", "prefill")
+	prefill := h.addServer("r1", "prefill")
+	stale := h.addServer("r2", "prefill")
 	watch := h.start()
-	client := h.dial()
-	client.send(request(jobName(1)))
-	h.run(100 * time.Millisecond)
-	if !reader.idle() || !stale.idle() {
-		t.Fatal("a request went out before the list was known")
+	client := h.dialClient()
+	client.send(request(requestID(1)))
+	h.advance(100 * time.Millisecond)
+	if !prefill.hasNoNewConns() || !stale.hasNoNewConns() {
+		t.Fatal("a request was sent before the list was known")
 	}
 	watch.send(watchHead)
-	h.tell(watch, backend.EndpointList{Version: 50, Full: true, Endpoints: []backend.Endpoint{h.servers[0], h.draining("r2")}})
-	reader.accept().request()
-	if !stale.idle() {
-		t.Error("a server that drains got a request")
+	endpoints := []backend.Endpoint{h.endpoints[0], h.drainingEndpoint("r2")}
+	h.sendList(watch, backend.EndpointList{Version: 50, Full: true, Endpoints: endpoints})
+	prefill.accept().readRequest()
+	if !stale.hasNoNewConns() {
+		t.Error("a draining server got a request")
 	}
 }
 
-// Where discovery does not answer, clients are served soon by the list that the process was started with.
+// TestRequestsWithoutDiscovery: if discovery does not respond, clients are soon served by the initial list.
 func TestRequestsWithoutDiscovery(t *testing.T) {
 	h := newHarness(t, simulated)
-	reader := h.server("r1", "prefill")
+	prefill := h.addServer("r1", "prefill")
 	h.start()
 	began := h.now()
-	client := h.dial()
-	client.send(request(jobName(1)))
-	reader.accept().request()
-	if took := h.since(began); took > 300*time.Millisecond {
+	client := h.dialClient()
+	client.send(request(requestID(1)))
+	prefill.accept().readRequest()
+	if took := h.elapsedSince(began); took > 300*time.Millisecond {
 		t.Errorf("served after %v", took)
 	}
 }
-
-// A dispatcher told to leave, twice, before discovery has said anything serves who waits by the list it was started with.
-func TestLeaveBeforeListIsKnown(t *testing.T) {
-	h := newHarness(t, simulated)
-	h.server("r1", "prefill").reply = prefillAnswer
-	h.server("w1", "decode").reply = decodeAnswer
-	watch := h.start()
-	client := h.dial()
-	client.send(request(jobName(1)))
-	h.run(transitTime)
-	h.node.Drain()
-	h.node.Drain()
-	if got := client.expect("0\r\n\r\n"); !strings.Contains(got, " 200 ") || !strings.Contains(got, "Connection: close") {
-		t.Errorf("the client got %q", got)
-	}
-	client.close()
-	watch.untilEnd() // the process has ended
-}
