--- a/internal/dispatch/decisions.go
+++ b/internal/dispatch/decisions.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"time"
 
 	"docksail/internal/eventloop"
 	"docksail/policy"
@@ -14,13 +15,24 @@
 		d.loop.SetTimer(&d.policyTimer, now+eventloop.Nanos(decision.Duration), d.onPolicyTimeout)
 	case policy.WatchEndpoints:
 		d.backend.WatchEndpoints(now)
-	case policy.LogMessage:
-		d.log.Info("module message", "message", decision.Text)
+	case policy.LogEjection:
+		d.logEjection(decision.Ejection)
 	default:
 		d.executeForRequest(now, decision)
 	}
 }
 
+// logEjection logs that a server gets no new requests for a time.
+func (d *Dispatcher) logEjection(ejection policy.Ejection) {
+	attributes := []any{
+		"server_id", ejection.Server, "reason", ejection.Reason.String(), "duration", time.Duration(ejection.Duration),
+	}
+	if ejection.Class != policy.NoClass {
+		attributes = append(attributes, "class", int(ejection.Class))
+	}
+	d.log.Info("endpoint ejected", attributes...)
+}
+
 // executeForRequest carries out a decision about a request. The request may be removed by it.
 func (d *Dispatcher) executeForRequest(now eventloop.Nanos, decision policy.Decision) {
 	req := d.requests.Find(decision.Request)
--- a/internal/simulatorwire/wire.go
+++ b/internal/simulatorwire/wire.go
@@ -147,11 +147,11 @@
 		h.write("NOTIFY_ME", n, int64(what.Duration), 0)
 	case policy.WatchEndpoints:
 		h.write("OBSERVE", n, 1)
-	case policy.LogMessage:
+	case policy.LogEjection:
 		h.out.WriteString("EMIT ")
 		h.out.WriteString(strconv.FormatInt(n, 10))
 		h.out.WriteByte(' ')
-		h.out.WriteString(what.Text)
+		h.out.WriteString(what.Ejection.String())
 		h.out.WriteByte('\n')
 	default:
 		panic(fmt.Sprintf("decision with unknown verb %d", what.Action))
--- a/policy/classes_test.go
+++ b/policy/classes_test.go
@@ -71,7 +71,7 @@
 				router.AttemptEnded(now, decision.Request, decision.Attempt, Canceled, 1e6, false, NoLoadReport)
 			default:
 			}
-			decision.Text = ""
+			decision.Ejection = Ejection{} // names the class
 			decisions = append(decisions, decision)
 		}
 	}
--- a/policy/decisions_test.go
+++ b/policy/decisions_test.go
@@ -90,9 +90,13 @@
 func (r *decisionRecorder) takeDecisions() {
 	for decision, ok := r.router.NextDecision(r.now); ok; decision, ok = r.router.NextDecision(r.now) {
 		r.decisions++
+		ejection := ""
+		if decision.Action == LogEjection {
+			ejection = decision.Ejection.String()
+		}
 		r.digest = sha256.Sum256(fmt.Appendf(r.digest[:], "%d %d %d %d %d %d %d %d %s", r.now, decision.Action,
 			decision.Request, decision.Server, decision.Attempt, decision.Duration, decision.CachedTokens,
-			decision.SendBefore, decision.Text))
+			decision.SendBefore, ejection))
 		switch decision.Action {
 		case SetTimer:
 			r.timer = r.now + decision.Duration
--- a/policy/ejection.go
+++ b/policy/ejection.go
@@ -1,7 +1,5 @@
 package policy
 
-import "fmt"
-
 const (
 	// slowFactor times the peers' median makes a server slow: uneven load makes 2, a fault 4 and more.
 	slowFactor = 3.0
@@ -56,9 +54,9 @@
 	switch {
 	case failure == 0 || srv.failureShare <= maxFailureShare || now < srv.ejectedUntil:
 	case outcome == Unreachable:
-		r.eject(now, srv, "not reached")
+		r.eject(now, srv, EjectedUnreachable)
 	case r.failsMoreThanPeers(srv):
-		r.ejectOutlier(now, srv, "failing")
+		r.ejectOutlier(now, srv, EjectedFailing)
 	}
 }
 
@@ -91,13 +89,13 @@
 			continue
 		}
 		if srv.health == Serving && now >= srv.ejectedUntil && !r.inSlowStart(now, srv) {
-			r.ejectOutlier(now, srv, "slow to answer")
+			r.ejectOutlier(now, srv, EjectedSlow)
 		}
 	}
 }
 
 // ejectOutlier ejects a server that differs from its peers, unless too many are ejected.
-func (r *Router) ejectOutlier(now Nanos, srv *server, reason string) {
+func (r *Router) ejectOutlier(now Nanos, srv *server, reason EjectionReason) {
 	if !r.tooManyEjected(now, srv.role) {
 		r.eject(now, srv, reason)
 	}
@@ -106,14 +104,14 @@
 // eject keeps new requests from a server for a time; after that, one request at a time probes it. An ejection that soon
 // follows another lasts twice as long, up to the time in which a server warms up, so that a long outage costs few
 // probes.
-func (r *Router) eject(now Nanos, srv *server, reason string) {
+func (r *Router) eject(now Nanos, srv *server, reason EjectionReason) {
 	if now > srv.ejectedUntil+ejectionMemory*srv.ejectionTime {
 		srv.ejectionTime = 0
 	}
 	srv.ejectionTime = min(max(2*srv.ejectionTime, r.shortestTarget/2), r.maxEjectionTime())
 	srv.ejectedUntil, srv.halfOpen, r.counts.stale = now+srv.ejectionTime, true, true
 	srv.forgetLatencies()
-	r.logf("server %d ejected for %d ms: %s", srv.id, srv.ejectionTime/1e6, reason)
+	r.ejections = append(r.ejections, Ejection{srv.id, NoClass, reason, srv.ejectionTime})
 }
 
 // maxEjectionTime returns the longest time for which a server is ejected.
@@ -149,7 +147,7 @@
 	if srv.lastAnswerAt <= req.sentAt {
 		srv.ejectedUntil, r.counts.stale = max(srv.ejectedUntil, now+r.shortestTarget/2), true
 	}
-	r.logf("server %d silent to class %d, left alone for %d ms", srv.id, req.Class, c.ejectionTime/1e6)
+	r.ejections = append(r.ejections, Ejection{srv.id, req.Class, EjectedSilent, c.ejectionTime})
 }
 
 // stalled reports whether a server has outstanding attempts of a class and has not answered any for far longer than its
@@ -162,8 +160,3 @@
 	c := &srv.byClass[class]
 	return c.outstanding > 0 && now-c.lastAnswerAt > Nanos(maxSilence)+srv.maxPromptAllowance
 }
-
-// logf queues a message for the log.
-func (r *Router) logf(format string, values ...any) {
-	r.logLines = append(r.logLines, fmt.Sprintf(format, values...))
-}
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -188,7 +188,7 @@
 			router.ListUpdateEnded(fleet.now)
 		case 1:
 			if i, ok := router.serverIndex[id]; ok {
-				router.eject(fleet.now, &router.servers[i], "test")
+				router.eject(fleet.now, &router.servers[i], EjectedFailing)
 			}
 		}
 		router.review(fleet.now)
--- a/policy/next.go
+++ b/policy/next.go
@@ -2,10 +2,10 @@
 
 // NextDecision returns the next decision, and whether there is one.
 func (r *Router) NextDecision(now Nanos) (Decision, bool) {
-	if n := len(r.logLines); n > 0 {
-		text := r.logLines[n-1]
-		r.logLines = r.logLines[:n-1]
-		return Decision{Action: LogMessage, Text: text}, true
+	if n := len(r.ejections); n > 0 {
+		ejection := r.ejections[n-1]
+		r.ejections = r.ejections[:n-1]
+		return Decision{Action: LogEjection, Ejection: ejection}, true
 	}
 	if decision, ok := r.nextRequestDecision(now); ok {
 		return decision, true
--- a/policy/router.go
+++ b/policy/router.go
@@ -49,9 +49,9 @@
 	watching       bool  // the endpoint list is being watched
 	watchAt        Nanos // no earlier request for the endpoint list than this
 
-	random   pcg
-	logLines []string
-	scratch  []float64 // reused by medianOverServers
+	random    pcg
+	ejections []Ejection // to be logged
+	scratch   []float64  // reused by medianOverServers
 }
 
 // New returns a router that knows no servers and no requests.
--- a/policy/router_test.go
+++ b/policy/router_test.go
@@ -70,7 +70,8 @@
 		{"DedupScope", int(DedupScopeCell) + 1, func(v uint8) fmt.Stringer { return DedupScope(v) }},
 		{"Health", int(Gone) + 1, func(v uint8) fmt.Stringer { return Health(v) }},
 		{"Outcome", int(StaleConnection) + 1, func(v uint8) fmt.Stringer { return Outcome(v) }},
-		{"Action", int(LogMessage) + 1, func(v uint8) fmt.Stringer { return Action(v) }},
+		{"Action", int(LogEjection) + 1, func(v uint8) fmt.Stringer { return Action(v) }},
+		{"EjectionReason", int(EjectedSilent) + 1, func(v uint8) fmt.Stringer { return EjectionReason(v) }},
 	} {
 		seen := map[string]bool{}
 		for value := range c.count {
@@ -85,3 +86,17 @@
 		}
 	}
 }
+
+// TestEjectionString checks the description of ejections, which the simulator's wire carries.
+func TestEjectionString(t *testing.T) {
+	for want, ejection := range map[string]Ejection{
+		"server 3 ejected for 500 ms: failing":              {3, NoClass, EjectedFailing, 500 * ms},
+		"server 3 ejected for 500 ms: not reached":          {3, NoClass, EjectedUnreachable, 500*ms + 999},
+		"server 3 ejected for 500 ms: slow to answer":       {3, NoClass, EjectedSlow, 500 * ms},
+		"server 3 silent to class 0, left alone for 500 ms": {3, 0, EjectedSilent, 500 * ms},
+	} {
+		if got := ejection.String(); got != want {
+			t.Errorf("%+v is described as %q, want %q", ejection, got, want)
+		}
+	}
+}
--- a/policy/scenario_test.go
+++ b/policy/scenario_test.go
@@ -24,12 +24,12 @@
 //	ended ID OUTCOME [after=T] [held=T] [answered]      the last attempt ends; held is since when the KV state
 //	                                      counts as held, 0 = it was released; answered: finally
 //	canceled ID                           the client cancels a request
-//	expect ACTION [ID] [on SERVER[|SERVER]] [for T] [before T]   the next decision, timers and log lines left out
+//	expect ACTION [ID] [on SERVER[|SERVER]] [for T] [before T]   the next decision, timers and ejections left out
 //	count SERVER                          takes all decisions now and adds up the attempts at SERVER among them
 //	counted A B                           the sum is from A to B; it starts anew
 //	next-dispatcher                       another dispatcher, with the next number, at the first time
 //	nothing                               no decision is left
-//	log TEXT                              a log line with TEXT was returned
+//	log TEXT                              an ejection whose description has TEXT was returned
 //	loop A B ... end                      the lines between, with $ standing for A to B
 //
 // A scenario fails if a decision is left at its end. Idempotency, scopes and health are given by number.
@@ -184,8 +184,8 @@
 		switch decision.Action {
 		case SetTimer:
 			p.timer = min(p.timer, p.now+decision.Duration)
-		case LogMessage:
-			p.log = append(p.log, decision.Text)
+		case LogEjection:
+			p.log = append(p.log, decision.Ejection.String())
 		case SendAttempt:
 			if _, again := p.lastAttempts[int(decision.Request)]; again {
 				p.lastAttempts[int(decision.Request)]++
--- a/policy/types.go
+++ b/policy/types.go
@@ -21,6 +21,9 @@
 // ClassID is an index into Config.Classes.
 type ClassID int32
 
+// NoClass stands for no particular class.
+const NoClass = ClassID(-1)
+
 // TenantID is an index into Config.Tenants; -1 means none.
 type TenantID int32
 
