--- a/internal/backend/platform/stats.go
+++ b/internal/backend/platform/stats.go
@@ -15,7 +15,7 @@
 	Reused           uint64
 	IdleUnusable     uint64 // idle connections that had ended, or had input, when they were to be reused
 	IdleClosed       uint64 // idle connections that were closed by this side
-	LingeringDropped uint64 // lingering connections that were closed because their descriptors were needed
+	WatchesDropped   uint64 // lingering connections that were closed because their descriptors were needed
 	NoRoom           uint64 // a connection was needed at the limit of connections
 	StaleConnections uint64 // attempts that were lost because a reused connection had died unnoticed
 	IdleBeforeReuse  idleTimes
@@ -46,11 +46,11 @@
 	Violations uint64 // actions that the rules of inflight forbid: faults of the program
 }
 
-// idleTimes is a histogram of how long connections were idle. The first bucket holds times under 16 ms; the limit of
-// each next bucket is twice that of the one before.
+// idleTimes is a histogram of how long connections were idle. The first bucket holds times under 2^24 ns (16.8 ms); the
+// limit of each next bucket is twice that of the one before.
 type idleTimes [12]uint64
 
-// firstIdleBits is the number of bits of a time in nanoseconds that fits the first bucket: 2^24 ns are 16.8 ms.
+// firstIdleBits is the number of bits of a time in nanoseconds that fits the first bucket.
 const firstIdleBits = 24
 
 // add counts an idle time.
