--- a/internal/batchrunner/runner.go
+++ b/internal/batchrunner/runner.go
@@ -258,7 +258,7 @@
 		return err
 	}
 	for _, e := range ends {
-		if err := r.store.RecordResult(b.ID, e.n, false, encodeFailure(b.ID, e.n, e.l.CustomID, e.code, e.why)); err != nil {
+		if err := r.store.RecordResult(b.ID, e.n, batchstore.ResultFailed, encodeFailure(b.ID, e.n, e.l.CustomID, e.code, e.why)); err != nil {
 			return err
 		}
 	}
@@ -569,7 +569,7 @@
 // counts as over.
 func (r *Runner) lineEnded(a *activeBatch, n batchscheduler.LineIndex, l batchstore.Line, how batchscheduler.Outcome, after int64, code, why string, text []byte) {
 	if how == batchscheduler.OutcomeServed {
-		if err := r.store.RecordResult(a.record.ID, n, true, text); err != nil {
+		if err := r.store.RecordResult(a.record.ID, n, batchstore.ResultCompleted, text); err != nil {
 			r.log.Error("result not kept", "batch", a.record.ID, "line", n+1, "err", err)
 			how = batchscheduler.OutcomeConnectionLost // a redoable line is done anew; any other says that it may have run
 			code, why = "result_not_kept", err.Error()
@@ -606,7 +606,7 @@
 		if why != "" {
 			reason += ": " + why
 		}
-		if err := r.store.RecordResult(a.record.ID, n, false, encodeFailure(a.record.ID, n, l.CustomID, code, reason)); err != nil {
+		if err := r.store.RecordResult(a.record.ID, n, batchstore.ResultFailed, encodeFailure(a.record.ID, n, l.CustomID, code, reason)); err != nil {
 			r.log.Error("end not kept", "batch", a.record.ID, "line", n+1, "err", err)
 		}
 	case verdict == batchscheduler.VerdictRetry && how == batchscheduler.OutcomeRejected && l.State != batchscheduler.LineWaiting:
--- a/internal/frontend/batch/batch.go
+++ b/internal/frontend/batch/batch.go
@@ -253,11 +253,11 @@
 	if err != nil {
 		return err
 	}
-	fs, more, err := s.store.Files(tenant, after, most)
+	page, err := s.store.Files(tenant, after, most)
 	if err != nil {
 		return err
 	}
-	return s.writeJSON(w, http.StatusOK, listJSON(fs, more, fileJSON))
+	return s.writeJSON(w, http.StatusOK, listJSON(page.Items, page.HasMore, fileJSON))
 }
 
 func (s *Server) getFile(w http.ResponseWriter, r *http.Request, tenant string) error {
@@ -370,11 +370,11 @@
 	if err != nil {
 		return err
 	}
-	bs, more, err := s.store.Batches(tenant, after, most)
+	page, err := s.store.Batches(tenant, after, most)
 	if err != nil {
 		return err
 	}
-	return s.writeJSON(w, http.StatusOK, listJSON(bs, more, s.batchJSON))
+	return s.writeJSON(w, http.StatusOK, listJSON(page.Items, page.HasMore, s.batchJSON))
 }
 
 func (s *Server) cancelBatch(w http.ResponseWriter, r *http.Request, tenant string) error {
--- /dev/null
+++ b/internal/state/batchstore/batches.go
@@ -0,0 +1,122 @@
+package batchstore
+
+import (
+	"docksail/internal/decide/batchscheduler"
+	"docksail/internal/state/recordstore"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"time"
+)
+
+// Batch is the record of a tenant's batch. Times are Unix seconds; 0 means not yet.
+type Batch struct {
+	ID               string                    `json:"id"`
+	Tenant           string                    `json:"tenant"`
+	InputFileID      string                    `json:"input"`
+	Endpoint         string                    `json:"endpoint"`
+	CompletionWindow string                    `json:"window"` // as the tenant wrote it
+	Metadata         map[string]string         `json:"metadata,omitempty"`
+	State            batchscheduler.BatchState `json:"state"`
+	TotalLines       int                       `json:"total"`
+	CompletedLines   int                       `json:"done"`
+	FailedLines      int                       `json:"lost"`
+	OutputFileID     string                    `json:"output,omitempty"` // empty if no line was completed
+	ErrorFileID      string                    `json:"errors,omitempty"` // empty if no line failed
+	CreatedUnix      int64                     `json:"created"`
+	ExpiresUnix      int64                     `json:"expires"`
+	InProgressUnix   int64                     `json:"in_progress,omitempty"`
+	FinalizingUnix   int64                     `json:"finalizing,omitempty"`
+	EndedUnix        int64                     `json:"ended,omitempty"`
+	CancellingUnix   int64                     `json:"cancelling,omitempty"`
+	FinalState       batchscheduler.BatchState `json:"final,omitempty"` // that FinalizeBatch gives it
+	ValidationErrors []ValidationError         `json:"faults,omitempty"`
+}
+
+// ValidationError is a reason for which a batch's input file was not accepted.
+type ValidationError struct {
+	LineNumber int    `json:"line"` // from 1; 0 = the whole file
+	Code       string `json:"code"`
+	Message    string `json:"message"`
+}
+
+// CreateBatch creates a batch over the file b.InputFileID, in StateValidating. It sets the ID, state and times of b.
+func (s *Store) CreateBatch(now time.Time, b Batch, window time.Duration) (Batch, error) {
+	if _, err := s.File(b.Tenant, b.InputFileID); err != nil {
+		return Batch{}, err
+	}
+	var err error
+	if b.ID, err = s.newID(batchIDPrefix); err != nil {
+		return Batch{}, err
+	}
+	b.State, b.CreatedUnix, b.ExpiresUnix = batchscheduler.StateValidating, now.Unix(), now.Add(window).Unix()
+	return b, s.records.Update(func(tx *recordstore.Tx) error { return putJSON(tx, batchesSet, b.ID, b) })
+}
+
+// Batch returns a tenant's batch. Its error wraps ErrNotFound if the tenant has none of that ID.
+func (s *Store) Batch(tenant, id string) (b Batch, err error) {
+	err = s.records.View(func(tx *recordstore.Tx) error { return getJSON(tx, batchesSet, id, &b) })
+	if err == nil && b.Tenant != tenant {
+		err = fmt.Errorf("%s: %w", id, ErrNotFound)
+	}
+	return b, err
+}
+
+// Batches returns at most limit batches of a tenant, from the first ID after one.
+func (s *Store) Batches(tenant, after string, limit int) (Page[Batch], error) {
+	return list(s, batchesSet, after, limit, func(b *Batch) bool { return b.Tenant == tenant })
+}
+
+// UnfinishedBatches returns the batches of all tenants that are in no terminal state.
+func (s *Store) UnfinishedBatches() ([]Batch, error) {
+	page, err := list(s, batchesSet, "", unlimited, func(b *Batch) bool { return !b.State.IsTerminal() })
+	return page.Items, err
+}
+
+// TransitionBatch moves a batch to a state and applies update to it in the same change; update sees the batch in the
+// new state. The error wraps ErrInvalidState if the state may not follow the present one; the present state itself may.
+func (s *Store) TransitionBatch(id string, to batchscheduler.BatchState, update func(b *Batch)) (b Batch, err error) {
+	err = s.records.Update(func(tx *recordstore.Tx) error {
+		if err := getJSON(tx, batchesSet, id, &b); err != nil {
+			return err
+		}
+		if b.State != to {
+			if err := batchscheduler.CheckTransition(b.State, to); err != nil {
+				return fmt.Errorf("%w: %w", ErrInvalidState, err)
+			}
+		}
+		b.State = to
+		update(&b)
+		if b.State.IsTerminal() {
+			if err := dropLines(tx, id); err != nil {
+				return err
+			}
+		}
+		return putJSON(tx, batchesSet, id, b)
+	})
+	if err == nil && b.State.IsTerminal() {
+		err = s.removeDeletedInput(b.InputFileID)
+	}
+	return b, err
+}
+
+// dropLines removes the lines and results of a batch.
+func dropLines(tx *recordstore.Tx, batchID string) error {
+	return errors.Join(tx.DropSet(linesSet(batchID)), tx.DropSet(resultsSet(batchID)))
+}
+
+// isInUse reports whether a batch that is in no terminal state reads a file.
+func isInUse(tx *recordstore.Tx, fileID string) (inUse bool, err error) {
+	err = tx.ForEach(batchesSet, nil, func(_, encoded []byte, corrupt error) error {
+		var b Batch
+		if corrupt != nil || json.Unmarshal(encoded, &b) != nil {
+			return nil
+		}
+		if b.InputFileID == fileID && !b.State.IsTerminal() {
+			inUse = true
+			return recordstore.ErrStopIteration
+		}
+		return nil
+	})
+	return inUse, err
+}
--- /dev/null
+++ b/internal/state/batchstore/content.go
@@ -0,0 +1,130 @@
+package batchstore
+
+import (
+	"bufio"
+	"fmt"
+	"os"
+	"path/filepath"
+)
+
+const (
+	// quotaReserveBytes is how much quota a contentWriter reserves at a time.
+	quotaReserveBytes = 1 << 20
+	// contentBufferBytes is the size of a contentWriter's buffer.
+	contentBufferBytes = 64 << 10
+)
+
+// reserveQuota reserves bytes of a tenant's quota. Its error wraps ErrQuotaExceeded if they do not fit.
+func (s *Store) reserveQuota(tenant string, bytes int64) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if used := s.usedBytes[tenant]; bytes > 0 && s.tenantQuotaBytes > 0 && used+bytes > s.tenantQuotaBytes {
+		return fmt.Errorf("%d bytes beside %d of %d: %w", bytes, used, s.tenantQuotaBytes, ErrQuotaExceeded)
+	}
+	s.usedBytes[tenant] += bytes
+	return nil
+}
+
+// releaseQuota returns bytes of a tenant's quota.
+func (s *Store) releaseQuota(tenant string, bytes int64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.usedBytes[tenant] -= bytes
+}
+
+// contentWriter writes the content of a new file into a temporary file and moves it into place once it is complete.
+type contentWriter struct {
+	store    *Store
+	tenant   string
+	file     *os.File
+	buffer   *bufio.Writer
+	written  int64
+	reserved int64 // of the tenant's quota
+	maxBytes int64 // 0 = unlimited
+}
+
+func (s *Store) newContentWriter(tenant string, maxBytes int64) (*contentWriter, error) {
+	file, err := os.CreateTemp(filepath.Join(s.dir, uploadsDirName), "*")
+	if err != nil {
+		return nil, err
+	}
+	return &contentWriter{
+		store: s, tenant: tenant, file: file, buffer: bufio.NewWriterSize(file, contentBufferBytes), maxBytes: maxBytes,
+	}, nil
+}
+
+// Write implements io.Writer. Its error wraps ErrFileTooLarge or ErrQuotaExceeded if p does not fit.
+func (w *contentWriter) Write(p []byte) (int, error) {
+	if w.maxBytes > 0 && w.written+int64(len(p)) > w.maxBytes {
+		return 0, fmt.Errorf("more than %d bytes: %w", w.maxBytes, ErrFileTooLarge)
+	}
+	if missing := w.written + int64(len(p)) - w.reserved; missing > 0 {
+		if err := w.reserve(missing); err != nil {
+			return 0, err
+		}
+	}
+	n, err := w.buffer.Write(p)
+	w.written += int64(n)
+	return n, err
+}
+
+// reserve reserves quota ahead, or only what is needed if no more fits.
+func (w *contentWriter) reserve(needed int64) error {
+	ahead := max(needed, quotaReserveBytes)
+	if w.store.reserveQuota(w.tenant, ahead) == nil {
+		w.reserved += ahead
+		return nil
+	}
+	if err := w.store.reserveQuota(w.tenant, needed); err != nil {
+		return err
+	}
+	w.reserved += needed
+	return nil
+}
+
+// discard removes the temporary file and returns the quota.
+func (w *contentWriter) discard() {
+	w.file.Close()
+	_ = os.Remove(w.file.Name()) // if it stays, the next start removes it
+	w.store.releaseQuota(w.tenant, w.reserved)
+}
+
+// commit syncs the content and moves it into place as the content of a file. If that fails, it discards the content.
+func (w *contentWriter) commit(fileID string) error {
+	if err := w.moveInPlace(fileID); err != nil {
+		w.discard()
+		return err
+	}
+	w.store.releaseQuota(w.tenant, w.reserved-w.written)
+	return w.store.reach(afterContentInPlace)
+}
+
+func (w *contentWriter) moveInPlace(fileID string) error {
+	if err := w.buffer.Flush(); err != nil {
+		return err
+	}
+	if err := w.file.Sync(); err != nil {
+		return err
+	}
+	if err := w.file.Close(); err != nil {
+		return err
+	}
+	if err := w.store.reach(afterContentWritten); err != nil {
+		return err
+	}
+	path := w.store.contentPath(fileID)
+	if err := os.Rename(w.file.Name(), path); err != nil {
+		return err
+	}
+	return syncDir(filepath.Dir(path))
+}
+
+// syncDir makes a rename within a directory durable.
+func syncDir(name string) error {
+	dir, err := os.Open(name)
+	if err != nil {
+		return err
+	}
+	defer dir.Close()
+	return dir.Sync()
+}
--- a/internal/state/batchstore/format_test.go
+++ b/internal/state/batchstore/format_test.go
@@ -110,7 +110,8 @@
 
 func (w *sampleWriter) end(b Batch, n batchscheduler.LineIndex, completed bool) {
 	w.t.Helper()
-	w.check(w.store.RecordResult(b.ID, n, completed, fmt.Appendf(nil, `{"custom_id":"größe-%d","done":%v}`, n, completed)))
+	text := fmt.Appendf(nil, `{"custom_id":"größe-%d","done":%v}`, n, completed)
+	w.check(w.store.RecordResult(b.ID, n, resultKind(completed), text))
 }
 
 func (w *sampleWriter) finalizing(b Batch, final batchscheduler.BatchState) Batch {
@@ -287,7 +288,7 @@
 	t.Helper()
 	text, _ := sampleLines()
 	created, finalized := sampleTime(0).Unix(), sampleTime(50).Unix()
-	files, more, err := s.Files("a", "", 10)
+	files, err := s.Files("a", "", 10)
 	want := []File{
 		{
 			ID: inputFileID, Tenant: "a", Name: "lines.jsonl",
@@ -306,13 +307,13 @@
 			Purpose: "batch_output", SizeBytes: 39, CreatedUnix: finalized,
 		},
 	}
-	if err != nil || more {
-		t.Errorf("files of tenant a: more %v, error %v", more, err)
+	if err != nil || files.HasMore {
+		t.Errorf("files of tenant a: more %v, error %v", files.HasMore, err)
 	}
-	if !slices.Equal(files, want) {
-		t.Errorf("files of tenant a: %+v, want %+v", files, want)
+	if !slices.Equal(files.Items, want) {
+		t.Errorf("files of tenant a: %+v, want %+v", files.Items, want)
 	}
-	if files, _, err := s.Files("b", "", 10); err != nil || len(files) != 0 {
+	if files, err := s.Files("b", "", 10); err != nil || len(files.Items) != 0 {
 		t.Errorf("files of tenant b, which has deleted its only one: %v, %v", files, err)
 	}
 	used := map[string]int64{"a": int64(len(text)) + 39 + 76 + 39, "b": int64(len(text))}
@@ -320,7 +321,7 @@
 		t.Errorf("used bytes %v, want %v", s.usedBytes, used)
 	}
 	for id, want := range map[string]string{
-		inputFileID:                      text,
+		inputFileID: text,
 		"file-3132333435363738393a3b3co": `{"custom_id":"größe-0","done":true}` + "\n" +
 			`{"custom_id":"größe-2","done":true}` + "\n",
 		"file-3132333435363738393a3b3ce": `{"custom_id":"größe-1","done":false}` + "\n",
@@ -379,12 +380,12 @@
 			}),
 		},
 	} {
-		got, more, err := s.Batches(tenant, "", 10)
-		if err != nil || more {
-			t.Errorf("batches of tenant %s: more %v, error %v", tenant, more, err)
+		got, err := s.Batches(tenant, "", 10)
+		if err != nil || got.HasMore {
+			t.Errorf("batches of tenant %s: more %v, error %v", tenant, got.HasMore, err)
 		}
-		if !reflect.DeepEqual(got, want) {
-			t.Errorf("batches of tenant %s: %+v, want %+v", tenant, got, want)
+		if !reflect.DeepEqual(got.Items, want) {
+			t.Errorf("batches of tenant %s: %+v, want %+v", tenant, got.Items, want)
 		}
 	}
 }
--- a/internal/state/batchstore/linear_test.go
+++ b/internal/state/batchstore/linear_test.go
@@ -84,7 +84,7 @@
 
 func plainly(s *Store, id string, o op) (seen, error) {
 	if o.what == "end" {
-		return seen{}, s.RecordResult(id, batchscheduler.LineIndex(o.n), o.done, []byte("{}"))
+		return seen{}, s.RecordResult(id, batchscheduler.LineIndex(o.n), resultKind(o.done), []byte("{}"))
 	}
 	b, err := s.Batch("a", id)
 	return seen{b.CompletedLines, b.FailedLines}, err
@@ -136,7 +136,7 @@
 	defer s.Close()
 	b := begun(t, s, 3)
 	for n := range 3 {
-		if err := s.RecordResult(b.ID, batchscheduler.LineIndex(n), n > 0, fmt.Appendf(nil, `{"n":%d}`, n)); err != nil {
+		if err := s.RecordResult(b.ID, batchscheduler.LineIndex(n), resultKind(n > 0), fmt.Appendf(nil, `{"n":%d}`, n)); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -145,8 +145,8 @@
 		t.Fatal(err)
 	}
 	full := errors.New("no space left on device")
-	s.failpoint = func(at string) error {
-		if at == "content written" {
+	s.reach = func(at failpoint) error {
+		if at == afterContentWritten {
 			return full
 		}
 		return nil
@@ -158,7 +158,7 @@
 	if again, _ := s.Batch("a", b.ID); again.State != batchscheduler.StateFinalizing || s.usedBytes["a"] != used {
 		t.Errorf("%v, %d bytes used, want finalizing and %d", again.State, s.usedBytes["a"], used)
 	}
-	s.failpoint = func(string) error { return nil }
+	s.reach = func(failpoint) error { return nil }
 	if b, err = s.FinalizeBatch(t0, b); err != nil || b.State != batchscheduler.StateExpired || b.OutputFileID == "" || b.ErrorFileID == "" {
 		t.Errorf("%+v, %v", b, err)
 	}
--- a/internal/state/batchstore/store_test.go
+++ b/internal/state/batchstore/store_test.go
@@ -30,6 +30,14 @@
 	os.Exit(m.Run())
 }
 
+// resultKind returns the kind of a line's result by whether the line was completed.
+func resultKind(completed bool) ResultKind {
+	if completed {
+		return ResultCompleted
+	}
+	return ResultFailed
+}
+
 func openStore(t testing.TB, dir string) *Store {
 	t.Helper()
 	s, err := Open(dir, 1<<20)
@@ -97,7 +105,7 @@
 					}
 				}
 			default:
-				if err := s.RecordResult(b.ID, l, done, []byte(text)); err != nil {
+				if err := s.RecordResult(b.ID, l, resultKind(done), []byte(text)); err != nil {
 					rt.Fatal(err)
 				}
 				if _, over := ends[l]; !over {
@@ -109,8 +117,8 @@
 			rt.Fatal(err)
 		}
 		for range rapid.IntRange(0, 4).Draw(rt, "crashes") {
-			where, k := rapid.SampledFrom([]string{"content written", "content in place", "files written"}).Draw(rt, "where"), rapid.IntRange(0, 1).Draw(rt, "which")
-			s.failpoint = func(at string) error {
+			where, k := rapid.SampledFrom([]failpoint{afterContentWritten, afterContentInPlace, afterFilesWritten}).Draw(rt, "where"), rapid.IntRange(0, 1).Draw(rt, "which")
+			s.reach = func(at failpoint) error {
 				if at == where {
 					if k--; k < 0 {
 						return errDied
@@ -125,7 +133,7 @@
 			}
 			reopen()
 		}
-		s.failpoint = func(string) error { return nil }
+		s.reach = func(failpoint) error { return nil }
 		if b, err = s.Batch("a", b.ID); err != nil {
 			rt.Fatal(err)
 		}
