--- a/internal/batchrunner/runner.go
+++ b/internal/batchrunner/runner.go
@@ -7,8 +7,6 @@
 	"bufio"
 	"bytes"
 	"context"
-	"docksail/internal/decide/batchscheduler"
-	"docksail/internal/state/batchstore"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -29,6 +27,8 @@
 	"google.golang.org/grpc/status"
 
 	pb "docksail/api/docksail/v1"
+	"docksail/internal/decide/batchscheduler"
+	"docksail/internal/state/batchstore"
 )
 
 // CompletionsEndpoint is what lines may ask for.
--- a/internal/decide/batchscheduler/scheduler.go
+++ b/internal/decide/batchscheduler/scheduler.go
@@ -5,9 +5,10 @@
 
 import (
 	"cmp"
-	"docksail/internal/indexedheap"
 	"fmt"
 	"slices"
+
+	"docksail/internal/indexedheap"
 )
 
 // Nanos is a time or a span in nanoseconds.
--- a/internal/frontend/batch/batch.go
+++ b/internal/frontend/batch/batch.go
@@ -6,8 +6,6 @@
 import (
 	"context"
 	"crypto/sha256"
-	"docksail/internal/batchrunner"
-	"docksail/internal/state/batchstore"
 	"encoding/hex"
 	"encoding/json"
 	"errors"
@@ -20,7 +18,9 @@
 	"strings"
 	"time"
 
+	"docksail/internal/batchrunner"
 	decide "docksail/internal/decide/batchscheduler"
+	"docksail/internal/state/batchstore"
 )
 
 // Limits bound what one call may bring.
--- a/internal/state/batchstore/linear_test.go
+++ b/internal/state/batchstore/linear_test.go
@@ -13,37 +13,37 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// Concurrent histories of one batch: its lines are ended, marked and looked at by many at once. Each is checked against
-// a plain model: of the ends of a line the first counts, and what is counted is what has ended.
+// The tests of this file check concurrent histories of one batch, whose lines are ended and whose counts are read by
+// many clients at once, against a sequential model: only the first result of a line counts.
 
-type op struct {
-	what string // end, look
-	n    int
-	done bool
+// operation is a call of RecordResult or Batch.
+type operation struct {
+	kind      string // end, look
+	line      int
+	completed bool
 }
 
-type seen struct{ done, lost int }
+// counts are the counts that Batch returned.
+type counts struct{ completed, failed int }
 
-const linearLines = 6
+const lineCount = 6
 
-func history(t *testing.T, call func(s *Store, id string, o op) (seen, error)) []porcupine.Operation {
+func history(t *testing.T, call func(s *Store, id string, o operation) (counts, error)) []porcupine.Operation {
 	t.Helper()
 	s := openStore(t, t.TempDir())
 	defer s.Close()
-	b := begun(t, s, linearLines)
+	b := createBatch(t, s, lineCount)
 	var mu sync.Mutex
 	var ops []porcupine.Operation
 	var wg sync.WaitGroup
 	begin := time.Now()
 	for client := range 6 {
-		wg.Add(1)
-		go func() {
-			defer wg.Done()
+		wg.Go(func() {
 			rng := rand.New(rand.NewPCG(7, uint64(client)))
 			for range 12 {
-				o := op{"look", 0, false}
+				o := operation{"look", 0, false}
 				if rng.IntN(2) == 0 {
-					o = op{"end", rng.IntN(linearLines), rng.IntN(2) == 0}
+					o = operation{"end", rng.IntN(lineCount), rng.IntN(2) == 0}
 				}
 				from := time.Since(begin)
 				got, err := call(s, b.ID, o)
@@ -52,10 +52,12 @@
 					t.Error(err)
 				}
 				mu.Lock()
-				ops = append(ops, porcupine.Operation{ClientId: client, Input: o, Call: int64(from), Output: got, Return: int64(to)})
+				ops = append(ops, porcupine.Operation{
+					ClientId: client, Input: o, Call: int64(from), Output: got, Return: int64(to),
+				})
 				mu.Unlock()
 			}
-		}()
+		})
 	}
 	wg.Wait()
 	return ops
@@ -63,84 +65,87 @@
 
 // model has for each line '.', 'd' or 'l'.
 var model = porcupine.Model{
-	Init: func() any { return strings.Repeat(".", linearLines) },
+	Init: func() any { return strings.Repeat(".", lineCount) },
 	Step: func(state, input, output any) (bool, any) {
-		lines, o := state.(string), input.(op)
-		if o.what == "end" {
-			if lines[o.n] == '.' {
+		lines, o := state.(string), input.(operation)
+		if o.kind == "end" {
+			if lines[o.line] == '.' {
 				how := "l"
-				if o.done {
+				if o.completed {
 					how = "d"
 				}
-				lines = lines[:o.n] + how + lines[o.n+1:]
+				lines = lines[:o.line] + how + lines[o.line+1:]
 			}
 			return true, lines
 		}
-		return output.(seen) == seen{strings.Count(lines, "d"), strings.Count(lines, "l")}, lines
+		return output.(counts) == counts{strings.Count(lines, "d"), strings.Count(lines, "l")}, lines
 	},
 	Equal:             func(a, b any) bool { return a == b },
 	DescribeOperation: func(in, out any) string { return fmt.Sprint(in, out) },
 }
 
-func plainly(s *Store, id string, o op) (seen, error) {
-	if o.what == "end" {
-		return seen{}, s.RecordResult(id, batchscheduler.LineIndex(o.n), resultKind(o.done), []byte("{}"))
+func callStore(s *Store, id string, o operation) (counts, error) {
+	if o.kind == "end" {
+		return counts{}, s.RecordResult(id, batchscheduler.LineIndex(o.line), resultKind(o.completed), []byte("{}"))
 	}
 	b, err := s.Batch("a", id)
-	return seen{b.CompletedLines, b.FailedLines}, err
+	return counts{b.CompletedLines, b.FailedLines}, err
 }
 
-// TestLinearizable: what the store shows many at once could have come one after another; of a store that counts each end
-// of a line, and of one that shows what it saw some time ago, the checker says that it could not.
+// TestLinearizable checks concurrent histories of the store against the model. It also checks the checker: of a store
+// that counts every result of a line, and of one that returns old counts, it must find that they are not linearizable.
 func TestLinearizable(t *testing.T) {
 	for range 5 {
-		if !porcupine.CheckOperations(model, history(t, plainly)) {
-			t.Error("a history that no order explains")
+		if !porcupine.CheckOperations(model, history(t, callStore)) {
+			t.Error("a history of the store is not linearizable")
 		}
 	}
 	var mu sync.Mutex
-	twice := map[int]int{}
-	old := seen{}
-	for name, call := range map[string]func(s *Store, id string, o op) (seen, error){
-		"every end counts": func(s *Store, id string, o op) (seen, error) {
-			got, err := plainly(s, id, o)
+	results := map[int]int{}
+	old := counts{}
+	for name, call := range map[string]func(s *Store, id string, o operation) (counts, error){
+		"every end counts": func(s *Store, id string, o operation) (counts, error) {
+			got, err := callStore(s, id, o)
 			mu.Lock()
 			defer mu.Unlock()
-			if o.what == "end" {
-				twice[o.n]++
+			if o.kind == "end" {
+				results[o.line]++
 			}
-			for _, n := range twice {
-				got.done += n - 1
+			for _, n := range results {
+				got.completed += n - 1
 			}
 			return got, err
 		},
-		"looks are old": func(s *Store, id string, o op) (seen, error) {
-			got, err := plainly(s, id, o)
+		"looks are old": func(s *Store, id string, o operation) (counts, error) {
+			got, err := callStore(s, id, o)
 			mu.Lock()
 			defer mu.Unlock()
-			if o.what == "look" {
+			if o.kind == "look" {
 				got, old = old, got
 			}
 			return got, err
 		},
 	} {
 		if porcupine.CheckOperations(model, history(t, call)) {
-			t.Errorf("%s, and the checker finds nothing", name)
+			t.Errorf("%s: the checker takes the history for linearizable", name)
 		}
 	}
 }
 
-// TestFullDisk: a disk that is full while files are written leaves the batch finalizing; when there is room it ends.
+// TestFullDisk checks that a batch stays in StateFinalizing while the disk is full, and can be finalized afterwards.
 func TestFullDisk(t *testing.T) {
 	s := openStore(t, t.TempDir())
 	defer s.Close()
-	b := begun(t, s, 3)
+	b := createBatch(t, s, 3)
 	for n := range 3 {
-		if err := s.RecordResult(b.ID, batchscheduler.LineIndex(n), resultKind(n > 0), fmt.Appendf(nil, `{"n":%d}`, n)); err != nil {
+		text := fmt.Appendf(nil, `{"n":%d}`, n)
+		if err := s.RecordResult(b.ID, batchscheduler.LineIndex(n), resultKind(n > 0), text); err != nil {
 			t.Fatal(err)
 		}
 	}
-	b, err := s.TransitionBatch(b.ID, batchscheduler.StateFinalizing, func(b *Batch) { b.FinalState = batchscheduler.StateExpired })
+	b, err := s.TransitionBatch(b.ID, batchscheduler.StateFinalizing, func(b *Batch) {
+		b.FinalState = batchscheduler.StateExpired
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -159,7 +164,8 @@
 		t.Errorf("%v, %d bytes used, want finalizing and %d", again.State, s.usedBytes["a"], used)
 	}
 	s.reach = func(failpoint) error { return nil }
-	if b, err = s.FinalizeBatch(t0, b); err != nil || b.State != batchscheduler.StateExpired || b.OutputFileID == "" || b.ErrorFileID == "" {
+	b, err = s.FinalizeBatch(t0, b)
+	if err != nil || b.State != batchscheduler.StateExpired || b.OutputFileID == "" || b.ErrorFileID == "" {
 		t.Errorf("%+v, %v", b, err)
 	}
 }
--- a/internal/state/batchstore/recovery.go
+++ b/internal/state/batchstore/recovery.go
@@ -9,8 +9,8 @@
 	"slices"
 )
 
-// recoverContents counts the quota that tenants use and removes what an interrupted upload left behind: temporary files, and
-// contents without a record.
+// recoverContents counts the quota that tenants use and removes what an interrupted upload left behind: temporary
+// files, and contents without a record.
 func (s *Store) recoverContents() error {
 	known, err := s.countUsedBytes()
 	if err != nil {
--- a/internal/state/batchstore/store_test.go
+++ b/internal/state/batchstore/store_test.go
@@ -19,14 +19,16 @@
 )
 
 var (
-	t0      = time.Unix(1e9, 0)
-	errDied = errors.New("the process ends here")
+	t0       = time.Unix(1e9, 0)
+	errCrash = errors.New("the process ends here")
 )
 
 // TestMain keeps the random tests short: each of their changes waits for the disk.
 func TestMain(m *testing.M) {
 	flag.Parse()
-	flag.Set("rapid.checks", "12")
+	if err := flag.Set("rapid.checks", "12"); err != nil {
+		panic(err)
+	}
 	os.Exit(m.Run())
 }
 
@@ -38,7 +40,7 @@
 	return ResultFailed
 }
 
-func openStore(t testing.TB, dir string) *Store {
+func openStore(t *testing.T, dir string) *Store {
 	t.Helper()
 	s, err := Open(dir, 1<<20)
 	if err != nil {
@@ -47,14 +49,17 @@
 	return s
 }
 
-// begun makes a batch of lines in progress.
-func begun(t testing.TB, s *Store, n int) Batch {
+// createBatch creates a batch of n lines in StateInProgress.
+func createBatch(t *testing.T, s *Store, n int) Batch {
 	t.Helper()
 	var text strings.Builder
 	var ls []Line
 	for i := range n {
 		line := fmt.Sprintf(`{"custom_id": "c%d"}`, i)
-		ls = append(ls, Line{Offset: int64(text.Len()), Length: int32(len(line)), Checksum: crc32.ChecksumIEEE([]byte(line)), Cost: 10, CustomID: fmt.Sprint("c", i)})
+		ls = append(ls, Line{
+			Offset: int64(text.Len()), Length: int32(len(line)), Checksum: crc32.ChecksumIEEE([]byte(line)),
+			Cost: 10, CustomID: fmt.Sprint("c", i),
+		})
 		text.WriteString(line + "\n")
 	}
 	f, err := s.UploadFile(t0, "a", "f", "batch", strings.NewReader(text.String()), 1<<20)
@@ -74,18 +79,15 @@
 	return b
 }
 
-// TestCrashes: a batch's life with the process ended at every point, again and again: after each it opens, and in the end
-// every line stands once in the files, as its first end had it, and nothing is left over.
+// TestCrashes ends the process at random points of a batch's life. The store must open after each, and in the end every
+// line must stand once in the result files, with its first result, and no other file or record may be left.
 func TestCrashes(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		dir, err := os.MkdirTemp(t.TempDir(), "s")
-		if err != nil {
-			rt.Fatal(err)
-		}
+		dir := t.TempDir() // a new one at each call
 		s := openStore(t, dir)
 		defer func() { s.Close() }()
 		const n = 12
-		b := begun(t, s, n)
+		b := createBatch(t, s, n)
 		reopen := func() {
 			s.Close()
 			s = openStore(t, dir)
@@ -113,22 +115,27 @@
 				}
 			}
 		}
-		if b, err = s.TransitionBatch(b.ID, batchscheduler.StateFinalizing, func(b *Batch) { b.FinalState = batchscheduler.StateCompleted }); err != nil {
+		b, err := s.TransitionBatch(b.ID, batchscheduler.StateFinalizing, func(b *Batch) {
+			b.FinalState = batchscheduler.StateCompleted
+		})
+		if err != nil {
 			rt.Fatal(err)
 		}
 		for range rapid.IntRange(0, 4).Draw(rt, "crashes") {
-			where, k := rapid.SampledFrom([]failpoint{afterContentWritten, afterContentInPlace, afterFilesWritten}).Draw(rt, "where"), rapid.IntRange(0, 1).Draw(rt, "which")
+			failpoints := []failpoint{afterContentWritten, afterContentInPlace, afterFilesWritten}
+			where := rapid.SampledFrom(failpoints).Draw(rt, "where")
+			k := rapid.IntRange(0, 1).Draw(rt, "which")
 			s.reach = func(at failpoint) error {
 				if at == where {
 					if k--; k < 0 {
-						return errDied
+						return errCrash
 					}
 				}
 				return nil
 			}
 			if _, err := s.FinalizeBatch(t0, b); err == nil {
 				break
-			} else if !errors.Is(err, errDied) {
+			} else if !errors.Is(err, errCrash) {
 				rt.Fatal(err)
 			}
 			reopen()
@@ -155,7 +162,7 @@
 			}
 			text, _ := io.ReadAll(f)
 			f.Close()
-			for _, line := range strings.Split(strings.TrimSpace(string(text)), "\n") {
+			for line := range strings.SplitSeq(strings.TrimSpace(string(text)), "\n") {
 				if got[line] || strings.Contains(line, `"done":true`) != (id == b.OutputFileID) {
 					rt.Fatalf("%s stands twice, or in the wrong file", line)
 				}
@@ -177,24 +184,24 @@
 		if b, _ = s.Batch("a", b.ID); b.CompletedLines+b.FailedLines != n || b.State != batchscheduler.StateCompleted {
 			rt.Fatalf("%+v", b)
 		}
-		if all, rotten, err := s.Verify(); err != nil || len(rotten) > 0 || all != files+1 {
-			rt.Fatalf("%d records, want %d; %v %v", all, files+1, rotten, err)
+		if all, corrupt, err := s.Verify(); err != nil || len(corrupt) > 0 || all != files+1 {
+			rt.Fatalf("%d records, want %d; %v %v", all, files+1, corrupt, err)
 		}
 	})
 }
 
-// TestOneOwner: a second process is refused, and says why.
+// TestOneOwner checks that a store that is open cannot be opened again, with an error that says why.
 func TestOneOwner(t *testing.T) {
 	dir := t.TempDir()
 	s := openStore(t, dir)
 	defer s.Close()
 	if _, err := Open(dir, 0); !errors.Is(err, recordstore.ErrLocked) {
-		t.Errorf("%v, want that another has it", err)
+		t.Errorf("opened twice: %v, want ErrLocked", err)
 	}
 }
 
-// TestQuota: what is uploaded counts while it comes, what is cut off or deleted does not, and neither is forgotten over a
-// restart.
+// TestQuota checks that an upload counts from its first byte, that an interrupted upload or a deleted file does not
+// count, and that a restart keeps both.
 func TestQuota(t *testing.T) {
 	dir := t.TempDir()
 	s := openStore(t, dir)
@@ -208,7 +215,8 @@
 	if _, err := up(600 << 10); !errors.Is(err, ErrQuotaExceeded) {
 		t.Errorf("%v, want over the quota", err)
 	}
-	if _, err := s.UploadFile(t0, "a", "f", "batch", io.MultiReader(bytes.NewReader(make([]byte, 100<<10)), failing{}), 1<<20); err == nil {
+	interrupted := io.MultiReader(bytes.NewReader(make([]byte, 100<<10)), failingReader{})
+	if _, err := s.UploadFile(t0, "a", "f", "batch", interrupted, 1<<20); err == nil {
 		t.Error("what was cut off is kept")
 	}
 	if _, err := s.UploadFile(t0, "b", "f", "batch", bytes.NewReader(make([]byte, 600<<10)), 1<<20); err != nil {
@@ -234,16 +242,16 @@
 	}
 }
 
-type failing struct{}
+type failingReader struct{}
 
-func (failing) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
+func (failingReader) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
 
-// TestRotContained: a line whose text has rotted is named, and harms no other.
-func TestRotContained(t *testing.T) {
+// TestCorruptLine checks that a line whose text is corrupt is named and that the other lines are read.
+func TestCorruptLine(t *testing.T) {
 	dir := t.TempDir()
 	s := openStore(t, dir)
 	defer s.Close()
-	b := begun(t, s, 5)
+	b := createBatch(t, s, 5)
 	name := s.contentPath(b.InputFileID)
 	text, err := os.ReadFile(name)
 	if err != nil {
@@ -251,29 +259,32 @@
 	}
 	at := bytes.Index(text, []byte("c3"))
 	text[at] ^= 2
-	os.WriteFile(name, text, 0o600)
+	if err := os.WriteFile(name, text, 0o600); err != nil {
+		t.Fatal(err)
+	}
 	bad := 0
-	if err := s.ForEachLine(b.ID, func(n batchscheduler.LineIndex, l Line, rotten error) error {
-		if _, err := s.LineText(b.InputFileID, n, l); errors.Is(err, ErrCorrupt) && n == 3 && strings.Contains(err.Error(), "line 4") {
+	if err := s.ForEachLine(b.ID, func(n batchscheduler.LineIndex, l Line, corrupt error) error {
+		_, err := s.LineText(b.InputFileID, n, l)
+		if errors.Is(err, ErrCorrupt) && n == 3 && strings.Contains(err.Error(), "line 4") {
 			bad++
-		} else if err != nil || rotten != nil {
-			t.Error(n, err, rotten)
+		} else if err != nil || corrupt != nil {
+			t.Error(n, err, corrupt)
 		}
 		return nil
 	}); err != nil || bad != 1 {
 		t.Error(bad, err)
 	}
-	if _, rotten, err := s.Verify(); err != nil || len(rotten) != 1 {
-		t.Error(rotten, err)
+	if _, corrupt, err := s.Verify(); err != nil || len(corrupt) != 1 {
+		t.Error(corrupt, err)
 	}
 }
 
-// TestDeletedWhileRead: a file that a batch reads goes from its tenant at once, from the disk when the last batch that
-// reads it is over.
+// TestDeletedWhileRead checks that a file which is deleted while batches read it is hidden from its tenant at once, and
+// removed from the disk when the last of these batches ends.
 func TestDeletedWhileRead(t *testing.T) {
 	s := openStore(t, t.TempDir())
 	defer s.Close()
-	b := begun(t, s, 1)
+	b := createBatch(t, s, 1)
 	c, err := s.CreateBatch(t0, Batch{Tenant: "a", InputFileID: b.InputFileID}, time.Hour)
 	if err != nil {
 		t.Fatal(err)
@@ -284,12 +295,13 @@
 	if _, err := s.File("a", b.InputFileID); !errors.Is(err, ErrNotFound) {
 		t.Error(err)
 	}
-	if _, err := s.CreateBatch(t0, Batch{Tenant: "a", InputFileID: b.InputFileID}, time.Hour); !errors.Is(err, ErrNotFound) {
+	_, err = s.CreateBatch(t0, Batch{Tenant: "a", InputFileID: b.InputFileID}, time.Hour)
+	if !errors.Is(err, ErrNotFound) {
 		t.Errorf("a batch on a deleted file: %v", err)
 	}
 	for i, id := range []string{b.ID, c.ID} {
 		if _, err := os.Stat(s.contentPath(b.InputFileID)); err != nil {
-			t.Errorf("before batch %d is over its file is gone: %v", i, err)
+			t.Errorf("content of the input file before batch %d has ended: %v", i, err)
 		}
 		if _, err := s.TransitionBatch(id, batchscheduler.StateCancelling, func(*Batch) {}); err != nil {
 			t.Fatal(err)
@@ -299,9 +311,10 @@
 		}
 	}
 	if _, err := os.Stat(s.contentPath(b.InputFileID)); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("nobody reads it, and it lies there: %v", err)
+		t.Errorf("content of a deleted file that no batch reads: %v, want ErrNotExist", err)
 	}
-	if _, err := s.TransitionBatch(b.ID, batchscheduler.StateInProgress, func(*Batch) {}); !errors.Is(err, ErrInvalidState) {
+	_, err = s.TransitionBatch(b.ID, batchscheduler.StateInProgress, func(*Batch) {})
+	if !errors.Is(err, ErrInvalidState) {
 		t.Errorf("a cancelled batch goes on: %v", err)
 	}
 }
