--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -11,48 +11,60 @@
 	"docksail/policy"
 )
 
-const good = `// comments are fine
+const exampleFile = "../../deploy/docksail.json"
+
+const validText = `// comments are fine
 {
   "listen": "127.0.0.1:7600",
   "zone": "a",
   "fleet": {"watch": "127.0.0.1:7700"},
   "classes": [
     {"name": "question", "target": "1s", "timeout": "5s", "token_gap": "50ms", "effect": "idempotent"},
-    {"name": "notice", "target": "1s", "timeout": "5s", "token_gap": "50ms", "effect": "deduplicated", "group": "zone", "window": "3s"},
+    {"name": "notice", "target": "1s", "timeout": "5s", "token_gap": "50ms", "effect": "deduplicated", ` +
+	`"group": "zone", "window": "3s"},
   ],
   "cold_start": {"from": 0.3, "warm_after": "10s", "overload_factor": 2.5, "overload_window": "2s"},
   "rules": {"release_within": "500ms"},
 }`
 
-func TestGood(t *testing.T) {
-	s, err := Parse("x", []byte(good))
+func TestParse(t *testing.T) {
+	config, err := Parse("x", []byte(validText))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Classes[1].Idempotency != Idempotency(policy.Deduplicated) || s.Classes[1].DedupScope != DedupScope(policy.DedupScopeZone) || s.Classes[1].DedupWindow != 3*time.Second {
-		t.Errorf("track read as %+v", s.Classes[1])
+	class := config.Classes[1]
+	if class.Idempotency != Idempotency(policy.Deduplicated) ||
+		class.DedupScope != DedupScope(policy.DedupScopeZone) || class.DedupWindow != 3*time.Second {
+		t.Errorf("class read as %+v", class)
 	}
-	if s.Limits.MaxRequests != Default().Limits.MaxRequests || s.Attempts.MaxAttempts != Default().Attempts.MaxAttempts {
-		t.Error("what the file does not say is not as usual")
+	defaults := Default()
+	if config.Limits.MaxRequests != defaults.Limits.MaxRequests ||
+		config.Attempts.MaxAttempts != defaults.Attempts.MaxAttempts {
+		t.Error("fields that the file does not set differ from the defaults")
 	}
-	if _, err := s.NewPolicy(1, 0); err != nil {
-		t.Errorf("the module does not start: %v", err)
+	if _, err := config.NewPolicy(1, 0); err != nil {
+		t.Errorf("the policy does not start: %v", err)
 	}
 }
 
-// TestErrors: each names file, line, field and what was wanted.
-func TestErrors(t *testing.T) {
-	for _, c := range []struct{ from, to, want string }{
+// TestParseErrors checks that each error names the file, the line, the field and what was expected.
+func TestParseErrors(t *testing.T) {
+	for _, test := range []struct{ from, to, want string }{
 		{`"zone": "a"`, `"zoen": "a"`, `x:4: zoen: no such field, want one of listen,`},
 		{`"zone": "a"`, `"zone": 7`, `x:4: zone: want a text, not 7`},
 		{`"zone": "a"`, `"zone": "a", "zone": "b"`, `x:4: zone: stands twice`},
 		{
-			`"target": "1s", "timeout": "5s", "token_gap": "50ms", "effect": "idempotent"`, `"timeout": "5s", "token_gap": "50ms", "effect": "idempotent"`,
+			`"target": "1s", "timeout": "5s", "token_gap": "50ms", "effect": "idempotent"`,
+			`"timeout": "5s", "token_gap": "50ms", "effect": "idempotent"`,
 			`x:7: classes[0].target: is missing, want the time in which`,
 		},
-		{`"effect": "idempotent"`, `"effect": "safe"`, `x:7: classes[0].effect: "safe", want one of idempotent, deduplicated, non_idempotent`},
 		{
-			`"timeout": "5s", "token_gap": "50ms", "effect": "deduplicated"`, `"timeout": "5", "token_gap": "50ms", "effect": "deduplicated"`,
+			`"effect": "idempotent"`, `"effect": "safe"`,
+			`x:7: classes[0].effect: "safe", want one of idempotent, deduplicated, non_idempotent`,
+		},
+		{
+			`"timeout": "5s", "token_gap": "50ms", "effect": "deduplicated"`,
+			`"timeout": "5", "token_gap": "50ms", "effect": "deduplicated"`,
 			`x:8: classes[1].timeout: "5" is no length of time`,
 		},
 		{`"window": "3s"`, `"window": "0s"`, `x:8: classes[1].window: is 0, want more than 0`},
@@ -62,118 +74,140 @@
 		{`"127.0.0.1:7600"`, `"here"`, `x:3: listen:`},
 		{`{"watch": "127.0.0.1:7700"}`, `{}`, `x:5: fleet: want either watch or file`},
 		{`"zone": "a"`, `"zone": "a", "number": 2, "count": 2`, `x:4: number: is 2, want 0 to 1`},
-		{`"zone": "a"`, `"zone": "a", "limits": {"requests": 1.5}`, `x:4: limits.requests: want a whole number, not 1.5`},
+		{
+			`"zone": "a"`, `"zone": "a", "limits": {"requests": 1.5}`,
+			`x:4: limits.requests: want a whole number, not 1.5`,
+		},
 		{`"zone": "a"`, `"zone": "a", "limits": []`, `x:4: limits: want an object, not a list`},
 		{`"rules": {"release_within": "500ms"},`, ``, `x:1: rules: is missing, want the times of the rules`},
 		{`"zone": "a",`, `"zone": "a"`, `x: hujson: line 5`},
 	} {
-		if !strings.Contains(good, c.from) {
-			t.Fatalf("%q does not stand in the text", c.from)
-		}
-		_, err := Parse("x", []byte(strings.Replace(good, c.from, c.to, 1)))
-		if err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("with %s: %v, want %q", c.to, err, c.want)
-		}
+		t.Run(test.want, func(t *testing.T) {
+			if !strings.Contains(validText, test.from) {
+				t.Fatalf("%q is not in the text", test.from)
+			}
+			_, err := Parse("x", []byte(strings.Replace(validText, test.from, test.to, 1)))
+			if err == nil || !strings.Contains(err.Error(), test.want) {
+				t.Errorf("with %s: %v, want %q", test.to, err, test.want)
+			}
+		})
 	}
 }
 
-// TestPrint: what is printed is read back as the same.
+// TestPrint checks that what is printed is read back as the same.
 func TestPrint(t *testing.T) {
-	for _, name := range []string{"x", "../../deploy/docksail.json"} {
-		text := []byte(good)
-		if name != "x" {
-			var err error
-			if text, err = os.ReadFile(name); err != nil {
+	example, err := os.ReadFile(exampleFile)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for name, text := range map[string][]byte{"x": []byte(validText), exampleFile: example} {
+		t.Run(name, func(t *testing.T) {
+			config, err := Parse(name, text)
+			if err != nil {
 				t.Fatal(err)
 			}
-		}
-		s, err := Parse(name, text)
-		if err != nil {
-			t.Fatal(err)
-		}
-		out, err := s.Print()
-		if err != nil {
-			t.Fatal(err)
-		}
-		again, err := Parse("printed", out)
-		if err != nil {
-			t.Fatalf("%v in %s", err, out)
-		}
-		if len(s.Tenants) == 0 { // none, written or not
-			s.Tenants, again.Tenants = nil, nil
-		}
-		if !reflect.DeepEqual(s, again) {
-			t.Errorf("printed as %s", out)
-		}
+			printed, err := config.Print()
+			if err != nil {
+				t.Fatal(err)
+			}
+			reread, err := Parse("printed", printed)
+			if err != nil {
+				t.Fatalf("%v in %s", err, printed)
+			}
+			if len(config.Tenants) == 0 { // an empty list is printed also where the text has none
+				config.Tenants, reread.Tenants = nil, nil
+			}
+			if !reflect.DeepEqual(config, reread) {
+				t.Errorf("printed as %s", printed)
+			}
+		})
 	}
 }
 
 func TestAllErrorsAtOnce(t *testing.T) {
-	_, err := Parse("x", []byte(strings.NewReplacer(`"from": 0.3`, `"from": "x"`, `"zone": "a"`, `"nonsense": 1`).Replace(good)))
+	text := strings.NewReplacer(`"from": 0.3`, `"from": "x"`, `"zone": "a"`, `"nonsense": 1`).Replace(validText)
+	_, err := Parse("x", []byte(text))
 	if err == nil || strings.Count(err.Error(), "\n") != 1 {
 		t.Errorf("want two lines: %v", err)
 	}
 }
 
-func TestExample(t *testing.T) {
-	if _, err := Load("../../deploy/docksail.json"); err != nil {
+func TestExampleFiles(t *testing.T) {
+	if _, err := Load(exampleFile); err != nil {
 		t.Error(err)
 	}
 	text, err := os.ReadFile("../../deploy/fleet.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if servers, warnings, err := ParseServers("fleet.json", text); err != nil || len(servers) == 0 || len(warnings) > 0 {
+	servers, warnings, err := ParseServers("fleet.json", text)
+	if err != nil || len(servers) == 0 || len(warnings) > 0 {
 		t.Errorf("%d servers, warnings %q, %v", len(servers), warnings, err)
 	}
 }
 
-func TestHosts(t *testing.T) {
-	for _, c := range []struct{ text, want string }{
-		{`{"servers": [{"id": 1, "address": "127.0.0.1:1", "role": "prefill"}, {"id": 1, "address": "127.0.0.1:2", "role": "decode"}]}`, "servers[1].id: 1 is out of range or stands twice"},
-		{`{"servers": [{"id": 1, "address": "127.0.0.1:1", "role": "cook"}]}`, `"cook", want one of prefill, decode, mixed`},
+func TestParseServersErrors(t *testing.T) {
+	for _, test := range []struct{ text, want string }{
+		{
+			`{"servers": [{"id": 1, "address": "127.0.0.1:1", "role": "prefill"},` +
+				` {"id": 1, "address": "127.0.0.1:2", "role": "decode"}]}`,
+			"servers[1].id: 1 is out of range or stands twice",
+		},
+		{
+			`{"servers": [{"id": 1, "address": "127.0.0.1:1", "role": "cook"}]}`,
+			`"cook", want one of prefill, decode, mixed`,
+		},
 		{`{}`, "servers: is missing"},
 	} {
-		if _, _, err := ParseServers("f", []byte(c.text)); err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: %v, want %q", c.text, err, c.want)
-		}
+		t.Run(test.want, func(t *testing.T) {
+			if _, _, err := ParseServers("f", []byte(test.text)); err == nil || !strings.Contains(err.Error(), test.want) {
+				t.Errorf("%s: %v, want %q", test.text, err, test.want)
+			}
+		})
 	}
 }
 
-// TestFormerNames: settings written for the release before are read, with a warning for each name.
+// TestFormerNames checks that a configuration written for the previous release is read, with a warning for each name.
 func TestFormerNames(t *testing.T) {
-	former := strings.NewReplacer(`"classes"`, `"tracks"`, `"target"`, `"expected"`, `"timeout"`, `"patience"`, `"idempotent"`, `"redoable"`,
-		`"deduplicated"`, `"labelled"`, `"overload_factor"`, `"topples_at"`, `"overload_window"`, `"topples_over"`).Replace(good)
-	was, err := Parse("x", []byte(former))
+	formerText := strings.NewReplacer(
+		`"classes"`, `"tracks"`, `"target"`, `"expected"`, `"timeout"`, `"patience"`,
+		`"idempotent"`, `"redoable"`, `"deduplicated"`, `"labelled"`,
+		`"overload_factor"`, `"topples_at"`, `"overload_window"`, `"topples_over"`,
+	).Replace(validText)
+	former, err := Parse("x", []byte(formerText))
 	if err != nil {
 		t.Fatal(err)
 	}
-	is, err := Parse("x", []byte(good))
+	current, err := Parse("x", []byte(validText))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, want := len(was.Warnings), 9; got != want {
-		t.Errorf("%d warnings, want %d: %q", got, want, was.Warnings)
+	if got, want := len(former.Warnings), 9; got != want {
+		t.Errorf("%d warnings, want %d: %q", got, want, former.Warnings)
 	}
-	if want := `x:7: classes[0].effect: "redoable" is called "idempotent" now; the next release will not read it`; !slices.Contains(was.Warnings, want) {
-		t.Errorf("warnings %q, want %q", was.Warnings, want)
+	want := `x:7: classes[0].effect: "redoable" is called "idempotent" now; the next release will not read it`
+	if !slices.Contains(former.Warnings, want) {
+		t.Errorf("warnings %q, want %q", former.Warnings, want)
 	}
-	if len(is.Warnings) > 0 {
-		t.Errorf("warnings for names that hold: %q", is.Warnings)
+	if len(current.Warnings) > 0 {
+		t.Errorf("warnings for current names: %q", current.Warnings)
 	}
-	was.Warnings = nil
-	if !reflect.DeepEqual(was, is) {
-		t.Errorf("read as %+v, want %+v", was, is)
+	former.Warnings = nil
+	if !reflect.DeepEqual(former, current) {
+		t.Errorf("read as %+v, want %+v", former, current)
 	}
-	both := strings.Replace(good, `"target": "1s"`, `"expected": "1s", "target": "2s"`, 1)
-	if _, err := Parse("x", []byte(both)); err == nil || !strings.Contains(err.Error(), "classes[0].target: stands twice") {
+	both := strings.Replace(validText, `"target": "1s"`, `"expected": "1s", "target": "2s"`, 1)
+	_, err = Parse("x", []byte(both))
+	if err == nil || !strings.Contains(err.Error(), "classes[0].target: stands twice") {
 		t.Errorf("a field by both names: %v", err)
 	}
 }
 
-// TestFormerNamesOfServers: a list of engines written for the release before is read, with its warnings.
+// TestFormerNamesOfServers checks that a list of engines written for the previous release is read, with its warnings.
 func TestFormerNamesOfServers(t *testing.T) {
-	list, warnings, err := ParseServers("f", []byte(`{"hosts": [{"id": 1, "address": "127.0.0.1:1", "role": "reader"}, {"id": 2, "address": "127.0.0.1:2", "role": "writer"}]}`))
+	list, warnings, err := ParseServers("f", []byte(
+		`{"hosts": [{"id": 1, "address": "127.0.0.1:1", "role": "reader"},`+
+			` {"id": 2, "address": "127.0.0.1:2", "role": "writer"}]}`))
 	if err != nil || len(list) != 2 || list[0].Role != policy.Prefill || list[1].Role != policy.Decode {
 		t.Fatalf("%+v, %v", list, err)
 	}
--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -1,5 +1,5 @@
-// Package config reads the settings of a dispatcher: JSON with comments, checked strictly. An error names the
-// file, the line, the field and what was wanted; all errors of a file are told at once.
+// Package config reads the configuration of a dispatcher: JSON with comments, checked strictly. An error names the
+// file, the line, the field and what was expected; one error lists everything that is wrong with a file.
 package config
 
 import (
@@ -7,235 +7,228 @@
 	"encoding"
 	"errors"
 	"fmt"
-	"math"
 	"reflect"
-	"strconv"
 	"strings"
 	"time"
 
 	"github.com/tailscale/hujson"
 )
 
-// Raw is a field that is kept as it stands, to be read by somebody else.
+// Tags of the fields that are decoded and printed.
+const (
+	nameTag       = "json" // the field's name; fields without one are left alone
+	formerNameTag = "was"  // its name in the previous release, which is read with a warning
+	requiredTag   = "need" // what the field is: it must be present
+)
+
+// Raw is a field whose text is kept as it is, to be decoded elsewhere.
 type Raw []byte
 
-// decoder fills a value from a parsed text and remembers on which line each field stands.
+// Decode reads any other text of this kind into the struct that v points to. Fields are named by the tag json, and
+// those with the tag need must be present; deprecated names are read without a warning. check may be nil, and is
+// called if all fields have the right types: it calls bad for each invalid value with the path of its field.
+func Decode(
+	name string, text []byte, v any, check func(bad func(path, format string, args ...any)),
+) error {
+	d := newDecoder(name, text)
+	d.decode(v)
+	if len(d.errs) == 0 && check != nil {
+		check(d.invalid)
+	}
+	return d.err()
+}
+
+// decoder fills a value from a text and remembers on which line each field is.
 type decoder struct {
-	name     string
+	name     string // of the file
 	text     []byte
-	lines    map[string]int
+	lines    map[string]int // by path
 	errs     []error
-	warnings []string // names that have others by now
+	warnings []string // of deprecated names
 }
 
-// renamed is a type of which some texts had other names in the release before.
-type renamed interface {
+func newDecoder(name string, text []byte) *decoder {
+	return &decoder{name: name, text: text, lines: map[string]int{}}
+}
+
+// renamer is a type some of whose texts had other names in the previous release.
+type renamer interface {
 	encoding.TextUnmarshaler
 	FormerNames() map[string]string
 }
 
-// warnRenamed takes down that something is written by the name it had in the release before.
-func (d *decoder) warnRenamed(path, former, name string) {
-	d.warnings = append(d.warnings, fmt.Sprintf("%s:%d: %s: %q is called %q now; the next release will not read it", d.name,
-		max(d.lines[path], 1), path, former, name))
-}
+// err returns all errors as one, or nil.
+func (d *decoder) err() error { return errors.Join(d.errs...) }
 
-func (d *decoder) line(offset int) int {
-	return 1 + bytes.Count(d.text[:min(offset, len(d.text))], []byte{'\n'})
+// invalid records an error about the field at a path.
+func (d *decoder) invalid(path, format string, args ...any) {
+	d.errs = append(d.errs, fmt.Errorf("%s:%d: %s: %s",
+		d.name, max(d.nearestLine(path), 1), path, fmt.Sprintf(format, args...)))
 }
 
-// bad takes down what is wrong with the field at a path.
-func (d *decoder) bad(path, format string, args ...any) {
-	line, at := 0, path
-	for line == 0 && at != "" {
-		line = d.lines[at]
-		if i := strings.LastIndexAny(at, ".["); i >= 0 {
-			at = at[:i]
-		} else {
-			at = ""
+// nearestLine returns the line of the field at a path or, if it is not in the text, of the innermost field around it
+// that is; 0 if there is none.
+func (d *decoder) nearestLine(path string) int {
+	for path != "" {
+		if line := d.lines[path]; line != 0 {
+			return line
 		}
+		path = path[:max(strings.LastIndexAny(path, ".["), 0)]
 	}
-	d.errs = append(d.errs, fmt.Errorf("%s:%d: %s: %s", d.name, max(line, 1), path, fmt.Sprintf(format, args...)))
+	return 0
+}
+
+// warnRenamed records that a deprecated name was read.
+func (d *decoder) warnRenamed(path, former, name string) {
+	d.warnings = append(d.warnings, fmt.Sprintf("%s:%d: %s: %q is called %q now; the next release will not read it",
+		d.name, max(d.lines[path], 1), path, former, name))
+}
+
+func (d *decoder) lineOf(offset int) int {
+	return 1 + bytes.Count(d.text[:min(offset, len(d.text))], []byte{'\n'})
 }
 
-// decode parses the text into the struct that v points to. Fields are named by the tag json; those with the
-// tag need must be there. The tag was has the name of a field in the release before, which is read with a warning.
+// decode parses the text into the struct that v points to.
 func (d *decoder) decode(v any) {
-	tree, err := hujson.Parse(d.text)
+	root, err := hujson.Parse(d.text)
 	if err != nil {
 		d.errs = append(d.errs, fmt.Errorf("%s: %w", d.name, err))
 		return
 	}
-	d.value(tree, reflect.ValueOf(v).Elem(), "")
+	d.value(root, reflect.ValueOf(v).Elem(), "")
 }
 
+// value decodes v into to. Types that decode themselves come first, then the kinds.
 func (d *decoder) value(v hujson.Value, to reflect.Value, path string) {
 	if _, ok := d.lines[path]; !ok {
-		d.lines[path] = d.line(v.StartOffset)
+		d.lines[path] = d.lineOf(v.StartOffset)
 	}
 	if to.Type() == reflect.TypeFor[Raw]() {
 		to.SetBytes(v.Pack())
 		return
 	}
 	if to.CanAddr() {
-		if u, ok := to.Addr().Interface().(encoding.TextUnmarshaler); ok {
-			if text, ok := d.text1(v, path); ok {
-				d.unmarshalText(u, text, path)
-			}
+		if u, ok := reflect.TypeAssert[encoding.TextUnmarshaler](to.Addr()); ok {
+			d.unmarshaler(v, u, path)
 			return
 		}
 	}
 	if to.Type() == reflect.TypeFor[time.Duration]() {
-		if text, ok := d.text1(v, path); ok {
-			t, err := time.ParseDuration(text)
-			if err != nil {
-				d.bad(path, "%q is no length of time, want one as \"250ms\" or \"2s\"", text)
-			}
-			to.SetInt(int64(t))
-		}
+		d.duration(v, to, path)
 		return
 	}
+	d.kind(v, to, path)
+}
+
+// kind decodes a value of a basic kind, a struct or a slice.
+func (d *decoder) kind(v hujson.Value, to reflect.Value, path string) {
 	switch to.Kind() {
 	case reflect.Struct:
 		d.object(v, to, path)
 	case reflect.Slice:
-		list, ok := v.Value.(*hujson.Array)
-		if !ok {
-			d.bad(path, "want a list, not %s", kind(v))
-			return
-		}
-		for i, e := range list.Elements {
-			to.Set(reflect.Append(to, reflect.Zero(to.Type().Elem())))
-			d.value(e, to.Index(i), fmt.Sprintf("%s[%d]", path, i))
-		}
+		d.list(v, to, path)
 	case reflect.String:
-		if text, ok := d.text1(v, path); ok {
+		if text, ok := d.textLiteral(v, path); ok {
 			to.SetString(text)
 		}
 	case reflect.Bool:
-		lit, ok := v.Value.(hujson.Literal)
-		if !ok || lit.Kind() != 't' && lit.Kind() != 'f' {
-			d.bad(path, "want true or false, not %s", kind(v))
-			return
-		}
-		to.SetBool(lit.Bool())
+		d.bool(v, to, path)
 	case reflect.Int, reflect.Int32, reflect.Int64, reflect.Uint64:
-		lit, ok := v.Value.(hujson.Literal)
-		if !ok || lit.Kind() != '0' {
-			d.bad(path, "want a whole number, not %s", kind(v))
-			return
-		}
-		n, err := strconv.ParseInt(string(lit), 10, 64)
-		if err != nil || to.Kind() == reflect.Uint64 && n < 0 || to.CanInt() && to.OverflowInt(n) {
-			d.bad(path, "want a whole number, not %s", lit)
-		} else if to.Kind() == reflect.Uint64 {
-			to.SetUint(uint64(n))
-		} else {
-			to.SetInt(n)
-		}
+		d.integer(v, to, path)
 	case reflect.Float64:
-		lit, ok := v.Value.(hujson.Literal)
-		if !ok || lit.Kind() != '0' {
-			d.bad(path, "want a number, not %s", kind(v))
-			return
-		}
-		x, err := strconv.ParseFloat(string(lit), 64)
-		if err != nil || math.IsInf(x, 0) {
-			d.bad(path, "want a number, not %s", lit)
-		}
-		to.SetFloat(x)
+		d.float(v, to, path)
 	default:
-		panic("setup: no decoding for " + to.Type().String())
+		panic("config: no decoding for " + to.Type().String())
 	}
 }
 
-// unmarshalText has a value read its text, by a former name too.
-func (d *decoder) unmarshalText(u encoding.TextUnmarshaler, text, path string) {
-	if r, ok := u.(renamed); ok {
-		if name, former := r.FormerNames()[text]; former {
-			d.warnRenamed(path, text, name)
-			text = name
-		}
+func (d *decoder) list(v hujson.Value, to reflect.Value, path string) {
+	list, ok := v.Value.(*hujson.Array)
+	if !ok {
+		d.invalid(path, "want a list, not %s", describe(v))
+		return
 	}
-	if err := u.UnmarshalText([]byte(text)); err != nil {
-		d.bad(path, "%v", err)
+	for i, element := range list.Elements {
+		to.Set(reflect.Append(to, reflect.Zero(to.Type().Elem())))
+		d.value(element, to.Index(i), fmt.Sprintf("%s[%d]", path, i))
 	}
 }
 
 func (d *decoder) object(v hujson.Value, to reflect.Value, path string) {
-	obj, ok := v.Value.(*hujson.Object)
+	object, ok := v.Value.(*hujson.Object)
 	if !ok {
-		d.bad(path, "want an object, not %s", kind(v))
+		d.invalid(path, "want an object, not %s", describe(v))
 		return
 	}
-	fields, former := map[string]int{}, map[string]string{}
-	var names []string
-	for i := range to.NumField() {
-		tag := to.Type().Field(i).Tag
-		name := tag.Get("json")
-		if name == "" {
-			continue
-		}
-		fields[name] = i
-		names = append(names, name)
-		if was := tag.Get("was"); was != "" {
-			former[was] = name
-		}
-	}
+	fields := fieldsOf(to.Type())
 	seen := map[string]bool{}
-	for _, m := range obj.Members {
-		name := m.Name.Value.(hujson.Literal).String()
-		at := join(path, name)
-		d.lines[at] = d.line(m.Name.StartOffset)
-		if now, ok := former[name]; ok {
-			d.warnRenamed(at, name, now)
-			name, at = now, join(path, now)
-			d.lines[at] = d.line(m.Name.StartOffset)
-		}
-		i, ok := fields[name]
+	for _, member := range object.Members {
+		name := member.Name.Value.(hujson.Literal).String()
+		memberPath := joinPath(path, name)
+		d.lines[memberPath] = d.lineOf(member.Name.StartOffset)
+		if current, ok := fields.renamed[name]; ok {
+			d.warnRenamed(memberPath, name, current)
+			name, memberPath = current, joinPath(path, current)
+			d.lines[memberPath] = d.lineOf(member.Name.StartOffset)
+		}
+		index, ok := fields.index[name]
 		switch {
 		case !ok:
-			d.bad(at, "no such field, want one of %s", strings.Join(names, ", "))
+			d.invalid(memberPath, "no such field, want one of %s", strings.Join(fields.names, ", "))
 		case seen[name]:
-			d.bad(at, "stands twice")
+			d.invalid(memberPath, "stands twice")
 		default:
-			d.value(m.Value, to.Field(i), at)
+			d.value(member.Value, to.Field(index), memberPath)
 		}
 		seen[name] = true
 	}
-	for _, name := range names {
-		if f := to.Type().Field(fields[name]); !seen[name] && f.Tag.Get("need") != "" {
-			d.bad(join(path, name), "is missing, want %s", f.Tag.Get("need"))
+	for _, name := range fields.names {
+		if what := to.Type().Field(fields.index[name]).Tag.Get(requiredTag); !seen[name] && what != "" {
+			d.invalid(joinPath(path, name), "is missing, want %s", what)
 		}
 	}
 }
 
-func (d *decoder) text1(v hujson.Value, path string) (string, bool) {
-	lit, ok := v.Value.(hujson.Literal)
-	if !ok || lit.Kind() != '"' {
-		d.bad(path, "want a text, not %s", kind(v))
-		return "", false
-	}
-	return lit.String(), true
+// structFields describes the fields of a struct that are decoded.
+type structFields struct {
+	names   []string          // in their order
+	index   map[string]int    // of the field with a name
+	renamed map[string]string // current names by former names
 }
 
-func kind(v hujson.Value) string {
-	switch lit := v.Value.(type) {
-	case *hujson.Object:
-		return "an object"
-	case *hujson.Array:
-		return "a list"
-	case hujson.Literal:
-		return string(lit)
+func fieldsOf(t reflect.Type) structFields {
+	fields := structFields{index: map[string]int{}, renamed: map[string]string{}}
+	for i := range t.NumField() {
+		tag := t.Field(i).Tag
+		name := tag.Get(nameTag)
+		if name == "" {
+			continue
+		}
+		fields.names = append(fields.names, name)
+		fields.index[name] = i
+		if former := tag.Get(formerNameTag); former != "" {
+			fields.renamed[former] = name
+		}
 	}
-	return "nothing"
+	return fields
 }
 
-func join(path, name string) string {
+func joinPath(path, name string) string {
 	if path == "" {
 		return name
 	}
 	return path + "." + name
 }
 
-func (d *decoder) err() error { return errors.Join(d.errs...) }
+// describe returns how errors name a value that has the wrong type.
+func describe(v hujson.Value) string {
+	switch value := v.Value.(type) {
+	case *hujson.Object:
+		return "an object"
+	case *hujson.Array:
+		return "a list"
+	case hujson.Literal:
+		return string(value)
+	}
+	return "nothing"
+}
--- /dev/null
+++ b/internal/config/policy.go
@@ -0,0 +1,83 @@
+package config
+
+import (
+	"docksail/internal/decide/admission"
+	"docksail/policy"
+)
+
+// NewPolicy returns a router with this configuration. zone is the ID of the dispatcher's own zone; the IDs of server
+// kinds are the roles: policy.Prefill, policy.Decode, policy.Mixed.
+func (d *Dispatcher) NewPolicy(seed uint64, zone policy.ZoneID) (*policy.Router, error) {
+	var tenants []policy.Tenant
+	for _, tenant := range d.Tenants {
+		tenants = append(tenants, policy.Tenant{RequestsPerSecond: tenant.RequestsPerSecond})
+	}
+	return policy.New(
+		seed,
+		policy.Identity{Number: d.Index, Count: d.Count, Zone: zone},
+		d.PolicyClasses(),
+		tenants,
+		[]policy.Role{policy.Prefill, policy.Decode, policy.Mixed},
+		policy.SlowStart{
+			InitialCapacity: d.SlowStart.InitialCapacity,
+			WarmupTime:      policy.Nanos(d.SlowStart.WarmupTime),
+			OverloadFactor:  d.SlowStart.OverloadFactor,
+			OverloadWindow:  policy.Nanos(d.SlowStart.OverloadWindow),
+		},
+		policy.AttemptLimits{
+			MaxAttempts:      d.Attempts.MaxAttempts,
+			CanCancel:        d.Attempts.CanCancel,
+			DecodeCanPrefill: d.Attempts.DecodeCanPrefill,
+		},
+		policy.ResponseSettings{
+			DeadlineGrace:  0,
+			RoundInterval:  policy.Nanos(d.Responses.RoundInterval),
+			SendRetryAfter: d.Responses.SendRetryAfter,
+			MaxRetryAfter:  policy.Nanos(d.Responses.MaxRetryAfter),
+		},
+		policy.Discovery{MaxInterval: policy.Nanos(d.Discovery.RetryInterval)},
+		policy.Nanos(d.Rules.ReleaseTime),
+	)
+}
+
+// PolicyClasses returns the classes of requests as the policy takes them.
+func (d *Dispatcher) PolicyClasses() []policy.Class {
+	var classes []policy.Class
+	for _, class := range d.Classes {
+		classes = append(classes, policy.Class{
+			LatencyTarget:      policy.Nanos(class.LatencyTarget),
+			LatencyTargetPer1k: policy.Nanos(class.LatencyTargetPer1k),
+			Timeout:            policy.Nanos(class.Timeout),
+			Value:              class.Value,
+			LateValue:          class.LateValue,
+			InterTokenTarget:   policy.Nanos(class.InterTokenTarget),
+			Idempotency:        policy.Idempotency(class.Idempotency),
+			DedupScope:         policy.DedupScope(class.DedupScope),
+			DedupWindow:        policy.Nanos(class.DedupWindow),
+		})
+	}
+	return classes
+}
+
+// TenantLimits returns the limits of tenants in the admission queue. Without tenants in the configuration, all
+// requests belong to one.
+func (d *Dispatcher) TenantLimits() []admission.TenantLimits {
+	if len(d.Tenants) == 0 {
+		return []admission.TenantLimits{{Weight: 1}}
+	}
+	var limits []admission.TenantLimits
+	for _, tenant := range d.Tenants {
+		weight := tenant.Weight
+		if weight == 0 {
+			weight = tenant.RequestsPerSecond
+		}
+		limits = append(limits, admission.TenantLimits{
+			Weight:            weight,
+			RequestsPerSecond: tenant.MaxRequestsPerSecond,
+			MaxWaiting:        tenant.MaxWaiting,
+			MaxRunning:        tenant.MaxRunning,
+			MaxPromptTokens:   tenant.MaxPromptTokens,
+		})
+	}
+	return limits
+}
--- a/internal/config/print.go
+++ b/internal/config/print.go
@@ -5,73 +5,76 @@
 	"encoding/json"
 	"reflect"
 	"time"
-
-	"docksail/policy"
 )
 
-// MarshalText gives the name.
-func (e Idempotency) MarshalText() ([]byte, error) {
-	return []byte([]string{policy.Idempotent: "idempotent", policy.Deduplicated: "deduplicated", policy.NonIdempotent: "non_idempotent"}[e]), nil
-}
-
-// MarshalText gives the name.
-func (g DedupScope) MarshalText() ([]byte, error) {
-	return []byte([]string{policy.DedupScopeAll: "all", policy.DedupScopeZone: "zone", policy.DedupScopeCell: "cell"}[g]), nil
-}
-
-// Print gives what is in force, in the form in which Parse reads it: every field, lengths of time as texts.
-func (s *Dispatcher) Print() ([]byte, error) { return Print(*s) }
+// Print returns the configuration in the form that Parse reads: every field, durations as texts.
+func (d *Dispatcher) Print() ([]byte, error) { return Print(*d) }
 
-// Print gives any struct that Decode reads in the form in which it does.
+// Print returns a struct in the form that Decode reads, with its fields in their order.
 func Print(v any) ([]byte, error) {
-	var b bytes.Buffer
-	if err := write(&b, reflect.ValueOf(v)); err != nil {
+	var compact, indented bytes.Buffer
+	if err := printValue(&compact, reflect.ValueOf(v)); err != nil {
 		return nil, err
 	}
-	var out bytes.Buffer
-	if err := json.Indent(&out, b.Bytes(), "", "  "); err != nil {
+	if err := json.Indent(&indented, compact.Bytes(), "", "  "); err != nil {
 		return nil, err
 	}
-	return append(out.Bytes(), '\n'), nil
+	indented.WriteByte('\n')
+	return indented.Bytes(), nil
 }
 
-// write keeps the order of fields, which a map would not.
-func write(b *bytes.Buffer, v reflect.Value) error {
-	if t, ok := v.Interface().(time.Duration); ok {
-		return write(b, reflect.ValueOf(t.String()))
+func printValue(b *bytes.Buffer, v reflect.Value) error {
+	if duration, ok := reflect.TypeAssert[time.Duration](v); ok {
+		return printValue(b, reflect.ValueOf(duration.String()))
 	}
-	if _, ok := v.Interface().(json.Marshaler); !ok && v.Kind() == reflect.Struct && v.NumField() > 0 && v.Type().Field(0).Tag.Get("json") != "" {
-		b.WriteByte('{')
-		for i := range v.NumField() {
-			name := v.Type().Field(i).Tag.Get("json")
-			if name == "" {
-				continue
-			}
-			if i > 0 {
-				b.WriteByte(',')
-			}
-			b.WriteString(`"` + name + `":`)
-			if err := write(b, v.Field(i)); err != nil {
-				return err
-			}
-		}
-		b.WriteByte('}')
-		return nil
-	}
-	if v.Kind() == reflect.Slice {
-		b.WriteByte('[')
-		for i := range v.Len() {
-			if i > 0 {
-				b.WriteByte(',')
-			}
-			if err := write(b, v.Index(i)); err != nil {
-				return err
-			}
-		}
-		b.WriteByte(']')
-		return nil
+	switch {
+	case v.Kind() == reflect.Slice:
+		return printList(b, v)
+	case v.Kind() == reflect.Struct && hasNamedFields(v):
+		return printObject(b, v)
 	}
 	text, err := json.Marshal(v.Interface())
 	b.Write(text)
 	return err
 }
+
+// hasNamedFields reports whether a struct is printed field by field and not by its own method.
+func hasNamedFields(v reflect.Value) bool {
+	if _, ok := reflect.TypeAssert[json.Marshaler](v); ok {
+		return false
+	}
+	return v.NumField() > 0 && v.Type().Field(0).Tag.Get(nameTag) != ""
+}
+
+func printObject(b *bytes.Buffer, v reflect.Value) error {
+	b.WriteByte('{')
+	for i := range v.NumField() {
+		name := v.Type().Field(i).Tag.Get(nameTag)
+		if name == "" {
+			continue
+		}
+		if i > 0 {
+			b.WriteByte(',')
+		}
+		b.WriteString(`"` + name + `":`)
+		if err := printValue(b, v.Field(i)); err != nil {
+			return err
+		}
+	}
+	b.WriteByte('}')
+	return nil
+}
+
+func printList(b *bytes.Buffer, v reflect.Value) error {
+	b.WriteByte('[')
+	for i := range v.Len() {
+		if i > 0 {
+			b.WriteByte(',')
+		}
+		if err := printValue(b, v.Index(i)); err != nil {
+			return err
+		}
+	}
+	b.WriteByte(']')
+	return nil
+}
