--- a/cmd/docksail/lab_scenario.go
+++ b/cmd/docksail/lab_scenario.go
@@ -193,7 +193,7 @@
 func (w *findingWriter) write(f *faultsearch.Finding) {
 	w.count++
 	name := filepath.Join(w.directory, fmt.Sprintf("found-%d.json", f.Seed))
-	text, err := f.Text()
+	text, err := f.Encode()
 	if err == nil {
 		err = os.WriteFile(name, text, 0o644)
 	}
--- a/internal/lab/faultsearch/search.go
+++ b/internal/lab/faultsearch/search.go
@@ -22,7 +22,7 @@
 // Searcher draws days from one script: its fleet, tracks and dispatchers, with troubles of its own.
 type Searcher struct {
 	Base *scenario.Script
-	Wrap func(n int) func(dispatch.Module) dispatch.Module // for tests
+	WrapModule func(n int) func(dispatch.Module) dispatch.Module // for tests
 }
 
 // Finding is a day that breaks a rule, or panics.
@@ -35,20 +35,20 @@
 }
 
 const (
-	mostTroubles = 8
-	longest      = 20 * time.Second // of a drawn day's load
+	maxFaults = 8
+	maxLoadDuration      = 20 * time.Second // of a drawn day's load
 )
 
 // RandomScenario makes a day of a seed.
 func (x *Searcher) RandomScenario(seed uint64) *scenario.Script {
 	rng := rand.New(rand.NewPCG(seed, 0x6578706c6f7265))
 	s := *x.Base
-	s.Seed, s.Duration = int64(seed>>1), time.Duration(2+rng.IntN(int(longest/time.Second)-1))*time.Second
+	s.Seed, s.Duration = int64(seed>>1), time.Duration(2+rng.IntN(int(maxLoadDuration/time.Second)-1))*time.Second
 	s.SessionsPerSecond *= 0.25 + 1.5*rng.Float64()
 	s.Faults = nil
 	kinds := scenario.FaultKinds()
 	total := len(s.EngineSpecs())
-	for range 1 + rng.IntN(mostTroubles) {
+	for range 1 + rng.IntN(maxFaults) {
 		t := scenario.Fault{
 			Kind: kinds[rng.IntN(len(kinds))], Start: time.Duration(rng.Int64N(int64(s.Duration))).Truncate(time.Millisecond),
 			Duration: time.Duration(50+rng.IntN(6000)) * time.Millisecond,
@@ -94,7 +94,7 @@
 	if err != nil {
 		return nil, "", err
 	}
-	day.WrapModule = x.Wrap
+	day.WrapModule = x.WrapModule
 	rep, err := day.Run(ctx)
 	if err != nil {
 		return nil, "", err
@@ -212,8 +212,8 @@
 	}
 }
 
-// Text is a find as a script's file has it, with what it breaks as its comment.
-func (f *Finding) Text() ([]byte, error) {
+// Encode is a find as a script's file has it, with what it breaks as its comment.
+func (f *Finding) Encode() ([]byte, error) {
 	var b strings.Builder
 	fmt.Fprintf(&b, "// Found by lab explore with seed %d.\n", f.Seed)
 	for i, v := range f.Violations {
--- a/internal/lab/faultsearch/search_test.go
+++ b/internal/lab/faultsearch/search_test.go
@@ -22,7 +22,7 @@
 func TestFixedSet(t *testing.T) {
 	x := Searcher{Base: base(t)}
 	tried, err := x.Search(t.Context(), 1, 60, func(f *Finding) {
-		text, err := f.Text()
+		text, err := f.Encode()
 		if err != nil {
 			t.Error(err)
 		}
@@ -48,7 +48,7 @@
 	wrap := func(int) func(dispatch.Module) dispatch.Module {
 		return func(m dispatch.Module) dispatch.Module { return deafToDrains{m} }
 	}
-	x := Searcher{Base: base(t), Wrap: wrap}
+	x := Searcher{Base: base(t), WrapModule: wrap}
 	ctx, stop := context.WithCancel(t.Context())
 	var got *Finding
 	if _, err := x.Search(ctx, 1, 40, func(f *Finding) {
@@ -65,7 +65,7 @@
 	if s := got.Script; len(s.Faults) > 2 || s.Faults[0].Kind != "drain" {
 		t.Errorf("left after %d plays: %+v", got.Plays, s.Faults)
 	}
-	text, err := got.Text()
+	text, err := got.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/scenario/import.go
+++ b/internal/lab/scenario/import.go
@@ -88,8 +88,8 @@
 	} `json:"fam"`
 }
 
-// known maps the bench's kinds of trouble to ours; size is what factor its size becomes.
-var known = map[string]struct {
+// importedFaults maps the bench's kinds of trouble to ours; size is what factor its size becomes.
+var importedFaults = map[string]struct {
 	kind   string
 	factor func(size float64) float64
 }{
@@ -225,7 +225,7 @@
 	s.SessionsPerSecond = math.Round(100*d.Traffic.Load*readers/2/max(turns, 1)) / 100 // kept text and writers make about half of it good
 
 	for _, t := range d.Troubles {
-		k, ok := known[t.Kind]
+		k, ok := importedFaults[t.Kind]
 		if !ok {
 			cannot = append(cannot, fmt.Sprintf("trouble %q at %v", t.Kind, us(t.At)))
 			continue
@@ -278,15 +278,15 @@
 
 // Encode writes a script as Parse reads it.
 func (s *Script) Encode() ([]byte, error) {
-	b, err := json.MarshalIndent(plain(s), "", "  ")
+	b, err := json.MarshalIndent(encodedFields(s), "", "  ")
 	if err != nil {
 		return nil, err
 	}
 	return append(b, '\n'), nil
 }
 
-// plain spells lengths of time and names out.
-func plain(s *Script) map[string]any {
+// encodedFields spells lengths of time and names out.
+func encodedFields(s *Script) map[string]any {
 	text := func(v any) any {
 		b, err := json.Marshal(v)
 		if err != nil {
@@ -296,7 +296,7 @@
 		if err := json.Unmarshal(b, &out); err != nil {
 			panic(err)
 		}
-		return spell(out, "")
+		return encodeValue(out, "")
 	}
 	m := text(s).(map[string]any)
 	for i, t := range s.Classes {
@@ -307,25 +307,25 @@
 	return m
 }
 
-// lengths are the fields that hold lengths of time.
-const lengths = " for lister_late release_within warm_after overload_window token_gap target target_per_1000_tokens timeout window idle at "
+// durationFields are the fields that hold lengths of time.
+const durationFields = " for lister_late release_within warm_after overload_window token_gap target target_per_1000_tokens timeout window idle at "
 
-func spell(v any, name string) any {
+func encodeValue(v any, name string) any {
 	switch v := v.(type) {
 	case map[string]any:
 		for k, x := range v {
 			if x == nil || x == "" { // as if it were not there
 				delete(v, k)
 			} else {
-				v[k] = spell(x, k)
+				v[k] = encodeValue(x, k)
 			}
 		}
 	case []any:
 		for i, x := range v {
-			v[i] = spell(x, "")
+			v[i] = encodeValue(x, "")
 		}
 	case float64:
-		if strings.Contains(lengths, " "+name+" ") {
+		if strings.Contains(durationFields, " "+name+" ") {
 			return time.Duration(v).String()
 		}
 		if v == math.Trunc(v) {
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -121,8 +121,8 @@
 // let go of what is left behind them.
 const FaultDetectionTime = 5 * time.Second
 
-// kinds of trouble, and what each needs.
-var kinds = map[string]string{
+// faultKinds of trouble, and what each needs.
+var faultKinds = map[string]string{
 	"crash":      "hosts end at once and start again, cold, at its end",
 	"hang":       "hosts take work and answer none",
 	"errors":     "hosts fail a share of the work at once (factor, 0 to 1)",
@@ -176,7 +176,7 @@
 }
 
 // FaultKinds are the names of all troubles.
-func FaultKinds() []string { return slices.Sorted(maps.Keys(kinds)) }
+func FaultKinds() []string { return slices.Sorted(maps.Keys(faultKinds)) }
 
 // Load reads a script from a file.
 func Load(name string) (*Script, error) {
@@ -211,7 +211,7 @@
 		total := len(s.EngineSpecs())
 		for i, t := range s.Faults {
 			at := fmt.Sprintf("troubles[%d]", i)
-			if _, ok := kinds[t.Kind]; !ok {
+			if _, ok := faultKinds[t.Kind]; !ok {
 				bad(at+".kind", "%q, want one of %v", t.Kind, FaultKinds())
 			}
 			for _, h := range t.Servers {
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -110,8 +110,8 @@
 
 // TestKnownKinds: what an import names, a script knows.
 func TestKnownKinds(t *testing.T) {
-	for bench, k := range known {
-		if _, ok := kinds[k.kind]; !ok {
+	for bench, k := range importedFaults {
+		if _, ok := faultKinds[k.kind]; !ok {
 			t.Errorf("%s becomes %q, which no script knows", bench, k.kind)
 		}
 	}
--- a/internal/lab/scenario/stage.go
+++ b/internal/lab/scenario/stage.go
@@ -33,17 +33,17 @@
 	Engines    []*engine.Engine
 	WrapModule func(n int) func(dispatch.Module) dispatch.Module // stands between a dispatcher and its module, for tests
 
-	log     *slog.Logger
-	dir     string
-	listers []*discoveryserver.Server
-	relays  [][]*faultproxy.Proxy // by dispatcher, by host
+	logger     *slog.Logger
+	directory     string
+	discoveryServers []*discoveryserver.Server
+	proxies  [][]*faultproxy.Proxy // by dispatcher, by host
 	mu      sync.Mutex
-	disp    []*grpcnode.Node
-	addrs   []netip.AddrPort
-	sets    []*config.Dispatcher
+	dispatchers    []*grpcnode.Node
+	addresses   []netip.AddrPort
+	configs    []*config.Dispatcher
 	health  map[int]pb.Health
-	counts  []dispatch.Counts // of the lives that ended
-	began   time.Time
+	stoppedCounts  []dispatch.Counts // of the lives that ended
+	startedAt   time.Time
 	links   *engine.Links
 }
 
@@ -52,13 +52,13 @@
 
 // StartWithModule is Open with something between dispatchers and their modules.
 func StartWithModule(s *Script, log *slog.Logger, wrap func(n int) func(dispatch.Module) dispatch.Module) (st *Deployment, err error) {
-	st = &Deployment{Script: s, Log: &eventlog.Log{}, WrapModule: wrap, log: log, health: map[int]pb.Health{}}
+	st = &Deployment{Script: s, Log: &eventlog.Log{}, WrapModule: wrap, logger: log, health: map[int]pb.Health{}}
 	defer func() {
 		if err != nil {
 			st.Close()
 		}
 	}()
-	if st.dir, err = os.MkdirTemp("", "docksail-drill"); err != nil {
+	if st.directory, err = os.MkdirTemp("", "docksail-drill"); err != nil {
 		return st, err
 	}
 	st.links = engine.NewLinks(engine.CellLinkFactor, engine.CrossZoneFactor)
@@ -79,7 +79,7 @@
 		if err := l.Start("127.0.0.1:0"); err != nil {
 			return st, err
 		}
-		st.listers = append(st.listers, l)
+		st.discoveryServers = append(st.discoveryServers, l)
 		var rs []*faultproxy.Proxy
 		for _, e := range st.Engines {
 			r, err := faultproxy.New(e.Addr(), e.Spec.ID, n, st.Log)
@@ -88,29 +88,29 @@
 			}
 			rs = append(rs, r)
 		}
-		st.relays = append(st.relays, rs)
+		st.proxies = append(st.proxies, rs)
 	}
-	st.began = time.Now()
+	st.startedAt = time.Now()
 	for i := range st.Engines {
-		st.list(i, true, 0) // they have run for long
+		st.publishEndpoint(i, true, 0) // they have run for long
 	}
 	for n := range s.Dispatchers {
 		d := s.DispatcherConfig(n)
 		d.Listen = netip.MustParseAddrPort("127.0.0.1:0")
-		d.Discovery.Watch = netip.MustParseAddrPort(st.listers[n].Addr())
-		d.Discovery.CacheFile = filepath.Join(st.dir, fmt.Sprintf("list%d", n))
-		st.sets = append(st.sets, d)
-		st.disp = append(st.disp, nil)
-		st.addrs = append(st.addrs, netip.AddrPort{})
-		st.counts = append(st.counts, dispatch.Counts{})
+		d.Discovery.Watch = netip.MustParseAddrPort(st.discoveryServers[n].Addr())
+		d.Discovery.CacheFile = filepath.Join(st.directory, fmt.Sprintf("list%d", n))
+		st.configs = append(st.configs, d)
+		st.dispatchers = append(st.dispatchers, nil)
+		st.addresses = append(st.addresses, netip.AddrPort{})
+		st.stoppedCounts = append(st.stoppedCounts, dispatch.Counts{})
 		if err := st.startDispatcher(n); err != nil {
 			return st, err
 		}
 	}
 	deadline := time.Now().Add(5 * time.Second)
-	for n := range st.disp { // until each knows the list
+	for n := range st.dispatchers { // until each knows the list
 		for known := false; !known; {
-			st.disp[n].RunOnLoop(func(d *dispatch.Dispatcher) { known = d.HasEndpointList() })
+			st.dispatchers[n].RunOnLoop(func(d *dispatch.Dispatcher) { known = d.HasEndpointList() })
 			if time.Now().After(deadline) {
 				return st, fmt.Errorf("dispatcher %d has no list of engines after 5 s", n)
 			}
@@ -121,20 +121,20 @@
 }
 
 func (st *Deployment) startDispatcher(n int) error {
-	d := *st.sets[n]
-	if st.addrs[n].IsValid() {
-		d.Listen = st.addrs[n]
+	d := *st.configs[n]
+	if st.addresses[n].IsValid() {
+		d.Listen = st.addresses[n]
 	}
 	var wrap func(dispatch.Module) dispatch.Module
 	if st.WrapModule != nil {
 		wrap = st.WrapModule(n)
 	}
-	r, err := grpcnode.Start(&d, st.log.With("dispatcher", n), wrap)
+	r, err := grpcnode.Start(&d, st.logger.With("dispatcher", n), wrap)
 	if err != nil {
 		return err
 	}
 	st.mu.Lock()
-	st.disp[n], st.addrs[n] = r, r.Addr
+	st.dispatchers[n], st.addresses[n] = r, r.Addr
 	st.mu.Unlock()
 	st.Log.Add(eventlog.Entry{Kind: eventlog.DispatcherStarted, Dispatcher: n})
 	return nil
@@ -148,7 +148,7 @@
 
 // SetDiscoveryRunning stops, or starts again, all listers.
 func (st *Deployment) SetDiscoveryRunning(run bool) error {
-	for _, l := range st.listers {
+	for _, l := range st.discoveryServers {
 		if !run {
 			l.Stop()
 		} else if err := l.Start(""); err != nil {
@@ -161,18 +161,18 @@
 // SetServerHealth has the listers tell of a host's health at once.
 func (st *Deployment) SetServerHealth(host int, health pb.Health) {
 	st.health[host] = health
-	st.list(host-1, true, st.since(st.Engines[host-1]))
+	st.publishEndpoint(host-1, true, st.processStart(st.Engines[host-1]))
 }
 
 // DispatcherConfig gives a copy of what dispatcher n was told.
 func (st *Deployment) DispatcherConfig(n int) *config.Dispatcher {
-	s := *st.sets[n]
+	s := *st.configs[n]
 	s.Tenants = slices.Clone(s.Tenants)
 	return &s
 }
 
 // Proxies are those of dispatcher n, by host.
-func (st *Deployment) Proxies(n int) []*faultproxy.Proxy { return st.relays[n] }
+func (st *Deployment) Proxies(n int) []*faultproxy.Proxy { return st.proxies[n] }
 
 // CheckInvariants judges what has passed so far.
 func (st *Deployment) CheckInvariants() []invariants.Violation {
@@ -181,11 +181,11 @@
 
 func (st *Deployment) killDispatcher(n int) {
 	st.mu.Lock()
-	r := st.disp[n]
-	st.disp[n] = nil
+	r := st.dispatchers[n]
+	st.dispatchers[n] = nil
 	st.mu.Unlock()
 	if r != nil {
-		r.RunOnLoop(func(d *dispatch.Dispatcher) { add(&st.counts[n], d.Counts) })
+		r.RunOnLoop(func(d *dispatch.Dispatcher) { add(&st.stoppedCounts[n], d.Counts) })
 		st.Log.Add(eventlog.Entry{Kind: eventlog.DispatcherStopped, Dispatcher: n})
 		r.Kill()
 	}
@@ -194,8 +194,8 @@
 // DrainDispatcher has dispatcher n leave, and waits.
 func (st *Deployment) DrainDispatcher(n int, within time.Duration) {
 	st.mu.Lock()
-	r := st.disp[n]
-	st.disp[n] = nil
+	r := st.dispatchers[n]
+	st.dispatchers[n] = nil
 	st.mu.Unlock()
 	r.Drain(within)
 	r.Wait()
@@ -205,7 +205,7 @@
 // Addresses are the addresses of the dispatchers.
 func (st *Deployment) Addresses() []string {
 	var ts []string
-	for _, a := range st.addrs {
+	for _, a := range st.addresses {
 		ts = append(ts, a.String())
 	}
 	return ts
@@ -215,14 +215,14 @@
 func (st *Deployment) Dispatcher(n int) *grpcnode.Node {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	return st.disp[n]
+	return st.dispatchers[n]
 }
 
 // Counts adds up what all dispatchers counted, over all their lives.
 func (st *Deployment) Counts() dispatch.Counts {
 	var sum dispatch.Counts
-	for n := range st.disp {
-		add(&sum, st.counts[n])
+	for n := range st.dispatchers {
+		add(&sum, st.stoppedCounts[n])
 		if r := st.Dispatcher(n); r != nil {
 			r.RunOnLoop(func(d *dispatch.Dispatcher) { add(&sum, d.Counts) })
 		}
@@ -232,15 +232,15 @@
 
 // Close ends all parties.
 func (st *Deployment) Close() {
-	for n := range st.disp {
+	for n := range st.dispatchers {
 		st.killDispatcher(n)
 	}
-	for _, rs := range st.relays {
+	for _, rs := range st.proxies {
 		for _, r := range rs {
 			r.Close()
 		}
 	}
-	for _, l := range st.listers {
+	for _, l := range st.discoveryServers {
 		l.Stop()
 	}
 	for _, e := range st.Engines {
@@ -249,45 +249,45 @@
 	if st.links != nil {
 		st.links.Close()
 	}
-	if st.dir != "" {
-		os.RemoveAll(st.dir)
+	if st.directory != "" {
+		os.RemoveAll(st.directory)
 	}
 }
 
-// list makes a host's state known through the listers; started 0 says long ago.
-func (st *Deployment) list(i int, atOnce bool, started int64) {
+// publishEndpoint makes a host's state known through the listers; started 0 says long ago.
+func (st *Deployment) publishEndpoint(i int, atOnce bool, started int64) {
 	e := st.Engines[i]
-	for n, l := range st.listers {
+	for n, l := range st.discoveryServers {
 		l.Set(&pb.Host{
-			Id: uint32(e.Spec.ID), Address: st.relays[n][i].Addr(), Role: e.Spec.Role, Zone: e.Spec.Zone,
+			Id: uint32(e.Spec.ID), Address: st.proxies[n][i].Addr(), Role: e.Spec.Role, Zone: e.Spec.Zone,
 			Cell: e.Spec.Cell, Health: st.health[e.Spec.ID], StartedUnixNs: started,
 		}, atOnce)
 	}
 }
 
-// restart starts a crashed host again, cold.
-func (st *Deployment) restart(i int) {
+// restartServer starts a crashed host again, cold.
+func (st *Deployment) restartServer(i int) {
 	e := st.Engines[i]
 	if err := e.Start(""); err != nil {
-		st.log.Error("host does not start again", "host", e.Spec.ID, "err", err)
+		st.logger.Error("host does not start again", "host", e.Spec.ID, "err", err)
 		return
 	}
 	st.health[e.Spec.ID] = pb.Health_HEALTH_SERVING
 	at, _ := e.StartTime()
-	st.list(i, false, at.UnixNano())
+	st.publishEndpoint(i, false, at.UnixNano())
 }
 
-// since is the start of a host's process as the list has it: 0 for those that ran before the day.
-func (st *Deployment) since(e *engine.Engine) int64 {
+// processStart is the start of a host's process as the list has it: 0 for those that ran before the day.
+func (st *Deployment) processStart(e *engine.Engine) int64 {
 	at, _ := e.StartTime()
-	if at.Before(st.began) {
+	if at.Before(st.startedAt) {
 		return 0
 	}
 	return at.UnixNano()
 }
 
-// on gives the hosts of a trouble.
-func (st *Deployment) on(t Fault, rng *rand.Rand) []int {
+// faultTargets gives the hosts of a trouble.
+func (st *Deployment) faultTargets(t Fault, rng *rand.Rand) []int {
 	if len(t.Servers) > 0 {
 		var is []int
 		for _, h := range t.Servers {
@@ -331,7 +331,7 @@
 	defer stop()
 	var mu sync.Mutex // one trouble changes the stage at a time
 	for _, t := range s.Faults {
-		hosts := st.on(t, rng)
+		hosts := st.faultTargets(t, rng)
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
@@ -339,8 +339,8 @@
 				return
 			}
 			st.Log.Add(eventlog.Entry{Kind: eventlog.FaultChanged, Code: t.Kind, Note: "begins"})
-			st.log.Info("trouble begins", "kind", t.Kind, "hosts", hosts)
-			st.trouble(ctx, t, hosts, &mu)
+			st.logger.Info("trouble begins", "kind", t.Kind, "hosts", hosts)
+			st.injectFault(ctx, t, hosts, &mu)
 			st.Log.Add(eventlog.Entry{Kind: eventlog.FaultChanged, Code: t.Kind, Note: "ends"})
 		}()
 	}
@@ -373,7 +373,7 @@
 	wg.Wait()
 	time.Sleep(s.ReleaseTime + 300*time.Millisecond) // what is held has to have gone by then
 	var doors []admission.TenantCounts
-	for n := range st.disp {
+	for n := range st.dispatchers {
 		if r := st.Dispatcher(n); r != nil {
 			r.RunOnLoop(func(d *dispatch.Dispatcher) {
 				for _, t := range d.TenantStatuses() {
@@ -404,8 +404,8 @@
 	}
 }
 
-// trouble acts one trouble out, from its begin to its end.
-func (st *Deployment) trouble(ctx context.Context, t Fault, hosts []int, mu *sync.Mutex) {
+// injectFault acts one trouble out, from its begin to its end.
+func (st *Deployment) injectFault(ctx context.Context, t Fault, hosts []int, mu *sync.Mutex) {
 	each := func(f func(i int, e *engine.Engine)) {
 		mu.Lock()
 		defer mu.Unlock()
@@ -420,8 +420,8 @@
 	}
 	wire := func(f func(r *faultproxy.Proxy)) {
 		each(func(i int, _ *engine.Engine) {
-			for n := range st.relays {
-				f(st.relays[n][i])
+			for n := range st.proxies {
+				f(st.proxies[n][i])
 			}
 		})
 	}
@@ -431,9 +431,9 @@
 			note = "uncut"
 		}
 		each(func(i int, e *engine.Engine) {
-			for n := range st.relays {
+			for n := range st.proxies {
 				if dispatchers(n) {
-					st.relays[n][i].SetBlackhole(yes)
+					st.proxies[n][i].SetBlackhole(yes)
 				}
 			}
 			st.Log.Add(eventlog.Entry{Kind: eventlog.FaultChanged, Note: note, Server: e.Spec.ID})
@@ -442,14 +442,14 @@
 	gone := func(i int, e *engine.Engine) {
 		e.Crash()
 		st.health[e.Spec.ID] = pb.Health_HEALTH_GONE
-		st.list(i, false, st.since(e))
+		st.publishEndpoint(i, false, st.processStart(e))
 	}
 	all := func(int) bool { return true }
 	switch t.Kind {
 	case "crash", "rack":
 		each(gone)
 		sleep(ctx, t.Duration)
-		each(func(i int, _ *engine.Engine) { st.restart(i) })
+		each(func(i int, _ *engine.Engine) { st.restartServer(i) })
 	case "waves":
 		for _, i := range hosts {
 			mu.Lock()
@@ -459,7 +459,7 @@
 				break
 			}
 		}
-		each(func(i int, _ *engine.Engine) { st.restart(i) })
+		each(func(i int, _ *engine.Engine) { st.restartServer(i) })
 	case "hang":
 		fail(func(f *engine.Faults) { f.Hanging = true }, func(f *engine.Faults) { f.Hanging = false })
 	case "errors":
@@ -479,7 +479,7 @@
 		sleep(ctx, t.Duration)
 		each(func(_ int, e *engine.Engine) { e.Crash() })
 		cut(false, all)
-		each(func(i int, _ *engine.Engine) { st.restart(i) })
+		each(func(i int, _ *engine.Engine) { st.restartServer(i) })
 	case "ageing":
 		const steps = 10
 		for i := range steps {
@@ -495,7 +495,7 @@
 			e.SetFaults(func(f *engine.Faults) { f.Slowdown = 1 })
 		})
 		sleep(ctx, t.Duration/steps)
-		each(func(i int, _ *engine.Engine) { st.restart(i) })
+		each(func(i int, _ *engine.Engine) { st.restartServer(i) })
 	case "pauses", "neighbour":
 		turn, part := time.Second, 100*time.Millisecond
 		on, off := func(f *engine.Faults) { f.Paused = true }, func(f *engine.Faults) { f.Paused = false }
@@ -517,26 +517,26 @@
 	case "drain":
 		each(func(i int, e *engine.Engine) {
 			st.health[e.Spec.ID] = pb.Health_HEALTH_DRAINING
-			st.list(i, false, st.since(e))
+			st.publishEndpoint(i, false, st.processStart(e))
 		})
 		sleep(ctx, t.Duration*2/3)
 		each(gone)
 		sleep(ctx, t.Duration/3)
-		each(func(i int, _ *engine.Engine) { st.restart(i) })
+		each(func(i int, _ *engine.Engine) { st.restartServer(i) })
 	case "dispatcher":
 		st.killDispatcher(t.Dispatcher)
 		sleep(ctx, t.Duration)
 		if err := st.startDispatcher(t.Dispatcher); err != nil {
-			st.log.Error("dispatcher does not start again", "err", err)
+			st.logger.Error("dispatcher does not start again", "err", err)
 		}
 	case "lister":
-		for _, l := range st.listers {
+		for _, l := range st.discoveryServers {
 			l.Stop()
 		}
 		sleep(ctx, t.Duration)
-		for _, l := range st.listers {
+		for _, l := range st.discoveryServers {
 			if err := l.Start(""); err != nil {
-				st.log.Error("lister does not start again", "err", err)
+				st.logger.Error("lister does not start again", "err", err)
 			}
 		}
 	case "reset":
--- a/internal/lab/simulation/client.go
+++ b/internal/lab/simulation/client.go
@@ -26,390 +26,390 @@
 
 const (
 	pathGenerate = "/docksail.v1.Generation/Generate"
-	connsEach    = 2 // to each dispatcher, as on the clock
-	connectTime  = int64(200 * time.Millisecond)
-	lostWait     = int64(50 * time.Millisecond) // before another dispatcher is tried
-	writeTime    = int64(200 * time.Millisecond)
+	defaultConnsPerDispatcher    = 2 // to each dispatcher, as on the clock
+	connectTimeout  = int64(200 * time.Millisecond)
+	reconnectBackoff     = int64(50 * time.Millisecond) // before another dispatcher is tried
+	decodeTimePerToken    = int64(200 * time.Millisecond)
 )
 
-// crowd are the users of one track: all that a grpc-go client of the laboratory does, on one simulated loop.
-type crowd struct {
-	d     *Simulation
-	t     userclient.Class
-	l     *eventloop.Loop
-	wires [][]*wire // by dispatcher
-	sum   *userclient.Summary
-	turn  int
-	open  int // sessions that are not over
+// clientGroup are the users of one track: all that a grpc-go client of the laboratory does, on one simulated loop.
+type clientGroup struct {
+	sim     *Simulation
+	class     userclient.Class
+	loop     *eventloop.Loop
+	conns [][]*grpcConn // by dispatcher
+	summary   *userclient.Summary
+	nextConn  int
+	openSessions  int // sessions that are not over
 }
 
 // session is one conversation: each turn's prompt holds all that went before.
 type session struct {
-	k            *crowd
-	n            int
+	group            *clientGroup
+	index            int
 	rng          *rand.Rand
-	heavy        int
-	turn, turns  int
-	prompt       int
-	req          *pb.GenerateRequest
-	begin        eventloop.Nanos
-	try, at      int
-	left         int64
-	expected     int64
-	worth        float64
-	ticket       string
-	timer, quits eventloop.Timer
+	promptFactor        int
+	turn, turnCount  int
+	promptTokens       int
+	request          *pb.GenerateRequest
+	requestStart        eventloop.Nanos
+	attemptNumber, dispatcher      int
+	remaining         int64
+	latencyTarget     int64
+	value        float64
+	reservation       string
+	nextTimer, cancelTimer eventloop.Timer
 	now          *attempt
 }
 
 // attempt is one try of a job.
 type attempt struct {
-	s        *session
-	w        *wire
-	st       *h2.Stream
+	session        *session
+	conn        *grpcConn
+	stream       *h2.Stream
 	entry    eventlog.Entry
-	by       int64
-	job      string
-	first    eventloop.Nanos
-	tokens   int
-	wrong    bool
-	leaves   int
-	ticketed bool
-	within   int64
-	gap      int64 // mean, between its tokens
-	over     bool
-	call     eventloop.Timer
+	deadline       int64
+	requestID      string
+	firstTokenAt    eventloop.Nanos
+	tokenCount   int
+	isCorrupt    bool
+	cancelAfterTokens   int
+	hasReservation bool
+	callTimeout   int64
+	meanTokenGap      int64 // mean, between its tokens
+	isDone     bool
+	callTimer     eventloop.Timer
 }
 
-func (k *crowd) now() eventloop.Nanos { return k.l.ReadClock() }
+func (g *clientGroup) now() eventloop.Nanos { return g.loop.ReadClock() }
 
-// begin starts a session.
-func (k *crowd) begin(n, heavy int, rng *rand.Rand) {
-	t := k.t
-	s := &session{k: k, n: n, rng: rng, heavy: heavy}
+// startSession starts a session.
+func (g *clientGroup) startSession(n, heavy int, rng *rand.Rand) {
+	t := g.class
+	s := &session{group: g, index: n, rng: rng, promptFactor: heavy}
 	name := ""
 	if t.NewClientPerRequest {
 		name = fmt.Sprintf("%s-made-%d", t.Name, n)
 	} else if t.ClientCount > 0 {
 		name = fmt.Sprintf("%s-%d", t.Name, n%t.ClientCount)
 	}
-	s.req = &pb.GenerateRequest{Track: t.Name, Tenant: t.Tenant, Session: "s" + strconv.Itoa(n), MaxTokens: uint32(t.MaxAnswerTokens), Client: name}
+	s.request = &pb.GenerateRequest{Track: t.Name, Tenant: t.Tenant, Session: "s" + strconv.Itoa(n), MaxTokens: uint32(t.MaxAnswerTokens), Client: name}
 	if t.PrefixTokens > 0 {
-		s.req.Beginning = t.DrawPrefix(rng)
-		s.req.BeginningTokens = uint32(t.PrefixTokens)
-		s.prompt = t.PrefixTokens
+		s.request.Beginning = t.DrawPrefix(rng)
+		s.request.BeginningTokens = uint32(t.PrefixTokens)
+		s.promptTokens = t.PrefixTokens
 	}
-	k.open++
-	s.turns = 1 + rng.IntN(max(t.TurnCount, 1))
-	s.next()
+	g.openSessions++
+	s.turnCount = 1 + rng.IntN(max(t.TurnCount, 1))
+	s.startTurn()
 }
 
-// next begins the session's next job.
-func (s *session) next() {
-	k, t := s.k, &s.k.t
-	if s.turn == s.turns {
-		k.open--
+// startTurn begins the session's next job.
+func (s *session) startTurn() {
+	k, t := s.group, &s.group.class
+	if s.turn == s.turnCount {
+		k.openSessions--
 		return
 	}
-	s.prompt += s.heavy * (t.MinTurnTokens + s.rng.IntN(max(t.MaxTurnTokens-t.MinTurnTokens, 1)))
-	s.req.PromptTokens = uint32(s.prompt)
-	s.req.Label = fmt.Sprintf("%d.%d", s.n, s.turn)
-	s.req.Prompt = []byte(s.req.Label)
+	s.promptTokens += s.promptFactor * (t.MinTurnTokens + s.rng.IntN(max(t.MaxTurnTokens-t.MinTurnTokens, 1)))
+	s.request.PromptTokens = uint32(s.promptTokens)
+	s.request.Label = fmt.Sprintf("%d.%d", s.index, s.turn)
+	s.request.Prompt = []byte(s.request.Label)
 	s.turn++
-	s.begin, s.try, s.ticket = k.now(), 0, ""
-	s.expected = int64(t.LatencyTarget) + int64(t.LatencyTargetPer1k)*int64(s.prompt)/1000
-	s.worth = t.Value * float64(s.req.PromptTokens+4*s.req.MaxTokens)
-	k.sum.Requests++
-	k.sum.OfferedValue += s.worth
-	s.at = s.rng.IntN(len(k.wires))
-	s.send()
+	s.requestStart, s.attemptNumber, s.reservation = k.now(), 0, ""
+	s.latencyTarget = int64(t.LatencyTarget) + int64(t.LatencyTargetPer1k)*int64(s.promptTokens)/1000
+	s.value = t.Value * float64(s.request.PromptTokens+4*s.request.MaxTokens)
+	k.summary.Requests++
+	k.summary.OfferedValue += s.value
+	s.dispatcher = s.rng.IntN(len(k.conns))
+	s.sendAttempt()
 }
 
-// send makes the job's next try.
-func (s *session) send() {
-	k, t := s.k, &s.k.t
+// sendAttempt makes the job's next try.
+func (s *session) sendAttempt() {
+	k, t := s.group, &s.group.class
 	now := k.now()
-	s.left = int64(t.Timeout) + 2*int64(t.LatencyTargetPer1k)*int64(s.prompt)/1000 - (now - s.begin)
-	if s.left <= 0 {
-		k.sum.Rejected++ // it waited as it was told, and its time was up
-		k.open--
+	s.remaining = int64(t.Timeout) + 2*int64(t.LatencyTargetPer1k)*int64(s.promptTokens)/1000 - (now - s.requestStart)
+	if s.remaining <= 0 {
+		k.summary.Rejected++ // it waited as it was told, and its time was up
+		k.openSessions--
 		return
 	}
-	k.sum.Attempts++
+	k.summary.Attempts++
 	call := int64(t.CallTimeout)
 	if call == 0 {
-		call = s.left + int64(s.req.MaxTokens)*writeTime
+		call = s.remaining + int64(s.request.MaxTokens)*decodeTimePerToken
 	}
 	a := &attempt{
-		s: s, leaves: -1, ticketed: s.ticket != "", by: k.d.world.UnixNanos() + s.left,
-		entry: eventlog.Entry{RequestLabel: s.req.Label, ClientAttempt: s.try, Class: t.Name, Tenant: t.Tenant},
+		session: s, cancelAfterTokens: -1, hasReservation: s.reservation != "", deadline: k.sim.network.UnixNanos() + s.remaining,
+		entry: eventlog.Entry{RequestLabel: s.request.Label, ClientAttempt: s.attemptNumber, Class: t.Name, Tenant: t.Tenant},
 	}
 	s.now = a
 	if s.rng.Float64() < t.CancelShare {
 		if s.rng.IntN(2) == 0 { // at some time, or after some tokens
-			k.l.SetTimer(&s.quits, now+int64(s.rng.Float64()*float64(t.LatencyTarget)), func(eventloop.Nanos) { a.quit() })
+			k.loop.SetTimer(&s.cancelTimer, now+int64(s.rng.Float64()*float64(t.LatencyTarget)), func(eventloop.Nanos) { a.cancelByClient() })
 		} else {
-			a.leaves = 1 + s.rng.IntN(max(int(s.req.MaxTokens)/2, 1))
+			a.cancelAfterTokens = 1 + s.rng.IntN(max(int(s.request.MaxTokens)/2, 1))
 		}
 	}
-	s.req.PatienceNs = uint64(s.left)
-	a.note(eventlog.RequestSent, "")
-	k.l.SetTimer(&a.call, now+call, func(eventloop.Nanos) {
-		a.cancel()
-		a.note(eventlog.RequestUnanswered, "DeadlineExceeded: the client's own clock")
-		a.end(codes.DeadlineExceeded, outcome{})
+	s.request.PatienceNs = uint64(s.remaining)
+	a.logEvent(eventlog.RequestSent, "")
+	k.loop.SetTimer(&a.callTimer, now+call, func(eventloop.Nanos) {
+		a.resetStream()
+		a.logEvent(eventlog.RequestUnanswered, "DeadlineExceeded: the client's own clock")
+		a.finish(codes.DeadlineExceeded, outcome{})
 	})
-	k.turn++
-	a.w = k.wire(s.at, k.turn%len(k.wires[s.at]))
-	if a.w == nil {
-		k.l.Post(func() { a.lost("no connection") })
+	k.nextConn++
+	a.conn = k.conn(s.dispatcher, k.nextConn%len(k.conns[s.dispatcher]))
+	if a.conn == nil {
+		k.loop.Post(func() { a.connectionLost("no connection") })
 		return
 	}
-	if a.w.open {
-		a.open(call)
+	if a.conn.isOpen {
+		a.openStream(call)
 	} else {
-		e := a.w.on.(*ends)
-		e.queue = append(e.queue, a)
-		a.within = call
+		e := a.conn.handler.(*clientConnHandler)
+		e.pendingAttempts = append(e.pendingAttempts, a)
+		a.callTimeout = call
 	}
 }
 
-// wire gives a connection to a dispatcher, made anew where the last was lost.
-func (k *crowd) wire(disp, i int) *wire {
-	w := k.wires[disp][i]
-	if w != nil && !w.gone && (!w.open || w.h.CanOpenStream()) {
+// conn gives a connection to a dispatcher, made anew where the last was lost.
+func (g *clientGroup) conn(disp, i int) *grpcConn {
+	w := g.conns[disp][i]
+	if w != nil && !w.isClosed && (!w.isOpen || w.http2.CanOpenStream()) {
 		return w
 	}
-	w = &wire{l: k.l, on: &ends{}}
-	w.h = h2.NewClientConn(h2.DefaultLimits, w)
-	lc, err := k.l.Dial(k.d.disp[disp].addr, connectTime, w)
+	w = &grpcConn{loop: g.loop, handler: &clientConnHandler{}}
+	w.http2 = h2.NewClientConn(h2.DefaultLimits, w)
+	lc, err := g.loop.Dial(g.sim.dispatchers[disp].addr, connectTimeout, w)
 	if err != nil {
 		return nil
 	}
-	w.lc = lc
-	k.wires[disp][i] = w
+	w.transport = lc
+	g.conns[disp][i] = w
 	return w
 }
 
-func (a *attempt) open(call int64) {
+func (a *attempt) openStream(call int64) {
 	var extra []hpack.HeaderField
-	if a.s.try > 0 {
-		extra = append(extra, hpack.HeaderField{Name: "grpc-previous-rpc-attempts", Value: strconv.Itoa(a.s.try)})
+	if a.session.attemptNumber > 0 {
+		extra = append(extra, hpack.HeaderField{Name: "grpc-previous-rpc-attempts", Value: strconv.Itoa(a.session.attemptNumber)})
 	}
-	if a.s.ticket != "" {
-		extra = append(extra, hpack.HeaderField{Name: "docksail-ticket-bin", Value: a.s.ticket, Sensitive: true})
+	if a.session.reservation != "" {
+		extra = append(extra, hpack.HeaderField{Name: "docksail-ticket-bin", Value: a.session.reservation, Sensitive: true})
 	}
-	if a.s.k.t.Background {
+	if a.session.group.class.Background {
 		extra = append(extra, hpack.HeaderField{Name: "docksail-background", Value: "1"})
 	}
-	b, err := proto.Marshal(a.s.req)
+	b, err := proto.Marshal(a.session.request)
 	if err != nil {
 		panic(err)
 	}
-	a.st = a.w.h.OpenStream(pathGenerate, "docksail", call, extra...)
-	a.st.UserData = a
-	a.st.SendMessage(b, true)
-	a.w.flush()
+	a.stream = a.conn.http2.OpenStream(pathGenerate, "docksail", call, extra...)
+	a.stream.UserData = a
+	a.stream.SendMessage(b, true)
+	a.conn.flush()
 }
 
-func (a *attempt) note(kind eventlog.Kind, code string) {
+func (a *attempt) logEvent(kind eventlog.Kind, code string) {
 	e := a.entry
-	e.Kind, e.Code, e.Request, e.Deadline, e.Value = kind, code, a.job, a.by, a.gap
-	a.s.k.d.Log.Add(e)
+	e.Kind, e.Code, e.Request, e.Deadline, e.Value = kind, code, a.requestID, a.deadline, a.meanTokenGap
+	a.session.group.sim.Log.Add(e)
 }
 
-// cancel resets the try's stream.
-func (a *attempt) cancel() {
-	if a.st != nil {
-		st := a.st
-		a.st, st.UserData = nil, nil
+// resetStream resets the try's stream.
+func (a *attempt) resetStream() {
+	if a.stream != nil {
+		st := a.stream
+		a.stream, st.UserData = nil, nil
 		st.Reset(http2.ErrCodeCancel)
-		a.w.flush()
+		a.conn.flush()
 	}
 }
 
-func (a *attempt) quit() {
-	if a.over {
+func (a *attempt) cancelByClient() {
+	if a.isDone {
 		return
 	}
-	a.cancel()
-	a.note(eventlog.RequestCanceled, "")
-	a.end(codes.Canceled, outcome{left: true})
+	a.resetStream()
+	a.logEvent(eventlog.RequestCanceled, "")
+	a.finish(codes.Canceled, outcome{canceledByClient: true})
 }
 
-func (a *attempt) lost(why string) {
-	if a.over {
+func (a *attempt) connectionLost(why string) {
+	if a.isDone {
 		return
 	}
-	a.note(eventlog.RequestUnanswered, "lost: "+why)
-	a.end(codes.Unavailable, outcome{lost: true})
+	a.logEvent(eventlog.RequestUnanswered, "lost: "+why)
+	a.finish(codes.Unavailable, outcome{connectionLost: true})
 }
 
 type outcome struct {
-	final, lost, left bool
-	after             int64
-	ticket            string
+	isFinal, connectionLost, canceledByClient bool
+	retryAfter             int64
+	reservation            string
 }
 
-// end takes what became of a try into account: another, the session's next job, or nothing more.
-func (a *attempt) end(code codes.Code, o outcome) {
-	s, k := a.s, a.s.k
-	t, sum, now := &k.t, k.sum, k.now()
-	a.over = true
-	k.l.CancelTimer(&a.call)
-	k.l.CancelTimer(&s.quits)
-	if a.ticketed {
+// finish takes what became of a try into account: another, the session's next job, or nothing more.
+func (a *attempt) finish(code codes.Code, o outcome) {
+	s, k := a.session, a.session.group
+	t, sum, now := &k.class, k.summary, k.now()
+	a.isDone = true
+	k.loop.CancelTimer(&a.callTimer)
+	k.loop.CancelTimer(&s.cancelTimer)
+	if a.hasReservation {
 		sum.ReservedRetries++
 		if code == codes.OK {
 			sum.ReservedRetriesServed++
 		}
 	}
-	s.ticket = o.ticket
+	s.reservation = o.reservation
 	switch {
-	case code == codes.OK && a.wrong:
+	case code == codes.OK && a.isCorrupt:
 		sum.Corrupt++
-		k.open--
+		k.openSessions--
 		return
 	case code == codes.OK:
-		first := a.first - s.begin
+		first := a.firstTokenAt - s.requestStart
 		sum.Served++
 		sum.FirstTokenTimes = append(sum.FirstTokenTimes, time.Duration(first))
-		if first <= s.expected {
+		if first <= s.latencyTarget {
 			sum.OnTime++
-			sum.EarnedValue += s.worth
+			sum.EarnedValue += s.value
 		}
-		s.prompt += a.tokens
-		k.l.SetTimer(&s.timer, now+int64(float64(t.Idle)*s.rng.Float64()), func(eventloop.Nanos) { s.next() })
+		s.promptTokens += a.tokenCount
+		k.loop.SetTimer(&s.nextTimer, now+int64(float64(t.Idle)*s.rng.Float64()), func(eventloop.Nanos) { s.startTurn() })
 		return
-	case o.left:
+	case o.canceledByClient:
 		sum.Canceled++
-		sum.OfferedValue -= s.worth
-		k.open--
+		sum.OfferedValue -= s.value
+		k.openSessions--
 		return
 	}
-	nacked := (code == codes.Unavailable || code == codes.ResourceExhausted) && o.final
+	nacked := (code == codes.Unavailable || code == codes.ResourceExhausted) && o.isFinal
 	again := nacked || !t.NonIdempotent
-	wait := o.after
-	if o.after < 0 {
-		again = again && o.lost
+	wait := o.retryAfter
+	if o.retryAfter < 0 {
+		again = again && o.connectionLost
 	}
-	if o.lost {
-		s.at = (s.at + 1) % len(k.wires)
-		wait = lostWait
+	if o.connectionLost {
+		s.dispatcher = (s.dispatcher + 1) % len(k.conns)
+		wait = reconnectBackoff
 	}
 	if t.IgnoresRetryAfter {
 		wait = 0
-	} else if s.ticket == "" { // without a booking, spread
+	} else if s.reservation == "" { // without a booking, spread
 		wait = int64(float64(wait) * (1 + 0.2*s.rng.Float64()))
 	}
-	if !again || s.try >= t.MaxRetries || now-s.begin+wait >= int64(t.Timeout) {
+	if !again || s.attemptNumber >= t.MaxRetries || now-s.requestStart+wait >= int64(t.Timeout) {
 		switch {
 		case nacked:
 			sum.Rejected++
-		case o.final:
+		case o.isFinal:
 			sum.Failed++
 		default:
 			sum.Unanswered++
 		}
-		k.open--
+		k.openSessions--
 		return
 	}
-	s.try++
-	k.l.SetTimer(&s.timer, now+wait, func(eventloop.Nanos) { s.send() })
+	s.attemptNumber++
+	k.loop.SetTimer(&s.nextTimer, now+wait, func(eventloop.Nanos) { s.sendAttempt() })
 }
 
-// ends is what a crowd does about a connection.
-type ends struct {
-	queue []*attempt // that wait for the connection
+// clientConnHandler is what a crowd does about a connection.
+type clientConnHandler struct {
+	pendingAttempts []*attempt // that wait for the connection
 }
 
-func (e *ends) opened(*wire) {
-	queue := e.queue
-	e.queue = nil
+func (c *clientConnHandler) opened(*grpcConn) {
+	queue := c.pendingAttempts
+	c.pendingAttempts = nil
 	for _, a := range queue {
-		if !a.over {
-			a.open(a.within)
+		if !a.isDone {
+			a.openStream(a.callTimeout)
 		}
 	}
 }
 
-func (e *ends) closed(*wire) {
-	queue := e.queue
-	e.queue = nil
+func (c *clientConnHandler) closed(*grpcConn) {
+	queue := c.pendingAttempts
+	c.pendingAttempts = nil
 	for _, a := range queue {
-		a.lost("no connection")
+		a.connectionLost("no connection")
 	}
 }
 
-func (e *ends) headers(_ *wire, s *h2.Stream, h *h2.Header) {
-	if a, ok := s.UserData.(*attempt); ok && a.job == "" {
-		a.job = h.Get("docksail-job")
+func (c *clientConnHandler) headers(_ *grpcConn, s *h2.Stream, h *h2.Header) {
+	if a, ok := s.UserData.(*attempt); ok && a.requestID == "" {
+		a.requestID = h.Get("docksail-job")
 	}
 }
 
-func (e *ends) message(_ *wire, s *h2.Stream, p []byte) {
+func (c *clientConnHandler) message(_ *grpcConn, s *h2.Stream, p []byte) {
 	a, ok := s.UserData.(*attempt)
 	if !ok {
 		return
 	}
 	var tok pb.Tokens
 	if proto.Unmarshal(p, &tok) != nil {
-		a.wrong = true
+		a.isCorrupt = true
 		return
 	}
-	if a.tokens == 0 {
-		a.first = a.s.k.now()
-		a.note(eventlog.FirstToken, "")
+	if a.tokenCount == 0 {
+		a.firstTokenAt = a.session.group.now()
+		a.logEvent(eventlog.FirstToken, "")
 	}
 	for i, got := range tok.Tokens {
-		if int(tok.Position)+i != a.tokens || got != engine.TokenAt(a.s.req, a.tokens) {
-			a.wrong = true
+		if int(tok.Position)+i != a.tokenCount || got != engine.TokenAt(a.session.request, a.tokenCount) {
+			a.isCorrupt = true
 		}
-		a.tokens++
+		a.tokenCount++
 	}
-	if a.leaves > 0 && a.tokens >= a.leaves {
-		a.quit()
+	if a.cancelAfterTokens > 0 && a.tokenCount >= a.cancelAfterTokens {
+		a.cancelByClient()
 	}
 }
 
-func (e *ends) finished(s *h2.Stream, code codes.Code, message string, trailer *h2.Header) {
+func (c *clientConnHandler) finished(s *h2.Stream, code codes.Code, message string, trailer *h2.Header) {
 	a, ok := s.UserData.(*attempt)
-	if !ok || a.over {
+	if !ok || a.isDone {
 		return
 	}
-	a.st, s.UserData = nil, nil
-	if v := trailer.Get("docksail-job"); a.job == "" {
-		a.job = v
+	a.stream, s.UserData = nil, nil
+	if v := trailer.Get("docksail-job"); a.requestID == "" {
+		a.requestID = v
 	}
 	push := trailer.Get("grpc-retry-pushback-ms")
 	switch {
 	case code == codes.OK:
-		if a.tokens != engine.AnswerTokens(a.s.req) {
-			a.wrong = true
+		if a.tokenCount != engine.AnswerTokens(a.session.request) {
+			a.isCorrupt = true
 		}
-		if a.tokens > 1 {
-			a.gap = (a.s.k.now() - a.first) / int64(a.tokens-1)
+		if a.tokenCount > 1 {
+			a.meanTokenGap = (a.session.group.now() - a.firstTokenAt) / int64(a.tokenCount-1)
 		}
 		text := "OK"
-		if a.wrong {
+		if a.isCorrupt {
 			text = "OK, but not the whole answer"
 		}
-		a.note(eventlog.RequestAnswered, text)
-		a.end(code, outcome{final: true})
+		a.logEvent(eventlog.RequestAnswered, text)
+		a.finish(code, outcome{isFinal: true})
 	case push != "":
 		ms, _ := strconv.ParseInt(push, 10, 64)
-		o := outcome{final: true, after: ms * 1e6}
+		o := outcome{isFinal: true, retryAfter: ms * 1e6}
 		if ms >= 0 {
-			o.after = max(o.after, retryDelay(trailer.Get("grpc-status-details-bin")))
+			o.retryAfter = max(o.retryAfter, retryDelay(trailer.Get("grpc-status-details-bin")))
 		}
-		if !a.s.k.t.IgnoresRetryAfter {
-			o.ticket = trailer.Get("docksail-ticket-bin")
+		if !a.session.group.class.IgnoresRetryAfter {
+			o.reservation = trailer.Get("docksail-ticket-bin")
 		}
-		a.note(eventlog.RequestAnswered, code.String())
-		a.end(code, o)
+		a.logEvent(eventlog.RequestAnswered, code.String())
+		a.finish(code, o)
 	default:
-		a.note(eventlog.RequestUnanswered, code.String()+": "+message)
-		a.end(code, outcome{})
+		a.logEvent(eventlog.RequestUnanswered, code.String()+": "+message)
+		a.finish(code, outcome{})
 	}
 }
 
@@ -429,15 +429,15 @@
 	return 0
 }
 
-func (e *ends) reset(s *h2.Stream) {
-	if a, ok := s.UserData.(*attempt); ok && !a.over {
-		a.st, s.UserData = nil, nil
-		a.lost("the stream broke")
+func (c *clientConnHandler) reset(s *h2.Stream) {
+	if a, ok := s.UserData.(*attempt); ok && !a.isDone {
+		a.stream, s.UserData = nil, nil
+		a.connectionLost("the stream broke")
 	}
 }
 
-// play makes the sessions of a day arrive at their times.
-func (d *Simulation) play(rate func(at time.Duration) float64, heavy func(at time.Duration) int) {
+// scheduleSessions makes the sessions of a day arrive at their times.
+func (d *Simulation) scheduleSessions(rate func(at time.Duration) float64, heavy func(at time.Duration) int) {
 	rng := rand.New(rand.NewPCG(uint64(d.Script.Seed), 1))
 	at, n := time.Duration(0), 0
 	var next func()
@@ -456,23 +456,23 @@
 				break
 			}
 		}
-		x, k := rng.Float64(), d.crowds[len(d.crowds)-1]
-		for _, c := range d.crowds {
-			if x -= c.t.Share; x < 0 {
+		x, k := rng.Float64(), d.clientGroups[len(d.clientGroups)-1]
+		for _, c := range d.clientGroups {
+			if x -= c.class.Share; x < 0 {
 				k = c
 				break
 			}
 		}
 		seed, i, times := rng.Uint64(), n, heavy(at)
 		n++
-		d.at(d.began+int64(at), func() {
-			k.l.Post(func() { k.begin(i, times, rand.New(rand.NewPCG(seed, uint64(i)))) })
+		d.scheduleAt(d.loadStart+int64(at), func() {
+			k.loop.Post(func() { k.startSession(i, times, rand.New(rand.NewPCG(seed, uint64(i)))) })
 			next()
 		})
 	}
 	next()
 }
 
-func addr(kind byte, n int) netip.Addr {
+func simulatedAddr(kind byte, n int) netip.Addr {
 	return netip.AddrFrom4([4]byte{10, kind, byte(n >> 8), byte(n)})
 }
--- a/internal/lab/simulation/discoveryserver.go
+++ b/internal/lab/simulation/discoveryserver.go
@@ -12,53 +12,53 @@
 	"docksail/internal/lab/eventlog"
 )
 
-// lister tells one dispatcher which hosts run, some time after it happened.
-type lister struct {
-	d       *Simulation
-	disp    int
+// discoveryServer tells one dispatcher which hosts run, some time after it happened.
+type discoveryServer struct {
+	sim       *Simulation
+	dispatcher    int
 	addr    netip.AddrPort
-	l       *eventloop.Loop // nil while it is away
+	loop       *eventloop.Loop // nil while it is away
 	version uint64
-	hosts   []*pb.Host // by number
-	watch   map[*wire]*h2.Stream
+	endpoints   []*pb.Host // by number
+	watchers   map[*grpcConn]*h2.Stream
 }
 
-func (w *lister) start() error {
-	if w.l != nil {
+func (d *discoveryServer) start() error {
+	if d.loop != nil {
 		return nil
 	}
-	w.l, w.watch = w.d.world.NewLoop(w.addr.Addr(), nil), map[*wire]*h2.Stream{}
-	_, err := w.l.Listen(w.addr, false, func(c *eventloop.Conn, _ netip.AddrPort) eventloop.Handler { return serveWire(w.l, c, w) })
+	d.loop, d.watchers = d.sim.network.NewLoop(d.addr.Addr(), nil), map[*grpcConn]*h2.Stream{}
+	_, err := d.loop.Listen(d.addr, false, func(c *eventloop.Conn, _ netip.AddrPort) eventloop.Handler { return serveConn(d.loop, c, d) })
 	return err
 }
 
-func (w *lister) stop() {
-	if w.l != nil {
-		w.l.Kill()
-		w.l = nil
+func (d *discoveryServer) stop() {
+	if d.loop != nil {
+		d.loop.Kill()
+		d.loop = nil
 	}
 }
 
 // set makes a change known after the lister's time, whether or not it is away meanwhile.
-func (w *lister) set(h *pb.Host, late eventloop.Nanos) {
+func (d *discoveryServer) set(h *pb.Host, late eventloop.Nanos) {
 	h = proto.Clone(h).(*pb.Host)
-	w.d.after(late, func() {
-		w.hosts[h.Id-1] = h
-		w.version++
-		if news := (&pb.FleetNews{Version: w.version, Hosts: []*pb.Host{h}}); w.l != nil {
-			w.l.Post(func() { w.tell(news) })
+	d.sim.scheduleAfter(late, func() {
+		d.endpoints[h.Id-1] = h
+		d.version++
+		if news := (&pb.FleetNews{Version: d.version, Hosts: []*pb.Host{h}}); d.loop != nil {
+			d.loop.Post(func() { d.notifyWatchers(news) })
 		}
 	})
 }
 
-// tell sends news to who watches: there is one dispatcher, with one connection but for the moments of a new one.
-func (w *lister) tell(news *pb.FleetNews) {
-	for _, to := range sortedBy(w.watch, func(a *wire) uint64 { return a.lc.SimulatedID() }) {
-		w.send(to, w.watch[to], news)
+// notifyWatchers sends news to who watches: there is one dispatcher, with one connection but for the moments of a new one.
+func (d *discoveryServer) notifyWatchers(news *pb.FleetNews) {
+	for _, to := range sortedKeysBy(d.watchers, func(a *grpcConn) uint64 { return a.transport.SimulatedID() }) {
+		d.send(to, d.watchers[to], news)
 	}
 }
 
-func (w *lister) send(to *wire, s *h2.Stream, news *pb.FleetNews) {
+func (d *discoveryServer) send(to *grpcConn, s *h2.Stream, news *pb.FleetNews) {
 	b, err := proto.Marshal(news)
 	if err != nil {
 		panic(err)
@@ -66,22 +66,22 @@
 	s.SendMessage(b, false)
 	to.flush()
 	for _, h := range news.Hosts {
-		w.d.Log.Add(eventlog.Entry{Kind: eventlog.EndpointNotified, Server: int(h.Id), Dispatcher: w.disp, Note: h.Health.String(), Value: h.StartedUnixNs})
+		d.sim.Log.Add(eventlog.Entry{Kind: eventlog.EndpointNotified, Server: int(h.Id), Dispatcher: d.dispatcher, Note: h.Health.String(), Value: h.StartedUnixNs})
 	}
 }
 
-func (w *lister) opened(*wire)                          {}
-func (w *lister) headers(*wire, *h2.Stream, *h2.Header) {}
-func (w *lister) message(from *wire, s *h2.Stream, _ []byte) {
-	w.watch[from] = s
-	w.send(from, s, &pb.FleetNews{Version: w.version, Full: true, Hosts: w.hosts})
+func (d *discoveryServer) opened(*grpcConn)                          {}
+func (d *discoveryServer) headers(*grpcConn, *h2.Stream, *h2.Header) {}
+func (d *discoveryServer) message(from *grpcConn, s *h2.Stream, _ []byte) {
+	d.watchers[from] = s
+	d.send(from, s, &pb.FleetNews{Version: d.version, Full: true, Hosts: d.endpoints})
 }
-func (w *lister) finished(*h2.Stream, codes.Code, string, *h2.Header) {}
-func (w *lister) reset(s *h2.Stream) {
-	for at, x := range w.watch {
+func (d *discoveryServer) finished(*h2.Stream, codes.Code, string, *h2.Header) {}
+func (d *discoveryServer) reset(s *h2.Stream) {
+	for at, x := range d.watchers {
 		if x == s {
-			delete(w.watch, at)
+			delete(d.watchers, at)
 		}
 	}
 }
-func (w *lister) closed(at *wire) { delete(w.watch, at) }
+func (d *discoveryServer) closed(at *grpcConn) { delete(d.watchers, at) }
--- a/internal/lab/simulation/host.go
+++ b/internal/lab/simulation/host.go
@@ -19,215 +19,215 @@
 	"docksail/internal/lab/eventlog"
 )
 
-// host is a model host of the batch model on a simulated loop.
-type host struct {
-	d       *Simulation
+// modelServer is a model host of the batch model on a simulated loop.
+type modelServer struct {
+	sim       *Simulation
 	spec    engine.Spec
 	addr    netip.AddrPort
-	l       *eventloop.Loop // nil while its process does not run
-	rng     *rand.Rand
-	began   eventloop.Nanos // start of its process
+	loop       *eventloop.Loop // nil while its process does not run
+	random     *rand.Rand
+	startedAt   eventloop.Nanos // start of its process
 	model   *batch.Server
-	rep     *batch.Reporter
-	last    batch.ID
+	reporter     *batch.Reporter
+	lastID    batch.ID
 	calls   map[batch.ID]*call
-	states  map[string]*state
-	parked  []*call // of the track to which it is deaf
-	step    eventloop.Timer
+	states  map[string]*heldState
+	silencedCalls  []*call // of the track to which it is deaf
+	stepTimer    eventloop.Timer
 	onStep  func(eventloop.Nanos)
 	inStep  bool
 	events  []batch.Event
 	faults  engine.Faults
-	toppled bool
-	arrived []eventloop.Nanos
-	served  uint64
+	isOverloaded bool
+	recentArrivals []eventloop.Nanos
+	servedCount  uint64
 }
 
 // call is one request under way.
 type call struct {
-	h      *host
-	w      *wire
-	s      *h2.Stream // nil once it is over
+	server      *modelServer
+	conn      *grpcConn
+	stream      *h2.Stream // nil once it is over
 	path   string
-	launch pb.Launch
-	name   string
+	attempt pb.Launch
+	requestID   string
 	id     batch.ID
-	came   eventloop.Nanos
-	ran    bool
-	move   batch.TransferID
-	late   []int // tokens held back while the host is deaf to the track
-	done   bool
+	arrivedAt   eventloop.Nanos
+	hasStarted    bool
+	transfer   batch.TransferID
+	unsentTokens   []int // tokens held back while the host is deaf to the track
+	isComplete   bool
 }
 
-type state struct {
-	shot   uint32
+type heldState struct {
+	attempt   uint32
 	tokens int
 	id     batch.ID
-	ends   eventloop.Timer
+	expiry   eventloop.Timer
 }
 
 // start starts the host's process.
-func (h *host) start(ago eventloop.Nanos) error {
+func (m *modelServer) start(ago eventloop.Nanos) error {
 	var err error
-	if h.model, err = batch.NewServer(h.spec.BatchShape(), int(h.spec.MemoryTokens), engine.BlockTokens); err != nil {
+	if m.model, err = batch.NewServer(m.spec.BatchShape(), int(m.spec.MemoryTokens), engine.BlockTokens); err != nil {
 		return err
 	}
-	if h.rep, err = batch.NewReporter(uint64(h.spec.ID), int64(h.spec.ReportInterval), int64(h.faults.ReportDelay), h.spec.ReportNoise); err != nil {
+	if m.reporter, err = batch.NewReporter(uint64(m.spec.ID), int64(m.spec.ReportInterval), int64(m.faults.ReportDelay), m.spec.ReportNoise); err != nil {
 		return err
 	}
-	h.l = h.d.world.NewLoop(h.addr.Addr(), nil)
-	h.began = h.d.world.Now() - ago
-	h.calls, h.states, h.parked = map[batch.ID]*call{}, map[string]*state{}, nil
-	h.step, h.inStep, h.toppled, h.arrived = eventloop.Timer{}, false, false, nil
-	h.onStep = h.stepped
-	_, err = h.l.Listen(h.addr, false, func(c *eventloop.Conn, _ netip.AddrPort) eventloop.Handler { return serveWire(h.l, c, h) })
-	h.d.Log.Add(eventlog.Entry{Kind: eventlog.ServerStarted, Server: h.spec.ID})
+	m.loop = m.sim.network.NewLoop(m.addr.Addr(), nil)
+	m.startedAt = m.sim.network.Now() - ago
+	m.calls, m.states, m.silencedCalls = map[batch.ID]*call{}, map[string]*heldState{}, nil
+	m.stepTimer, m.inStep, m.isOverloaded, m.recentArrivals = eventloop.Timer{}, false, false, nil
+	m.onStep = m.endStep
+	_, err = m.loop.Listen(m.addr, false, func(c *eventloop.Conn, _ netip.AddrPort) eventloop.Handler { return serveConn(m.loop, c, m) })
+	m.sim.Log.Add(eventlog.Entry{Kind: eventlog.ServerStarted, Server: m.spec.ID})
 	return err
 }
 
 // crash ends its process at once.
-func (h *host) crash() {
-	if h.l == nil {
+func (m *modelServer) crash() {
+	if m.loop == nil {
 		return
 	}
-	for _, name := range sorted(h.states) {
-		h.d.Log.Add(eventlog.Entry{Kind: eventlog.StateReleased, Server: h.spec.ID, Request: name, Note: "crash"})
+	for _, name := range sortedKeys(m.states) {
+		m.sim.Log.Add(eventlog.Entry{Kind: eventlog.StateReleased, Server: m.spec.ID, Request: name, Note: "crash"})
 	}
-	h.l.Kill()
-	h.l, h.states, h.calls = nil, map[string]*state{}, map[batch.ID]*call{}
+	m.loop.Kill()
+	m.loop, m.states, m.calls = nil, map[string]*heldState{}, map[batch.ID]*call{}
 }
 
-// fail changes what it acts out.
-func (h *host) fail(change func(f *engine.Faults)) {
-	change(&h.faults)
-	if h.l == nil {
+// setFaults changes what it acts out.
+func (m *modelServer) setFaults(change func(f *engine.Faults)) {
+	change(&m.faults)
+	if m.loop == nil {
 		return
 	}
-	h.rep.SetDelay(int64(h.faults.ReportDelay))
-	h.l.Post(func() {
-		parked := h.parked
-		h.parked = nil
+	m.reporter.SetDelay(int64(m.faults.ReportDelay))
+	m.loop.Post(func() {
+		parked := m.silencedCalls
+		m.silencedCalls = nil
 		for _, c := range parked {
-			if c.s != nil {
-				h.enter(c)
+			if c.stream != nil {
+				m.enqueue(c)
 			}
 		}
-		for _, id := range sorted(h.calls) {
-			h.catchUp(h.calls[id])
+		for _, id := range sortedKeys(m.calls) {
+			m.flushTokens(m.calls[id])
 		}
-		h.kick()
+		m.beginStep()
 	})
 }
 
-func (h *host) stands() bool { return h.faults.Hanging || h.faults.Paused }
+func (m *modelServer) isPaused() bool { return m.faults.Hanging || m.faults.Paused }
 
-func (h *host) warmth() float64 {
-	s := &h.spec
+func (m *modelServer) capacityShare() float64 {
+	s := &m.spec
 	if s.InitialCapacity <= 0 || s.InitialCapacity >= 1 || s.WarmupTime <= 0 {
 		return 1
 	}
-	return min(1, s.InitialCapacity+(1-s.InitialCapacity)*float64(h.d.world.Now()-h.began)/float64(s.WarmupTime))
+	return min(1, s.InitialCapacity+(1-s.InitialCapacity)*float64(m.sim.network.Now()-m.startedAt)/float64(s.WarmupTime))
 }
 
-// kick begins a step if there is work and none is under way.
-func (h *host) kick() {
-	if h.inStep || h.l == nil || h.stands() {
+// beginStep begins a step if there is work and none is under way.
+func (m *modelServer) beginStep() {
+	if m.inStep || m.loop == nil || m.isPaused() {
 		return
 	}
 	var took batch.Nanos
-	took, h.events, h.inStep = h.model.BeginStep(h.events[:0])
-	h.tell()
-	if h.inStep {
-		h.l.SetTimer(&h.step, h.l.Now()+max(eventloop.Nanos(float64(took)/h.warmth()*max(h.faults.Slowdown, 1)), 1), h.onStep)
+	took, m.events, m.inStep = m.model.BeginStep(m.events[:0])
+	m.handleEvents()
+	if m.inStep {
+		m.loop.SetTimer(&m.stepTimer, m.loop.Now()+max(eventloop.Nanos(float64(took)/m.capacityShare()*max(m.faults.Slowdown, 1)), 1), m.onStep)
 	}
 }
 
-func (h *host) stepped(now eventloop.Nanos) {
-	if h.stands() { // until fail says that it goes on
-		h.inStep = false
-		h.l.SetTimer(&h.step, now+int64(engine.PauseCheckInterval), h.onStep)
-		h.inStep = true
+func (m *modelServer) endStep(now eventloop.Nanos) {
+	if m.isPaused() { // until fail says that it goes on
+		m.inStep = false
+		m.loop.SetTimer(&m.stepTimer, now+int64(engine.PauseCheckInterval), m.onStep)
+		m.inStep = true
 		return
 	}
-	h.inStep = false
-	h.events = h.model.EndStep(h.events[:0])
-	h.tell()
-	h.kick()
+	m.inStep = false
+	m.events = m.model.EndStep(m.events[:0])
+	m.handleEvents()
+	m.beginStep()
 }
 
-// tell acts on what a step brought.
-func (h *host) tell() {
-	for _, ev := range h.events {
-		c := h.calls[ev.ID]
+// handleEvents acts on what a step brought.
+func (m *modelServer) handleEvents() {
+	for _, ev := range m.events {
+		c := m.calls[ev.ID]
 		if c == nil {
 			continue
 		}
 		switch ev.Kind {
 		case batch.NeedsFetch:
-			h.fetch(c)
+			m.fetchState(c)
 		case batch.PrefillDone:
-			if c.path == pathRead {
-				h.hold(c, ev.N)
+			if c.path == pathPrefill {
+				m.holdState(c, ev.N)
 			}
 		case batch.Token:
-			if b := c.launch.BeginWithinNs; b > 0 && !c.ran && h.l.Now()-c.came > int64(b) {
-				h.end(c, codes.DeadlineExceeded, "its time to begin is up")
+			if b := c.attempt.BeginWithinNs; b > 0 && !c.hasStarted && m.loop.Now()-c.arrivedAt > int64(b) {
+				m.endCall(c, codes.DeadlineExceeded, "its time to begin is up")
 				continue
 			}
-			c.late = append(c.late, ev.N)
-			h.catchUp(c)
+			c.unsentTokens = append(c.unsentTokens, ev.N)
+			m.flushTokens(c)
 		case batch.AnswerDone:
-			c.done = true
-			h.catchUp(c)
+			c.isComplete = true
+			m.flushTokens(c)
 		}
 	}
 }
 
-// catchUp sends what a call has to send.
-func (h *host) catchUp(c *call) {
-	req := c.launch.Request
-	if h.faults.SilentClass != "" && h.faults.SilentClass == req.GetTrack() {
+// flushTokens sends what a call has to send.
+func (m *modelServer) flushTokens(c *call) {
+	req := c.attempt.Request
+	if m.faults.SilentClass != "" && m.faults.SilentClass == req.GetTrack() {
 		return
 	}
-	for _, n := range c.late {
-		if h.faults.StallAfter > 0 && n >= h.faults.StallAfter {
+	for _, n := range c.unsentTokens {
+		if m.faults.StallAfter > 0 && n >= m.faults.StallAfter {
 			return
 		}
-		if !c.ran {
-			c.ran = true
-			h.d.Log.Add(eventlog.Entry{
-				Kind: eventlog.AnswerStarted, Server: h.spec.ID, Request: c.name, Attempt: int(c.launch.Shot), RequestLabel: req.Label,
-				ClientAttempt: int(c.launch.Repeat), Class: req.Track,
+		if !c.hasStarted {
+			c.hasStarted = true
+			m.sim.Log.Add(eventlog.Entry{
+				Kind: eventlog.AnswerStarted, Server: m.spec.ID, Request: c.requestID, Attempt: int(c.attempt.Shot), RequestLabel: req.Label,
+				ClientAttempt: int(c.attempt.Repeat), Class: req.Track,
 			})
 		}
 		b, err := proto.Marshal(&pb.Tokens{Position: uint32(n), Tokens: []uint32{engine.TokenAt(req, n)}, Text: []byte("tok ")})
 		if err != nil {
 			panic(err)
 		}
-		c.s.SendMessage(b, false)
-		c.late = c.late[1:]
+		c.stream.SendMessage(b, false)
+		c.unsentTokens = c.unsentTokens[1:]
 	}
-	c.w.flush()
-	if c.done {
-		h.served++
-		h.end(c, codes.OK, "")
+	c.conn.flush()
+	if c.isComplete {
+		m.servedCount++
+		m.endCall(c, codes.OK, "")
 	}
 }
 
-// end answers a call with a status and its load report.
-func (h *host) end(c *call, code codes.Code, why string) {
-	if c.s == nil {
+// endCall answers a call with a status and its load report.
+func (m *modelServer) endCall(c *call, code codes.Code, why string) {
+	if c.stream == nil {
 		return
 	}
 	var extra []hpack.HeaderField
-	now := h.d.world.Now()
-	unread := h.model.QueuedPromptTokens()
-	h.rep.Observe(now, batch.Load{
-		Requests:          float64(h.model.Queued() + h.model.Running()),
-		MemoryUtilization: float64(h.model.Memory.InUse()) / float64(h.model.Memory.Blocks()), QueuedPromptTokens: float64(unread),
-		QueueTime: int64(float64(unread) / h.spec.PrefillRate * 1e9),
+	now := m.sim.network.Now()
+	unread := m.model.QueuedPromptTokens()
+	m.reporter.Observe(now, batch.Load{
+		Requests:          float64(m.model.Queued() + m.model.Running()),
+		MemoryUtilization: float64(m.model.Memory.InUse()) / float64(m.model.Memory.Blocks()), QueuedPromptTokens: float64(unread),
+		QueueTime: int64(float64(unread) / m.spec.PrefillRate * 1e9),
 	})
-	if f, age, ok := h.rep.Latest(now); ok {
+	if f, age, ok := m.reporter.Latest(now); ok {
 		b, err := proto.MarshalOptions{Deterministic: true}.Marshal(&orca.OrcaLoadReport{
 			MemUtilization: f.MemoryUtilization,
 			NamedMetrics: map[string]float64{
@@ -240,102 +240,102 @@
 		}
 		extra = append(extra, hpack.HeaderField{Name: "endpoint-load-metrics-bin", Value: base64.RawStdEncoding.EncodeToString(b)})
 	}
-	s := c.s
-	h.forget(c)
+	s := c.stream
+	m.removeCall(c)
 	s.EndWithStatus(code, why, extra...)
-	c.w.flush()
+	c.conn.flush()
 }
 
-// forget takes a call out of the model; a read's state stays if it is held.
-func (h *host) forget(c *call) {
-	if c.s != nil {
-		c.s.UserData, c.s = nil, nil
+// removeCall takes a call out of the model; a read's state stays if it is held.
+func (m *modelServer) removeCall(c *call) {
+	if c.stream != nil {
+		c.stream.UserData, c.stream = nil, nil
 	}
-	if c.move != 0 {
-		h.d.net.stop(c.move)
-		c.move = 0
+	if c.transfer != 0 {
+		m.sim.transfers.stop(c.transfer)
+		c.transfer = 0
 	}
-	if c.id != 0 && h.calls[c.id] == c {
-		delete(h.calls, c.id)
-		if st := h.states[c.name]; st == nil || st.id != c.id {
-			h.model.Remove(c.id)
+	if c.id != 0 && m.calls[c.id] == c {
+		delete(m.calls, c.id)
+		if st := m.states[c.requestID]; st == nil || st.id != c.id {
+			m.model.Remove(c.id)
 		}
 	}
 }
 
-// hold keeps what was read until it is fetched, let go or out of time, and answers.
-func (h *host) hold(c *call, unread int) {
-	req := c.launch.Request
-	if h.states[c.name] != nil {
-		h.drop(c.name, "read anew")
-	}
-	st := &state{shot: c.launch.Shot, tokens: int(req.PromptTokens), id: c.id}
-	h.states[c.name] = st
-	h.d.Log.Add(eventlog.Entry{Kind: eventlog.StateHeld, Server: h.spec.ID, Request: c.name, Attempt: int(st.shot), Value: int64(st.tokens)})
-	name := c.name
-	h.l.SetTimer(&st.ends, h.l.Now()+int64(h.spec.MaxHoldTime), func(eventloop.Nanos) { h.drop(name, "ran out") })
+// holdState keeps what was read until it is fetched, let go or out of time, and answers.
+func (m *modelServer) holdState(c *call, unread int) {
+	req := c.attempt.Request
+	if m.states[c.requestID] != nil {
+		m.releaseState(c.requestID, "read anew")
+	}
+	st := &heldState{attempt: c.attempt.Shot, tokens: int(req.PromptTokens), id: c.id}
+	m.states[c.requestID] = st
+	m.sim.Log.Add(eventlog.Entry{Kind: eventlog.StateHeld, Server: m.spec.ID, Request: c.requestID, Attempt: int(st.attempt), Value: int64(st.tokens)})
+	name := c.requestID
+	m.loop.SetTimer(&st.expiry, m.loop.Now()+int64(m.spec.MaxHoldTime), func(eventloop.Nanos) { m.releaseState(name, "ran out") })
 	b, err := proto.Marshal(&pb.ReadDone{ReadTokens: uint32(unread), KeptTokens: req.PromptTokens - min(uint32(unread), req.PromptTokens)})
 	if err != nil {
 		panic(err)
 	}
-	c.s.SendMessage(b, false)
-	h.end(c, codes.OK, "")
+	c.stream.SendMessage(b, false)
+	m.endCall(c, codes.OK, "")
 }
 
-// drop lets go of a state.
-func (h *host) drop(name, why string) {
-	st := h.states[name]
+// releaseState lets go of a state.
+func (m *modelServer) releaseState(name, why string) {
+	st := m.states[name]
 	if st == nil {
 		return
 	}
-	delete(h.states, name)
-	h.l.CancelTimer(&st.ends)
-	h.model.Remove(st.id)
-	h.d.Log.Add(eventlog.Entry{Kind: eventlog.StateReleased, Server: h.spec.ID, Request: name, Attempt: int(st.shot), Note: why})
-	h.l.Post(h.kick)
+	delete(m.states, name)
+	m.loop.CancelTimer(&st.expiry)
+	m.model.Remove(st.id)
+	m.sim.Log.Add(eventlog.Entry{Kind: eventlog.StateReleased, Server: m.spec.ID, Request: name, Attempt: int(st.attempt), Note: why})
+	m.loop.Post(m.beginStep)
 }
 
-// fetch gets the state of a call's job from the host that holds it.
-func (h *host) fetch(c *call) {
-	from := h.d.byAddr[c.launch.StateAddress]
-	l, delay := h.l, h.d.world.Latency
+// fetchState gets the state of a call's job from the host that holds it.
+func (m *modelServer) fetchState(c *call) {
+	from := m.sim.serversByAddr[c.attempt.StateAddress]
+	l, delay := m.loop, m.sim.network.Latency
 	none := func(why string) {
-		l.Post(func() { h.end(c, codes.FailedPrecondition, "no state: "+why) })
+		l.Post(func() { m.endCall(c, codes.FailedPrecondition, "no state: "+why) })
 	}
-	if from == nil || from.l == nil {
+	if from == nil || from.loop == nil {
 		none("its host is gone")
 		return
 	}
-	there := from.l
+	there := from.loop
 	ask := &eventloop.Timer{}
 	l.SetTimer(ask, l.Now()+delay, func(eventloop.Nanos) {
-		st := from.states[c.name]
-		if c.s == nil {
+		st := from.states[c.requestID]
+		if c.stream == nil {
 			return
 		}
-		if st == nil || from.l != there {
+		if st == nil || from.loop != there {
 			none("nothing is held of this job")
 			return
 		}
-		c.move = h.d.net.start(from, h, st.tokens, max(from.faults.LinkSlowdown, 1), func() {
-			if c.move = 0; c.s == nil {
+		c.transfer = m.sim.transfers.start(from, m, st.tokens, max(from.faults.LinkSlowdown, 1), func() {
+			if c.transfer = 0; c.stream == nil {
 				return
 			}
 			var took func()
 			took = func() {
 				switch {
-				case c.s == nil:
-				case from.l != there || from.states[c.name] != st:
+				case c.stream == nil:
+				case from.loop != there || from.states[c.requestID] != st:
 					none("it was let go meanwhile")
-				case from.stands():
+				case from.isPaused():
 					again := &eventloop.Timer{}
-					from.l.SetTimer(again, from.l.Now()+int64(engine.PauseCheckInterval), func(eventloop.Nanos) { took() })
+					from.loop.SetTimer(again, from.loop.Now()+int64(engine.PauseCheckInterval), func(eventloop.Nanos) { took() })
 				default:
-					from.drop(c.name, "fetched")
+					from.releaseState(c.requestID, "fetched")
 					l.Post(func() {
-						if c.s != nil && h.l == l {
-							h.model.StateFetched(c.id)
-							h.kick()
+						if c.stream != nil && m.loop == l {
+							m.model.StateFetched(c.id)
+							m.beginStep()
 						}
 					})
 				}
@@ -345,201 +345,201 @@
 	})
 }
 
-// enter takes a launch in, or turns it away.
-func (h *host) enter(c *call) {
-	req := c.launch.Request
-	if h.faults.SilentClass != "" && h.faults.SilentClass == req.GetTrack() {
-		h.parked = append(h.parked, c)
+// enqueue takes a launch in, or turns it away.
+func (m *modelServer) enqueue(c *call) {
+	req := c.attempt.Request
+	if m.faults.SilentClass != "" && m.faults.SilentClass == req.GetTrack() {
+		m.silencedCalls = append(m.silencedCalls, c)
 		return
 	}
 	w := batch.Work{}
-	if c.path == pathRead {
+	if c.path == pathPrefill {
 		w = engine.BatchWork(req, 0, false)
 	} else {
-		w = engine.BatchWork(req, engine.AnswerTokens(req), c.launch.StateAddress != "")
+		w = engine.BatchWork(req, engine.AnswerTokens(req), c.attempt.StateAddress != "")
 	}
-	h.last++
-	w.ID = h.last
-	switch err := h.model.Enqueue(w); err {
+	m.lastID++
+	w.ID = m.lastID
+	switch err := m.model.Enqueue(w); err {
 	case nil:
 		c.id = w.ID
-		h.calls[c.id] = c
-		h.kick()
+		m.calls[c.id] = c
+		m.beginStep()
 	case batch.ErrQueueFull:
-		h.end(c, codes.ResourceExhausted, err.Error())
+		m.endCall(c, codes.ResourceExhausted, err.Error())
 	default:
-		h.end(c, codes.InvalidArgument, err.Error())
+		m.endCall(c, codes.InvalidArgument, err.Error())
 	}
 }
 
 // admit is what happens at its door: a cold host topples, others fail fast or drain.
-func (h *host) admit(now eventloop.Nanos) (codes.Code, string) {
-	s := &h.spec
-	if h.toppled {
+func (m *modelServer) admit(now eventloop.Nanos) (codes.Code, string) {
+	s := &m.spec
+	if m.isOverloaded {
 		return codes.Internal, "fallen over"
 	}
-	if w := h.warmth(); w < 1 && s.OverloadFactor > 0 {
-		h.arrived = append(h.arrived, now)
-		for len(h.arrived) > 0 && now-h.arrived[0] > int64(s.OverloadWindow) {
-			h.arrived = h.arrived[1:]
+	if w := m.capacityShare(); w < 1 && s.OverloadFactor > 0 {
+		m.recentArrivals = append(m.recentArrivals, now)
+		for len(m.recentArrivals) > 0 && now-m.recentArrivals[0] > int64(s.OverloadWindow) {
+			m.recentArrivals = m.recentArrivals[1:]
 		}
-		if float64(len(h.arrived)) > s.OverloadFactor*w*s.RequestsPerSecond*s.OverloadWindow.Seconds()+engine.OverloadTolerance {
-			h.toppled = true
-			h.d.Log.Add(eventlog.Entry{Kind: eventlog.ServerOverloaded, Server: s.ID, Value: int64(len(h.arrived))})
+		if float64(len(m.recentArrivals)) > s.OverloadFactor*w*s.RequestsPerSecond*s.OverloadWindow.Seconds()+engine.OverloadTolerance {
+			m.isOverloaded = true
+			m.sim.Log.Add(eventlog.Entry{Kind: eventlog.ServerOverloaded, Server: s.ID, Value: int64(len(m.recentArrivals))})
 			return codes.Internal, "fallen over"
 		}
 	}
 	switch {
-	case h.faults.Draining:
+	case m.faults.Draining:
 		return codes.ResourceExhausted, "drains"
-	case h.faults.FailFast > 0 && h.rng.Float64() < h.faults.FailFast:
+	case m.faults.FailFast > 0 && m.random.Float64() < m.faults.FailFast:
 		return codes.Internal, "failing fast"
 	}
 	return codes.OK, ""
 }
 
 const (
-	pathRead    = "/docksail.v1.Engine/Read"
-	pathWrite   = "/docksail.v1.Engine/Write"
+	pathPrefill    = "/docksail.v1.Engine/Read"
+	pathDecode   = "/docksail.v1.Engine/Write"
 	pathRelease = "/docksail.v1.Engine/Release"
 )
 
-func (h *host) opened(*wire) {}
-func (h *host) headers(w *wire, s *h2.Stream, hd *h2.Header) {
-	s.UserData = &call{h: h, w: w, s: s, path: hd.Get(":path")}
+func (m *modelServer) opened(*grpcConn) {}
+func (m *modelServer) headers(w *grpcConn, s *h2.Stream, hd *h2.Header) {
+	s.UserData = &call{server: m, conn: w, stream: s, path: hd.Get(":path")}
 }
 
-func (h *host) message(w *wire, s *h2.Stream, p []byte) {
+func (m *modelServer) message(w *grpcConn, s *h2.Stream, p []byte) {
 	c, ok := s.UserData.(*call)
-	if !ok || c.came > 0 {
+	if !ok || c.arrivedAt > 0 {
 		return
 	}
-	c.came = max(h.l.Now(), 1)
+	c.arrivedAt = max(m.loop.Now(), 1)
 	if c.path == pathRelease {
 		var r pb.ReleaseRequest
 		if proto.Unmarshal(p, &r) == nil {
-			name := jobName(r.Dispatcher, r.Job)
-			if st := h.states[name]; st != nil && st.shot <= r.Shot {
-				h.drop(name, "released")
+			name := requestID(r.Dispatcher, r.Job)
+			if st := m.states[name]; st != nil && st.attempt <= r.Shot {
+				m.releaseState(name, "released")
 			}
-			h.callBack(name, r.Shot)
+			m.cancelPrefills(name, r.Shot)
 		}
 		s.SendMessage(nil, false)
-		h.end(c, codes.OK, "")
+		m.endCall(c, codes.OK, "")
 		return
 	}
-	if err := proto.Unmarshal(p, &c.launch); err != nil || c.launch.Request == nil {
-		h.end(c, codes.InvalidArgument, "no launch")
+	if err := proto.Unmarshal(p, &c.attempt); err != nil || c.attempt.Request == nil {
+		m.endCall(c, codes.InvalidArgument, "no launch")
 		return
 	}
-	c.name = jobName(c.launch.Dispatcher, c.launch.Job)
-	read, role := c.path == pathRead, h.spec.Role
+	c.requestID = requestID(c.attempt.Dispatcher, c.attempt.Job)
+	read, role := c.path == pathPrefill, m.spec.Role
 	switch {
 	case read && role == pb.Role_ROLE_WRITER, !read && role == pb.Role_ROLE_READER:
-		h.end(c, codes.Unimplemented, "not what this host does")
+		m.endCall(c, codes.Unimplemented, "not what this host does")
 		return
-	case !read && c.launch.StateAddress == "" && role != pb.Role_ROLE_MIXED:
-		h.end(c, codes.FailedPrecondition, "no state is named, and a writer reads no prompts")
+	case !read && c.attempt.StateAddress == "" && role != pb.Role_ROLE_MIXED:
+		m.endCall(c, codes.FailedPrecondition, "no state is named, and a writer reads no prompts")
 		return
 	}
-	if code, why := h.admit(h.l.Now()); code != codes.OK {
-		h.end(c, code, why)
+	if code, why := m.admit(m.loop.Now()); code != codes.OK {
+		m.endCall(c, code, why)
 		return
 	}
-	h.enter(c)
+	m.enqueue(c)
 }
 
-// callBack ends reads of a job that are under way: their dispatcher has given them up, though their connection does not
+// cancelPrefills ends reads of a job that are under way: their dispatcher has given them up, though their connection does not
 // say so.
-func (h *host) callBack(name string, shot uint32) {
-	theirs := func(c *call) bool { return c.path == pathRead && c.name == name && c.launch.Shot <= shot }
-	for _, id := range sorted(h.calls) {
-		if c := h.calls[id]; theirs(c) {
-			h.end(c, codes.Canceled, "released")
+func (m *modelServer) cancelPrefills(name string, shot uint32) {
+	theirs := func(c *call) bool { return c.path == pathPrefill && c.requestID == name && c.attempt.Shot <= shot }
+	for _, id := range sortedKeys(m.calls) {
+		if c := m.calls[id]; theirs(c) {
+			m.endCall(c, codes.Canceled, "released")
 		}
 	}
-	for _, c := range h.parked {
-		if theirs(c) && c.s != nil {
-			h.end(c, codes.Canceled, "released")
+	for _, c := range m.silencedCalls {
+		if theirs(c) && c.stream != nil {
+			m.endCall(c, codes.Canceled, "released")
 		}
 	}
 }
 
-func (h *host) finished(*h2.Stream, codes.Code, string, *h2.Header) {}
-func (h *host) reset(s *h2.Stream) {
-	if c, ok := s.UserData.(*call); ok && c.s != nil {
-		h.forget(c)
-		h.l.Post(h.kick)
+func (m *modelServer) finished(*h2.Stream, codes.Code, string, *h2.Header) {}
+func (m *modelServer) reset(s *h2.Stream) {
+	if c, ok := s.UserData.(*call); ok && c.stream != nil {
+		m.removeCall(c)
+		m.loop.Post(m.beginStep)
 	}
 }
-func (h *host) closed(*wire) {}
+func (m *modelServer) closed(*grpcConn) {}
 
-func jobName(dispatcher, job uint64) string {
+func requestID(dispatcher, job uint64) string {
 	return strconv.FormatUint(dispatcher, 16) + "." + strconv.FormatUint(job, 16)
 }
 
-// moves are the states under way between all hosts of a day.
-type moves struct {
-	l     *eventloop.Loop
-	net   *batch.Network
-	ports map[int]int
-	cells map[string]int
-	last  batch.TransferID
-	ended map[batch.TransferID]func()
+// transferNetwork are the states under way between all hosts of a day.
+type transferNetwork struct {
+	loop     *eventloop.Loop
+	model   *batch.Network
+	serverLinks map[int]int
+	cellLinks map[string]int
+	lastID  batch.TransferID
+	onDone map[batch.TransferID]func()
 	timer eventloop.Timer
-	list  []batch.TransferID
+	ended  []batch.TransferID
 }
 
 // start begins to move a state; done is called when it is over.
-func (m *moves) start(from, to *host, tokens int, slow float64, done func()) batch.TransferID {
+func (t *transferNetwork) start(from, to *modelServer, tokens int, slow float64, done func()) batch.TransferID {
 	way := func(w int, err error) int {
 		if err != nil {
 			panic(err) // rates were checked with the script
 		}
 		return w
 	}
-	if _, ok := m.ports[from.spec.ID]; !ok {
-		m.ports[from.spec.ID] = way(m.net.AddLink(from.spec.TransferRate))
+	if _, ok := t.serverLinks[from.spec.ID]; !ok {
+		t.serverLinks[from.spec.ID] = way(t.model.AddLink(from.spec.TransferRate))
 	}
-	over := []int{m.ports[from.spec.ID]}
+	over := []int{t.serverLinks[from.spec.ID]}
 	if from.spec.Cell != to.spec.Cell || from.spec.Zone != to.spec.Zone {
 		key := from.spec.Zone + "/" + from.spec.Cell
-		if _, ok := m.cells[key]; !ok {
-			m.cells[key] = way(m.net.AddLink(from.spec.TransferRate * engine.CellLinkFactor))
+		if _, ok := t.cellLinks[key]; !ok {
+			t.cellLinks[key] = way(t.model.AddLink(from.spec.TransferRate * engine.CellLinkFactor))
 		}
-		over = append(over, m.cells[key])
+		over = append(over, t.cellLinks[key])
 	}
 	if from.spec.Zone != to.spec.Zone {
 		slow *= engine.CrossZoneFactor
 	}
-	m.settle()
-	m.last++
-	m.ended[m.last] = done
-	if err := m.net.Start(m.now(), m.last, max(tokens, 1), slow, over...); err != nil {
+	t.advance()
+	t.lastID++
+	t.onDone[t.lastID] = done
+	if err := t.model.Start(t.now(), t.lastID, max(tokens, 1), slow, over...); err != nil {
 		panic(err)
 	}
-	m.settle()
-	return m.last
+	t.advance()
+	return t.lastID
 }
 
-func (m *moves) now() eventloop.Nanos { return m.l.ReadClock() }
+func (t *transferNetwork) now() eventloop.Nanos { return t.loop.ReadClock() }
 
-func (m *moves) stop(id batch.TransferID) {
-	delete(m.ended, id)
-	m.net.Stop(m.now(), id)
-	m.settle()
+func (t *transferNetwork) stop(id batch.TransferID) {
+	delete(t.onDone, id)
+	t.model.Stop(t.now(), id)
+	t.advance()
 }
 
-// settle tells of moves that have ended and sets the timer for the next.
-func (m *moves) settle() {
-	m.list = m.net.AdvanceTo(m.now(), m.list[:0])
-	for _, id := range m.list {
-		if done := m.ended[id]; done != nil {
-			delete(m.ended, id)
-			m.l.Post(done)
+// advance tells of moves that have ended and sets the timer for the next.
+func (t *transferNetwork) advance() {
+	t.ended = t.model.AdvanceTo(t.now(), t.ended[:0])
+	for _, id := range t.ended {
+		if done := t.onDone[id]; done != nil {
+			delete(t.onDone, id)
+			t.loop.Post(done)
 		}
 	}
-	if at, ok := m.net.NextEnd(); ok {
-		m.l.Post(func() { m.l.SetTimer(&m.timer, max(at, m.now()), func(eventloop.Nanos) { m.settle() }) })
+	if at, ok := t.model.NextEnd(); ok {
+		t.loop.Post(func() { t.loop.SetTimer(&t.timer, max(at, t.now()), func(eventloop.Nanos) { t.advance() }) })
 	}
 }
--- a/internal/lab/simulation/simulation.go
+++ b/internal/lab/simulation/simulation.go
@@ -32,10 +32,10 @@
 )
 
 const (
-	wall  = int64(1_000_000_000_000_000_000) // Unix nanoseconds at which each day's world begins
-	delay = int64(100 * time.Microsecond)    // from one loop to another
-	long  = int64(24 * time.Hour)            // hosts have run for so long
-	start = int64(time.Second)               // into the world the load begins: the lists are known by then
+	simulationEpoch  = int64(1_000_000_000_000_000_000) // Unix nanoseconds at which each day's world begins
+	networkLatency = int64(100 * time.Microsecond)    // from one loop to another
+	initialUptime  = int64(24 * time.Hour)            // hosts have run for so long
+	loadStartTime = int64(time.Second)               // into the world the load begins: the lists are known by then
 )
 
 // Simulation is a day's parties.
@@ -46,156 +46,156 @@
 	Logger         *slog.Logger
 	SampleInterval time.Duration // the figures of all hosts are written down so often; 0 = never
 
-	world   *eventloop.SimulatedNetwork
-	ctl     *eventloop.Loop // on which the script's times come
-	net     *moves
-	hosts   []*host
-	byAddr  map[string]*host
+	network   *eventloop.SimulatedNetwork
+	controlLoop     *eventloop.Loop // on which the script's times come
+	transfers     *transferNetwork
+	servers   []*modelServer
+	serversByAddr  map[string]*modelServer
 	health  []pb.Health
-	listers []*lister
-	disp    []*dispatcher
-	crowds  []*crowd
-	began   eventloop.Nanos
-	counts  dispatch.Counts // of the lives that ended
-	rng     *rand.Rand
+	discoveryServers []*discoveryServer
+	dispatchers    []*dispatcher
+	clientGroups  []*clientGroup
+	loadStart   eventloop.Nanos
+	stoppedCounts  dispatch.Counts // of the lives that ended
+	random     *rand.Rand
 }
 
 // dispatcher is a real one, on a simulated loop.
 type dispatcher struct {
-	n     int
+	index     int
 	addr  netip.AddrPort
-	set   *config.Dispatcher
-	l     *eventloop.Loop
-	d     *dispatch.Dispatcher // nil while it is down
-	lives uint64
+	config   *config.Dispatcher
+	loop     *eventloop.Loop
+	core     *dispatch.Dispatcher // nil while it is down
+	incarnations uint64
 }
 
 // New makes a day's parties.
 func New(s *scenario.Script) (*Simulation, error) {
 	d := &Simulation{
-		Script: s, Log: &eventlog.Log{}, Logger: slog.New(slog.DiscardHandler), byAddr: map[string]*host{}, began: start,
-		rng: rand.New(rand.NewPCG(uint64(s.Seed), 2)),
+		Script: s, Log: &eventlog.Log{}, Logger: slog.New(slog.DiscardHandler), serversByAddr: map[string]*modelServer{}, loadStart: loadStartTime,
+		random: rand.New(rand.NewPCG(uint64(s.Seed), 2)),
 	}
-	d.world = eventloop.NewSimulatedNetwork(wall, delay)
-	d.Log.Clock = d.world.UnixNanos
-	d.ctl = d.world.NewLoop(addr(0, 0), nil)
-	d.net = &moves{
-		l: d.world.NewLoop(addr(0, 1), nil), net: batch.NewNetwork(), ports: map[int]int{}, cells: map[string]int{},
-		ended: map[batch.TransferID]func(){},
+	d.network = eventloop.NewSimulatedNetwork(simulationEpoch, networkLatency)
+	d.Log.Clock = d.network.UnixNanos
+	d.controlLoop = d.network.NewLoop(simulatedAddr(0, 0), nil)
+	d.transfers = &transferNetwork{
+		loop: d.network.NewLoop(simulatedAddr(0, 1), nil), model: batch.NewNetwork(), serverLinks: map[int]int{}, cellLinks: map[string]int{},
+		onDone: map[batch.TransferID]func(){},
 	}
 	var list []*pb.Host
 	for i, spec := range s.EngineSpecs() {
 		spec.BatchModel = true
-		h := &host{d: d, spec: spec, addr: netip.AddrPortFrom(addr(1, i), 1), rng: rand.New(rand.NewPCG(uint64(s.Seed), uint64(spec.ID)))}
-		if err := h.start(long); err != nil {
+		h := &modelServer{sim: d, spec: spec, addr: netip.AddrPortFrom(simulatedAddr(1, i), 1), random: rand.New(rand.NewPCG(uint64(s.Seed), uint64(spec.ID)))}
+		if err := h.start(initialUptime); err != nil {
 			return nil, fmt.Errorf("host %d: %w", spec.ID, err)
 		}
-		d.hosts = append(d.hosts, h)
-		d.byAddr[h.addr.String()] = h
+		d.servers = append(d.servers, h)
+		d.serversByAddr[h.addr.String()] = h
 		d.health = append(d.health, pb.Health_HEALTH_SERVING)
-		list = append(list, d.told(i))
+		list = append(list, d.endpoint(i))
 	}
 	for n := range s.Dispatchers {
-		w := &lister{d: d, disp: n, addr: netip.AddrPortFrom(addr(2, n), 1), hosts: slices.Clone(list), version: 1}
+		w := &discoveryServer{sim: d, dispatcher: n, addr: netip.AddrPortFrom(simulatedAddr(2, n), 1), endpoints: slices.Clone(list), version: 1}
 		if err := w.start(); err != nil {
 			return nil, err
 		}
-		d.listers = append(d.listers, w)
+		d.discoveryServers = append(d.discoveryServers, w)
 		set := s.DispatcherConfig(n)
-		at := netip.AddrPortFrom(addr(3, n), 1)
+		at := netip.AddrPortFrom(simulatedAddr(3, n), 1)
 		set.Listen, set.Discovery.Watch, set.Limits.MaxMemoryBytes = at, w.addr, 0
-		d.disp = append(d.disp, &dispatcher{n: n, addr: at, set: set})
+		d.dispatchers = append(d.dispatchers, &dispatcher{index: n, addr: at, config: set})
 	}
-	d.world.NewTap = func(from *eventloop.Loop, to netip.AddrPort) eventloop.Tap {
-		h := d.byAddr[to.String()]
+	d.network.NewTap = func(from *eventloop.Loop, to netip.AddrPort) eventloop.Tap {
+		h := d.serversByAddr[to.String()]
 		if h == nil {
 			return nil
 		}
-		for _, x := range d.disp {
-			if x.l == from {
-				return faultproxy.NewFrameRecorder(d.Log, h.spec.ID, x.n)
+		for _, x := range d.dispatchers {
+			if x.loop == from {
+				return faultproxy.NewFrameRecorder(d.Log, h.spec.ID, x.index)
 			}
 		}
 		return nil
 	}
 	for i, t := range s.ClientClasses() {
-		k := &crowd{d: d, t: t, l: d.world.NewLoop(addr(4, i), nil), sum: &userclient.Summary{}}
-		for range d.disp {
-			k.wires = append(k.wires, make([]*wire, max(connsEach, t.ConnsPerDispatcher)))
+		k := &clientGroup{sim: d, class: t, loop: d.network.NewLoop(simulatedAddr(4, i), nil), summary: &userclient.Summary{}}
+		for range d.dispatchers {
+			k.conns = append(k.conns, make([]*grpcConn, max(defaultConnsPerDispatcher, t.ConnsPerDispatcher)))
 		}
-		d.crowds = append(d.crowds, k)
+		d.clientGroups = append(d.clientGroups, k)
 	}
 	return d, nil
 }
 
 // startDispatcher starts one, or starts it again.
 func (d *Simulation) startDispatcher(x *dispatcher) error {
-	if x.d != nil { // another trouble has started it again
+	if x.core != nil { // another trouble has started it again
 		return nil
 	}
-	x.lives++
-	x.l = d.world.NewLoop(x.addr.Addr(), nil)
-	life := uint64(x.n+1)<<16 | x.lives
+	x.incarnations++
+	x.loop = d.network.NewLoop(x.addr.Addr(), nil)
+	life := uint64(x.index+1)<<16 | x.incarnations
 	var wrap func(dispatch.Module) dispatch.Module
 	if d.WrapModule != nil {
-		wrap = d.WrapModule(x.n)
+		wrap = d.WrapModule(x.index)
 	}
-	secrets := rand.NewChaCha8([32]byte{byte(life), byte(life >> 8), byte(life >> 16), byte(x.set.Seed)})
-	disp, err := grpcnode.NewDispatcher(x.l, x.set, d.Logger.With("dispatcher", x.n),
-		grpcnode.Identity{Seed: x.set.Seed, Incarnation: life, Secrets: secrets}, wrap)
+	secrets := rand.NewChaCha8([32]byte{byte(life), byte(life >> 8), byte(life >> 16), byte(x.config.Seed)})
+	disp, err := grpcnode.NewDispatcher(x.loop, x.config, d.Logger.With("dispatcher", x.index),
+		grpcnode.Identity{Seed: x.config.Seed, Incarnation: life, Secrets: secrets}, wrap)
 	if err != nil {
 		return err
 	}
 	if _, err := disp.Start(x.addr, false); err != nil {
 		return err
 	}
-	x.d = disp
-	x.l.SetOnIteration(disp.RunIteration)
-	x.l.Post(func() {})
-	d.Log.Add(eventlog.Entry{Kind: eventlog.DispatcherStarted, Dispatcher: x.n})
+	x.core = disp
+	x.loop.SetOnIteration(disp.RunIteration)
+	x.loop.Post(func() {})
+	d.Log.Add(eventlog.Entry{Kind: eventlog.DispatcherStarted, Dispatcher: x.index})
 	return nil
 }
 
 func (d *Simulation) killDispatcher(x *dispatcher) {
-	if x.d == nil {
+	if x.core == nil {
 		return
 	}
-	d.counts.Add(x.d.Counts)
-	x.d = nil
-	d.Log.Add(eventlog.Entry{Kind: eventlog.DispatcherStopped, Dispatcher: x.n})
-	x.l.Kill()
+	d.stoppedCounts.Add(x.core.Counts)
+	x.core = nil
+	d.Log.Add(eventlog.Entry{Kind: eventlog.DispatcherStopped, Dispatcher: x.index})
+	x.loop.Kill()
 }
 
-// at has f called at a time of the world, after on the way to it.
-func (d *Simulation) at(t eventloop.Nanos, f func()) {
+// scheduleAt has f called at a time of the world, after on the way to it.
+func (d *Simulation) scheduleAt(t eventloop.Nanos, f func()) {
 	timer := &eventloop.Timer{}
-	d.ctl.Post(func() { d.ctl.SetTimer(timer, max(t, d.world.Now()), func(eventloop.Nanos) { f() }) })
+	d.controlLoop.Post(func() { d.controlLoop.SetTimer(timer, max(t, d.network.Now()), func(eventloop.Nanos) { f() }) })
 }
 
-func (d *Simulation) after(t eventloop.Nanos, f func()) { d.at(d.world.Now()+t, f) }
+func (d *Simulation) scheduleAfter(t eventloop.Nanos, f func()) { d.scheduleAt(d.network.Now()+t, f) }
 
 // ServerLoad is the true load of a host: prompt tokens that are not read yet, and work at hand.
 func (d *Simulation) ServerLoad(id policy.ServerID) (unread, work int) {
-	h := d.hosts[id-1]
-	if h.l == nil {
+	h := d.servers[id-1]
+	if h.loop == nil {
 		return math.MaxInt, math.MaxInt
 	}
 	return h.model.QueuedPromptTokens(), h.model.Queued() + h.model.Running()
 }
 
-// told is what a list says of a host.
-func (d *Simulation) told(i int) *pb.Host {
-	h := d.hosts[i]
+// endpoint is what a list says of a host.
+func (d *Simulation) endpoint(i int) *pb.Host {
+	h := d.servers[i]
 	m := &pb.Host{Id: uint32(h.spec.ID), Address: h.addr.String(), Role: h.spec.Role, Zone: h.spec.Zone, Cell: h.spec.Cell, Health: d.health[i]}
-	if h.began > 0 {
-		m.StartedUnixNs = wall + h.began
+	if h.startedAt > 0 {
+		m.StartedUnixNs = simulationEpoch + h.startedAt
 	}
 	return m
 }
 
-func (d *Simulation) list(i int) {
-	for _, w := range d.listers {
-		w.set(d.told(i), int64(d.Script.DiscoveryDelay))
+func (d *Simulation) publishEndpoint(i int) {
+	for _, w := range d.discoveryServers {
+		w.set(d.endpoint(i), int64(d.Script.DiscoveryDelay))
 	}
 }
 
@@ -209,27 +209,27 @@
 // Run plays the day to its end, lets what is left end, and judges the rules. A context that ends stops it.
 func (d *Simulation) Run(ctx context.Context) (*Report, error) {
 	s, begin := d.Script, time.Now()
-	for _, x := range d.disp {
+	for _, x := range d.dispatchers {
 		if err := d.startDispatcher(x); err != nil {
 			return nil, err
 		}
 	}
-	d.world.RunUntil(d.began)
+	d.network.RunUntil(d.loadStart)
 	last := s.Duration
 	for _, t := range s.Faults {
-		hosts := d.on(t)
+		hosts := d.faultTargets(t)
 		last = max(last, t.Start+t.Duration+t.Duration/10)
-		d.at(d.began+int64(t.Start), func() {
+		d.scheduleAt(d.loadStart+int64(t.Start), func() {
 			d.Log.Add(eventlog.Entry{Kind: eventlog.FaultChanged, Code: t.Kind, Note: "begins"})
-			d.trouble(t, hosts)
+			d.injectFault(t, hosts)
 		})
-		d.at(d.began+int64(t.Start+t.Duration), func() { d.Log.Add(eventlog.Entry{Kind: eventlog.FaultChanged, Code: t.Kind, Note: "ends"}) })
+		d.scheduleAt(d.loadStart+int64(t.Start+t.Duration), func() { d.Log.Add(eventlog.Entry{Kind: eventlog.FaultChanged, Code: t.Kind, Note: "ends"}) })
 	}
 	if d.SampleInterval > 0 {
-		d.sample()
+		d.recordServerLoads()
 	}
 	heavies := 0
-	d.play(func(at time.Duration) float64 {
+	d.scheduleSessions(func(at time.Duration) float64 {
 		r := s.SessionsPerSecond
 		for _, t := range s.Faults {
 			if t.Kind == "burst" && at >= t.Start && at < t.Start+t.Duration {
@@ -248,34 +248,34 @@
 	})
 	const step = int64(time.Second)
 	idle := func() bool { // nobody is owed anything any more
-		for _, k := range d.crowds {
-			if k.open > 0 {
+		for _, k := range d.clientGroups {
+			if k.openSessions > 0 {
 				return false
 			}
 		}
 		return true
 	}
-	end := d.began + int64(last)
+	end := d.loadStart + int64(last)
 	most := end + int64(10*time.Minute) // a client that waits for longer is a fault, which rule one shows
-	for t := d.began; t < end || t < most && !idle(); {
+	for t := d.loadStart; t < end || t < most && !idle(); {
 		t += step
-		d.world.RunUntil(t)
+		d.network.RunUntil(t)
 		if ctx.Err() != nil {
 			return nil, ctx.Err()
 		}
 	}
-	d.world.RunUntil(d.world.Now() + int64(s.ReleaseTime+300*time.Millisecond))
-	rep := &Report{LoopIterations: d.world.Iterations, Simulated: time.Duration(d.world.Now())}
-	rep.Summaries, rep.Counts, rep.Entries = map[string]*userclient.Summary{}, d.counts, d.Log.Entries()
-	for _, k := range d.crowds {
-		rep.Summaries[k.t.Name] = k.sum
+	d.network.RunUntil(d.network.Now() + int64(s.ReleaseTime+300*time.Millisecond))
+	rep := &Report{LoopIterations: d.network.Iterations, Simulated: time.Duration(d.network.Now())}
+	rep.Summaries, rep.Counts, rep.Entries = map[string]*userclient.Summary{}, d.stoppedCounts, d.Log.Entries()
+	for _, k := range d.clientGroups {
+		rep.Summaries[k.class.Name] = k.summary
 	}
-	for _, x := range d.disp {
-		if x.d == nil {
+	for _, x := range d.dispatchers {
+		if x.core == nil {
 			continue
 		}
-		rep.Counts.Add(x.d.Counts)
-		for _, t := range x.d.TenantStatuses() {
+		rep.Counts.Add(x.core.Counts)
+		for _, t := range x.core.TenantStatuses() {
 			rep.AdmissionCounts = append(rep.AdmissionCounts, t.Counts)
 		}
 	}
@@ -289,81 +289,81 @@
 	return rep, nil
 }
 
-// sample writes down the figures of all hosts that run, and comes again.
-func (d *Simulation) sample() {
-	for _, h := range d.hosts {
-		if h.l != nil {
+// recordServerLoads writes down the figures of all hosts that run, and comes again.
+func (d *Simulation) recordServerLoads() {
+	for _, h := range d.servers {
+		if h.loop != nil {
 			d.Log.Add(eventlog.Entry{
 				Kind: eventlog.ServerLoad, Server: h.spec.ID, Value: int64(h.model.QueuedPromptTokens()), ClientAttempt: h.model.Queued() + h.model.Running(),
 				Attempt: 1000 * h.model.Memory.InUse() / h.model.Memory.Blocks(),
 			})
 		}
 	}
-	d.after(int64(d.SampleInterval), d.sample)
+	d.scheduleAfter(int64(d.SampleInterval), d.recordServerLoads)
 }
 
-// on gives the hosts of a trouble.
-func (d *Simulation) on(t scenario.Fault) []*host {
+// faultTargets gives the hosts of a trouble.
+func (d *Simulation) faultTargets(t scenario.Fault) []*modelServer {
 	var is []int
 	if len(t.Servers) > 0 {
 		for _, n := range t.Servers {
 			is = append(is, n-1)
 		}
 	} else {
-		for i, h := range d.hosts {
+		for i, h := range d.servers {
 			if (t.Role == "" || scenario.WireRoles[t.Role] == h.spec.Role) && (t.Zone == "" || t.Zone == h.spec.Zone) && (t.Cell == "" || t.Cell == h.spec.Cell) {
 				is = append(is, i)
 			}
 		}
 		if t.Share > 0 {
-			d.rng.Shuffle(len(is), func(a, b int) { is[a], is[b] = is[b], is[a] })
+			d.random.Shuffle(len(is), func(a, b int) { is[a], is[b] = is[b], is[a] })
 			is = is[:min(len(is), int(t.Share*float64(len(is))+1))]
 			slices.Sort(is)
 		}
 	}
-	var hs []*host
+	var hs []*modelServer
 	for _, i := range is {
-		hs = append(hs, d.hosts[i])
+		hs = append(hs, d.servers[i])
 	}
 	return hs
 }
 
-// trouble acts one out, from its begin to its end.
-func (d *Simulation) trouble(t scenario.Fault, hosts []*host) {
+// injectFault acts one out, from its begin to its end.
+func (d *Simulation) injectFault(t scenario.Fault, hosts []*modelServer) {
 	length := int64(t.Duration)
-	each := func(f func(h *host)) {
+	each := func(f func(h *modelServer)) {
 		for _, h := range hosts {
 			f(h)
 		}
 	}
 	fail := func(change, back func(f *engine.Faults)) {
-		each(func(h *host) { h.fail(change) })
-		d.after(length, func() { each(func(h *host) { h.fail(back) }) })
+		each(func(h *modelServer) { h.setFaults(change) })
+		d.scheduleAfter(length, func() { each(func(h *modelServer) { h.setFaults(back) }) })
 	}
-	gone := func(h *host) {
+	gone := func(h *modelServer) {
 		h.crash()
 		d.health[h.spec.ID-1] = pb.Health_HEALTH_GONE
-		d.list(h.spec.ID - 1)
+		d.publishEndpoint(h.spec.ID - 1)
 	}
-	again := func(h *host) {
-		if h.l != nil {
+	again := func(h *modelServer) {
+		if h.loop != nil {
 			return
 		}
 		if err := h.start(0); err != nil {
 			panic(err)
 		}
 		d.health[h.spec.ID-1] = pb.Health_HEALTH_SERVING
-		d.list(h.spec.ID - 1)
+		d.publishEndpoint(h.spec.ID - 1)
 	}
 	cut := func(yes bool, which func(x *dispatcher) bool) {
 		note := "cut"
 		if !yes {
 			note = "uncut"
 		}
-		each(func(h *host) {
-			for _, x := range d.disp {
-				if which(x) && h.l != nil {
-					d.world.SetPartitioned(x.l, h.l, yes)
+		each(func(h *modelServer) {
+			for _, x := range d.dispatchers {
+				if which(x) && h.loop != nil {
+					d.network.SetPartitioned(x.loop, h.loop, yes)
 				}
 			}
 			d.Log.Add(eventlog.Entry{Kind: eventlog.FaultChanged, Note: note, Server: h.spec.ID})
@@ -372,24 +372,24 @@
 	all := func(*dispatcher) bool { return true }
 	slow := func(by int64, trickle bool) {
 		set := func(by int64, trickle bool) {
-			each(func(h *host) {
-				if h.l != nil {
-					h.l.SetSlowdown(by, trickle)
+			each(func(h *modelServer) {
+				if h.loop != nil {
+					h.loop.SetSlowdown(by, trickle)
 				}
 			})
 		}
 		set(by, trickle)
-		d.after(length, func() { set(0, false) })
+		d.scheduleAfter(length, func() { set(0, false) })
 	}
 	switch t.Kind {
 	case "crash", "rack":
 		each(gone)
-		d.after(length, func() { each(again) })
+		d.scheduleAfter(length, func() { each(again) })
 	case "waves":
 		for i, h := range hosts {
-			d.after(length*int64(i)/int64(len(hosts)), func() { gone(h) })
+			d.scheduleAfter(length*int64(i)/int64(len(hosts)), func() { gone(h) })
 		}
-		d.after(length, func() { each(again) })
+		d.scheduleAfter(length, func() { each(again) })
 	case "hang":
 		fail(func(f *engine.Faults) { f.Hanging = true }, func(f *engine.Faults) { f.Hanging = false })
 	case "errors":
@@ -406,13 +406,13 @@
 		fail(func(f *engine.Faults) { f.StallAfter = int(t.Factor) }, func(f *engine.Faults) { f.StallAfter = 0 })
 	case "vanish":
 		cut(true, all)
-		d.after(length, func() {
-			each(func(h *host) {
-				was := h.l
+		d.scheduleAfter(length, func() {
+			each(func(h *modelServer) {
+				was := h.loop
 				h.crash()
-				for _, x := range d.disp { // now its machine answers for the process that is gone
-					if was != nil && x.l != nil {
-						d.world.SetPartitioned(x.l, was, false)
+				for _, x := range d.dispatchers { // now its machine answers for the process that is gone
+					if was != nil && x.loop != nil {
+						d.network.SetPartitioned(x.loop, was, false)
 					}
 				}
 				d.Log.Add(eventlog.Entry{Kind: eventlog.FaultChanged, Note: "uncut", Server: h.spec.ID})
@@ -422,17 +422,17 @@
 	case "ageing":
 		const steps = 10
 		for i := range steps {
-			d.after(length*int64(i)/steps, func() {
-				each(func(h *host) { h.fail(func(f *engine.Faults) { f.Slowdown = 1 + float64(i)/2 }) })
+			d.scheduleAfter(length*int64(i)/steps, func() {
+				each(func(h *modelServer) { h.setFaults(func(f *engine.Faults) { f.Slowdown = 1 + float64(i)/2 }) })
 			})
 		}
-		d.after(length, func() {
-			each(func(h *host) {
+		d.scheduleAfter(length, func() {
+			each(func(h *modelServer) {
 				gone(h)
-				h.fail(func(f *engine.Faults) { f.Slowdown = 1 })
+				h.setFaults(func(f *engine.Faults) { f.Slowdown = 1 })
 			})
 		})
-		d.after(length+length/steps, func() { each(again) })
+		d.scheduleAfter(length+length/steps, func() { each(again) })
 	case "pauses", "neighbour":
 		turn, part := int64(time.Second), int64(100*time.Millisecond)
 		on, off := func(f *engine.Faults) { f.Paused = true }, func(f *engine.Faults) { f.Paused = false }
@@ -441,54 +441,54 @@
 			on, off = func(f *engine.Faults) { f.Slowdown = t.Factor }, func(f *engine.Faults) { f.Slowdown = 1 }
 		}
 		for at := int64(0); at < length; at += turn {
-			d.after(at, func() { each(func(h *host) { h.fail(on) }) })
-			d.after(at+part, func() { each(func(h *host) { h.fail(off) }) })
+			d.scheduleAfter(at, func() { each(func(h *modelServer) { h.setFaults(on) }) })
+			d.scheduleAfter(at+part, func() { each(func(h *modelServer) { h.setFaults(off) }) })
 		}
 	case "cut":
-		far := func(x *dispatcher) bool { return d.Script.Dispatchers[x.n].Zone != t.Zone }
+		far := func(x *dispatcher) bool { return d.Script.Dispatchers[x.index].Zone != t.Zone }
 		cut(true, far)
-		d.after(length, func() { cut(false, far) })
+		d.scheduleAfter(length, func() { cut(false, far) })
 	case "drain":
-		each(func(h *host) {
+		each(func(h *modelServer) {
 			d.health[h.spec.ID-1] = pb.Health_HEALTH_DRAINING
-			d.list(h.spec.ID - 1)
+			d.publishEndpoint(h.spec.ID - 1)
 		})
-		d.after(length*2/3, func() { each(gone) })
-		d.after(length, func() { each(again) })
+		d.scheduleAfter(length*2/3, func() { each(gone) })
+		d.scheduleAfter(length, func() { each(again) })
 	case "dispatcher":
-		x := d.disp[t.Dispatcher]
+		x := d.dispatchers[t.Dispatcher]
 		d.killDispatcher(x)
-		d.after(length, func() {
+		d.scheduleAfter(length, func() {
 			if err := d.startDispatcher(x); err != nil {
 				panic(err)
 			}
 		})
 	case "lister":
-		for _, w := range d.listers {
+		for _, w := range d.discoveryServers {
 			w.stop()
 		}
-		d.after(length, func() {
-			for _, w := range d.listers {
+		d.scheduleAfter(length, func() {
+			for _, w := range d.discoveryServers {
 				if err := w.start(); err != nil {
 					panic(err)
 				}
 			}
 		})
 	case "reset":
-		each(func(h *host) {
-			if h.l != nil {
-				h.l.ResetConnections()
+		each(func(h *modelServer) {
+			if h.loop != nil {
+				h.loop.ResetConnections()
 			}
 		})
 	case "halfopen":
-		each(func(h *host) {
-			if h.l != nil {
-				h.l.BlackholeConnections()
+		each(func(h *modelServer) {
+			if h.loop != nil {
+				h.loop.BlackholeConnections()
 			}
 			d.Log.Add(eventlog.Entry{Kind: eventlog.FaultChanged, Note: "cut", Server: h.spec.ID})
 		})
-		d.after(int64(scenario.FaultDetectionTime), func() {
-			each(func(h *host) {
+		d.scheduleAfter(int64(scenario.FaultDetectionTime), func() {
+			each(func(h *modelServer) {
 				d.Log.Add(eventlog.Entry{Kind: eventlog.FaultChanged, Note: "uncut", Server: h.spec.ID})
 			})
 		})
@@ -500,8 +500,8 @@
 	}
 }
 
-func sorted[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
+func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
 
-func sortedBy[K comparable, V any](m map[K]V, by func(K) uint64) []K {
+func sortedKeysBy[K comparable, V any](m map[K]V, by func(K) uint64) []K {
 	return slices.SortedFunc(maps.Keys(m), func(a, b K) int { return cmp.Compare(by(a), by(b)) })
 }
--- a/internal/lab/simulation/wire.go
+++ b/internal/lab/simulation/wire.go
@@ -8,79 +8,79 @@
 	"docksail/internal/h2"
 )
 
-// wire is one connection of a stand-in: HTTP/2 on a simulated socket. What happens on it is told to on.
-type wire struct {
-	l    *eventloop.Loop
-	lc   *eventloop.Conn
-	h    *h2.Conn
-	on   end
-	open bool
-	gone bool
+// grpcConn is one connection of a stand-in: HTTP/2 on a simulated socket. What happens on it is told to on.
+type grpcConn struct {
+	loop    *eventloop.Loop
+	transport   *eventloop.Conn
+	http2    *h2.Conn
+	handler   connHandler
+	isOpen bool
+	isClosed bool
 }
 
-// end is what a stand-in does about its streams.
-type end interface {
-	opened(w *wire)
-	headers(w *wire, s *h2.Stream, h *h2.Header)
-	message(w *wire, s *h2.Stream, p []byte)
+// connHandler is what a stand-in does about its streams.
+type connHandler interface {
+	opened(w *grpcConn)
+	headers(w *grpcConn, s *h2.Stream, h *h2.Header)
+	message(w *grpcConn, s *h2.Stream, p []byte)
 	finished(s *h2.Stream, code codes.Code, message string, trailer *h2.Header)
 	reset(s *h2.Stream)
-	closed(w *wire)
+	closed(w *grpcConn)
 }
 
-func serveWire(l *eventloop.Loop, lc *eventloop.Conn, on end) *wire {
-	w := &wire{l: l, lc: lc, on: on}
-	w.h = h2.NewServerConn(h2.DefaultLimits, w)
+func serveConn(l *eventloop.Loop, lc *eventloop.Conn, on connHandler) *grpcConn {
+	w := &grpcConn{loop: l, transport: lc, handler: on}
+	w.http2 = h2.NewServerConn(h2.DefaultLimits, w)
 	return w
 }
 
-func (w *wire) flush() {
-	if w.gone || !w.open {
+func (c *grpcConn) flush() {
+	if c.isClosed || !c.isOpen {
 		return
 	}
-	if w.h.HasOutput() {
-		w.lc.Write(w.h.TakeOutput())
+	if c.http2.HasOutput() {
+		c.transport.Write(c.http2.TakeOutput())
 	}
-	if w.h.Err() != nil {
-		w.lc.CloseAfterFlush()
+	if c.http2.Err() != nil {
+		c.transport.CloseAfterFlush()
 	}
 }
 
 // What the loop tells.
 
-func (w *wire) Opened(eventloop.Nanos) {
-	w.open = true
-	w.on.opened(w)
-	w.flush()
+func (c *grpcConn) Opened(eventloop.Nanos) {
+	c.isOpen = true
+	c.handler.opened(c)
+	c.flush()
 }
 
-func (w *wire) Received(now eventloop.Nanos, p []byte) {
-	w.h.Feed(now, p)
-	w.flush()
+func (c *grpcConn) Received(now eventloop.Nanos, p []byte) {
+	c.http2.Feed(now, p)
+	c.flush()
 }
 
-func (w *wire) PeerHalfClosed(eventloop.Nanos) { w.lc.Close() }
-func (w *wire) OutputFlushed(eventloop.Nanos)  {}
+func (c *grpcConn) PeerHalfClosed(eventloop.Nanos) { c.transport.Close() }
+func (c *grpcConn) OutputFlushed(eventloop.Nanos)  {}
 
-func (w *wire) Closed(eventloop.Nanos, error) {
-	w.gone = true
-	w.h.TransportClosed()
-	w.on.closed(w)
+func (c *grpcConn) Closed(eventloop.Nanos, error) {
+	c.isClosed = true
+	c.http2.TransportClosed()
+	c.handler.closed(c)
 }
 
 // What HTTP/2 tells.
 
-func (w *wire) HeadersReceived(s *h2.Stream, h *h2.Header) { w.on.headers(w, s, h) }
+func (c *grpcConn) HeadersReceived(s *h2.Stream, h *h2.Header) { c.handler.headers(c, s, h) }
 
-func (w *wire) MessageReceived(s *h2.Stream, p []byte) bool {
-	w.on.message(w, s, p)
+func (c *grpcConn) MessageReceived(s *h2.Stream, p []byte) bool {
+	c.handler.message(c, s, p)
 	return false
 }
-func (w *wire) RequestEnded(*h2.Stream) {}
-func (w *wire) StreamFinished(s *h2.Stream, code codes.Code, message string, trailer *h2.Header) {
-	w.on.finished(s, code, message, trailer)
+func (c *grpcConn) RequestEnded(*h2.Stream) {}
+func (c *grpcConn) StreamFinished(s *h2.Stream, code codes.Code, message string, trailer *h2.Header) {
+	c.handler.finished(s, code, message, trailer)
 }
-func (w *wire) StreamReset(s *h2.Stream, _ http2.ErrCode, _ bool) { w.on.reset(s) }
-func (w *wire) StreamFlushed(*h2.Stream)                          {}
-func (w *wire) GoAwayReceived()                                   {}
-func (w *wire) PingAcked()                                        {}
+func (c *grpcConn) StreamReset(s *h2.Stream, _ http2.ErrCode, _ bool) { c.handler.reset(s) }
+func (c *grpcConn) StreamFlushed(*h2.Stream)                          {}
+func (c *grpcConn) GoAwayReceived()                                   {}
+func (c *grpcConn) PingAcked()                                        {}
