--- a/internal/e2e/rules_test.go
+++ b/internal/e2e/rules_test.go
@@ -66,7 +66,7 @@
 // broken tells whether a run broke a rule.
 func broken(rep *scenario.Report, rule int) bool {
 	for _, v := range rep.Violations {
-		if v.Rule == rule {
+		if int(v.Rule) == rule {
 			return true
 		}
 	}
--- a/internal/lab/eventlog/eventlog.go
+++ b/internal/lab/eventlog/eventlog.go
@@ -1,9 +1,11 @@
-// Package eventlog is what the laboratory's parties write down of what passed on their sockets: the rule checker
-// reads nothing else.
+// Package eventlog records what the simulated clients, servers and dispatchers of an experiment observed on their
+// connections. The invariant checker reads only this log.
 package eventlog
 
 import (
+	"cmp"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"slices"
@@ -11,57 +13,92 @@
 	"time"
 )
 
-// Kind of an entry.
+// Kind is the kind of an entry. Its values are part of the file format and keep their original spelling.
 type Kind string
 
+// The kinds of entries.
 const (
-	RequestSent       Kind = "asked"      // a client sent a try
-	FirstToken        Kind = "token"      // a client got its first token
-	RequestAnswered   Kind = "final"      // a client got a final answer; Code says which
-	RequestCanceled   Kind = "quit"       // a client left by its own will
-	RequestUnanswered Kind = "unanswered" // a client's time was up, or its connection lost, without a final answer
-	AttemptSent       Kind = "sent"       // a launch passed towards a host; Note says read or write
-	AttemptEnded      Kind = "ended"      // the end of a launch passed: by status (Code), reset or closed connection (Note)
-	StateHeld         Kind = "held"       // a reader holds the state of a job
-	StateReleased     Kind = "letgo"      // it was fetched, let go or ran out; Note says which
-	AnswerStarted     Kind = "ran"        // a host began to answer a job
-	EndpointNotified  Kind = "told"       // the lister told a dispatcher of a host; Note is its health, N its start
-	ServerStarted     Kind = "start"      // a host's process started
-	ServerOverloaded  Kind = "toppled"    // a cold host fell over
-	FaultChanged      Kind = "trouble"    // the script began or ended one
-	DispatcherStarted Kind = "up"         // a dispatcher started
-	DispatcherStopped Kind = "down"       // a dispatcher was killed or left
-	ServerLoad        Kind = "figures"    // a host's, now and then: N is prompt tokens not read, Try work at hand, Shot memory in use, in thousandths
+	// RequestSent records that a client sent a request, or repeated it.
+	RequestSent Kind = "asked"
+	// FirstToken records that a client received its first token.
+	FirstToken Kind = "token"
+	// RequestAnswered records that a client received a final answer; Code is its status.
+	RequestAnswered Kind = "final"
+	// RequestCanceled records that a client canceled its request.
+	RequestCanceled Kind = "quit"
+	// RequestUnanswered records that a request timed out, or lost its connection, without a final answer.
+	RequestUnanswered Kind = "unanswered"
+	// AttemptSent records an attempt on its way to a server; Note is NotePrefill or NoteDecode.
+	AttemptSent Kind = "sent"
+	// AttemptEnded records the end of an attempt: with the status Code, or by what Note says.
+	AttemptEnded Kind = "ended"
+	// StateHeld records that a prefill server holds the KV state of a request.
+	StateHeld Kind = "held"
+	// StateReleased records that a KV state was fetched, released or expired; Note says which.
+	StateReleased Kind = "letgo"
+	// AnswerStarted records that a server began to answer a request.
+	AnswerStarted Kind = "ran"
+	// EndpointNotified records that the discovery server sent a dispatcher a server's state: Note is its health and
+	// Value the start time of its process.
+	EndpointNotified Kind = "told"
+	// ServerStarted records the start of a server's process.
+	ServerStarted Kind = "start"
+	// ServerOverloaded records that a server failed because it received too much work during slow start.
+	ServerOverloaded Kind = "toppled"
+	// FaultChanged records that a fault began or ended.
+	FaultChanged Kind = "trouble"
+	// DispatcherStarted records the start of a dispatcher.
+	DispatcherStarted Kind = "up"
+	// DispatcherStopped records that a dispatcher was killed or has drained.
+	DispatcherStopped Kind = "down"
+	// ServerLoad samples the load of a server: Value is its queued prompt tokens, ClientAttempt its requests and
+	// Attempt its memory utilization in thousandths.
+	ServerLoad Kind = "figures"
 )
 
-// Entry is one thing that passed. Times are Unix nanoseconds, all on one machine's clock.
+// Values of Entry.Note. They are part of the file format.
+const (
+	// NotePrefill and NoteDecode are the phases of an AttemptSent entry.
+	NotePrefill = "read"
+	NoteDecode  = "write"
+	// NoteRefused marks an AttemptEnded entry of an attempt that the server refused before it started.
+	NoteRefused = "refused"
+	// NotePartitioned and NoteReconnected mark FaultChanged entries of a server that could not be reached for a time.
+	NotePartitioned = "cut"
+	NoteReconnected = "uncut"
+	// NoteFaultBegins and NoteFaultEnds mark FaultChanged entries of a scripted fault; Code is its kind.
+	NoteFaultBegins = "begins"
+	NoteFaultEnds   = "ends"
+)
+
+// Entry is one observed event. Times are Unix nanoseconds of one clock.
 type Entry struct {
 	At            int64  `json:"at"`
 	Kind          Kind   `json:"kind"`
-	Request       string `json:"job,omitempty"` // the dispatcher's name for it
+	Request       string `json:"job,omitempty"` // the dispatcher's identifier of the request
 	Attempt       int    `json:"shot,omitempty"`
 	Server        int    `json:"host,omitempty"`
-	RequestLabel  string `json:"label,omitempty"` // the client's name for it
-	ClientAttempt int    `json:"try,omitempty"`
+	RequestLabel  string `json:"label,omitempty"` // the client's identifier of the request
+	ClientAttempt int    `json:"try,omitempty"`   // counts the repeats by the client from 0
 	Class         string `json:"track,omitempty"`
 	Tenant        string `json:"tenant,omitempty"`
 	Code          string `json:"code,omitempty"`
 	Note          string `json:"note,omitempty"`
 	Value         int64  `json:"n,omitempty"`
-	Dispatcher    int    `json:"disp,omitempty"` // which dispatcher, from 0
-	Deadline      int64  `json:"by,omitempty"`   // a time that belongs to it: deadline of a try
+	Dispatcher    int    `json:"disp,omitempty"` // index of the dispatcher, from 0
+	Deadline      int64  `json:"by,omitempty"`   // of the client's attempt
 }
 
-// Log collects entries; any goroutine may write. Its zero value is ready.
+// Log collects entries. It is safe for concurrent use, and its zero value is ready.
 type Log struct {
-	// Clock gives the present time where it is not the machine's, in Unix nanoseconds.
+	// Clock returns the current time in Unix nanoseconds; nil uses the clock of the machine.
 	Clock func() int64
 
 	mu      sync.Mutex
 	entries []Entry
 }
 
-// Add writes an entry, at the present time if it has none.
+// Add appends an entry, with the current time if it has none. On a nil Log it does nothing.
 func (l *Log) Add(e Entry) {
 	if l == nil {
 		return
@@ -76,45 +113,40 @@
 	l.mu.Unlock()
 }
 
-// Entries gives all so far, by time.
+// Entries returns a copy of all entries so far, sorted by time.
 func (l *Log) Entries() []Entry {
 	l.mu.Lock()
-	es := slices.Clone(l.entries)
+	entries := slices.Clone(l.entries)
 	l.mu.Unlock()
-	slices.SortStableFunc(es, func(a, c Entry) int {
-		if a.At != c.At {
-			return int(min(max(a.At-c.At, -1), 1))
-		}
-		return 0
-	})
-	return es
+	slices.SortStableFunc(entries, func(a, b Entry) int { return cmp.Compare(a.At, b.At) })
+	return entries
 }
 
 // Write writes entries as lines of JSON.
-func Write(w io.Writer, es []Entry) error {
-	enc := json.NewEncoder(w)
-	for _, e := range es {
-		if err := enc.Encode(e); err != nil {
+func Write(w io.Writer, entries []Entry) error {
+	encoder := json.NewEncoder(w)
+	for _, e := range entries {
+		if err := encoder.Encode(e); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Read reads what Write wrote. Of a file whose writer was killed it gives all whole entries, and an error that names
-// the first that is not.
+// Read reads what Write wrote. If the file ends in the middle of an entry, it returns the complete entries before it
+// and an error that names the incomplete one.
 func Read(r io.Reader) ([]Entry, error) {
-	var es []Entry
-	dec := json.NewDecoder(r)
+	var entries []Entry
+	decoder := json.NewDecoder(r)
 	for {
 		var e Entry
-		switch err := dec.Decode(&e); err {
-		case nil:
-			es = append(es, e)
-		case io.EOF:
-			return es, nil
-		default:
-			return es, fmt.Errorf("entry %d: %w", len(es)+1, err)
+		err := decoder.Decode(&e)
+		if errors.Is(err, io.EOF) {
+			return entries, nil
+		}
+		if err != nil {
+			return entries, fmt.Errorf("entry %d: %w", len(entries)+1, err)
 		}
+		entries = append(entries, e)
 	}
 }
--- a/internal/lab/faultsearch/search.go
+++ b/internal/lab/faultsearch/search.go
@@ -156,7 +156,7 @@
 // shrink makes a find as small as it can: it leaves out troubles, shortens them and the day, and thins the load, as
 // long as the same rule is broken.
 func (x *Searcher) shrink(ctx context.Context, f *Finding) {
-	rule := -1
+	rule := invariants.Rule(-1)
 	if len(f.Violations) > 0 {
 		rule = f.Violations[0].Rule
 	}
--- a/internal/lab/invariants/record.go
+++ b/internal/lab/invariants/record.go
@@ -7,40 +7,38 @@
 	"docksail/internal/lab/eventlog"
 )
 
-// notEnded is the end of an attempt that has not ended.
+// notEnded is the end of an interval that has not ended.
 const notEnded = int64(1) << 62
 
-// attempt is one attempt as it passed.
+// healthServing is the Note of an EndpointNotified entry of a server that takes requests.
+const healthServing = "HEALTH_SERVING"
+
+// attempt is one attempt of a request at a server.
 type attempt struct {
-	server     int
-	decode     bool
-	sentAt, endedAt  int64
-	code, note string
+	server   int
+	isDecode bool
+	sentAt   int64
+	endedAt  int64
+	code     string
+	note     string
 }
 
-// isKnownNotRun tells that it is known not to have run.
+// isKnownNotRun reports whether the attempt is known to have had no effect.
 func (a *attempt) isKnownNotRun() bool {
-	return !a.decode || a.code == "ResourceExhausted" || a.code == "FailedPrecondition" || a.note == "refused"
+	return !a.isDecode || a.code == codeResourceExhausted || a.code == codeFailedPrecondition ||
+		a.note == eventlog.NoteRefused
 }
 
-// clientAttempt is what a client asked for once, and what it got.
+// clientAttempt is one attempt of a client at a request, and its outcome.
 type clientAttempt struct {
-	sent   eventlog.Entry
-	request string // the dispatcher's name for it
-	outcome   *eventlog.Entry
-	outcomeCount  int
-}
-
-// heldState is a KV state that a server held.
-type heldState struct {
-	request  string
-	server   int
-	from, to int64
-	releaseCause      string // it ended
+	sent         eventlog.Entry
+	request      string // the dispatcher's identifier of it
+	outcome      *eventlog.Entry
+	outcomeCount int
 }
 
-// span is from when to when something was so.
-type span struct{ from, to int64 }
+// interval is a closed interval of time.
+type interval struct{ from, to int64 }
 
 type (
 	attemptKey struct {
@@ -55,58 +53,63 @@
 	noticeKey struct{ dispatcher, server int }
 )
 
-// checker takes down what passed and finds the rules that it broke.
+// checker collects the entries of a run by subject and checks the rules on them.
 type checker struct {
-	limits      Limits
-	tolerance      int64
+	limits     Limits
+	tolerance  int64
 	violations []Violation
 
-	attempts     map[string][]*attempt // by request
-	requestOrder []string
-	openAttempts         map[attemptKey]*attempt
-	clientAttempts        map[string]*clientAttempt // by the client's name and the number of the try
+	attempts               map[string][]*attempt // by request
+	requestOrder           []string
+	openAttempts           map[attemptKey]*attempt
+	clientAttempts         map[string]*clientAttempt // by clientAttemptKey
 	clientAttemptOrder     []string
-	clientAttemptByRequest        map[string]*clientAttempt // by request
-	startedAnswers          map[string][]eventlog.Entry
-	drainNotices      map[noticeKey]int64 // a dispatcher was told that a server drains or is gone
-	heldSince         map[stateKey]int64  // since when
-	heldStates       []heldState
-	downtimes    []span // of dispatchers
-	downSince    map[int]int64
-	partitions         map[int][]span // of servers that could not be heard
-	partitionedSince     map[int]int64
-}
-
-func newChecker(facts Limits) *checker {
+	clientAttemptByRequest map[string]*clientAttempt   // by request
+	startedAnswers         map[string][]eventlog.Entry // by request label
+	drainNotices           map[noticeKey]int64         // when a dispatcher learned that a server drains or is gone
+	heldSince              map[stateKey]int64          // of states not released yet
+	heldStates             []heldState
+	downtimes              []interval // of dispatchers
+	downSince              map[int]int64
+	partitions             map[int][]interval // by server
+	partitionedSince       map[int]int64
+}
+
+// newChecker returns a checker without entries.
+func newChecker(limits Limits) *checker {
 	return &checker{
-		limits: facts, tolerance: int64(facts.Tolerance), attempts: map[string][]*attempt{}, openAttempts: map[attemptKey]*attempt{},
-		clientAttempts: map[string]*clientAttempt{}, clientAttemptByRequest: map[string]*clientAttempt{}, startedAnswers: map[string][]eventlog.Entry{}, drainNotices: map[noticeKey]int64{},
-		heldSince: map[stateKey]int64{}, downSince: map[int]int64{}, partitions: map[int][]span{}, partitionedSince: map[int]int64{},
+		limits:                 limits,
+		tolerance:              int64(limits.Tolerance),
+		attempts:               map[string][]*attempt{},
+		openAttempts:           map[attemptKey]*attempt{},
+		clientAttempts:         map[string]*clientAttempt{},
+		clientAttemptByRequest: map[string]*clientAttempt{},
+		startedAnswers:         map[string][]eventlog.Entry{},
+		drainNotices:           map[noticeKey]int64{},
+		heldSince:              map[stateKey]int64{},
+		downSince:              map[int]int64{},
+		partitions:             map[int][]interval{},
+		partitionedSince:       map[int]int64{},
 	}
 }
 
-func (c *checker) addViolation(rule int, at int64, format string, args ...any) {
+func (c *checker) addViolation(rule Rule, at int64, format string, args ...any) {
 	c.violations = append(c.violations, Violation{rule, at, fmt.Sprintf(format, args...)})
 }
 
-// record takes down one entry; entries come by time.
+// record adds one entry. Entries must be added in order of time.
 func (c *checker) record(e *eventlog.Entry) {
 	switch e.Kind {
 	case eventlog.DispatcherStopped:
 		c.downSince[e.Dispatcher] = e.At
 	case eventlog.DispatcherStarted:
-		if at, ok := c.downSince[e.Dispatcher]; ok {
-			c.downtimes = append(c.downtimes, span{at, e.At})
-			delete(c.downSince, e.Dispatcher)
-		}
+		c.recordDispatcherStart(e)
 	case eventlog.RequestSent:
-		key := clientAttemptKey(e)
-		c.clientAttempts[key] = &clientAttempt{sent: *e}
-		c.clientAttemptOrder = append(c.clientAttemptOrder, key)
+		c.recordRequest(e)
 	case eventlog.RequestAnswered, eventlog.RequestCanceled, eventlog.RequestUnanswered:
-		c.recordFinal(e)
+		c.recordOutcome(e)
 	case eventlog.AttemptSent:
-		c.recordSent(e)
+		c.recordAttempt(e)
 	case eventlog.AttemptEnded:
 		if a := c.openAttempts[attemptKey{e.Request, e.Attempt, e.Server}]; a != nil && a.endedAt == notEnded {
 			a.endedAt, a.code, a.note = e.At, e.Code, e.Note
@@ -114,28 +117,48 @@
 	case eventlog.EndpointNotified:
 		c.recordNotice(e)
 	case eventlog.ServerOverloaded:
-		c.addViolation(4, e.At, "cold server %d fell over, sent %d attempts", e.Server, e.Value)
+		c.addViolation(RuleSlowStart, e.At, "server %d was overloaded by %d attempts during slow start", e.Server, e.Value)
 	case eventlog.StateHeld:
 		c.heldSince[stateKey{e.Request, e.Server}] = e.At
 	case eventlog.StateReleased:
-		key := stateKey{e.Request, e.Server}
-		if from, ok := c.heldSince[key]; ok {
-			c.heldStates = append(c.heldStates, heldState{e.Request, e.Server, from, e.At, e.Note})
-			delete(c.heldSince, key)
-		}
+		c.recordRelease(e)
 	case eventlog.AnswerStarted:
 		c.startedAnswers[e.RequestLabel] = append(c.startedAnswers[e.RequestLabel], *e)
 	case eventlog.FaultChanged:
 		c.recordPartition(e)
+	case eventlog.FirstToken, eventlog.ServerStarted, eventlog.ServerLoad: // no rule depends on them
 	}
 }
 
-func clientAttemptKey(e *eventlog.Entry) string { return fmt.Sprintf("%s/%d", e.RequestLabel, e.ClientAttempt) }
+func (c *checker) recordDispatcherStart(e *eventlog.Entry) {
+	if at, ok := c.downSince[e.Dispatcher]; ok {
+		c.downtimes = append(c.downtimes, interval{at, e.At})
+		delete(c.downSince, e.Dispatcher)
+	}
+}
+
+func (c *checker) recordRequest(e *eventlog.Entry) {
+	key := clientAttemptKey(e)
+	c.clientAttempts[key] = &clientAttempt{sent: *e}
+	c.clientAttemptOrder = append(c.clientAttemptOrder, key)
+}
+
+func (c *checker) recordRelease(e *eventlog.Entry) {
+	key := stateKey{e.Request, e.Server}
+	if from, ok := c.heldSince[key]; ok {
+		c.heldStates = append(c.heldStates, heldState{e.Request, e.Server, from, e.At, e.Note})
+		delete(c.heldSince, key)
+	}
+}
+
+func clientAttemptKey(e *eventlog.Entry) string {
+	return fmt.Sprintf("%s/%d", e.RequestLabel, e.ClientAttempt)
+}
 
-func (c *checker) recordFinal(e *eventlog.Entry) {
+func (c *checker) recordOutcome(e *eventlog.Entry) {
 	t := c.clientAttempts[clientAttemptKey(e)]
 	if t == nil {
-		c.addViolation(1, e.At, "an answer to %s that nobody asked", e.RequestLabel)
+		c.addViolation(RuleFinalAnswer, e.At, "an answer to %s, which was not sent", e.RequestLabel)
 		return
 	}
 	t.outcomeCount++
@@ -146,23 +169,25 @@
 	}
 }
 
-// recordSent takes down an attempt, and judges rule three: nothing new to a server that drains.
-func (c *checker) recordSent(e *eventlog.Entry) {
-	a := &attempt{server: e.Server, decode: e.Note == "write", sentAt: e.At, endedAt: notEnded}
+// recordAttempt adds an attempt and checks RuleDrain on it.
+func (c *checker) recordAttempt(e *eventlog.Entry) {
+	a := &attempt{server: e.Server, isDecode: e.Note == eventlog.NoteDecode, sentAt: e.At, endedAt: notEnded}
 	if c.attempts[e.Request] == nil {
 		c.requestOrder = append(c.requestOrder, e.Request)
 	}
 	c.attempts[e.Request] = append(c.attempts[e.Request], a)
 	c.openAttempts[attemptKey{e.Request, e.Attempt, e.Server}] = a
-	if at, ok := c.drainNotices[noticeKey{e.Dispatcher, e.Server}]; ok && e.At > at+int64(c.limits.DrainGrace)+c.tolerance {
-		c.addViolation(3, e.At, "request %s was sent to server %d %v after dispatcher %d was told that it drains or is gone",
-			e.Request, e.Server, milliseconds(e.At-at), e.Dispatcher)
+	noticedAt, ok := c.drainNotices[noticeKey{e.Dispatcher, e.Server}]
+	if ok && e.At > noticedAt+int64(c.limits.DrainGrace)+c.tolerance {
+		c.addViolation(RuleDrain, e.At,
+			"request %s was sent to server %d %v after dispatcher %d was notified that it drains or is gone",
+			e.Request, e.Server, milliseconds(e.At-noticedAt), e.Dispatcher)
 	}
 }
 
 func (c *checker) recordNotice(e *eventlog.Entry) {
 	key := noticeKey{e.Dispatcher, e.Server}
-	if e.Note == "HEALTH_SERVING" {
+	if e.Note == healthServing {
 		delete(c.drainNotices, key)
 	} else if _, ok := c.drainNotices[key]; !ok {
 		c.drainNotices[key] = e.At
@@ -171,32 +196,34 @@
 
 func (c *checker) recordPartition(e *eventlog.Entry) {
 	switch e.Note {
-	case "cut":
+	case eventlog.NotePartitioned:
 		c.partitionedSince[e.Server] = e.At
-	case "uncut":
-		c.partitions[e.Server] = append(c.partitions[e.Server], span{c.partitionedSince[e.Server], e.At})
+	case eventlog.NoteReconnected:
+		c.partitions[e.Server] = append(c.partitions[e.Server], interval{c.partitionedSince[e.Server], e.At})
 		delete(c.partitionedSince, e.Server)
 	}
 }
 
-// finish closes what is open at the end of a run.
-func (c *checker) finish(entries []eventlog.Entry) {
+// closeOpenIntervals ends the intervals that are open at the end of a run.
+func (c *checker) closeOpenIntervals(entries []eventlog.Entry) {
 	end := notEnded
 	if n := len(entries); n > 0 {
 		end = entries[n-1].At
 	}
 	for server, at := range c.partitionedSince {
-		c.partitions[server] = append(c.partitions[server], span{at, notEnded})
+		c.partitions[server] = append(c.partitions[server], interval{at, notEnded})
 	}
 	for _, at := range c.downSince {
-		c.downtimes = append(c.downtimes, span{at, notEnded})
+		c.downtimes = append(c.downtimes, interval{at, notEnded})
 	}
 	for key, from := range c.heldSince {
 		c.heldStates = append(c.heldStates, heldState{key.request, key.server, from, end, "still held at the end"})
 	}
 }
 
-// overlaps tells whether something was so at some time from the one to the other, or nearly.
-func (c *checker) overlaps(spans []span, from, to int64) bool {
-	return slices.ContainsFunc(spans, func(s span) bool { return s.from <= to+c.tolerance && s.to >= from-c.tolerance })
+// overlaps reports whether one of the intervals overlaps the one from from to to, within the tolerance.
+func (c *checker) overlaps(intervals []interval, from, to int64) bool {
+	return slices.ContainsFunc(intervals, func(i interval) bool {
+		return i.from <= to+c.tolerance && i.to >= from-c.tolerance
+	})
 }
--- a/internal/lab/simulation/simulation_test.go
+++ b/internal/lab/simulation/simulation_test.go
@@ -10,6 +10,7 @@
 
 	"docksail/internal/dispatch"
 	"docksail/internal/lab/eventlog"
+	"docksail/internal/lab/invariants"
 	"docksail/internal/lab/scenario"
 	"docksail/internal/lab/userclient"
 	"docksail/policy"
@@ -102,7 +103,7 @@
 // TestPlantedFaults: rules that are broken on purpose are found in simulated time too.
 func TestPlantedFaults(t *testing.T) {
 	for _, c := range []struct {
-		rule int
+		rule invariants.Rule
 		wrap func(dispatch.Module) dispatch.Module
 	}{
 		{3, func(m dispatch.Module) dispatch.Module { return deafToDrains{m} }},
