--- a/internal/lab/engine/batchmodel/memory.go
+++ b/internal/lab/engine/batchmodel/memory.go
@@ -1,17 +1,18 @@
-// Package batchmodel models a model host's inside: continuous batching in steps, memory in blocks with reference counts,
-// kept beginnings shared by what stands in them, eviction of the least recently used, and preemption of the newest
-// answer when memory runs out. It does no I/O and reads no clock, so it runs behind gRPC on the clock as well as in
-// simulated time. Its figures are a model's and measure nothing real.
 package batchmodel
 
-import "docksail/internal/indexedheap"
+import (
+	"slices"
 
-// BlockHash names what stands in a block and all before it.
+	"docksail/internal/indexedheap"
+)
+
+// BlockHash identifies the content of a block together with all that precedes it in its prompt. 0 is no content.
 type BlockHash uint64
 
-// ChainHash gives the hash of a block that follows another and holds a piece of text named by a key.
-func ChainHash(before BlockHash, key uint64) BlockHash {
-	x := uint64(before) ^ key*0x9e3779b97f4a7c15
+// ChainHash returns the hash of a block that follows the block previous and holds the text that key names. It is
+// never 0.
+func ChainHash(previous BlockHash, key uint64) BlockHash {
+	x := uint64(previous) ^ key*0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	if x ^= x >> 31; x == 0 {
@@ -20,130 +21,140 @@
 	return BlockHash(x)
 }
 
-// block is one piece of memory.
+// block is the unit in which memory is allocated.
 type block struct {
-	hash BlockHash // 0 = of no use to others: part of a block, or made by an answer
-	refs int
-	used uint64 // when it was last let go of, in order
-	at   int    // place among those that may be evicted
+	hash       BlockHash // 0: not shareable, as it is partly filled or was written by an answer
+	refs       int
+	releasedAt uint64 // value of Memory.clock when the last reference was released
+	heapIndex  int    // index in Memory.unused
 }
 
-// Memory is a host's blocks. Make it with NewMemory.
+// Memory is the KV memory of a server: reference-counted blocks, of which those with known content stay cached after
+// their release until their room is needed. Make it with NewMemory.
 type Memory struct {
-	BlockTokens int // tokens of a block
+	BlockTokens int // tokens that a block holds
 	blocks      []block
 	free        []int32
 	byHash      map[BlockHash]int32
-	idle        indexedheap.Heap[*block] // kept, and nobody's: the least recently used first
-	clock       uint64
+	unused      indexedheap.Heap[*block] // cached and without references, the least recently used first
+	clock       uint64                   // counts releases
 	Evictions   uint64
 }
 
-// NewMemory makes memory for so many tokens in blocks of a size.
-func NewMemory(tokens, size int) *Memory {
-	m := &Memory{BlockTokens: size, blocks: make([]block, tokens/size), byHash: make(map[BlockHash]int32)}
-	m.idle.Less = func(a, b *block) bool { return a.used < b.used }
-	m.idle.Index = func(b *block) *int { return &b.at }
-	for i := len(m.blocks) - 1; i >= 0; i-- {
+// NewMemory returns memory for the given number of tokens, in blocks of blockTokens each.
+func NewMemory(tokens, blockTokens int) *Memory {
+	m := &Memory{
+		BlockTokens: blockTokens,
+		blocks:      make([]block, tokens/blockTokens),
+		byHash:      make(map[BlockHash]int32),
+	}
+	m.unused.Less = func(a, b *block) bool { return a.releasedAt < b.releasedAt }
+	m.unused.Index = func(b *block) *int { return &b.heapIndex }
+	for i := range slices.Backward(m.blocks) {
 		m.free = append(m.free, int32(i))
 	}
 	return m
 }
 
-// Available counts blocks that could be had now, kept ones that nobody uses included.
-func (m *Memory) Available() int { return len(m.free) + m.idle.Len() }
+// Available returns how many blocks could be allocated now. It includes cached blocks without references.
+func (m *Memory) Available() int { return len(m.free) + m.unused.Len() }
 
-// Blocks counts all blocks.
+// Blocks returns the total number of blocks.
 func (m *Memory) Blocks() int { return len(m.blocks) }
 
-// InUse counts blocks that somebody uses.
+// InUse returns how many blocks have references.
 func (m *Memory) InUse() int { return len(m.blocks) - m.Available() }
 
-// CachedBlocks counts how many blocks of a chain, from its begin, are there.
+// CachedBlocks returns how many blocks of the chain, counted from its start, are in memory.
 func (m *Memory) CachedBlocks(chain []BlockHash) int {
-	for i, h := range chain {
-		if _, ok := m.byHash[h]; !ok {
+	for i, hash := range chain {
+		if _, ok := m.byHash[hash]; !ok {
 			return i
 		}
 	}
 	return len(chain)
 }
 
-// Allocate gives n blocks: those of the chain that are kept, and fresh ones for the rest, evicting what was used least
-// lately. All or none: false if there are too few.
-func (m *Memory) Allocate(into []int32, chain []BlockHash, n int) ([]int32, int, bool) {
-	kept := min(m.CachedBlocks(chain), n)
-	idle := 0
-	for _, h := range chain[:kept] {
-		if m.blocks[m.byHash[h]].refs == 0 {
-			idle++
+// Allocate appends n blocks to dst and returns it with the number of blocks that were cached: those at the start of
+// the chain are shared, the others are free blocks or evict the least recently used ones. If fewer than n blocks are
+// available, it allocates none and returns false.
+func (m *Memory) Allocate(dst []int32, chain []BlockHash, n int) ([]int32, int, bool) {
+	cached := min(m.CachedBlocks(chain), n)
+	unused := 0
+	for _, hash := range chain[:cached] {
+		if m.blocks[m.byHash[hash]].refs == 0 {
+			unused++
 		}
 	}
-	if n-kept > m.Available()-idle {
-		return into, 0, false
+	if n-cached > m.Available()-unused {
+		return dst, 0, false
 	}
-	for _, h := range chain[:kept] { // first, lest they be evicted for the others
-		i := m.byHash[h]
-		m.idle.Remove(&m.blocks[i])
+	// The cached blocks are referenced first, so that the allocation of the others does not evict them.
+	for _, hash := range chain[:cached] {
+		i := m.byHash[hash]
+		m.unused.Remove(&m.blocks[i])
 		m.blocks[i].refs++
-		into = append(into, i)
+		dst = append(dst, i)
 	}
-	for range n - kept {
-		into = append(into, m.fresh())
+	for range n - cached {
+		dst = append(dst, m.allocateBlock())
 	}
-	return into, kept, true
+	return dst, cached, true
 }
 
-func (m *Memory) fresh() int32 {
+// allocateBlock returns a block without content and with one reference. A block must be available.
+func (m *Memory) allocateBlock() int32 {
 	var i int32
 	if n := len(m.free); n > 0 {
 		i, m.free = m.free[n-1], m.free[:n-1]
 	} else {
-		b := m.idle.Min()
-		m.idle.Remove(b)
-		i = m.byHash[b.hash]
-		delete(m.byHash, b.hash)
+		i = m.evictOldest()
 		m.Evictions++
 	}
 	m.blocks[i] = block{refs: 1}
 	return i
 }
 
-// SetContent says what stands in a block from now on, so that others can use it. If another block has the same, that
-// one stays the known one.
-func (m *Memory) SetContent(i int32, h BlockHash) {
-	if _, ok := m.byHash[h]; !ok && m.blocks[i].hash == 0 {
-		m.blocks[i].hash = h
-		m.byHash[h] = i
+// evictOldest removes the least recently used cached block from the cache and returns its index.
+func (m *Memory) evictOldest() int32 {
+	oldest := m.unused.Min()
+	m.unused.Remove(oldest)
+	i := m.byHash[oldest.hash]
+	delete(m.byHash, oldest.hash)
+	return i
+}
+
+// SetContent records the content of a block, so that later allocations can share it. It has no effect if the block
+// has content already or if another block holds the same content.
+func (m *Memory) SetContent(i int32, hash BlockHash) {
+	if _, ok := m.byHash[hash]; !ok && m.blocks[i].hash == 0 {
+		m.blocks[i].hash = hash
+		m.byHash[hash] = i
 	}
 }
 
-// Release lets go of blocks. Named ones that nobody uses any more are kept until their room is needed; of several let
-// go at once the later in their chain go first, as they are of no use without the earlier.
-func (m *Memory) Release(list []int32) {
-	for k := len(list) - 1; k >= 0; k-- {
-		i := list[k]
+// Release drops one reference to each block of a chain. Blocks with content that lose their last reference stay
+// cached. Of the blocks released together the later ones are evicted first, as they are useless without the earlier.
+func (m *Memory) Release(chain []int32) {
+	for _, i := range slices.Backward(chain) {
 		b := &m.blocks[i]
-		if b.refs--; b.refs > 0 {
-			continue
-		}
-		if b.hash == 0 {
+		b.refs--
+		switch {
+		case b.refs > 0:
+		case b.hash == 0:
 			m.free = append(m.free, i)
-			continue
+		default:
+			m.clock++
+			b.releasedAt = m.clock
+			m.unused.PushOrFix(b)
 		}
-		m.clock++
-		b.used = m.clock
-		m.idle.PushOrFix(b)
 	}
 }
 
-// EvictUnused forgets all that is kept and nobody uses, as a new process has nothing.
+// EvictUnused evicts all cached blocks without references, as after a restart of the process.
 func (m *Memory) EvictUnused() {
-	for m.idle.Len() > 0 {
-		b := m.idle.Min()
-		m.idle.Remove(b)
-		i := m.byHash[b.hash]
-		delete(m.byHash, b.hash)
+	for m.unused.Len() > 0 {
+		i := m.evictOldest()
 		m.blocks[i] = block{}
 		m.free = append(m.free, i)
 	}
--- a/internal/lab/engine/batchmodel/memory_test.go
+++ b/internal/lab/engine/batchmodel/memory_test.go
@@ -6,86 +6,104 @@
 	"pgregory.net/rapid"
 )
 
-// TestMemory plays random takes and drops: counts add up, what is in use is never given twice unless it is the same
-// text, and what is kept is found as long as it was not evicted.
-func TestMemory(t *testing.T) {
+// allocation is a chain that a test has allocated.
+type allocation struct {
+	blocks []int32
+	chain  []BlockHash
+}
+
+// allocateRandom allocates a random chain with some blocks after it. It returns false if there is not enough memory.
+func allocateRandom(t *rapid.T, m *Memory) (allocation, bool) {
+	var chain []BlockHash
+	h := BlockHash(0)
+	for range rapid.IntRange(0, 6).Draw(t, "chain") {
+		h = ChainHash(h, uint64(rapid.IntRange(1, 3).Draw(t, "text")))
+		chain = append(chain, h)
+	}
+	n := len(chain) + rapid.IntRange(0, 3).Draw(t, "more")
+	want, available := m.CachedBlocks(chain), m.Available()
+	blocks, cached, ok := m.Allocate(nil, chain, n)
+	if !ok {
+		if len(blocks) > 0 || m.Available() != available {
+			t.Fatal("an allocation that failed changed something")
+		}
+		return allocation{}, false
+	}
+	if cached != want || len(blocks) != n {
+		t.Fatalf("%d blocks, %d cached, want %d and %d", len(blocks), cached, n, want)
+	}
+	for i, h := range chain {
+		m.SetContent(blocks[i], h)
+	}
+	return allocation{blocks, chain}, true
+}
+
+// checkReferences compares the reference counts of the memory with the allocations.
+func checkReferences(t *rapid.T, m *Memory, allocations []allocation) {
+	users := map[int32]int{}
+	for _, a := range allocations {
+		seen := map[int32]bool{}
+		for i, b := range a.blocks {
+			if seen[b] {
+				t.Fatalf("block %d twice in one allocation", b)
+			}
+			seen[b] = true
+			users[b]++
+			if i < len(a.chain) && m.CachedBlocks(a.chain[:i+1]) != i+1 {
+				t.Fatal("a block in use was evicted")
+			}
+		}
+	}
+	for b, n := range users {
+		if m.blocks[b].refs != n {
+			t.Fatalf("block %d has %d references, want %d", b, m.blocks[b].refs, n)
+		}
+		if n > 1 && m.blocks[b].hash == 0 {
+			t.Fatalf("block %d without content is shared", b)
+		}
+	}
+	if m.InUse() != len(users) {
+		t.Fatalf("%d blocks in use by count, want %d", m.InUse(), len(users))
+	}
+}
+
+// TestMemoryProperties plays random allocations and releases: counts add up, a block in use is shared only for the same
+// content, and cached content is found as long as it was not evicted.
+func TestMemoryProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := NewMemory(rapid.IntRange(4, 60).Draw(t, "blocks")*16, 16)
-		type holding struct {
-			list  []int32
-			chain []BlockHash
-		}
-		var held []holding
+		var allocations []allocation
 		for range rapid.IntRange(1, 150).Draw(t, "steps") {
-			if len(held) == 0 || rapid.IntRange(0, 2).Draw(t, "what") > 0 {
-				var chain []BlockHash
-				h := BlockHash(0)
-				for range rapid.IntRange(0, 6).Draw(t, "chain") {
-					h = ChainHash(h, uint64(rapid.IntRange(1, 3).Draw(t, "text")))
-					chain = append(chain, h)
-				}
-				n := len(chain) + rapid.IntRange(0, 3).Draw(t, "more")
-				want, free := m.CachedBlocks(chain), m.Available()
-				list, kept, ok := m.Allocate(nil, chain, n)
+			if len(allocations) == 0 || rapid.IntRange(0, 2).Draw(t, "what") > 0 {
+				a, ok := allocateRandom(t, m)
 				if !ok {
-					if len(list) > 0 || m.Available() != free {
-						t.Fatal("a take that failed changed something")
-					}
 					continue
 				}
-				if kept != want || len(list) != n {
-					t.Fatalf("%d blocks, %d kept, want %d and %d", len(list), kept, n, want)
-				}
-				for i, h := range chain {
-					m.SetContent(list[i], h)
-				}
-				held = append(held, holding{list, chain})
+				allocations = append(allocations, a)
 			} else {
-				k := rapid.IntRange(0, len(held)-1).Draw(t, "which")
-				m.Release(held[k].list)
-				if got := m.CachedBlocks(held[k].chain); got < len(held[k].chain) {
-					t.Fatalf("%d of %d blocks found right after they were let go", got, len(held[k].chain))
-				}
-				held = append(held[:k], held[k+1:]...)
-			}
-			used := map[int32]int{}
-			for _, h := range held {
-				seen := map[int32]bool{}
-				for i, b := range h.list {
-					if seen[b] {
-						t.Fatalf("block %d twice in one holding", b)
-					}
-					seen[b] = true
-					used[b]++
-					if i < len(h.chain) && m.CachedBlocks(h.chain[:i+1]) != i+1 {
-						t.Fatal("a block in use was evicted")
-					}
+				i := rapid.IntRange(0, len(allocations)-1).Draw(t, "which")
+				a := allocations[i]
+				m.Release(a.blocks)
+				if got := m.CachedBlocks(a.chain); got < len(a.chain) {
+					t.Fatalf("%d of %d blocks found right after their release", got, len(a.chain))
 				}
+				allocations = append(allocations[:i], allocations[i+1:]...)
 			}
-			for b, n := range used {
-				if m.blocks[b].refs != n {
-					t.Fatalf("block %d has %d users, counted %d", b, n, m.blocks[b].refs)
-				}
-				if n > 1 && m.blocks[b].hash == 0 {
-					t.Fatalf("block %d of no name is shared", b)
-				}
-			}
-			if m.InUse() != len(used) {
-				t.Fatalf("%d blocks in use by count, want %d", m.InUse(), len(used))
-			}
+			checkReferences(t, m, allocations)
 		}
-		for _, h := range held {
-			m.Release(h.list)
+		for _, a := range allocations {
+			m.Release(a.blocks)
 		}
 		m.EvictUnused()
 		if m.Available() != m.Blocks() || len(m.byHash) != 0 {
-			t.Fatalf("%d of %d blocks free, %d names kept when all is gone", m.Available(), m.Blocks(), len(m.byHash))
+			t.Fatalf("%d of %d blocks available, %d cached, after all was released and evicted",
+				m.Available(), m.Blocks(), len(m.byHash))
 		}
 	})
 }
 
-// TestLeastRecentlyUsed: the beginning used least lately makes room, its end before its begin.
-func TestLeastRecentlyUsed(t *testing.T) {
+// TestEvictsLeastRecentlyUsed checks that the prefix used least recently is evicted, its last block first.
+func TestEvictsLeastRecentlyUsed(t *testing.T) {
 	m := NewMemory(6*16, 16)
 	chain := func(key uint64) []BlockHash {
 		a := ChainHash(0, key)
@@ -93,21 +111,22 @@
 	}
 	use := func(key uint64) {
 		c := chain(key)
-		list, _, ok := m.Allocate(nil, c, 3)
+		blocks, _, ok := m.Allocate(nil, c, 3)
 		if !ok {
-			t.Fatal("no room")
+			t.Fatal("no memory available")
 		}
 		for i := range c {
-			m.SetContent(list[i], c[i])
+			m.SetContent(blocks[i], c[i])
 		}
-		m.Release(list)
+		m.Release(blocks)
 	}
 	use(1)
 	use(2)
 	use(1)
-	list, _, ok := m.Allocate(nil, nil, 1)
+	blocks, _, ok := m.Allocate(nil, nil, 1)
 	if !ok || m.CachedBlocks(chain(1)) != 3 || m.CachedBlocks(chain(2)) != 2 {
-		t.Errorf("after one block was needed %d and %d are kept, want 3 of the last used and 2 of the other", m.CachedBlocks(chain(1)), m.CachedBlocks(chain(2)))
+		t.Errorf("after one allocation %d and %d blocks are cached, want 3 of the last used prefix and 2 of the other",
+			m.CachedBlocks(chain(1)), m.CachedBlocks(chain(2)))
 	}
-	m.Release(list)
+	m.Release(blocks)
 }
--- a/internal/lab/engine/batchmodel/network.go
+++ b/internal/lab/engine/batchmodel/network.go
@@ -7,130 +7,136 @@
 	"slices"
 )
 
-// TransferID names a state under way.
+// TransferID identifies a transfer of a state.
 type TransferID uint64
 
-// Network is the ways over which read states move: ports of readers, links of cells. What moves over a way shares it
-// evenly; a move goes at the pace of its narrowest share. Make it with NewNetwork.
+// Network is the links over which states move between servers: ports of prefill servers and links of cells. The
+// transfers over a link share it evenly, and a transfer is as fast as its smallest share. Make it with NewNetwork.
 type Network struct {
-	ways  []way
-	moves []*move // by their numbers
-	at    Nanos
+	links     []link
+	transfers []*transfer // by ID
+	now       Nanos       // the time to which all transfers are advanced
 }
 
-type way struct {
-	rate float64 // tokens a second
-	n    int     // moves on it
+type link struct {
+	tokensPerSecond float64
+	transfers       int // that use it now
 }
 
-type move struct {
-	id   TransferID
-	left float64 // tokens
-	slow float64 // times as long, as to a far zone
-	over []int
+type transfer struct {
+	id         TransferID
+	tokensLeft float64
+	slowdown   float64 // multiple of the time that each token takes
+	links      []int
 }
 
-// NewNetwork makes a net without ways.
+// NewNetwork returns a network without links.
 func NewNetwork() *Network { return &Network{} }
 
-// AddLink adds a way of so many tokens a second and gives its number.
-func (n *Network) AddLink(rate float64) (int, error) {
-	if !(rate > 0) {
-		return 0, fmt.Errorf("way of %v tokens a second: want more than 0", rate)
+// AddLink adds a link of the given rate and returns its index.
+func (n *Network) AddLink(tokensPerSecond float64) (int, error) {
+	if !(tokensPerSecond > 0) {
+		return 0, fmt.Errorf("link of %v tokens a second: want more than 0", tokensPerSecond)
 	}
-	n.ways = append(n.ways, way{rate: rate})
-	return len(n.ways) - 1, nil
+	n.links = append(n.links, link{tokensPerSecond: tokensPerSecond})
+	return len(n.links) - 1, nil
 }
 
-// SetRate changes a way's pace, for what moves on it too; 0 cuts it.
-func (n *Network) SetRate(now Nanos, w int, rate float64) {
-	n.pass(now)
-	n.ways[w].rate = max(rate, 0)
+// SetRate changes the rate of a link, also for the transfers that use it now. 0 stops them.
+func (n *Network) SetRate(now Nanos, index int, tokensPerSecond float64) {
+	n.advance(now)
+	n.links[index].tokensPerSecond = max(tokensPerSecond, 0)
 }
 
-// Start begins a move; slow is how many times as long each token takes.
-func (n *Network) Start(now Nanos, id TransferID, tokens int, slow float64, over ...int) error {
-	i, there := n.find(id)
-	if there || tokens < 1 || !(slow >= 1) || len(over) == 0 {
-		return fmt.Errorf("move %d of %d tokens, %v times as long, over %v: want a new one, 1 or more, 1 or more, a way at least", id, tokens, slow, over)
+// Start begins a transfer over the given links. Each token takes slowdown times as long as the links alone would.
+func (n *Network) Start(now Nanos, id TransferID, tokens int, slowdown float64, links ...int) error {
+	i, exists := n.find(id)
+	if exists || tokens < 1 || !(slowdown >= 1) || len(links) == 0 {
+		return fmt.Errorf("transfer %d (exists: %v) of %d tokens, slowdown %v, over links %v: "+
+			"want a new ID, 1 token or more, a slowdown of 1 or more and one link or more", id, exists, tokens, slowdown, links)
 	}
-	n.pass(now)
-	n.moves = slices.Insert(n.moves, i, &move{id, float64(tokens), slow, slices.Clone(over)})
-	for _, w := range over {
-		n.ways[w].n++
+	n.advance(now)
+	t := &transfer{id: id, tokensLeft: float64(tokens), slowdown: slowdown, links: slices.Clone(links)}
+	n.transfers = slices.Insert(n.transfers, i, t)
+	for _, index := range links {
+		n.links[index].transfers++
 	}
 	return nil
 }
 
+// find returns the index of a transfer, or the one at which it would be inserted and false.
 func (n *Network) find(id TransferID) (int, bool) {
-	return slices.BinarySearchFunc(n.moves, id, func(m *move, id TransferID) int { return cmp.Compare(m.id, id) })
+	return slices.BinarySearchFunc(n.transfers, id, func(t *transfer, id TransferID) int { return cmp.Compare(t.id, id) })
 }
 
-// Stop ends a move before its time; false if there is none of that number.
+// Stop ends a transfer early. It returns false if there is none of this ID.
 func (n *Network) Stop(now Nanos, id TransferID) bool {
-	i, there := n.find(id)
-	if !there {
+	i, exists := n.find(id)
+	if !exists {
 		return false
 	}
-	n.pass(now)
-	n.end(i)
+	n.advance(now)
+	n.remove(i)
 	return true
 }
 
-func (n *Network) end(i int) {
-	for _, w := range n.moves[i].over {
-		n.ways[w].n--
+func (n *Network) remove(i int) {
+	for _, index := range n.transfers[i].links {
+		n.links[index].transfers--
 	}
-	n.moves = slices.Delete(n.moves, i, i+1)
+	n.transfers = slices.Delete(n.transfers, i, i+1)
 }
 
-// pace of a move now, in tokens a nanosecond.
-func (n *Network) pace(m *move) float64 {
-	p := math.Inf(1)
-	for _, w := range m.over {
-		p = min(p, n.ways[w].rate/float64(n.ways[w].n))
+// rate returns the present speed of a transfer in tokens a nanosecond.
+func (n *Network) rate(t *transfer) float64 {
+	share := math.Inf(1)
+	for _, index := range t.links {
+		l := &n.links[index]
+		share = min(share, l.tokensPerSecond/float64(l.transfers))
 	}
-	return p / m.slow / 1e9
+	return share / t.slowdown / 1e9
 }
 
-// pass moves everything on to a time. Shares must not have changed since the last.
-func (n *Network) pass(now Nanos) {
-	if now <= n.at {
+// advance moves all transfers on to a time. No transfer may end before it.
+func (n *Network) advance(now Nanos) {
+	if now <= n.now {
 		return
 	}
-	for _, m := range n.moves {
-		m.left -= n.pace(m) * float64(now-n.at)
+	for _, t := range n.transfers {
+		t.tokensLeft -= n.rate(t) * float64(now-n.now)
 	}
-	n.at = now
+	n.now = now
 }
 
-// NextEnd is when the next move ends, if nothing else changes.
+// NextEnd returns when the next transfer ends if nothing else changes, and false if none does.
 func (n *Network) NextEnd() (Nanos, bool) {
-	at, some := Nanos(math.MaxInt64), false
-	for _, m := range n.moves {
-		if p := n.pace(m); p > 0 {
-			at, some = min(at, n.at+Nanos(math.Ceil(max(m.left, 0)/p))), true
+	next, found := Nanos(math.MaxInt64), false
+	for _, t := range n.transfers {
+		if rate := n.rate(t); rate > 0 {
+			next = min(next, n.now+Nanos(math.Ceil(max(t.tokensLeft, 0)/rate)))
+			found = true
 		}
 	}
-	return at, some
+	return next, found
 }
 
-// AdvanceTo moves everything on to a time, in steps from one end to the next, and gives what has ended, in order.
-func (n *Network) AdvanceTo(now Nanos, into []TransferID) []TransferID {
-	const crumb = 1e-6 // of a token, left by rounding
+// AdvanceTo moves all transfers on to a time and returns ended with those that ended by then appended, in order.
+func (n *Network) AdvanceTo(now Nanos, ended []TransferID) []TransferID {
+	const roundingTokens = 1e-6 // what rounding may leave of a transfer that has ended
 	for {
-		at, some := n.NextEnd()
-		if !some || at > now {
-			n.pass(now)
-			return into
+		next, found := n.NextEnd()
+		if !found || next > now {
+			n.advance(now)
+			return ended
 		}
-		n.pass(at)
-		for i := 0; i < len(n.moves); i++ {
-			if n.moves[i].left <= crumb {
-				into = append(into, n.moves[i].id)
-				n.end(i)
-				i--
+		n.advance(next)
+		for i := 0; i < len(n.transfers); {
+			if n.transfers[i].tokensLeft > roundingTokens {
+				i++
+				continue
 			}
+			ended = append(ended, n.transfers[i].id)
+			n.remove(i)
 		}
 	}
 }
--- a/internal/lab/engine/batchmodel/reporter.go
+++ b/internal/lab/engine/batchmodel/reporter.go
@@ -6,59 +6,75 @@
 	"math/rand/v2"
 )
 
-// Load are what a host reports of itself.
+// Load is what a server reports about itself.
 type Load struct {
-	Requests           float64 // that it holds
-	MemoryUtilization  float64 // share in use
-	QueuedPromptTokens float64 // prompt tokens that wait to be read or fetched
-	QueueTime          Nanos   // until what waits now would be read, at its present pace
+	Requests           float64 // queued and running
+	MemoryUtilization  float64 // share of memory in use
+	QueuedPromptTokens float64 // prompt tokens still to be read or fetched
+	QueueTime          Nanos   // how long reading them takes at the present rate
 }
 
-// Reporter makes reports as hosts do: taken now and then, known some time later, a little wrong. Make it with
-// NewReporter.
+// Reporter makes load reports as real servers do: observed at intervals, known after a delay, and inexact. Make it
+// with NewReporter.
 type Reporter struct {
-	every, late Nanos
-	noise       float64
-	rng         *rand.Rand
-	taken       [reports]taken
-	n           int
+	interval     Nanos
+	delay        Nanos
+	noise        float64
+	random       *rand.Rand
+	observations [maxObservations]observation // ring buffer
+	count        int                          // observations made so far
 }
 
-const reports = 64 // kept: of more that are not known yet, the oldest goes
+// maxObservations is how many observations are kept; while more are not known yet, the oldest are lost.
+const maxObservations = 64
 
-type taken struct {
-	at Nanos
-	f  Load
+// maxNoise bounds the noise of a reporter.
+const maxNoise = 2
+
+type observation struct {
+	at   Nanos
+	load Load
 }
 
-// NewReporter makes a reporter that takes figures every so often, whose reports are known so late, and whose figures
-// are off by a factor with a spread of noise (the standard deviation of its logarithm).
-func NewReporter(seed uint64, every, late Nanos, noise float64) (*Reporter, error) {
-	if every < 0 || late < 0 || noise < 0 || noise > 2 {
-		return nil, fmt.Errorf("reports every %d, %d late, with noise %v: want none below 0 and noise up to 2", every, late, noise)
+// NewReporter returns a reporter that observes the load once an interval and whose reports are known after a delay.
+// Each figure is off by a random factor; noise is the standard deviation of its logarithm.
+func NewReporter(seed uint64, interval, delay Nanos, noise float64) (*Reporter, error) {
+	if interval < 0 || delay < 0 || noise < 0 || noise > maxNoise {
+		return nil, fmt.Errorf("reports with interval %d, delay %d and noise %v: want none below 0 and noise up to %d",
+			interval, delay, noise, maxNoise)
 	}
-	return &Reporter{every: every, late: late, noise: noise, rng: rand.New(rand.NewPCG(seed, 0x7265706f7274))}, nil
+	random := rand.New(rand.NewPCG(seed, 0x7265706f7274))
+	return &Reporter{interval: interval, delay: delay, noise: noise, random: random}, nil
 }
 
-// SetDelay changes how late reports are known, for those that are under way too.
-func (r *Reporter) SetDelay(t Nanos) { r.late = t }
+// SetDelay changes the delay, also of reports that are not known yet.
+func (r *Reporter) SetDelay(delay Nanos) { r.delay = delay }
 
-// Observe takes the figures of now, if it is time again.
-func (r *Reporter) Observe(now Nanos, f Load) {
-	if r.n > 0 && now < r.taken[(r.n-1)%reports].at+r.every {
+// Observe records the load at a time. It has no effect until an interval has passed since the last observation.
+func (r *Reporter) Observe(now Nanos, load Load) {
+	if r.count > 0 && now < r.observations[(r.count-1)%maxObservations].at+r.interval {
 		return
 	}
-	off := func(x float64) float64 { return x * math.Exp(r.rng.NormFloat64()*r.noise) }
-	f.Requests, f.MemoryUtilization, f.QueuedPromptTokens, f.QueueTime = off(f.Requests), min(off(f.MemoryUtilization), 1), off(f.QueuedPromptTokens), Nanos(off(float64(f.QueueTime)))
-	r.taken[r.n%reports] = taken{now, f}
-	r.n++
+	noisy := Load{
+		Requests:           r.addNoise(load.Requests),
+		MemoryUtilization:  min(r.addNoise(load.MemoryUtilization), 1),
+		QueuedPromptTokens: r.addNoise(load.QueuedPromptTokens),
+		QueueTime:          Nanos(r.addNoise(float64(load.QueueTime))),
+	}
+	r.observations[r.count%maxObservations] = observation{at: now, load: noisy}
+	r.count++
+}
+
+func (r *Reporter) addNoise(x float64) float64 {
+	return x * math.Exp(r.random.NormFloat64()*r.noise)
 }
 
-// Latest gives the newest report that is known now, and its age.
+// Latest returns the newest report that is known at a time, and its age. It returns false if none is known.
 func (r *Reporter) Latest(now Nanos) (Load, Nanos, bool) {
-	for i := r.n - 1; i >= 0 && i >= r.n-reports; i-- {
-		if t := r.taken[i%reports]; now >= t.at+r.late {
-			return t.f, now - t.at, true
+	for i := r.count - 1; i >= 0 && i >= r.count-maxObservations; i-- {
+		o := &r.observations[i%maxObservations]
+		if now >= o.at+r.delay {
+			return o.load, now - o.at, true
 		}
 	}
 	return Load{}, 0, false
--- a/internal/lab/engine/batchmodel/server_test.go
+++ b/internal/lab/engine/batchmodel/server_test.go
@@ -6,17 +6,21 @@
 	"pgregory.net/rapid"
 )
 
-var shape = Shape{Slots: 4, Queue: 8, MaxChunkTokens: 512, StepTime: 10e6, TimePerPromptToken: 50e3, TimePerAnswer: 100e3, TimePer1kContext: 80e3}
+var testShape = Shape{
+	Slots: 4, Queue: 8, MaxChunkTokens: 512,
+	StepTime: 10e6, TimePerPromptToken: 50e3, TimePerAnswer: 100e3, TimePer1kContext: 80e3,
+}
 
-func newHost(t testing.TB, s Shape, tokens int) *Server {
+func newTestServer(t *testing.T, tokens int) *Server {
 	t.Helper()
-	h, err := NewServer(s, tokens, 16)
+	s, err := NewServer(testShape, tokens, 16)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return h
+	return s
 }
 
+// chainOf returns the content of a prompt whose blocks all have the same key.
 func chainOf(key uint64, tokens int) []BlockHash {
 	var c []BlockHash
 	h := BlockHash(0)
@@ -27,71 +31,72 @@
 	return c
 }
 
-// run steps a host until nothing is left to do and gives events and time.
-func run(h *Server, most int) ([]Event, Nanos) {
+// runSteps runs up to maxSteps steps, as long as there is work, and returns the events and the total time.
+func runSteps(server *Server, maxSteps int) ([]Event, Nanos) {
 	var all, events []Event
 	total := Nanos(0)
-	for range most {
+	for range maxSteps {
 		var took Nanos
 		var ok bool
-		took, events, ok = h.BeginStep(events[:0])
+		took, events, ok = server.BeginStep(events[:0])
 		all = append(all, events...)
 		if !ok {
 			return all, total
 		}
 		total += took
-		all = append(all, h.EndStep(nil)...)
+		all = append(all, server.EndStep(nil)...)
 	}
 	return all, total
 }
 
-// TestTimes: a host takes as long as its shape says, for one prompt and for answers side by side.
-func TestTimes(t *testing.T) {
-	h := newHost(t, shape, 1<<16)
-	if err := h.Enqueue(Work{ID: 1, PromptTokens: 1000}); err != nil {
+// TestStepTimes checks that a server takes as long as its testShape says, for one prompt and for answers in a batch.
+func TestStepTimes(t *testing.T) {
+	server := newTestServer(t, 1<<16)
+	if err := server.Enqueue(Work{ID: 1, PromptTokens: 1000}); err != nil {
 		t.Fatal(err)
 	}
-	events, took := run(h, 100)
-	if want := 2*shape.StepTime + 1000*shape.TimePerPromptToken; took != want || len(events) != 1 || events[0] != (Event{PrefillDone, 1, 1000}) {
+	events, took := runSteps(server, 100)
+	if want := 2*testShape.StepTime + 1000*testShape.TimePerPromptToken; took != want ||
+		len(events) != 1 || events[0] != (Event{Kind: PrefillDone, ID: 1, N: 1000}) {
 		t.Errorf("1,000 tokens in chunks of 512 took %d with %v, want %d", took, events, want)
 	}
-	if h.HeldStates() != 1 || h.Memory.InUse() != 63 {
-		t.Errorf("%d held in %d blocks, want 1 in 63", h.HeldStates(), h.Memory.InUse())
+	if server.HeldStates() != 1 || server.Memory.InUse() != 63 {
+		t.Errorf("%d held in %d blocks, want 1 in 63", server.HeldStates(), server.Memory.InUse())
 	}
-	h.Remove(1)
+	server.Remove(1)
 	for i := range 2 {
-		if err := h.Enqueue(Work{ID: ID(2 + i), PromptTokens: 160, AnswerTokens: 10, FetchState: true}); err != nil {
+		if err := server.Enqueue(Work{ID: ID(2 + i), PromptTokens: 160, AnswerTokens: 10, FetchState: true}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	_, events, ok := h.BeginStep(nil)
+	_, events, ok := server.BeginStep(nil)
 	if ok || len(events) != 2 || events[0].Kind != NeedsFetch {
 		t.Fatalf("%v, step %v: want two states to fetch and no step until they are there", events, ok)
 	}
-	h.StateFetched(2)
-	h.StateFetched(3)
-	events, took = run(h, 100)
+	server.StateFetched(2)
+	server.StateFetched(3)
+	events, took = runSteps(server, 100)
 	context := Nanos(0)
 	for i := range Nanos(10) {
-		context += 2 * (160 + i) * shape.TimePer1kContext / 1000
+		context += 2 * (160 + i) * testShape.TimePer1kContext / 1000
 	}
-	want := 10*(shape.StepTime+2*shape.TimePerAnswer) + context
+	want := 10*(testShape.StepTime+2*testShape.TimePerAnswer) + context
 	if took < want-10 || took > want+10 || len(events) != 22 {
 		t.Errorf("two answers of 10 took %d with %d events, want %d with 22", took, len(events), want)
 	}
-	if h.Memory.InUse() != 0 {
-		t.Errorf("%d blocks in use when all is done", h.Memory.InUse())
+	if server.Memory.InUse() != 0 {
+		t.Errorf("%d blocks in use when all is done", server.Memory.InUse())
 	}
 }
 
-// TestKeptBeginning: what is kept is not read again, but for the last token.
-func TestKeptBeginning(t *testing.T) {
-	h := newHost(t, shape, 1<<16)
+// TestCachedPrefixIsNotReadAgain checks that only the last token of a cached prompt is read again.
+func TestCachedPrefixIsNotReadAgain(t *testing.T) {
+	server := newTestServer(t, 1<<16)
 	for i := range 3 {
-		if err := h.Enqueue(Work{ID: ID(i + 1), PromptTokens: 512, Blocks: chainOf(9, 512)}); err != nil {
+		if err := server.Enqueue(Work{ID: ID(i + 1), PromptTokens: 512, Blocks: chainOf(9, 512)}); err != nil {
 			t.Fatal(err)
 		}
-		events, _ := run(h, 100)
+		events, _ := runSteps(server, 100)
 		want := 512
 		if i > 0 {
 			want = 1
@@ -99,20 +104,20 @@
 		if len(events) != 1 || events[0].N != want {
 			t.Errorf("prompt %d: %v, want %d tokens read", i, events, want)
 		}
-		h.Remove(ID(i + 1))
+		server.Remove(ID(i + 1))
 	}
 }
 
-// TestPreemption: memory runs out in the middle of a batch; the newest answer goes back, is read anew, and every token
-// still comes once.
+// TestPreemption lets memory run out in the middle of a batch: the newest answer is preempted and read anew, and every
+// token still comes once.
 func TestPreemption(t *testing.T) {
-	h := newHost(t, shape, 16*16)
+	server := newTestServer(t, 16*16)
 	for i := range 3 {
-		if err := h.Enqueue(Work{ID: ID(i + 1), PromptTokens: 64, AnswerTokens: 60}); err != nil {
+		if err := server.Enqueue(Work{ID: ID(i + 1), PromptTokens: 64, AnswerTokens: 60}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	events, _ := run(h, 1000)
+	events, _ := runSteps(server, 1000)
 	next, done, preempted := map[ID]int{}, 0, 0
 	for _, e := range events {
 		switch e.Kind {
@@ -128,6 +133,7 @@
 			if e.ID == 1 {
 				t.Error("the oldest answer was preempted")
 			}
+		case NeedsFetch, PrefillDone:
 		}
 	}
 	if done != 3 || preempted == 0 || next[1]+next[2]+next[3] != 180 {
@@ -135,26 +141,29 @@
 	}
 }
 
-// TestHost plays random work: nothing is lost, tokens come once and in order, memory adds up, the queue is bounded.
-func TestHost(t *testing.T) {
+// TestServerProperties plays random work: nothing is lost, tokens come once and in order, memory adds up, and the queue
+// is bounded.
+func TestServerProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := shape
-		s.Slots, s.Queue, s.MaxChunkTokens = rapid.IntRange(1, 5).Draw(t, "slots"), rapid.IntRange(0, 5).Draw(t, "queue"), rapid.IntRange(1, 300).Draw(t, "chunk")
-		h, err := NewServer(s, rapid.IntRange(8, 60).Draw(t, "blocks")*16, 16)
+		s := testShape
+		s.Slots = rapid.IntRange(1, 5).Draw(t, "slots")
+		s.Queue = rapid.IntRange(0, 5).Draw(t, "queue")
+		s.MaxChunkTokens = rapid.IntRange(1, 300).Draw(t, "chunk")
+		server, err := NewServer(s, rapid.IntRange(8, 60).Draw(t, "blocks")*16, 16)
 		if err != nil {
 			t.Fatal(err)
 		}
-		here, next := map[ID]Work{}, map[ID]int{}
+		present, next := map[ID]Work{}, map[ID]int{}
 		id := ID(0)
 		take := func(events []Event) {
 			for _, e := range events {
-				w, ok := here[e.ID]
+				w, ok := present[e.ID]
 				if !ok {
-					t.Fatalf("%v of work that is not here", e)
+					t.Fatalf("event %v of work that is not queued or running", e)
 				}
 				switch e.Kind {
 				case NeedsFetch:
-					h.StateFetched(e.ID)
+					server.StateFetched(e.ID)
 				case Token:
 					if e.N != next[e.ID] {
 						t.Fatalf("token %d of %d, want %d", e.N, e.ID, next[e.ID])
@@ -164,12 +173,13 @@
 					if next[e.ID] != w.AnswerTokens {
 						t.Fatalf("done after %d of %d tokens", next[e.ID], w.AnswerTokens)
 					}
-					delete(here, e.ID)
+					delete(present, e.ID)
 				case PrefillDone:
 					if w.AnswerTokens == 0 {
-						h.Remove(e.ID)
-						delete(here, e.ID)
+						server.Remove(e.ID)
+						delete(present, e.ID)
 					}
+				case Preempted:
 				}
 			}
 		}
@@ -178,40 +188,42 @@
 			case 0, 1:
 				id++
 				prompt := rapid.IntRange(1, 120).Draw(t, "prompt")
-				w := Work{ID: id, PromptTokens: prompt, AnswerTokens: rapid.IntRange(0, 40).Draw(t, "answer"), Blocks: chainOf(rapid.Uint64Range(1, 3).Draw(t, "text"), prompt)}
+				answer := rapid.IntRange(0, 40).Draw(t, "answer")
+				blocks := chainOf(rapid.Uint64Range(1, 3).Draw(t, "text"), prompt)
+				w := Work{ID: id, PromptTokens: prompt, AnswerTokens: answer, Blocks: blocks}
 				w.FetchState = w.AnswerTokens > 0 && rapid.Bool().Draw(t, "fetch")
-				if err := h.Enqueue(w); err == nil {
-					here[id] = w
+				if err := server.Enqueue(w); err == nil {
+					present[id] = w
 				}
 			case 2:
-				_, events, ok := h.BeginStep(nil)
+				_, events, ok := server.BeginStep(nil)
 				take(events)
 				if ok {
-					take(h.EndStep(nil))
+					take(server.EndStep(nil))
 				}
 			case 3:
-				for id := range here {
-					h.Remove(id)
-					delete(here, id)
+				for id := range present {
+					server.Remove(id)
+					delete(present, id)
 					break
 				}
 			}
-			if h.Running() > s.Slots || h.Queued()+h.Running() > s.Slots+s.Queue {
-				t.Fatalf("%d run and %d wait in %d slots and a queue of %d", h.Running(), h.Queued(), s.Slots, s.Queue)
+			if server.Running() > s.Slots || server.Queued()+server.Running() > s.Slots+s.Queue {
+				t.Fatalf("%d run and %d wait in %d slots and a queue of %d", server.Running(), server.Queued(), s.Slots, s.Queue)
 			}
 		}
 		for range 20000 {
-			_, events, ok := h.BeginStep(nil)
+			_, events, ok := server.BeginStep(nil)
 			take(events)
 			if !ok && len(events) == 0 {
 				break
 			}
 			if ok {
-				take(h.EndStep(nil))
+				take(server.EndStep(nil))
 			}
 		}
-		if len(here) > 0 || h.Memory.InUse() != 0 {
-			t.Fatalf("%d left over, %d blocks in use", len(here), h.Memory.InUse())
+		if len(present) > 0 || server.Memory.InUse() != 0 {
+			t.Fatalf("%d tasks did not end, %d blocks in use", len(present), server.Memory.InUse())
 		}
 	})
 }
