--- a/internal/lab/faultsearch/search.go
+++ b/internal/lab/faultsearch/search.go
@@ -21,7 +21,7 @@
 
 // Searcher draws days from one script: its fleet, tracks and dispatchers, with troubles of its own.
 type Searcher struct {
-	Base *scenario.Script
+	Base       *scenario.Script
 	WrapModule func(n int) func(dispatch.Module) dispatch.Module // for tests
 }
 
@@ -35,8 +35,8 @@
 }
 
 const (
-	maxFaults = 8
-	maxLoadDuration      = 20 * time.Second // of a drawn day's load
+	maxFaults       = 8
+	maxLoadDuration = 20 * time.Second // of a drawn day's load
 )
 
 // RandomScenario makes a day of a seed.
--- a/internal/lab/scenario/stage.go
+++ b/internal/lab/scenario/stage.go
@@ -33,18 +33,18 @@
 	Engines    []*engine.Engine
 	WrapModule func(n int) func(dispatch.Module) dispatch.Module // stands between a dispatcher and its module, for tests
 
-	logger     *slog.Logger
-	directory     string
+	logger           *slog.Logger
+	directory        string
 	discoveryServers []*discoveryserver.Server
-	proxies  [][]*faultproxy.Proxy // by dispatcher, by host
-	mu      sync.Mutex
-	dispatchers    []*grpcnode.Node
-	addresses   []netip.AddrPort
-	configs    []*config.Dispatcher
-	health  map[int]pb.Health
-	stoppedCounts  []dispatch.Counts // of the lives that ended
-	startedAt   time.Time
-	links   *engine.Links
+	proxies          [][]*faultproxy.Proxy // by dispatcher, by host
+	mu               sync.Mutex
+	dispatchers      []*grpcnode.Node
+	addresses        []netip.AddrPort
+	configs          []*config.Dispatcher
+	health           map[int]pb.Health
+	stoppedCounts    []dispatch.Counts // of the lives that ended
+	startedAt        time.Time
+	links            *engine.Links
 }
 
 // Start starts a day's parties.
--- a/internal/lab/simulation/client.go
+++ b/internal/lab/simulation/client.go
@@ -25,60 +25,60 @@
 )
 
 const (
-	pathGenerate = "/docksail.v1.Generation/Generate"
-	defaultConnsPerDispatcher    = 2 // to each dispatcher, as on the clock
-	connectTimeout  = int64(200 * time.Millisecond)
-	reconnectBackoff     = int64(50 * time.Millisecond) // before another dispatcher is tried
-	decodeTimePerToken    = int64(200 * time.Millisecond)
+	pathGenerate              = "/docksail.v1.Generation/Generate"
+	defaultConnsPerDispatcher = 2 // to each dispatcher, as on the clock
+	connectTimeout            = int64(200 * time.Millisecond)
+	reconnectBackoff          = int64(50 * time.Millisecond) // before another dispatcher is tried
+	decodeTimePerToken        = int64(200 * time.Millisecond)
 )
 
 // clientGroup are the users of one track: all that a grpc-go client of the laboratory does, on one simulated loop.
 type clientGroup struct {
-	sim     *Simulation
-	class     userclient.Class
-	loop     *eventloop.Loop
-	conns [][]*grpcConn // by dispatcher
-	summary   *userclient.Summary
-	nextConn  int
-	openSessions  int // sessions that are not over
+	sim          *Simulation
+	class        userclient.Class
+	loop         *eventloop.Loop
+	conns        [][]*grpcConn // by dispatcher
+	summary      *userclient.Summary
+	nextConn     int
+	openSessions int // sessions that are not over
 }
 
 // session is one conversation: each turn's prompt holds all that went before.
 type session struct {
-	group            *clientGroup
-	index            int
-	rng          *rand.Rand
-	promptFactor        int
-	turn, turnCount  int
-	promptTokens       int
-	request          *pb.GenerateRequest
-	requestStart        eventloop.Nanos
-	attemptNumber, dispatcher      int
-	remaining         int64
-	latencyTarget     int64
-	value        float64
-	reservation       string
-	nextTimer, cancelTimer eventloop.Timer
-	now          *attempt
+	group                     *clientGroup
+	index                     int
+	rng                       *rand.Rand
+	promptFactor              int
+	turn, turnCount           int
+	promptTokens              int
+	request                   *pb.GenerateRequest
+	requestStart              eventloop.Nanos
+	attemptNumber, dispatcher int
+	remaining                 int64
+	latencyTarget             int64
+	value                     float64
+	reservation               string
+	nextTimer, cancelTimer    eventloop.Timer
+	now                       *attempt
 }
 
 // attempt is one try of a job.
 type attempt struct {
-	session        *session
-	conn        *grpcConn
-	stream       *h2.Stream
-	entry    eventlog.Entry
-	deadline       int64
-	requestID      string
-	firstTokenAt    eventloop.Nanos
-	tokenCount   int
-	isCorrupt    bool
-	cancelAfterTokens   int
-	hasReservation bool
-	callTimeout   int64
+	session           *session
+	conn              *grpcConn
+	stream            *h2.Stream
+	entry             eventlog.Entry
+	deadline          int64
+	requestID         string
+	firstTokenAt      eventloop.Nanos
+	tokenCount        int
+	isCorrupt         bool
+	cancelAfterTokens int
+	hasReservation    bool
+	callTimeout       int64
 	meanTokenGap      int64 // mean, between its tokens
-	isDone     bool
-	callTimer     eventloop.Timer
+	isDone            bool
+	callTimer         eventloop.Timer
 }
 
 func (g *clientGroup) now() eventloop.Nanos { return g.loop.ReadClock() }
@@ -247,8 +247,8 @@
 
 type outcome struct {
 	isFinal, connectionLost, canceledByClient bool
-	retryAfter             int64
-	reservation            string
+	retryAfter                                int64
+	reservation                               string
 }
 
 // finish takes what became of a try into account: another, the session's next job, or nothing more.
--- a/internal/lab/simulation/discoveryserver.go
+++ b/internal/lab/simulation/discoveryserver.go
@@ -14,12 +14,12 @@
 
 // discoveryServer tells one dispatcher which hosts run, some time after it happened.
 type discoveryServer struct {
-	sim       *Simulation
-	dispatcher    int
-	addr    netip.AddrPort
+	sim        *Simulation
+	dispatcher int
+	addr       netip.AddrPort
 	loop       *eventloop.Loop // nil while it is away
-	version uint64
-	endpoints   []*pb.Host // by number
+	version    uint64
+	endpoints  []*pb.Host // by number
 	watchers   map[*grpcConn]*h2.Stream
 }
 
--- a/internal/lab/simulation/host.go
+++ b/internal/lab/simulation/host.go
@@ -15,69 +15,69 @@
 	"docksail/internal/eventloop"
 	"docksail/internal/h2"
 	"docksail/internal/lab/engine"
-	"docksail/internal/lab/engine/batch"
+	"docksail/internal/lab/engine/batchmodel"
 	"docksail/internal/lab/eventlog"
 )
 
 // modelServer is a model host of the batch model on a simulated loop.
 type modelServer struct {
-	sim       *Simulation
-	spec    engine.Spec
-	addr    netip.AddrPort
-	loop       *eventloop.Loop // nil while its process does not run
-	random     *rand.Rand
-	startedAt   eventloop.Nanos // start of its process
-	model   *batch.Server
-	reporter     *batch.Reporter
-	lastID    batch.ID
-	calls   map[batch.ID]*call
-	states  map[string]*heldState
+	sim            *Simulation
+	spec           engine.Spec
+	addr           netip.AddrPort
+	loop           *eventloop.Loop // nil while its process does not run
+	random         *rand.Rand
+	startedAt      eventloop.Nanos // start of its process
+	model          *batchmodel.Server
+	reporter       *batchmodel.Reporter
+	lastID         batchmodel.ID
+	calls          map[batchmodel.ID]*call
+	states         map[string]*heldState
 	silencedCalls  []*call // of the track to which it is deaf
-	stepTimer    eventloop.Timer
-	onStep  func(eventloop.Nanos)
-	inStep  bool
-	events  []batch.Event
-	faults  engine.Faults
-	isOverloaded bool
+	stepTimer      eventloop.Timer
+	onStep         func(eventloop.Nanos)
+	inStep         bool
+	events         []batchmodel.Event
+	faults         engine.Faults
+	isOverloaded   bool
 	recentArrivals []eventloop.Nanos
-	servedCount  uint64
+	servedCount    uint64
 }
 
 // call is one request under way.
 type call struct {
-	server      *modelServer
-	conn      *grpcConn
-	stream      *h2.Stream // nil once it is over
-	path   string
-	attempt pb.Launch
-	requestID   string
-	id     batch.ID
-	arrivedAt   eventloop.Nanos
-	hasStarted    bool
-	transfer   batch.TransferID
-	unsentTokens   []int // tokens held back while the host is deaf to the track
+	server       *modelServer
+	conn         *grpcConn
+	stream       *h2.Stream // nil once it is over
+	path         string
+	attempt      pb.Launch
+	requestID    string
+	id           batchmodel.ID
+	arrivedAt    eventloop.Nanos
+	hasStarted   bool
+	transfer     batchmodel.TransferID
+	unsentTokens []int // tokens held back while the host is deaf to the track
 	isComplete   bool
 }
 
 type heldState struct {
-	attempt   uint32
-	tokens int
-	id     batch.ID
-	expiry   eventloop.Timer
+	attempt uint32
+	tokens  int
+	id      batchmodel.ID
+	expiry  eventloop.Timer
 }
 
 // start starts the host's process.
 func (m *modelServer) start(ago eventloop.Nanos) error {
 	var err error
-	if m.model, err = batch.NewServer(m.spec.BatchShape(), int(m.spec.MemoryTokens), engine.BlockTokens); err != nil {
+	if m.model, err = batchmodel.NewServer(m.spec.BatchShape(), int(m.spec.MemoryTokens), engine.BlockTokens); err != nil {
 		return err
 	}
-	if m.reporter, err = batch.NewReporter(uint64(m.spec.ID), int64(m.spec.ReportInterval), int64(m.faults.ReportDelay), m.spec.ReportNoise); err != nil {
+	if m.reporter, err = batchmodel.NewReporter(uint64(m.spec.ID), int64(m.spec.ReportInterval), int64(m.faults.ReportDelay), m.spec.ReportNoise); err != nil {
 		return err
 	}
 	m.loop = m.sim.network.NewLoop(m.addr.Addr(), nil)
 	m.startedAt = m.sim.network.Now() - ago
-	m.calls, m.states, m.silencedCalls = map[batch.ID]*call{}, map[string]*heldState{}, nil
+	m.calls, m.states, m.silencedCalls = map[batchmodel.ID]*call{}, map[string]*heldState{}, nil
 	m.stepTimer, m.inStep, m.isOverloaded, m.recentArrivals = eventloop.Timer{}, false, false, nil
 	m.onStep = m.endStep
 	_, err = m.loop.Listen(m.addr, false, func(c *eventloop.Conn, _ netip.AddrPort) eventloop.Handler { return serveConn(m.loop, c, m) })
@@ -94,7 +94,7 @@
 		m.sim.Log.Add(eventlog.Entry{Kind: eventlog.StateReleased, Server: m.spec.ID, Request: name, Note: "crash"})
 	}
 	m.loop.Kill()
-	m.loop, m.states, m.calls = nil, map[string]*heldState{}, map[batch.ID]*call{}
+	m.loop, m.states, m.calls = nil, map[string]*heldState{}, map[batchmodel.ID]*call{}
 }
 
 // setFaults changes what it acts out.
@@ -134,7 +134,7 @@
 	if m.inStep || m.loop == nil || m.isPaused() {
 		return
 	}
-	var took batch.Nanos
+	var took batchmodel.Nanos
 	took, m.events, m.inStep = m.model.BeginStep(m.events[:0])
 	m.handleEvents()
 	if m.inStep {
@@ -163,20 +163,20 @@
 			continue
 		}
 		switch ev.Kind {
-		case batch.NeedsFetch:
+		case batchmodel.NeedsFetch:
 			m.fetchState(c)
-		case batch.PrefillDone:
+		case batchmodel.PrefillDone:
 			if c.path == pathPrefill {
 				m.holdState(c, ev.N)
 			}
-		case batch.Token:
+		case batchmodel.Token:
 			if b := c.attempt.BeginWithinNs; b > 0 && !c.hasStarted && m.loop.Now()-c.arrivedAt > int64(b) {
 				m.endCall(c, codes.DeadlineExceeded, "its time to begin is up")
 				continue
 			}
 			c.unsentTokens = append(c.unsentTokens, ev.N)
 			m.flushTokens(c)
-		case batch.AnswerDone:
+		case batchmodel.AnswerDone:
 			c.isComplete = true
 			m.flushTokens(c)
 		}
@@ -222,7 +222,7 @@
 	var extra []hpack.HeaderField
 	now := m.sim.network.Now()
 	unread := m.model.QueuedPromptTokens()
-	m.reporter.Observe(now, batch.Load{
+	m.reporter.Observe(now, batchmodel.Load{
 		Requests:          float64(m.model.Queued() + m.model.Running()),
 		MemoryUtilization: float64(m.model.Memory.InUse()) / float64(m.model.Memory.Blocks()), QueuedPromptTokens: float64(unread),
 		QueueTime: int64(float64(unread) / m.spec.PrefillRate * 1e9),
@@ -352,7 +352,7 @@
 		m.silencedCalls = append(m.silencedCalls, c)
 		return
 	}
-	w := batch.Work{}
+	w := batchmodel.Work{}
 	if c.path == pathPrefill {
 		w = engine.BatchWork(req, 0, false)
 	} else {
@@ -365,7 +365,7 @@
 		c.id = w.ID
 		m.calls[c.id] = c
 		m.beginStep()
-	case batch.ErrQueueFull:
+	case batchmodel.ErrQueueFull:
 		m.endCall(c, codes.ResourceExhausted, err.Error())
 	default:
 		m.endCall(c, codes.InvalidArgument, err.Error())
@@ -399,8 +399,8 @@
 }
 
 const (
-	pathPrefill    = "/docksail.v1.Engine/Read"
-	pathDecode   = "/docksail.v1.Engine/Write"
+	pathPrefill = "/docksail.v1.Engine/Read"
+	pathDecode  = "/docksail.v1.Engine/Write"
 	pathRelease = "/docksail.v1.Engine/Release"
 )
 
@@ -480,18 +480,18 @@
 
 // transferNetwork are the states under way between all hosts of a day.
 type transferNetwork struct {
-	loop     *eventloop.Loop
-	model   *batch.Network
+	loop        *eventloop.Loop
+	model       *batchmodel.Network
 	serverLinks map[int]int
-	cellLinks map[string]int
-	lastID  batch.TransferID
-	onDone map[batch.TransferID]func()
-	timer eventloop.Timer
-	ended  []batch.TransferID
+	cellLinks   map[string]int
+	lastID      batchmodel.TransferID
+	onDone      map[batchmodel.TransferID]func()
+	timer       eventloop.Timer
+	ended       []batchmodel.TransferID
 }
 
 // start begins to move a state; done is called when it is over.
-func (t *transferNetwork) start(from, to *modelServer, tokens int, slow float64, done func()) batch.TransferID {
+func (t *transferNetwork) start(from, to *modelServer, tokens int, slow float64, done func()) batchmodel.TransferID {
 	way := func(w int, err error) int {
 		if err != nil {
 			panic(err) // rates were checked with the script
@@ -524,7 +524,7 @@
 
 func (t *transferNetwork) now() eventloop.Nanos { return t.loop.ReadClock() }
 
-func (t *transferNetwork) stop(id batch.TransferID) {
+func (t *transferNetwork) stop(id batchmodel.TransferID) {
 	delete(t.onDone, id)
 	t.model.Stop(t.now(), id)
 	t.advance()
--- a/internal/lab/simulation/simulation.go
+++ b/internal/lab/simulation/simulation.go
@@ -22,7 +22,7 @@
 	"docksail/internal/eventloop"
 	"docksail/internal/grpcnode"
 	"docksail/internal/lab/engine"
-	"docksail/internal/lab/engine/batch"
+	"docksail/internal/lab/engine/batchmodel"
 	"docksail/internal/lab/eventlog"
 	"docksail/internal/lab/faultproxy"
 	"docksail/internal/lab/invariants"
@@ -32,10 +32,10 @@
 )
 
 const (
-	simulationEpoch  = int64(1_000_000_000_000_000_000) // Unix nanoseconds at which each day's world begins
-	networkLatency = int64(100 * time.Microsecond)    // from one loop to another
-	initialUptime  = int64(24 * time.Hour)            // hosts have run for so long
-	loadStartTime = int64(time.Second)               // into the world the load begins: the lists are known by then
+	simulationEpoch = int64(1_000_000_000_000_000_000) // Unix nanoseconds at which each day's world begins
+	networkLatency  = int64(100 * time.Microsecond)    // from one loop to another
+	initialUptime   = int64(24 * time.Hour)            // hosts have run for so long
+	loadStartTime   = int64(time.Second)               // into the world the load begins: the lists are known by then
 )
 
 // Simulation is a day's parties.
@@ -46,27 +46,27 @@
 	Logger         *slog.Logger
 	SampleInterval time.Duration // the figures of all hosts are written down so often; 0 = never
 
-	network   *eventloop.SimulatedNetwork
-	controlLoop     *eventloop.Loop // on which the script's times come
-	transfers     *transferNetwork
-	servers   []*modelServer
-	serversByAddr  map[string]*modelServer
-	health  []pb.Health
+	network          *eventloop.SimulatedNetwork
+	controlLoop      *eventloop.Loop // on which the script's times come
+	transfers        *transferNetwork
+	servers          []*modelServer
+	serversByAddr    map[string]*modelServer
+	health           []pb.Health
 	discoveryServers []*discoveryServer
-	dispatchers    []*dispatcher
-	clientGroups  []*clientGroup
-	loadStart   eventloop.Nanos
-	stoppedCounts  dispatch.Counts // of the lives that ended
-	random     *rand.Rand
+	dispatchers      []*dispatcher
+	clientGroups     []*clientGroup
+	loadStart        eventloop.Nanos
+	stoppedCounts    dispatch.Counts // of the lives that ended
+	random           *rand.Rand
 }
 
 // dispatcher is a real one, on a simulated loop.
 type dispatcher struct {
-	index     int
-	addr  netip.AddrPort
-	config   *config.Dispatcher
-	loop     *eventloop.Loop
-	core     *dispatch.Dispatcher // nil while it is down
+	index        int
+	addr         netip.AddrPort
+	config       *config.Dispatcher
+	loop         *eventloop.Loop
+	core         *dispatch.Dispatcher // nil while it is down
 	incarnations uint64
 }
 
@@ -80,8 +80,8 @@
 	d.Log.Clock = d.network.UnixNanos
 	d.controlLoop = d.network.NewLoop(simulatedAddr(0, 0), nil)
 	d.transfers = &transferNetwork{
-		loop: d.network.NewLoop(simulatedAddr(0, 1), nil), model: batch.NewNetwork(), serverLinks: map[int]int{}, cellLinks: map[string]int{},
-		onDone: map[batch.TransferID]func(){},
+		loop: d.network.NewLoop(simulatedAddr(0, 1), nil), model: batchmodel.NewNetwork(), serverLinks: map[int]int{}, cellLinks: map[string]int{},
+		onDone: map[batchmodel.TransferID]func(){},
 	}
 	var list []*pb.Host
 	for i, spec := range s.EngineSpecs() {
--- a/internal/lab/simulation/wire.go
+++ b/internal/lab/simulation/wire.go
@@ -10,12 +10,12 @@
 
 // grpcConn is one connection of a stand-in: HTTP/2 on a simulated socket. What happens on it is told to on.
 type grpcConn struct {
-	loop    *eventloop.Loop
-	transport   *eventloop.Conn
-	http2    *h2.Conn
+	loop      *eventloop.Loop
+	transport *eventloop.Conn
+	http2     *h2.Conn
 	handler   connHandler
-	isOpen bool
-	isClosed bool
+	isOpen    bool
+	isClosed  bool
 }
 
 // connHandler is what a stand-in does about its streams.
