--- /dev/null
+++ b/internal/lab/engine/answer.go
@@ -0,0 +1,35 @@
+package engine
+
+import pb "docksail/api/docksail/v1"
+
+// Parameters of the 64-bit FNV-1a hash.
+const (
+	fnvOffset = 14695981039346656037
+	fnvPrime  = 1099511628211
+)
+
+// vocabularySize is the number of different tokens.
+const vocabularySize = 50000
+
+// AnswerTokens returns how many tokens the answer to a request has: between half of its limit and all of it. It
+// depends on the request alone, so that every server gives the same answer.
+func AnswerTokens(req *pb.GenerateRequest) int {
+	limit := max(int(req.MaxTokens), 1)
+	return max(1, limit/2+int(requestHash(req)%uint64(limit/2+1)))
+}
+
+// TokenAt returns the token at a position of the answer to a request. It is the same at every server.
+func TokenAt(req *pb.GenerateRequest, position int) uint32 {
+	const spread = 2654435761
+	return uint32(requestHash(req)+uint64(position)*spread) % vocabularySize
+}
+
+func requestHash(req *pb.GenerateRequest) uint64 {
+	hash := uint64(fnvOffset)
+	for _, s := range []string{req.Session, req.Label, string(req.Prompt)} {
+		for i := range len(s) {
+			hash = (hash ^ uint64(s[i])) * fnvPrime
+		}
+	}
+	return (hash ^ uint64(req.PromptTokens)) * fnvPrime >> 7
+}
--- a/internal/lab/engine/engine_test.go
+++ b/internal/lab/engine/engine_test.go
@@ -20,7 +20,8 @@
 	"docksail/internal/lab/eventlog"
 )
 
-func startOne(t *testing.T, s Spec) (*Engine, pb.EngineClient) {
+// startEngine starts a server that is warm and returns it with a client of it.
+func startEngine(t *testing.T, s Spec) (*Engine, pb.EngineClient) {
 	t.Helper()
 	e := New(s, LinearModel{}, nil)
 	if err := e.Start("127.0.0.1:0"); err != nil {
@@ -41,48 +42,64 @@
 	return xs[len(xs)/2]
 }
 
-// TestRecordedAgainstIntended: behind gRPC on the clock, reads and gaps take what the model intends, and little more.
-func TestRecordedAgainstIntended(t *testing.T) {
-	near := func(what string, got, want time.Duration) {
-		t.Helper()
-		t.Logf("%s: recorded %v, intended %v, ratio %.3f", what, got, want, float64(got)/float64(want))
-		if got < want*98/100 || got > want*3/2 {
-			t.Errorf("%s took %v, intended %v", what, got, want)
+// checkDuration checks that work took about as long as the model says.
+func checkDuration(t *testing.T, what string, got, want time.Duration) {
+	t.Helper()
+	t.Logf("%s: measured %v, model %v, ratio %.3f", what, got, want, float64(got)/float64(want))
+	if got < want*98/100 || got > want*3/2 {
+		t.Errorf("%s took %v, want %v", what, got, want)
+	}
+}
+
+// measureTokenIntervals streams an answer and returns the times between its tokens.
+func measureTokenIntervals(t *testing.T, c pb.EngineClient, req *pb.GenerateRequest) []time.Duration {
+	t.Helper()
+	var intervals []time.Duration
+	stream, err := c.Write(context.Background(), &pb.Launch{Job: 100, Request: req})
+	last := time.Time{}
+	for err == nil {
+		if _, err = stream.Recv(); err == nil {
+			if !last.IsZero() {
+				intervals = append(intervals, time.Since(last))
+			}
+			last = time.Now()
 		}
 	}
+	if !errors.Is(err, io.EOF) {
+		t.Fatal(err)
+	}
+	return intervals
+}
+
+// TestBatchModelTimes checks that behind gRPC in real time, prefills and token intervals take as long as the batch
+// model says, and little more.
+func TestBatchModelTimes(t *testing.T) {
 	spec := Spec{
-		ID: 1, Role: pb.Role_ROLE_MIXED, Slots: 8, Queue: 8, MemoryTokens: 1 << 17, PrefillRate: 20000, TokenGap: 20 * time.Millisecond,
-		RequestsPerSecond: 100, TransferRate: 1e6, MaxHoldTime: 5 * time.Second, BatchModel: true,
+		ID: 1, Role: pb.Role_ROLE_MIXED, Slots: 8, Queue: 8, MemoryTokens: 1 << 17,
+		PrefillRate: 20000, TokenGap: 20 * time.Millisecond, RequestsPerSecond: 100, TransferRate: 1e6,
+		MaxHoldTime: 5 * time.Second, BatchModel: true,
 	}
-	e, c := startOne(t, spec)
+	e, c := startEngine(t, spec)
 	var reads []time.Duration
 	for i := range 5 {
 		begin := time.Now()
-		done, err := c.Read(context.Background(), &pb.Launch{Job: uint64(i), Request: &pb.GenerateRequest{PromptTokens: 4000, Label: string(rune('a' + i))}})
+		req := &pb.GenerateRequest{PromptTokens: 4000, Label: string(rune('a' + i))}
+		done, err := c.Read(context.Background(), &pb.Launch{Job: uint64(i), Request: req})
 		if err != nil || done.ReadTokens != 4000 {
 			t.Fatal(done, err)
 		}
 		reads = append(reads, time.Since(begin))
-		c.Release(context.Background(), &pb.ReleaseRequest{Job: uint64(i)})
-	}
-	near("a read of 4,000 tokens", median(reads), 200*time.Millisecond+2*spec.TokenGap) // in two steps of at most 2,048
-	var gaps []time.Duration
-	stream, err := c.Write(context.Background(), &pb.Launch{Job: 100, Request: &pb.GenerateRequest{PromptTokens: 100, MaxTokens: 60}})
-	last := time.Time{}
-	for err == nil {
-		if _, err = stream.Recv(); err == nil {
-			if !last.IsZero() {
-				gaps = append(gaps, time.Since(last))
-			}
-			last = time.Now()
+		if _, err := c.Release(context.Background(), &pb.ReleaseRequest{Job: uint64(i)}); err != nil {
+			t.Fatal(err)
 		}
 	}
-	if !errors.Is(err, io.EOF) {
-		t.Fatal(err)
-	}
+	// A prefill takes two steps of at most 2,048 tokens.
+	checkDuration(t, "prefill of 4,000 tokens", median(reads), 200*time.Millisecond+2*spec.TokenGap)
+	intervals := measureTokenIntervals(t, c, &pb.GenerateRequest{PromptTokens: 100, MaxTokens: 60})
 	s := spec.BatchShape()
-	near("a gap of one answer alone", median(gaps), time.Duration(s.StepTime+s.TimePerAnswer+115*s.TimePer1kContext/1000))
-	// A kept beginning is not read again.
+	checkDuration(t, "token interval of one answer", median(intervals),
+		time.Duration(s.StepTime+s.TimePerAnswer+115*s.TimePer1kContext/1000))
+	// A cached prefix is not read again.
 	for i := range 2 {
 		done, err := c.Read(context.Background(), &pb.Launch{Job: uint64(200 + i), Request: &pb.GenerateRequest{
 			PromptTokens: 4000, BeginningTokens: 3200,
@@ -95,19 +112,22 @@
 	if e.HeldStates() != 2 {
 		t.Errorf("%d states held, want 2", e.HeldStates())
 	}
-	if _, err := c.Write(context.Background(), &pb.Launch{Job: 300, StateAddress: e.Addr(), Request: &pb.GenerateRequest{PromptTokens: 10, MaxTokens: 1}}); err != nil {
+	req := &pb.GenerateRequest{PromptTokens: 10, MaxTokens: 1}
+	if _, err := c.Write(context.Background(), &pb.Launch{Job: 300, StateAddress: e.Addr(), Request: req}); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// TestStateGone: a write whose state is nowhere ends as stateless.
-func TestStateGone(t *testing.T) {
+// TestDecodeWithoutState checks the status of a decode whose state is not held anywhere.
+func TestDecodeWithoutState(t *testing.T) {
 	for _, batch := range []bool{false, true} {
-		e, c := startOne(t, Spec{
-			ID: 1, Role: pb.Role_ROLE_WRITER, Slots: 8, Queue: 8, MemoryTokens: 1 << 16, PrefillRate: 1e4, TokenGap: time.Millisecond,
-			RequestsPerSecond: 100, TransferRate: 1e6, MaxHoldTime: time.Second, BatchModel: batch,
+		e, c := startEngine(t, Spec{
+			ID: 1, Role: pb.Role_ROLE_WRITER, Slots: 8, Queue: 8, MemoryTokens: 1 << 16,
+			PrefillRate: 1e4, TokenGap: time.Millisecond, RequestsPerSecond: 100, TransferRate: 1e6,
+			MaxHoldTime: time.Second, BatchModel: batch,
 		})
-		stream, err := c.Write(context.Background(), &pb.Launch{Job: 1, StateAddress: e.Addr(), Request: &pb.GenerateRequest{PromptTokens: 10, MaxTokens: 1}})
+		req := &pb.GenerateRequest{PromptTokens: 10, MaxTokens: 1}
+		stream, err := c.Write(context.Background(), &pb.Launch{Job: 1, StateAddress: e.Addr(), Request: req})
 		if err == nil {
 			_, err = stream.Recv()
 		}
@@ -117,15 +137,19 @@
 	}
 }
 
-// TestReportsAreLate: a batching host's report is that of some time ago and says so; before one is known there is none.
-func TestReportsAreLate(t *testing.T) {
-	e, c := startOne(t, Spec{
-		ID: 1, Role: pb.Role_ROLE_READER, Slots: 8, Queue: 8, MemoryTokens: 1 << 16, PrefillRate: 1e6, RequestsPerSecond: 100, TransferRate: 1e6,
-		MaxHoldTime: time.Second, BatchModel: true, ReportInterval: 10 * time.Millisecond, ReportDelay: 150 * time.Millisecond,
+// TestLoadReportDelay checks that a load report of the batch model is as old as the delay and says so, and that there
+// is none before the first one is known.
+func TestLoadReportDelay(t *testing.T) {
+	e, c := startEngine(t, Spec{
+		ID: 1, Role: pb.Role_ROLE_READER, Slots: 8, Queue: 8, MemoryTokens: 1 << 16,
+		PrefillRate: 1e6, RequestsPerSecond: 100, TransferRate: 1e6,
+		MaxHoldTime: time.Second, BatchModel: true,
+		ReportInterval: 10 * time.Millisecond, ReportDelay: 150 * time.Millisecond,
 	})
-	read := func(job uint64) (*orca.OrcaLoadReport, bool) {
+	read := func(request uint64) (*orca.OrcaLoadReport, bool) {
 		var md metadata.MD
-		if _, err := c.Read(context.Background(), &pb.Launch{Job: job, Request: &pb.GenerateRequest{PromptTokens: 3200, Label: string(rune('a' + job))}}, grpc.Trailer(&md)); err != nil {
+		req := &pb.GenerateRequest{PromptTokens: 3200, Label: string(rune('a' + request))}
+		if _, err := c.Read(context.Background(), &pb.Launch{Job: request, Request: req}, grpc.Trailer(&md)); err != nil {
 			t.Fatal(err)
 		}
 		v := md.Get("endpoint-load-metrics-bin")
@@ -156,27 +180,33 @@
 	}
 }
 
-// TestReadEndsInCrashedProcess: a read that is done as its process ends leaves no state, neither while the server is
-// down nor in the process that is started after it.
-func TestReadEndsInCrashedProcess(t *testing.T) {
+// TestPrefillEndsInCrashedProcess checks that a prefill that ends as its process ends leaves no state, neither while
+// the server is down nor in the process that is started after it.
+func TestPrefillEndsInCrashedProcess(t *testing.T) {
 	entries := &eventlog.Log{}
-	e := New(Spec{ID: 1, Role: pb.Role_ROLE_READER, Slots: 8, Queue: 8, MemoryTokens: 1 << 17, PrefillRate: 20000, MaxHoldTime: time.Second}, LinearModel{}, entries)
+	e := New(Spec{
+		ID: 1, Role: pb.Role_ROLE_READER, Slots: 8, Queue: 8, MemoryTokens: 1 << 17, PrefillRate: 20000,
+		MaxHoldTime: time.Second,
+	}, LinearModel{}, entries)
+	newState := func() *heldState { return &heldState{tokens: 10, released: make(chan struct{})} }
 	if err := e.Start("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(e.Crash)
-	first := e.life
+	first := e.process
 	e.Crash()
-	if err := e.holdState(context.Background(), first, "1.1", &state{tokens: 10, gone: make(chan struct{})}); status.Code(err) != codes.Unavailable {
+	err := e.holdState(context.Background(), first, "1.1", newState())
+	if status.Code(err) != codes.Unavailable {
 		t.Errorf("a state was recorded while the server was down: %v", err)
 	}
 	if err := e.Start(""); err != nil {
 		t.Fatal(err)
 	}
-	if err := e.holdState(context.Background(), first, "1.1", &state{tokens: 10, gone: make(chan struct{})}); status.Code(err) != codes.Unavailable {
+	err = e.holdState(context.Background(), first, "1.1", newState())
+	if status.Code(err) != codes.Unavailable {
 		t.Errorf("a state of the process before was recorded: %v", err)
 	}
-	if err := e.holdState(context.Background(), e.life, "1.2", &state{tokens: 10, gone: make(chan struct{})}); err != nil {
+	if err := e.holdState(context.Background(), e.process, "1.2", newState()); err != nil {
 		t.Errorf("a state of the running process was refused: %v", err)
 	}
 	held := 0
--- a/internal/lab/engine/links.go
+++ b/internal/lab/engine/links.go
@@ -8,105 +8,124 @@
 	"docksail/internal/lab/engine/batchmodel"
 )
 
-// Links are the ways over which states move between the engines of a day: each host's port and each cell's one link,
-// which all its hosts share. Make it with NewLinks.
+// Links are the links over which states move between the servers of a scenario: the port of each server and one link
+// for each cell, which all its servers share. Make them with NewLinks.
 type Links struct {
-	cellFactor float64 // what a cell's link carries, in ports of one of its hosts
-	zoneSlower float64
+	cellFactor float64 // capacity of a cell's link, in multiples of a server's TransferRate
+	zoneFactor float64 // how many times as long a token takes to another zone
 
-	mu    sync.Mutex
-	net   *batchmodel.Network
-	begin time.Time
-	ports map[int]int
-	cells map[string]int
-	last  batchmodel.TransferID
-	wait  map[batchmodel.TransferID]chan struct{}
-	timer *time.Timer
+	mu      sync.Mutex
+	network *batchmodel.Network
+	begin   time.Time
+	ports   map[int]int    // index of the link, by server
+	cells   map[string]int // index of the link, by zone and cell
+	lastID  batchmodel.TransferID
+	done    map[batchmodel.TransferID]chan struct{} // closed when the transfer ends
+	timer   *time.Timer
 }
 
-// NewLinks makes links of which a cell's carries so many times what one port does, and over which a token to another
-// zone takes so many times as long.
-func NewLinks(cellFactor, zoneSlower float64) *Links {
+// NewLinks returns links for which a cell's link carries cellFactor times what one server does, and over which a token
+// to another zone takes zoneFactor times as long. Close them when they are no longer used.
+func NewLinks(cellFactor, zoneFactor float64) *Links {
 	l := &Links{
-		cellFactor: cellFactor, zoneSlower: max(zoneSlower, 1), net: batchmodel.NewNetwork(), begin: time.Now(), ports: map[int]int{},
-		cells: map[string]int{}, wait: map[batchmodel.TransferID]chan struct{}{},
+		cellFactor: cellFactor,
+		zoneFactor: max(zoneFactor, 1),
+		network:    batchmodel.NewNetwork(),
+		begin:      time.Now(),
+		ports:      map[int]int{},
+		cells:      map[string]int{},
+		done:       map[batchmodel.TransferID]chan struct{}{},
 	}
-	l.timer = time.AfterFunc(time.Hour, l.tick)
+	l.timer = time.AfterFunc(time.Hour, l.timerFired)
 	return l
 }
 
-// Close ends the links' timer.
+// Close stops the timer of the links.
 func (l *Links) Close() { l.timer.Stop() }
 
 func (l *Links) now() batchmodel.Nanos { return int64(time.Since(l.begin)) }
 
-func (l *Links) tick() {
+func (l *Links) timerFired() {
 	l.mu.Lock()
-	l.settle()
+	l.advance()
 	l.mu.Unlock()
 }
 
-// settle tells whose moves have ended and sets the timer for the next. The lock is held.
-func (l *Links) settle() {
-	for _, id := range l.net.AdvanceTo(l.now(), nil) {
-		if ch := l.wait[id]; ch != nil {
-			close(ch)
-			delete(l.wait, id)
+// advance ends the transfers that are due and sets the timer for the next one. The lock is held.
+func (l *Links) advance() {
+	for _, id := range l.network.AdvanceTo(l.now(), nil) {
+		if done := l.done[id]; done != nil {
+			close(done)
+			delete(l.done, id)
 		}
 	}
-	if at, ok := l.net.NextEnd(); ok {
-		l.timer.Reset(max(time.Duration(at-l.now()), 0))
+	if next, ok := l.network.NextEnd(); ok {
+		l.timer.Reset(max(time.Duration(next-l.now()), 0))
 	}
 }
 
-// way gives the number of a way, made at its first use. The lock is held.
-func way[K comparable](l *Links, of map[K]int, key K, rate float64) (int, error) {
-	if w, ok := of[key]; ok {
-		return w, nil
+// link returns the index of the link of a server or cell, which is added at its first use. The lock is held.
+func link[K comparable](l *Links, indexes map[K]int, key K, tokensPerSecond float64) (int, error) {
+	if index, ok := indexes[key]; ok {
+		return index, nil
 	}
-	w, err := l.net.AddLink(rate)
+	index, err := l.network.AddLink(tokensPerSecond)
 	if err == nil {
-		of[key] = w
+		indexes[key] = index
 	}
-	return w, err
+	return index, err
 }
 
-// Transfer takes as long as the state of a host takes to one in another place; slow stretches it.
-func (l *Links) Transfer(ctx context.Context, from *Spec, tokens int64, zone, cell string, slow float64) error {
+// Transfer waits as long as the transfer of a state takes from a server to one in the given zone and cell. It returns
+// the error of the context if that ends first.
+func (l *Links) Transfer(ctx context.Context, from *Spec, tokens int64, zone, cell string, slowdown float64) error {
 	l.mu.Lock()
-	port, err := way(l, l.ports, from.ID, from.TransferRate)
-	over := []int{port}
-	if err == nil && (cell != from.Cell || zone != from.Zone) {
-		var link int
-		link, err = way(l, l.cells, from.Zone+"/"+from.Cell, from.TransferRate*l.cellFactor)
-		over = append(over, link)
-	}
-	if zone != from.Zone {
-		slow *= l.zoneSlower
-	}
-	l.last++
-	id := l.last
-	if err == nil {
-		l.settle() // what has ended must not share any more
-		err = l.net.Start(l.now(), id, int(max(tokens, 1)), max(slow, 1), over...)
-	}
+	id, err := l.start(from, tokens, zone, cell, slowdown)
 	if err != nil {
 		l.mu.Unlock()
 		return err
 	}
 	done := make(chan struct{})
-	l.wait[id] = done
-	l.settle()
+	l.done[id] = done
+	l.advance()
 	l.mu.Unlock()
 	select {
 	case <-done:
 		return nil
 	case <-ctx.Done():
-		l.mu.Lock()
-		l.net.Stop(l.now(), id)
-		delete(l.wait, id)
-		l.settle()
-		l.mu.Unlock()
+		l.stop(id)
 		return ctx.Err()
 	}
 }
+
+// start begins a transfer: over the port of the server and, out of its cell, over the link of the cell. The lock is
+// held.
+func (l *Links) start(from *Spec, tokens int64, zone, cell string, slowdown float64) (batchmodel.TransferID, error) {
+	port, err := link(l, l.ports, from.ID, from.TransferRate)
+	if err != nil {
+		return 0, err
+	}
+	path := []int{port}
+	if cell != from.Cell || zone != from.Zone {
+		cellLink, err := link(l, l.cells, from.Zone+"/"+from.Cell, from.TransferRate*l.cellFactor)
+		if err != nil {
+			return 0, err
+		}
+		path = append(path, cellLink)
+	}
+	if zone != from.Zone {
+		slowdown *= l.zoneFactor
+	}
+	l.lastID++
+	l.advance() // what has ended must not share the links any more
+	return l.lastID, l.network.Start(l.now(), l.lastID, int(max(tokens, 1)), max(slowdown, 1), path...)
+}
+
+// stop ends a transfer early.
+func (l *Links) stop(id batchmodel.TransferID) {
+	l.mu.Lock()
+	l.network.Stop(l.now(), id)
+	delete(l.done, id)
+	l.advance()
+	l.mu.Unlock()
+}
--- a/internal/lab/engine/links_test.go
+++ b/internal/lab/engine/links_test.go
@@ -8,22 +8,21 @@
 	"time"
 )
 
-// TestLinksShare: three hosts of a cell share its one link to others; within the cell each has its port.
+// TestLinksShare checks that three servers of a cell share its one link to other cells and that within the cell each
+// has its own port.
 func TestLinksShare(t *testing.T) {
 	l := NewLinks(1.5, 2)
 	defer l.Close()
-	move := func(zone, cell string) time.Duration {
+	transferAll := func(zone, cell string) time.Duration {
 		var wg sync.WaitGroup
 		begin := time.Now()
 		for i := range 3 {
-			wg.Add(1)
-			go func() {
-				defer wg.Done()
+			wg.Go(func() {
 				from := Spec{ID: i + 1, Zone: "a", Cell: "a1", TransferRate: 10000}
 				if err := l.Transfer(context.Background(), &from, 1000, zone, cell, 1); err != nil {
 					t.Error(err)
 				}
-			}()
+			})
 		}
 		wg.Wait()
 		return time.Since(begin)
@@ -36,16 +35,17 @@
 		{"to another cell", "a", "a2", 200 * time.Millisecond},
 		{"to another zone", "b", "b1", 400 * time.Millisecond},
 	} {
-		if got := move(c.zone, c.cell); got < c.want*98/100 || got > c.want*3/2 {
-			t.Errorf("%s: three moves took %v, want %v", c.name, got, c.want)
+		if got := transferAll(c.zone, c.cell); got < c.want*98/100 || got > c.want*3/2 {
+			t.Errorf("%s: three transfers took %v, want %v", c.name, got, c.want)
 		}
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Millisecond)
 	defer cancel()
-	if err := l.Transfer(ctx, &Spec{ID: 1, Zone: "a", Cell: "a1", TransferRate: 10}, 1e6, "a", "a1", 1); !errors.Is(err, context.DeadlineExceeded) {
-		t.Errorf("a move that is given up: %v", err)
+	slow := Spec{ID: 1, Zone: "a", Cell: "a1", TransferRate: 10}
+	if err := l.Transfer(ctx, &slow, 1e6, "a", "a1", 1); !errors.Is(err, context.DeadlineExceeded) {
+		t.Errorf("a canceled transfer: %v, want %v", err, context.DeadlineExceeded)
 	}
-	if got := move("a", "a1"); got > 150*time.Millisecond {
-		t.Errorf("after a move was given up three take %v", got)
+	if got := transferAll("a", "a1"); got > 150*time.Millisecond {
+		t.Errorf("after a canceled transfer three transfers take %v, want 150ms at most", got)
 	}
 }
