--- a/cmd/docksail/heldstate_test.go
+++ b/cmd/docksail/heldstate_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"net/http"
+	"strings"
 	"testing"
 	"time"
 
@@ -74,7 +75,7 @@
 // until waits for a line of the request's trace.
 func (h *heldStateTest) until(text string) {
 	h.Helper()
-	for end := time.Now().Add(10 * time.Second); h.fleet.Oracle.Seen(heldRequest, text) == 0; time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(10 * time.Second); !strings.Contains(h.fleet.Oracle.Trace(heldRequest), text); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			h.Fatalf("no %q within 10 s:\n%s", text, h.fleet.Oracle.Trace(heldRequest))
 		}
@@ -86,29 +87,39 @@
 	h.Helper()
 	time.Sleep(1500 * time.Millisecond)
 	for _, broken := range h.fleet.Oracle.Check(soak.Now()) {
-		h.Errorf("%s\n%s", broken, h.dispatcher.Log(heldRequest))
+		h.Errorf("%s\n%s", broken, h.dispatcherLog())
 	}
-	if held := h.fleet.Oracle.Held(); len(held) > 0 {
-		h.Errorf("held for %v:\n%s\n%s", held, h.fleet.Oracle.Trace(heldRequest), h.dispatcher.Log(heldRequest))
+	if held := h.fleet.Oracle.HeldRequests(); len(held) > 0 {
+		h.Errorf("held for %v:\n%s\n%s", held, h.fleet.Oracle.Trace(heldRequest), h.dispatcherLog())
 	}
 	if faults, err := h.dispatcher.ProgramErrors(); err != nil || len(faults) > 0 {
 		h.Errorf("%v: %v", err, faults)
 	}
 }
 
+// dispatcherLog returns the lines of the dispatcher's log about the request.
+func (h *heldStateTest) dispatcherLog() string {
+	h.Helper()
+	lines, err := h.dispatcher.LogLines(heldRequest)
+	if err != nil {
+		return err.Error()
+	}
+	return strings.Join(lines, "\n")
+}
+
 // A state is released in time whatever happens to the attempts and releases of its request: real processes over
 // loopback.
 func TestHeldStateOnLoopback(t *testing.T) {
 	for name, script := range map[string]func(h *heldStateTest){
 		"a write on a new connection does not arrive": func(h *heldStateTest) {
-			h.decode.Proxy.SetHeld(soak.Forward, true, false)
+			h.decode.Proxy.SetBlocked(soak.Forward, true, false)
 			h.send(heldRequest)
 			h.until("read at r1")
 			h.until("begun to w1")
 		},
 		"a write on a kept connection does not arrive, another connection speaks": func(h *heldStateTest) {
 			h.served("0000000000000001")
-			h.decode.Proxy.SetHeld(soak.Forward, true, true) // of the connections that there are
+			h.decode.Proxy.SetBlocked(soak.Forward, true, true) // of the connections that there are
 			h.send(heldRequest)
 			h.until("begun to w1")
 			other := soak.NewClient(h.fleet)
@@ -117,8 +128,8 @@
 			}
 		},
 		"the decode server hangs and its system takes connections": func(h *heldStateTest) {
-			h.decode.Stop()
-			h.Cleanup(h.decode.Continue)
+			h.decode.Suspend()
+			h.Cleanup(h.decode.Resume)
 			h.send(heldRequest)
 			h.until("begun to w1")
 		},
@@ -126,13 +137,13 @@
 			h.fleet.AttemptPlan = func(_ string, read bool, _ string) soak.AttemptPlan {
 				return soak.AttemptPlan{Work: 700 * time.Millisecond}
 			}
-			h.prefill.Proxy.SetClosesHeld(true)
+			h.prefill.Proxy.SetClosesBlocked(true)
 			h.send(heldRequest)
 			h.until("arrived at r1")
 			h.client.CancelRequest(heldRequest)
 			h.until("read at r1")
 			time.Sleep(1500 * time.Millisecond)
-			h.prefill.Proxy.SetClosesHeld(false)
+			h.prefill.Proxy.SetClosesBlocked(false)
 		},
 		"a prefill server is cut off as its client leaves": func(h *heldStateTest) {
 			h.fleet.AttemptPlan = func(_ string, read bool, _ string) soak.AttemptPlan {
@@ -140,11 +151,11 @@
 			}
 			h.send(heldRequest)
 			h.until("arrived at r1")
-			h.prefill.Proxy.SetHeld(soak.Forward, true, false)
+			h.prefill.Proxy.SetBlocked(soak.Forward, true, false)
 			h.client.CancelRequest(heldRequest)
 			h.until("read at r1")
 			time.Sleep(1500 * time.Millisecond)
-			h.prefill.Proxy.SetHeld(soak.Forward, false, false)
+			h.prefill.Proxy.SetBlocked(soak.Forward, false, false)
 		},
 		"a server refuses a release": func(h *heldStateTest) {
 			refused := 0
@@ -199,60 +210,65 @@
 	}
 }
 
+// connID returns the name of a connection.
+func connID(server string, port int) soak.ConnID { return soak.ConnID{Server: server, Port: port} }
+
 // What the ledger judges by is seen on accounts that are known to be right or wrong.
 func TestLedger(t *testing.T) {
 	for name, c := range map[string]struct {
-		events func(l *soak.Oracle, at soak.Moment, ms func(int) soak.Moment)
+		events func(l *soak.Oracle, at soak.Instant, ms func(int) soak.Instant)
 		broken int
 	}{
-		"released in time": {func(l *soak.Oracle, at soak.Moment, ms func(int) soak.Moment) {
-			l.ReadAt(at, "a", "r1", 1)
+		"released in time": {func(l *soak.Oracle, at soak.Instant, ms func(int) soak.Instant) {
+			l.PrefillFinished(at, "a", connID("r1", 1))
 			l.ReleaseReceived(ms(1200), "a", "w1")
 		}, 0},
-		"released late": {func(l *soak.Oracle, at soak.Moment, ms func(int) soak.Moment) {
-			l.ReadAt(at, "a", "r1", 1)
+		"released late": {func(l *soak.Oracle, at soak.Instant, ms func(int) soak.Instant) {
+			l.PrefillFinished(at, "a", connID("r1", 1))
 			l.ReleaseReceived(ms(1400), "a", "w1")
 		}, 1},
-		"never released": {func(l *soak.Oracle, at soak.Moment, ms func(int) soak.Moment) {
+		"never released": {func(l *soak.Oracle, at soak.Instant, ms func(int) soak.Instant) {
 			l.ReleaseReceived(ms(-10), "a", "w1")
-			l.ReadAt(at, "a", "r1", 1)
+			l.PrefillFinished(at, "a", connID("r1", 1))
 		}, 1},
-		"taken late": {func(l *soak.Oracle, at soak.Moment, ms func(int) soak.Moment) {
-			l.ReadAt(at, "a", "r1", 1)
-			l.ArrivedAt(ms(1500), "a", false, "w1", 2)
+		"taken late": {func(l *soak.Oracle, at soak.Instant, ms func(int) soak.Instant) {
+			l.PrefillFinished(at, "a", connID("r1", 1))
+			l.AttemptReceived(ms(1500), "a", false, connID("w1", 2))
 		}, 1},
-		"its server died": {func(l *soak.Oracle, at soak.Moment, ms func(int) soak.Moment) {
-			l.ReadAt(at, "a", "r1", 1)
+		"its server died": {func(l *soak.Oracle, at soak.Instant, ms func(int) soak.Instant) {
+			l.PrefillFinished(at, "a", connID("r1", 1))
 			l.ServerStopped(ms(500), "r1")
 		}, 0},
-		"a write waits, then a release": {func(l *soak.Oracle, at soak.Moment, ms func(int) soak.Moment) {
-			l.ReadAt(at, "a", "r1", 1)
-			l.ArrivedAt(ms(100), "a", false, "w1", 2)
+		"a write waits, then a release": {func(l *soak.Oracle, at soak.Instant, ms func(int) soak.Instant) {
+			l.PrefillFinished(at, "a", connID("r1", 1))
+			l.AttemptReceived(ms(100), "a", false, connID("w1", 2))
 			l.ReleaseReceived(ms(2000), "a", "r1") // passes it by
-			l.OverAt(ms(3000), "a", "w1", 2)
-			l.ClosedAt(ms(3010), "a", "w1", 2)
+			l.AttemptFinished(ms(3000), "a", connID("w1", 2), "over")
+			l.AttemptStarted(ms(3010), "a", connID("w1", 2))
+			l.ConnClosed(ms(3010), connID("w1", 2))
 			l.ReleaseReceived(ms(4000), "a", "r1")
 		}, 0},
-		"a write waits, then no release": {func(l *soak.Oracle, at soak.Moment, ms func(int) soak.Moment) {
-			l.ReadAt(at, "a", "r1", 1)
-			l.ArrivedAt(ms(100), "a", false, "w1", 2)
+		"a write waits, then no release": {func(l *soak.Oracle, at soak.Instant, ms func(int) soak.Instant) {
+			l.PrefillFinished(at, "a", connID("r1", 1))
+			l.AttemptReceived(ms(100), "a", false, connID("w1", 2))
 			l.ReleaseReceived(ms(2000), "a", "r1") // passes it by
-			l.OverAt(ms(3000), "a", "w1", 2)
-			l.ClosedAt(ms(3010), "a", "w1", 2)
+			l.AttemptFinished(ms(3000), "a", connID("w1", 2), "over")
+			l.AttemptStarted(ms(3010), "a", connID("w1", 2))
+			l.ConnClosed(ms(3010), connID("w1", 2))
 		}, 1},
-		"a read's answer is held up": {func(l *soak.Oracle, at soak.Moment, ms func(int) soak.Moment) {
-			l.ArrivedAt(at, "a", true, "r1", 1)
-			l.ReadAt(ms(100), "a", "r1", 1)
-			l.ArrivedAt(ms(2000), "a", false, "w1", 2)
+		"a read's answer is held up": {func(l *soak.Oracle, at soak.Instant, ms func(int) soak.Instant) {
+			l.AttemptReceived(at, "a", true, connID("r1", 1))
+			l.PrefillFinished(ms(100), "a", connID("r1", 1))
+			l.AttemptReceived(ms(2000), "a", false, connID("w1", 2))
 		}, 0},
-		"its dispatcher was killed": {func(l *soak.Oracle, at soak.Moment, ms func(int) soak.Moment) {
+		"its dispatcher was killed": {func(l *soak.Oracle, at soak.Instant, ms func(int) soak.Instant) {
 			l.RequestSent(at, "a", "d1")
-			l.ReadAt(at, "a", "r1", 1)
+			l.PrefillFinished(at, "a", connID("r1", 1))
 			l.DispatcherKilled(ms(10), "d1")
 		}, 0},
 	} {
 		at := soak.Now()
-		ms := func(n int) soak.Moment { return at + soak.Moment(n)*soak.Moment(time.Millisecond) }
+		ms := func(n int) soak.Instant { return at + soak.Instant(n)*soak.Instant(time.Millisecond) }
 		l := soak.NewOracle(soak.DefaultLimits(time.Second))
 		c.events(l, at, ms)
 		if broken := l.Check(ms(5000)); len(broken) != c.broken {
--- a/cmd/docksail/lab_soak.go
+++ b/cmd/docksail/lab_soak.go
@@ -26,8 +26,8 @@
 			if role != "prefill" && role != "decode" {
 				return fmt.Errorf("role %q: want prefill or decode", role)
 			}
-			server := soak.ModelServer{Name: name, Prefill: role == "prefill"}
-			return server.Run(oracle, c.OutOrStdout())
+			server := soak.ModelServer{Name: name, IsPrefill: role == "prefill"}
+			return server.Serve(oracle, c.OutOrStdout())
 		},
 	}
 	c.Flags().StringVar(&name, "name", "", "its name on the endpoint list")
@@ -83,16 +83,16 @@
 	for n := range options.seeds {
 		seed := options.firstSeed + uint64(n)
 		run := soak.Soak{
-			Seed: seed, Length: options.length, Most: options.maxProcesses,
-			Folder:  filepath.Join(options.logs, strconv.FormatUint(seed, 10)),
-			Program: commandsOf(self), Dispatcher: commandsOf(dispatcher),
+			Seed: seed, Duration: options.length, MaxProcesses: options.maxProcesses,
+			LogDirectory:  filepath.Join(options.logs, strconv.FormatUint(seed, 10)),
+			Program: commandsOf(self), DispatcherProgram: commandsOf(dispatcher),
 		}
 		verdict, err := run.Run()
 		if err != nil {
 			return fmt.Errorf("seed %d: %w", seed, err)
 		}
-		fmt.Fprint(w, verdict.Report())
-		if verdict.Sound() != nil {
+		fmt.Fprint(w, verdict.Details())
+		if verdict.Err() != nil {
 			failed++
 		}
 	}
--- a/cmd/docksail/lab_soak_test.go
+++ b/cmd/docksail/lab_soak_test.go
@@ -25,13 +25,13 @@
 	}
 	for n := range seeds {
 		t.Run(fmt.Sprint(n+1), func(t *testing.T) {
-			s := soak.Soak{Seed: uint64(n + 1), Length: 5 * time.Second, Most: 14, Program: program, Folder: t.TempDir()}
+			s := soak.Soak{Seed: uint64(n + 1), Duration: 5 * time.Second, MaxProcesses: 14, Program: program, LogDirectory: t.TempDir()}
 			v, err := s.Run()
 			if err != nil {
 				t.Fatal(err)
 			}
-			t.Log(v.Report())
-			if err := v.Sound(); err != nil {
+			t.Log(v.Details())
+			if err := v.Err(); err != nil {
 				t.Error(err)
 			}
 		})
@@ -41,7 +41,7 @@
 // The same seed draws the same schedule; of each role's servers half at the least are sound at any time.
 func TestSoakSchedule(t *testing.T) {
 	for seed := range uint64(20) {
-		first, again := soak.DrawPlan(seed, 20*time.Second), soak.DrawPlan(seed, 20*time.Second)
+		first, again := soak.NewPlan(seed, 0, 20*time.Second), soak.NewPlan(seed, 0, 20*time.Second)
 		if fmt.Sprint(first) != fmt.Sprint(again) || len(first.Schedule) == 0 {
 			t.Fatalf("seed %d: %d faults, then %d", seed, len(first.Schedule), len(again.Schedule))
 		}
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -2,231 +2,189 @@
 
 import (
 	"fmt"
-	"math/rand/v2"
-	"sort"
 	"syscall"
 	"time"
 )
 
-// Fault is one fault of a schedule: what befalls whom, from when on and for how long.
+// Fault is one fault of a schedule: which target has it, from when on and for how long.
 type Fault struct {
 	Start    time.Duration
 	Duration time.Duration
 	Kind     FaultKind
-	Target   string
+	Target   string // name of a server or dispatcher, or "discovery"
 }
 
-// String is the fault as a line of the schedule.
+// String returns the fault as a line of the schedule.
 func (f Fault) String() string {
 	return fmt.Sprintf("%.3f s: %s %s for %.3f s", f.Start.Seconds(), f.Target, f.Kind, f.Duration.Seconds())
 }
 
-// FaultKind is what goes wrong.
+// FaultKind is a kind of fault. Faults of servers come first, then those of dispatchers, then that of discovery; what
+// a seed plays depends on the order.
 type FaultKind int
 
 const (
-	serverHangs FaultKind = iota // its process is stopped, and goes on
-	serverRestarts
-	heldForward    // nothing reaches the server
-	heldBack       // nothing comes from it
-	heldBoth       // it is cut off without a word
-	oldForward     // as heldForward, for the connections that there are
-	oldBack        // as heldBack, for the connections that there are
-	closesHeld     // ends of dispatchers' connections do not reach the server
-	delayed        // everything comes later
-	scattered      // what goes by several connections comes in another order
-	cutBoth        // all connections are reset
-	cutServer      // connections are reset at the server's end; the dispatcher hears nothing but the end
-	cutDispatcher  // connections are reset at the dispatcher's end only
-	refused        // new connections are reset
-	dispatcherHeld // the dispatcher's process is held up for a moment
+	serverSuspended FaultKind = iota // its process is stopped, and continues
+	serverRestarted
+	forwardBlocked      // no bytes reach the server
+	backwardBlocked     // no bytes come from it
+	bothBlocked         // no bytes pass, and no connection is closed
+	oldForwardBlocked   // as forwardBlocked, for the connections that exist when the fault starts
+	oldBackwardBlocked  // as backwardBlocked, for the connections that exist when the fault starts
+	closesBlocked       // the server does not see that dispatchers close connections
+	delayed             // all bytes come later
+	reordered           // bytes on different connections come in another order
+	resetBoth           // all connections are reset at both ends
+	resetAtServer       // connections are reset at the server's end; the dispatcher sees them closed
+	resetAtDispatcher   // connections are reset at the dispatchers' end only
+	connectionsRejected // new connections are reset
+
+	dispatcherSuspended // its process is stopped for a moment, and continues
 	dispatcherKilled
-	dispatcherEnds // SIGTERM, and SIGKILL when the platform's time is over
-	dispatcherReloads
-	discoveryAway
-	faultKinds
-)
+	dispatcherTerminated // SIGTERM, and SIGKILL when the platform's time is over
+	dispatcherReloaded   // SIGHUP
 
-var faultNames = [...]string{
-	"hangs", "is killed and starts again", "gets nothing", "is not heard", "is cut off", "gets nothing on old connections", "is not heard on old connections",
-	"does not hear of closes", "is slow to reach", "is reached in another order", "has its connections cut at both ends", "has its connections cut at its end", "has its connections cut at the dispatchers' end",
-	"refuses connections", "is held up", "is killed and starts again", "ends and starts again", "reads its configuration again", "is silent",
-}
+	discoverySilent
 
-// String names a kind of fault.
-func (k FaultKind) String() string { return faultNames[k] }
+	faultKindCount
 
-const (
-	shortestFault = 200 * time.Millisecond
-	longestFault  = 3500 * time.Millisecond
-	longestDelay  = 400 * time.Millisecond
-	longestHoldUp = 150 * time.Millisecond // of a dispatcher, by the platform's word
-	// endGrace is how long after SIGTERM the platform kills at the soonest: the longest deadline, counted as 3 s at
-	// most, and 0.7 s.
-	endGrace  = 3700 * time.Millisecond
-	signalGap = 200 * time.Millisecond // between the signals to a dispatcher that is to end
+	firstDispatcherFault = dispatcherSuspended
 )
 
-// span draws a length between two.
-func span(rng *rand.Rand, least, most time.Duration) time.Duration {
-	return least + time.Duration(rng.Int64N(int64(most-least)))
+var faultNames = [faultKindCount]string{
+	serverSuspended:      "hangs",
+	serverRestarted:      "is killed and starts again",
+	forwardBlocked:       "gets nothing",
+	backwardBlocked:      "is not heard",
+	bothBlocked:          "is cut off",
+	oldForwardBlocked:    "gets nothing on old connections",
+	oldBackwardBlocked:   "is not heard on old connections",
+	closesBlocked:        "does not hear of closes",
+	delayed:              "is slow to reach",
+	reordered:            "is reached in another order",
+	resetBoth:            "has its connections cut at both ends",
+	resetAtServer:        "has its connections cut at its end",
+	resetAtDispatcher:    "has its connections cut at the dispatchers' end",
+	connectionsRejected:  "refuses connections",
+	dispatcherSuspended:  "is held up",
+	dispatcherKilled:     "is killed and starts again",
+	dispatcherTerminated: "ends and starts again",
+	dispatcherReloaded:   "reads its configuration again",
+	discoverySilent:      "is silent",
 }
 
-// schedule draws faults over a time. They overlap, but of each role's servers half at the least are sound at any
-// time: where all are cut off nobody can keep a promise.
-func schedule(rng *rand.Rand, prefill, decode, dispatchers int, length time.Duration, each time.Duration) (faults []Fault) {
-	busy := map[string]time.Duration{} // until when a target has its fault
-	for at := 500 * time.Millisecond; at < length; at += span(rng, each/2, each*3/2) {
-		f := Fault{Start: at, Kind: FaultKind(rng.IntN(int(faultKinds))), Duration: span(rng, shortestFault, longestFault)}
-		var free []string
-		switch {
-		case f.Kind == discoveryAway:
-			free = []string{"discovery"}
-		case f.Kind >= dispatcherHeld:
-			for n := range dispatchers {
-				free = append(free, dispatcherName(n))
-			}
-			if f.Kind == dispatcherHeld {
-				f.Duration = span(rng, time.Millisecond, longestHoldUp)
-			}
-			if f.Kind == dispatcherEnds {
-				f.Duration = endGrace
-			}
-		default:
-			free = append(soundServers(busy, at, prefillName, prefill), soundServers(busy, at, decodeName, decode)...)
-		}
-		free = dropBusy(free, busy, at)
-		if len(free) == 0 {
-			continue
-		}
-		f.Target = free[rng.IntN(len(free))]
-		busy[f.Target] = f.Start + f.Duration + 100*time.Millisecond
-		faults = append(faults, f)
-	}
-	sort.SliceStable(faults, func(i, j int) bool { return faults[i].Start < faults[j].Start })
-	return faults
-}
+// String returns what the kind does to its target, in words.
+func (k FaultKind) String() string { return faultNames[k] }
 
-func prefillName(n int) string    { return fmt.Sprintf("r%d", n) }
-func decodeName(n int) string     { return fmt.Sprintf("w%d", n) }
-func dispatcherName(n int) string { return fmt.Sprintf("d%d", n) }
+// discoveryTarget is the target of faults of discovery.
+const discoveryTarget = "discovery"
 
-// soundServers gives the servers of a role that may have a fault: none, if half of them have one.
-func soundServers(busy map[string]time.Duration, at time.Duration, name func(int) string, count int) (free []string) {
-	faulty := 0
-	for n := range count {
-		if busy[name(n)] > at {
-			faulty++
-		}
-	}
-	if 2*(faulty+1) > count {
-		return nil
-	}
-	for n := range count {
-		free = append(free, name(n))
-	}
-	return free
-}
+// An UnknownTargetError is the error of a fault whose target the fleet does not have.
+type UnknownTargetError struct{ Target string }
 
-func dropBusy(names []string, busy map[string]time.Duration, at time.Duration) (free []string) {
-	for _, name := range names {
-		if busy[name] <= at {
-			free = append(free, name)
-		}
-	}
-	return free
+func (e *UnknownTargetError) Error() string {
+	return fmt.Sprintf("fault of %q: the fleet has no server or dispatcher of that name", e.Target)
 }
 
-// apply brings a fault about, for as long as it lasts.
+// apply brings a fault about and returns when it has ended.
 func (f *Fleet) apply(fault Fault) error {
-	switch {
-	case fault.Kind == discoveryAway:
+	if fault.Kind == discoverySilent {
 		f.SetDiscoverySilent(true)
 		time.Sleep(fault.Duration)
 		f.SetDiscoverySilent(false)
 		return nil
-	case fault.Kind >= dispatcherHeld:
+	}
+	if fault.Kind >= firstDispatcherFault {
 		for _, d := range f.Dispatchers {
 			if d.Name == fault.Target {
-				return d.suffer(fault)
+				return d.apply(fault)
 			}
 		}
+		return &UnknownTargetError{fault.Target}
 	}
 	for _, s := range f.Servers {
 		if s.Name == fault.Target {
-			return s.suffer(fault)
+			return s.apply(fault)
 		}
 	}
-	return fmt.Errorf("fault of %q, which is nobody", fault.Target)
+	return &UnknownTargetError{fault.Target}
 }
 
-// suffer brings a dispatcher's fault about.
-func (d *Dispatcher) suffer(fault Fault) error {
+// apply brings a fault of a dispatcher about.
+func (d *Dispatcher) apply(fault Fault) error {
 	switch fault.Kind {
-	case dispatcherHeld:
+	case dispatcherSuspended:
 		d.Signal(syscall.SIGSTOP)
 		time.Sleep(fault.Duration)
 		d.Signal(syscall.SIGCONT)
-	case dispatcherReloads:
+	case dispatcherReloaded:
 		d.Signal(syscall.SIGHUP)
 	case dispatcherKilled:
 		d.Kill()
 		time.Sleep(fault.Duration / 4)
 		return d.Start()
-	case dispatcherEnds:
-		for _, signal := range []syscall.Signal{syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM} { // impatient operators
-			d.Signal(signal)
-			time.Sleep(signalGap)
-		}
-		err, ended := d.WaitExit(fault.Duration - 3*signalGap)
-		if ended && err != nil {
-			return fmt.Errorf("dispatcher %s ended with %w", d.Name, err)
-		}
-		d.Kill()
-		return d.Start()
+	case dispatcherTerminated:
+		return d.terminate(fault.Duration)
+	default: // a fault of a server or of discovery
 	}
 	return nil
 }
 
-// suffer brings a server's fault about.
-func (s *Server) suffer(fault Fault) error {
+// terminate ends a dispatcher as the platform does, with the signals of impatient operators, and starts it again.
+func (d *Dispatcher) terminate(gracePeriod time.Duration) error {
+	signals := []syscall.Signal{syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM}
+	for _, signal := range signals {
+		d.Signal(signal)
+		time.Sleep(signalInterval)
+	}
+	ended, err := d.WaitExit(gracePeriod - time.Duration(len(signals))*signalInterval)
+	if ended && err != nil {
+		return fmt.Errorf("dispatcher %s ended with %w", d.Name, err)
+	}
+	d.Kill()
+	return d.Start()
+}
+
+// apply brings a fault of a server, or of the network before it, about.
+func (s *Server) apply(fault Fault) error {
 	p := s.Proxy
-	during := func(set func(yes bool)) {
+	during := func(set func(active bool)) {
 		set(true)
 		time.Sleep(fault.Duration)
 		set(false)
 	}
 	switch fault.Kind {
-	case serverHangs:
-		s.Stop()
+	case serverSuspended:
+		s.Suspend()
 		time.Sleep(fault.Duration)
-		s.Continue()
-	case serverRestarts:
+		s.Resume()
+	case serverRestarted:
 		return s.Restart()
-	case heldForward, oldForward:
-		during(func(yes bool) { p.SetHeld(Forward, yes, fault.Kind == oldForward) })
-	case heldBack, oldBack:
-		during(func(yes bool) { p.SetHeld(Back, yes, fault.Kind == oldBack) })
-	case heldBoth:
-		during(func(yes bool) { p.SetHeld(Forward, yes, false); p.SetHeld(Back, yes, false) })
-	case closesHeld:
-		during(p.SetClosesHeld)
+	case forwardBlocked, oldForwardBlocked:
+		during(func(active bool) { p.SetBlocked(Forward, active, fault.Kind == oldForwardBlocked) })
+	case backwardBlocked, oldBackwardBlocked:
+		during(func(active bool) { p.SetBlocked(Backward, active, fault.Kind == oldBackwardBlocked) })
+	case bothBlocked:
+		during(func(active bool) { p.SetBlocked(Forward, active, false); p.SetBlocked(Backward, active, false) })
+	case closesBlocked:
+		during(p.SetClosesBlocked)
 	case delayed:
-		p.SetDelay(fault.Duration * longestDelay / longestFault)
+		p.SetDelay(fault.Duration * maxDelay / maxFaultDuration)
 		time.Sleep(fault.Duration)
 		p.SetDelay(0)
-	case scattered:
-		p.SetSpread(fault.Duration * longestDelay / longestFault)
+	case reordered:
+		p.SetSpread(fault.Duration * maxDelay / maxFaultDuration)
 		time.Sleep(fault.Duration)
 		p.SetSpread(0)
-	case cutBoth:
+	case resetBoth:
 		p.ResetConns(Forward, true)
-	case cutServer:
+	case resetAtServer:
 		p.ResetConns(Forward, false)
-	case cutDispatcher:
-		p.ResetConns(Back, false)
-	case refused:
+	case resetAtDispatcher:
+		p.ResetConns(Backward, false)
+	case connectionsRejected:
 		during(p.SetRejecting)
+	default: // a fault of a dispatcher or of discovery
 	}
 	return nil
 }
--- a/internal/lab/soak/modelserver.go
+++ b/internal/lab/soak/modelserver.go
@@ -13,59 +13,41 @@
 	"time"
 )
 
-// AttemptPlan is what a stand-in server does with an attempt. The one who runs the soak makes it, so that it follows
-// from the seed.
-type AttemptPlan struct {
-	Work          time.Duration // until a read ends, or a write fetches its state
-	TokenInterval time.Duration // between the events of a stream
-	Status        int           // of the answer; 0 = as a sound server. A read that is answered otherwise leaves its state all the same
-	Reset         bool          // the connection breaks instead of an answer
-}
-
-// report is what a server process tells the one who runs the soak; Plan, Held and Status are its answers.
-type report struct {
-	Op     string
-	ID     string
-	Port   int
-	At     Moment
-	Read   bool
-	How    string
-	Plan   AttemptPlan
-	Held   bool
-	Status int
-}
+// streamEvents is the number of events of each stream, with the one that ends it.
+const streamEvents = 4
 
 const (
-	opArrived  = "arrived"
-	opRead     = "read"
-	opOver     = "over"
-	opFetch    = "fetch"
-	opReleased = "released"
+	tokenEvent = "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"oqvh\"}}]}\n\n"
+	endEvent   = "data: [DONE]\n\n"
 )
 
-// ModelServer is a stand-in prefill or decode server that speaks the platform's protocol and keeps its account with a
-// ledger in another process.
+// errConnClosed is the error of an attempt whose connection has ended.
+var errConnClosed = errors.New("connection closed")
+
+// ModelServer is a stand-in prefill or decode server that speaks the platform's protocol and reports to the oracle in
+// another process.
 type ModelServer struct {
-	Name    string
-	Prefill bool
+	Name      string
+	IsPrefill bool
 
-	mu     sync.Mutex
-	ledger net.Conn
+	mu     sync.Mutex // one report at a time
+	oracle net.Conn
 	in     *json.Decoder
 	out    *json.Encoder
 }
 
-// Run serves on any port of the loopback until it fails, and writes its address to a line of w once it listens.
-func (s *ModelServer) Run(ledger string, w io.Writer) error {
+// Serve serves on a free port of the loopback interface until it fails. It writes its address to a line of w as soon
+// as it listens. oracle is the address to which it reports.
+func (s *ModelServer) Serve(oracle string, w io.Writer) error {
 	var err error
-	if s.ledger, err = net.Dial("tcp", ledger); err != nil {
-		return fmt.Errorf("ledger: %w", err)
+	if s.oracle, err = net.Dial("tcp", oracle); err != nil {
+		return fmt.Errorf("oracle: %w", err)
 	}
-	s.in, s.out = json.NewDecoder(s.ledger), json.NewEncoder(s.ledger)
+	s.in, s.out = json.NewDecoder(s.oracle), json.NewEncoder(s.oracle)
 	if err := s.out.Encode(s.Name); err != nil {
-		return fmt.Errorf("ledger: %w", err)
+		return fmt.Errorf("oracle: %w", err)
 	}
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := listenOnLoopback()
 	if err != nil {
 		return err
 	}
@@ -75,144 +57,173 @@
 		if err != nil {
 			return err
 		}
-		go s.serve(c.(*net.TCPConn))
+		conn := &modelServerConn{
+			server: s, conn: c.(*net.TCPConn), port: c.RemoteAddr().(*net.TCPAddr).Port, closed: make(chan struct{}),
+		}
+		go conn.serve()
 	}
 }
 
-// tell reports to the ledger and gives its answer; the process has no purpose without one.
-func (s *ModelServer) tell(r report) report {
+// report sends a report to the oracle and returns its answer. Without an oracle the answer is the report itself.
+func (s *ModelServer) report(r report) report {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r.At = Now()
 	if s.out.Encode(r) != nil || s.in.Decode(&r) != nil {
-		s.ledger.Close()
+		s.oracle.Close()
 	}
 	return r
 }
 
-// serve answers the requests of one connection.
-func (s *ModelServer) serve(c *net.TCPConn) {
-	defer c.Close()
-	port := c.RemoteAddr().(*net.TCPAddr).Port
-	requests, ended := make(chan *http.Request), make(chan struct{})
-	go func() {
-		defer close(ended)
-		in := bufio.NewReader(c)
-		for {
-			r, err := http.ReadRequest(in)
-			if err != nil {
-				return
-			}
-			if _, err := io.Copy(io.Discard, r.Body); err != nil {
-				return
-			}
-			requests <- r
-		}
-	}()
+// modelServerConn is a connection to a model server. It carries one request at a time.
+type modelServerConn struct {
+	server *ModelServer
+	conn   *net.TCPConn
+	port   int           // of the proxy
+	closed chan struct{} // closed when the connection's reading side has ended
+}
+
+// serve answers the requests of the connection.
+func (c *modelServerConn) serve() {
+	defer c.conn.Close()
+	requests := make(chan *http.Request)
+	go c.readRequests(requests)
 	for {
 		select {
 		case r := <-requests:
-			if !s.answer(c, port, r, ended) {
-				c.SetLinger(0)
+			if !c.answer(r) {
+				resetOnClose(c.conn)
 				return
 			}
-		case <-ended:
+		case <-c.closed:
 			return
 		}
 	}
 }
 
-var errClosed = errors.New("connection closed")
+// readRequests reads complete requests until the connection ends. It goes on while a request is being answered, so
+// that the end of the connection is noticed.
+func (c *modelServerConn) readRequests(requests chan<- *http.Request) {
+	defer close(c.closed)
+	in := bufio.NewReader(c.conn)
+	for {
+		r, err := http.ReadRequest(in)
+		if err != nil {
+			return
+		}
+		if _, err := io.Copy(io.Discard, r.Body); err != nil {
+			return
+		}
+		requests <- r
+	}
+}
 
-// answer answers one request; false: the connection is to be reset.
-func (s *ModelServer) answer(c net.Conn, port int, r *http.Request, ended chan struct{}) bool {
+// answer answers one request. It reports whether the connection stays open; otherwise it is to be reset.
+func (c *modelServerConn) answer(r *http.Request) bool {
 	if r.Method == http.MethodDelete {
-		status := s.tell(report{Op: opReleased, ID: strings.TrimPrefix(r.URL.Path, "/state/"), Port: port}).Status
-		if status == 0 {
-			status = http.StatusNoContent
-		}
-		fmt.Fprintf(c, "HTTP/1.1 %d %s\r\nContent-Length: 0\r\n\r\n", status, http.StatusText(status))
+		c.answerRelease(strings.TrimPrefix(r.URL.Path, "/state/"))
 		return true
 	}
 	id := r.Header.Get("X-Txn")
-	plan := s.tell(report{Op: opArrived, ID: id, Port: port, Read: s.Prefill}).Plan
-	over := func(how string) { s.tell(report{Op: opOver, ID: id, Port: port, How: how}) }
-	if wait(plan.Work, ended) != nil {
-		over("its connection ended")
+	received := report{Kind: reportAttemptReceived, ID: id, Port: c.port, IsPrefill: c.server.IsPrefill}
+	plan := c.server.report(received).Plan
+	if c.wait(plan.Work) != nil {
+		c.reportFinished(id, "its connection ended")
 		return true
 	}
-	if s.Prefill {
-		return s.answerRead(c, id, port, plan)
+	if c.server.IsPrefill {
+		return c.answerPrefill(id, plan)
 	}
+	return c.answerDecode(id, plan)
+}
+
+// answerRelease answers a release with the status that the oracle's process decides.
+func (c *modelServerConn) answerRelease(id string) {
+	status := c.server.report(report{Kind: reportReleaseReceived, ID: id, Port: c.port}).Status
+	if status == 0 {
+		status = http.StatusNoContent
+	}
+	fmt.Fprintf(c.conn, "HTTP/1.1 %d %s\r\nContent-Length: 0\r\n\r\n", status, http.StatusText(status))
+}
+
+// answerPrefill ends a prefill. Its state is held whatever the answer is, and if there is none. It reports whether the
+// connection stays open.
+func (c *modelServerConn) answerPrefill(id string, plan AttemptPlan) bool {
+	c.server.report(report{Kind: reportPrefillFinished, ID: id, Port: c.port})
 	if plan.Reset {
-		over("reset")
 		return false
 	}
+	status, text := http.StatusAccepted, `{"cached_tokens":0}`
 	if plan.Status != 0 {
-		over("refused")
-		turned := ""
-		if plan.Status == http.StatusServiceUnavailable {
-			turned = "X-Turned-Away: 1\r\n"
-		}
-		fmt.Fprintf(c, "HTTP/1.1 %d %s\r\n%sContent-Length: 0\r\n\r\n", plan.Status, http.StatusText(plan.Status), turned)
-		return true
-	}
-	if !s.tell(report{Op: opFetch, ID: id, Port: port}).Held {
-		over("no state")
-		fmt.Fprint(c, "HTTP/1.1 410 Gone\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n")
-		return true
-	}
-	how := "streamed"
-	if s.stream(c, plan.TokenInterval, ended) != nil {
-		how = "stream cut"
+		status = plan.Status
 	}
-	over(how)
-	return how == "streamed"
+	fmt.Fprintf(c.conn, "HTTP/1.1 %d %s\r\nContent-Length: %d\r\n\r\n%s",
+		status, http.StatusText(status), len(text), text)
+	return true
 }
 
-// answerRead ends a read: whatever is answered, or not, its state is held.
-func (s *ModelServer) answerRead(c net.Conn, id string, port int, plan AttemptPlan) bool {
-	s.tell(report{Op: opRead, ID: id, Port: port})
+// answerDecode answers a decode attempt: it fetches the state and streams the answer, or does what the plan says. It
+// reports whether the connection stays open.
+func (c *modelServerConn) answerDecode(id string, plan AttemptPlan) bool {
 	if plan.Reset {
+		c.reportFinished(id, "reset")
 		return false
 	}
-	status, text := http.StatusAccepted, `{"cached_tokens":0}`
 	if plan.Status != 0 {
-		status = plan.Status
+		c.reportFinished(id, "refused")
+		rejected := ""
+		if plan.Status == http.StatusServiceUnavailable {
+			rejected = "X-Turned-Away: 1\r\n"
+		}
+		fmt.Fprintf(c.conn, "HTTP/1.1 %d %s\r\n%sContent-Length: 0\r\n\r\n",
+			plan.Status, http.StatusText(plan.Status), rejected)
+		return true
 	}
-	fmt.Fprintf(c, "HTTP/1.1 %d %s\r\nContent-Length: %d\r\n\r\n%s", status, http.StatusText(status), len(text), text)
+	if !c.server.report(report{Kind: reportStateFetched, ID: id, Port: c.port}).Held {
+		c.reportFinished(id, "no state")
+		fmt.Fprint(c.conn, "HTTP/1.1 410 Gone\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n")
+		return true
+	}
+	if c.stream(plan.TokenInterval) != nil {
+		c.reportFinished(id, "stream cut")
+		return false
+	}
+	c.reportFinished(id, "streamed")
 	return true
 }
 
-const streamEvents = 4 // of each stream, with its end
+func (c *modelServerConn) reportFinished(id, outcome string) {
+	c.server.report(report{Kind: reportAttemptFinished, ID: id, Port: c.port, Outcome: outcome})
+}
 
 // stream writes the events of an answer.
-func (s *ModelServer) stream(c net.Conn, gap time.Duration, ended chan struct{}) error {
-	if _, err := io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"); err != nil {
+func (c *modelServerConn) stream(tokenInterval time.Duration) error {
+	const head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
+	if _, err := io.WriteString(c.conn, head); err != nil {
 		return err
 	}
 	for n := range streamEvents {
-		text := "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"oqvh\"}}]}\n\n"
+		event := tokenEvent
 		if n == streamEvents-1 {
-			text = "data: [DONE]\n\n"
+			event = endEvent
 		}
-		if _, err := fmt.Fprintf(c, "%x\r\n%s\r\n", len(text), text); err != nil {
+		if _, err := fmt.Fprintf(c.conn, "%x\r\n%s\r\n", len(event), event); err != nil {
 			return err
 		}
-		if err := wait(gap, ended); err != nil {
+		if err := c.wait(tokenInterval); err != nil {
 			return err
 		}
 	}
-	_, err := io.WriteString(c, "0\r\n\r\n")
+	_, err := io.WriteString(c.conn, "0\r\n\r\n")
 	return err
 }
 
-// wait waits, or tells that the connection has ended.
-func wait(span time.Duration, ended chan struct{}) error {
+// wait waits for that long, or returns errConnClosed if the connection ends before.
+func (c *modelServerConn) wait(d time.Duration) error {
 	select {
-	case <-time.After(span):
+	case <-time.After(d):
 		return nil
-	case <-ended:
-		return errClosed
+	case <-c.closed:
+		return errConnClosed
 	}
 }
--- /dev/null
+++ b/internal/lab/soak/proxyconn.go
@@ -0,0 +1,147 @@
+package soak
+
+import (
+	"bytes"
+	"errors"
+	"io"
+	"net"
+	"time"
+)
+
+const (
+	proxyReadSize   = 64 << 10
+	maxQueuedChunks = 1024 // read and not yet forwarded
+	// spreadSteps is the number of different delays of connections with a spread: consecutive connections differ most.
+	spreadSteps = 7
+)
+
+// proxyConn is one connection through a proxy.
+type proxyConn struct {
+	proxy      *Proxy
+	dispatcher *net.TCPConn
+	server     *net.TCPConn
+	id         ConnID
+	isOld      bool // it existed when the proxy was blocked; guarded by the proxy's mutex
+}
+
+// chunk is a number of bytes that were read and are not yet forwarded.
+type chunk struct {
+	data   []byte
+	readAt time.Time
+}
+
+// reset resets the connection at the server's or the dispatcher's end, or at both.
+func (c *proxyConn) reset(direction Direction, both bool) {
+	if direction == Forward || both {
+		resetConn(c.server)
+	}
+	if direction == Backward || both {
+		resetConn(c.dispatcher)
+	}
+}
+
+// resetOnClose makes a later Close reset the connection.
+func resetOnClose(conn *net.TCPConn) { _ = conn.SetLinger(0) } // an error means that it is closed
+
+// resetConn resets a connection.
+func resetConn(conn *net.TCPConn) {
+	resetOnClose(conn)
+	conn.Close()
+}
+
+// forward forwards the bytes of one direction. Reading continues while forwarding is held up.
+func (c *proxyConn) forward(direction Direction, from, to *net.TCPConn) {
+	chunks := make(chan chunk, maxQueuedChunks)
+	go c.read(direction, from, to, chunks)
+	c.writeChunks(direction, from, to, chunks)
+	for range chunks { // after a reset, what still comes is dropped
+	}
+	c.waitUntilAllowed(direction, true, time.Now())
+	_ = to.CloseWrite() // an error means that it is closed
+}
+
+// read reads the chunks of one direction until the connection ends. What a dispatcher sends and closes is reported to
+// the oracle.
+func (c *proxyConn) read(direction Direction, from, to *net.TCPConn, chunks chan<- chunk) {
+	defer close(chunks)
+	buffer := make([]byte, proxyReadSize)
+	for {
+		n, err := from.Read(buffer)
+		if n > 0 {
+			if direction == Forward {
+				c.reportAttempt(buffer[:n])
+			}
+			chunks <- chunk{bytes.Clone(buffer[:n]), time.Now()}
+		}
+		if err == nil {
+			continue
+		}
+		if direction == Forward {
+			c.proxy.oracle.ConnClosed(Now(), c.id)
+		}
+		if !errors.Is(err, io.EOF) {
+			resetOnClose(to)
+		}
+		return
+	}
+}
+
+// writeChunks forwards chunks until they end, the connection is reset or the proxy stops.
+func (c *proxyConn) writeChunks(direction Direction, from, to *net.TCPConn, chunks <-chan chunk) {
+	for next := range chunks {
+		if !c.waitUntilAllowed(direction, false, next.readAt) {
+			return
+		}
+		if _, err := to.Write(next.data); err != nil {
+			resetConn(from)
+			return
+		}
+		if direction == Backward {
+			c.proxy.oracle.ResponseForwarded(Now(), c.id)
+		}
+	}
+}
+
+// waitUntilAllowed waits until a chunk, or the end of the direction, may be forwarded. It reports whether the proxy
+// still runs.
+func (c *proxyConn) waitUntilAllowed(direction Direction, isEnd bool, readAt time.Time) bool {
+	p := c.proxy
+	p.mu.Lock()
+	for !p.stopped && c.isBlocked(direction, isEnd) {
+		p.changed.Wait()
+	}
+	stopped := p.stopped
+	delay := p.delay + p.spread*time.Duration(c.id.Port%spreadSteps)/spreadSteps
+	p.mu.Unlock()
+	if remaining := time.Until(readAt.Add(delay)); delay > 0 && remaining > 0 {
+		time.Sleep(remaining)
+	}
+	return !stopped
+}
+
+// isBlocked reports whether the proxy holds a chunk, or the end of the direction, back. The proxy is locked.
+func (c *proxyConn) isBlocked(direction Direction, isEnd bool) bool {
+	p := c.proxy
+	if p.blocked[direction] && (!p.onlyOldBlocked || c.isOld) {
+		return true
+	}
+	return isEnd && direction == Forward && p.closesBlocked
+}
+
+var (
+	requestMethod   = []byte("POST")
+	requestIDHeader = []byte("X-Txn: ")
+)
+
+// reportAttempt reports to the oracle that an attempt has started, if the bytes are the head of a request.
+func (c *proxyConn) reportAttempt(head []byte) {
+	if !bytes.HasPrefix(head, requestMethod) {
+		return
+	}
+	_, rest, found := bytes.Cut(head, requestIDHeader)
+	if !found {
+		return
+	}
+	id, _, _ := bytes.Cut(rest, []byte("\r\n"))
+	c.proxy.oracle.AttemptStarted(Now(), string(id), c.id)
+}
--- /dev/null
+++ b/internal/lab/soak/schedule.go
@@ -0,0 +1,100 @@
+package soak
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"time"
+)
+
+const (
+	firstFaultAt     = 500 * time.Millisecond
+	faultRecovery    = 100 * time.Millisecond // after a fault, before the target may have the next one
+	minFaultDuration = 200 * time.Millisecond
+	maxFaultDuration = 3500 * time.Millisecond
+	maxDelay         = 400 * time.Millisecond
+	maxSuspension    = 150 * time.Millisecond // of a dispatcher, as the platform states
+
+	// terminationGracePeriod is how long after SIGTERM the platform kills at the earliest: the longest deadline,
+	// counted as 3 s at most, and 0.7 s.
+	terminationGracePeriod = 3700 * time.Millisecond
+	signalInterval         = 200 * time.Millisecond // between the signals to a dispatcher that is to end
+)
+
+func prefillName(n int) string    { return fmt.Sprintf("r%d", n) }
+func decodeName(n int) string     { return fmt.Sprintf("w%d", n) }
+func dispatcherName(n int) string { return fmt.Sprintf("d%d", n) }
+
+// faultyUntil holds, by target, until when it has its fault.
+type faultyUntil map[string]time.Duration
+
+// withoutFault returns those of the targets that have no fault at that time.
+func (u faultyUntil) withoutFault(targets []string, at time.Duration) []string {
+	var free []string
+	for _, target := range targets {
+		if u[target] <= at {
+			free = append(free, target)
+		}
+	}
+	return free
+}
+
+// eligibleServers returns the servers of a role, or none if with one more fault more than half of them had one.
+func (u faultyUntil) eligibleServers(at time.Duration, name func(int) string, count int) []string {
+	var names []string
+	faulty := 0
+	for n := range count {
+		names = append(names, name(n))
+		if u[name(n)] > at {
+			faulty++
+		}
+	}
+	if 2*(faulty+1) > count {
+		return nil
+	}
+	return names
+}
+
+// drawSchedule draws the faults of a run. They overlap, but at any time at least half of the servers of each role have
+// none: if all were cut off, no dispatcher could keep the rules. The order of the draws decides what a seed plays.
+func drawSchedule(rng *rand.Rand, plan *Plan, duration time.Duration) []Fault {
+	var faults []Fault
+	until := faultyUntil{}
+	interval := plan.faultInterval
+	for at := firstFaultAt; at < duration; at += randomDuration(rng, interval/2, interval*3/2) {
+		fault := Fault{
+			Start: at, Kind: FaultKind(rng.IntN(int(faultKindCount))),
+			Duration: randomDuration(rng, minFaultDuration, maxFaultDuration),
+		}
+		switch fault.Kind {
+		case dispatcherSuspended:
+			fault.Duration = randomDuration(rng, time.Millisecond, maxSuspension)
+		case dispatcherTerminated:
+			fault.Duration = terminationGracePeriod
+		default: // as drawn
+		}
+		targets := until.withoutFault(plan.faultTargets(until, fault.Kind, at), at)
+		if len(targets) == 0 {
+			continue
+		}
+		fault.Target = targets[rng.IntN(len(targets))]
+		until[fault.Target] = fault.Start + fault.Duration + faultRecovery
+		faults = append(faults, fault)
+	}
+	return faults
+}
+
+// faultTargets returns the targets of a kind of fault; some of them may still have another.
+func (p *Plan) faultTargets(until faultyUntil, kind FaultKind, at time.Duration) []string {
+	if kind == discoverySilent {
+		return []string{discoveryTarget}
+	}
+	if kind < firstDispatcherFault {
+		return append(until.eligibleServers(at, prefillName, p.Prefill),
+			until.eligibleServers(at, decodeName, p.Decode)...)
+	}
+	var names []string
+	for n := range p.Dispatchers {
+		names = append(names, dispatcherName(n))
+	}
+	return names
+}
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -1,214 +1,90 @@
+// Package soak runs real dispatchers before stand-in model servers, each a process of its own, with proxies between
+// them that play network faults. An oracle judges the rules by what servers, proxies and clients report.
 package soak
 
 import (
 	"errors"
 	"fmt"
-	"hash/fnv"
 	"math/rand/v2"
-	"net/http"
 	"os"
-	"strings"
 	"sync"
 	"syscall"
 	"time"
 )
 
-// Soak is one run under random faults.
-type Soak struct {
-	Seed    uint64
-	Length  time.Duration // of traffic and faults
-	Most    int           // processes; 0 = what the seed gives, 10 to 40
-	Program CommandFunc
-	// Dispatcher makes the dispatchers' commands; nil: Program does.
-	Dispatcher CommandFunc
-	Folder     string // keeps the logs of dispatchers
-}
-
-// Verdict is what a soak has found.
-type Verdict struct {
-	Seed      uint64
-	Processes int
-	Settings  string
-	Schedule  []Fault
-	Requests  int
-	Served    int
-	Left      int // clients that left
-	Reads     int // that left a state
-	Releases  int // that came to a server
-	Broken    []string
-}
-
-// Sound tells that no rule was broken and that the run shows something.
-func (v *Verdict) Sound() error {
-	switch {
-	case len(v.Broken) > 0:
-		return fmt.Errorf("%d rules broken", len(v.Broken))
-	case v.Served == 0 || v.Reads == 0:
-		return errors.New("nothing was served: the run shows nothing")
-	}
-	return nil
-}
+const (
+	exitTimeout = 20 * time.Second // of a dispatcher after SIGTERM at the end of a run
+	// settleTime is how long after the last state must be gone the oracle judges.
+	settleTime = 200 * time.Millisecond
 
-// String is the verdict in one line.
-func (v *Verdict) String() string {
-	return fmt.Sprintf("seed %d: %d processes, %s, %d faults, %d requests, %d served, %d clients left, %d states, %d releases, %d rules broken", v.Seed, v.Processes, v.Settings,
-		len(v.Schedule), v.Requests, v.Served, v.Left, v.Reads, v.Releases, len(v.Broken))
-}
+	maxThinkTime = 60 * time.Millisecond // of a client between two requests
+)
 
-// shape is what the seed draws of a run.
-type shape struct {
-	prefill, decode, dispatchers, clients int
-	release                               time.Duration
-	cancel                                bool
-	sockets                               int           // of a dispatcher
-	takesAll                              bool          // releases take states from under attempts that wait
-	every                                 time.Duration // a fault comes, on average
+// Soak is one run under random faults.
+type Soak struct {
+	Seed         uint64
+	Duration     time.Duration // of traffic and faults
+	MaxProcesses int           // 0 = what the seed gives, 10 to 40
+	Program      CommandFunc
+	// DispatcherProgram makes the dispatchers' commands; nil means Program.
+	DispatcherProgram CommandFunc
+	LogDirectory      string // for the logs of the dispatchers
 }
 
-const (
-	fewestProcesses = 10
-	mostProcesses   = 40
-	// clientsEach dispatcher has.
-	clientsEach = 4
-	// Descriptors of a dispatcher, as told.
-	usualSockets = 1024
-	fewSockets   = 60
-)
-
-func drawShape(rng *rand.Rand, most int) shape {
-	if most <= 0 {
-		most = mostProcesses
+// Run plays the soak and returns what it found. The error is one of the run itself; broken rules are in the verdict.
+func (s *Soak) Run() (Verdict, error) {
+	plan := NewPlan(s.Seed, s.MaxProcesses, s.Duration)
+	verdict := Verdict{
+		Seed: s.Seed, Processes: plan.processes(), FleetDescription: plan.description(), Schedule: plan.Schedule,
 	}
-	total := fewestProcesses + rng.IntN(max(most-fewestProcesses, 0)+1)
-	s := shape{dispatchers: max(total/4, 2), release: time.Second, cancel: rng.IntN(3) > 0, every: span(rng, 60*time.Millisecond, 400*time.Millisecond)}
-	switch rng.IntN(4) {
-	case 0:
-		s.release = 700 * time.Millisecond
-	case 1:
-		s.release = 400 * time.Millisecond
+	if err := os.MkdirAll(s.LogDirectory, 0o700); err != nil {
+		return verdict, err
 	}
-	s.takesAll = rng.IntN(3) == 0
-	s.sockets = usualSockets
-	if rng.IntN(4) == 0 {
-		s.sockets = fewSockets
-	}
-	s.prefill = max((total-s.dispatchers)/2, 3)
-	s.decode = max(total-s.dispatchers-s.prefill, 3)
-	s.clients = clientsEach * s.dispatchers
-	return s
-}
-
-// Plan is what a seed draws of a run, for tests and for a look.
-type Plan struct {
-	Prefill, Decode, Dispatchers int
-	Schedule                     []Fault
-}
-
-// DrawPlan draws what a soak of a seed and a length plays.
-func DrawPlan(seed uint64, length time.Duration) Plan {
-	shape, faults := draw(seed, 0, length)
-	return Plan{shape.prefill, shape.decode, shape.dispatchers, faults}
-}
-
-// draw draws the fleet and the schedule of a seed.
-func draw(seed uint64, most int, length time.Duration) (shape, []Fault) {
-	rng := rand.New(rand.NewPCG(seed, 1))
-	s := drawShape(rng, most)
-	return s, schedule(rng, s.prefill, s.decode, s.dispatchers, length, s.every)
-}
-
-// settings is the settings object of the run's dispatchers.
-func (s shape) settings() string {
-	class := func(name string, window time.Duration) string {
-		return fmt.Sprintf(`{"dedup_scope":"all","effect":%q,"give_up_ns":6000000000,"late_value":0.1,"name":%q,"on_time_ns":1500000000,"points":3,"window_ns":%d}`, name, name, window)
+	fleet, err := s.newFleet(&plan)
+	if err != nil {
+		return verdict, err
 	}
-	return fmt.Sprintf(`{"family_info":{"release_ns":%d,"role_by_kind":["read","write"],"token_aim_ns":[60000000,60000000,60000000],
-"aim_us_per_1000_prompt_tokens":[40000,40000,40000]},"limits":{"cancel":%v,"conn_idle_ns":15000000000,"connect_timeout_ns":250000000,
-"max_attempts":6,"max_retry_after_ns":1000000000,"retry_after":true},"localities":["z"],"machine_types":["prefill","decode"],
-"me":0,"siblings":%d,"zone":"z","membership_mode":"pushed","round_ns":4000000,"request_classes":[%s,%s,%s],
-"rules":{"answer_slack_ns":16000000,"cold_from":0.5,"cold_ns":500000000,"fall_multiple":2.5,"fall_ns":1000000000},"tenants":[]}`,
-		s.release, s.cancel, s.dispatchers, class("idempotent", 5*time.Second), class("deduplicated", 2*time.Second), class("at_most_once", 5*time.Second))
-}
-
-var effects = [...]string{"idempotent", "deduplicated", "at_most_once"}
-
-// plan draws what a server does with an attempt, by the seed, the request and the server alone.
-func plan(seed uint64, id string, read bool, server string) AttemptPlan {
-	rng := rand.New(rand.NewPCG(seed, hash(id+server)))
-	p := AttemptPlan{Work: span(rng, time.Millisecond, 150*time.Millisecond), TokenInterval: span(rng, time.Millisecond, 40*time.Millisecond)}
-	if rng.IntN(10) == 0 { // a queue
-		p.Work = span(rng, 400*time.Millisecond, 1600*time.Millisecond)
+	defer fleet.Close()
+	if err := fleet.startAll(&plan); err != nil {
+		return verdict, err
 	}
-	switch rng.IntN(40) {
-	case 0:
-		p.Status = http.StatusInternalServerError
-	case 1:
-		p.Reset = true
-	case 2:
-		if !read {
-			p.Status = http.StatusServiceUnavailable
-		}
+	if err := s.play(fleet, &plan, &verdict); err != nil {
+		return verdict, err
 	}
-	return p
-}
-
-func hash(text string) uint64 {
-	h := fnv.New64a()
-	h.Write([]byte(text))
-	return h.Sum64()
+	return verdict, fleet.judge(&verdict)
 }
 
-// refusedReleases is one release in so many that a server refuses.
-const refusedReleases = 50
-
-// Run runs the soak. An error is one of the run itself, not of the rules.
-func (s *Soak) Run() (v Verdict, err error) {
-	shape, faults := draw(s.Seed, s.Most, s.Length)
-	v = Verdict{
-		Seed: s.Seed, Processes: shape.prefill + shape.decode + shape.dispatchers, Schedule: faults,
-		Settings: fmt.Sprintf("%d prefill, %d decode, %d dispatchers, %d sockets, release %v, cancel %v, releases take all %v", shape.prefill, shape.decode, shape.dispatchers, shape.sockets, shape.release, shape.cancel, shape.takesAll),
-	}
-	if err := os.MkdirAll(s.Folder, 0o700); err != nil {
-		return v, err
-	}
-	f, err := NewFleet(s.Program, s.Folder, shape.settings(), DefaultLimits(shape.release))
+// newFleet returns a fleet as the plan describes it, without processes yet.
+func (s *Soak) newFleet(plan *Plan) (*Fleet, error) {
+	fleet, err := NewFleet(s.Program, s.LogDirectory, plan.settings(), DefaultLimits(plan.releaseTime))
 	if err != nil {
-		return v, err
+		return nil, err
 	}
-	defer f.Close()
-	f.MaxDescriptors, f.Oracle.ReleasesAlwaysTakeState = shape.sockets, shape.takesAll
-	if s.Dispatcher != nil {
-		f.dispatcherProgram = s.Dispatcher
-	}
-	f.AttemptPlan = func(id string, read bool, server string) AttemptPlan { return plan(s.Seed, id, read, server) }
-	f.ReleaseStatus = func(id, server string) int {
-		if hash(id+server+"release")%refusedReleases == 0 {
-			return http.StatusServiceUnavailable
-		}
-		return 0
+	fleet.MaxDescriptors = plan.maxDescriptors
+	fleet.Oracle.ReleasesAlwaysTakeState = plan.releasesAlwaysTakeState
+	if s.DispatcherProgram != nil {
+		fleet.dispatcherProgram = s.DispatcherProgram
 	}
-	if err := f.populate(shape); err != nil {
-		return v, err
+	fleet.AttemptPlan = func(id string, isPrefill bool, server string) AttemptPlan {
+		return planAttempt(s.Seed, id, isPrefill, server)
 	}
-	if err := s.play(f, shape, &v); err != nil {
-		return v, err
-	}
-	return v, s.conclude(f, shape, &v)
+	fleet.ReleaseStatus = planReleaseStatus
+	return fleet, nil
 }
 
-// populate starts all processes.
-func (f *Fleet) populate(s shape) error {
-	for n := range s.prefill {
+// startAll starts the servers and the dispatchers of the plan.
+func (f *Fleet) startAll(plan *Plan) error {
+	for n := range plan.Prefill {
 		if _, err := f.AddServer(prefillName(n), true); err != nil {
 			return err
 		}
 	}
-	for n := range s.decode {
+	for n := range plan.Decode {
 		if _, err := f.AddServer(decodeName(n), false); err != nil {
 			return err
 		}
 	}
-	for n := range s.dispatchers {
+	for n := range plan.Dispatchers {
 		if _, err := f.AddDispatcher(dispatcherName(n)); err != nil {
 			return err
 		}
@@ -216,118 +92,77 @@
 	return nil
 }
 
-// play has clients ask and faults happen.
-func (s *Soak) play(f *Fleet, shape shape, v *Verdict) error {
-	end := time.Now().Add(s.Length)
-	var clients, faults sync.WaitGroup
-	var mu sync.Mutex
-	var failed error
-	for n := range shape.clients {
+// play lets clients send requests for the duration of the soak while the faults of the schedule happen. It returns
+// the errors of faults that could not be brought about.
+func (s *Soak) play(fleet *Fleet, plan *Plan, verdict *Verdict) error {
+	end := time.Now().Add(s.Duration)
+	var clients sync.WaitGroup
+	var mu sync.Mutex // guards the verdict
+	for n := range plan.clients {
 		clients.Go(func() {
-			rng := rand.New(rand.NewPCG(s.Seed, uint64(1000+n)))
-			c := NewClient(f)
-			defer c.Close()
-			for k := 0; time.Now().Before(end); k++ {
-				served, left := c.askOnce(rng, fmt.Sprintf("%04x%04x%08x", s.Seed&0xffff, n, k))
+			s.sendRequests(fleet, n, end, func(outcome clientOutcome) {
 				mu.Lock()
-				v.Requests++
-				v.Served += served
-				v.Left += left
-				mu.Unlock()
-				time.Sleep(span(rng, time.Millisecond, 60*time.Millisecond))
-			}
+				defer mu.Unlock()
+				verdict.count(outcome)
+			})
 		})
 	}
+	err := fleet.playFaults(plan.Schedule)
+	clients.Wait()
+	return err
+}
+
+// sendRequests sends the requests of the n-th client, one after another, until end.
+func (s *Soak) sendRequests(fleet *Fleet, n int, end time.Time, onDone func(clientOutcome)) {
+	rng := rand.New(rand.NewPCG(s.Seed, uint64(1000+n)))
+	client := NewClient(fleet)
+	defer client.Close()
+	for k := 0; time.Now().Before(end); k++ {
+		onDone(client.sendRandomRequest(rng, fmt.Sprintf("%04x%04x%08x", s.Seed&0xffff, n, k)))
+		time.Sleep(randomDuration(rng, time.Millisecond, maxThinkTime))
+	}
+}
+
+// playFaults brings about each fault of a schedule at its time and waits until all have ended.
+func (f *Fleet) playFaults(schedule []Fault) error {
+	var running sync.WaitGroup
+	var mu sync.Mutex
+	var failed error
 	began := time.Now()
-	for _, fault := range v.Schedule {
+	for _, fault := range schedule {
 		time.Sleep(time.Until(began.Add(fault.Start)))
-		faults.Go(func() {
+		running.Go(func() {
 			if err := f.apply(fault); err != nil {
 				mu.Lock()
+				defer mu.Unlock()
 				failed = errors.Join(failed, fmt.Errorf("%s: %w", fault, err))
-				mu.Unlock()
 			}
 		})
 	}
-	clients.Wait()
-	faults.Wait()
+	running.Wait()
 	return failed
 }
 
-// conclude waits until everything has to be gone, ends the dispatchers and judges.
-func (s *Soak) conclude(f *Fleet, shape shape, v *Verdict) error {
-	time.Sleep(shape.release + f.Oracle.limits.HoldTolerance + 200*time.Millisecond)
-	v.Broken = f.Oracle.Check(Now())
+// judge waits until no state may be held any more, ends the dispatchers and completes the verdict.
+func (f *Fleet) judge(verdict *Verdict) error {
+	time.Sleep(f.Oracle.limits.ReleaseTime + f.Oracle.limits.HoldTolerance + settleTime)
+	verdict.Violations = f.Oracle.Check(Now())
 	for _, d := range f.Dispatchers {
 		d.Signal(syscall.SIGTERM)
 	}
 	for _, d := range f.Dispatchers {
-		if err, ended := d.WaitExit(20 * time.Second); !ended || err != nil {
-			v.Broken = append(v.Broken, fmt.Sprintf("crash: dispatcher %s: ended %v, %v", d.Name, ended, err))
+		if ended, err := d.WaitExit(exitTimeout); !ended || err != nil {
+			verdict.Violations = append(verdict.Violations,
+				fmt.Sprintf("crash: dispatcher %s: ended %v, %v", d.Name, ended, err))
 		}
-		faults, err := d.ProgramErrors()
+		lines, err := d.ProgramErrors()
 		if err != nil {
 			return err
 		}
-		for _, line := range faults {
-			v.Broken = append(v.Broken, fmt.Sprintf("violation counted by %s: %s", d.Name, line))
+		for _, line := range lines {
+			verdict.Violations = append(verdict.Violations, fmt.Sprintf("violation counted by %s: %s", d.Name, line))
 		}
 	}
-	v.Reads, v.Releases = f.Oracle.PrefillsCompleted, f.Oracle.ReleasesReceived
+	verdict.StatesHeld, verdict.Releases = f.Oracle.PrefillsCompleted, f.Oracle.ReleasesReceived
 	return nil
 }
-
-const (
-	leavers   = 5 // one request in so many has a client that leaves
-	longLeave = 1200 * time.Millisecond
-)
-
-// askOnce sends one request to a dispatcher and judges its answer.
-func (c *Client) askOnce(rng *rand.Rand, id string) (served, left int) {
-	f := c.fleet
-	d := f.Dispatchers[rng.IntN(len(f.Dispatchers))]
-	if rng.IntN(3) > 0 && c.to != nil { // a client keeps its connection
-		d = c.to
-	}
-	r := Request{ID: id, Session: fmt.Sprintf("%x", rng.IntN(40)), Remaining: span(rng, 600*time.Millisecond, 4800*time.Millisecond), Effect: effects[rng.IntN(len(effects))]}
-	if rng.IntN(leavers) == 0 {
-		r.LeaveIn = span(rng, time.Millisecond, longLeave)
-	}
-	if err := c.Send(d, r); err != nil { // its process is away
-		c.Close()
-		return 0, 0
-	}
-	if r.LeaveIn > 0 {
-		time.Sleep(r.LeaveIn)
-		c.CancelRequest(id)
-		return 0, 1
-	}
-	o := c.ReceiveAnswer(r)
-	f.Oracle.Note(Now(), id, fmt.Sprintf("client got %d, %v", o.Status, o.Err))
-	switch {
-	case o.Status == http.StatusOK && o.Err == nil:
-		return 1, 0
-	case o.Started, o.Err == nil: // refused or failed, or a stream that broke
-		return 0, 0
-	case c.used && !errors.Is(o.Err, os.ErrDeadlineExceeded): // the close of a resting connection crossed it
-		return 0, 0
-	}
-	f.Oracle.AnswerMissing(id, o.Err.Error())
-	return 0, 0
-}
-
-// Report is the verdict with all that a replay needs.
-func (v *Verdict) Report() string {
-	var b strings.Builder
-	fmt.Fprintln(&b, v)
-	if len(v.Broken) == 0 {
-		return b.String()
-	}
-	for _, fault := range v.Schedule {
-		fmt.Fprintln(&b, " ", fault)
-	}
-	for _, broken := range v.Broken {
-		fmt.Fprintln(&b, broken)
-	}
-	return b.String()
-}
--- /dev/null
+++ b/internal/lab/soak/verdict.go
@@ -0,0 +1,75 @@
+package soak
+
+import (
+	"errors"
+	"fmt"
+	"strings"
+)
+
+// Verdict is the outcome of a soak.
+type Verdict struct {
+	Seed             uint64
+	Processes        int
+	FleetDescription string
+	Schedule         []Fault
+	Requests         int
+	Served           int
+	Canceled         int // requests whose client left
+	StatesHeld       int // prefills that left a state
+	Releases         int // releases that reached a server
+	Violations       []string
+}
+
+// ErrNothingServed is the error of a run that shows nothing because no request was served.
+var ErrNothingServed = errors.New("nothing was served: the run shows nothing")
+
+// ViolationsError is the error of a run that broke rules.
+type ViolationsError struct{ Count int }
+
+func (e *ViolationsError) Error() string { return fmt.Sprintf("%d rules broken", e.Count) }
+
+// Err returns nil if the run served requests and broke no rule, else a *ViolationsError or ErrNothingServed.
+func (v *Verdict) Err() error {
+	switch {
+	case len(v.Violations) > 0:
+		return &ViolationsError{len(v.Violations)}
+	case v.Served == 0 || v.StatesHeld == 0:
+		return ErrNothingServed
+	}
+	return nil
+}
+
+// String returns the verdict in one line.
+func (v *Verdict) String() string {
+	return fmt.Sprintf("seed %d: %d processes, %s, %d faults, %d requests, %d served, %d clients left, %d states, "+
+		"%d releases, %d rules broken", v.Seed, v.Processes, v.FleetDescription, len(v.Schedule), v.Requests,
+		v.Served, v.Canceled, v.StatesHeld, v.Releases, len(v.Violations))
+}
+
+// Details returns the verdict's line and, if a rule was broken, the schedule of faults and each violation.
+func (v *Verdict) Details() string {
+	var b strings.Builder
+	fmt.Fprintln(&b, v)
+	if len(v.Violations) == 0 {
+		return b.String()
+	}
+	for _, fault := range v.Schedule {
+		fmt.Fprintln(&b, " ", fault)
+	}
+	for _, text := range v.Violations {
+		fmt.Fprintln(&b, text)
+	}
+	return b.String()
+}
+
+// count adds the outcome of one request.
+func (v *Verdict) count(outcome clientOutcome) {
+	v.Requests++
+	switch outcome {
+	case outcomeServed:
+		v.Served++
+	case outcomeCanceled:
+		v.Canceled++
+	case outcomeNotServed:
+	}
+}
