--- a/policy/config.go
+++ b/policy/config.go
@@ -19,7 +19,8 @@
 	ReleaseTime Nanos // a KV state must not be held longer for a request than this
 }
 
-// Class describes one class of requests.
+// Class describes one class of requests. No decision depends on Timeout, Value, LateValue and InterTokenTarget: they
+// are for the router's callers.
 type Class struct {
 	LatencyTarget      Nanos   // the first token should arrive within this time ...
 	LatencyTargetPer1k Nanos   // ... and this much more for each 1,000 prompt tokens
--- a/policy/types.go
+++ b/policy/types.go
@@ -136,7 +136,7 @@
 	return "unknown"
 }
 
-// Request describes a request of a client.
+// Request describes a request of a client. No decision depends on MaxOutputTokens, ExpectedDuration and IsRetry.
 type Request struct {
 	ID               RequestID
 	Class            ClassID
