--- a/internal/backend/grpc/backend.go
+++ b/internal/backend/grpc/backend.go
@@ -7,6 +7,7 @@
 
 import (
 	"log/slog"
+	"strconv"
 
 	"docksail/internal/decide/keepalive"
 	"docksail/internal/dispatch"
@@ -87,6 +88,9 @@
 	return s != nil && s.role == policy.Prefill, s != nil
 }
 
+// ServerName implements dispatch.Backend. Servers are named by their number in the endpoint list.
+func (b *Backend) ServerName(id policy.ServerID) string { return strconv.FormatUint(uint64(id), 10) }
+
 // Flush implements dispatch.Backend.
 func (b *Backend) Flush() {
 	for _, c := range b.unflushed {
--- a/internal/backend/platform/backend.go
+++ b/internal/backend/platform/backend.go
@@ -14,6 +14,7 @@
 	"log/slog"
 	"math/rand/v2"
 	"net/netip"
+	"strconv"
 
 	"docksail/internal/decide/inflight"
 	"docksail/internal/decide/serverconn"
@@ -117,6 +118,15 @@
 	return srv != nil && srv.role == policy.Prefill, srv != nil
 }
 
+// ServerName implements dispatch.Backend. It returns the server's name in the endpoint list, or its ID if the backend
+// does not keep the server any more.
+func (b *Backend) ServerName(id policy.ServerID) string {
+	if srv := b.byID[id]; srv != nil {
+		return srv.name
+	}
+	return strconv.FormatUint(uint64(id), 10)
+}
+
 // Flush implements dispatch.Backend. It does nothing: connections write at the end of the turn by themselves.
 func (b *Backend) Flush() {}
 
--- a/internal/dispatch/answers.go
+++ b/internal/dispatch/answers.go
@@ -125,7 +125,7 @@
 	_, outstanding := req.OutstandingAttempt()
 	d.Counts.MissedDeadlines++
 	d.log.Error("request deadline missed", "request_id", req.logID(), "attempts", req.AttemptCount(),
-		"outstanding", outstanding, "server_id", req.Server)
+		"outstanding", outstanding, "server_id", d.backend.ServerName(req.Server))
 	id := req.ID
 	d.abort(now, req, deadlineExceededReason)
 	if req = d.requests.Find(id); req != nil && outstanding {
--- a/internal/dispatch/attempts.go
+++ b/internal/dispatch/attempts.go
@@ -25,7 +25,7 @@
 	attempt, err := req.BeginAttempt(kind)
 	if err != nil {
 		d.Counts.InvalidDecisions++
-		d.log.Error("invalid decision", "request_id", req.logID(), "server_id", server, "error", err)
+		d.log.Error("invalid decision", "request_id", req.logID(), "server_id", d.backend.ServerName(server), "error", err)
 		return
 	}
 	d.Counts.Attempts++
@@ -125,7 +125,7 @@
 		d.log.Error("invalid end of an attempt", "request_id", req.logID(), "attempt", number, "error", err)
 	}
 	if d.debug {
-		d.log.Debug("attempt ended", "request_id", req.logID(), "attempt", number, "server_id", req.Server,
+		d.log.Debug("attempt ended", "request_id", req.logID(), "attempt", number, "server_id", d.backend.ServerName(req.Server),
 			"prefill", req.IsPrefill, "outcome", outcome, "state", state, "sent_at", d.ModuleTime(req.SentAt),
 			"duration", now-req.SentAt, "streaming", req.IsStreaming(), "answered", req.Answered())
 	}
--- a/internal/dispatch/backend.go
+++ b/internal/dispatch/backend.go
@@ -33,6 +33,8 @@
 	WatchEndpoints(now eventloop.Nanos)
 	// IsPrefill reports whether a server is a prefill server, and whether the server is known at all.
 	IsPrefill(server policy.ServerID) (isPrefill, known bool)
+	// ServerName returns the name by which a server is logged.
+	ServerName(server policy.ServerID) string
 	// StartAttempt sends a request to its Server. It returns nil if the attempt was not and will not be sent.
 	StartAttempt(now eventloop.Nanos, req *Request, attempt policy.AttemptNumber) Attempt
 	// Release has the KV state released that an attempt of a request left at a server and that is held since then.
--- a/internal/dispatch/decisions.go
+++ b/internal/dispatch/decisions.go
@@ -25,10 +25,11 @@
 // logEjection logs that a server gets no new requests for a time.
 func (d *Dispatcher) logEjection(ejection policy.Ejection) {
 	attributes := []any{
-		"server_id", ejection.Server, "reason", ejection.Reason.String(), "duration", time.Duration(ejection.Duration),
+		"server_id", d.backend.ServerName(ejection.Server), "reason", ejection.Reason.String(),
+		"duration", time.Duration(ejection.Duration),
 	}
 	if ejection.Class != policy.NoClass {
-		attributes = append(attributes, "class", int(ejection.Class))
+		attributes = append(attributes, "class", d.classNames[ejection.Class])
 	}
 	d.log.Info("endpoint ejected", attributes...)
 }
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -84,6 +84,7 @@
 	originUnixNs int64 // Unix time of the loop's time 0
 
 	classes         map[string]policy.ClassID
+	classNames      []string
 	classTimes      []classTimes
 	tenants         map[string]policy.TenantID
 	tenantOptional  bool // a request may name no tenant though there are some
@@ -129,7 +130,7 @@
 		loop: loop, log: log, debug: log.Enabled(context.Background(), slog.LevelDebug),
 		module: config.Module, intake: config.Intake,
 		incarnation: config.Incarnation, originUnixNs: loop.OriginUnixNanos(),
-		classes: make(map[string]policy.ClassID), tenants: make(map[string]policy.TenantID),
+		classes: make(map[string]policy.ClassID), classNames: config.ClassNames, tenants: make(map[string]policy.TenantID),
 		keyHashSeed: config.KeyHashSeed, answerLeadTime: config.AnswerLeadTime,
 		maxRetryAfter: config.MaxRetryAfter, maxSilence: config.MaxSilence,
 	}
--- a/internal/dispatch/fakes_test.go
+++ b/internal/dispatch/fakes_test.go
@@ -62,6 +62,7 @@
 func (*silentBackend) Close()                         {}
 
 func (*silentBackend) IsPrefill(policy.ServerID) (isPrefill, known bool) { return false, true }
+func (*silentBackend) ServerName(policy.ServerID) string                 { return "s" }
 
 func (b *silentBackend) StartAttempt(eventloop.Nanos, *Request, policy.AttemptNumber) Attempt {
 	return b
