--- a/internal/state/recordstore/store_test.go
+++ b/internal/state/recordstore/store_test.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"errors"
 	"fmt"
+	"maps"
 	"os"
 	"path/filepath"
 	"testing"
@@ -11,25 +12,22 @@
 	"pgregory.net/rapid"
 )
 
-// TestModel: random changes, some of which fail and some of which end with the vault closed and opened again, against a
-// plain map.
+// TestModel compares a store with a map under random updates, some of which fail or are followed by a reopening.
 func TestModel(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		path := filepath.Join(t.TempDir(), "v")
-		v, err := Open(path)
+		s, err := Open(path)
 		if err != nil {
 			rt.Fatal(err)
 		}
-		defer func() { v.Close() }()
+		defer func() { s.Close() }()
 		want := map[string]string{}
 		for range rapid.IntRange(1, 12).Draw(rt, "steps") {
 			next := map[string]string{}
-			for k, x := range want {
-				next[k] = x
-			}
+			maps.Copy(next, want)
 			fails := rapid.Bool().Draw(rt, "fails")
 			no := errors.New("no")
-			err := v.Update(func(tx *Tx) error {
+			err := s.Update(func(tx *Tx) error {
 				for range rapid.IntRange(0, 5).Draw(rt, "changes") {
 					set, key := fmt.Sprint("s", rapid.IntRange(0, 2).Draw(rt, "set")), fmt.Sprint(rapid.IntRange(0, 4).Draw(rt, "key"))
 					if rapid.IntRange(0, 3).Draw(rt, "what") == 0 {
@@ -57,21 +55,30 @@
 				want = next
 			}
 			if rapid.IntRange(0, 3).Draw(rt, "reopen") == 0 {
-				v.Close()
-				if v, err = Open(path); err != nil {
+				s.Close()
+				if s, err = Open(path); err != nil {
 					rt.Fatal(err)
 				}
 			}
 			got := map[string]string{}
-			v.View(func(tx *Tx) error {
-				for _, set := range tx.SetNames() {
-					tx.ForEach(set, nil, func(k, x []byte, err error) error {
-						got[set+"/"+string(k)] = string(x)
+			err = s.View(func(tx *Tx) error {
+				names, err := tx.SetNames()
+				if err != nil {
+					return err
+				}
+				for _, set := range names {
+					if err := tx.ForEach(set, nil, func(key, value []byte, err error) error {
+						got[set+"/"+string(key)] = string(value)
 						return err
-					})
+					}); err != nil {
+						return err
+					}
 				}
 				return nil
 			})
+			if err != nil {
+				rt.Fatal(err)
+			}
 			if fmt.Sprint(got) != fmt.Sprint(want) {
 				rt.Fatalf("%v, want %v", got, want)
 			}
@@ -79,14 +86,23 @@
 	})
 }
 
-func filled(t *testing.T) string {
+// writeFile writes a file and fails the test if it cannot.
+func writeFile(t *testing.T, path string, content []byte) {
+	t.Helper()
+	if err := os.WriteFile(path, content, 0o600); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// createStore creates a store with 200 records of the set "set" and returns its path.
+func createStore(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "v")
-	v, err := Open(path)
+	s, err := Open(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := v.Update(func(tx *Tx) error {
+	if err := s.Update(func(tx *Tx) error {
 		for i := range 200 {
 			if err := tx.Put("set", fmt.Appendf(nil, "key%03d", i), bytes.Repeat([]byte{byte('a' + i%26)}, 100)); err != nil {
 				return err
@@ -99,48 +115,51 @@
 	if _, err := Open(path); !errors.Is(err, ErrLocked) {
 		t.Errorf("opened twice: %v", err)
 	}
-	v.Close()
+	s.Close()
 	return path
 }
 
-// TestRot: one changed byte in what a record holds is found, named, and harms no other; changed bytes anywhere in the
-// file end in errors or in records that are right, never in wrong ones.
-func TestRot(t *testing.T) {
-	path := filled(t)
-	whole, err := os.ReadFile(path)
+// TestCorruption checks that one changed byte in a value is found and named and does no harm to other records, and that
+// a changed byte anywhere in the file ends in an error or in intact records, never in a wrong one.
+func TestCorruption(t *testing.T) {
+	path := createStore(t)
+	intact, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	at := bytes.Index(whole, bytes.Repeat([]byte{'h'}, 100))
-	rotten := bytes.Clone(whole)
-	rotten[at+50] ^= 4
-	os.WriteFile(path, rotten, 0o600)
-	v, err := Open(path)
+	at := bytes.Index(intact, bytes.Repeat([]byte{'h'}, 100))
+	corrupted := bytes.Clone(intact)
+	corrupted[at+50] ^= 4
+	writeFile(t, path, corrupted)
+	s, err := Open(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	all, damaged, err := v.Verify()
-	if err != nil || all != 200 || len(damaged) != 1 || damaged[0].Set != "set" || !bytes.HasPrefix(damaged[0].Key, []byte("key")) {
-		t.Errorf("%d records, %v, %v", all, damaged, err)
+	all, corrupt, err := s.Verify()
+	if err != nil || all != 200 || len(corrupt) != 1 ||
+		corrupt[0].Set != "set" || !bytes.HasPrefix(corrupt[0].Key, []byte("key")) {
+		t.Errorf("%d records, %v, %v", all, corrupt, err)
 	}
-	v.Close()
+	s.Close()
 	found := 0
-	for i := 0; i < len(whole); i += 97 {
-		rotten := bytes.Clone(whole)
-		rotten[i] ^= 1 << (i % 8)
-		os.WriteFile(path, rotten, 0o600)
-		v, err := Open(path)
+	for i := 0; i < len(intact); i += 97 {
+		corrupted := bytes.Clone(intact)
+		corrupted[i] ^= 1 << (i % 8)
+		writeFile(t, path, corrupted)
+		s, err := Open(path)
 		if err != nil {
 			found++
 			continue
 		}
-		err = v.View(func(tx *Tx) error {
+		err = s.View(func(tx *Tx) error {
 			return tx.ForEach("set", nil, func(k, x []byte, err error) error {
 				if err != nil {
 					return err
 				}
 				var n int
-				fmt.Sscanf(string(k), "key%03d", &n)
+				if _, err := fmt.Sscanf(string(k), "key%03d", &n); err != nil {
+					t.Fatalf("byte %d changed: key %q and nothing says so", i, k)
+				}
 				if string(k) != fmt.Sprintf("key%03d", n) || !bytes.Equal(x, bytes.Repeat([]byte{byte('a' + n%26)}, 100)) {
 					t.Fatalf("byte %d changed: %q is %q and nothing says so", i, k, x)
 				}
@@ -150,18 +169,18 @@
 		if err != nil {
 			found++
 		}
-		v.Close()
+		s.Close()
 	}
 	if found == 0 {
 		t.Error("no change was found")
 	}
 }
 
-// TestSnapshotAndCompact: a snapshot opens as the vault was; compacting gives room back and keeps every record, and one
-// that was cut off before leaves nothing in the way.
+// TestSnapshotAndCompact checks that a snapshot opens with the records of its time, and that Compact frees space, keeps
+// every record and is not hindered by the file of an interrupted call.
 func TestSnapshotAndCompact(t *testing.T) {
-	path := filled(t)
-	v, err := Open(path)
+	path := createStore(t)
+	s, err := Open(path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -170,11 +189,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := v.Snapshot(f); err != nil {
+	if err := s.Snapshot(f); err != nil {
 		t.Fatal(err)
 	}
 	f.Close()
-	if err := v.Update(func(tx *Tx) error {
+	if err := s.Update(func(tx *Tx) error {
 		for i := range 20000 {
 			if err := tx.Put("big", fmt.Append(nil, i), make([]byte, 100)); err != nil {
 				return err
@@ -184,23 +203,23 @@
 	}); err != nil {
 		t.Fatal(err)
 	}
-	if err := v.Update(func(tx *Tx) error { return tx.DropSet("big") }); err != nil {
+	if err := s.Update(func(tx *Tx) error { return tx.DropSet("big") }); err != nil {
 		t.Fatal(err)
 	}
-	v.Close()
-	os.WriteFile(path+".compact", []byte("half of one"), 0o600)
+	s.Close()
+	writeFile(t, path+compactSuffix, []byte("half of one"))
 	before, after, err := Compact(path)
 	if err != nil || after > before/4 {
 		t.Errorf("from %d to %d bytes: %v", before, after, err)
 	}
 	for _, p := range []string{snap, path} {
-		v, err := Open(p)
+		s, err := Open(p)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if all, damaged, err := v.Verify(); err != nil || all != 200 || len(damaged) > 0 {
-			t.Errorf("%s: %d records, %v, %v", p, all, damaged, err)
+		if all, corrupt, err := s.Verify(); err != nil || all != 200 || len(corrupt) > 0 {
+			t.Errorf("%s: %d records, %v, %v", p, all, corrupt, err)
 		}
-		v.Close()
+		s.Close()
 	}
 }
