--- a/internal/batchrunner/runner.go
+++ b/internal/batchrunner/runner.go
@@ -248,7 +248,7 @@
 		}
 		at, mayHaveRun := batchscheduler.RecoverLine(l.State, track.Effect)
 		if mayHaveRun {
-			ends = append(ends, end{n, l, "may_have_run", batchscheduler.ReasonMayHaveRun})
+			ends = append(ends, end{n, l, "may_have_run", string(batchscheduler.ReasonMayHaveRun)})
 		} else if at != l.State {
 			recovered = append(recovered, n)
 		}
@@ -604,9 +604,9 @@
 			code = "batch_expired"
 		}
 		if why != "" {
-			reason += ": " + why
+			reason += batchscheduler.FailureReason(": " + why)
 		}
-		if err := r.store.RecordResult(a.record.ID, n, batchstore.ResultFailed, encodeFailure(a.record.ID, n, l.CustomID, code, reason)); err != nil {
+		if err := r.store.RecordResult(a.record.ID, n, batchstore.ResultFailed, encodeFailure(a.record.ID, n, l.CustomID, code, string(reason))); err != nil {
 			r.log.Error("end not kept", "batch", a.record.ID, "line", n+1, "err", err)
 		}
 	case verdict == batchscheduler.VerdictRetry && how == batchscheduler.OutcomeRejected && l.State != batchscheduler.LineWaiting:
@@ -630,9 +630,9 @@
 	final, code, why := batchscheduler.StateCompleted, "", ""
 	switch {
 	case state == batchscheduler.StateCancelling:
-		final, code, why = batchscheduler.StateCancelled, "batch_cancelled", batchscheduler.ReasonCancelled
+		final, code, why = batchscheduler.StateCancelled, "batch_cancelled", string(batchscheduler.ReasonCancelled)
 	case len(rest) > 0 || expired:
-		final, code, why = batchscheduler.StateExpired, "batch_expired", batchscheduler.ReasonWindowExpired
+		final, code, why = batchscheduler.StateExpired, "batch_expired", string(batchscheduler.ReasonWindowExpired)
 	}
 	if ctx.Err() != nil {
 		return
--- a/internal/decide/batchscheduler/scheduler_test.go
+++ b/internal/decide/batchscheduler/scheduler_test.go
@@ -11,7 +11,7 @@
 
 const sec = Nanos(1e9)
 
-func newScheduler(t testing.TB, most int, weights ...float64) *Scheduler {
+func newScheduler(t *testing.T, most int, weights ...float64) *Scheduler {
 	t.Helper()
 	s, err := New(weights, sec/10, most, rand.New(rand.NewPCG(1, 2)).Float64)
 	if err != nil {
@@ -20,7 +20,15 @@
 	return s
 }
 
-func entries(n int) []LineSpec {
+func addBatch(t *testing.T, s *Scheduler, b Batch) {
+	t.Helper()
+	if err := s.AddBatch(b); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// waitingLines returns n waiting lines of the same cost.
+func waitingLines(n int) []LineSpec {
 	es := make([]LineSpec, n)
 	for i := range es {
 		es[i].Cost = 100
@@ -28,13 +36,16 @@
 	return es
 }
 
-// TestEveryLineEndsOnce: whatever happens to requests, with restarts in between, each line ends once, and one that may have
-// run and must not run twice is never out again.
+// TestEveryLineEndsOnce checks under random outcomes and restarts that each line ends once, and that a non-idempotent
+// line that may have run is not sent again.
 func TestEveryLineEndsOnce(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		effect := Effect(rapid.IntRange(0, 2).Draw(rt, "effect"))
 		n := rapid.IntRange(1, 40).Draw(rt, "lines")
-		b := Batch{ID: 7, Effect: effect, DeduplicationWindow: 5 * sec, Deadline: rapid.Int64Range(sec, 1000*sec).Draw(rt, "ends"), Lines: entries(n)}
+		b := Batch{
+			ID: 7, Effect: effect, DeduplicationWindow: 5 * sec,
+			Deadline: rapid.Int64Range(sec, 1000*sec).Draw(rt, "ends"), Lines: waitingLines(n),
+		}
 		s := newScheduler(t, 8, 1)
 		if err := s.AddBatch(b); err != nil {
 			rt.Fatal(err)
@@ -82,7 +93,7 @@
 				}
 			default: // a restart
 				again := newScheduler(t, 8, 1)
-				lines := entries(n)
+				lines := waitingLines(n)
 				for i := range kept {
 					at, lost := RecoverLine(kept[i], effect)
 					if lost {
@@ -95,8 +106,8 @@
 					rt.Fatal(err)
 				}
 			}
-			if s.Out() != len(out) || s.Out() > 8 {
-				rt.Fatalf("%d out, want %d", s.Out(), len(out))
+			if s.InFlight() != len(out) || s.InFlight() > 8 {
+				rt.Fatalf("%d out, want %d", s.InFlight(), len(out))
 			}
 			if rest, over := s.UnsentLines(7); over && len(out) == 0 {
 				for _, l := range rest {
@@ -116,15 +127,15 @@
 	})
 }
 
-// TestFair: tenants share by weight whatever the number and size of their batches; within one, the batch that has more
-// to do in what is left of its window goes faster.
-func TestFair(t *testing.T) {
+// TestFairness checks that tenants share by weight whatever the number and size of their batches, and that among a
+// tenant's batches the one with the higher required rate is served faster.
+func TestFairness(t *testing.T) {
 	s := newScheduler(t, 1, 1, 3)
 	for i, b := range []Batch{
-		{ID: 1, Tenant: 0, Deadline: 1000 * sec, Lines: entries(5000)},
-		{ID: 2, Tenant: 1, Deadline: 1000 * sec, Lines: entries(5000)},
-		{ID: 3, Tenant: 0, Deadline: 100 * sec, Lines: entries(5000)},
-		{ID: 4, Tenant: 0, Deadline: 1000 * sec, Lines: entries(5000)},
+		{ID: 1, Tenant: 0, Deadline: 1000 * sec, Lines: waitingLines(5000)},
+		{ID: 2, Tenant: 1, Deadline: 1000 * sec, Lines: waitingLines(5000)},
+		{ID: 3, Tenant: 0, Deadline: 100 * sec, Lines: waitingLines(5000)},
+		{ID: 4, Tenant: 0, Deadline: 1000 * sec, Lines: waitingLines(5000)},
 	} {
 		if err := s.AddBatch(b); err != nil {
 			t.Fatal(i, err)
@@ -147,14 +158,14 @@
 	}
 }
 
-// TestBeginningsTogether: lines that begin alike go out one after another.
-func TestBeginningsTogether(t *testing.T) {
+// TestPrefixGroupsTogether checks that lines of a prefix group are sent one after another.
+func TestPrefixGroupsTogether(t *testing.T) {
 	s := newScheduler(t, 100, 1)
-	lines := entries(12)
+	lines := waitingLines(12)
 	for i := range lines {
 		lines[i].PrefixGroup = uint64(i % 3) // 0 is none
 	}
-	s.AddBatch(Batch{ID: 1, Deadline: sec, Lines: lines})
+	addBatch(t, s, Batch{ID: 1, Deadline: sec, Lines: lines})
 	var got []LineIndex
 	for {
 		_, l, ok := s.NextLine(1)
@@ -168,11 +179,11 @@
 	}
 }
 
-// TestWaits: a line that is rejected comes again later and later, never before it was asked to, and no more once its
-// window is over; one that may have run a few times is given up.
-func TestWaits(t *testing.T) {
+// TestBackoff checks that a rejected line is retried later and later, not before the time it was asked to wait, and
+// that a line fails after a few attempts that may have run.
+func TestBackoff(t *testing.T) {
 	s := newScheduler(t, 1, 1)
-	s.AddBatch(Batch{ID: 1, Deadline: 1000 * sec, Lines: entries(1)})
+	addBatch(t, s, Batch{ID: 1, Deadline: 1000 * sec, Lines: waitingLines(1)})
 	now, last := Nanos(1), Nanos(0)
 	for i := range 8 {
 		_, l, ok := s.NextLine(now)
@@ -208,10 +219,11 @@
 	}
 }
 
-// TestWindow: a window that ends halfway leaves what is done done and the rest by number; what is out ends by itself.
-func TestWindow(t *testing.T) {
+// TestDeadline checks that a batch whose deadline passes keeps what is completed, lets lines in flight end and
+// returns the rest as unsent.
+func TestDeadline(t *testing.T) {
 	s := newScheduler(t, 4, 1)
-	s.AddBatch(Batch{ID: 1, Deadline: 10 * sec, Lines: entries(10)})
+	addBatch(t, s, Batch{ID: 1, Deadline: 10 * sec, Lines: waitingLines(10)})
 	now := Nanos(1)
 	for range 20 {
 		id, l, ok := s.NextLine(now)
@@ -248,10 +260,10 @@
 	}
 }
 
-// TestForecast: at a steady pace it is the time that what is left takes.
+// TestForecast checks that at a steady pace the forecast is the time that the remaining lines take.
 func TestForecast(t *testing.T) {
 	s := newScheduler(t, 1, 1)
-	s.AddBatch(Batch{ID: 1, Deadline: 1000 * sec, Lines: entries(300)})
+	addBatch(t, s, Batch{ID: 1, Deadline: 1000 * sec, Lines: waitingLines(300)})
 	now := Nanos(0)
 	for range 100 {
 		_, l, _ := s.NextLine(now)
@@ -263,8 +275,8 @@
 	}
 }
 
-// TestStep: only what the public description names may follow.
-func TestStep(t *testing.T) {
+// TestCheckTransition checks the number of valid transitions and that no state follows a terminal one.
+func TestCheckTransition(t *testing.T) {
 	ok := 0
 	for a := range batchStateCount {
 		for b := range batchStateCount {
@@ -276,7 +288,8 @@
 			}
 		}
 	}
-	if ok != 10 || CheckTransition(StateInProgress, StateFinalizing) != nil || CheckTransition(StateInProgress, StateCompleted) == nil {
+	if ok != 10 || CheckTransition(StateInProgress, StateFinalizing) != nil ||
+		CheckTransition(StateInProgress, StateCompleted) == nil {
 		t.Errorf("%d steps", ok)
 	}
 }
