--- /dev/null
+++ b/internal/batchrunner/resume.go
@@ -0,0 +1,143 @@
+package batchrunner
+
+import (
+	"context"
+	"docksail/internal/decide/batchscheduler"
+	"docksail/internal/state/batchstore"
+	"fmt"
+	"time"
+)
+
+// resume adds a batch of the store to the scheduler, in whatever state it is. A batch in StateValidating is validated
+// first; if it is not accepted, it is not added.
+func (r *Runner) resume(ctx context.Context, b batchstore.Batch) (err error) {
+	if b.State == batchscheduler.StateValidating {
+		if b, err = r.validate(b); err != nil || b.State != batchscheduler.StateInProgress {
+			return err
+		}
+	}
+	tenant, ok := r.tenants[b.Tenant]
+	if !ok {
+		return fmt.Errorf("tenant %q: want one of the configured tenants", b.Tenant)
+	}
+	recovered, err := r.recoverLines(b)
+	if err != nil {
+		return err
+	}
+	if err := r.recordFailures(b.ID, recovered.failures); err != nil {
+		return err
+	}
+	if recovered.retried+len(recovered.failures) > 0 {
+		r.log.Info("batch resumed", "batch_id", b.ID,
+			"lines_retried", recovered.retried, "lines_failed", len(recovered.failures))
+	}
+	return r.activate(ctx, b, tenant, recovered)
+}
+
+// lineFailure is a line that fails while its batch is resumed.
+type lineFailure struct {
+	index    batchscheduler.LineIndex
+	customID string
+	code     errorCode
+	message  string
+}
+
+// recoveredLines holds the lines of a batch after a restart.
+type recoveredLines struct {
+	class    Class // of all lines
+	lines    []batchscheduler.LineSpec
+	retried  int // lines that were in flight and wait again
+	failures []lineFailure
+}
+
+// fail adds a line that has failed.
+func (l *recoveredLines) fail(failure lineFailure) {
+	l.failures = append(l.failures, failure)
+	l.lines = append(l.lines, batchscheduler.LineSpec{State: batchscheduler.LineFailed})
+}
+
+// recoverLines reads the lines of a batch. Lines whose records are corrupt or missing fail, and so do lines that may
+// have run and must not run twice.
+func (r *Runner) recoverLines(b batchstore.Batch) (recoveredLines, error) {
+	var recovered recoveredLines
+	className := ""
+	err := r.store.ForEachLine(b.ID, func(index batchscheduler.LineIndex, line batchstore.Line, corrupt error) error {
+		for int(index) > len(recovered.lines) {
+			missing := batchscheduler.LineIndex(len(recovered.lines))
+			recovered.fail(lineFailure{index: missing, code: codeCorrupt, message: "its record is missing"})
+		}
+		if corrupt != nil {
+			recovered.fail(lineFailure{index: index, code: codeCorrupt, message: corrupt.Error()})
+			return nil
+		}
+		if className == "" {
+			className = r.readClassName(b, index, line)
+			recovered.class = r.config.Classes[className]
+		}
+		state, mayHaveRun := batchscheduler.RecoverLine(line.State, recovered.class.Effect)
+		if mayHaveRun {
+			recovered.failures = append(recovered.failures, lineFailure{
+				index, line.CustomID, codeMayHaveRun, string(batchscheduler.ReasonMayHaveRun),
+			})
+		} else if state != line.State {
+			recovered.retried++
+		}
+		recovered.lines = append(recovered.lines, batchscheduler.LineSpec{
+			Cost: float64(line.Cost), PrefixGroup: line.PrefixGroup, State: state,
+		})
+		return nil
+	})
+	return recovered, err
+}
+
+// readClassName returns the class that a line asks for, or "" if its text cannot be read.
+func (r *Runner) readClassName(b batchstore.Batch, index batchscheduler.LineIndex, line batchstore.Line) string {
+	text, err := r.store.LineText(b.InputFileID, index, line)
+	if err != nil {
+		return ""
+	}
+	request, err := parseLine(text)
+	if err != nil {
+		return ""
+	}
+	return request.Body.Model
+}
+
+// recordFailures stores the failures of lines.
+func (r *Runner) recordFailures(batchID string, failures []lineFailure) error {
+	for _, f := range failures {
+		text := encodeFailure(batchID, f.index, f.customID, f.code, f.message)
+		if err := r.store.RecordResult(batchID, f.index, batchstore.ResultFailed, text); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// activate adds a batch to the scheduler. Its deadline is what the wall clock leaves of its completion window.
+func (r *Runner) activate(ctx context.Context, b batchstore.Batch, tenant int, recovered recoveredLines) error {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.lastBatchID++
+	remaining := time.Until(time.Unix(b.ExpiresUnix, 0))
+	a := &activeBatch{id: r.lastBatchID, record: b, runnerCtx: ctx}
+	a.ctx, a.cancel = context.WithDeadline(ctx, time.Now().Add(remaining))
+	err := r.scheduler.AddBatch(batchscheduler.Batch{
+		ID:                  a.id,
+		Tenant:              tenant,
+		Effect:              recovered.class.Effect,
+		DeduplicationWindow: int64(recovered.class.DeduplicationWindow),
+		Deadline:            r.now() + int64(remaining),
+		Lines:               recovered.lines,
+	})
+	if err != nil {
+		a.cancel()
+		return err
+	}
+	r.active[b.ID], r.byID[a.id] = a, a
+	if b.State == batchscheduler.StateCancelling || b.State == batchscheduler.StateFinalizing {
+		r.scheduler.StopBatch(a.id)
+	}
+	r.wakeLoop()
+	return nil
+}
--- a/internal/batchrunner/runner_test.go
+++ b/internal/batchrunner/runner_test.go
@@ -2,6 +2,8 @@
 
 import (
 	"context"
+	"docksail/internal/decide/batchscheduler"
+	"docksail/internal/state/batchstore"
 	"fmt"
 	"io"
 	"log/slog"
@@ -21,8 +23,6 @@
 	"google.golang.org/protobuf/encoding/prototext"
 
 	pb "docksail/api/docksail/v1"
-	"docksail/internal/decide/batchscheduler"
-	"docksail/internal/state/batchstore"
 )
 
 // outcomesFile holds validation errors, requests and results as the program of commit 61b72d4 gave them. With
@@ -122,7 +122,8 @@
 	dispatcher := &fakeDispatcher{attempts: map[string]int{}}
 	server := grpc.NewServer()
 	pb.RegisterGenerationServer(server, dispatcher)
-	go server.Serve(listener)
+	served := make(chan error, 1)
+	go func() { served <- server.Serve(listener) }()
 	runner, err := New(store, Config{
 		Tenants: []Tenant{{Name: "a", Weight: 1}}, DispatcherAddress: listener.Addr().String(),
 		Classes: map[string]Class{
@@ -145,6 +146,9 @@
 			t.Error(err)
 		}
 		server.Stop()
+		if err := <-served; err != nil {
+			t.Error(err)
+		}
 		if err := store.Close(); err != nil {
 			t.Error(err)
 		}
@@ -231,9 +235,10 @@
 func TestOutcomes(t *testing.T) {
 	f := newFixture(t, t.TempDir())
 	every := func(model string) string {
-		return line("one", model, "served", "") + line("two", model, "rejected at first", `,"prompt_tokens":60,"user":"u1"`) +
-			line("three", model, "exhausted at first", `,"beginning":"plan","beginning_tokens":2`) + line("four", model, "failed", "") +
-			line("five", model, "invalid", "") + line("six", model, "lost", "")
+		return line("one", model, "served", "") +
+			line("two", model, "rejected at first", `,"prompt_tokens":60,"user":"u1"`) +
+			line("three", model, "exhausted at first", `,"beginning":"plan","beginning_tokens":2`) +
+			line("four", model, "failed", "") + line("five", model, "invalid", "") + line("six", model, "lost", "")
 	}
 	good := line("one", "draft", "served", "")
 	var tooMany strings.Builder
@@ -245,7 +250,10 @@
 		{"idempotent", every("draft")},
 		{"deduplicated", every("labelled")},
 		{"non-idempotent", every("book")},
-		{"blank lines, no newline at the end", "\n" + good + " \r\n" + strings.TrimSuffix(line("two", "draft", "served", ""), "\n")},
+		{
+			"blank lines, no newline at the end",
+			"\n" + good + " \r\n" + strings.TrimSuffix(line("two", "draft", "served", ""), "\n"),
+		},
 		{"no file", ""},
 		{"only blank lines", "\n\n"},
 		{"no JSON", good + "{oh\n"},
--- /dev/null
+++ b/internal/batchrunner/validate.go
@@ -0,0 +1,186 @@
+package batchrunner
+
+import (
+	"bufio"
+	"bytes"
+	"docksail/internal/decide/batchscheduler"
+	"docksail/internal/state/batchstore"
+	"errors"
+	"hash/crc32"
+	"io"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+)
+
+const (
+	// maxValidationErrors bounds the errors that are stored for an input file.
+	maxValidationErrors = 50
+	// linesPerWrite is the number of lines that are stored at once.
+	linesPerWrite = 2000
+	// readBufferBytes is the size of the buffer for reading an input file.
+	readBufferBytes = 64 << 10
+)
+
+// validate reads the input file of a batch and stores its lines. It returns the batch in StateInProgress, or in
+// StateFailed if the file is not accepted.
+func (r *Runner) validate(b batchstore.Batch) (batchstore.Batch, error) {
+	v := &validator{runner: r, batch: b, customIDs: map[uint64]bool{}}
+	if err := v.readFile(); err != nil {
+		v.addError(0, newLineError("unreadable", "%v", err))
+	}
+	if v.accepted == 0 && len(v.errors) == 0 {
+		v.addError(0, newLineError("empty_file", "the file has no lines"))
+	}
+	state := batchscheduler.StateInProgress
+	if len(v.errors) > 0 {
+		state = batchscheduler.StateFailed
+	}
+	return r.store.TransitionBatch(b.ID, state, func(b *batchstore.Batch) {
+		b.TotalLines, b.ValidationErrors = v.accepted, v.errors
+		if state == batchscheduler.StateFailed {
+			b.EndedUnix = time.Now().Unix()
+		} else {
+			b.InProgressUnix = time.Now().Unix()
+		}
+	})
+}
+
+// validator validates the input file of one batch. It holds no text but that of the present line.
+type validator struct {
+	runner    *Runner
+	batch     batchstore.Batch
+	customIDs map[uint64]bool // hashes: of 100,000 IDs two collide in one of some billion files
+	model     string          // of the first line
+	pending   []batchstore.Line
+	accepted  int // lines, with those pending
+	errors    []batchstore.ValidationError
+}
+
+func (v *validator) addError(lineNumber int, err *lineError) {
+	if len(v.errors) < maxValidationErrors {
+		v.errors = append(v.errors, batchstore.ValidationError{
+			LineNumber: lineNumber, Code: err.code, Message: err.message,
+		})
+	}
+}
+
+// readFile reads all lines and stores those that are accepted. It ends at a line beyond the maximal number.
+func (v *validator) readFile() error {
+	file, err := v.runner.store.OpenInput(v.batch.InputFileID)
+	if err != nil {
+		return err
+	}
+	defer file.Close()
+	config := &v.runner.config
+	reader := &lineReader{in: bufio.NewReaderSize(file, readBufferBytes), maxBytes: config.MaxLineBytes}
+	for number := 1; ; number++ {
+		line, err := reader.next()
+		if err != nil && !errors.Is(err, io.EOF) {
+			return err
+		}
+		switch {
+		case line.isTooLong:
+			v.addError(number, newLineError("line_too_long", "more than %d bytes", config.MaxLineBytes))
+		case len(bytes.TrimSpace(line.text)) == 0:
+		case v.accepted == config.MaxLines:
+			v.addError(number, newLineError("too_many_lines", "more than %d lines", config.MaxLines))
+			return nil
+		default:
+			if err := v.addLine(number, line); err != nil {
+				return err
+			}
+		}
+		if err != nil {
+			return v.storePending()
+		}
+	}
+}
+
+// addLine adds a line if it is accepted, otherwise an error. It returns an error only if lines cannot be stored.
+func (v *validator) addLine(number int, line inputLine) error {
+	request, invalid := v.check(line.text)
+	if invalid != nil {
+		v.addError(number, invalid)
+		return nil
+	}
+	v.pending = append(v.pending, batchstore.Line{
+		Offset:      line.offset,
+		Length:      int32(len(line.text)),
+		Checksum:    crc32.ChecksumIEEE(line.text),
+		Cost:        request.Body.cost(),
+		PrefixGroup: request.Body.prefixGroup(),
+		CustomID:    request.CustomID,
+	})
+	v.accepted++
+	if len(v.pending) < linesPerWrite {
+		return nil
+	}
+	return v.storePending()
+}
+
+// check parses a line and returns why it is not accepted, or nil.
+func (v *validator) check(text []byte) (*lineRequest, *lineError) {
+	request, err := parseLine(text)
+	if err != nil {
+		return nil, newLineError("invalid_json_line", "%v", err)
+	}
+	if invalid := v.runner.checkRequest(request, v.batch.Endpoint); invalid != nil {
+		return nil, invalid
+	}
+	hash := xxhash.Sum64String(request.CustomID)
+	if v.customIDs[hash] {
+		return nil, newLineError("duplicate_custom_id", "custom_id %q stands twice", request.CustomID)
+	}
+	v.customIDs[hash] = true
+	if v.model == "" {
+		v.model = request.Body.Model
+	}
+	if v.model != request.Body.Model {
+		return nil, newLineError("mismatched_model", "model %q, want %q as in the first line", request.Body.Model, v.model)
+	}
+	return request, nil
+}
+
+// storePending stores the pending lines.
+func (v *validator) storePending() error {
+	first := batchscheduler.LineIndex(v.accepted - len(v.pending))
+	err := v.runner.store.AddLines(v.batch.ID, first, v.pending)
+	v.pending = v.pending[:0]
+	return err
+}
+
+// inputLine is a line as it stands in the input file.
+type inputLine struct {
+	offset    int64  // of its text in the file
+	text      []byte // without its end; valid until the next line is read
+	isTooLong bool   // text is then incomplete
+}
+
+// lineReader reads an input file line by line.
+type lineReader struct {
+	in       *bufio.Reader
+	maxBytes int   // of a line, without its newline
+	offset   int64 // of the next line
+	text     []byte
+}
+
+// next returns the next line. The last line comes with io.EOF, and is empty if the file ends in a newline.
+func (r *lineReader) next() (inputLine, error) {
+	line := inputLine{offset: r.offset}
+	r.text = r.text[:0]
+	for {
+		part, err := r.in.ReadSlice('\n')
+		r.offset += int64(len(part))
+		if line.isTooLong || len(r.text)+len(part) > r.maxBytes+1 {
+			line.isTooLong = true
+		} else {
+			r.text = append(r.text, part...)
+		}
+		if errors.Is(err, bufio.ErrBufferFull) {
+			continue
+		}
+		line.text = bytes.TrimRight(r.text, "\r\n")
+		return line, err
+	}
+}
