--- a/internal/lab/scenario/import.go
+++ b/internal/lab/scenario/import.go
@@ -2,335 +2,345 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"math"
 	"slices"
-	"strings"
 	"time"
 
 	"docksail/internal/config"
 	"docksail/policy"
 )
 
-// benchDay is the part of a bench's day file that a drill can play. Times are microseconds.
-type benchDay struct {
-	Length  int64    `json:"length"`
-	Zones   []string `json:"zones"`
-	Traffic struct {
-		Load float64 `json:"load"`
-	} `json:"traffic"`
-	Clients struct {
-		Retries int `json:"retries"`
-	} `json:"clients"`
-	Discovery struct {
-		Notice int64 `json:"notice"`
-	} `json:"discovery"`
-	Allow struct {
-		Most int64 `json:"max_attempts"`
-	} `json:"allow"`
-	Multiple float64 `json:"fall_multiple"`
-	Over     int64   `json:"fall_for"`
-	Classes  []struct {
-		Name   string  `json:"name"`
-		Share  float64 `json:"share"`
-		Aim    int64   `json:"aim"`
-		Limit  int64   `json:"deadline"`
-		Worth  float64 `json:"worth"`
-		Effect string  `json:"effect"`
-		Group  string  `json:"group"`
-		Window int64   `json:"window"`
-	} `json:"classes"`
-	Tiers []struct {
-		Kinds []struct {
-			Name     string  `json:"name"`
-			Slots    int     `json:"slots"`
-			Queue    int     `json:"queue"`
-			ColdFrom float64 `json:"cold_from"`
-			Cold     int64   `json:"cold"`
-		} `json:"kinds"`
-	} `json:"tiers"`
-	Servers []struct {
-		Zone  int     `json:"zone"`
-		Kind  int     `json:"kind"`
-		Cell  int     `json:"cell"`
-		Speed float64 `json:"speed"`
-		Up    bool    `json:"up"`
-	} `json:"servers"`
-	Balancers []struct {
-		Zone int `json:"zone"`
-	} `json:"balancers"`
-	Troubles []struct {
-		Kind  string  `json:"kind"`
-		At    int64   `json:"at"`
-		Len   int64   `json:"len"`
-		Size  float64 `json:"size"`
-		On    []int   `json:"on"`
-		Which int     `json:"which"`
-	} `json:"troubles"`
-	Family struct {
-		Release int64    `json:"release"`
-		Near    float64  `json:"near"`
-		Roles   []string `json:"roles"`
-		Engines []struct {
-			Memory int64   `json:"memory"`
-			Reads  float64 `json:"read_per_s"`
-			Step   float64 `json:"step_ms"`
-		} `json:"engines"`
-		Talks []struct {
-			Per1k  float64 `json:"aim_ms_per_k"`
-			MaxOut int     `json:"max_out"`
-			New    float64 `json:"new_tokens"`
-			Out    float64 `json:"out_tokens"`
-			Prefix float64 `json:"prefix_tokens"`
-			Gap    float64 `json:"token_aim_ms"`
-			Turns  float64 `json:"turns"`
-		} `json:"talks"`
-	} `json:"fam"`
-}
+// importedPrefixCount is how many shared prefixes each imported class has.
+const importedPrefixCount = 8
+
+var errNotTwoStage = errors.New("not a two-stage day")
 
-// importedFaults maps the bench's kinds of trouble to ours; size is what factor its size becomes.
+// importedFaults maps the bench's kinds of faults to those of scripts; factor converts a fault's size into a Factor.
 var importedFaults = map[string]struct {
-	kind   string
+	kind   FaultKind
 	factor func(size float64) float64
 }{
-	"crash":          {"crash", nil},
-	"hang":           {"hang", nil},
-	"fast_errors":    {"errors", func(x float64) float64 { return min(max(x, 0.1), 1) }},
-	"slow":           {"slow", func(x float64) float64 { return max(x, 1) }},
-	"vanish":         {"vanish", nil},
-	"ageing":         {"ageing", nil},
-	"class_fail":     {"deaf", nil},
-	"origin_slow":    {"links", func(x float64) float64 { return max(x, 1) }},
-	"report_late":    {"reports", nil},
-	"pauses":         {"pauses", nil},
-	"zone_cut":       {"cut", nil},
-	"burst":          {"burst", func(x float64) float64 { return max(x, 1) }},
-	"heavy_tail":     {"heavy", func(x float64) float64 { return max(x, 2) }},
-	"mass_restart":   {"rack", nil},
-	"balancer_crash": {"dispatcher", nil},
-	"preempt":        {"drain", nil},
-	"neighbour":      {"neighbour", func(x float64) float64 { return max(x, 1) }},
+	"crash":          {FaultCrash, nil},
+	"hang":           {FaultHang, nil},
+	"fast_errors":    {FaultErrors, func(size float64) float64 { return min(max(size, 0.1), 1) }},
+	"slow":           {FaultSlow, atLeast(1)},
+	"vanish":         {FaultVanish, nil},
+	"ageing":         {FaultAging, nil},
+	"class_fail":     {FaultSilentClass, nil},
+	"origin_slow":    {FaultSlowLinks, atLeast(1)},
+	"report_late":    {FaultLateReports, nil},
+	"pauses":         {FaultPauses, nil},
+	"zone_cut":       {FaultPartition, nil},
+	"burst":          {FaultBurst, atLeast(1)},
+	"heavy_tail":     {FaultLongPrompts, atLeast(2)},
+	"mass_restart":   {FaultCellRestart, nil},
+	"balancer_crash": {FaultDispatcherRestart, nil},
+	"preempt":        {FaultDrain, nil},
+	"neighbour":      {FaultNoisyNeighbor, atLeast(1)},
 }
 
-// Import turns a bench's day into a script with about so many hosts and dispatchers at most. What it cannot play is
-// named; the rest is played all the same.
-func Import(text []byte, hosts, dispatchers int) (*Script, []string, error) {
-	var d benchDay
-	if err := json.Unmarshal(text, &d); err != nil {
+func atLeast(least float64) func(float64) float64 {
+	return func(size float64) float64 { return max(size, least) }
+}
+
+// importer converts a day of the bench into a script.
+type importer struct {
+	day            *benchDay
+	script         *Script
+	unsupported    []string
+	maxServers     int
+	numbers        map[int]int // numbers in the script, by index in the day, of the servers that are played themselves
+	representative map[int]int // for each index in the day the number in the script of the server that stands for it
+	serverCount    int
+	shareSum       float64 // of the classes
+	prefillRate    float64 // of all prefill servers, in requests a second
+}
+
+// Import converts a day of the bench into a script with about so many servers and at most so many dispatchers. It also
+// returns a description of everything in the day that a script cannot represent.
+func Import(text []byte, servers, dispatchers int) (*Script, []string, error) {
+	var day benchDay
+	if err := json.Unmarshal(text, &day); err != nil {
 		return nil, nil, fmt.Errorf("bench day: %w", err)
 	}
-	if len(d.Servers) == 0 || len(d.Tiers) != 1 || len(d.Family.Roles) != len(d.Tiers[0].Kinds) ||
-		len(d.Family.Engines) != len(d.Tiers[0].Kinds) || len(d.Family.Talks) != len(d.Classes) {
-		return nil, nil, fmt.Errorf("bench day: no two-stage day: %d servers, %d tiers, %d roles, %d classes", len(d.Servers),
-			len(d.Tiers), len(d.Family.Roles), len(d.Classes))
+	if err := day.validate(); err != nil {
+		return nil, nil, fmt.Errorf("bench day: %w", err)
 	}
-	us := func(x int64) time.Duration { return (time.Duration(x) * time.Microsecond).Round(time.Millisecond) }
-	var cannot []string
-	kinds := d.Tiers[0].Kinds
-	s := &Script{
-		Seed: 1, Duration: us(d.Length), DiscoveryDelay: us(d.Discovery.Notice), ReleaseTime: us(d.Family.Release), MaxAttempts: d.Allow.Most,
-		SlowStart: SlowStart{InitialCapacity: 1, OverloadFactor: d.Multiple, OverloadWindow: us(d.Over)},
+	im := importer{
+		day: &day, script: &Script{Seed: 1}, maxServers: servers,
+		numbers: map[int]int{}, representative: map[int]int{},
 	}
-	for _, k := range kinds {
-		s.SlowStart.InitialCapacity = min(s.SlowStart.InitialCapacity, k.ColdFrom)
-		s.SlowStart.WarmupTime = max(s.SlowStart.WarmupTime, us(k.Cold))
+	im.importSettings()
+	im.importServers()
+	im.importDispatchers(dispatchers)
+	im.importClasses()
+	im.importSessionRate()
+	for i := range day.Faults {
+		im.importFault(&day.Faults[i])
 	}
+	return im.script, im.unsupported, nil
+}
 
-	// Hosts: every n-th of each kind and cell, at least one; a trouble follows those that it was on.
-	every := max(1, float64(len(d.Servers))/float64(hosts))
-	groups := map[[3]int][]int{}
-	var order [][3]int
-	for i, h := range d.Servers {
-		if !h.Up {
-			continue
-		}
-		g := [3]int{h.Zone, h.Cell, h.Kind}
-		if groups[g] == nil {
-			order = append(order, g)
-		}
-		groups[g] = append(groups[g], i)
+// validate returns an error if the day is not one with a prefill and a decode stage.
+func (d *benchDay) validate() error {
+	if len(d.Servers) > 0 && len(d.Dispatchers) > 0 && len(d.Tiers) == 1 &&
+		len(d.Family.Roles) == len(d.Tiers[0].Kinds) && len(d.Family.Engines) == len(d.Tiers[0].Kinds) &&
+		len(d.Family.Conversations) == len(d.Classes) {
+		return nil
 	}
-	slices.SortFunc(order, func(a, b [3]int) int { return slices.Compare(a[:], b[:]) })
-	number := map[int]int{} // of the bench's hosts, those that are played
-	stands := map[int]int{} // each of the bench's hosts, by one that is played
-	n := 0
-	perJob := 0.0
-	for i, t := range d.Family.Talks {
-		perJob += d.Classes[i].Share * t.New
+	return fmt.Errorf("%w: %d servers, %d dispatchers, %d tiers, %d roles, %d classes", errNotTwoStage,
+		len(d.Servers), len(d.Dispatchers), len(d.Tiers), len(d.Family.Roles), len(d.Classes))
+}
+
+// fromMicroseconds converts a time of a day, rounded to milliseconds.
+func fromMicroseconds(x int64) time.Duration {
+	return (time.Duration(x) * time.Microsecond).Round(time.Millisecond)
+}
+
+// unsupportedf records something that the script cannot represent.
+func (im *importer) unsupportedf(format string, args ...any) {
+	im.unsupported = append(im.unsupported, fmt.Sprintf(format, args...))
+}
+
+func (im *importer) importSettings() {
+	day, s := im.day, im.script
+	s.Duration = fromMicroseconds(day.Length)
+	s.DiscoveryDelay = fromMicroseconds(day.Discovery.Delay)
+	s.ReleaseTime = fromMicroseconds(day.Family.ReleaseTime)
+	s.MaxAttempts = day.Allow.MaxAttempts
+	s.SlowStart = SlowStart{
+		InitialCapacity: 1,
+		OverloadFactor:  day.OverloadFactor,
+		OverloadWindow:  fromMicroseconds(day.OverloadWindow),
 	}
-	answers := 0.0
-	for i, t := range d.Family.Talks {
-		answers += d.Classes[i].Share * t.Out
+	for _, kind := range day.Tiers[0].Kinds {
+		s.SlowStart.InitialCapacity = min(s.SlowStart.InitialCapacity, kind.InitialCapacity)
+		s.SlowStart.WarmupTime = max(s.SlowStart.WarmupTime, fromMicroseconds(kind.WarmupTime))
 	}
-	readers := 0.0
-	for _, g := range order {
-		all := groups[g]
-		k, e := kinds[g[2]], d.Family.Engines[g[2]]
-		count := max(1, int(math.Round(float64(len(all))/every)))
-		role := map[string]Role{"read": Prefill, "write": Decode, "both": Mixed}[d.Family.Roles[g[2]]]
-		h := ServerGroup{
-			Count: count, Role: role, Zone: d.Zones[g[0]], Cell: fmt.Sprint("c", g[1]), Slots: max(k.Slots, 1), QueueLength: k.Queue,
-			MemoryTokens: e.Memory, PrefillRate: e.Reads, TransferRate: d.Family.Near, TokenGap: time.Duration(e.Step * 1e6).Round(time.Microsecond),
+}
+
+// serverGroupKey identifies the servers of one kind and cell by their indexes.
+type serverGroupKey struct{ zone, cell, kind int }
+
+// serverGroups returns the indexes of the servers that are up, by group, and the groups in order.
+func (d *benchDay) serverGroups() (groups map[serverGroupKey][]int, order []serverGroupKey) {
+	groups = map[serverGroupKey][]int{}
+	for i, server := range d.Servers {
+		if !server.IsUp {
+			continue
 		}
-		h.TokenGap = max(h.TokenGap, time.Millisecond)
-		h.RequestsPerSecond = e.Reads / max(perJob, 1)
-		if role != Prefill {
-			h.RequestsPerSecond = float64(h.Slots) / max(answers*h.TokenGap.Seconds()*1.5, 0.01)
-		} else {
-			readers += float64(count) * h.RequestsPerSecond
+		key := serverGroupKey{server.Zone, server.Cell, server.Kind}
+		if groups[key] == nil {
+			order = append(order, key)
 		}
-		s.Servers = append(s.Servers, h)
-		for j, i := range all {
-			stands[i] = n + 1 + j%count
-			if j < count {
-				number[i] = n + 1 + j
+		groups[key] = append(groups[key], i)
+	}
+	slices.SortFunc(order, func(a, b serverGroupKey) int {
+		return slices.Compare([]int{a.zone, a.cell, a.kind}, []int{b.zone, b.cell, b.kind})
+	})
+	return groups, order
+}
+
+// importServers scales every group of servers down, to one server at least.
+func (im *importer) importServers() {
+	scale := max(1, float64(len(im.day.Servers))/float64(im.maxServers))
+	promptTokens, answerTokens := im.day.meanTokens()
+	groups, order := im.day.serverGroups()
+	for _, key := range order {
+		members := groups[key]
+		group := im.serverGroup(key, promptTokens, answerTokens)
+		group.Count = max(1, int(math.Round(float64(len(members))/scale)))
+		if group.Role == Prefill {
+			im.prefillRate += float64(group.Count) * group.RequestsPerSecond
+		}
+		im.script.Servers = append(im.script.Servers, group)
+		for j, i := range members {
+			im.representative[i] = im.serverCount + 1 + j%group.Count
+			if j < group.Count {
+				im.numbers[i] = im.serverCount + 1 + j
 			}
 		}
-		n += count
+		im.serverCount += group.Count
 	}
-	seen := max(1, min(dispatchers, len(d.Balancers)))
-	for i := range seen {
-		s.Dispatchers = append(s.Dispatchers, Dispatcher{Zone: d.Zones[d.Balancers[i*len(d.Balancers)/seen].Zone]})
+}
+
+// meanTokens returns the mean tokens of a turn's prompt and of an answer.
+func (d *benchDay) meanTokens() (prompt, answer float64) {
+	for i, conversation := range d.Family.Conversations {
+		prompt += d.Classes[i].Share * conversation.TurnTokens
+		answer += d.Classes[i].Share * conversation.AnswerTokens
 	}
-	total := 0.0
-	for _, c := range d.Classes {
-		total += c.Share
+	return prompt, answer
+}
+
+// serverGroup returns a group of servers without their count.
+func (im *importer) serverGroup(key serverGroupKey, promptTokens, answerTokens float64) ServerGroup {
+	family := &im.day.Family
+	kind, engine := im.day.Tiers[0].Kinds[key.kind], family.Engines[key.kind]
+	group := ServerGroup{
+		Role:         map[string]Role{"read": Prefill, "write": Decode, "both": Mixed}[family.Roles[key.kind]],
+		Zone:         im.day.Zones[key.zone],
+		Cell:         fmt.Sprint("c", key.cell),
+		Slots:        max(kind.Slots, 1),
+		QueueLength:  kind.QueueLength,
+		MemoryTokens: engine.MemoryTokens,
+		PrefillRate:  engine.PrefillRate,
+		TransferRate: family.TransferRate,
+		TokenGap:     time.Duration(engine.StepMilliseconds * 1e6).Round(time.Microsecond),
 	}
-	for i, c := range d.Classes {
-		t := d.Family.Talks[i]
-		tr := Class{
-			Name: c.Name, Share: c.Share / total, LatencyTarget: us(c.Aim), LatencyTargetPer1k: time.Duration(t.Per1k * 1e6), Timeout: us(c.Limit),
-			Value: c.Worth, TokenGap: time.Duration(max(t.Gap, 10) * 1e6), DedupWindow: us(c.Window), TurnCount: max(1, int(math.Round(2*t.Turns-1))),
-			MinTurnTokens: max(1, int(t.New/2)), MaxTurnTokens: int(1.5 * t.New), PrefixTokens: int(t.Prefix), PrefixCount: 8,
-			MaxAnswerTokens: max(1, int(min(1.33*t.Out, float64(t.MaxOut)))), MaxRetries: d.Clients.Retries, IdleTime: time.Second,
-		}
-		effect := map[string]policy.Idempotency{"safe": policy.Idempotent, "keyed": policy.Deduplicated, "unsafe": policy.NonIdempotent}
-		e, ok := effect[c.Effect]
-		if !ok {
-			cannot = append(cannot, fmt.Sprintf("class %s: effect %q, played as idempotent", c.Name, c.Effect))
-		}
-		tr.Idempotency = config.Idempotency(e)
-		switch c.Group {
-		case "zone":
-			tr.DedupScope = config.DedupScope(policy.DedupScopeZone)
-		case "cell":
-			tr.DedupScope = config.DedupScope(policy.DedupScopeCell)
-		}
-		s.Classes = append(s.Classes, tr)
+	group.TokenGap = max(group.TokenGap, time.Millisecond)
+	group.RequestsPerSecond = engine.PrefillRate / max(promptTokens, 1)
+	if group.Role != Prefill {
+		group.RequestsPerSecond = float64(group.Slots) / max(answerTokens*group.TokenGap.Seconds()*1.5, 0.01)
 	}
-	turns := 0.0
-	for i, c := range d.Classes {
-		turns += c.Share / total * d.Family.Talks[i].Turns
+	return group
+}
+
+// importDispatchers takes up to so many dispatchers, evenly spread over those of the day.
+func (im *importer) importDispatchers(limit int) {
+	all := im.day.Dispatchers
+	count := max(1, min(limit, len(all)))
+	for i := range count {
+		zone := im.day.Zones[all[i*len(all)/count].Zone]
+		im.script.Dispatchers = append(im.script.Dispatchers, Dispatcher{Zone: zone})
 	}
-	s.SessionsPerSecond = math.Round(100*d.Traffic.Load*readers/2/max(turns, 1)) / 100 // kept text and writers make about half of it good
+}
 
-	for _, t := range d.Troubles {
-		k, ok := importedFaults[t.Kind]
-		if !ok {
-			cannot = append(cannot, fmt.Sprintf("trouble %q at %v", t.Kind, us(t.At)))
-			continue
-		}
-		mine := Fault{Kind: k.kind, Start: us(t.At), Duration: us(t.Len)}
-		if k.factor != nil {
-			mine.Factor = math.Round(100*k.factor(t.Size)) / 100
-		}
-		switch k.kind {
-		case "deaf":
-			if t.Which < 0 || t.Which >= len(d.Classes) {
-				cannot = append(cannot, fmt.Sprintf("trouble %q at %v: class %d", t.Kind, us(t.At), t.Which))
-				continue
-			}
-			mine.Class = d.Classes[t.Which].Name
-		case "cut":
-			if t.Which < 0 || t.Which >= len(d.Zones) {
-				cannot = append(cannot, fmt.Sprintf("trouble %q at %v: zone %d", t.Kind, us(t.At), t.Which))
-				continue
-			}
-			mine.Zone = d.Zones[t.Which]
-		}
-		if k.kind == "dispatcher" {
-			done := map[int]bool{}
-			for _, b := range t.On {
-				m := mine
-				if m.Dispatcher = b * seen / max(len(d.Balancers), 1); m.Dispatcher < seen && !done[m.Dispatcher] {
-					done[m.Dispatcher] = true
-					s.Faults = append(s.Faults, m)
-				}
-			}
-			continue
-		}
-		if k.kind != "burst" && k.kind != "heavy" && k.kind != "cut" {
-			for _, i := range t.On {
-				if h := stands[i]; h > 0 && !slices.Contains(mine.Servers, h) && (number[i] > 0 || len(mine.Servers) == 0) {
-					mine.Servers = append(mine.Servers, h)
-				}
-			}
-			slices.Sort(mine.Servers)
-			if len(mine.Servers) == 0 && k.kind != "links" && k.kind != "reports" && k.kind != "pauses" {
-				cannot = append(cannot, fmt.Sprintf("trouble %q at %v: none of its hosts is played", t.Kind, us(t.At)))
-				continue
-			}
-		}
-		s.Faults = append(s.Faults, mine)
+func (im *importer) importClasses() {
+	for _, c := range im.day.Classes {
+		im.shareSum += c.Share
+	}
+	for i := range im.day.Classes {
+		im.importClass(&im.day.Classes[i], &im.day.Family.Conversations[i])
 	}
-	return s, cannot, nil
 }
 
-// Encode writes a script as Parse reads it.
-func (s *Script) Encode() ([]byte, error) {
-	b, err := json.MarshalIndent(encodedFields(s), "", "  ")
-	if err != nil {
-		return nil, err
+func (im *importer) importClass(c *benchClass, conversation *benchConversation) {
+	class := Class{
+		Name:               c.Name,
+		Share:              c.Share / im.shareSum,
+		LatencyTarget:      fromMicroseconds(c.LatencyTarget),
+		LatencyTargetPer1k: time.Duration(conversation.TargetPer1kMilliseconds * 1e6),
+		Timeout:            fromMicroseconds(c.Timeout),
+		Value:              c.Value,
+		TokenGap:           time.Duration(max(conversation.TokenGapMilliseconds, 10) * 1e6),
+		DedupWindow:        fromMicroseconds(c.DedupWindow),
+		TurnCount:          max(1, int(math.Round(2*conversation.Turns-1))),
+		MinTurnTokens:      max(1, int(conversation.TurnTokens/2)),
+		MaxTurnTokens:      int(1.5 * conversation.TurnTokens),
+		PrefixTokens:       int(conversation.PrefixTokens),
+		PrefixCount:        importedPrefixCount,
+		MaxAnswerTokens:    max(1, int(min(1.33*conversation.AnswerTokens, float64(conversation.MaxAnswerTokens)))),
+		MaxRetries:         im.day.Clients.Retries,
+		IdleTime:           time.Second,
+	}
+	switch c.Idempotency {
+	case "safe":
+		class.Idempotency = config.Idempotency(policy.Idempotent)
+	case "keyed":
+		class.Idempotency = config.Idempotency(policy.Deduplicated)
+	case "unsafe":
+		class.Idempotency = config.Idempotency(policy.NonIdempotent)
+	default:
+		class.Idempotency = config.Idempotency(policy.Idempotent)
+		im.unsupportedf("class %s: effect %q, played as idempotent", c.Name, c.Idempotency)
+	}
+	switch c.DedupScope {
+	case "zone":
+		class.DedupScope = config.DedupScope(policy.DedupScopeZone)
+	case "cell":
+		class.DedupScope = config.DedupScope(policy.DedupScopeCell)
 	}
-	return append(b, '\n'), nil
+	im.script.Classes = append(im.script.Classes, class)
 }
 
-// encodedFields spells lengths of time and names out.
-func encodedFields(s *Script) map[string]any {
-	text := func(v any) any {
-		b, err := json.Marshal(v)
-		if err != nil {
-			panic(err)
+// importSessionRate sets the rate of sessions from the load of the day. Cached prefixes and the decode servers allow
+// about half of what the prefill servers could do.
+func (im *importer) importSessionRate() {
+	turns := 0.0
+	for i, c := range im.day.Classes {
+		turns += c.Share / im.shareSum * im.day.Family.Conversations[i].Turns
+	}
+	im.script.SessionsPerSecond = math.Round(100*im.day.Traffic.Load*im.prefillRate/2/max(turns, 1)) / 100
+}
+
+// importFault adds a fault, or records that it is not supported.
+func (im *importer) importFault(f *benchFault) {
+	start := fromMicroseconds(f.Start)
+	imported, ok := importedFaults[f.Kind]
+	if !ok {
+		im.unsupportedf("fault %q at %v", f.Kind, start)
+		return
+	}
+	fault := Fault{Kind: imported.kind, Start: start, Duration: fromMicroseconds(f.Duration)}
+	if imported.factor != nil {
+		fault.Factor = math.Round(100*imported.factor(f.Factor)) / 100
+	}
+	switch fault.Kind {
+	case FaultSilentClass:
+		if f.Index < 0 || f.Index >= len(im.day.Classes) {
+			im.unsupportedf("fault %q at %v: class %d, want 0 to %d", f.Kind, start, f.Index, len(im.day.Classes)-1)
+			return
 		}
-		var out any
-		if err := json.Unmarshal(b, &out); err != nil {
-			panic(err)
+		fault.Class = im.day.Classes[f.Index].Name
+	case FaultPartition:
+		if f.Index < 0 || f.Index >= len(im.day.Zones) {
+			im.unsupportedf("fault %q at %v: zone %d, want 0 to %d", f.Kind, start, f.Index, len(im.day.Zones)-1)
+			return
 		}
-		return encodeValue(out, "")
+		fault.Zone = im.day.Zones[f.Index]
+	case FaultDispatcherRestart:
+		im.importDispatcherFault(fault, f.Targets)
+		return
+	default: // the other kinds are described by their servers alone
 	}
-	m := text(s).(map[string]any)
-	for i, t := range s.Classes {
-		to := m["classes"].([]any)[i].(map[string]any)
-		to["effect"] = []string{"idempotent", "deduplicated", "non_idempotent"}[t.Idempotency]
-		to["group"] = []string{"all", "zone", "cell"}[t.DedupScope]
+	if fault.hasNoServers() {
+		im.script.Faults = append(im.script.Faults, fault)
+		return
 	}
-	return m
+	fault.Servers = im.importTargets(f.Targets)
+	if len(fault.Servers) == 0 && !fault.permitsAllServers() {
+		im.unsupportedf("fault %q at %v: none of its servers is in the script", f.Kind, start)
+		return
+	}
+	im.script.Faults = append(im.script.Faults, fault)
+}
+
+// hasNoServers reports whether the fault is not one of single servers.
+func (f Fault) hasNoServers() bool {
+	return f.Kind == FaultBurst || f.Kind == FaultLongPrompts || f.Kind == FaultPartition
 }
 
-// durationFields are the fields that hold lengths of time.
-const durationFields = " for lister_late release_within warm_after overload_window token_gap target target_per_1000_tokens timeout window idle at "
+// permitsAllServers reports whether a fault that names no servers may affect all of them.
+func (f Fault) permitsAllServers() bool {
+	return f.Kind == FaultSlowLinks || f.Kind == FaultLateReports || f.Kind == FaultPauses
+}
 
-func encodeValue(v any, name string) any {
-	switch v := v.(type) {
-	case map[string]any:
-		for k, x := range v {
-			if x == nil || x == "" { // as if it were not there
-				delete(v, k)
-			} else {
-				v[k] = encodeValue(x, k)
-			}
-		}
-	case []any:
-		for i, x := range v {
-			v[i] = encodeValue(x, "")
+// importDispatcherFault adds the fault once for each dispatcher of the script that stands for one of targets.
+func (im *importer) importDispatcherFault(fault Fault, targets []int) {
+	count := len(im.script.Dispatchers)
+	seen := map[int]bool{}
+	for _, target := range targets {
+		fault.Dispatcher = target * count / len(im.day.Dispatchers)
+		if fault.Dispatcher < count && !seen[fault.Dispatcher] {
+			seen[fault.Dispatcher] = true
+			im.script.Faults = append(im.script.Faults, fault)
 		}
-	case float64:
-		if strings.Contains(durationFields, " "+name+" ") {
-			return time.Duration(v).String()
-		}
-		if v == math.Trunc(v) {
-			return int64(v)
+	}
+}
+
+// importTargets returns the numbers of those servers that are in the script, or of one that stands for the first.
+func (im *importer) importTargets(targets []int) []int {
+	var numbers []int
+	for _, i := range targets {
+		number := im.representative[i]
+		isPlayed := im.numbers[i] > 0
+		if number > 0 && !slices.Contains(numbers, number) && (isPlayed || len(numbers) == 0) {
+			numbers = append(numbers, number)
 		}
 	}
-	return v
+	slices.Sort(numbers)
+	return numbers
 }
--- /dev/null
+++ b/internal/lab/scenario/inject.go
@@ -0,0 +1,241 @@
+package scenario
+
+import (
+	"context"
+	"math"
+	"sync"
+	"time"
+
+	pb "docksail/api/docksail/v1"
+	"docksail/internal/lab/engine"
+	"docksail/internal/lab/eventlog"
+	"docksail/internal/lab/faultproxy"
+)
+
+// injection is a fault that is being injected into a deployment.
+type injection struct {
+	*Deployment
+	fault   Fault
+	servers []int       // indexes
+	mu      *sync.Mutex // shared by all injections, so that one changes the deployment at a time
+}
+
+// injectors are the methods that play the faults that are more than a change of what servers do. Each returns at the
+// end of the fault, or once the context is done.
+var injectors = map[FaultKind]func(in *injection, ctx context.Context){
+	FaultCrash:             (*injection).crash,
+	FaultCellRestart:       (*injection).crash,
+	FaultRollingRestart:    (*injection).rollingRestart,
+	FaultVanish:            (*injection).vanish,
+	FaultAging:             (*injection).aging,
+	FaultPartition:         (*injection).partition,
+	FaultDrain:             (*injection).drain,
+	FaultDispatcherRestart: (*injection).restartDispatcher,
+	FaultDiscoveryOutage:   (*injection).discoveryOutage,
+	FaultConnReset:         (*injection).resetConns,
+	FaultHalfOpen:          (*injection).halfOpen,
+	FaultTrickle:           (*injection).trickle,
+	FaultDelay:             (*injection).delay,
+}
+
+// inject plays a fault from its begin to its end.
+func (in *injection) inject(ctx context.Context) {
+	if change, ok := in.fault.ServerChange(); ok {
+		in.changeServers(ctx, change)
+	} else if change, ok := in.fault.PeriodicChange(); ok {
+		in.changePeriodically(ctx, change)
+	} else if play := injectors[in.fault.Kind]; play != nil {
+		play(in, ctx)
+	} else { // the clients play it
+		sleep(ctx, in.fault.Duration)
+	}
+}
+
+// forEach calls f for each server of the fault.
+func (in *injection) forEach(f func(i int, e *engine.Engine)) {
+	in.mu.Lock()
+	defer in.mu.Unlock()
+	for _, i := range in.servers {
+		f(i, in.Engines[i])
+	}
+}
+
+// forEachProxy calls f for each proxy to a server of the fault from those dispatchers that include selects.
+func (in *injection) forEachProxy(include func(dispatcher int) bool, f func(p *faultproxy.Proxy)) {
+	in.forEach(func(i int, _ *engine.Engine) {
+		for n := range in.proxies {
+			if include(n) {
+				f(in.proxies[n][i])
+			}
+		}
+	})
+}
+
+func allDispatchers(int) bool { return true }
+
+func (in *injection) setFaults(change func(f *engine.Faults)) {
+	in.forEach(func(_ int, e *engine.Engine) { e.SetFaults(change) })
+}
+
+func (in *injection) crashServers() { in.forEach(func(i int, _ *engine.Engine) { in.crashServer(i) }) }
+
+func (in *injection) restartServers() {
+	in.forEach(func(i int, _ *engine.Engine) { in.restartServer(i) })
+}
+
+// logReachability logs for each server of the fault that it cannot be reached, or can be again.
+func (in *injection) logReachability(note string) {
+	in.forEach(func(_ int, e *engine.Engine) {
+		in.Log.Add(eventlog.Entry{Kind: eventlog.FaultChanged, Note: note, Server: e.Spec.ID})
+	})
+}
+
+// setPartitioned makes the servers unreachable for the selected dispatchers, or reachable again.
+func (in *injection) setPartitioned(partitioned bool, include func(dispatcher int) bool) {
+	note := eventlog.NoteReconnected
+	if partitioned {
+		note = eventlog.NotePartitioned
+	}
+	in.forEach(func(i int, e *engine.Engine) {
+		for n := range in.proxies {
+			if include(n) {
+				in.proxies[n][i].SetBlackhole(partitioned)
+			}
+		}
+		in.Log.Add(eventlog.Entry{Kind: eventlog.FaultChanged, Note: note, Server: e.Spec.ID})
+	})
+}
+
+func (in *injection) changeServers(ctx context.Context, change ServerChange) {
+	in.setFaults(change.Begin)
+	sleep(ctx, in.fault.Duration)
+	in.setFaults(change.End)
+}
+
+func (in *injection) changePeriodically(ctx context.Context, change PeriodicChange) {
+	for end := time.Now().Add(in.fault.Duration); time.Now().Before(end) && ctx.Err() == nil; {
+		in.setFaults(change.Begin)
+		sleep(ctx, change.ActiveTime)
+		in.setFaults(change.End)
+		sleep(ctx, change.Period-change.ActiveTime)
+	}
+}
+
+func (in *injection) crash(ctx context.Context) {
+	in.crashServers()
+	sleep(ctx, in.fault.Duration)
+	in.restartServers()
+}
+
+func (in *injection) rollingRestart(ctx context.Context) {
+	for _, i := range in.servers {
+		in.mu.Lock()
+		in.crashServer(i)
+		in.mu.Unlock()
+		if !sleep(ctx, in.fault.Duration/time.Duration(len(in.servers))) {
+			break
+		}
+	}
+	in.restartServers()
+}
+
+func (in *injection) vanish(ctx context.Context) {
+	in.setPartitioned(true, allDispatchers)
+	sleep(ctx, in.fault.Duration)
+	in.forEach(func(_ int, e *engine.Engine) { e.Crash() })
+	in.setPartitioned(false, allDispatchers)
+	in.restartServers()
+}
+
+func (in *injection) aging(ctx context.Context) {
+	for step := range AgingSteps {
+		in.setFaults(slowdown(AgingSlowdown(step)).Begin)
+		if !sleep(ctx, in.fault.Duration/AgingSteps) {
+			break
+		}
+	}
+	in.forEach(func(i int, e *engine.Engine) {
+		in.crashServer(i)
+		e.SetFaults(slowdown(1).End)
+	})
+	sleep(ctx, in.fault.Duration/AgingSteps)
+	in.restartServers()
+}
+
+func (in *injection) partition(ctx context.Context) {
+	inOtherZone := func(n int) bool { return in.Script.Dispatchers[n].Zone != in.fault.Zone }
+	in.setPartitioned(true, inOtherZone)
+	sleep(ctx, in.fault.Duration)
+	in.setPartitioned(false, inOtherZone)
+}
+
+// drain lets two thirds of the fault pass before the servers crash.
+func (in *injection) drain(ctx context.Context) {
+	in.forEach(func(i int, e *engine.Engine) {
+		in.health[e.Spec.ID] = pb.Health_HEALTH_DRAINING
+		in.publishEndpoint(i, false, in.processStart(e))
+	})
+	sleep(ctx, in.fault.Duration*2/3)
+	in.crashServers()
+	sleep(ctx, in.fault.Duration/3)
+	in.restartServers()
+}
+
+func (in *injection) restartDispatcher(ctx context.Context) {
+	in.KillDispatcher(in.fault.Dispatcher)
+	sleep(ctx, in.fault.Duration)
+	if err := in.startDispatcher(in.fault.Dispatcher); err != nil {
+		in.logger.Error("dispatcher restart failed", "dispatcher", in.fault.Dispatcher, "error", err)
+	}
+}
+
+func (in *injection) discoveryOutage(ctx context.Context) {
+	for _, server := range in.discoveryServers {
+		server.Stop()
+	}
+	sleep(ctx, in.fault.Duration)
+	for _, server := range in.discoveryServers {
+		if err := server.Start(""); err != nil {
+			in.logger.Error("discovery server restart failed", "error", err)
+		}
+	}
+}
+
+func (in *injection) resetConns(context.Context) {
+	in.forEachProxy(allDispatchers, (*faultproxy.Proxy).ResetConns)
+}
+
+func (in *injection) halfOpen(ctx context.Context) {
+	in.forEachProxy(allDispatchers, (*faultproxy.Proxy).BlackholeOpenConns)
+	in.logReachability(eventlog.NotePartitioned)
+	sleep(ctx, FaultDetectionTime)
+	in.logReachability(eventlog.NoteReconnected)
+}
+
+func (in *injection) trickle(ctx context.Context) {
+	in.forEachProxy(allDispatchers, func(p *faultproxy.Proxy) { p.SetTrickle(true) })
+	sleep(ctx, in.fault.Duration)
+	in.forEachProxy(allDispatchers, func(p *faultproxy.Proxy) { p.SetTrickle(false) })
+}
+
+func (in *injection) delay(ctx context.Context) {
+	latency := time.Duration(in.fault.Factor * float64(time.Millisecond))
+	in.forEachProxy(allDispatchers, func(p *faultproxy.Proxy) { p.SetDelay(latency) })
+	sleep(ctx, in.fault.Duration)
+	in.forEachProxy(allDispatchers, func(p *faultproxy.Proxy) { p.SetDelay(0) })
+}
+
+// sleep waits for a time. It returns false at once if the context is done.
+func sleep(ctx context.Context, t time.Duration) bool {
+	if t <= 0 {
+		return ctx.Err() == nil
+	}
+	select {
+	case <-time.After(t):
+		return true
+	case <-ctx.Done():
+		return false
+	}
+}
+
+func ceil(x float64) int { return int(math.Ceil(x)) }
--- /dev/null
+++ b/internal/lab/scenario/report.go
@@ -0,0 +1,109 @@
+package scenario
+
+import (
+	"fmt"
+	"io"
+	"maps"
+	"slices"
+	"time"
+
+	"docksail/internal/decide/admission"
+	"docksail/internal/dispatch"
+	"docksail/internal/lab/eventlog"
+	"docksail/internal/lab/invariants"
+	"docksail/internal/lab/userclient"
+)
+
+const (
+	maxPrintedAdmissionCounts = 8 // if there are more, Print prints their sum
+	maxPrintedViolations      = 20
+)
+
+// Report is the outcome of a run.
+type Report struct {
+	Summaries       map[string]*userclient.Summary // by class
+	Violations      []invariants.Violation
+	Entries         []eventlog.Entry
+	Counts          dispatch.Counts
+	Attempts        int
+	AdmissionCounts []admission.TenantCounts // by dispatcher, by tenant
+	Elapsed         time.Duration
+}
+
+// Print writes the report as text.
+func (r *Report) Print(w io.Writer) {
+	r.printSummaries(w)
+	c := r.Counts
+	fmt.Fprintf(w, "dispatchers: %d launches, %d recalled, %d late, %d broken, %d releases, %d reports (%d late), "+
+		"%d refused at the gate, %d guarded\n", c.Attempts, c.Cancels, c.TimedOut, c.Broken, c.Releases, c.LoadReports,
+		c.StaleLoadReports, c.RejectedAtIntake, c.InvalidDecisions)
+	r.printAdmissionCounts(w)
+	r.printReservedRetries(w)
+	r.printViolations(w)
+}
+
+func (r *Report) printSummaries(w io.Writer) {
+	fmt.Fprintf(w, "%-16s %7s %7s %8s %8s %8s %9s %5s %7s %6s %8s %8s %8s\n", "track", "jobs", "tries", "honoured",
+		"on time", "nacked", "abandoned", "left", "no end", "wrong", "kept", "p50 ms", "p99 ms")
+	for _, name := range slices.Sorted(maps.Keys(r.Summaries)) {
+		s := r.Summaries[name]
+		slices.Sort(s.FirstTokenTimes)
+		fmt.Fprintf(w, "%-16s %7d %7d %8d %8d %8d %9d %5d %7d %6d %8.3f %8.0f %8.0f\n", name, s.Requests, s.Attempts,
+			s.Served, s.OnTime, s.Rejected, s.Failed, s.Canceled, s.Unanswered, s.Corrupt, s.ValueShare(),
+			quantileMilliseconds(s.FirstTokenTimes, 0.5), quantileMilliseconds(s.FirstTokenTimes, 0.99))
+	}
+}
+
+func (r *Report) printAdmissionCounts(w io.Writer) {
+	counts := r.AdmissionCounts
+	if len(counts) > maxPrintedAdmissionCounts {
+		var sum admission.TenantCounts
+		for _, c := range counts {
+			sum.Add(c)
+		}
+		counts = []admission.TenantCounts{sum}
+	}
+	for i, c := range counts {
+		if c.Arrived == 0 {
+			continue
+		}
+		fmt.Fprintf(w, "door %d: %d came, %d admitted, %d cancelled, refused %v, mean wait %d ms, longest %d ms, "+
+			"booked %d, returned %d, kept %d, not honoured %d\n", i, c.Arrived, c.Admitted, c.Cancelled, c.Rejected,
+			c.TotalWait/int64(max(c.Admitted, 1))/1e6, c.MaxWait/1e6, c.ReservationsGranted, c.ReservationsRedeemed,
+			c.ReservationsAdmitted, c.ReservationsInvalid)
+	}
+}
+
+func (r *Report) printReservedRetries(w io.Writer) {
+	retries, served := 0, 0
+	for _, s := range r.Summaries {
+		retries, served = retries+s.ReservedRetries, served+s.ReservedRetriesServed
+	}
+	if retries > 0 {
+		fmt.Fprintf(w, "back as advised: %d, %.3f of them honoured\n", retries, float64(served)/float64(retries))
+	}
+}
+
+func (r *Report) printViolations(w io.Writer) {
+	if len(r.Violations) == 0 {
+		fmt.Fprintf(w, "rules: all five kept, over %d launches on the sockets, in %v\n", r.Attempts,
+			r.Elapsed.Round(time.Second))
+		return
+	}
+	fmt.Fprintf(w, "rules: BROKEN, %d times\n", len(r.Violations))
+	for i, v := range r.Violations {
+		if i == maxPrintedViolations {
+			fmt.Fprintf(w, "  and %d more\n", len(r.Violations)-i)
+			break
+		}
+		fmt.Fprintf(w, "  %v\n", v)
+	}
+}
+
+// quantileMilliseconds returns a quantile of sorted durations, or 0 if there are none.
+func quantileMilliseconds(sorted []time.Duration, q float64) float64 {
+	if len(sorted) == 0 {
+		return 0
+	}
+	return float64(sorted[int(q*float64(len(sorted)-1))]) / 1e6
+}
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -23,11 +23,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		again, err := Parse(f+" written", b)
+		again, err := Parse(f+" encoded", b)
 		if err != nil {
-			t.Errorf("what Encode wrote: %v", err)
+			t.Errorf("parse the encoded script: %v", err)
 		} else if !reflect.DeepEqual(s, again) {
-			t.Errorf("%s came back as another script", f)
+			t.Errorf("%s differs after Encode and Parse", f)
 		}
 	}
 }
@@ -46,73 +46,85 @@
 		{`"for": "46s"`, `"for": 46`, `for: want a text, not 46`},
 	} {
 		if !strings.Contains(string(text), c.from) {
-			t.Fatalf("%s does not stand in the script", c.from)
+			t.Fatalf("%s is not in the script", c.from)
 		}
-		if _, err := Parse("s", []byte(strings.Replace(string(text), c.from, c.to, 1))); err == nil || !strings.Contains(err.Error(), c.want) {
+		_, err := Parse("s", []byte(strings.Replace(string(text), c.from, c.to, 1)))
+		if err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("with %s: %v, want %q", c.to, err, c.want)
 		}
 	}
 }
 
-// benchText is a small two-stage day with a kind of trouble that no drill knows.
-const benchText = `{"length": 20000000, "zones": ["x", "y"], "traffic": {"load": 0.5}, "clients": {"retries": 1}, "discovery": {"notice": 500000},
+// benchText is a small two-stage day with a kind of fault that scripts do not have.
+const benchText = `{"length": 20000000, "zones": ["x", "y"], "traffic": {"load": 0.5},
+  "clients": {"retries": 1}, "discovery": {"notice": 500000},
  "allow": {"max_attempts": 4}, "fall_multiple": 2, "fall_for": 1000000,
- "classes": [{"name": "c", "share": 1, "aim": 1000000, "deadline": 4000000, "worth": 2, "effect": "keyed", "group": "zone", "window": 3000000}],
- "tiers": [{"kinds": [{"name": "r", "slots": 8, "queue": 20, "cold_from": 0.3, "cold": 9000000}, {"name": "w", "slots": 90, "queue": 9, "cold_from": 0.4, "cold": 8000000}]}],
- "servers": [{"zone": 0, "kind": 0, "cell": 0, "up": true}, {"zone": 0, "kind": 1, "cell": 0, "up": true}, {"zone": 1, "kind": 0, "cell": 1, "up": true},
-  {"zone": 1, "kind": 1, "cell": 1, "up": true}, {"zone": 1, "kind": 1, "cell": 1, "up": true}, {"zone": 1, "kind": 1, "cell": 1, "up": true}],
+ "classes": [{"name": "c", "share": 1, "aim": 1000000, "deadline": 4000000, "worth": 2, "effect": "keyed",
+  "group": "zone", "window": 3000000}],
+ "tiers": [{"kinds": [{"name": "r", "slots": 8, "queue": 20, "cold_from": 0.3, "cold": 9000000}, {"name": "w",
+  "slots": 90, "queue": 9, "cold_from": 0.4, "cold": 8000000}]}],
+ "servers": [{"zone": 0, "kind": 0, "cell": 0, "up": true}, {"zone": 0, "kind": 1, "cell": 0, "up": true},
+  {"zone": 1, "kind": 0, "cell": 1, "up": true},
+  {"zone": 1, "kind": 1, "cell": 1, "up": true}, {"zone": 1, "kind": 1, "cell": 1, "up": true}, {"zone": 1,
+  "kind": 1, "cell": 1, "up": true}],
  "balancers": [{"zone": 0}, {"zone": 1}, {"zone": 1}, {"zone": 0}],
- "troubles": [{"kind": "slow", "at": 5000000, "len": 3000000, "size": 4, "on": [3, 4]}, {"kind": "zone_cut", "at": 6000000, "len": 1000000, "which": 1},
-  {"kind": "class_fail", "at": 7000000, "len": 1000000, "on": [0], "which": 0}, {"kind": "locusts", "at": 8000000, "len": 1},
-  {"kind": "balancer_crash", "at": 9000000, "len": 1000000, "on": [3]}, {"kind": "burst", "at": 10000000, "len": 1000000, "size": 2}],
+ "troubles": [{"kind": "slow", "at": 5000000, "len": 3000000, "size": 4, "on": [3, 4]}, {"kind": "zone_cut",
+  "at": 6000000, "len": 1000000, "which": 1},
+  {"kind": "class_fail", "at": 7000000, "len": 1000000, "on": [0], "which": 0}, {"kind": "locusts",
+  "at": 8000000, "len": 1},
+  {"kind": "balancer_crash", "at": 9000000, "len": 1000000, "on": [3]}, {"kind": "burst", "at": 10000000,
+  "len": 1000000, "size": 2}],
  "fam": {"release": 800000, "near": 200000, "roles": ["read", "write"],
-  "engines": [{"memory": 200000, "read_per_s": 20000, "step_ms": 20}, {"memory": 100000, "read_per_s": 7000, "step_ms": 10}],
-  "talks": [{"aim_ms_per_k": 60, "max_out": 300, "new_tokens": 400, "out_tokens": 100, "prefix_tokens": 2000, "turns": 2}]}}`
+  "engines": [{"memory": 200000, "read_per_s": 20000, "step_ms": 20}, {"memory": 100000, "read_per_s": 7000,
+  "step_ms": 10}],
+  "talks": [{"aim_ms_per_k": 60, "max_out": 300, "new_tokens": 400, "out_tokens": 100, "prefix_tokens": 2000,
+  "turns": 2}]}}`
 
 func TestImport(t *testing.T) {
-	s, cannot, err := Import([]byte(benchText), 6, 2)
+	s, unsupported, err := Import([]byte(benchText), 6, 2)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(cannot) != 1 || !strings.Contains(cannot[0], "locusts") {
-		t.Errorf("cannot be played: %v, want the locusts alone", cannot)
+	if len(unsupported) != 1 || !strings.Contains(unsupported[0], "locusts") {
+		t.Errorf("unsupported: %v, want the locusts alone", unsupported)
 	}
-	var kinds []string
-	for _, tr := range s.Faults {
-		kinds = append(kinds, tr.Kind)
+	var kinds []FaultKind
+	for _, fault := range s.Faults {
+		kinds = append(kinds, fault.Kind)
 	}
-	if want := []string{"slow", "cut", "deaf", "dispatcher", "burst"}; !reflect.DeepEqual(kinds, want) {
-		t.Errorf("troubles %v, want %v", kinds, want)
+	if want := []FaultKind{"slow", "cut", "deaf", "dispatcher", "burst"}; !reflect.DeepEqual(kinds, want) {
+		t.Errorf("fault kinds %v, want %v", kinds, want)
 	}
-	if len(s.EngineSpecs()) != 6 || len(s.Dispatchers) != 2 || s.Faults[1].Zone != "y" || s.Faults[2].Class != "c" || s.Faults[3].Dispatcher != 1 {
-		t.Errorf("%d hosts, %d dispatchers, troubles %+v", len(s.EngineSpecs()), len(s.Dispatchers), s.Faults)
+	if len(s.EngineSpecs()) != 6 || len(s.Dispatchers) != 2 || s.Faults[1].Zone != "y" ||
+		s.Faults[2].Class != "c" || s.Faults[3].Dispatcher != 1 {
+		t.Errorf("%d servers, %d dispatchers, faults %+v", len(s.EngineSpecs()), len(s.Dispatchers), s.Faults)
 	}
 	if got := s.Faults[0].Servers; len(got) != 2 {
-		t.Errorf("slow hosts %v, want the two writers it was on", got)
+		t.Errorf("slow servers %v, want the two decode servers that the day names", got)
 	}
 	b, err := s.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Parse("imported", b); err != nil {
-		t.Errorf("the script can't be read: %v", err)
+		t.Errorf("parse the encoded script: %v", err)
 	}
 	small, _, err := Import([]byte(benchText), 2, 1)
 	if err != nil || len(small.EngineSpecs()) != 4 {
-		t.Errorf("scaled down to %d hosts, %v, want one of each kind and cell", len(small.EngineSpecs()), err)
+		t.Errorf("scaled down to %d servers, %v, want one of each kind and cell", len(small.EngineSpecs()), err)
 	}
 	for _, bad := range []string{"", "{}", `{"servers": [{}]}`} {
 		if _, _, err := Import([]byte(bad), 6, 2); err == nil {
-			t.Errorf("%q was taken for a day", bad)
+			t.Errorf("no error for the day %q", bad)
 		}
 	}
 }
 
-// TestKnownKinds: what an import names, a script knows.
+// TestKnownKinds checks that every fault kind which Import uses is one of scripts.
 func TestKnownKinds(t *testing.T) {
-	for bench, k := range importedFaults {
-		if _, ok := faultKinds[k.kind]; !ok {
-			t.Errorf("%s becomes %q, which no script knows", bench, k.kind)
+	for name, imported := range importedFaults {
+		if _, ok := faultKinds[imported.kind]; !ok {
+			t.Errorf("%s is imported as unknown kind %q", name, imported.kind)
 		}
 	}
 }
--- a/internal/lab/simulation/simulation.go
+++ b/internal/lab/simulation/simulation.go
@@ -220,10 +220,10 @@
 		hosts := d.faultTargets(t)
 		last = max(last, t.Start+t.Duration+t.Duration/10)
 		d.scheduleAt(d.loadStart+int64(t.Start), func() {
-			d.Log.Add(eventlog.Entry{Kind: eventlog.FaultChanged, Code: t.Kind, Note: "begins"})
+			d.Log.Add(eventlog.Entry{Kind: eventlog.FaultChanged, Code: string(t.Kind), Note: "begins"})
 			d.injectFault(t, hosts)
 		})
-		d.scheduleAt(d.loadStart+int64(t.Start+t.Duration), func() { d.Log.Add(eventlog.Entry{Kind: eventlog.FaultChanged, Code: t.Kind, Note: "ends"}) })
+		d.scheduleAt(d.loadStart+int64(t.Start+t.Duration), func() { d.Log.Add(eventlog.Entry{Kind: eventlog.FaultChanged, Code: string(t.Kind), Note: "ends"}) })
 	}
 	if d.SampleInterval > 0 {
 		d.recordServerLoads()
