--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -29,7 +29,7 @@
 	FIFO              bool          `json:"first_come"`                          // admission in order of arrival
 	MaxWaiting        int           `json:"requests_waiting" was:"jobs_waiting"` // admission queue; 0 = default
 	MaxConnections    int           `json:"connections"`                         // of clients; 0 = default
-	MaxMemoryBytes    int           `json:"memory_bytes"`                        // from which on load is shed; 0 = no limit
+	MaxMemoryBytes    int           `json:"memory_bytes"`                        // load is shed above it; 0 = no limit
 }
 
 // Duration is a duration that scripts write as text, such as "1.5s".
