--- /dev/null
+++ b/internal/lab/userclient/session.go
@@ -0,0 +1,95 @@
+package userclient
+
+import (
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"strconv"
+	"time"
+
+	pb "docksail/api/docksail/v1"
+)
+
+// session is one conversation. The prompt of each turn holds all that went before.
+type session struct {
+	r            *loadRunner
+	index        int // in order of arrival
+	class        *Class
+	promptFactor int // multiple of the prompt length
+	rng          *rand.Rand
+}
+
+// run plays the session. Its first turn is due at the given time: latencies count from then, even if the machine is
+// late.
+func (s *session) run(ctx context.Context, due time.Time) {
+	class := s.class
+	req := &pb.GenerateRequest{
+		Track:     class.Name,
+		Tenant:    class.Tenant,
+		Session:   "s" + strconv.Itoa(s.index),
+		MaxTokens: uint32(class.MaxAnswerTokens),
+		Client:    s.clientName(),
+	}
+	promptTokens := 0
+	if class.PrefixTokens > 0 {
+		req.Beginning = class.DrawPrefix(s.rng)
+		req.BeginningTokens = uint32(class.PrefixTokens)
+		promptTokens = class.PrefixTokens
+	}
+	for turn := range 1 + s.rng.IntN(max(class.TurnCount, 1)) {
+		promptTokens += s.promptFactor * s.drawTurnTokens()
+		req.PromptTokens = uint32(promptTokens)
+		req.Label = fmt.Sprintf("%d.%d", s.index, turn)
+		req.Prompt = []byte(req.Label)
+		answerTokens, served := s.runRequest(ctx, req, due)
+		if !served || ctx.Err() != nil {
+			return
+		}
+		promptTokens += answerTokens
+		due = time.Now().Add(time.Duration(float64(class.Idle) * s.rng.Float64()))
+		sleepUntil(ctx, due)
+		if ctx.Err() != nil {
+			return
+		}
+	}
+}
+
+func (s *session) clientName() string {
+	switch {
+	case s.class.NewClientPerRequest:
+		return fmt.Sprintf("%s-made-%d", s.class.Name, s.index)
+	case s.class.ClientCount > 0:
+		return fmt.Sprintf("%s-%d", s.class.Name, s.index%s.class.ClientCount)
+	default:
+		return ""
+	}
+}
+
+// drawTurnTokens returns how many prompt tokens the next turn adds.
+func (s *session) drawTurnTokens() int {
+	return s.class.MinTurnTokens + s.rng.IntN(max(s.class.MaxTurnTokens-s.class.MinTurnTokens, 1))
+}
+
+// runRequest sends a request that is due at the given time, with all its attempts. It returns the length of the answer,
+// and false if the request was not served.
+func (s *session) runRequest(ctx context.Context, req *pb.GenerateRequest, due time.Time) (int, bool) {
+	run := &request{
+		session:    s,
+		req:        req,
+		due:        due,
+		value:      s.class.requestValue(req),
+		dispatcher: s.rng.IntN(len(s.r.clients[s.class.Name])),
+	}
+	run.count(func(sum *Summary) {
+		sum.Requests++
+		sum.OfferedValue += run.value
+	})
+	served := run.attemptUntilDone(ctx)
+	if s.r.load.OnDone != nil {
+		s.r.load.OnDone(s.class.Name, run.last.firstTokenAt.Sub(due), run.last.code)
+	}
+	if !served {
+		return 0, false
+	}
+	return run.last.tokens, true
+}
