--- a/internal/lab/faultproxy/proxy.go
+++ b/internal/lab/faultproxy/proxy.go
@@ -1,5 +1,5 @@
-// Package faultproxy stands on the wire between a dispatcher and an engine: it passes bytes on, acts out what goes
-// wrong on a network, and writes down from the frames which launches passed and how they ended.
+// Package faultproxy is a proxy between a dispatcher and a server. It passes bytes on, acts out network faults, and
+// records from the HTTP/2 frames which attempts passed and how they ended.
 package faultproxy
 
 import (
@@ -12,206 +12,150 @@
 	"docksail/internal/lab/eventlog"
 )
 
-// Proxy passes the connections of one dispatcher to one host.
+// dialTimeout bounds the connection to the server.
+const dialTimeout = time.Second
+
+// Proxy passes the connections of one dispatcher to one server.
 type Proxy struct {
-	to   string
-	host int
-	disp int
-	book *eventlog.Log
-	ln   net.Listener
-
-	mu    sync.Mutex
-	pairs map[*pair]bool
-	cut   chan struct{} // not nil while cut; closed at its end
-	slow  atomic.Int64  // nanoseconds of delay for each read
-	bit   atomic.Bool   // bytes one by one
-	done  bool
+	target     string // address of the server
+	server     int
+	dispatcher int
+	log        *eventlog.Log
+	listener   net.Listener
+
+	delay   atomic.Int64 // nanoseconds before each piece is passed on
+	trickle atomic.Bool  // passes single bytes
+
+	mu        sync.Mutex
+	conns     map[*proxyConn]bool
+	blackhole chan struct{} // nil: no blackhole; closed at its end
+	closed    bool
 }
 
-// New opens a relay on a free port of the loopback.
-func New(to string, host, disp int, b *eventlog.Log) (*Proxy, error) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+// New returns a proxy that listens on a free port of the loopback and passes connections to the target. server and
+// dispatcher are the numbers that its entries in log have; log may be nil.
+func New(target string, server, dispatcher int, log *eventlog.Log) (*Proxy, error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("relay to host %d: %w", host, err)
+		return nil, fmt.Errorf("proxy for server %d: %w", server, err)
+	}
+	p := &Proxy{
+		target: target, server: server, dispatcher: dispatcher, log: log,
+		listener: listener, conns: map[*proxyConn]bool{},
 	}
-	r := &Proxy{to: to, host: host, disp: disp, book: b, ln: ln, pairs: map[*pair]bool{}}
-	go r.accept()
-	return r, nil
+	go p.acceptLoop()
+	return p, nil
 }
 
-// Addr is where it listens.
-func (r *Proxy) Addr() string { return r.ln.Addr().String() }
+// Addr returns the address at which it listens.
+func (p *Proxy) Addr() string { return p.listener.Addr().String() }
 
-// Close ends it and all its connections.
-func (r *Proxy) Close() {
-	r.mu.Lock()
-	r.done = true
-	r.mu.Unlock()
-	r.ln.Close()
-	r.ResetConns()
+// Close stops the proxy and resets its connections.
+func (p *Proxy) Close() {
+	p.mu.Lock()
+	p.closed = true
+	p.mu.Unlock()
+	p.listener.Close()
+	p.ResetConns()
 }
 
-// SetBlackhole swallows all bytes both ways, with no reset and no answer, until it is called with false.
-func (r *Proxy) SetBlackhole(yes bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if yes && r.cut == nil {
-		r.cut = make(chan struct{})
-	} else if !yes && r.cut != nil {
-		close(r.cut)
-		r.cut = nil
+// SetBlackhole discards all bytes in both directions, without a reset, until it is called with false. Connections that
+// lost bytes stay useless.
+func (p *Proxy) SetBlackhole(enabled bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if enabled && p.blackhole == nil {
+		p.blackhole = make(chan struct{})
+	} else if !enabled && p.blackhole != nil {
+		close(p.blackhole)
+		p.blackhole = nil
 	}
 }
 
-// BlackholeOpenConns has the connections that there are swallow all bytes from now on, with no reset; new ones pass.
-func (r *Proxy) BlackholeOpenConns() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for p := range r.pairs {
-		p.mute.Store(true)
+// currentBlackhole returns a channel that is closed at the end of the blackhole, or nil if there is none.
+func (p *Proxy) currentBlackhole() chan struct{} {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.blackhole
+}
+
+// BlackholeOpenConns makes the connections that are open now discard all further bytes, without a reset. New
+// connections pass.
+func (p *Proxy) BlackholeOpenConns() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for c := range p.conns {
+		c.blackholed.Store(true)
 	}
 }
 
-// SetDelay holds each piece back for so long.
-func (r *Proxy) SetDelay(t time.Duration) { r.slow.Store(int64(t)) }
+// SetDelay delays each piece by the given time.
+func (p *Proxy) SetDelay(delay time.Duration) { p.delay.Store(int64(delay)) }
 
 // SetTrickle passes bytes one at a time.
-func (r *Proxy) SetTrickle(yes bool) { r.bit.Store(yes) }
-
-// ResetConns ends all connections with a reset.
-func (r *Proxy) ResetConns() {
-	r.mu.Lock()
-	var ps []*pair
-	for p := range r.pairs {
-		ps = append(ps, p)
+func (p *Proxy) SetTrickle(enabled bool) { p.trickle.Store(enabled) }
+
+// ResetConns resets all connections.
+func (p *Proxy) ResetConns() {
+	p.mu.Lock()
+	var conns []*proxyConn
+	for c := range p.conns {
+		conns = append(conns, c)
 	}
-	r.mu.Unlock()
-	for _, p := range ps {
-		p.close(true)
+	p.mu.Unlock()
+	for _, c := range conns {
+		c.close(true)
 	}
 }
 
-func (r *Proxy) accept() {
+func (p *Proxy) acceptLoop() {
 	for {
-		c, err := r.ln.Accept()
+		conn, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
-		go r.serve(c.(*net.TCPConn))
+		go p.serve(conn.(*net.TCPConn))
 	}
 }
 
-// pair is a connection and its other half.
-type pair struct {
-	r    *Proxy
-	in   *net.TCPConn
-	out  *net.TCPConn
-	tap  *FrameRecorder
-	once sync.Once
-	mute atomic.Bool // swallows all bytes, for good
+// add registers a connection. It returns false if the proxy is closed, and the blackhole if there is one.
+func (p *Proxy) add(c *proxyConn) (blackhole chan struct{}, ok bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.closed {
+		return nil, false
+	}
+	p.conns[c] = true
+	return p.blackhole, true
 }
 
-func (p *pair) close(reset bool) {
-	p.once.Do(func() {
-		if reset {
-			p.in.SetLinger(0)
-			if p.out != nil {
-				p.out.SetLinger(0)
-			}
-		}
-		p.in.Close()
-		if p.out != nil {
-			p.out.Close()
-		}
-		p.tap.Closed()
-		p.r.mu.Lock()
-		delete(p.r.pairs, p)
-		p.r.mu.Unlock()
-	})
+func (p *Proxy) remove(c *proxyConn) {
+	p.mu.Lock()
+	delete(p.conns, c)
+	p.mu.Unlock()
 }
 
-func (r *Proxy) serve(in *net.TCPConn) {
-	p := &pair{r: r, in: in}
-	p.tap = NewFrameRecorder(r.book, r.host, r.disp)
-	r.mu.Lock()
-	if r.done {
-		r.mu.Unlock()
-		in.Close()
+// serve passes one connection of the dispatcher to the server until either side ends it.
+func (p *Proxy) serve(client *net.TCPConn) {
+	c := &proxyConn{proxy: p, client: client, recorder: NewFrameRecorder(p.log, p.server, p.dispatcher)}
+	blackhole, ok := p.add(c)
+	if !ok {
+		client.Close()
 		return
 	}
-	r.pairs[p] = true
-	cut := r.cut
-	r.mu.Unlock()
-	if cut != nil { // taken, and nothing comes of it
-		p.pass(in, nil, p.tap.Sent)
+	if blackhole != nil { // accepted, but never connected to the server
+		c.relay(client, nil, c.recorder.Sent)
 		return
 	}
-	out, err := net.DialTimeout("tcp", r.to, time.Second)
+	conn, err := net.DialTimeout("tcp", p.target, dialTimeout)
 	if err != nil {
-		p.close(true)
+		c.close(true)
 		return
 	}
-	r.mu.Lock()
-	p.out = out.(*net.TCPConn)
-	r.mu.Unlock()
-	go p.pass(p.out, in, p.tap.Received)
-	p.pass(in, p.out, p.tap.Sent)
-}
-
-// pass moves bytes one way until either end is done.
-func (p *pair) pass(from, to *net.TCPConn, see func([]byte)) {
-	buf := make([]byte, 32<<10)
-	swallow := to == nil
-	for {
-		n, err := from.Read(buf)
-		if n > 0 {
-			p.r.mu.Lock()
-			cut := p.r.cut
-			p.r.mu.Unlock()
-			if cut != nil || p.mute.Load() {
-				swallow = true
-			}
-			if from == p.in { // what a dispatcher sends passes its socket, whether or not it arrives
-				see(buf[:n])
-			}
-			if swallow {
-				continue
-			}
-			if from != p.in {
-				see(buf[:n])
-			}
-			if t := p.r.slow.Load(); t > 0 {
-				time.Sleep(time.Duration(t))
-			}
-			if werr := p.write(to, buf[:n]); werr != nil {
-				p.close(false)
-				return
-			}
-		}
-		if err != nil {
-			if swallow { // the other end never learns of it while the cut lasts
-				p.r.mu.Lock()
-				cut := p.r.cut
-				p.r.mu.Unlock()
-				if cut != nil && from != p.in {
-					<-cut
-				}
-			}
-			p.close(swallow)
-			return
-		}
-	}
-}
-
-func (p *pair) write(to *net.TCPConn, b []byte) error {
-	if !p.r.bit.Load() {
-		_, err := to.Write(b)
-		return err
-	}
-	for i := range b {
-		if _, err := to.Write(b[i : i+1]); err != nil {
-			return err
-		}
-	}
-	return nil
+	server := conn.(*net.TCPConn)
+	p.mu.Lock()
+	c.server = server
+	p.mu.Unlock()
+	go c.relay(server, client, c.recorder.Received)
+	c.relay(client, server, c.recorder.Sent)
 }
