--- a/internal/lab/baselinerelay/relay.go
+++ b/internal/lab/baselinerelay/relay.go
@@ -1,5 +1,6 @@
-// Package baselinerelay is a plain relay on grpc-go to measure against: the same front and engines, readers and writers
-// in turn, no decisions. It keeps no rule under failures.
+// Package baselinerelay is a plain relay on grpc-go to measure against: it has the same clients and engines as a
+// dispatcher, takes prefill and decode servers in turn, and decides nothing. It does not keep the invariants under
+// faults.
 package baselinerelay
 
 import (
@@ -18,75 +19,89 @@
 	pb "docksail/api/docksail/v1"
 )
 
-// Relay passes jobs on in turn.
+// maxConcurrentStreams is the limit of streams on a connection to the relay.
+const maxConcurrentStreams = 10000
+
+// Relay passes requests on to servers in turn.
 type Relay struct {
 	pb.UnimplementedGenerationServer
-	readers, writers []pb.EngineClient
-	addrs            []string // of the readers
-	next             atomic.Uint64
-	life             uint64
-	srv              *grpc.Server
-	Addr             string
+	Addr           string // at which it listens
+	prefillServers []pb.EngineClient
+	prefillAddrs   []string
+	decodeServers  []pb.EngineClient
+	requests       atomic.Uint64 // received so far
+	incarnation    uint64
+	grpcServer     *grpc.Server
 }
 
-// Start starts a relay to readers and writers on a free port of the loopback, or on the one that is named.
-func Start(addr string, readers, writers []string) (*Relay, error) {
-	r := &Relay{addrs: readers, life: uint64(time.Now().UnixNano())}
-	for i, list := range [][]string{readers, writers} {
-		for _, a := range list {
-			c, err := grpc.NewClient(a, grpc.WithTransportCredentials(insecure.NewCredentials()))
-			if err != nil {
-				return nil, err
-			}
-			if i == 0 {
-				r.readers = append(r.readers, pb.NewEngineClient(c))
-			} else {
-				r.writers = append(r.writers, pb.NewEngineClient(c))
-			}
-		}
+// Start starts a relay to the servers at the given addresses. It listens on addr; port 0 takes any free port.
+func Start(addr string, prefillAddrs, decodeAddrs []string) (*Relay, error) {
+	r := &Relay{prefillAddrs: prefillAddrs, incarnation: uint64(time.Now().UnixNano())}
+	var err error
+	if r.prefillServers, err = newClients(prefillAddrs); err != nil {
+		return nil, err
+	}
+	if r.decodeServers, err = newClients(decodeAddrs); err != nil {
+		return nil, err
 	}
-	ln, err := net.Listen("tcp", addr)
+	listener, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	r.Addr = ln.Addr().String()
-	r.srv = grpc.NewServer(grpc.MaxConcurrentStreams(10000))
-	pb.RegisterGenerationServer(r.srv, r)
-	go r.srv.Serve(ln)
+	r.Addr = listener.Addr().String()
+	r.grpcServer = grpc.NewServer(grpc.MaxConcurrentStreams(maxConcurrentStreams))
+	pb.RegisterGenerationServer(r.grpcServer, r)
+	go func() { _ = r.grpcServer.Serve(listener) }() // it returns an error only after Stop
 	return r, nil
 }
 
-// Stop ends it.
-func (r *Relay) Stop() { r.srv.Stop() }
+func newClients(addrs []string) ([]pb.EngineClient, error) {
+	var clients []pb.EngineClient
+	for _, addr := range addrs {
+		conn, err := grpc.NewClient(addr, grpc.WithTransportCredentials(insecure.NewCredentials()))
+		if err != nil {
+			return nil, err
+		}
+		clients = append(clients, pb.NewEngineClient(conn))
+	}
+	return clients, nil
+}
+
+// Stop stops the relay.
+func (r *Relay) Stop() { r.grpcServer.Stop() }
 
 // Generate implements the Generation service.
 func (r *Relay) Generate(req *pb.GenerateRequest, out grpc.ServerStreamingServer[pb.Tokens]) error {
-	return Generate(out.Context(), req, r.life, r.next.Add(1), r.readers, r.addrs, r.writers, out.Send)
+	number := r.requests.Add(1)
+	return Generate(out.Context(), req, r.incarnation, number, r.prefillServers, r.prefillAddrs, r.decodeServers, out.Send)
 }
 
-// Generate plays one job straight on engines: readers and writers in turn by n.
-func Generate(ctx context.Context, req *pb.GenerateRequest, life, n uint64, readers []pb.EngineClient, addrs []string,
-	writers []pb.EngineClient, send func(*pb.Tokens) error,
+// Generate sends a request to the prefill and the decode server whose turn is number, and the tokens of the answer to
+// send. incarnation and number name the request to the servers.
+func Generate(
+	ctx context.Context, req *pb.GenerateRequest, incarnation, number uint64,
+	prefillServers []pb.EngineClient, prefillAddrs []string, decodeServers []pb.EngineClient,
+	send func(*pb.Tokens) error,
 ) error {
-	l := &pb.Launch{Dispatcher: life, Job: n, Request: req}
-	at := int(n) % len(readers)
-	if _, err := readers[at].Read(ctx, l); err != nil {
+	attempt := &pb.Launch{Dispatcher: incarnation, Job: number, Request: req}
+	i := int(number) % len(prefillServers)
+	if _, err := prefillServers[i].Read(ctx, attempt); err != nil {
 		return status.Error(codes.Unavailable, err.Error())
 	}
-	l.Shot, l.StateAddress = 1, addrs[at]
-	in, err := writers[int(n)%len(writers)].Write(ctx, l)
+	attempt.Shot, attempt.StateAddress = 1, prefillAddrs[i]
+	stream, err := decodeServers[int(number)%len(decodeServers)].Write(ctx, attempt)
 	if err != nil {
 		return err
 	}
 	for {
-		tok, err := in.Recv()
+		tokens, err := stream.Recv()
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		if err := send(tok); err != nil {
+		if err := send(tokens); err != nil {
 			return err
 		}
 	}
--- a/internal/lab/discoveryserver/server.go
+++ b/internal/lab/discoveryserver/server.go
@@ -1,8 +1,9 @@
-// Package discoveryserver is a stand-in for the service that knows which engines run: it tells dispatchers the list,
-// and changes some time after they happened.
+// Package discoveryserver is a stand-in for the service that knows which servers run. Dispatchers watch its endpoint
+// list; changes reach them after a delay.
 package discoveryserver
 
 import (
+	"errors"
 	"fmt"
 	"net"
 	"sync"
@@ -15,122 +16,156 @@
 	"docksail/internal/lab/eventlog"
 )
 
-// Server is one such service.
+// watchBuffer is how many updates a watcher may lag behind.
+const watchBuffer = 64
+
+// errWatcherLags ends a watch that missed an update: it has to start anew with a complete list.
+var errWatcherLags = errors.New("watcher lags")
+
+// Server is the discovery service for one dispatcher.
 type Server struct {
 	pb.UnimplementedFleetServer
-	late time.Duration
-	book *eventlog.Log
-	disp int // the dispatcher that it tells
-
-	mu      sync.Mutex
-	addr    string
-	srv     *grpc.Server
-	version uint64
-	hosts   map[uint32]*pb.Host
-	order   []uint32
-	watch   map[chan *pb.FleetNews]bool
+	delay      time.Duration
+	log        *eventlog.Log
+	dispatcher int
+
+	mu         sync.Mutex
+	addr       string
+	grpcServer *grpc.Server // nil while it is stopped
+	version    uint64
+	endpoints  map[uint32]*pb.Host
+	order      []uint32 // IDs of the endpoints, in the order in which they became known
+	watchers   map[chan *pb.FleetNews]bool
 }
 
-// New makes a lister for one dispatcher that tells changes so late. Entries go to the book, which may be nil.
-func New(late time.Duration, disp int, b *eventlog.Log) *Server {
-	return &Server{late: late, book: b, disp: disp, hosts: map[uint32]*pb.Host{}, watch: map[chan *pb.FleetNews]bool{}}
+// New returns a service for one dispatcher that announces changes after a delay. It adds entries to log, which may be
+// nil.
+func New(delay time.Duration, dispatcher int, log *eventlog.Log) *Server {
+	return &Server{
+		delay:      delay,
+		log:        log,
+		dispatcher: dispatcher,
+		endpoints:  map[uint32]*pb.Host{},
+		watchers:   map[chan *pb.FleetNews]bool{},
+	}
 }
 
-// Start serves on an address; port 0 takes any, and the same one again later.
+// Start serves on an address. Port 0 takes any free port; later starts use the same one again, whatever addr says.
 func (s *Server) Start(addr string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.addr != "" {
 		addr = s.addr
 	}
-	ln, err := net.Listen("tcp", addr)
+	listener, err := net.Listen("tcp", addr)
 	if err != nil {
-		return fmt.Errorf("lister: %w", err)
+		return fmt.Errorf("discovery server: %w", err)
 	}
-	s.addr = ln.Addr().String()
-	s.srv = grpc.NewServer()
-	pb.RegisterFleetServer(s.srv, s)
-	go s.srv.Serve(ln)
+	s.addr = listener.Addr().String()
+	grpcServer := grpc.NewServer()
+	pb.RegisterFleetServer(grpcServer, s)
+	s.grpcServer = grpcServer
+	go func() { _ = grpcServer.Serve(listener) }() // it returns an error only after Stop
 	return nil
 }
 
-// Stop ends the service; the list is kept.
+// Stop stops the service. It keeps the list for the next start.
 func (s *Server) Stop() {
 	s.mu.Lock()
-	srv := s.srv
-	s.srv = nil
+	grpcServer := s.grpcServer
+	s.grpcServer = nil
 	s.mu.Unlock()
-	if srv != nil {
-		srv.Stop()
+	if grpcServer != nil {
+		grpcServer.Stop()
 	}
 }
 
-// Addr is where it serves.
+// Addr returns the address at which it serves, or did before it was stopped.
 func (s *Server) Addr() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.addr
 }
 
-// Set makes a change known, at once or as late as the lister is.
-func (s *Server) Set(h *pb.Host, atOnce bool) {
-	h = proto.Clone(h).(*pb.Host)
-	if atOnce || s.late == 0 {
-		s.apply(h)
+// Set adds or changes an endpoint and announces it: at once, or after the delay of the service.
+func (s *Server) Set(endpoint *pb.Host, atOnce bool) {
+	endpoint = proto.Clone(endpoint).(*pb.Host)
+	if atOnce || s.delay == 0 {
+		s.announce(endpoint)
 		return
 	}
-	time.AfterFunc(s.late, func() { s.apply(h) })
+	time.AfterFunc(s.delay, func() { s.announce(endpoint) })
 }
 
-func (s *Server) apply(h *pb.Host) {
+// announce changes the list and sends the change to all watchers.
+func (s *Server) announce(endpoint *pb.Host) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.hosts[h.Id] == nil {
-		s.order = append(s.order, h.Id)
+	if s.endpoints[endpoint.Id] == nil {
+		s.order = append(s.order, endpoint.Id)
 	}
-	s.hosts[h.Id] = h
+	s.endpoints[endpoint.Id] = endpoint
 	s.version++
-	news := &pb.FleetNews{Version: s.version, Hosts: []*pb.Host{h}}
-	for ch := range s.watch {
+	update := &pb.FleetNews{Version: s.version, Hosts: []*pb.Host{endpoint}}
+	for watcher := range s.watchers {
 		select {
-		case ch <- news:
-		default: // it lags: it has to begin anew
-			delete(s.watch, ch)
-			close(ch)
+		case watcher <- update:
+		default:
+			delete(s.watchers, watcher)
+			close(watcher)
 		}
 	}
 }
 
-// Watch implements the Fleet service.
+// Watch implements the Fleet service: it sends the complete list and then each change.
 func (s *Server) Watch(_ *pb.WatchRequest, out grpc.ServerStreamingServer[pb.FleetNews]) error {
-	ch := make(chan *pb.FleetNews, 64)
-	s.mu.Lock()
-	first := &pb.FleetNews{Version: s.version, Full: true}
-	for _, id := range s.order {
-		first.Hosts = append(first.Hosts, s.hosts[id])
-	}
-	s.watch[ch] = true
-	s.mu.Unlock()
-	defer func() {
-		s.mu.Lock()
-		delete(s.watch, ch)
-		s.mu.Unlock()
-	}()
-	for news := first; ; {
-		if err := out.Send(news); err != nil {
+	updates := make(chan *pb.FleetNews, watchBuffer)
+	update := s.addWatcher(updates)
+	defer s.removeWatcher(updates)
+	for {
+		if err := out.Send(update); err != nil {
 			return err
 		}
-		for _, h := range news.Hosts {
-			s.book.Add(eventlog.Entry{Kind: eventlog.EndpointNotified, Server: int(h.Id), Dispatcher: s.disp, Note: h.Health.String(), Value: h.StartedUnixNs})
-		}
+		s.recordUpdate(update)
 		var ok bool
 		select {
-		case news, ok = <-ch:
+		case update, ok = <-updates:
 			if !ok {
-				return fmt.Errorf("watcher lags")
+				return errWatcherLags
 			}
 		case <-out.Context().Done():
 			return out.Context().Err()
 		}
 	}
 }
+
+// addWatcher registers a watcher and returns the complete list, from which its updates go on.
+func (s *Server) addWatcher(updates chan *pb.FleetNews) *pb.FleetNews {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	list := &pb.FleetNews{Version: s.version, Full: true}
+	for _, id := range s.order {
+		list.Hosts = append(list.Hosts, s.endpoints[id])
+	}
+	s.watchers[updates] = true
+	return list
+}
+
+func (s *Server) removeWatcher(updates chan *pb.FleetNews) {
+	s.mu.Lock()
+	delete(s.watchers, updates)
+	s.mu.Unlock()
+}
+
+// recordUpdate adds an entry for each endpoint of which the dispatcher was told.
+func (s *Server) recordUpdate(update *pb.FleetNews) {
+	for _, endpoint := range update.Hosts {
+		s.log.Add(eventlog.Entry{
+			Kind:       eventlog.EndpointNotified,
+			Server:     int(endpoint.Id),
+			Dispatcher: s.dispatcher,
+			Note:       endpoint.Health.String(),
+			Value:      endpoint.StartedUnixNs,
+		})
+	}
+}
