--- a/cmd/docksail/lab_measure.go
+++ b/cmd/docksail/lab_measure.go
@@ -25,7 +25,7 @@
 		Short: "Draw the entries of runs, side by side, as one HTML page and PNG plots",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			var runs []report.Run
+			var runs []report.RunEntries
 			for _, name := range args {
 				run, err := readRun(name)
 				if err != nil {
@@ -33,7 +33,7 @@
 				}
 				runs = append(runs, run)
 			}
-			return report.Write(directory, runs)
+			return report.WriteReport(directory, runs)
 		},
 	}
 	c.Flags().StringVar(&directory, "into", "report", "directory of the page and the plots")
@@ -41,21 +41,21 @@
 }
 
 // readRun reads the entries of a run. Of a file whose writer was killed it keeps the complete entries and warns.
-func readRun(name string) (report.Run, error) {
+func readRun(name string) (report.RunEntries, error) {
 	file, err := os.Open(name)
 	if err != nil {
-		return report.Run{}, err
+		return report.RunEntries{}, err
 	}
 	defer file.Close()
 	entries, err := eventlog.Read(file)
 	if err != nil && len(entries) == 0 {
-		return report.Run{}, fmt.Errorf("%s: %w", name, err)
+		return report.RunEntries{}, fmt.Errorf("%s: %w", name, err)
 	}
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "%s: %v; the %d entries before it are drawn\n", name, err, len(entries))
 	}
 	runName := strings.TrimSuffix(filepath.Base(name), filepath.Ext(name))
-	return report.Run{Name: runName, Entries: entries}, nil
+	return report.RunEntries{Name: runName, Entries: entries}, nil
 }
 
 // loadCommand sends open-loop load to running dispatchers.
@@ -74,14 +74,14 @@
 			if cfg.Duration == 0 {
 				cfg.Duration = script.Duration
 			}
-			results, err := loadgen.Run(c.Context(), cfg, func(at time.Duration, ended, served int64) {
+			results, err := loadgen.GenerateLoad(c.Context(), cfg, func(at time.Duration, ended, served int64) {
 				fmt.Fprintf(os.Stderr, "\r%4.0f s: %d requests ended, %d served", at.Seconds(), ended, served)
 			})
 			fmt.Fprintln(os.Stderr)
 			if err != nil {
 				return err
 			}
-			return loadgen.Print(c.OutOrStdout(), results)
+			return loadgen.PrintResults(c.OutOrStdout(), results)
 		},
 	}
 	c.Flags().StringSliceVar(&cfg.Targets, "target", []string{"127.0.0.1:7000"}, "addresses of dispatchers")
@@ -100,7 +100,7 @@
 		Short: "Compare the measured timings of the stand-in engines with what their model intends",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			comparisons, err := calibrate.Run(c.Context())
+			comparisons, err := calibrate.Measure(c.Context())
 			if err != nil {
 				return err
 			}
@@ -121,8 +121,8 @@
 			if err != nil {
 				return err
 			}
-			cfg.Binary, cfg.Progress = binary, c.OutOrStdout()
-			return benchmark.Run(c.Context(), cfg)
+			cfg.Program, cfg.Output = binary, c.OutOrStdout()
+			return benchmark.Measure(c.Context(), cfg)
 		},
 	}
 	c.Flags().IntSliceVar(&cfg.Streams, "streams", []int{100, 1000, 5000}, "concurrent streams, one pass for each")
--- a/internal/lab/benchmark/benchmark.go
+++ b/internal/lab/benchmark/benchmark.go
@@ -38,8 +38,8 @@
 	Duration        time.Duration // of each pass
 	IdleConns       int           // idle connections for the memory figure
 	WaitingRequests int           // jobs that wait
-	Binary          string        // this program
-	Progress        io.Writer
+	Program          string        // this program
+	Output        io.Writer
 }
 
 // Addresses is the engines' process's word on where it serves.
@@ -286,10 +286,10 @@
 	return ln.Addr().(*net.TCPAddr).Port, nil
 }
 
-// Run measures, and writes its figures as it goes.
-func Run(ctx context.Context, p Config) error {
-	w := p.Progress
-	eng, err := start(p.Binary, "lab", "engines", "--gap", p.TokenInterval.String())
+// Measure measures, and writes its figures as it goes.
+func Measure(ctx context.Context, p Config) error {
+	w := p.Output
+	eng, err := start(p.Program, "lab", "engines", "--gap", p.TokenInterval.String())
 	if err != nil {
 		return err
 	}
@@ -311,7 +311,7 @@
 	if err := os.WriteFile(file, fmt.Appendf(nil, settings, port, f.Discovery), 0o600); err != nil {
 		return err
 	}
-	disp, err := start(p.Binary, "serve", file)
+	disp, err := start(p.Program, "serve", file)
 	if err != nil {
 		return err
 	}
@@ -323,7 +323,7 @@
 	for _, a := range f.DecodeServers {
 		args = append(args, "--writer", a)
 	}
-	base, err := start(p.Binary, args...)
+	base, err := start(p.Program, args...)
 	if err != nil {
 		return err
 	}
--- a/internal/lab/calibrate/calibrate.go
+++ b/internal/lab/calibrate/calibrate.go
@@ -130,8 +130,8 @@
 	return ds[len(ds)/2].Seconds()
 }
 
-// Run takes all figures, in some twenty seconds.
-func Run(ctx context.Context) (lines []Comparison, err error) {
+// Measure takes all figures, in some twenty seconds.
+func Measure(ctx context.Context) (lines []Comparison, err error) {
 	b := &bench{links: engine.NewLinks(engine.CellLinkFactor, engine.CrossZoneFactor)}
 	defer b.close()
 	add := func(what string, intended, recorded float64, unit string) {
--- a/internal/lab/calibrate/calibrate_test.go
+++ b/internal/lab/calibrate/calibrate_test.go
@@ -8,7 +8,7 @@
 // TestCalibrate: every line within a third of what was intended; on a machine that does nothing else the errors are
 // a few parts in a hundred (docs/laboratory.md).
 func TestCalibrate(t *testing.T) {
-	lines, err := Run(t.Context())
+	lines, err := Measure(t.Context())
 	if err != nil {
 		t.Fatal(err)
 	}
--- /dev/null
+++ b/internal/lab/loadgen/arrivals.go
@@ -0,0 +1,89 @@
+package loadgen
+
+import (
+	"fmt"
+	"math"
+	"os"
+	"slices"
+	"strings"
+	"time"
+
+	"docksail/internal/lab/eventlog"
+)
+
+// The patterns of arrivals.
+const (
+	patternPoisson  = "poisson"
+	patternBursts   = "bursts"
+	patternDaily    = "daily"
+	patternRecorded = "recorded"
+)
+
+// Patterns are the names of the patterns of arrivals.
+var Patterns = []string{patternPoisson, patternBursts, patternDaily, patternRecorded}
+
+const (
+	burstInterval  = 10 * time.Second
+	burstShare     = 0.1 // of each interval; the burst comes first
+	burstFactor    = 5   // times the rate between bursts
+	dailyAmplitude = 0.8 // the rate swings by this share once over the run, as over a day
+)
+
+// firstTurnSuffix ends the label of the first request of a session.
+const firstTurnSuffix = ".0"
+
+// ArrivalRate returns the rate of a pattern over a run whose mean rate is base.
+func ArrivalRate(pattern string, base float64, duration time.Duration) (func(at time.Duration) float64, error) {
+	switch pattern {
+	case patternPoisson, patternRecorded:
+		return func(time.Duration) float64 { return base }, nil
+	case patternBursts:
+		betweenBursts := base / (1 + burstShare*(burstFactor-1))
+		return func(at time.Duration) float64 {
+			if at%burstInterval < time.Duration(burstShare*float64(burstInterval)) {
+				return betweenBursts * burstFactor
+			}
+			return betweenBursts
+		}, nil
+	case patternDaily:
+		return func(at time.Duration) float64 {
+			return base * (1 - dailyAmplitude*math.Cos(2*math.Pi*float64(at)/float64(duration)))
+		}, nil
+	}
+	return nil, fmt.Errorf("pattern %q, want one of %v", pattern, Patterns)
+}
+
+// RecordedArrivals returns the times, since the first, at which the sessions of a recorded run began.
+func RecordedArrivals(file string) ([]time.Duration, error) {
+	f, err := os.Open(file)
+	if err != nil {
+		return nil, err
+	}
+	defer f.Close()
+	entries, err := eventlog.Read(f)
+	if err != nil && len(entries) == 0 {
+		return nil, fmt.Errorf("%s: %w", file, err)
+	}
+	var arrivals []time.Duration
+	first := int64(0)
+	for i := range entries {
+		e := &entries[i]
+		if !startsSession(e) {
+			continue
+		}
+		if first == 0 {
+			first = e.At
+		}
+		arrivals = append(arrivals, time.Duration(e.At-first))
+	}
+	if len(arrivals) == 0 {
+		return nil, fmt.Errorf("%s: no session in it", file)
+	}
+	slices.Sort(arrivals)
+	return arrivals, nil
+}
+
+// startsSession reports whether an entry is the first attempt at the first request of a session.
+func startsSession(e *eventlog.Entry) bool {
+	return e.Kind == eventlog.RequestSent && e.ClientAttempt == 0 && strings.HasSuffix(e.RequestLabel, firstTurnSuffix)
+}
--- a/internal/lab/loadgen/loadgen.go
+++ b/internal/lab/loadgen/loadgen.go
@@ -1,187 +1,133 @@
-// Package loadgen sends open-loop load to dispatchers that run anywhere on this machine and tells how long first tokens
-// took, from when each job was due: a generator or a dispatcher that falls behind hides nothing.
+// Package loadgen sends open-loop load to dispatchers that run anywhere on this machine. It measures first tokens from
+// the time at which each request was due, so that a generator or a dispatcher that falls behind hides nothing.
 package loadgen
 
 import (
 	"context"
 	"errors"
-	"fmt"
-	"io"
-	"math"
-	"os"
-	"slices"
 	"sync"
-	"text/tabwriter"
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"google.golang.org/grpc/codes"
 
-	"docksail/internal/lab/eventlog"
 	"docksail/internal/lab/scenario"
 	"docksail/internal/lab/userclient"
 )
 
-// Patterns of arrivals.
-var Patterns = []string{"poisson", "bursts", "daily", "recorded"}
-
 const (
-	burstEvery = 10 * time.Second // bursts: the first tenth of each such time has five times the rate
-	burstPart  = 0.1
-	burstTimes = 5
-	daySwing   = 0.8 // daily: the rate swings by this share over the whole run, as over a day
-)
-
-// ArrivalRate gives the rate of a pattern over a run.
-func ArrivalRate(pattern string, base float64, length time.Duration) (func(at time.Duration) float64, error) {
-	switch pattern {
-	case "poisson", "recorded":
-		return func(time.Duration) float64 { return base }, nil
-	case "bursts":
-		usual := base / (1 + burstPart*(burstTimes-1)) // the mean is the base
-		return func(at time.Duration) float64 {
-			if at%burstEvery < time.Duration(burstPart*float64(burstEvery)) {
-				return usual * burstTimes
-			}
-			return usual
-		}, nil
-	case "daily":
-		return func(at time.Duration) float64 {
-			return base * (1 - daySwing*math.Cos(2*math.Pi*float64(at)/float64(length)))
-		}, nil
-	}
-	return nil, fmt.Errorf("pattern %q, want one of %v", pattern, Patterns)
-}
+	minRecordedTime   = int64(time.Microsecond)
+	maxRecordedTime   = int64(10 * time.Minute)
+	significantDigits = 3
 
-// RecordedArrivals gives the times at which sessions of a record began, from its first.
-func RecordedArrivals(name string) ([]time.Duration, error) {
-	f, err := os.Open(name)
-	if err != nil {
-		return nil, err
-	}
-	defer f.Close()
-	es, err := eventlog.Read(f)
-	if err != nil && len(es) == 0 {
-		return nil, fmt.Errorf("%s: %w", name, err)
-	}
-	var at []time.Duration
-	first := int64(0)
-	for _, e := range es {
-		if e.Kind != eventlog.RequestSent || e.ClientAttempt != 0 || len(e.RequestLabel) < 2 || e.RequestLabel[len(e.RequestLabel)-2:] != ".0" {
-			continue
-		}
-		if first == 0 {
-			first = e.At
-		}
-		at = append(at, time.Duration(e.At-first))
-	}
-	if len(at) == 0 {
-		return nil, fmt.Errorf("%s: no session in it", name)
-	}
-	slices.Sort(at)
-	return at, nil
-}
+	progressInterval = time.Second
+)
 
-// Config is a run.
+// Config describes a run.
 type Config struct {
-	Script             *scenario.Script // its tracks and sessions a second
-	Targets            []string
-	Pattern            string
-	RecordFile         string // file, of the pattern recorded
+	Script             *scenario.Script // its classes and sessions a second
+	Targets            []string         // addresses of dispatchers
+	Pattern            string           // one of Patterns
+	RecordFile         string           // of the pattern "recorded"
 	Duration           time.Duration
 	ConnsPerDispatcher int
 }
 
-const (
-	least, most = int64(time.Microsecond), int64(10 * time.Minute)
-	digits      = 3
-)
-
-// ClassResult is what became of a track's jobs.
+// ClassResult holds the outcome of a class's requests.
 type ClassResult struct {
 	Requests, Served int64
 	StatusCounts     map[codes.Code]int64
-	FirstTokenTime   *hdrhistogram.Histogram // nanoseconds from when it was due to its first token
+	FirstTokenTime   *hdrhistogram.Histogram // nanoseconds from when a request was due
+}
+
+func newClassResult() *ClassResult {
+	return &ClassResult{
+		StatusCounts:   map[codes.Code]int64{},
+		FirstTokenTime: hdrhistogram.New(minRecordedTime, maxRecordedTime, significantDigits),
+	}
+}
+
+// results collects the outcome of requests while the load runs.
+type results struct {
+	mu            sync.Mutex
+	ended, served int64
+	classes       map[string]*ClassResult
 }
 
-// Run plays a plan; each second progress is told the jobs that have ended, and how many of them were honoured.
-func Run(ctx context.Context, p Config, progress func(at time.Duration, ended, honoured int64)) (map[string]*ClassResult, error) {
-	rate, err := ArrivalRate(p.Pattern, p.Script.SessionsPerSecond, p.Duration)
+// record records the end of a request.
+func (r *results) record(class string, firstToken time.Duration, code codes.Code) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	of := r.classes[class]
+	of.Requests++
+	of.StatusCounts[code]++
+	r.ended++
+	if code != codes.OK {
+		return
+	}
+	of.Served++
+	r.served++
+	nanos := min(max(int64(firstToken), minRecordedTime), maxRecordedTime)
+	_ = of.FirstTokenTime.RecordValue(nanos) // within the histogram's bounds it cannot fail
+}
+
+func (r *results) counts() (ended, served int64) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.ended, r.served
+}
+
+// ProgressFunc is called each second with the time since the start and the number of requests that have ended, and of
+// those that were served.
+type ProgressFunc func(at time.Duration, ended, served int64)
+
+// GenerateLoad sends the load and returns the outcome by class. onProgress may be nil.
+func GenerateLoad(ctx context.Context, config Config, onProgress ProgressFunc) (map[string]*ClassResult, error) {
+	rate, err := ArrivalRate(config.Pattern, config.Script.SessionsPerSecond, config.Duration)
 	if err != nil {
 		return nil, err
 	}
-	tracks := map[string]*ClassResult{}
-	for _, t := range p.Script.Classes {
-		tracks[t.Name] = &ClassResult{StatusCounts: map[codes.Code]int64{}, FirstTokenTime: hdrhistogram.New(least, most, digits)}
+	r := &results{classes: map[string]*ClassResult{}}
+	for _, class := range config.Script.Classes {
+		r.classes[class.Name] = newClassResult()
 	}
-	var mu sync.Mutex
-	ended, honoured := int64(0), int64(0)
-	l := userclient.Load{
-		Targets: p.Targets, Classes: p.Script.ClientClasses(), Rate: rate, Duration: p.Duration, Seed: uint64(p.Script.Seed), ConnsPerDispatcher: p.ConnsPerDispatcher,
-		OnDone: func(track string, first time.Duration, code codes.Code) {
-			mu.Lock()
-			defer mu.Unlock()
-			t := tracks[track]
-			t.Requests++
-			t.StatusCounts[code]++
-			ended++
-			if code == codes.OK {
-				t.Served++
-				honoured++
-				t.FirstTokenTime.RecordValue(min(max(int64(first), least), most))
-			}
-		},
+	load := userclient.Load{
+		Targets: config.Targets, Classes: config.Script.ClientClasses(), Rate: rate, Duration: config.Duration,
+		Seed: uint64(config.Script.Seed), ConnsPerDispatcher: config.ConnsPerDispatcher, OnDone: r.record,
 	}
-	if p.Pattern == "recorded" {
-		if l.Arrivals, err = RecordedArrivals(p.RecordFile); err != nil {
+	if config.Pattern == patternRecorded {
+		if load.Arrivals, err = RecordedArrivals(config.RecordFile); err != nil {
 			return nil, err
 		}
 	}
-	ctx, stop := context.WithCancel(ctx)
-	defer stop()
-	if progress != nil {
-		begin := time.Now()
-		go func() {
-			for ticks := time.Tick(time.Second); ; {
-				select {
-				case <-ticks:
-					mu.Lock()
-					e, h := ended, honoured
-					mu.Unlock()
-					progress(time.Since(begin), e, h)
-				case <-ctx.Done():
-					return
-				}
-			}
-		}()
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	if onProgress != nil {
+		go r.reportProgress(ctx, onProgress)
 	}
-	if _, err := userclient.RunLoad(ctx, l, nil); err != nil {
+	if _, err := userclient.RunLoad(ctx, load, nil); err != nil {
 		return nil, err
 	}
 	if err := ctx.Err(); err != nil && !errors.Is(err, context.Canceled) {
 		return nil, err
 	}
-	mu.Lock()
-	defer mu.Unlock()
-	return tracks, nil
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.classes, nil
 }
 
-// Print writes what became of the jobs, for people.
-func Print(w io.Writer, tracks map[string]*ClassResult) error {
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(t, "track\tjobs\thonoured\tp50 ms\tp90 ms\tp99 ms\tp99.9 ms\tmost ms\t")
-	names := make([]string, 0, len(tracks))
-	for name := range tracks {
-		names = append(names, name)
-	}
-	slices.Sort(names)
-	for _, name := range names {
-		x := tracks[name]
-		fmt.Fprintf(t, "%s\t%d\t%d\t", name, x.Requests, x.Served)
-		for _, q := range []float64{50, 90, 99, 99.9, 100} {
-			fmt.Fprintf(t, "%.1f\t", float64(x.FirstTokenTime.ValueAtQuantile(q))/1e6)
+// reportProgress calls onProgress each second until the context is done.
+func (r *results) reportProgress(ctx context.Context, onProgress ProgressFunc) {
+	start := time.Now()
+	ticker := time.NewTicker(progressInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ticker.C:
+			ended, served := r.counts()
+			onProgress(time.Since(start), ended, served)
+		case <-ctx.Done():
+			return
 		}
-		fmt.Fprintln(t)
 	}
-	return t.Flush()
 }
--- a/internal/lab/loadgen/loadgen_test.go
+++ b/internal/lab/loadgen/loadgen_test.go
@@ -15,8 +15,8 @@
 	"docksail/internal/lab/scenario"
 )
 
-// TestRates: the mean of each pattern over a run is its base.
-func TestRates(t *testing.T) {
+// The mean rate of each pattern over a run is its base.
+func TestArrivalRates(t *testing.T) {
 	for _, pattern := range Patterns {
 		rate, err := ArrivalRate(pattern, 40, 60*time.Second)
 		if err != nil {
@@ -27,58 +27,62 @@
 			sum += rate(at) * 0.01
 		}
 		if math.Abs(sum/60-40) > 0.5 {
-			t.Errorf("%s: %.2f a second on the mean, want 40", pattern, sum/60)
+			t.Errorf("%s: mean rate %.2f sessions a second, want 40", pattern, sum/60)
 		}
 	}
 	if _, err := ArrivalRate("tides", 1, time.Second); err == nil {
-		t.Error("an unknown pattern is taken")
+		t.Error("an unknown pattern is accepted, want an error")
 	}
 }
 
-// TestNothingOmitted: engines that stand still for a second show in the times of the jobs that were due meanwhile; a
-// generator that waited for answers would have sent few of them.
-func TestNothingOmitted(t *testing.T) {
-	s := scenario.Demo()
-	s.SessionsPerSecond = 40
-	s.Classes[0].Timeout, s.Classes[0].MaxAnswerTokens = 8*time.Second, 4
-	stage, err := scenario.Start(s, slog.New(slog.DiscardHandler))
+// Engines that are paused for a second show in the times of the requests that were due meanwhile. A generator that
+// waited for answers would have sent few of them.
+func TestNoCoordinatedOmission(t *testing.T) {
+	script := scenario.Demo()
+	script.SessionsPerSecond = 40
+	script.Classes[0].Timeout, script.Classes[0].MaxAnswerTokens = 8*time.Second, 4
+	deployment, err := scenario.Start(script, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer stage.Close()
-	time.AfterFunc(time.Second, func() {
-		for _, e := range stage.Engines {
-			e.SetFaults(func(f *engine.Faults) { f.Paused = true })
+	defer deployment.Close()
+	setPaused := func(paused bool) {
+		for _, e := range deployment.Engines {
+			e.SetFaults(func(f *engine.Faults) { f.Paused = paused })
 		}
+	}
+	time.AfterFunc(time.Second, func() {
+		setPaused(true)
 		time.Sleep(time.Second)
-		for _, e := range stage.Engines {
-			e.SetFaults(func(f *engine.Faults) { f.Paused = false })
-		}
+		setPaused(false)
 	})
-	tracks, err := Run(t.Context(), Config{Script: s, Targets: stage.Addresses(), Pattern: "poisson", Duration: 3 * time.Second, ConnsPerDispatcher: 1}, nil)
+	config := Config{
+		Script: script, Targets: deployment.Addresses(), Pattern: "poisson", Duration: 3 * time.Second, ConnsPerDispatcher: 1,
+	}
+	results, err := GenerateLoad(t.Context(), config, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	x := tracks["question"]
-	if x.Requests < 70 || x.Served < x.Requests*6/10 {
-		t.Fatalf("%d jobs, %d honoured", x.Requests, x.Served)
+	r := results["question"]
+	if r.Requests < 70 || r.Served < r.Requests*6/10 {
+		t.Fatalf("%d requests, %d served; want 70 or more, and 6 of 10 served", r.Requests, r.Served)
 	}
-	if p := time.Duration(x.FirstTokenTime.ValueAtQuantile(90)); p < 300*time.Millisecond {
-		t.Errorf("a tenth waited %v and more, though hosts stood still for a third of the time", p)
+	if p90 := time.Duration(r.FirstTokenTime.ValueAtQuantile(90)); p90 < 300*time.Millisecond {
+		t.Errorf("p90 %v, want 300 ms or more: the engines were paused for a third of the time", p90)
 	}
-	if p := time.Duration(x.FirstTokenTime.ValueAtQuantile(10)); p < 20*time.Millisecond { // a read of 500 tokens takes 25 ms
-		t.Errorf("a tenth got their first token within %v", p)
+	if p10 := time.Duration(r.FirstTokenTime.ValueAtQuantile(10)); p10 < 20*time.Millisecond {
+		t.Errorf("p10 %v, want 20 ms or more: a prefill of 500 tokens takes 25 ms", p10)
 	}
-	var out bytes.Buffer
-	if err := Print(&out, tracks); err != nil || !strings.Contains(out.String(), "question") {
-		t.Errorf("%v, %q", err, out.String())
+	var table bytes.Buffer
+	if err := PrintResults(&table, results); err != nil || !strings.Contains(table.String(), "question") {
+		t.Errorf("error %v, table %q; want a row of class question", err, table.String())
 	}
 }
 
-// TestRecorded: sessions come at the times at which a record's first turns were asked.
-func TestRecorded(t *testing.T) {
-	name := filepath.Join(t.TempDir(), "r.json")
-	f, err := os.Create(name)
+// Sessions come at the times at which the first requests of recorded sessions were sent.
+func TestRecordedArrivals(t *testing.T) {
+	file := filepath.Join(t.TempDir(), "r.json")
+	f, err := os.Create(file)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -91,7 +95,7 @@
 		t.Fatal(err)
 	}
 	f.Close()
-	if at, err := RecordedArrivals(name); err != nil || len(at) != 2 || at[1] != 2*time.Second {
-		t.Errorf("%v, %v", at, err)
+	if arrivals, err := RecordedArrivals(file); err != nil || len(arrivals) != 2 || arrivals[1] != 2*time.Second {
+		t.Errorf("arrivals %v, error %v; want two, the second after 2 s", arrivals, err)
 	}
 }
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -26,8 +26,8 @@
 	"docksail/internal/lab/eventlog"
 )
 
-// Run is one run's entries under a name.
-type Run struct {
+// RunEntries is one run's entries under a name.
+type RunEntries struct {
 	Name    string
 	Entries []eventlog.Entry
 }
@@ -45,7 +45,7 @@
 
 // facts are what the plots are drawn from.
 type facts struct {
-	run     Run
+	run     RunEntries
 	from    int64
 	length  float64 // seconds
 	bands   []band
@@ -54,7 +54,7 @@
 	figures bool
 }
 
-func look(r Run) (*facts, error) {
+func look(r RunEntries) (*facts, error) {
 	if len(r.Entries) == 0 {
 		return nil, fmt.Errorf("%s: no entries", r.Name)
 	}
@@ -473,8 +473,8 @@
 </section>{{end}}</div></html>
 `))
 
-// Write draws runs side by side into a directory: report.html, which needs nothing else, and each plot as PNG.
-func Write(dir string, runs []Run) error {
+// WriteReport draws runs side by side into a directory: report.html, which needs nothing else, and each plot as PNG.
+func WriteReport(dir string, runs []RunEntries) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -34,7 +34,7 @@
 		t.Fatalf("%d of %d entries of a torn record: %v", len(torn), len(rep.Entries), err)
 	}
 	dir := t.TempDir()
-	if err := Write(dir, []Run{{"whole", rep.Entries}, {"torn", torn}}); err != nil {
+	if err := WriteReport(dir, []RunEntries{{"whole", rep.Entries}, {"torn", torn}}); err != nil {
 		t.Fatal(err)
 	}
 	page, err := os.ReadFile(filepath.Join(dir, "report.html"))
@@ -59,7 +59,7 @@
 		}
 		f.Close()
 	}
-	if err := Write(dir, []Run{{"none", nil}}); err == nil {
+	if err := WriteReport(dir, []RunEntries{{"none", nil}}); err == nil {
 		t.Error("a record without entries is drawn")
 	}
 }
