--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -13,8 +13,8 @@
 	"docksail/internal/lab/scenario"
 )
 
-// TestReport: the page of a played day names its tracks and troubles and holds plots that are pictures; a record whose
-// writer was killed in mid-write is drawn as far as it goes.
+// The page of a simulated run names its classes and faults and holds plots that are pictures. Of a log whose writer was
+// killed during a write, the complete entries are drawn.
 func TestReport(t *testing.T) {
 	s, err := scenario.Load("../scenario/testdata/badday.json")
 	if err != nil {
@@ -31,7 +31,7 @@
 	}
 	torn, err := eventlog.Read(bytes.NewReader(b.Bytes()[:b.Len()*2/3]))
 	if err == nil || !strings.Contains(err.Error(), "entry ") || len(torn) < len(rep.Entries)/2 {
-		t.Fatalf("%d of %d entries of a torn record: %v", len(torn), len(rep.Entries), err)
+		t.Fatalf("%d of %d entries of a truncated log: %v", len(torn), len(rep.Entries), err)
 	}
 	dir := t.TempDir()
 	if err := WriteReport(dir, []RunEntries{{"whole", rep.Entries}, {"torn", torn}}); err != nil {
@@ -43,11 +43,11 @@
 	}
 	for _, want := range []string{"question", "booking", "crash", "torn", "data:image/png;base64,"} {
 		if !strings.Contains(string(page), want) {
-			t.Errorf("the page does not have %q", want)
+			t.Errorf("want %q on the page", want)
 		}
 	}
 	if strings.Contains(string(page), "http://") || strings.Contains(string(page), "https://") {
-		t.Error("the page needs something from elsewhere")
+		t.Error("the page refers to another host, want it to need nothing else")
 	}
 	for _, name := range []string{"1-service.png", "1-queue.png", "2-sent.png"} {
 		f, err := os.Open(filepath.Join(dir, name))
@@ -60,6 +60,6 @@
 		f.Close()
 	}
 	if err := WriteReport(dir, []RunEntries{{"none", nil}}); err == nil {
-		t.Error("a record without entries is drawn")
+		t.Error("a log without entries is drawn, want an error")
 	}
 }
