--- a/internal/decide/admission/queue.go
+++ b/internal/decide/admission/queue.go
@@ -1,8 +1,9 @@
 package admission
 
 import (
-	"docksail/internal/decide/background"
 	"fmt"
+
+	"docksail/internal/decide/background"
 )
 
 // MaxAdmissionsPerTurn is how many requests may be admitted in one iteration of the event loop: before more are, the
--- a/internal/decide/admission/tenant.go
+++ b/internal/decide/admission/tenant.go
@@ -1,8 +1,9 @@
 package admission
 
 import (
-	"docksail/internal/indexedheap"
 	"fmt"
+
+	"docksail/internal/indexedheap"
 )
 
 // burstSeconds is how many seconds' worth of its rate a tenant may send at once.
--- a/internal/decide/inflight/request_test.go
+++ b/internal/decide/inflight/request_test.go
@@ -1,11 +1,12 @@
 package inflight
 
 import (
-	"docksail/policy"
 	"errors"
 	"testing"
 
 	"pgregory.net/rapid"
+
+	"docksail/policy"
 )
 
 // begin starts an attempt that must be permitted.
--- a/internal/state/endpointlist/file_test.go
+++ b/internal/state/endpointlist/file_test.go
@@ -1,12 +1,13 @@
 package endpointlist
 
 import (
-	"docksail/policy"
 	"errors"
 	"os"
 	"path/filepath"
 	"reflect"
 	"testing"
+
+	"docksail/policy"
 )
 
 // formatOneFile is a complete file of format 1. A dispatcher must go on reading and writing exactly these bytes.
--- a/internal/state/endpointlist/list.go
+++ b/internal/state/endpointlist/list.go
@@ -5,11 +5,12 @@
 
 import (
 	"cmp"
-	"docksail/policy"
 	"errors"
 	"fmt"
 	"net/netip"
 	"slices"
+
+	"docksail/policy"
 )
 
 // Endpoint is one engine of the list.
--- a/internal/state/endpointlist/list_test.go
+++ b/internal/state/endpointlist/list_test.go
@@ -1,12 +1,13 @@
 package endpointlist
 
 import (
-	"docksail/policy"
 	"errors"
 	"net/netip"
 	"testing"
 
 	"pgregory.net/rapid"
+
+	"docksail/policy"
 )
 
 // endpoint returns a decode server.
--- a/internal/state/requesttable/table_test.go
+++ b/internal/state/requesttable/table_test.go
@@ -1,10 +1,11 @@
 package requesttable
 
 import (
-	"docksail/policy"
 	"testing"
 
 	"pgregory.net/rapid"
+
+	"docksail/policy"
 )
 
 // TestTable compares random uses with a map.
