--- a/internal/dispatch/release.go
+++ b/internal/dispatch/release.go
@@ -27,7 +27,8 @@
 	if !d.debug {
 		return
 	}
-	d.log.Debug("release requested", "request_id", req.logID(), "server_id", d.backend.ServerName(server), "reason", reason,
+	d.log.Debug("release requested", "request_id", req.logID(),
+		"server_id", d.backend.ServerName(server), "reason", reason,
 		"since_prefill", now-req.prefilledAt, "answered", req.Answered())
 }
 
