--- a/internal/frontend/batch/server_test.go
+++ b/internal/frontend/batch/server_test.go
@@ -3,6 +3,8 @@
 import (
 	"bytes"
 	"crypto/sha256"
+	"docksail/internal/batchrunner"
+	"docksail/internal/state/batchstore"
 	"encoding/hex"
 	"fmt"
 	"io"
@@ -15,9 +17,6 @@
 	"strings"
 	"testing"
 	"time"
-
-	"docksail/internal/batchrunner"
-	"docksail/internal/state/batchstore"
 )
 
 // responsesFile holds the API's responses as the program of commit 61b72d4 gave them, with what differs from run to run
