--- a/internal/batchrunner/request.go
+++ b/internal/batchrunner/request.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"docksail/internal/state/batchstore"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -56,36 +57,31 @@
 	return request, nil
 }
 
-// lineError is a reason for which a line is not accepted. Its code and message are shown by the batch API.
-type lineError struct{ code, message string }
-
-// Error implements error.
-func (e *lineError) Error() string { return e.code + ": " + e.message }
-
-func newLineError(code, format string, args ...any) *lineError {
-	return &lineError{code, fmt.Sprintf(format, args...)}
+// newValidationError returns a reason for which a line is not accepted. The batch API shows its code and message.
+func newValidationError(code, format string, args ...any) *batchstore.ValidationError {
+	return &batchstore.ValidationError{Code: code, Message: fmt.Sprintf(format, args...)}
 }
 
 // checkRequest returns why a line is not accepted, or nil.
-func (r *Runner) checkRequest(request *lineRequest, endpoint string) *lineError {
+func (r *Runner) checkRequest(request *lineRequest, endpoint string) *batchstore.ValidationError {
 	body := &request.Body
 	class, ok := r.config.Classes[body.Model]
 	switch {
 	case request.CustomID == "":
-		return newLineError("missing_custom_id", "custom_id is missing")
+		return newValidationError("missing_custom_id", "custom_id is missing")
 	case request.Method != http.MethodPost:
-		return newLineError("invalid_method", "method %q, want POST", request.Method)
+		return newValidationError("invalid_method", "method %q, want POST", request.Method)
 	case request.URL != endpoint:
-		return newLineError("mismatched_url", "url %q, want %q as the batch has it", request.URL, endpoint)
+		return newValidationError("mismatched_url", "url %q, want %q as the batch has it", request.URL, endpoint)
 	case !ok:
-		return newLineError("model_not_found", "model %q is not there", body.Model)
+		return newValidationError("model_not_found", "model %q is not there", body.Model)
 	case class.Timeout <= 0:
-		return newLineError("model_not_found", "model %q takes no batches", body.Model)
+		return newValidationError("model_not_found", "model %q takes no batches", body.Model)
 	case body.MaxTokens < 1 || body.MaxTokens > maxTokens:
-		return newLineError("invalid_value", "max_tokens %d, want 1 to %d", body.MaxTokens, maxTokens)
+		return newValidationError("invalid_value", "max_tokens %d, want 1 to %d", body.MaxTokens, maxTokens)
 	case body.PromptTokens < 1 || body.PromptTokens > maxTokens,
 		body.BeginningTokens < 0 || body.BeginningTokens > body.PromptTokens:
-		return newLineError("invalid_value", "prompt_tokens or beginning_tokens out of their range")
+		return newValidationError("invalid_value", "prompt_tokens or beginning_tokens out of their range")
 	}
 	return nil
 }
--- a/internal/batchrunner/validate.go
+++ b/internal/batchrunner/validate.go
@@ -27,10 +27,10 @@
 func (r *Runner) validate(b batchstore.Batch) (batchstore.Batch, error) {
 	v := &validator{runner: r, batch: b, customIDs: map[uint64]bool{}}
 	if err := v.readFile(); err != nil {
-		v.addError(0, newLineError("unreadable", "%v", err))
+		v.addError(0, newValidationError("unreadable", "%v", err))
 	}
 	if v.accepted == 0 && len(v.errors) == 0 {
-		v.addError(0, newLineError("empty_file", "the file has no lines"))
+		v.addError(0, newValidationError("empty_file", "the file has no lines"))
 	}
 	state := batchscheduler.StateInProgress
 	if len(v.errors) > 0 {
@@ -57,12 +57,13 @@
 	errors    []batchstore.ValidationError
 }
 
-func (v *validator) addError(lineNumber int, err *lineError) {
-	if len(v.errors) < maxValidationErrors {
-		v.errors = append(v.errors, batchstore.ValidationError{
-			LineNumber: lineNumber, Code: err.code, Message: err.message,
-		})
+// addError adds an error of a line, or of the whole file if the number is 0. It drops errors beyond the maximal number.
+func (v *validator) addError(lineNumber int, invalid *batchstore.ValidationError) {
+	if len(v.errors) >= maxValidationErrors {
+		return
 	}
+	invalid.LineNumber = lineNumber
+	v.errors = append(v.errors, *invalid)
 }
 
 // readFile reads all lines and stores those that are accepted. It ends at a line beyond the maximal number.
@@ -81,10 +82,10 @@
 		}
 		switch {
 		case line.isTooLong:
-			v.addError(number, newLineError("line_too_long", "more than %d bytes", config.MaxLineBytes))
+			v.addError(number, newValidationError("line_too_long", "more than %d bytes", config.MaxLineBytes))
 		case len(bytes.TrimSpace(line.text)) == 0:
 		case v.accepted == config.MaxLines:
-			v.addError(number, newLineError("too_many_lines", "more than %d lines", config.MaxLines))
+			v.addError(number, newValidationError("too_many_lines", "more than %d lines", config.MaxLines))
 			return nil
 		default:
 			if err := v.addLine(number, line); err != nil {
@@ -120,24 +121,26 @@
 }
 
 // check parses a line and returns why it is not accepted, or nil.
-func (v *validator) check(text []byte) (*lineRequest, *lineError) {
+func (v *validator) check(text []byte) (*lineRequest, *batchstore.ValidationError) {
 	request, err := parseLine(text)
 	if err != nil {
-		return nil, newLineError("invalid_json_line", "%v", err)
+		return nil, newValidationError("invalid_json_line", "%v", err)
 	}
 	if invalid := v.runner.checkRequest(request, v.batch.Endpoint); invalid != nil {
 		return nil, invalid
 	}
 	hash := xxhash.Sum64String(request.CustomID)
 	if v.customIDs[hash] {
-		return nil, newLineError("duplicate_custom_id", "custom_id %q stands twice", request.CustomID)
+		return nil, newValidationError("duplicate_custom_id", "custom_id %q stands twice", request.CustomID)
 	}
 	v.customIDs[hash] = true
 	if v.model == "" {
 		v.model = request.Body.Model
 	}
 	if v.model != request.Body.Model {
-		return nil, newLineError("mismatched_model", "model %q, want %q as in the first line", request.Body.Model, v.model)
+		return nil, newValidationError(
+			"mismatched_model", "model %q, want %q as in the first line", request.Body.Model, v.model,
+		)
 	}
 	return request, nil
 }
--- a/internal/decide/batchscheduler/outcome.go
+++ b/internal/decide/batchscheduler/outcome.go
@@ -16,22 +16,6 @@
 	OutcomeInvalid
 )
 
-func (o Outcome) String() string {
-	switch o {
-	case OutcomeServed:
-		return "served"
-	case OutcomeRejected:
-		return "rejected"
-	case OutcomeFailed:
-		return "failed"
-	case OutcomeConnectionLost:
-		return "connection_lost"
-	case OutcomeInvalid:
-		return "invalid"
-	}
-	return "unknown"
-}
-
 // mayHaveRun reports whether the request may have run without an answer.
 func (o Outcome) mayHaveRun() bool { return o == OutcomeFailed || o == OutcomeConnectionLost }
 
@@ -47,18 +31,6 @@
 	VerdictFailed
 )
 
-func (v Verdict) String() string {
-	switch v {
-	case VerdictCompleted:
-		return "completed"
-	case VerdictRetry:
-		return "retry"
-	case VerdictFailed:
-		return "failed"
-	}
-	return "unknown"
-}
-
 // FailureReason says why a line has failed. Its text stands in the error file of the batch.
 type FailureReason string
 
--- a/internal/decide/batchscheduler/scheduler_test.go
+++ b/internal/decide/batchscheduler/scheduler_test.go
@@ -11,9 +11,9 @@
 
 const sec = Nanos(1e9)
 
-func newScheduler(t *testing.T, most int, weights ...float64) *Scheduler {
+func newScheduler(t *testing.T, maxInFlight int, weights ...float64) *Scheduler {
 	t.Helper()
-	s, err := New(weights, sec/10, most, rand.New(rand.NewPCG(1, 2)).Float64)
+	s, err := New(weights, sec/10, maxInFlight, rand.New(rand.NewPCG(1, 2)).Float64)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,73 +50,73 @@
 		if err := s.AddBatch(b); err != nil {
 			rt.Fatal(err)
 		}
-		kept := make([]LineState, n) // what a store would have
+		stored := make([]LineState, n) // in place of the store
 		mayHaveRun := make([]bool, n)
 		ended := make([]int, n)
-		var out []LineIndex
+		var inFlight []LineIndex
 		now := Nanos(1)
-		finish := func(l LineIndex, at LineState) {
-			kept[l] = at
+		finish := func(l LineIndex, state LineState) {
+			stored[l] = state
 			ended[l]++
 		}
 		for range 4000 {
 			now += rapid.Int64Range(0, sec/2).Draw(rt, "pass")
 			s.ExpireNext(now)
-			switch what := rapid.IntRange(0, 19).Draw(rt, "what"); {
-			case what < 10:
+			switch action := rapid.IntRange(0, 19).Draw(rt, "what"); {
+			case action < 10:
 				if _, l, ok := s.NextLine(now); ok {
 					if effect == NonIdempotent && mayHaveRun[l] {
-						rt.Fatalf("line %d goes out though it may have run", l)
+						rt.Fatalf("line %d is sent though it may have run", l)
 					}
-					kept[l] = LineInFlight
-					out = append(out, l)
+					stored[l] = LineInFlight
+					inFlight = append(inFlight, l)
 				}
-			case what < 19:
-				if len(out) == 0 {
+			case action < 19:
+				if len(inFlight) == 0 {
 					continue
 				}
-				l := out[0]
-				out = out[1:]
-				how := Outcome(rapid.IntRange(0, 4).Draw(rt, "how"))
-				if how == OutcomeFailed || how == OutcomeConnectionLost {
+				l := inFlight[0]
+				inFlight = inFlight[1:]
+				outcome := Outcome(rapid.IntRange(0, 4).Draw(rt, "how"))
+				if outcome == OutcomeFailed || outcome == OutcomeConnectionLost {
 					mayHaveRun[l] = true
 				}
-				switch v, why := s.ReportOutcome(now, 7, l, how, 0); {
-				case v == VerdictCompleted:
+				switch verdict, reason := s.ReportOutcome(now, 7, l, outcome, 0); {
+				case verdict == VerdictCompleted:
 					finish(l, LineCompleted)
-				case v == VerdictFailed && why != "":
+				case verdict == VerdictFailed && reason != "":
 					finish(l, LineFailed)
-				case v == VerdictRetry:
-					kept[l] = LineWaiting
+				case verdict == VerdictRetry:
+					stored[l] = LineWaiting
 				default:
-					rt.Fatalf("verdict %d without a reason", v)
+					rt.Fatalf("verdict %d without a reason", verdict)
 				}
 			default: // a restart
-				again := newScheduler(t, 8, 1)
+				restarted := newScheduler(t, 8, 1)
 				lines := waitingLines(n)
-				for i := range kept {
-					at, lost := RecoverLine(kept[i], effect)
-					if lost {
+				for i := range stored {
+					state, failed := RecoverLine(stored[i], effect)
+					if failed {
 						ended[i]++
 					}
-					kept[i], lines[i].State = at, at
+					stored[i], lines[i].State = state, state
 				}
-				b.Lines, out, s = lines, nil, again
+				b.Lines, inFlight, s = lines, nil, restarted
 				if err := s.AddBatch(b); err != nil {
 					rt.Fatal(err)
 				}
 			}
-			if s.InFlight() != len(out) || s.InFlight() > 8 {
-				rt.Fatalf("%d out, want %d", s.InFlight(), len(out))
+			if s.InFlight() != len(inFlight) || s.InFlight() > 8 {
+				rt.Fatalf("%d lines in flight, want %d", s.InFlight(), len(inFlight))
 			}
-			if rest, over := s.UnsentLines(7); over && len(out) == 0 {
-				for _, l := range rest {
+			if unsent, isOver := s.UnsentLines(7); isOver && len(inFlight) == 0 {
+				for _, l := range unsent {
 					finish(l, LineFailed)
 				}
 				break
 			}
 		}
-		if _, over := s.UnsentLines(7); !over {
+		if _, isOver := s.UnsentLines(7); !isOver {
 			return // it was cut short by the number of steps
 		}
 		for i, n := range ended {
@@ -145,7 +145,7 @@
 	for i := range 2000 {
 		id, l, ok := s.NextLine(Nanos(i + 1))
 		if !ok {
-			t.Fatal("nothing goes out")
+			t.Fatal("no line is sent")
 		}
 		sent[id]++
 		s.ReportOutcome(Nanos(i+1), id, l, OutcomeServed, 0)
@@ -190,30 +190,31 @@
 		if !ok {
 			t.Fatal(i)
 		}
-		after := Nanos(0)
+		retryAfter := Nanos(0)
 		if i == 5 {
-			after = 30 * sec
+			retryAfter = 30 * sec
 		}
-		if v, _ := s.ReportOutcome(now, 1, l, OutcomeRejected, after); v != VerdictRetry {
-			t.Fatal(v)
+		if verdict, _ := s.ReportOutcome(now, 1, l, OutcomeRejected, retryAfter); verdict != VerdictRetry {
+			t.Fatal(verdict)
 		}
 		if _, _, ok := s.NextLine(now + last); ok {
-			t.Errorf("try %d comes no later than the one before", i)
+			t.Errorf("attempt %d is retried without a wait", i)
 		}
 		at, _ := s.NextEventAt(now)
-		if at < now+after || at-now < last/2 || at-now > 40*sec {
-			t.Errorf("try %d waits %d ms", i, (at-now)/1e6)
+		if at < now+retryAfter || at-now < last/2 || at-now > 40*sec {
+			t.Errorf("attempt %d waits %d ms", i, (at-now)/1e6)
 		}
 		now, last = at, 0
 	}
 	for i := range maxUncertainAttempts {
 		_, l, ok := s.NextLine(now)
 		if !ok {
-			t.Fatal("nothing goes out")
+			t.Fatal("no line is sent")
 		}
-		v, why := s.ReportOutcome(now, 1, l, OutcomeFailed, 0)
-		if (v == VerdictFailed) != (i == maxUncertainAttempts-1) || v == VerdictFailed && why != ReasonTooManyAttempts {
-			t.Fatalf("after %d tries that may have run: %v, %q", i+1, v, why)
+		verdict, reason := s.ReportOutcome(now, 1, l, OutcomeFailed, 0)
+		isLast := i == maxUncertainAttempts-1
+		if (verdict == VerdictFailed) != isLast || verdict == VerdictFailed && reason != ReasonTooManyAttempts {
+			t.Fatalf("after %d attempts that may have run: %v, %q", i+1, verdict, reason)
 		}
 		now += 100 * sec
 	}
@@ -238,25 +239,26 @@
 		t.Error("a forecast from four results")
 	}
 	if id, ok := s.ExpireNext(10 * sec); !ok || id != 1 {
-		t.Fatal("it does not expire")
+		t.Fatal("the batch does not expire")
 	}
 	if _, ok := s.ExpireNext(11 * sec); ok {
-		t.Error("it expires twice")
+		t.Error("the batch expires twice")
 	}
 	if _, _, ok := s.NextLine(10 * sec); ok {
-		t.Error("a line goes out after the window")
+		t.Error("a line is sent after the deadline")
 	}
-	if _, over := s.UnsentLines(1); over {
-		t.Error("it is over while lines are out")
+	if _, isOver := s.UnsentLines(1); isOver {
+		t.Error("the batch has ended while lines are in flight")
 	}
 	s.ReportOutcome(10*sec, 1, 4, OutcomeServed, 0)
 	for l := LineIndex(5); l < 8; l++ {
-		if v, why := s.ReportOutcome(10*sec, 1, l, OutcomeRejected, 0); v != VerdictFailed || why != ReasonWindowExpired {
-			t.Errorf("%v %q", v, why)
+		verdict, reason := s.ReportOutcome(10*sec, 1, l, OutcomeRejected, 0)
+		if verdict != VerdictFailed || reason != ReasonWindowExpired {
+			t.Errorf("%v %q", verdict, reason)
 		}
 	}
-	if rest, over := s.UnsentLines(1); !over || fmt.Sprint(rest) != "[8 9]" {
-		t.Errorf("%v, %v", rest, over)
+	if unsent, isOver := s.UnsentLines(1); !isOver || fmt.Sprint(unsent) != "[8 9]" {
+		t.Errorf("%v, %v", unsent, isOver)
 	}
 }
 
@@ -271,7 +273,7 @@
 		s.ReportOutcome(now, 1, l, OutcomeServed, 0)
 	}
 	if at, ok := s.Forecast(now, 1); !ok || math.Abs(float64(at-now)/float64(100*sec)-1) > 0.05 {
-		t.Errorf("through in %d s, want 100", (at-now)/sec)
+		t.Errorf("forecast in %d s, want 100", (at-now)/sec)
 	}
 }
 
@@ -290,6 +292,6 @@
 	}
 	if ok != 10 || CheckTransition(StateInProgress, StateFinalizing) != nil ||
 		CheckTransition(StateInProgress, StateCompleted) == nil {
-		t.Errorf("%d steps", ok)
+		t.Errorf("%d valid transitions, want 10", ok)
 	}
 }
--- a/internal/decide/batchscheduler/states.go
+++ b/internal/decide/batchscheduler/states.go
@@ -17,18 +17,6 @@
 	NonIdempotent
 )
 
-func (e Effect) String() string {
-	switch e {
-	case Idempotent:
-		return "idempotent"
-	case Deduplicated:
-		return "deduplicated"
-	case NonIdempotent:
-		return "non_idempotent"
-	}
-	return "unknown"
-}
-
 // BatchState is the state of a batch. Its values are stored, its texts are those of the batch API.
 type BatchState uint8
 
--- a/internal/state/batchstore/store_test.go
+++ b/internal/state/batchstore/store_test.go
@@ -94,24 +94,24 @@
 		}
 		ends := map[batchscheduler.LineIndex]string{}
 		for len(ends) < n {
-			l := batchscheduler.LineIndex(rapid.IntRange(0, n-1).Draw(rt, "line"))
-			done := rapid.Bool().Draw(rt, "done")
-			text := fmt.Sprintf(`{"n":%d,"done":%v,"try":%d}`, l, done, len(ends))
+			index := batchscheduler.LineIndex(rapid.IntRange(0, n-1).Draw(rt, "line"))
+			completed := rapid.Bool().Draw(rt, "done")
+			text := fmt.Sprintf(`{"n":%d,"done":%v,"try":%d}`, index, completed, len(ends))
 			switch rapid.IntRange(0, 5).Draw(rt, "what") {
 			case 0:
 				reopen()
 			case 1:
-				if _, over := ends[l]; !over {
-					if err := s.SetLineState(b.ID, l, batchscheduler.LineInFlight); err != nil {
+				if _, hasEnded := ends[index]; !hasEnded {
+					if err := s.SetLineState(b.ID, index, batchscheduler.LineInFlight); err != nil {
 						rt.Fatal(err)
 					}
 				}
 			default:
-				if err := s.RecordResult(b.ID, l, resultKind(done), []byte(text)); err != nil {
+				if err := s.RecordResult(b.ID, index, resultKind(completed), []byte(text)); err != nil {
 					rt.Fatal(err)
 				}
-				if _, over := ends[l]; !over {
-					ends[l] = text
+				if _, hasEnded := ends[index]; !hasEnded {
+					ends[index] = text
 				}
 			}
 		}
@@ -123,11 +123,11 @@
 		}
 		for range rapid.IntRange(0, 4).Draw(rt, "crashes") {
 			failpoints := []failpoint{afterContentWritten, afterContentInPlace, afterFilesWritten}
-			where := rapid.SampledFrom(failpoints).Draw(rt, "where")
-			k := rapid.IntRange(0, 1).Draw(rt, "which")
+			point := rapid.SampledFrom(failpoints).Draw(rt, "where")
+			skip := rapid.IntRange(0, 1).Draw(rt, "which")
 			s.reach = func(at failpoint) error {
-				if at == where {
-					if k--; k < 0 {
+				if at == point {
+					if skip--; skip < 0 {
 						return errCrash
 					}
 				}
@@ -164,7 +164,7 @@
 			f.Close()
 			for line := range strings.SplitSeq(strings.TrimSpace(string(text)), "\n") {
 				if got[line] || strings.Contains(line, `"done":true`) != (id == b.OutputFileID) {
-					rt.Fatalf("%s stands twice, or in the wrong file", line)
+					rt.Fatalf("line %s is in the files twice, or in the wrong file", line)
 				}
 				got[line] = true
 			}
@@ -174,12 +174,12 @@
 		}
 		for _, text := range ends {
 			if !got[text] {
-				rt.Fatalf("%s is not there", text)
+				rt.Fatalf("line %s is missing", text)
 			}
 		}
-		here, err := os.ReadDir(filepath.Join(dir, "files"))
-		if err != nil || len(here) != files {
-			rt.Fatalf("%d files lie there, want %d", len(here), files)
+		contents, err := os.ReadDir(filepath.Join(dir, "files"))
+		if err != nil || len(contents) != files {
+			rt.Fatalf("%d contents on the disk, want %d", len(contents), files)
 		}
 		if b, _ = s.Batch("a", b.ID); b.CompletedLines+b.FailedLines != n || b.State != batchscheduler.StateCompleted {
 			rt.Fatalf("%+v", b)
@@ -205,19 +205,19 @@
 func TestQuota(t *testing.T) {
 	dir := t.TempDir()
 	s := openStore(t, dir)
-	up := func(n int) (File, error) {
+	upload := func(n int) (File, error) {
 		return s.UploadFile(t0, "a", "f", "batch", bytes.NewReader(make([]byte, n)), 1<<20)
 	}
-	f, err := up(600 << 10)
+	f, err := upload(600 << 10)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := up(600 << 10); !errors.Is(err, ErrQuotaExceeded) {
-		t.Errorf("%v, want over the quota", err)
+	if _, err := upload(600 << 10); !errors.Is(err, ErrQuotaExceeded) {
+		t.Errorf("%v, want ErrQuotaExceeded", err)
 	}
 	interrupted := io.MultiReader(bytes.NewReader(make([]byte, 100<<10)), failingReader{})
 	if _, err := s.UploadFile(t0, "a", "f", "batch", interrupted, 1<<20); err == nil {
-		t.Error("what was cut off is kept")
+		t.Error("an interrupted upload succeeds")
 	}
 	if _, err := s.UploadFile(t0, "b", "f", "batch", bytes.NewReader(make([]byte, 600<<10)), 1<<20); err != nil {
 		t.Errorf("another tenant: %v", err)
@@ -225,20 +225,20 @@
 	s.Close()
 	s = openStore(t, dir)
 	defer s.Close()
-	if _, err := up(600 << 10); !errors.Is(err, ErrQuotaExceeded) {
-		t.Errorf("after a restart: %v, want over the quota", err)
+	if _, err := upload(600 << 10); !errors.Is(err, ErrQuotaExceeded) {
+		t.Errorf("after a restart: %v, want ErrQuotaExceeded", err)
 	}
 	if err := s.DeleteFile("a", f.ID); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := up(600 << 10); err != nil {
+	if _, err := upload(600 << 10); err != nil {
 		t.Errorf("after a deletion: %v", err)
 	}
 	if n, err := s.DeleteFilesOlderThan(t0.Add(2*time.Hour), time.Hour); err != nil || n != 2 {
-		t.Errorf("%d files swept: %v", n, err)
+		t.Errorf("%d files deleted, want 2: %v", n, err)
 	}
 	if left, _ := os.ReadDir(filepath.Join(dir, "files")); len(left) != 0 {
-		t.Errorf("%d contents are left", len(left))
+		t.Errorf("%d contents on the disk, want none", len(left))
 	}
 }
 
@@ -262,17 +262,17 @@
 	if err := os.WriteFile(name, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	bad := 0
+	found := 0
 	if err := s.ForEachLine(b.ID, func(n batchscheduler.LineIndex, l Line, corrupt error) error {
 		_, err := s.LineText(b.InputFileID, n, l)
 		if errors.Is(err, ErrCorrupt) && n == 3 && strings.Contains(err.Error(), "line 4") {
-			bad++
+			found++
 		} else if err != nil || corrupt != nil {
 			t.Error(n, err, corrupt)
 		}
 		return nil
-	}); err != nil || bad != 1 {
-		t.Error(bad, err)
+	}); err != nil || found != 1 {
+		t.Error(found, err)
 	}
 	if _, corrupt, err := s.Verify(); err != nil || len(corrupt) != 1 {
 		t.Error(corrupt, err)
@@ -315,6 +315,6 @@
 	}
 	_, err = s.TransitionBatch(b.ID, batchscheduler.StateInProgress, func(*Batch) {})
 	if !errors.Is(err, ErrInvalidState) {
-		t.Errorf("a cancelled batch goes on: %v", err)
+		t.Errorf("a cancelled batch becomes in progress: %v, want ErrInvalidState", err)
 	}
 }
