--- a/cmd/docksail/batch.go
+++ b/cmd/docksail/batch.go
@@ -24,7 +24,7 @@
 	c := &cobra.Command{Use: "batch", Short: "Submit files of requests, show their batches, fetch the results"}
 	c.PersistentFlags().StringVar(&client.Address, "at", "http://127.0.0.1:7610", "address of the batch API")
 	c.PersistentFlags().StringVar(&client.Key, "key", os.Getenv("DOCKSAIL_KEY"), "key; usually from DOCKSAIL_KEY")
-	c.AddCommand(submitCommand(client), statusCommand(client), fetchCommand(client), cancelCommand(client))
+	c.AddCommand(submitCommand(client), batchStatusCommand(client), fetchCommand(client), cancelCommand(client))
 	c.AddCommand(verifyCommand(), compactCommand())
 	return c
 }
@@ -53,7 +53,7 @@
 	return c
 }
 
-func statusCommand(client *batchclient.Client) *cobra.Command {
+func batchStatusCommand(client *batchclient.Client) *cobra.Command {
 	var follow bool
 	c := &cobra.Command{
 		Use:   "status BATCH",
--- a/cmd/docksail/heldstate_test.go
+++ b/cmd/docksail/heldstate_test.go
@@ -10,14 +10,32 @@
 )
 
 // soakSettings is the settings object of the dispatchers of a soak: release time one second.
-const soakSettings = `{"family_info":{"release_ns":1000000000,"role_by_kind":["read","write"],"token_aim_ns":[60000000,60000000,60000000],
-"aim_us_per_1000_prompt_tokens":[40000,40000,40000]},"limits":{"cancel":true,"conn_idle_ns":15000000000,"connect_timeout_ns":250000000,
-"max_attempts":6,"max_retry_after_ns":1000000000,"retry_after":true},"localities":["z"],"machine_types":["prefill","decode"],
-"me":0,"siblings":2,"zone":"z","membership_mode":"pushed","round_ns":4000000,"request_classes":[
-{"dedup_scope":"all","effect":"idempotent","give_up_ns":6000000000,"late_value":0.1,"name":"idempotent","on_time_ns":1500000000,"points":3,"window_ns":5000000000},
-{"dedup_scope":"all","effect":"deduplicated","give_up_ns":6000000000,"late_value":0.1,"name":"deduplicated","on_time_ns":1500000000,"points":3,"window_ns":2000000000},
-{"dedup_scope":"all","effect":"at_most_once","give_up_ns":6000000000,"late_value":0.1,"name":"at_most_once","on_time_ns":1500000000,"points":3,"window_ns":5000000000}],"rules":{"answer_slack_ns":16000000,"cold_from":0.3,"cold_ns":1000000000,"fall_multiple":2.5,
-"fall_ns":3000000000},"tenants":[]}`
+const soakSettings = `{
+  "family_info": {
+    "release_ns": 1000000000, "role_by_kind": ["read", "write"],
+    "token_aim_ns": [60000000, 60000000, 60000000],
+    "aim_us_per_1000_prompt_tokens": [40000, 40000, 40000]
+  },
+  "limits": {
+    "cancel": true, "conn_idle_ns": 15000000000, "connect_timeout_ns": 250000000, "max_attempts": 6,
+    "max_retry_after_ns": 1000000000, "retry_after": true
+  },
+  "localities": ["z"], "machine_types": ["prefill", "decode"], "me": 0, "siblings": 2, "zone": "z",
+  "membership_mode": "pushed", "round_ns": 4000000,
+  "request_classes": [
+    {"name": "idempotent", "effect": "idempotent", "dedup_scope": "all", "give_up_ns": 6000000000,
+     "late_value": 0.1, "on_time_ns": 1500000000, "points": 3, "window_ns": 5000000000},
+    {"name": "deduplicated", "effect": "deduplicated", "dedup_scope": "all", "give_up_ns": 6000000000,
+     "late_value": 0.1, "on_time_ns": 1500000000, "points": 3, "window_ns": 2000000000},
+    {"name": "at_most_once", "effect": "at_most_once", "dedup_scope": "all", "give_up_ns": 6000000000,
+     "late_value": 0.1, "on_time_ns": 1500000000, "points": 3, "window_ns": 5000000000}
+  ],
+  "rules": {
+    "answer_slack_ns": 16000000, "cold_from": 0.3, "cold_ns": 1000000000, "fall_multiple": 2.5,
+    "fall_ns": 3000000000
+  },
+  "tenants": []
+}`
 
 // heldStateTest is a dispatcher's process before one prefill server and one decode server, with proxies between them.
 type heldStateTest struct {
@@ -49,44 +67,54 @@
 	return h
 }
 
-const heldRequest = "00000000000000aa"
+const (
+	heldRequest   = "00000000000000aa" // the ID of the request that a test is about
+	clientTimeout = 4800 * time.Millisecond
+)
 
-// send sends a request whose client waits for nearly five seconds. It is of a class that is not repeated: an attempt
-// that is silent stays out for as long as may be.
+// send sends a request whose client waits for nearly five seconds. Its class is never retried, so that a silent attempt
+// stays in flight for as long as possible.
 func (h *heldStateTest) send(id string) soak.Request {
 	h.Helper()
-	r := soak.Request{ID: id, Session: "7f3a9c21e0b4d655", Remaining: 4800 * time.Millisecond, Effect: "at_most_once"}
-	if err := h.client.Send(h.dispatcher, r); err != nil {
+	request := soak.Request{ID: id, Session: "7f3a9c21e0b4d655", Remaining: clientTimeout, Effect: "at_most_once"}
+	if err := h.client.Send(h.dispatcher, request); err != nil {
 		h.Fatal(err)
 	}
-	return r
+	return request
 }
 
-// served has a request served, so that there are connections that may be used again.
-func (h *heldStateTest) served(id string) {
+// serveRequest has a request served, so that there are idle connections.
+func (h *heldStateTest) serveRequest(id string) {
 	h.Helper()
-	if o := h.client.ReceiveAnswer(h.send(id)); o.Status != http.StatusOK || o.Err != nil {
-		h.Fatalf("%d, %v", o.Status, o.Err)
+	if outcome := h.client.ReceiveAnswer(h.send(id)); outcome.Status != http.StatusOK || outcome.Err != nil {
+		h.Fatalf("%d, %v", outcome.Status, outcome.Err)
 	}
-	time.Sleep(50 * time.Millisecond) // connections rest for some milliseconds before they are used again
+	time.Sleep(50 * time.Millisecond) // connections are not reused for some milliseconds
 }
 
-// until waits for a line of the request's trace.
-func (h *heldStateTest) until(text string) {
+// waitForTrace waits for a line with a text in the trace of the held request.
+func (h *heldStateTest) waitForTrace(text string) {
 	h.Helper()
-	for end := time.Now().Add(10 * time.Second); h.fleet.Oracle.Seen(heldRequest, text) == 0; time.Sleep(5 * time.Millisecond) {
+	end := time.Now().Add(10 * time.Second)
+	for h.fleet.Oracle.Seen(heldRequest, text) == 0 {
 		if time.Now().After(end) {
 			h.Fatalf("no %q within 10 s:\n%s", text, h.fleet.Oracle.Trace(heldRequest))
 		}
+		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-// wantReleased waits for as long as a state may be held, and some more, and wants none left and no rule broken.
+// planAttempts has servers execute attempts by a plan for each: prefill reports whether an attempt is a prefill.
+func (h *heldStateTest) planAttempts(plan func(prefill bool) soak.AttemptPlan) {
+	h.fleet.AttemptPlan = func(_ string, prefill bool, _ string) soak.AttemptPlan { return plan(prefill) }
+}
+
+// wantReleased waits for longer than a state may be held. Then there must be none left, and no violation.
 func (h *heldStateTest) wantReleased() {
 	h.Helper()
 	time.Sleep(1500 * time.Millisecond)
-	for _, broken := range h.fleet.Oracle.Check(soak.Now()) {
-		h.Errorf("%s\n%s", broken, h.dispatcher.Log(heldRequest))
+	for _, violation := range h.fleet.Oracle.Check(soak.Now()) {
+		h.Errorf("%s\n%s", violation, h.dispatcher.Log(heldRequest))
 	}
 	if held := h.fleet.Oracle.Held(); len(held) > 0 {
 		h.Errorf("held for %v:\n%s\n%s", held, h.fleet.Oracle.Trace(heldRequest), h.dispatcher.Log(heldRequest))
@@ -96,53 +124,52 @@
 	}
 }
 
-// A state is released in time whatever happens to the attempts and releases of its request: real processes over
-// loopback.
+// TestHeldStateOnLoopback checks that a state is released in time whatever happens to the attempts and releases of its
+// request, with real processes on loopback.
 func TestHeldStateOnLoopback(t *testing.T) {
 	for name, script := range map[string]func(h *heldStateTest){
-		"a write on a new connection does not arrive": func(h *heldStateTest) {
+		"a decode attempt on a new connection does not arrive": func(h *heldStateTest) {
 			h.decode.Proxy.SetHeld(soak.Forward, true, false)
 			h.send(heldRequest)
-			h.until("read at r1")
-			h.until("begun to w1")
+			h.waitForTrace("read at r1")
+			h.waitForTrace("begun to w1")
 		},
-		"a write on a kept connection does not arrive, another connection speaks": func(h *heldStateTest) {
-			h.served("0000000000000001")
-			h.decode.Proxy.SetHeld(soak.Forward, true, true) // of the connections that there are
+		"a decode attempt on an idle connection does not arrive, another connection answers": func(h *heldStateTest) {
+			h.serveRequest("0000000000000001")
+			h.decode.Proxy.SetHeld(soak.Forward, true, true) // of the open connections
 			h.send(heldRequest)
-			h.until("begun to w1")
+			h.waitForTrace("begun to w1")
 			other := soak.NewClient(h.fleet)
-			if err := other.Send(h.dispatcher, soak.Request{ID: "0000000000000002", Session: "1", Remaining: 4800 * time.Millisecond, Effect: "idempotent"}); err != nil {
+			request := soak.Request{
+				ID: "0000000000000002", Session: "1", Remaining: clientTimeout, Effect: "idempotent",
+			}
+			if err := other.Send(h.dispatcher, request); err != nil {
 				h.Fatal(err)
 			}
 		},
-		"the decode server hangs and its system takes connections": func(h *heldStateTest) {
+		"the decode server hangs and its system accepts connections": func(h *heldStateTest) {
 			h.decode.Stop()
 			h.Cleanup(h.decode.Continue)
 			h.send(heldRequest)
-			h.until("begun to w1")
+			h.waitForTrace("begun to w1")
 		},
-		"a read ends after the release that followed its client's end": func(h *heldStateTest) {
-			h.fleet.AttemptPlan = func(_ string, read bool, _ string) soak.AttemptPlan {
-				return soak.AttemptPlan{Work: 700 * time.Millisecond}
-			}
+		"a prefill ends after the release that followed its client's cancel": func(h *heldStateTest) {
+			h.planAttempts(func(bool) soak.AttemptPlan { return soak.AttemptPlan{Work: 700 * time.Millisecond} })
 			h.prefill.Proxy.SetClosesHeld(true)
 			h.send(heldRequest)
-			h.until("arrived at r1")
+			h.waitForTrace("arrived at r1")
 			h.client.CancelRequest(heldRequest)
-			h.until("read at r1")
+			h.waitForTrace("read at r1")
 			time.Sleep(1500 * time.Millisecond)
 			h.prefill.Proxy.SetClosesHeld(false)
 		},
 		"a prefill server is cut off as its client leaves": func(h *heldStateTest) {
-			h.fleet.AttemptPlan = func(_ string, read bool, _ string) soak.AttemptPlan {
-				return soak.AttemptPlan{Work: 700 * time.Millisecond}
-			}
+			h.planAttempts(func(bool) soak.AttemptPlan { return soak.AttemptPlan{Work: 700 * time.Millisecond} })
 			h.send(heldRequest)
-			h.until("arrived at r1")
+			h.waitForTrace("arrived at r1")
 			h.prefill.Proxy.SetHeld(soak.Forward, true, false)
 			h.client.CancelRequest(heldRequest)
-			h.until("read at r1")
+			h.waitForTrace("read at r1")
 			time.Sleep(1500 * time.Millisecond)
 			h.prefill.Proxy.SetHeld(soak.Forward, false, false)
 		},
@@ -154,39 +181,39 @@
 				}
 				return 0
 			}
-			h.fleet.AttemptPlan = func(_ string, read bool, _ string) soak.AttemptPlan {
-				if read {
+			h.planAttempts(func(prefill bool) soak.AttemptPlan {
+				if prefill {
 					return soak.AttemptPlan{}
 				}
 				return soak.AttemptPlan{Work: 200 * time.Millisecond}
-			}
+			})
 			h.send(heldRequest)
-			h.until("arrived at w1")
+			h.waitForTrace("arrived at w1")
 			h.client.CancelRequest(heldRequest)
-			h.until("release refused")
+			h.waitForTrace("release refused")
 		},
-		"a read that left its state is answered as failed": func(h *heldStateTest) {
-			h.fleet.AttemptPlan = func(_ string, read bool, _ string) soak.AttemptPlan {
-				if read {
+		"a prefill that left its state is answered as failed": func(h *heldStateTest) {
+			h.planAttempts(func(prefill bool) soak.AttemptPlan {
+				if prefill {
 					return soak.AttemptPlan{Status: http.StatusInternalServerError}
 				}
 				return soak.AttemptPlan{}
-			}
+			})
 			h.send(heldRequest)
-			h.until("read at r1")
+			h.waitForTrace("read at r1")
 			h.client.CancelRequest(heldRequest)
 		},
-		"a write waits past a release beside it and is refused": func(h *heldStateTest) {
-			h.served("0000000000000001")
-			h.fleet.AttemptPlan = func(_ string, read bool, _ string) soak.AttemptPlan {
-				if read {
+		"a decode attempt waits past a release beside it and is refused": func(h *heldStateTest) {
+			h.serveRequest("0000000000000001")
+			h.planAttempts(func(prefill bool) soak.AttemptPlan {
+				if prefill {
 					return soak.AttemptPlan{}
 				}
 				return soak.AttemptPlan{Work: 900 * time.Millisecond, Status: http.StatusServiceUnavailable}
-			}
+			})
 			h.send(heldRequest)
-			h.until("arrived at w1")
-			h.until("refused")
+			h.waitForTrace("arrived at w1")
+			h.waitForTrace("refused")
 			h.client.CancelRequest(heldRequest)
 		},
 	} {
@@ -199,64 +226,66 @@
 	}
 }
 
-// What the ledger judges by is seen on accounts that are known to be right or wrong.
-func TestLedger(t *testing.T) {
-	for name, c := range map[string]struct {
-		events func(l *soak.Oracle, at soak.Moment, ms func(int) soak.Moment)
-		broken int
+// TestOracle checks the violations that the oracle finds in events that are known to be right or wrong.
+func TestOracle(t *testing.T) {
+	for name, test := range map[string]struct {
+		events         func(o *soak.Oracle, start soak.Moment, after func(ms int) soak.Moment)
+		wantViolations int
 	}{
-		"released in time": {func(l *soak.Oracle, at soak.Moment, ms func(int) soak.Moment) {
-			l.ReadAt(at, "a", "r1", 1)
-			l.ReleaseReceived(ms(1200), "a", "w1")
+		"released in time": {func(o *soak.Oracle, start soak.Moment, after func(int) soak.Moment) {
+			o.ReadAt(start, "a", "r1", 1)
+			o.ReleaseReceived(after(1200), "a", "w1")
 		}, 0},
-		"released late": {func(l *soak.Oracle, at soak.Moment, ms func(int) soak.Moment) {
-			l.ReadAt(at, "a", "r1", 1)
-			l.ReleaseReceived(ms(1400), "a", "w1")
+		"released late": {func(o *soak.Oracle, start soak.Moment, after func(int) soak.Moment) {
+			o.ReadAt(start, "a", "r1", 1)
+			o.ReleaseReceived(after(1400), "a", "w1")
 		}, 1},
-		"never released": {func(l *soak.Oracle, at soak.Moment, ms func(int) soak.Moment) {
-			l.ReleaseReceived(ms(-10), "a", "w1")
-			l.ReadAt(at, "a", "r1", 1)
+		"never released": {func(o *soak.Oracle, start soak.Moment, after func(int) soak.Moment) {
+			o.ReleaseReceived(after(-10), "a", "w1")
+			o.ReadAt(start, "a", "r1", 1)
 		}, 1},
-		"taken late": {func(l *soak.Oracle, at soak.Moment, ms func(int) soak.Moment) {
-			l.ReadAt(at, "a", "r1", 1)
-			l.ArrivedAt(ms(1500), "a", false, "w1", 2)
+		"fetched late": {func(o *soak.Oracle, start soak.Moment, after func(int) soak.Moment) {
+			o.ReadAt(start, "a", "r1", 1)
+			o.ArrivedAt(after(1500), "a", false, "w1", 2)
 		}, 1},
-		"its server died": {func(l *soak.Oracle, at soak.Moment, ms func(int) soak.Moment) {
-			l.ReadAt(at, "a", "r1", 1)
-			l.ServerStopped(ms(500), "r1")
+		"its server died": {func(o *soak.Oracle, start soak.Moment, after func(int) soak.Moment) {
+			o.ReadAt(start, "a", "r1", 1)
+			o.ServerStopped(after(500), "r1")
 		}, 0},
-		"a write waits, then a release": {func(l *soak.Oracle, at soak.Moment, ms func(int) soak.Moment) {
-			l.ReadAt(at, "a", "r1", 1)
-			l.ArrivedAt(ms(100), "a", false, "w1", 2)
-			l.ReleaseReceived(ms(2000), "a", "r1") // passes it by
-			l.OverAt(ms(3000), "a", "w1", 2)
-			l.ClosedAt(ms(3010), "a", "w1", 2)
-			l.ReleaseReceived(ms(4000), "a", "r1")
+		"a decode attempt waits, then a release": {func(o *soak.Oracle, start soak.Moment, after func(int) soak.Moment) {
+			o.ReadAt(start, "a", "r1", 1)
+			o.ArrivedAt(after(100), "a", false, "w1", 2)
+			o.ReleaseReceived(after(2000), "a", "r1") // overtakes the attempt
+			o.OverAt(after(3000), "a", "w1", 2)
+			o.ClosedAt(after(3010), "a", "w1", 2)
+			o.ReleaseReceived(after(4000), "a", "r1")
 		}, 0},
-		"a write waits, then no release": {func(l *soak.Oracle, at soak.Moment, ms func(int) soak.Moment) {
-			l.ReadAt(at, "a", "r1", 1)
-			l.ArrivedAt(ms(100), "a", false, "w1", 2)
-			l.ReleaseReceived(ms(2000), "a", "r1") // passes it by
-			l.OverAt(ms(3000), "a", "w1", 2)
-			l.ClosedAt(ms(3010), "a", "w1", 2)
+		"a decode attempt waits, then no release": {func(o *soak.Oracle, start soak.Moment, after func(int) soak.Moment) {
+			o.ReadAt(start, "a", "r1", 1)
+			o.ArrivedAt(after(100), "a", false, "w1", 2)
+			o.ReleaseReceived(after(2000), "a", "r1") // overtakes the attempt
+			o.OverAt(after(3000), "a", "w1", 2)
+			o.ClosedAt(after(3010), "a", "w1", 2)
 		}, 1},
-		"a read's answer is held up": {func(l *soak.Oracle, at soak.Moment, ms func(int) soak.Moment) {
-			l.ArrivedAt(at, "a", true, "r1", 1)
-			l.ReadAt(ms(100), "a", "r1", 1)
-			l.ArrivedAt(ms(2000), "a", false, "w1", 2)
+		"a prefill's answer is delayed": {func(o *soak.Oracle, start soak.Moment, after func(int) soak.Moment) {
+			o.ArrivedAt(start, "a", true, "r1", 1)
+			o.ReadAt(after(100), "a", "r1", 1)
+			o.ArrivedAt(after(2000), "a", false, "w1", 2)
 		}, 0},
-		"its dispatcher was killed": {func(l *soak.Oracle, at soak.Moment, ms func(int) soak.Moment) {
-			l.RequestSent(at, "a", "d1")
-			l.ReadAt(at, "a", "r1", 1)
-			l.DispatcherKilled(ms(10), "d1")
+		"its dispatcher was killed": {func(o *soak.Oracle, start soak.Moment, after func(int) soak.Moment) {
+			o.RequestSent(start, "a", "d1")
+			o.ReadAt(start, "a", "r1", 1)
+			o.DispatcherKilled(after(10), "d1")
 		}, 0},
 	} {
-		at := soak.Now()
-		ms := func(n int) soak.Moment { return at + soak.Moment(n)*soak.Moment(time.Millisecond) }
-		l := soak.NewOracle(soak.DefaultLimits(time.Second))
-		c.events(l, at, ms)
-		if broken := l.Check(ms(5000)); len(broken) != c.broken {
-			t.Errorf("%s: %d rules broken, want %d: %s", name, len(broken), c.broken, fmt.Sprint(broken))
-		}
+		t.Run(name, func(t *testing.T) {
+			start := soak.Now()
+			after := func(ms int) soak.Moment { return start + soak.Moment(ms)*soak.Moment(time.Millisecond) }
+			oracle := soak.NewOracle(soak.DefaultLimits(time.Second))
+			test.events(oracle, start, after)
+			if found := oracle.Check(after(5000)); len(found) != test.wantViolations {
+				t.Errorf("%d violations, want %d: %s", len(found), test.wantViolations, fmt.Sprint(found))
+			}
+		})
 	}
 }
--- a/cmd/docksail/lab.go
+++ b/cmd/docksail/lab.go
@@ -1,10 +1,7 @@
 package main
 
 import (
-	"fmt"
 	"log/slog"
-	"os"
-	"strings"
 
 	"github.com/spf13/cobra"
 
@@ -26,27 +23,6 @@
 	return lab
 }
 
-// addRenamed adds a command to parent, and once more under its former name as a hidden, deprecated alias.
-func addRenamed(parent *cobra.Command, formerName string, newCommand func() *cobra.Command) {
-	current, alias := newCommand(), newCommand()
-	alias.Use = strings.Replace(alias.Use, current.Name(), formerName, 1)
-	alias.Hidden = true
-	alias.Deprecated = fmt.Sprintf("use %q", current.Name())
-	parent.AddCommand(current, alias)
-}
-
-// logFlag adds the flag for the least level of log records and returns where its value is kept.
-func logFlag(c *cobra.Command, level slog.Level) *slog.Level {
-	value := new(slog.Level)
-	c.Flags().TextVar(value, "log", level, "least level of log lines: debug, info, warn, error")
-	return value
-}
-
-// newTextLogger returns a logger that writes records of a level and above to standard error.
-func newTextLogger(level slog.Level) *slog.Logger {
-	return slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
-}
-
 func demoCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "demo",
--- a/cmd/docksail/lab_soak_test.go
+++ b/cmd/docksail/lab_soak_test.go
@@ -10,11 +10,11 @@
 	"docksail/internal/lab/soak"
 )
 
-// soakSeeds names, in the environment, how many seeds TestFaultSoak plays; a few seconds each.
+// soakSeeds is the environment variable with the number of seeds that TestFaultSoak plays, a few seconds each.
 const soakSeeds = "DOCKSAIL_SOAK_SEEDS"
 
-// Real dispatchers before stand-in servers under random faults keep the rules. A failing seed is printed with its
-// schedule, and plays again with docksail lab soak --seed.
+// TestFaultSoak checks that real dispatchers before stand-in servers keep the invariants under random faults. A failing
+// seed is printed with its schedule; docksail lab soak --seed plays it again.
 func TestFaultSoak(t *testing.T) {
 	seeds := 2
 	if text := os.Getenv(soakSeeds); text != "" {
@@ -25,25 +25,28 @@
 	}
 	for n := range seeds {
 		t.Run(fmt.Sprint(n+1), func(t *testing.T) {
-			s := soak.Soak{Seed: uint64(n + 1), Length: 5 * time.Second, Most: 14, Program: program, Folder: t.TempDir()}
-			v, err := s.Run()
+			s := soak.Soak{
+				Seed: uint64(n + 1), Length: 5 * time.Second, Most: 14, Program: program, Folder: t.TempDir(),
+			}
+			verdict, err := s.Run()
 			if err != nil {
 				t.Fatal(err)
 			}
-			t.Log(v.Report())
-			if err := v.Sound(); err != nil {
+			t.Log(verdict.Report())
+			if err := verdict.Sound(); err != nil {
 				t.Error(err)
 			}
 		})
 	}
 }
 
-// The same seed draws the same schedule; of each role's servers half at the least are sound at any time.
+// TestSoakSchedule checks that the same seed draws the same schedule, and that at any time at least half of each role's
+// servers have no fault.
 func TestSoakSchedule(t *testing.T) {
 	for seed := range uint64(20) {
-		first, again := soak.DrawPlan(seed, 20*time.Second), soak.DrawPlan(seed, 20*time.Second)
-		if fmt.Sprint(first) != fmt.Sprint(again) || len(first.Schedule) == 0 {
-			t.Fatalf("seed %d: %d faults, then %d", seed, len(first.Schedule), len(again.Schedule))
+		first, second := soak.DrawPlan(seed, 20*time.Second), soak.DrawPlan(seed, 20*time.Second)
+		if fmt.Sprint(first) != fmt.Sprint(second) || len(first.Schedule) == 0 {
+			t.Fatalf("seed %d: %d faults, then %d", seed, len(first.Schedule), len(second.Schedule))
 		}
 		for at := time.Duration(0); at < 20*time.Second; at += 100 * time.Millisecond {
 			faulty := map[byte]int{}
@@ -53,7 +56,8 @@
 				}
 			}
 			if 2*faulty['r'] > first.Prefill || 2*faulty['w'] > first.Decode {
-				t.Fatalf("seed %d at %v: %d of %d prefill and %d of %d decode servers have a fault", seed, at, faulty['r'], first.Prefill, faulty['w'], first.Decode)
+				t.Fatalf("seed %d at %v: %d of %d prefill and %d of %d decode servers have a fault",
+					seed, at, faulty['r'], first.Prefill, faulty['w'], first.Decode)
 			}
 		}
 	}
--- a/cmd/docksail/lab_test.go
+++ b/cmd/docksail/lab_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// TestFormerCommandNames: commands that were renamed still run under their former names, hidden, with a note.
+// TestFormerCommandNames checks that renamed commands still run under their former names, hidden and with a note.
 func TestFormerCommandNames(t *testing.T) {
 	current := map[string]string{
 		"drill": "scenario", "sim": "simulate", "run": "experiment", "explore": "search",
@@ -25,7 +25,7 @@
 	}
 }
 
-// TestFormerCommandRuns: a former name keeps its standard output as it was; the note goes to standard error.
+// TestFormerCommandRuns checks that a former name has the same standard output: the note goes to standard error.
 func TestFormerCommandRuns(t *testing.T) {
 	args := []string{"../../internal/lab/scenario/testdata/mended/read-after-its-release.json", "--sums"}
 	var outputs [2][]byte
--- a/cmd/docksail/node.go
+++ b/cmd/docksail/node.go
@@ -12,84 +12,76 @@
 
 	"docksail/internal/asynclog"
 	"docksail/internal/node"
+	"docksail/internal/statuslog"
 )
 
+// maxPendingSignals is how many signals are kept while the dispatcher starts.
+const maxPendingSignals = 4
+
+// nodeCommand runs a dispatcher in service on the platform.
 func nodeCommand() *cobra.Command {
-	var level slog.Level
-	var every time.Duration
 	c := &cobra.Command{
 		Use:   "node",
 		Short: "Run a dispatcher in service on the platform",
-		Long: "Run a dispatcher in service on the platform, by the file that RELAY_CONFIG names. SIGTERM has clients go\n" +
-			"elsewhere and ends it when none is left; SIGHUP reads the file again and takes over where discovery is.",
+		Long: `Run a dispatcher in service on the platform, with the configuration in the file that RELAY_CONFIG names.
+
+SIGTERM and SIGINT drain it: clients go elsewhere, and it ends when none is left. SIGHUP reads the file again and takes
+over the addresses of discovery.`,
 		Args: cobra.NoArgs,
-		RunE: func(*cobra.Command, []string) error {
-			signals := make(chan os.Signal, 4) // before all else: a signal that comes during the start is kept
-			signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
-			t, err := node.LoadConfig(os.Getenv)
-			if err != nil {
-				return err
-			}
-			node.LimitResources(t)
-			ctx, cancel := context.WithCancel(context.Background())
-			defer cancel()
-			log := slog.New(asynclog.NewHandler(ctx, slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})))
-			n, err := node.Start(t, log)
-			if err != nil {
-				return err
-			}
-			log.Info("in service", "name", t.Name, "at", t.Listen, "memory_mb", t.Limits.MemoryMB, "sockets", t.Limits.Descriptors)
-			tick := time.NewTicker(every)
-			defer tick.Stop()
-			for {
-				select {
-				case <-tick.C:
-					logView(log, n)
-				case s := <-signals:
-					if s != syscall.SIGHUP {
-						log.Info("leaving", "signal", s.String())
-						n.Drain()
-						continue
-					}
-					changed, err := node.LoadConfig(os.Getenv)
-					if err != nil {
-						log.Error("configuration stays as it was", "err", err)
-						continue
-					}
-					n.Reload(changed)
-				case <-n.Done():
-					log.Info("ended", "err", n.Err())
-					time.Sleep(10 * time.Millisecond) // the log's writer
-					return n.Err()
-				}
-			}
-		},
 	}
-	c.Flags().TextVar(&level, "log", slog.LevelInfo, "least level of log lines: debug, info, warn, error")
-	c.Flags().DurationVar(&every, "counts-every", 10*time.Second, "how often counts are logged")
+	level, countsInterval := logFlag(c, slog.LevelInfo), countsFlag(c)
+	c.RunE = func(*cobra.Command, []string) error { return runNode(*level, *countsInterval) }
 	return c
 }
 
-// logView logs how a dispatcher does, with a line for each server that has something of it: in a large fleet these
-// are few.
-func logView(log *slog.Logger, n *node.Node) {
-	view, ok := n.Status()
-	if !ok {
-		return
+// runNode starts a dispatcher and runs until it has ended.
+func runNode(level slog.Level, countsInterval time.Duration) error {
+	signals := make(chan os.Signal, maxPendingSignals) // before all else: a signal during the start is kept
+	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
+	config, err := node.LoadConfig(os.Getenv)
+	if err != nil {
+		return err
 	}
-	beliefs := view.ServerStatuses
-	view.ServerStatuses = nil
-	log.Info("counts", "view", view)
-	for _, b := range beliefs {
-		log.Log(context.Background(), beliefLevel(&b), "belief", "server", b.Name, "prefill", b.Prefill, "unread", b.QueuedPromptTokens, "reported", b.LoadReport.QueuedPromptTokens,
-			"age_ms", b.LoadReportAge/1e6, "waiting", b.UnansweredAttempts, "writing", b.Streams, "out", b.InFlightAttempts, "idle", b.IdleConns, "aside", b.Ejected, "differs", b.HasMismatch())
+	node.LimitResources(config)
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	handler := asynclog.NewHandler(ctx, slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
+	log := slog.New(handler)
+	dispatcher, err := node.Start(config, log)
+	if err != nil {
+		return err
+	}
+	log.Info("dispatcher started", "name", config.Name, "address", config.Listen,
+		"memory_mb", config.Limits.MemoryMB, "descriptors", config.Limits.Descriptors)
+	countsTicker := time.NewTicker(countsInterval)
+	defer countsTicker.Stop()
+	for {
+		select {
+		case <-countsTicker.C:
+			if status, ok := dispatcher.Status(); ok {
+				statuslog.Write(log, status)
+			}
+		case s := <-signals:
+			handleNodeSignal(dispatcher, s, log)
+		case <-dispatcher.Done():
+			log.Info("dispatcher ended", "error", dispatcher.Err())
+			time.Sleep(logFlushTime)
+			return dispatcher.Err()
+		}
 	}
 }
 
-// beliefLevel is the level of a server's line: those of which the dispatcher has nothing are for who asks for all.
-func beliefLevel(b *node.ServerStatus) slog.Level {
-	if b.InUse() {
-		return slog.LevelInfo
+// handleNodeSignal drains a dispatcher or, after SIGHUP, has it take over the changed configuration.
+func handleNodeSignal(dispatcher *node.Node, s os.Signal, log *slog.Logger) {
+	if s != syscall.SIGHUP {
+		log.Info("signal received", "signal", s.String())
+		dispatcher.Drain()
+		return
+	}
+	changed, err := node.LoadConfig(os.Getenv)
+	if err != nil {
+		log.Error("configuration not reloaded", "error", err)
+		return
 	}
-	return slog.LevelDebug
+	dispatcher.Reload(changed)
 }
