--- a/internal/e2e/admission_test.go
+++ b/internal/e2e/admission_test.go
@@ -21,14 +21,14 @@
 // TestAdviceHolds: of those who come back when they were told to, nearly all are honoured.
 func TestAdviceHolds(t *testing.T) {
 	t.Parallel()
-	s := crowdDay(t, true, `"clients": 200`)
+	s := floodScript(t, true, `"clients": 200`)
 	s.MaxWaiting = 24
 	for i := range s.Classes {
 		s.Classes[i].Timeout, s.Classes[i].MaxRetries = 12*time.Second, 3
 	}
-	rep := playScript(t, s, nil)
+	report := runScript(t, s, nil)
 	back, kept := 0, 0
-	for _, sum := range rep.Summaries {
+	for _, sum := range report.Summaries {
 		back, kept = back+sum.ReservedRetries, kept+sum.ReservedRetriesServed
 	}
 	if back < 20 {
@@ -41,27 +41,27 @@
 	if share < 0.85 {
 		t.Errorf("%.3f of %d returns honoured, want 0.85", share, back)
 	}
-	if len(rep.Violations) > 0 {
-		t.Error(rep.Violations)
+	if len(report.Violations) > 0 {
+		t.Error(report.Violations)
 	}
 }
 
-// TestForgedTickets: a ticket that was changed, used, or another client's brings nothing, and no error either.
-func TestForgedTickets(t *testing.T) {
-	st, client := stage(t, nil)
+// TestInvalidTickets: a ticket that was changed, used, or another client's brings nothing, and no error either.
+func TestInvalidTickets(t *testing.T) {
+	deployment, client := startDeployment(t, nil)
 	for _, ticket := range []string{"", "x", strings.Repeat("y", 44), strings.Repeat("z", 5000)} {
 		ctx := metadata.AppendToOutgoingContext(context.Background(), "docksail-ticket-bin", ticket)
-		if _, s, _ := ask(ctx, client, job("forged")); s.Code() != codes.OK {
+		if _, s, _ := generate(ctx, client, newRequest("forged")); s.Code() != codes.OK {
 			t.Errorf("ticket of %d bytes: %v, want the job taken as any other", len(ticket), s)
 		}
 	}
-	clean(t, st)
+	checkInvariants(t, deployment)
 }
 
-// TestTenantsLimits: who asks faster than it may is told so, with the time at which it may; changed terms hold at once,
+// TestTenantLimits: who asks faster than it may is told so, with the time at which it may; changed terms hold at once,
 // and terms that are wrong change nothing.
-func TestTenantsLimits(t *testing.T) {
-	st, client := stage(t, func(s *scenario.Script) {
+func TestTenantLimits(t *testing.T) {
+	deployment, client := startDeployment(t, func(s *scenario.Script) {
 		s.Classes[0].Tenant, s.Classes[0].MaxRequestsPerSecond, s.Classes[0].Weight = "quick", 5, 1
 		s.Classes[1].Tenant, s.Classes[1].Weight = "other", 1
 	})
@@ -72,9 +72,9 @@
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				req := job(fmt.Sprint(name, i))
+				req := newRequest(fmt.Sprint(name, i))
 				req.Tenant, req.PromptTokens = "quick", 50
-				_, s, md := ask(context.Background(), client, req)
+				_, s, md := generate(context.Background(), client, req)
 				mu.Lock()
 				defer mu.Unlock()
 				switch s.Code() {
@@ -103,9 +103,9 @@
 	if ok, _, _ := crowd("back", 1); ok != 1 {
 		t.Error("back at the advised time it was refused")
 	}
-	terms := st.DispatcherConfig(0)
+	terms := deployment.DispatcherConfig(0)
 	terms.Tenants[0].MaxRequestsPerSecond = 0
-	apply := func() error { return st.Dispatcher(0).SetTenantLimits(terms) }
+	apply := func() error { return deployment.Dispatcher(0).SetTenantLimits(terms) }
 	if err := apply(); err != nil {
 		t.Fatal(err)
 	}
@@ -123,42 +123,42 @@
 	if err := apply(); err == nil {
 		t.Error("another tenant was taken")
 	}
-	clean(t, st)
+	checkInvariants(t, deployment)
 }
 
-// lags is a module that works for long on each job that arrives.
-type lags struct {
+// slowModule is a module that works for long on each job that arrives.
+type slowModule struct {
 	dispatch.Module
 	by time.Duration
 }
 
-func (m lags) RequestArrived(now policy.Nanos, j policy.Request) {
+func (m slowModule) RequestArrived(now policy.Nanos, j policy.Request) {
 	time.Sleep(m.by)
 	m.Module.RequestArrived(now, j)
 }
 
-// TestOverloadShedsAtTheDoor: a dispatcher whose loop lags, or that uses more memory than it should, nacks what waits,
+// TestOverloadShedsWaitingRequests: a dispatcher whose loop slowModule, or that uses more memory than it should, nacks what waits,
 // and answers all the same.
-func TestOverloadShedsAtTheDoor(t *testing.T) {
+func TestOverloadShedsWaitingRequests(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		lag    time.Duration
 		memory int
-	}{{"loop lags", 100 * time.Millisecond, 0}, {"memory", 0, 1}} {
+	}{{"loop slowModule", 100 * time.Millisecond, 0}, {"memory", 0, 1}} {
 		t.Run(c.name, func(t *testing.T) {
-			s, err := scenario.Parse("day", []byte(strings.Replace(day, "TROUBLES", "", 1)))
+			s, err := scenario.Parse("day", []byte(strings.Replace(scenarioText, "TROUBLES", "", 1)))
 			if err != nil {
 				t.Fatal(err)
 			}
 			s.MaxMemoryBytes = c.memory
-			st, err := scenario.StartWithModule(s, quiet, func(int) func(dispatch.Module) dispatch.Module {
-				return func(m dispatch.Module) dispatch.Module { return lags{m, c.lag} }
+			deployment, err := scenario.StartWithModule(s, discardLog, func(int) func(dispatch.Module) dispatch.Module {
+				return func(m dispatch.Module) dispatch.Module { return slowModule{m, c.lag} }
 			})
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer st.Close()
-			client := dial(t, st.Addresses()[0])
+			defer deployment.Close()
+			client := dial(t, deployment.Addresses()[0])
 			var wg sync.WaitGroup
 			var mu sync.Mutex
 			ends := map[codes.Code]int{}
@@ -166,7 +166,7 @@
 				wg.Add(1)
 				go func() {
 					defer wg.Done()
-					_, s, _ := ask(context.Background(), client, job(fmt.Sprint("shed", i)))
+					_, s, _ := generate(context.Background(), client, newRequest(fmt.Sprint("shed", i)))
 					mu.Lock()
 					ends[s.Code()]++
 					mu.Unlock()
@@ -176,12 +176,12 @@
 			if ends[codes.OK]+ends[codes.Unavailable]+ends[codes.Aborted] != 80 {
 				t.Errorf("ended as %v, want honoured, nacked or abandoned", ends)
 			}
-			st.Dispatcher(0).RunOnLoop(func(d *dispatch.Dispatcher) {
+			deployment.Dispatcher(0).RunOnLoop(func(d *dispatch.Dispatcher) {
 				if n := d.TenantStatuses()[0].Counts.Rejected[admission.Overloaded]; n == 0 {
 					t.Errorf("nothing was shed; refused %v", d.TenantStatuses()[0].Counts.Rejected)
 				}
 			})
-			clean(t, st)
+			checkInvariants(t, deployment)
 		})
 	}
 }
--- a/internal/e2e/batchapi_test.go
+++ b/internal/e2e/batchapi_test.go
@@ -14,10 +14,10 @@
 // TestBatchAPI: a file goes in, its batch runs beside the rest, and every line's answer comes back once.
 func TestBatchAPI(t *testing.T) {
 	t.Parallel()
-	st, _ := stage(t, nil)
-	a := openAPI(t, st, t.TempDir(), nil)
-	id := a.begin(jsonl(40, "question"), "10m")
-	b := a.until(id, 20*time.Second, "completed")
+	deployment, _ := startDeployment(t, nil)
+	a := startBatchAPI(t, deployment, t.TempDir(), nil)
+	id := a.submit(batchLines(40, "question"), "10m")
+	b := a.waitFor(id, 20*time.Second, "completed")
 	all := map[string]map[string]any{}
 	if n := a.results(b, "output_file_id", all); n != 40 || b["error_file_id"] != nil {
 		t.Fatalf("%d results, %v", n, b)
@@ -29,13 +29,13 @@
 	if c := b["request_counts"].(map[string]any); c["total"] != 40.0 || c["completed"] != 40.0 || c["failed"] != 0.0 || b["metadata"].(map[string]any)["for"] != "a test" {
 		t.Errorf("%v", b)
 	}
-	other := &api{t, a.at, "k2"}
+	other := &batchAPI{t, a.at, "k2"}
 	for _, path := range []string{"/v1/batches/" + id, "/v1/files/" + b["output_file_id"].(string), "/v1/files/" + b["output_file_id"].(string) + "/content"} {
 		if status, m := other.call("GET", path, "", nil); status != 404 {
 			t.Errorf("another tenant sees %s: %d %v", path, status, m)
 		}
 	}
-	if status, m := (&api{t, a.at, "k3"}).call("GET", "/v1/files", "", nil); status != 401 || m["error"].(map[string]any)["code"] != "invalid_api_key" {
+	if status, m := (&batchAPI{t, a.at, "k3"}).call("GET", "/v1/files", "", nil); status != 401 || m["error"].(map[string]any)["code"] != "invalid_api_key" {
 		t.Errorf("a wrong key: %d %v", status, m)
 	}
 	status, list := a.call("GET", "/v1/files?limit=1", "", nil)
@@ -51,16 +51,16 @@
 	if status, _ := a.call("GET", "/v1/files/"+b["output_file_id"].(string), "", nil); status != 404 {
 		t.Errorf("deleted, and there: %d", status)
 	}
-	clean(t, st)
+	checkInvariants(t, deployment)
 }
 
-// TestBatchBadFiles: what cannot be taken is named by line; files that are too large, cut off or over the quota leave
+// TestBatchInvalidFiles: what cannot be taken is named by line; files that are too large, cut off or over the quota leave
 // nothing behind.
-func TestBatchBadFiles(t *testing.T) {
+func TestBatchInvalidFiles(t *testing.T) {
 	t.Parallel()
-	st, _ := stage(t, nil)
-	a := openAPI(t, st, t.TempDir(), func(p *batchrunner.Config) { p.MaxLines = 200 })
-	good := jsonl(100, "question")
+	deployment, _ := startDeployment(t, nil)
+	a := startBatchAPI(t, deployment, t.TempDir(), func(p *batchrunner.Config) { p.MaxLines = 200 })
+	good := batchLines(100, "question")
 	lines := strings.SplitAfter(good, "\n")
 	replace := func(n int, text string) string {
 		ls := append([]string(nil), lines...)
@@ -77,19 +77,19 @@
 		{"another model", replace(99, strings.Replace(lines[99], "question", "booking", 1)), "mismatched_model", 100},
 		{"no such model", replace(0, strings.Replace(lines[0], "question", "nothing", 1)), "model_not_found", 1},
 		{"wrong url", replace(5, strings.Replace(lines[5], "/v1/completions", "/v1/other", 1)), "mismatched_url", 6},
-		{"too many", jsonl(201, "question"), "too_many_lines", 201},
+		{"too many", batchLines(201, "question"), "too_many_lines", 201},
 	} {
-		b := a.until(a.begin(c.text, "1m"), 5*time.Second, "failed")
+		b := a.waitFor(a.submit(c.text, "1m"), 5*time.Second, "failed")
 		e := b["errors"].(map[string]any)["data"].([]any)[0].(map[string]any)
 		if e["code"] != c.code || e["line"] != c.line {
 			t.Errorf("%s: %v, want %s in line %v", c.name, e, c.code, c.line)
 		}
 	}
-	if b := a.until(a.begin("\n\n", "1m"), 5*time.Second, "failed"); b["output_file_id"] != nil {
+	if b := a.waitFor(a.submit("\n\n", "1m"), 5*time.Second, "failed"); b["output_file_id"] != nil {
 		t.Errorf("an empty file: %v", b)
 	}
 	// Without a newline at its end the last line counts all the same.
-	if b := a.until(a.begin(strings.TrimSuffix(jsonl(3, "question"), "\n"), "1m"), 10*time.Second, "completed"); b["request_counts"].(map[string]any)["completed"] != 3.0 {
+	if b := a.waitFor(a.submit(strings.TrimSuffix(batchLines(3, "question"), "\n"), "1m"), 10*time.Second, "completed"); b["request_counts"].(map[string]any)["completed"] != 3.0 {
 		t.Errorf("%v", b)
 	}
 	if status, m := a.upload(strings.Repeat("x", 300<<10)); status != 413 || m["error"].(map[string]any)["code"] != "file_too_large" {
@@ -117,8 +117,8 @@
 // file that is deleted under its batch is read to the end.
 func TestBatchEndsEarly(t *testing.T) {
 	t.Parallel()
-	st, _ := stage(t, nil)
-	a := openAPI(t, st, t.TempDir(), func(p *batchrunner.Config) { p.MaxLinesInFlight = 4 })
+	deployment, _ := startDeployment(t, nil)
+	a := startBatchAPI(t, deployment, t.TempDir(), func(p *batchrunner.Config) { p.MaxLinesInFlight = 4 })
 	check := func(b map[string]any, n int, want string) {
 		t.Helper()
 		all := map[string]map[string]any{}
@@ -128,13 +128,13 @@
 			t.Errorf("%d done and %d lost of %d, %d names", done, lost, n, len(all))
 		}
 		for _, l := range all {
-			if l["error"] != nil && code(l) != want {
+			if l["error"] != nil && errorCode(l) != want {
 				t.Errorf("%v, want %s", l["error"], want)
 			}
 		}
 	}
-	id := a.begin(jsonl(900, "question"), "10m")
-	started := a.until(id, 5*time.Second, "in_progress")
+	id := a.submit(batchLines(900, "question"), "10m")
+	started := a.waitFor(id, 5*time.Second, "in_progress")
 	if status, _ := a.call("DELETE", "/v1/files/"+started["input_file_id"].(string), "", nil); status != 200 {
 		t.Error(status)
 	}
@@ -142,10 +142,10 @@
 	if status, b := a.call("POST", "/v1/batches/"+id+"/cancel", "", nil); status != 200 || b["status"] != "cancelling" {
 		t.Errorf("%d %v", status, b)
 	}
-	check(a.until(id, 10*time.Second, "cancelled"), 900, "batch_cancelled")
+	check(a.waitFor(id, 10*time.Second, "cancelled"), 900, "batch_cancelled")
 	if status, m := a.call("POST", "/v1/batches/"+id+"/cancel", "", nil); status != 200 || m["status"] != "cancelled" {
 		t.Errorf("cancelled twice: %d %v", status, m)
 	}
-	check(a.until(a.begin(jsonl(900, "question"), "3s"), 15*time.Second, "expired"), 900, "batch_expired")
-	clean(t, st)
+	check(a.waitFor(a.submit(batchLines(900, "question"), "3s"), 15*time.Second, "expired"), 900, "batch_expired")
+	checkInvariants(t, deployment)
 }
--- a/internal/e2e/batchapiclient_test.go
+++ b/internal/e2e/batchapiclient_test.go
@@ -24,12 +24,12 @@
 )
 
 // api is a batch API and its caller.
-type api struct {
+type batchAPI struct {
 	t       *testing.T
 	at, key string
 }
 
-func (a *api) call(method, path, kind string, body io.Reader) (int, map[string]any) {
+func (a *batchAPI) call(method, path, kind string, body io.Reader) (int, map[string]any) {
 	a.t.Helper()
 	status, b := a.raw(method, path, kind, body)
 	var m map[string]any
@@ -39,7 +39,7 @@
 	return status, m
 }
 
-func (a *api) raw(method, path, kind string, body io.Reader) (int, []byte) {
+func (a *batchAPI) raw(method, path, kind string, body io.Reader) (int, []byte) {
 	a.t.Helper()
 	req, err := http.NewRequest(method, a.at+path, body)
 	if err != nil {
@@ -61,7 +61,7 @@
 	return res.StatusCode, b
 }
 
-func (a *api) upload(text string) (int, map[string]any) {
+func (a *batchAPI) upload(text string) (int, map[string]any) {
 	a.t.Helper()
 	var b bytes.Buffer
 	form := multipart.NewWriter(&b)
@@ -75,7 +75,7 @@
 	return a.call("POST", "/v1/files", form.FormDataContentType(), &b)
 }
 
-func (a *api) begin(text, window string) string {
+func (a *batchAPI) submit(text, window string) string {
 	a.t.Helper()
 	status, f := a.upload(text)
 	if status != 200 {
@@ -90,7 +90,7 @@
 }
 
 // until waits for a batch to be over.
-func (a *api) until(id string, within time.Duration, states ...string) map[string]any {
+func (a *batchAPI) waitFor(id string, within time.Duration, states ...string) map[string]any {
 	a.t.Helper()
 	var b map[string]any
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
@@ -110,7 +110,7 @@
 }
 
 // results gives the lines of a batch's file, by custom id; each must stand there once.
-func (a *api) results(b map[string]any, which string, into map[string]map[string]any) int {
+func (a *batchAPI) results(b map[string]any, which string, into map[string]map[string]any) int {
 	a.t.Helper()
 	id, ok := b[which].(string)
 	if !ok {
@@ -135,9 +135,9 @@
 	return n
 }
 
-func code(l map[string]any) string { return l["error"].(map[string]any)["code"].(string) }
+func errorCode(l map[string]any) string { return l["error"].(map[string]any)["code"].(string) }
 
-func jsonl(n int, model string) string {
+func batchLines(n int, model string) string {
 	var b strings.Builder
 	for i := range n {
 		fmt.Fprintf(&b, `{"custom_id": "line%d", "method": "POST", "url": "/v1/completions", "body": {"model": %q, "prompt": "Draw up a roster, please: %d", "max_tokens": 6, "prompt_tokens": 60}}`+"\n", i, model, i)
@@ -151,25 +151,25 @@
 }
 
 // openAPI serves the batch API of a stage's dispatcher for the tenants of the keys.
-func openAPI(t *testing.T, st *scenario.Deployment, dir string, change func(p *batchrunner.Config)) *api {
+func startBatchAPI(t *testing.T, deployment *scenario.Deployment, dir string, change func(p *batchrunner.Config)) *batchAPI {
 	t.Helper()
 	s, err := batchstore.Open(dir, 1<<20)
 	if err != nil {
 		t.Fatal(err)
 	}
 	p := batchrunner.Config{
-		Tenants: []batchrunner.Tenant{{Name: "", Weight: 1}, {Name: "other", Weight: 1}}, DispatcherAddress: st.Addresses()[0], MaxLinesInFlight: 16, InitialBackoff: 50 * time.Millisecond, MaxLines: 1000, MaxLineBytes: 4096, Seed: 1,
+		Tenants: []batchrunner.Tenant{{Name: "", Weight: 1}, {Name: "other", Weight: 1}}, DispatcherAddress: deployment.Addresses()[0], MaxLinesInFlight: 16, InitialBackoff: 50 * time.Millisecond, MaxLines: 1000, MaxLineBytes: 4096, Seed: 1,
 		Classes: map[string]batchrunner.Class{"question": {Timeout: 2 * time.Second}, "booking": {Effect: batchscheduler.NonIdempotent, Timeout: 2 * time.Second}},
 	}
 	if change != nil {
 		change(&p)
 	}
-	r, err := batchrunner.New(s, p, quiet)
+	r, err := batchrunner.New(s, p, discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	srv, err := frontend.New(ctx, s, r, frontend.Limits{MaxFileBytes: 200 << 10, MaxCompletionWindow: time.Hour, MaxHeaderBytes: 16 << 10}, map[string]string{hashOf("k1"): "", hashOf("k2"): "other"}, quiet)
+	srv, err := frontend.New(ctx, s, r, frontend.Limits{MaxFileBytes: 200 << 10, MaxCompletionWindow: time.Hour, MaxHeaderBytes: 16 << 10}, map[string]string{hashOf("k1"): "", hashOf("k2"): "other"}, discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -189,5 +189,5 @@
 		}
 		s.Close()
 	})
-	return &api{t, "http://" + ln.Addr().String(), "k1"}
+	return &batchAPI{t, "http://" + ln.Addr().String(), "k1"}
 }
--- a/internal/e2e/batching_test.go
+++ b/internal/e2e/batching_test.go
@@ -12,10 +12,10 @@
 	"docksail/internal/lab/scenario"
 )
 
-// TestBatchingHosts: a day with troubles against hosts that batch keeps the rules and gives whole answers; memory that
+// TestBatchingEngines: a day with troubles against hosts that batch keeps the rules and gives whole answers; memory that
 // is short preempts answers, which come whole all the same.
-func TestBatchingHosts(t *testing.T) {
-	s, err := scenario.Parse("day", []byte(strings.Replace(day, "TROUBLES", `{"kind": "crash", "at": "1s", "for": "1s", "servers": [1]},
+func TestBatchingEngines(t *testing.T) {
+	s, err := scenario.Parse("day", []byte(strings.Replace(scenarioText, "TROUBLES", `{"kind": "crash", "at": "1s", "for": "1s", "servers": [1]},
 		{"kind": "hang", "at": "2s", "for": "1s", "servers": [4]}, {"kind": "slow", "at": "3s", "for": "1s", "servers": [2, 3], "factor": 3}`, 1)))
 	if err != nil {
 		t.Fatal(err)
@@ -24,11 +24,11 @@
 	for i := range s.Servers {
 		s.Servers[i].MemoryTokens = 12000
 	}
-	rep := playScript(t, s, nil)
-	for _, v := range rep.Violations {
+	report := runScript(t, s, nil)
+	for _, v := range report.Violations {
 		t.Error(v)
 	}
-	for name, sum := range rep.Summaries {
+	for name, sum := range report.Summaries {
 		if sum.Corrupt > 0 || sum.Served < sum.Requests/3 {
 			t.Errorf("track %s: %d of %d honoured, %d wrong", name, sum.Served, sum.Requests, sum.Corrupt)
 		}
@@ -37,18 +37,18 @@
 
 // TestShortMemoryPreempts: answers together need more memory than the writer has.
 func TestShortMemoryPreempts(t *testing.T) {
-	st, client := stage(t, func(s *scenario.Script) {
+	deployment, client := startDeployment(t, func(s *scenario.Script) {
 		s.BatchModel = true
 		s.Servers[1].Count, s.Servers[1].MemoryTokens = 1, 1600
 	})
 	ends := make(chan codes.Code, 6)
 	for i := range 6 {
 		go func() {
-			req := job(fmt.Sprint("short", i))
+			req := newRequest(fmt.Sprint("short", i))
 			req.PromptTokens, req.MaxTokens = 100, 400
 			ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 			defer cancel()
-			_, s, _ := ask(ctx, client, req)
+			_, s, _ := generate(ctx, client, req)
 			ends <- s.Code()
 		}()
 	}
@@ -59,9 +59,9 @@
 	if got[codes.OK] < 2 || got[codes.DataLoss] > 0 {
 		t.Errorf("ended as %v, want no wrong token", got)
 	}
-	if n := st.Engines[2].Preemptions(); n == 0 {
+	if n := deployment.Engines[2].Preemptions(); n == 0 {
 		t.Error("nothing was preempted: memory was not short")
 	}
-	calm(t, st, 3*time.Second)
-	clean(t, st)
+	waitUntilIdle(t, deployment, 3*time.Second)
+	checkInvariants(t, deployment)
 }
--- a/internal/e2e/batchoutage_test.go
+++ b/internal/e2e/batchoutage_test.go
@@ -15,9 +15,9 @@
 	"docksail/internal/lab/eventlog"
 )
 
-// TestBatchKilled: the process is killed again and again while two batches run. Each line ends once; none of an
+// TestBatchSurvivesKills: the process is killed again and again while two batches run. Each line ends once; none of an
 // irreversible track runs twice.
-func TestBatchKilled(t *testing.T) {
+func TestBatchSurvivesKills(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
 	program := filepath.Join(dir, "docksail")
@@ -77,7 +77,7 @@
 	}
 	start()
 	t.Cleanup(func() { kill() })
-	a := &api{t, "http://" + at, "k1"}
+	a := &batchAPI{t, "http://" + at, "k1"}
 	up := func() {
 		t.Helper()
 		for end := time.Now().Add(10 * time.Second); ; time.Sleep(10 * time.Millisecond) {
@@ -91,14 +91,14 @@
 	}
 	up()
 	const n = 250
-	drafts, books := a.begin(jsonl(n, "draft"), "10m"), a.begin(jsonl(n, "book"), "10m")
+	drafts, books := a.submit(batchLines(n, "draft"), "10m"), a.submit(batchLines(n, "book"), "10m")
 	for i := range 10 {
 		time.Sleep(time.Duration(150+40*i) * time.Millisecond)
 		kill()
 		start()
 		up()
 	}
-	draft, booked := a.until(drafts, 60*time.Second, "completed"), a.until(books, 60*time.Second, "completed")
+	draft, booked := a.waitFor(drafts, 60*time.Second, "completed"), a.waitFor(books, 60*time.Second, "completed")
 	all := map[string]map[string]any{}
 	if got := a.results(draft, "output_file_id", all); got != n || draft["error_file_id"] != nil {
 		t.Errorf("%d of %d drafts done, %v", got, n, draft)
@@ -109,7 +109,7 @@
 		t.Errorf("%d bookings done and %d lost of %d", done, lost, n)
 	}
 	for name, l := range all {
-		if l["error"] != nil && code(l) != "may_have_run" {
+		if l["error"] != nil && errorCode(l) != "may_have_run" {
 			t.Errorf("%s: %v", name, l["error"])
 		}
 	}
@@ -124,38 +124,38 @@
 	t.Logf("killed ten times: drafts %d done, bookings %d done and %d that may have run, %d ran", n, done, lost, len(ran))
 }
 
-// TestBatchGoesOn: the engines are gone for a while, then the dispatcher drains and comes back: the batch waits, and
+// TestBatchSurvivesOutage: the engines are gone for a while, then the dispatcher drains and comes back: the batch waits, and
 // every line is answered.
-func TestBatchGoesOn(t *testing.T) {
+func TestBatchSurvivesOutage(t *testing.T) {
 	t.Parallel()
-	st, _ := stage(t, nil)
-	a := openAPI(t, st, t.TempDir(), nil)
-	id := a.begin(jsonl(400, "question"), "10m")
-	a.until(id, 5*time.Second, "in_progress")
+	deployment, _ := startDeployment(t, nil)
+	a := startBatchAPI(t, deployment, t.TempDir(), nil)
+	id := a.submit(batchLines(400, "question"), "10m")
+	a.waitFor(id, 5*time.Second, "in_progress")
 	time.Sleep(300 * time.Millisecond)
-	for _, e := range st.Engines {
+	for _, e := range deployment.Engines {
 		e.Crash()
 	}
 	time.Sleep(3 * time.Second)
-	b := a.until(id, time.Second, "in_progress")
+	b := a.waitFor(id, time.Second, "in_progress")
 	stood := b["request_counts"].(map[string]any)["completed"].(float64)
-	for _, e := range st.Engines {
+	for _, e := range deployment.Engines {
 		if err := e.Start(""); err != nil {
 			t.Fatal(err)
 		}
 		e.SkipWarmup()
 	}
 	time.Sleep(1500 * time.Millisecond)
-	st.DrainDispatcher(0, 2*time.Second)
-	if err := st.RestartDispatcher(0); err != nil {
+	deployment.DrainDispatcher(0, 2*time.Second)
+	if err := deployment.RestartDispatcher(0); err != nil {
 		t.Fatal(err)
 	}
-	b = a.until(id, 60*time.Second, "completed")
+	b = a.waitFor(id, 60*time.Second, "completed")
 	all := map[string]map[string]any{}
 	if n := a.results(b, "output_file_id", all); n != 400 || stood >= 400 || b["error_file_id"] != nil {
 		t.Errorf("%d of 400 done, %.0f before the engines came back; %v", n, stood, b)
 	}
-	for _, v := range st.CheckInvariants() {
+	for _, v := range deployment.CheckInvariants() {
 		t.Error(v)
 	}
 }
--- a/internal/e2e/drain_test.go
+++ b/internal/e2e/drain_test.go
@@ -21,33 +21,33 @@
 
 // TestDrainDuringConnect: a launch that waits for its connection is not sent once the host drains.
 func TestDrainDuringConnect(t *testing.T) {
-	st, client := stage(t, func(s *scenario.Script) { s.Servers[0].Count = 1 })
-	st.Proxies(0)[0].SetBlackhole(true) // the connection is made, but its engine never speaks
+	deployment, client := startDeployment(t, func(s *scenario.Script) { s.Servers[0].Count = 1 })
+	deployment.Proxies(0)[0].SetBlackhole(true) // the connection is made, but its engine never speaks
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
 	done := make(chan *status.Status, 1)
 	go func() {
-		_, s, _ := ask(ctx, client, job("drained"))
+		_, s, _ := generate(ctx, client, newRequest("drained"))
 		done <- s
 	}()
 	time.Sleep(50 * time.Millisecond)
-	st.SetServerHealth(1, pb.Health_HEALTH_DRAINING)
-	st.Proxies(0)[0].SetBlackhole(false)
+	deployment.SetServerHealth(1, pb.Health_HEALTH_DRAINING)
+	deployment.Proxies(0)[0].SetBlackhole(false)
 	s := <-done
 	if s.Code() != codes.Unavailable {
 		t.Errorf("ended with %v, want a nack: there is no other reader", s)
 	}
 	for range 20 { // nothing new goes there
-		ask(ctx, client, job("after"))
+		generate(ctx, client, newRequest("after"))
 	}
-	clean(t, st)
+	checkInvariants(t, deployment)
 }
 
 // TestDrain: jobs in hand are finished, new ones refused, then the dispatcher ends.
 func TestDrain(t *testing.T) {
-	st, client := stage(t, nil)
+	deployment, client := startDeployment(t, nil)
 	health := func() healthpb.HealthCheckResponse_ServingStatus {
-		c, err := grpc.NewClient(st.Addresses()[0], grpc.WithTransportCredentials(insecure.NewCredentials()))
+		c, err := grpc.NewClient(deployment.Addresses()[0], grpc.WithTransportCredentials(insecure.NewCredentials()))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -61,7 +61,7 @@
 	if s := health(); s != healthpb.HealthCheckResponse_SERVING {
 		t.Errorf("health %v before the drain", s)
 	}
-	watching, err := grpc.NewClient(st.Addresses()[0], grpc.WithTransportCredentials(insecure.NewCredentials()))
+	watching, err := grpc.NewClient(deployment.Addresses()[0], grpc.WithTransportCredentials(insecure.NewCredentials()))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -73,7 +73,7 @@
 	if res, err := watch.Recv(); err != nil || res.Status != healthpb.HealthCheckResponse_SERVING {
 		t.Fatalf("health watch: %v, %v", res, err)
 	}
-	long := job("drain")
+	long := newRequest("drain")
 	long.MaxTokens = 200
 	end := make(chan *status.Status, 1)
 	began := make(chan bool)
@@ -92,7 +92,7 @@
 		end <- status.Convert(err)
 	}()
 	<-began
-	r := st.Dispatcher(0)
+	r := deployment.Dispatcher(0)
 	r.Drain(5 * time.Second)
 	if res, err := watch.Recv(); err != nil || res.Status != healthpb.HealthCheckResponse_NOT_SERVING {
 		t.Errorf("health watch at the drain: %v, %v, want NOT_SERVING", res, err)
@@ -107,22 +107,22 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	if _, s, _ := ask(ctx, client, job("late")); s.Code() != codes.Unavailable {
+	if _, s, _ := generate(ctx, client, newRequest("late")); s.Code() != codes.Unavailable {
 		t.Errorf("a job after the drain ended with %v", s)
 	}
 }
 
-// TestDrainTimeUp: what is not finished in the time to drain is answered all the same.
-func TestDrainTimeUp(t *testing.T) {
-	st, client := stage(t, nil)
-	hang(st, 3, 4)
+// TestDrainTimeout: what is not finished in the time to drain is answered all the same.
+func TestDrainTimeout(t *testing.T) {
+	deployment, client := startDeployment(t, nil)
+	hangEngines(deployment, 3, 4)
 	end := make(chan *status.Status, 1)
 	go func() {
-		_, s, _ := ask(context.Background(), client, job("hung"))
+		_, s, _ := generate(context.Background(), client, newRequest("hung"))
 		end <- s
 	}()
 	time.Sleep(150 * time.Millisecond)
-	r := st.Dispatcher(0)
+	r := deployment.Dispatcher(0)
 	begin := time.Now()
 	r.Drain(200 * time.Millisecond)
 	if s := <-end; s.Code() != codes.Unavailable || time.Since(begin) > time.Second {
@@ -135,11 +135,11 @@
 	}
 }
 
-// TestWaitingIsTaken: jobs that wait at the door when the dispatcher drains are answered, each once; those that leave
+// TestDrainAnswersWaitingRequests: jobs that wait at the door when the dispatcher drains are answered, each once; those that leave
 // leave no trace.
-func TestWaitingIsTaken(t *testing.T) {
-	st, client := stage(t, nil)
-	hang(st, 1, 2)
+func TestDrainAnswersWaitingRequests(t *testing.T) {
+	deployment, client := startDeployment(t, nil)
+	hangEngines(deployment, 1, 2)
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	ends := map[codes.Code]int{}
@@ -152,14 +152,14 @@
 			if i%3 == 0 {
 				time.AfterFunc(150*time.Millisecond, cancel)
 			}
-			_, s, _ := ask(ctx, client, job(fmt.Sprint("waits", i)))
+			_, s, _ := generate(ctx, client, newRequest(fmt.Sprint("waits", i)))
 			mu.Lock()
 			ends[s.Code()]++
 			mu.Unlock()
 		}()
 	}
 	time.Sleep(100 * time.Millisecond)
-	r := st.Dispatcher(0)
+	r := deployment.Dispatcher(0)
 	r.Drain(300 * time.Millisecond)
 	wg.Wait()
 	if ends[codes.Unavailable] != 40 || ends[codes.Canceled] != 20 {
@@ -170,7 +170,7 @@
 	case <-time.After(3 * time.Second):
 		t.Fatal("the dispatcher did not end")
 	}
-	for _, v := range st.CheckInvariants() {
+	for _, v := range deployment.CheckInvariants() {
 		t.Error(v)
 	}
 }
--- a/internal/e2e/e2e_test.go
+++ b/internal/e2e/e2e_test.go
@@ -24,10 +24,10 @@
 	"docksail/internal/lab/scenario"
 )
 
-var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
+var discardLog = slog.New(slog.NewTextHandler(io.Discard, nil))
 
 // day is a small day that the tests change.
-const day = `{
+const scenarioText = `{
   "for": "5s", "sessions_per_second": 25, "lister_late": "50ms", "release_within": "300ms", "attempts": 5,
   "cold_start": {"from": 0.1, "warm_after": "6s", "overload_factor": 1.2, "overload_window": "1s"},
   "fleet": [
@@ -45,21 +45,21 @@
 }`
 
 // stage is one dispatcher with two readers (hosts 1 and 2) and two writers (3 and 4).
-func stage(t *testing.T, change func(s *scenario.Script)) (*scenario.Deployment, pb.GenerationClient) {
+func startDeployment(t *testing.T, change func(s *scenario.Script)) (*scenario.Deployment, pb.GenerationClient) {
 	t.Helper()
-	s, err := scenario.Parse("day", []byte(strings.Replace(day, "TROUBLES", "", 1)))
+	s, err := scenario.Parse("day", []byte(strings.Replace(scenarioText, "TROUBLES", "", 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if change != nil {
 		change(s)
 	}
-	st, err := scenario.Start(s, quiet)
+	deployment, err := scenario.Start(s, discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(st.Close)
-	return st, dial(t, st.Addresses()[0])
+	t.Cleanup(deployment.Close)
+	return deployment, dial(t, deployment.Addresses()[0])
 }
 
 func dial(t *testing.T, to string) pb.GenerationClient {
@@ -85,12 +85,12 @@
 	return pb.NewGenerationClient(conn)
 }
 
-func job(label string) *pb.GenerateRequest {
+func newRequest(label string) *pb.GenerateRequest {
 	return &pb.GenerateRequest{Track: "question", PromptTokens: 500, MaxTokens: 20, Label: label, Prompt: []byte(label)}
 }
 
 // ask plays a job to its end: the tokens, the final status and the trailer.
-func ask(ctx context.Context, c pb.GenerationClient, req *pb.GenerateRequest) (int, *status.Status, metadata.MD) {
+func generate(ctx context.Context, c pb.GenerationClient, req *pb.GenerateRequest) (int, *status.Status, metadata.MD) {
 	stream, err := c.Generate(ctx, req)
 	if err != nil {
 		return 0, status.Convert(err), nil
@@ -114,18 +114,18 @@
 }
 
 // calm waits until no engine does or holds anything and the dispatcher has no job in hand.
-func calm(t *testing.T, st *scenario.Deployment, within time.Duration) {
+func waitUntilIdle(t *testing.T, deployment *scenario.Deployment, within time.Duration) {
 	t.Helper()
 	var what string
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		what = ""
-		for _, e := range st.Engines {
+		for _, e := range deployment.Engines {
 			running, waiting := e.Load()
 			if running+waiting+e.HeldStates() > 0 {
 				what += fmt.Sprintf(" host %d runs %d, has %d waiting, holds %d;", e.Spec.ID, running, waiting, e.HeldStates())
 			}
 		}
-		st.Dispatcher(0).RunOnLoop(func(d *dispatch.Dispatcher) {
+		deployment.Dispatcher(0).RunOnLoop(func(d *dispatch.Dispatcher) {
 			if d.InFlight() > 0 {
 				what += fmt.Sprintf(" dispatcher has %d in hand", d.InFlight())
 			}
@@ -137,55 +137,55 @@
 	t.Errorf("after %v:%s", within, what)
 }
 
-func clean(t *testing.T, st *scenario.Deployment) {
+func checkInvariants(t *testing.T, deployment *scenario.Deployment) {
 	t.Helper()
-	for _, v := range st.CheckInvariants() {
+	for _, v := range deployment.CheckInvariants() {
 		t.Error(v)
 	}
-	st.Dispatcher(0).RunOnLoop(func(d *dispatch.Dispatcher) {
+	deployment.Dispatcher(0).RunOnLoop(func(d *dispatch.Dispatcher) {
 		if d.Counts.InvalidDecisions > 0 {
 			t.Errorf("the account of a job refused %d decisions", d.Counts.InvalidDecisions)
 		}
 	})
 }
 
-func hang(st *scenario.Deployment, hosts ...int) {
+func hangEngines(deployment *scenario.Deployment, hosts ...int) {
 	for _, h := range hosts {
-		st.Engines[h-1].SetFaults(func(f *engine.Faults) { f.Hanging = true })
+		deployment.Engines[h-1].SetFaults(func(f *engine.Faults) { f.Hanging = true })
 	}
 }
 
-func turn(st *scenario.Deployment, yes bool, hosts ...int) {
+func setDraining(deployment *scenario.Deployment, yes bool, hosts ...int) {
 	for _, h := range hosts {
-		st.Engines[h-1].SetFaults(func(f *engine.Faults) { f.Draining = yes })
+		deployment.Engines[h-1].SetFaults(func(f *engine.Faults) { f.Draining = yes })
 	}
 }
 
-func playChanged(t *testing.T, troubles string, wrap func(dispatch.Module) dispatch.Module, change func(s *scenario.Script)) *scenario.Report {
+func runScenario(t *testing.T, troubles string, wrap func(dispatch.Module) dispatch.Module, change func(s *scenario.Script)) *scenario.Report {
 	t.Helper()
-	s, err := scenario.Parse("day", []byte(strings.Replace(day, "TROUBLES", troubles, 1)))
+	s, err := scenario.Parse("day", []byte(strings.Replace(scenarioText, "TROUBLES", troubles, 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if change != nil {
 		change(s)
 	}
-	return playScript(t, s, wrap)
+	return runScript(t, s, wrap)
 }
 
-func playScript(t *testing.T, s *scenario.Script, wrap func(dispatch.Module) dispatch.Module) *scenario.Report {
+func runScript(t *testing.T, s *scenario.Script, wrap func(dispatch.Module) dispatch.Module) *scenario.Report {
 	t.Helper()
-	st, err := scenario.StartWithModule(s, quiet, func(int) func(dispatch.Module) dispatch.Module { return wrap })
+	deployment, err := scenario.StartWithModule(s, discardLog, func(int) func(dispatch.Module) dispatch.Module { return wrap })
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer st.Close()
-	rep, err := st.Run(context.Background())
+	defer deployment.Close()
+	report, err := deployment.Run(context.Background())
 	if err != nil {
 		t.Fatal(err)
 	}
 	var out strings.Builder
-	rep.Print(&out)
+	report.Print(&out)
 	t.Log("\n" + out.String())
-	return rep
+	return report
 }
--- a/internal/e2e/faults_test.go
+++ b/internal/e2e/faults_test.go
@@ -23,23 +23,23 @@
 func TestClientCancels(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		set    func(st *scenario.Deployment)
+		set    func(deployment *scenario.Deployment)
 		tokens int // cancel after so many; 0 = after the time
 		after  time.Duration
 	}{
-		{"before the read", func(st *scenario.Deployment) { turn(st, true, 1, 2) }, 0, 30 * time.Millisecond},
-		{"during the read", func(st *scenario.Deployment) { hang(st, 1, 2) }, 0, 100 * time.Millisecond},
-		{"between read and write", func(st *scenario.Deployment) { turn(st, true, 3, 4) }, 0, 60 * time.Millisecond},
-		{"before the first token", func(st *scenario.Deployment) { hang(st, 3, 4) }, 0, 150 * time.Millisecond},
+		{"before the read", func(deployment *scenario.Deployment) { setDraining(deployment, true, 1, 2) }, 0, 30 * time.Millisecond},
+		{"during the read", func(deployment *scenario.Deployment) { hangEngines(deployment, 1, 2) }, 0, 100 * time.Millisecond},
+		{"between read and write", func(deployment *scenario.Deployment) { setDraining(deployment, true, 3, 4) }, 0, 60 * time.Millisecond},
+		{"before the first token", func(deployment *scenario.Deployment) { hangEngines(deployment, 3, 4) }, 0, 150 * time.Millisecond},
 		{"mid-stream", func(*scenario.Deployment) {}, 3, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			st, client := stage(t, nil)
-			c.set(st)
+			deployment, client := startDeployment(t, nil)
+			c.set(deployment)
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
-			req := job(c.name)
+			req := newRequest(c.name)
 			req.MaxTokens = 400
 			stream, err := client.Generate(ctx, req)
 			if err != nil {
@@ -55,25 +55,25 @@
 				time.Sleep(c.after)
 			}
 			cancel()
-			calm(t, st, st.Script.ReleaseTime+500*time.Millisecond)
-			launches := st.Counts().Attempts
+			waitUntilIdle(t, deployment, deployment.Script.ReleaseTime+500*time.Millisecond)
+			attempts := deployment.Counts().Attempts
 			time.Sleep(200 * time.Millisecond)
-			if now := st.Counts().Attempts; now != launches {
-				t.Errorf("%d launches after the client had left", now-launches)
+			if now := deployment.Counts().Attempts; now != attempts {
+				t.Errorf("%d attempts after the client had left", now-attempts)
 			}
-			clean(t, st)
+			checkInvariants(t, deployment)
 		})
 	}
 }
 
-// TestWriterStalls: after its first token; the client hears of it with one clear abandonment.
-func TestWriterStalls(t *testing.T) {
-	st, client := stage(t, nil)
+// TestDecodeServerStalls: after its first token; the client hears of it with one clear abandonment.
+func TestDecodeServerStalls(t *testing.T) {
+	deployment, client := startDeployment(t, nil)
 	for _, h := range []int{3, 4} {
-		st.Engines[h-1].SetFaults(func(f *engine.Faults) { f.StallAfter = 2 })
+		deployment.Engines[h-1].SetFaults(func(f *engine.Faults) { f.StallAfter = 2 })
 	}
 	begin := time.Now()
-	n, s, trailer := ask(context.Background(), client, job("stall"))
+	n, s, trailer := generate(context.Background(), client, newRequest("stall"))
 	if n != 2 || s.Code() != codes.Aborted {
 		t.Errorf("%d tokens, then %v, want two and ABORTED", n, s)
 	}
@@ -83,43 +83,43 @@
 	if took := time.Since(begin); took > 6*time.Second {
 		t.Errorf("took %v", took)
 	}
-	calm(t, st, time.Second)
-	clean(t, st)
+	waitUntilIdle(t, deployment, time.Second)
+	checkInvariants(t, deployment)
 }
 
-// TestWriterNeverBegins: the job is answered by another writer in its time.
-func TestWriterNeverBegins(t *testing.T) {
-	st, client := stage(t, nil)
-	hang(st, 3)
+// TestDecodeServerHangs: the job is answered by another writer in its time.
+func TestDecodeServerHangs(t *testing.T) {
+	deployment, client := startDeployment(t, nil)
+	hangEngines(deployment, 3)
 	for i := range 6 {
-		n, s, _ := ask(context.Background(), client, job(fmt.Sprint("never", i)))
+		n, s, _ := generate(context.Background(), client, newRequest(fmt.Sprint("never", i)))
 		if s.Code() != codes.OK || n == 0 {
 			t.Errorf("job %d: %d tokens, %v, want an answer from the other writer", i, n, s)
 		}
 	}
-	calm(t, st, time.Second)
-	clean(t, st)
+	waitUntilIdle(t, deployment, time.Second)
+	checkInvariants(t, deployment)
 }
 
-// TestReaderDiesHoldingState, and the state is gone when the writer fetches it: the prompt is read anew.
-func TestReaderDiesHoldingState(t *testing.T) {
-	st, client := stage(t, func(s *scenario.Script) {
+// TestPrefillServerDiesHoldingState, and the state is gone when the writer fetches it: the prompt is read anew.
+func TestPrefillServerDiesHoldingState(t *testing.T) {
+	deployment, client := startDeployment(t, func(s *scenario.Script) {
 		s.Classes[0].LatencyTarget = 2 * time.Second
 		s.Classes[0].Timeout = 5 * time.Second
 	})
-	turn(st, true, 3, 4) // the state has to wait at its reader
+	setDraining(deployment, true, 3, 4) // the state has to wait at its reader
 	var wg sync.WaitGroup
 	wg.Add(1)
 	var n int
 	var s *status.Status
 	go func() {
 		defer wg.Done()
-		n, s, _ = ask(context.Background(), client, job("dies"))
+		n, s, _ = generate(context.Background(), client, newRequest("dies"))
 	}()
-	for end := time.Now().Add(3 * time.Second); st.Engines[0].HeldStates()+st.Engines[1].HeldStates() == 0 && time.Now().Before(end); {
+	for end := time.Now().Add(3 * time.Second); deployment.Engines[0].HeldStates()+deployment.Engines[1].HeldStates() == 0 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
-	for _, e := range st.Engines[:2] {
+	for _, e := range deployment.Engines[:2] {
 		if e.HeldStates() > 0 {
 			e.Crash()
 			if err := e.Start(""); err != nil {
@@ -127,18 +127,18 @@
 			}
 		}
 	}
-	turn(st, false, 3, 4)
+	setDraining(deployment, false, 3, 4)
 	wg.Wait()
 	if s.Code() != codes.OK && s.Code() != codes.Unavailable || s.Code() == codes.OK && n == 0 {
 		t.Errorf("%d tokens, %v, want an answer or a nack", n, s)
 	}
-	calm(t, st, 2*time.Second)
-	clean(t, st)
+	waitUntilIdle(t, deployment, 2*time.Second)
+	checkInvariants(t, deployment)
 }
 
-// TestAnswerAndDeadlineCross: with patience about as long as an answer takes, each job still ends once, in time.
-func TestAnswerAndDeadlineCross(t *testing.T) {
-	s, err := scenario.Parse("day", []byte(strings.Replace(day, "TROUBLES", "", 1)))
+// TestAnswerNearDeadline: with patience about as long as an answer takes, each job still ends once, in time.
+func TestAnswerNearDeadline(t *testing.T) {
+	s, err := scenario.Parse("day", []byte(strings.Replace(scenarioText, "TROUBLES", "", 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -146,47 +146,47 @@
 		s.Classes[i].LatencyTarget, s.Classes[i].Timeout = 110*time.Millisecond, 120*time.Millisecond
 	}
 	s.Duration, s.SessionsPerSecond = 3*time.Second, 60
-	rep := playScript(t, s, nil)
-	if len(rep.Violations) > 0 || rep.Counts.InvalidDecisions > 0 {
-		t.Errorf("%v, %d decisions refused", rep.Violations, rep.Counts.InvalidDecisions)
+	report := runScript(t, s, nil)
+	if len(report.Violations) > 0 || report.Counts.InvalidDecisions > 0 {
+		t.Errorf("%v, %d decisions refused", report.Violations, report.Counts.InvalidDecisions)
 	}
-	q := rep.Summaries["question"]
+	q := report.Summaries["question"]
 	if q.Served == 0 || q.Served == q.Requests {
 		t.Errorf("%d of %d honoured: nothing crossed", q.Served, q.Requests)
 	}
 }
 
-// TestKilledAndRestarted: with its listers away it serves by the list that it kept, and a host that has just
+// TestDispatcherKilledAndRestarted: with its listers away it serves by the list that it kept, and a host that has just
 // started is still taken for cold.
-func TestKilledAndRestarted(t *testing.T) {
-	st, client := stage(t, nil)
-	if _, s, _ := ask(context.Background(), client, job("before")); s.Code() != codes.OK {
+func TestDispatcherKilledAndRestarted(t *testing.T) {
+	deployment, client := startDeployment(t, nil)
+	if _, s, _ := generate(context.Background(), client, newRequest("before")); s.Code() != codes.OK {
 		t.Fatal(s)
 	}
-	st.Engines[0].Crash()
-	if err := st.Engines[0].Start(""); err != nil {
+	deployment.Engines[0].Crash()
+	if err := deployment.Engines[0].Start(""); err != nil {
 		t.Fatal(err)
 	}
-	st.SetServerHealth(1, pb.Health_HEALTH_SERVING) // with its new start
+	deployment.SetServerHealth(1, pb.Health_HEALTH_SERVING) // with its new start
 	time.Sleep(200 * time.Millisecond)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	long := job("killed")
+	long := newRequest("killed")
 	long.MaxTokens = 2000
 	lost := make(chan *status.Status, 1)
 	go func() {
-		_, s, _ := ask(ctx, client, long)
+		_, s, _ := generate(ctx, client, long)
 		lost <- s
 	}()
 	time.Sleep(200 * time.Millisecond)
-	if err := st.SetDiscoveryRunning(false); err != nil {
+	if err := deployment.SetDiscoveryRunning(false); err != nil {
 		t.Fatal(err)
 	}
-	st.KillDispatcher(0)
+	deployment.KillDispatcher(0)
 	if s := <-lost; s.Code() == codes.OK {
 		t.Error("the stream outlived its dispatcher")
 	}
-	if err := st.RestartDispatcher(0); err != nil {
+	if err := deployment.RestartDispatcher(0); err != nil {
 		t.Fatal(err)
 	}
 	var wg sync.WaitGroup
@@ -199,7 +199,7 @@
 			time.Sleep(time.Duration(i) * 60 * time.Millisecond)
 			ctx, cancel := context.WithTimeout(ctx, 4*time.Second)
 			defer cancel()
-			stream, err := client.Generate(ctx, job(fmt.Sprint("after", i)), grpc.WaitForReady(true))
+			stream, err := client.Generate(ctx, newRequest(fmt.Sprint("after", i)), grpc.WaitForReady(true))
 			for err == nil {
 				_, err = stream.Recv()
 			}
@@ -215,5 +215,5 @@
 	if ends[codes.OK] < 20 || ends[codes.OK]+ends[codes.Unavailable]+ends[codes.Aborted] != 40 {
 		t.Errorf("after the restart jobs ended as %v, want half of 40 honoured at least, the others nacked or abandoned", ends)
 	}
-	clean(t, st)
+	checkInvariants(t, deployment)
 }
--- a/internal/e2e/flood_test.go
+++ b/internal/e2e/flood_test.go
@@ -21,7 +21,7 @@
 )
 
 // crowd is a day on which one client of many asks for more than the fleet bears; the tests change it.
-const crowd = `{
+const floodScenarioText = `{
   "for": "8s", "sessions_per_second": 60, "lister_late": "50ms", "release_within": "500ms", "attempts": 5, "requests_waiting": 400,
   "cold_start": {"from": 1, "warm_after": "1s", "overload_factor": 100, "overload_window": "1s"},
   "fleet": [
@@ -37,10 +37,10 @@
   ]
 }`
 
-func crowdDay(t *testing.T, flood bool, how string) *scenario.Script {
+func floodScript(t *testing.T, flood bool, how string) *scenario.Script {
 	t.Helper()
 	small, much := "0.1", "0.9"
-	text := crowd
+	text := floodScenarioText
 	if !flood {
 		small, much = "1", "0"
 		text = strings.Replace(text, `"sessions_per_second": 60`, `"sessions_per_second": 6`, 1)
@@ -52,7 +52,7 @@
 	return s
 }
 
-func p(first []time.Duration, q float64) time.Duration {
+func quantile(first []time.Duration, q float64) time.Duration {
 	if len(first) == 0 {
 		return 0
 	}
@@ -63,8 +63,8 @@
 // TestFloodOfOneClient: under one name, under made-up names, and ignoring all advice. The small clients' wait stays
 // within a small factor of the same day without the flood, and far from what order of arrival makes of it.
 func TestFloodOfOneClient(t *testing.T) {
-	quietDay := playScript(t, crowdDay(t, false, `"clients": 1`), nil)
-	calmP50, calmP99 := p(quietDay.Summaries["small"].FirstTokenTimes, 0.5), p(quietDay.Summaries["small"].FirstTokenTimes, 0.99)
+	quietDay := runScript(t, floodScript(t, false, `"clients": 1`), nil)
+	calmP50, calmP99 := quantile(quietDay.Summaries["small"].FirstTokenTimes, 0.5), quantile(quietDay.Summaries["small"].FirstTokenTimes, 0.99)
 	for _, c := range []struct{ name, how string }{
 		{"one name", `"clients": 1`},
 		{"made-up names", `"made_up": true`},
@@ -73,24 +73,24 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			fair := playScript(t, crowdDay(t, true, c.how), nil)
-			s := crowdDay(t, true, c.how)
+			fair := runScript(t, floodScript(t, true, c.how), nil)
+			s := floodScript(t, true, c.how)
 			s.FIFO = true
-			first := playScript(t, s, nil)
+			first := runScript(t, s, nil)
 			a, b := fair.Summaries["small"], first.Summaries["small"]
 			t.Logf("small clients, p50/p99 to the first token: without the flood %v/%v, with it %v/%v, in order of arrival %v/%v; honoured %d of %d, in order of arrival %d of %d",
-				calmP50, calmP99, p(a.FirstTokenTimes, 0.5), p(a.FirstTokenTimes, 0.99), p(b.FirstTokenTimes, 0.5), p(b.FirstTokenTimes, 0.99), a.Served, a.Requests, b.Served, b.Requests)
-			for _, rep := range []*scenario.Report{fair, first} {
-				if len(rep.Violations) > 0 || rep.Counts.InvalidDecisions > 0 {
-					t.Errorf("%v, %d decisions refused", rep.Violations, rep.Counts.InvalidDecisions)
+				calmP50, calmP99, quantile(a.FirstTokenTimes, 0.5), quantile(a.FirstTokenTimes, 0.99), quantile(b.FirstTokenTimes, 0.5), quantile(b.FirstTokenTimes, 0.99), a.Served, a.Requests, b.Served, b.Requests)
+			for _, report := range []*scenario.Report{fair, first} {
+				if len(report.Violations) > 0 || report.Counts.InvalidDecisions > 0 {
+					t.Errorf("%v, %d decisions refused", report.Violations, report.Counts.InvalidDecisions)
 				}
 			}
-			if got := p(a.FirstTokenTimes, 0.5); got > 4*calmP50+100*time.Millisecond {
+			if got := quantile(a.FirstTokenTimes, 0.5); got > 4*calmP50+100*time.Millisecond {
 				t.Errorf("half of the small clients waited %v and more, without the flood %v", got, calmP50)
 			}
 			// One in a hundred waits for reads that run already, and for a turn of each of the others. The machine is busy with
 			// other tests: the stated bound is held in simulated time, by TestFloodSimulated in internal/lab/sim.
-			if got := p(a.FirstTokenTimes, 0.99); got > 10*calmP99+300*time.Millisecond {
+			if got := quantile(a.FirstTokenTimes, 0.99); got > 10*calmP99+300*time.Millisecond {
 				t.Errorf("one in a hundred of the small clients waited %v and more, without the flood %v", got, calmP99)
 			}
 			if a.Served < a.Requests*8/10 {
@@ -103,9 +103,9 @@
 // TestFloodHoldsNoMemory: two hundred connections of one address send jobs as fast as they are refused; the heap is as
 // large late in the flood as early in it, the door keeps its bounds, and clients of another address are served.
 func TestFloodHoldsNoMemory(t *testing.T) {
-	st, _ := stage(t, func(s *scenario.Script) { s.MaxWaiting = 200 })
-	to := st.Addresses()[0]
-	if _, s, _ := ask(context.Background(), dialFrom(t, 8, to), job("first")); s.Code() != codes.OK {
+	deployment, _ := startDeployment(t, func(s *scenario.Script) { s.MaxWaiting = 200 })
+	to := deployment.Addresses()[0]
+	if _, s, _ := generate(context.Background(), dialFrom(t, 8, to), newRequest("first")); s.Code() != codes.OK {
 		t.Fatal(s)
 	}
 	ctx, stop := context.WithCancel(context.Background())
@@ -117,10 +117,10 @@
 		go func() {
 			defer wg.Done()
 			for i := 0; ctx.Err() == nil; i++ {
-				req := job(fmt.Sprint("flood", n, ".", i))
+				req := newRequest(fmt.Sprint("flood", n, ".", i))
 				req.Client = req.Label
 				sent.Add(1)
-				if _, s, _ := ask(ctx, c, req); s.Code() == codes.OK {
+				if _, s, _ := generate(ctx, c, req); s.Code() == codes.OK {
 					continue
 				}
 				select { // 2,000 a second at most
@@ -136,7 +136,7 @@
 	for i := range 12 {
 		begin := time.Now()
 		for tries := 0; ; tries++ {
-			_, s, md := ask(context.Background(), beside, job(fmt.Sprint("beside", i, ".", tries)))
+			_, s, md := generate(context.Background(), beside, newRequest(fmt.Sprint("beside", i, ".", tries)))
 			if s.Code() == codes.OK {
 				break
 			}
@@ -153,7 +153,7 @@
 		runtime.GC()
 		runtime.ReadMemStats(&m)
 		heap = append(heap, m.HeapAlloc)
-		st.Dispatcher(0).RunOnLoop(func(d *dispatch.Dispatcher) {
+		deployment.Dispatcher(0).RunOnLoop(func(d *dispatch.Dispatcher) {
 			if v := d.Status(); v.Waiting > 200 || v.Flows > 1300 {
 				t.Errorf("%d wait of 200, %d flows", v.Waiting, v.Flows)
 			}
@@ -172,13 +172,13 @@
 	if sent.Load() < 2000 {
 		t.Errorf("%d jobs sent: no flood", sent.Load())
 	}
-	clean(t, st)
+	checkInvariants(t, deployment)
 }
 
 // TestFloodOfConnections: one address opens as many connections as it can; another's client is served as before.
 func TestFloodOfConnections(t *testing.T) {
-	st, _ := stage(t, func(s *scenario.Script) { s.MaxConnections = 200 })
-	to := st.Addresses()[0]
+	deployment, _ := startDeployment(t, func(s *scenario.Script) { s.MaxConnections = 200 })
+	to := deployment.Addresses()[0]
 	from := &net.Dialer{Timeout: 2 * time.Second, LocalAddr: &net.TCPAddr{IP: net.IPv4(127, 0, 0, 9)}}
 	var conns []net.Conn
 	defer func() {
@@ -194,11 +194,11 @@
 		conns = append(conns, c)
 	}
 	for i := range 8 {
-		if _, s, _ := ask(context.Background(), dialFrom(t, 10, to), job(fmt.Sprint("beside", i))); s.Code() != codes.OK {
+		if _, s, _ := generate(context.Background(), dialFrom(t, 10, to), newRequest(fmt.Sprint("beside", i))); s.Code() != codes.OK {
 			t.Errorf("client %d of another address: %v", i, s)
 		}
 	}
-	status, err := st.Dispatcher(0).Status()
+	status, err := deployment.Dispatcher(0).Status()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -207,17 +207,17 @@
 	if status.ClientConns > 200 || c.SourceLimitReached == 0 {
 		t.Errorf("%d connections open of 200, %d refused for their address", status.ClientConns, c.SourceLimitReached)
 	}
-	clean(t, st)
+	checkInvariants(t, deployment)
 }
 
 // TestTenThousandClients: each sends one job at once; every one is answered, memory stays flat.
 func TestTenThousandClients(t *testing.T) {
-	st, client := stage(t, func(s *scenario.Script) { s.MaxWaiting = 500 })
+	deployment, client := startDeployment(t, func(s *scenario.Script) { s.MaxWaiting = 500 })
 	clients := []pb.GenerationClient{client}
 	for range 7 {
-		clients = append(clients, dial(t, st.Addresses()[0]))
+		clients = append(clients, dial(t, deployment.Addresses()[0]))
 	}
-	if _, s, _ := ask(context.Background(), client, job("first")); s.Code() != codes.OK {
+	if _, s, _ := generate(context.Background(), client, newRequest("first")); s.Code() != codes.OK {
 		t.Fatal(s)
 	}
 	flows, heap := 0, uint64(0)
@@ -230,11 +230,11 @@
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				req := job(fmt.Sprint(name, i))
+				req := newRequest(fmt.Sprint(name, i))
 				req.Client = req.Label
 				ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 				defer cancel()
-				_, s, md := ask(ctx, clients[i%len(clients)], req)
+				_, s, md := generate(ctx, clients[i%len(clients)], req)
 				mu.Lock()
 				ends[s.Code()]++
 				if s.Code() == codes.Unavailable && (len(s.Details()) == 0 || len(md.Get("grpc-retry-pushback-ms")) == 0) {
@@ -252,7 +252,7 @@
 		runtime.GC() // what the clients' pools keep (sync.Pool) outlives one collection
 		runtime.ReadMemStats(&m)
 		heap = m.HeapAlloc
-		st.Dispatcher(0).RunOnLoop(func(d *dispatch.Dispatcher) {
+		deployment.Dispatcher(0).RunOnLoop(func(d *dispatch.Dispatcher) {
 			v := d.Status()
 			if v.Waiting != 0 || v.InFlight != 0 {
 				t.Errorf("%d wait and %d are in hand when all are answered", v.Waiting, v.InFlight)
@@ -270,5 +270,5 @@
 	if heap > before+(8<<20) {
 		t.Errorf("heap grew from %d to %d bytes over the second crowd", before, heap)
 	}
-	clean(t, st)
+	checkInvariants(t, deployment)
 }
--- a/internal/e2e/grpc_test.go
+++ b/internal/e2e/grpc_test.go
@@ -16,14 +16,14 @@
 	pb "docksail/api/docksail/v1"
 )
 
-// TestBadInput: a clear status, and other streams of the connection go on.
-func TestBadInput(t *testing.T) {
-	st, client := stage(t, nil)
-	long := job("beside")
+// TestInvalidRequests: a clear status, and other streams of the connection go on.
+func TestInvalidRequests(t *testing.T) {
+	deployment, client := startDeployment(t, nil)
+	long := newRequest("beside")
 	long.MaxTokens = 200
 	beside := make(chan *status.Status, 1)
 	go func() {
-		_, s, _ := ask(context.Background(), client, long)
+		_, s, _ := generate(context.Background(), client, long)
 		beside <- s
 	}()
 	for _, c := range []struct {
@@ -36,11 +36,11 @@
 		{"prompt too long", &pb.GenerateRequest{Track: "question", PromptTokens: 1 << 31}, "prompt too long"},
 		{"beginning longer than the prompt", &pb.GenerateRequest{Track: "question", PromptTokens: 5, BeginningTokens: 6}, "beginning_tokens"},
 	} {
-		if _, s, _ := ask(context.Background(), client, c.req); s.Code() != codes.InvalidArgument || !strings.Contains(s.Message(), c.want) {
+		if _, s, _ := generate(context.Background(), client, c.req); s.Code() != codes.InvalidArgument || !strings.Contains(s.Message(), c.want) {
 			t.Errorf("%s: %v, want INVALID_ARGUMENT with %q", c.name, s, c.want)
 		}
 	}
-	conn, err := grpc.NewClient(st.Addresses()[0], grpc.WithTransportCredentials(insecure.NewCredentials()),
+	conn, err := grpc.NewClient(deployment.Addresses()[0], grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithDefaultCallOptions(grpc.ForceCodec(bytesCodec{})))
 	if err != nil {
 		t.Fatal(err)
@@ -61,14 +61,14 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Nanosecond)
 	defer cancel()
-	if _, s, _ := ask(ctx, client, job("no time")); s.Code() != codes.DeadlineExceeded && s.Code() != codes.Unavailable {
+	if _, s, _ := generate(ctx, client, newRequest("no time")); s.Code() != codes.DeadlineExceeded && s.Code() != codes.Unavailable {
 		t.Errorf("no time: %v", s)
 	}
 	if s := <-beside; s.Code() != codes.OK {
 		t.Errorf("the stream beside ended with %v", s)
 	}
-	calm(t, st, time.Second)
-	clean(t, st)
+	waitUntilIdle(t, deployment, time.Second)
+	checkInvariants(t, deployment)
 }
 
 type bytesCodec struct{}
@@ -77,25 +77,25 @@
 func (bytesCodec) Unmarshal(b []byte, v any) error { *v.(*[]byte) = b; return nil }
 func (bytesCodec) Name() string                    { return "proto" }
 
-// TestNackSaysWhen: with no engine that takes work, a nack with advice comes at once enough to be of use.
-func TestNackSaysWhen(t *testing.T) {
-	st, client := stage(t, nil)
-	turn(st, true, 1, 2)
+// TestRejectionHasRetryAfter: with no engine that takes work, a nack with advice comes at once enough to be of use.
+func TestRejectionHasRetryAfter(t *testing.T) {
+	deployment, client := startDeployment(t, nil)
+	setDraining(deployment, true, 1, 2)
 	begin := time.Now()
-	_, s, trailer := ask(context.Background(), client, job("nacked"))
+	_, s, trailer := generate(context.Background(), client, newRequest("nacked"))
 	if s.Code() != codes.Unavailable || len(s.Details()) != 1 || len(trailer.Get("grpc-retry-pushback-ms")) != 1 {
 		t.Errorf("%v with details %v and trailer %v, want UNAVAILABLE with RetryInfo and pushback", s, s.Details(), trailer)
 	}
 	if took := time.Since(begin); took > 600*time.Millisecond {
 		t.Errorf("took %v, want less than the expected time", took)
 	}
-	clean(t, st)
+	checkInvariants(t, deployment)
 }
 
 // TestReflection: a client finds the service and its messages.
 func TestReflection(t *testing.T) {
-	st, _ := stage(t, nil)
-	conn, err := grpc.NewClient(st.Addresses()[0], grpc.WithTransportCredentials(insecure.NewCredentials()))
+	deployment, _ := startDeployment(t, nil)
+	conn, err := grpc.NewClient(deployment.Addresses()[0], grpc.WithTransportCredentials(insecure.NewCredentials()))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/e2e/invariants_test.go
+++ b/internal/e2e/invariants_test.go
@@ -11,8 +11,8 @@
 )
 
 // broken tells whether a run broke a rule.
-func broken(rep *scenario.Report, rule int) bool {
-	for _, v := range rep.Violations {
+func violates(report *scenario.Report, rule int) bool {
+	for _, v := range report.Violations {
 		if v.Rule == rule {
 			return true
 		}
@@ -34,21 +34,21 @@
 	}
 }
 
-// dropsAnswers cancels some attempts whose answer has begun to stream, and tells their clients nothing.
-type dropsAnswers struct {
+// dropsStreams cancels some attempts whose answer has begun to stream, and tells their clients nothing.
+type dropsStreams struct {
 	dispatch.Module
 	n       int
 	cancels []policy.Decision
 }
 
-func (m *dropsAnswers) StreamStarted(now policy.Nanos, id policy.RequestID, attempt policy.AttemptNumber, elapsed policy.Nanos) {
+func (m *dropsStreams) StreamStarted(now policy.Nanos, id policy.RequestID, attempt policy.AttemptNumber, elapsed policy.Nanos) {
 	m.Module.StreamStarted(now, id, attempt, elapsed)
 	if m.n++; m.n%7 == 0 {
 		m.cancels = append(m.cancels, policy.Decision{Action: policy.CancelAttempt, Request: id, Attempt: attempt})
 	}
 }
 
-func (m *dropsAnswers) NextDecision(now policy.Nanos) (policy.Decision, bool) {
+func (m *dropsStreams) NextDecision(now policy.Nanos) (policy.Decision, bool) {
 	if n := len(m.cancels); n > 0 {
 		what := m.cancels[n-1]
 		m.cancels = m.cancels[:n-1]
@@ -57,9 +57,9 @@
 	return m.Module.NextDecision(now)
 }
 
-type runsTwice struct{ dispatch.Module }
+type retriesAfterRun struct{ dispatch.Module }
 
-func (m runsTwice) AttemptEnded(now policy.Nanos, id policy.RequestID, shot policy.AttemptNumber, how policy.Outcome, elapsed policy.Nanos, over bool, load policy.LoadReport) {
+func (m retriesAfterRun) AttemptEnded(now policy.Nanos, id policy.RequestID, shot policy.AttemptNumber, how policy.Outcome, elapsed policy.Nanos, over bool, load policy.LoadReport) {
 	if how == policy.Failed || how == policy.ConnectionLost || how == policy.TimedOut {
 		how = policy.Unreachable // as if it had never run
 	}
@@ -75,17 +75,17 @@
 	m.Module.ServerListed(id, zone, kind, cell, h, at)
 }
 
-type floodsCold struct {
+type overloadsColdServer struct {
 	dispatch.Module
 	cold bool // host 1 has been listed with a new start
 }
 
-func (m *floodsCold) ServerListed(id policy.ServerID, zone policy.ZoneID, kind policy.KindID, cell policy.CellID, h policy.Health, at policy.Nanos) {
+func (m *overloadsColdServer) ServerListed(id policy.ServerID, zone policy.ZoneID, kind policy.KindID, cell policy.CellID, h policy.Health, at policy.Nanos) {
 	m.cold = m.cold || id == 1 && at > 0 && h == policy.Serving
 	m.Module.ServerListed(id, zone, kind, cell, h, at)
 }
 
-func (m *floodsCold) NextDecision(now policy.Nanos) (policy.Decision, bool) {
+func (m *overloadsColdServer) NextDecision(now policy.Nanos) (policy.Decision, bool) {
 	what, ok := m.Module.NextDecision(now)
 	if m.cold && what.Action == policy.SendAttempt && what.Server == 2 {
 		what.Server = 1 // all that the warm reader should read goes to the cold one
@@ -93,9 +93,9 @@
 	return what, ok
 }
 
-type neverLetsGo struct{ dispatch.Module }
+type neverReleases struct{ dispatch.Module }
 
-func (m neverLetsGo) NextDecision(now policy.Nanos) (policy.Decision, bool) {
+func (m neverReleases) NextDecision(now policy.Nanos) (policy.Decision, bool) {
 	for {
 		what, ok := m.Module.NextDecision(now)
 		if !ok || what.Action != policy.ReleaseState {
@@ -104,7 +104,7 @@
 	}
 }
 
-func TestCheckerCatches(t *testing.T) {
+func TestInvariantViolationsAreFound(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		rule     int
@@ -112,10 +112,10 @@
 		wrap     func(dispatch.Module) dispatch.Module
 		change   func(s *scenario.Script)
 	}{
-		{"an answer dropped", 1, ``, func(m dispatch.Module) dispatch.Module { return &dropsAnswers{Module: m} }, nil},
+		{"an answer dropped", 1, ``, func(m dispatch.Module) dispatch.Module { return &dropsStreams{Module: m} }, nil},
 		{
 			"an effect twice", 2, `{"kind": "errors", "at": "1s", "for": "3s", "servers": [3, 4], "factor": 0.5}`,
-			func(m dispatch.Module) dispatch.Module { return runsTwice{m} },
+			func(m dispatch.Module) dispatch.Module { return retriesAfterRun{m} },
 			func(s *scenario.Script) { s.Classes[0].Share, s.Classes[1].Share = 0, 1 },
 		},
 		{
@@ -124,18 +124,18 @@
 		},
 		{
 			"a cold host flooded", 4, `{"kind": "crash", "at": "500ms", "for": "500ms", "servers": [1]}`,
-			func(m dispatch.Module) dispatch.Module { return &floodsCold{Module: m} }, nil,
+			func(m dispatch.Module) dispatch.Module { return &overloadsColdServer{Module: m} }, nil,
 		},
 		{
 			"a state never let go", 5, `{"kind": "hang", "at": "1s", "for": "3s", "servers": [3, 4]}`,
-			func(m dispatch.Module) dispatch.Module { return neverLetsGo{m} }, nil,
+			func(m dispatch.Module) dispatch.Module { return neverReleases{m} }, nil,
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			caught := false
 			for range 4 { // the dispatcher's own guards make some faults rare
-				if caught = broken(playChanged(t, c.troubles, c.wrap, c.change), c.rule); caught {
+				if caught = violates(runScenario(t, c.troubles, c.wrap, c.change), c.rule); caught {
 					break
 				}
 			}
@@ -145,8 +145,8 @@
 		})
 		t.Run(c.name+", not", func(t *testing.T) {
 			t.Parallel()
-			if rep := playChanged(t, c.troubles, nil, c.change); len(rep.Violations) > 0 || rep.Counts.InvalidDecisions > 0 {
-				t.Errorf("rules broken by the module as it is: %v, %d decisions refused", rep.Violations, rep.Counts.InvalidDecisions)
+			if report := runScenario(t, c.troubles, nil, c.change); len(report.Violations) > 0 || report.Counts.InvalidDecisions > 0 {
+				t.Errorf("rules broken by the module as it is: %v, %d decisions refused", report.Violations, report.Counts.InvalidDecisions)
 			}
 		})
 	}
@@ -155,9 +155,9 @@
 // Requests that the module forgets are answered in time all the same, and counted.
 func TestForgottenRequestsAreAnswered(t *testing.T) {
 	t.Parallel()
-	rep := playChanged(t, ``, func(m dispatch.Module) dispatch.Module { return &forgetsRequests{Module: m} }, nil)
-	if len(rep.Violations) > 0 || rep.Counts.MissedDeadlines == 0 {
-		t.Errorf("rules broken: %v, %d requests answered by the dispatcher's deadline", rep.Violations, rep.Counts.MissedDeadlines)
+	report := runScenario(t, ``, func(m dispatch.Module) dispatch.Module { return &forgetsRequests{Module: m} }, nil)
+	if len(report.Violations) > 0 || report.Counts.MissedDeadlines == 0 {
+		t.Errorf("rules broken: %v, %d requests answered by the dispatcher's deadline", report.Violations, report.Counts.MissedDeadlines)
 	}
 }
 
@@ -171,15 +171,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	rep := playScript(t, s, nil)
-	for _, v := range rep.Violations {
+	report := runScript(t, s, nil)
+	for _, v := range report.Violations {
 		t.Error(v)
 	}
-	if rep.Counts.InvalidDecisions > 0 {
-		t.Errorf("the account of a job refused %d decisions", rep.Counts.InvalidDecisions)
+	if report.Counts.InvalidDecisions > 0 {
+		t.Errorf("the account of a job refused %d decisions", report.Counts.InvalidDecisions)
 	}
 	names := []string{}
-	for name, sum := range rep.Summaries {
+	for name, sum := range report.Summaries {
 		names = append(names, name)
 		if sum.Corrupt > 0 {
 			t.Errorf("track %s: %d answers were not whole", name, sum.Corrupt)
--- a/internal/e2e/slowclient_test.go
+++ b/internal/e2e/slowclient_test.go
@@ -19,18 +19,18 @@
 
 // TestClientStopsReading: its writer is held back, others run at full pace, memory stays bounded.
 func TestClientStopsReading(t *testing.T) {
-	st, client := stage(t, func(s *scenario.Script) { s.Servers[1].TokenGap = 200 * time.Microsecond })
-	raw, err := net.Dial("tcp", st.Addresses()[0])
+	deployment, client := startDeployment(t, func(s *scenario.Script) { s.Servers[1].TokenGap = 200 * time.Microsecond })
+	raw, err := net.Dial("tcp", deployment.Addresses()[0])
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer raw.Close()
 	lim := h2.DefaultLimits
 	lim.StreamWindow = 2048
-	app := &still{}
+	app := &slowClientHandler{}
 	c := h2.NewClientConn(lim, app)
 	s := c.OpenStream("/docksail.v1.Generation/Generate", "there", 0)
-	req := job("still")
+	req := newRequest("still")
 	req.MaxTokens = 60000
 	b, err := proto.Marshal(req)
 	if err != nil {
@@ -53,7 +53,7 @@
 	}()
 	took := func(label string) time.Duration {
 		begin := time.Now()
-		if n, s, _ := ask(context.Background(), client, job(label)); s.Code() != codes.OK || n == 0 {
+		if n, s, _ := generate(context.Background(), client, newRequest(label)); s.Code() != codes.OK || n == 0 {
 			t.Errorf("%s: %d tokens, %v", label, n, s)
 		}
 		return time.Since(begin)
@@ -76,9 +76,9 @@
 	}
 	held := false
 	for end := time.Now().Add(15 * time.Second); !held && time.Now().Before(end); { // once the windows are full
-		relayed := st.Counts().Messages
+		relayed := deployment.Counts().Messages
 		time.Sleep(300 * time.Millisecond)
-		held = st.Counts().Messages == relayed
+		held = deployment.Counts().Messages == relayed
 	}
 	if !held {
 		t.Error("the writer of a client that takes nothing was not held back in 15 s")
@@ -90,16 +90,16 @@
 	}
 }
 
-type still struct {
+type slowClientHandler struct {
 	mu  sync.Mutex
 	got int
 }
 
-func (a *still) HeadersReceived(*h2.Stream, *h2.Header)                    {}
-func (a *still) MessageReceived(_ *h2.Stream, p []byte) bool               { a.got += len(p) + 5; return true }
-func (a *still) RequestEnded(*h2.Stream)                                   {}
-func (a *still) StreamFinished(*h2.Stream, codes.Code, string, *h2.Header) {}
-func (a *still) StreamReset(*h2.Stream, http2.ErrCode, bool)               {}
-func (a *still) StreamFlushed(*h2.Stream)                                  {}
-func (a *still) GoAwayReceived()                                           {}
-func (a *still) PingAcked()                                                {}
+func (a *slowClientHandler) HeadersReceived(*h2.Stream, *h2.Header)                    {}
+func (a *slowClientHandler) MessageReceived(_ *h2.Stream, p []byte) bool               { a.got += len(p) + 5; return true }
+func (a *slowClientHandler) RequestEnded(*h2.Stream)                                   {}
+func (a *slowClientHandler) StreamFinished(*h2.Stream, codes.Code, string, *h2.Header) {}
+func (a *slowClientHandler) StreamReset(*h2.Stream, http2.ErrCode, bool)               {}
+func (a *slowClientHandler) StreamFlushed(*h2.Stream)                                  {}
+func (a *slowClientHandler) GoAwayReceived()                                           {}
+func (a *slowClientHandler) PingAcked()                                                {}
