--- a/cmd/docksail/heldstate_test.go
+++ b/cmd/docksail/heldstate_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"net/http"
+	"strings"
 	"testing"
 	"time"
 
@@ -96,7 +97,7 @@
 func (h *heldStateTest) waitForTrace(text string) {
 	h.Helper()
 	end := time.Now().Add(10 * time.Second)
-	for h.fleet.Oracle.Seen(heldRequest, text) == 0 {
+	for !strings.Contains(h.fleet.Oracle.Trace(heldRequest), text) {
 		if time.Now().After(end) {
 			h.Fatalf("no %q within 10 s:\n%s", text, h.fleet.Oracle.Trace(heldRequest))
 		}
@@ -114,29 +115,39 @@
 	h.Helper()
 	time.Sleep(1500 * time.Millisecond)
 	for _, violation := range h.fleet.Oracle.Check(soak.Now()) {
-		h.Errorf("%s\n%s", violation, h.dispatcher.Log(heldRequest))
+		h.Errorf("%s\n%s", violation, h.dispatcherLog())
 	}
-	if held := h.fleet.Oracle.Held(); len(held) > 0 {
-		h.Errorf("held for %v:\n%s\n%s", held, h.fleet.Oracle.Trace(heldRequest), h.dispatcher.Log(heldRequest))
+	if held := h.fleet.Oracle.HeldRequests(); len(held) > 0 {
+		h.Errorf("held for %v:\n%s\n%s", held, h.fleet.Oracle.Trace(heldRequest), h.dispatcherLog())
 	}
 	if faults, err := h.dispatcher.ProgramErrors(); err != nil || len(faults) > 0 {
 		h.Errorf("%v: %v", err, faults)
 	}
 }
 
+// dispatcherLog returns the lines of the dispatcher's log about the request.
+func (h *heldStateTest) dispatcherLog() string {
+	h.Helper()
+	lines, err := h.dispatcher.LogLines(heldRequest)
+	if err != nil {
+		return err.Error()
+	}
+	return strings.Join(lines, "\n")
+}
+
 // TestHeldStateOnLoopback checks that a state is released in time whatever happens to the attempts and releases of its
 // request, with real processes on loopback.
 func TestHeldStateOnLoopback(t *testing.T) {
 	for name, script := range map[string]func(h *heldStateTest){
 		"a decode attempt on a new connection does not arrive": func(h *heldStateTest) {
-			h.decode.Proxy.SetHeld(soak.Forward, true, false)
+			h.decode.Proxy.SetBlocked(soak.Forward, true, false)
 			h.send(heldRequest)
 			h.waitForTrace("read at r1")
 			h.waitForTrace("begun to w1")
 		},
 		"a decode attempt on an idle connection does not arrive, another connection answers": func(h *heldStateTest) {
 			h.serveRequest("0000000000000001")
-			h.decode.Proxy.SetHeld(soak.Forward, true, true) // of the open connections
+			h.decode.Proxy.SetBlocked(soak.Forward, true, true) // of the open connections
 			h.send(heldRequest)
 			h.waitForTrace("begun to w1")
 			other := soak.NewClient(h.fleet)
@@ -148,30 +159,30 @@
 			}
 		},
 		"the decode server hangs and its system accepts connections": func(h *heldStateTest) {
-			h.decode.Stop()
-			h.Cleanup(h.decode.Continue)
+			h.decode.Suspend()
+			h.Cleanup(h.decode.Resume)
 			h.send(heldRequest)
 			h.waitForTrace("begun to w1")
 		},
 		"a prefill ends after the release that followed its client's cancel": func(h *heldStateTest) {
 			h.planAttempts(func(bool) soak.AttemptPlan { return soak.AttemptPlan{Work: 700 * time.Millisecond} })
-			h.prefill.Proxy.SetClosesHeld(true)
+			h.prefill.Proxy.SetClosesBlocked(true)
 			h.send(heldRequest)
 			h.waitForTrace("arrived at r1")
 			h.client.CancelRequest(heldRequest)
 			h.waitForTrace("read at r1")
 			time.Sleep(1500 * time.Millisecond)
-			h.prefill.Proxy.SetClosesHeld(false)
+			h.prefill.Proxy.SetClosesBlocked(false)
 		},
 		"a prefill server is cut off as its client leaves": func(h *heldStateTest) {
 			h.planAttempts(func(bool) soak.AttemptPlan { return soak.AttemptPlan{Work: 700 * time.Millisecond} })
 			h.send(heldRequest)
 			h.waitForTrace("arrived at r1")
-			h.prefill.Proxy.SetHeld(soak.Forward, true, false)
+			h.prefill.Proxy.SetBlocked(soak.Forward, true, false)
 			h.client.CancelRequest(heldRequest)
 			h.waitForTrace("read at r1")
 			time.Sleep(1500 * time.Millisecond)
-			h.prefill.Proxy.SetHeld(soak.Forward, false, false)
+			h.prefill.Proxy.SetBlocked(soak.Forward, false, false)
 		},
 		"a server refuses a release": func(h *heldStateTest) {
 			refused := 0
@@ -226,61 +237,66 @@
 	}
 }
 
+// connID returns the name of a connection.
+func connID(server string, port int) soak.ConnID { return soak.ConnID{Server: server, Port: port} }
+
 // TestOracle checks the violations that the oracle finds in events that are known to be right or wrong.
 func TestOracle(t *testing.T) {
 	for name, test := range map[string]struct {
-		events         func(o *soak.Oracle, start soak.Moment, after func(ms int) soak.Moment)
+		events         func(o *soak.Oracle, start soak.Instant, after func(ms int) soak.Instant)
 		wantViolations int
 	}{
-		"released in time": {func(o *soak.Oracle, start soak.Moment, after func(int) soak.Moment) {
-			o.ReadAt(start, "a", "r1", 1)
+		"released in time": {func(o *soak.Oracle, start soak.Instant, after func(int) soak.Instant) {
+			o.PrefillFinished(start, "a", connID("r1", 1))
 			o.ReleaseReceived(after(1200), "a", "w1")
 		}, 0},
-		"released late": {func(o *soak.Oracle, start soak.Moment, after func(int) soak.Moment) {
-			o.ReadAt(start, "a", "r1", 1)
+		"released late": {func(o *soak.Oracle, start soak.Instant, after func(int) soak.Instant) {
+			o.PrefillFinished(start, "a", connID("r1", 1))
 			o.ReleaseReceived(after(1400), "a", "w1")
 		}, 1},
-		"never released": {func(o *soak.Oracle, start soak.Moment, after func(int) soak.Moment) {
+		"never released": {func(o *soak.Oracle, start soak.Instant, after func(int) soak.Instant) {
 			o.ReleaseReceived(after(-10), "a", "w1")
-			o.ReadAt(start, "a", "r1", 1)
+			o.PrefillFinished(start, "a", connID("r1", 1))
 		}, 1},
-		"fetched late": {func(o *soak.Oracle, start soak.Moment, after func(int) soak.Moment) {
-			o.ReadAt(start, "a", "r1", 1)
-			o.ArrivedAt(after(1500), "a", false, "w1", 2)
+		"fetched late": {func(o *soak.Oracle, start soak.Instant, after func(int) soak.Instant) {
+			o.PrefillFinished(start, "a", connID("r1", 1))
+			o.AttemptReceived(after(1500), "a", false, connID("w1", 2))
 		}, 1},
-		"its server died": {func(o *soak.Oracle, start soak.Moment, after func(int) soak.Moment) {
-			o.ReadAt(start, "a", "r1", 1)
+		"its server died": {func(o *soak.Oracle, start soak.Instant, after func(int) soak.Instant) {
+			o.PrefillFinished(start, "a", connID("r1", 1))
 			o.ServerStopped(after(500), "r1")
 		}, 0},
-		"a decode attempt waits, then a release": {func(o *soak.Oracle, start soak.Moment, after func(int) soak.Moment) {
-			o.ReadAt(start, "a", "r1", 1)
-			o.ArrivedAt(after(100), "a", false, "w1", 2)
+		"a decode attempt waits, then a release": {func(o *soak.Oracle, start soak.Instant, after func(int) soak.Instant) {
+			o.PrefillFinished(start, "a", connID("r1", 1))
+			o.AttemptReceived(after(100), "a", false, connID("w1", 2))
 			o.ReleaseReceived(after(2000), "a", "r1") // overtakes the attempt
-			o.OverAt(after(3000), "a", "w1", 2)
-			o.ClosedAt(after(3010), "a", "w1", 2)
+			o.AttemptFinished(after(3000), "a", connID("w1", 2), "over")
+			o.AttemptStarted(after(3010), "a", connID("w1", 2))
+			o.ConnClosed(after(3010), connID("w1", 2))
 			o.ReleaseReceived(after(4000), "a", "r1")
 		}, 0},
-		"a decode attempt waits, then no release": {func(o *soak.Oracle, start soak.Moment, after func(int) soak.Moment) {
-			o.ReadAt(start, "a", "r1", 1)
-			o.ArrivedAt(after(100), "a", false, "w1", 2)
+		"a decode attempt waits, then no release": {func(o *soak.Oracle, start soak.Instant, after func(int) soak.Instant) {
+			o.PrefillFinished(start, "a", connID("r1", 1))
+			o.AttemptReceived(after(100), "a", false, connID("w1", 2))
 			o.ReleaseReceived(after(2000), "a", "r1") // overtakes the attempt
-			o.OverAt(after(3000), "a", "w1", 2)
-			o.ClosedAt(after(3010), "a", "w1", 2)
+			o.AttemptFinished(after(3000), "a", connID("w1", 2), "over")
+			o.AttemptStarted(after(3010), "a", connID("w1", 2))
+			o.ConnClosed(after(3010), connID("w1", 2))
 		}, 1},
-		"a prefill's answer is delayed": {func(o *soak.Oracle, start soak.Moment, after func(int) soak.Moment) {
-			o.ArrivedAt(start, "a", true, "r1", 1)
-			o.ReadAt(after(100), "a", "r1", 1)
-			o.ArrivedAt(after(2000), "a", false, "w1", 2)
+		"a prefill's answer is delayed": {func(o *soak.Oracle, start soak.Instant, after func(int) soak.Instant) {
+			o.AttemptReceived(start, "a", true, connID("r1", 1))
+			o.PrefillFinished(after(100), "a", connID("r1", 1))
+			o.AttemptReceived(after(2000), "a", false, connID("w1", 2))
 		}, 0},
-		"its dispatcher was killed": {func(o *soak.Oracle, start soak.Moment, after func(int) soak.Moment) {
+		"its dispatcher was killed": {func(o *soak.Oracle, start soak.Instant, after func(int) soak.Instant) {
 			o.RequestSent(start, "a", "d1")
-			o.ReadAt(start, "a", "r1", 1)
+			o.PrefillFinished(start, "a", connID("r1", 1))
 			o.DispatcherKilled(after(10), "d1")
 		}, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			start := soak.Now()
-			after := func(ms int) soak.Moment { return start + soak.Moment(ms)*soak.Moment(time.Millisecond) }
+			after := func(ms int) soak.Instant { return start + soak.Instant(ms)*soak.Instant(time.Millisecond) }
 			oracle := soak.NewOracle(soak.DefaultLimits(time.Second))
 			test.events(oracle, start, after)
 			if found := oracle.Check(after(5000)); len(found) != test.wantViolations {
--- a/cmd/docksail/lab_soak_test.go
+++ b/cmd/docksail/lab_soak_test.go
@@ -26,14 +26,15 @@
 	for n := range seeds {
 		t.Run(fmt.Sprint(n+1), func(t *testing.T) {
 			s := soak.Soak{
-				Seed: uint64(n + 1), Length: 5 * time.Second, Most: 14, Program: program, Folder: t.TempDir(),
+				Seed: uint64(n + 1), Duration: 5 * time.Second, MaxProcesses: 14, Program: program,
+				LogDirectory: t.TempDir(),
 			}
 			verdict, err := s.Run()
 			if err != nil {
 				t.Fatal(err)
 			}
-			t.Log(verdict.Report())
-			if err := verdict.Sound(); err != nil {
+			t.Log(verdict.Details())
+			if err := verdict.Err(); err != nil {
 				t.Error(err)
 			}
 		})
@@ -44,7 +45,7 @@
 // servers have no fault.
 func TestSoakSchedule(t *testing.T) {
 	for seed := range uint64(20) {
-		first, second := soak.DrawPlan(seed, 20*time.Second), soak.DrawPlan(seed, 20*time.Second)
+		first, second := soak.NewPlan(seed, 0, 20*time.Second), soak.NewPlan(seed, 0, 20*time.Second)
 		if fmt.Sprint(first) != fmt.Sprint(second) || len(first.Schedule) == 0 {
 			t.Fatalf("seed %d: %d faults, then %d", seed, len(first.Schedule), len(second.Schedule))
 		}
--- a/internal/config/policy.go
+++ b/internal/config/policy.go
@@ -12,32 +12,33 @@
 	for _, tenant := range d.Tenants {
 		tenants = append(tenants, policy.Tenant{RequestsPerSecond: tenant.RequestsPerSecond})
 	}
-	return policy.New(
-		seed,
-		policy.Identity{Number: d.Index, Count: d.Count, Zone: zone},
-		d.PolicyClasses(),
-		tenants,
-		[]policy.Role{policy.Prefill, policy.Decode, policy.Mixed},
-		policy.SlowStart{
+	return policy.New(policy.Config{
+		Seed:    seed,
+		Self:    policy.Identity{Number: d.Index, Count: d.Count, Zone: zone},
+		Classes: d.PolicyClasses(),
+		Tenants: tenants,
+		Roles:   []policy.Role{policy.Prefill, policy.Decode, policy.Mixed},
+		SlowStart: policy.SlowStart{
 			InitialCapacity: d.SlowStart.InitialCapacity,
 			WarmupTime:      policy.Nanos(d.SlowStart.WarmupTime),
 			OverloadFactor:  d.SlowStart.OverloadFactor,
 			OverloadWindow:  policy.Nanos(d.SlowStart.OverloadWindow),
 		},
-		policy.AttemptLimits{
+		Attempts: policy.AttemptLimits{
 			MaxAttempts:      d.Attempts.MaxAttempts,
 			CanCancel:        d.Attempts.CanCancel,
 			DecodeCanPrefill: d.Attempts.DecodeCanPrefill,
 		},
-		policy.ResponseSettings{
+		Responses: policy.ResponseSettings{
 			DeadlineGrace:  0,
 			RoundInterval:  policy.Nanos(d.Responses.RoundInterval),
 			SendRetryAfter: d.Responses.SendRetryAfter,
 			MaxRetryAfter:  policy.Nanos(d.Responses.MaxRetryAfter),
 		},
-		policy.Discovery{MaxInterval: policy.Nanos(d.Discovery.RetryInterval)},
-		policy.Nanos(d.Rules.ReleaseTime),
-	)
+		Discovery:   policy.Discovery{MaxInterval: policy.Nanos(d.Discovery.RetryInterval)},
+		ReleaseTime: policy.Nanos(d.Rules.ReleaseTime),
+	})
+
 }
 
 // PolicyClasses returns the classes of requests as the policy takes them.
--- a/internal/e2e/invariants_test.go
+++ b/internal/e2e/invariants_test.go
@@ -13,7 +13,7 @@
 // broken tells whether a run broke a rule.
 func violates(report *scenario.Report, rule int) bool {
 	for _, v := range report.Violations {
-		if v.Rule == rule {
+		if int(v.Rule) == rule {
 			return true
 		}
 	}
--- a/internal/e2e/slowclient_test.go
+++ b/internal/e2e/slowclient_test.go
@@ -95,8 +95,11 @@
 	got int
 }
 
-func (a *slowClientHandler) HeadersReceived(*h2.Stream, *h2.Header)                    {}
-func (a *slowClientHandler) MessageReceived(_ *h2.Stream, p []byte) bool               { a.got += len(p) + 5; return true }
+func (a *slowClientHandler) HeadersReceived(*h2.Stream, *h2.Header) {}
+func (a *slowClientHandler) MessageReceived(_ *h2.Stream, p []byte) bool {
+	a.got += len(p) + 5
+	return true
+}
 func (a *slowClientHandler) RequestEnded(*h2.Stream)                                   {}
 func (a *slowClientHandler) StreamFinished(*h2.Stream, codes.Code, string, *h2.Header) {}
 func (a *slowClientHandler) StreamReset(*h2.Stream, http2.ErrCode, bool)               {}
--- a/internal/platformconfig/settings.go
+++ b/internal/platformconfig/settings.go
@@ -135,32 +135,32 @@
 	for _, tenant := range s.Tenants {
 		tenants = append(tenants, policy.Tenant{RequestsPerSecond: tenant.RequestsPerSecond})
 	}
-	return policy.New(
-		seed,
-		policy.Identity{
+	return policy.New(policy.Config{
+		Seed: seed,
+		Self: policy.Identity{
 			Number: s.Index, Count: s.Dispatchers, Zone: policy.ZoneID(slices.Index(s.Zones, s.Zone)),
 		},
-		classes,
-		tenants,
-		roles,
-		policy.SlowStart{
+		Classes: classes,
+		Tenants: tenants,
+		Roles:   roles,
+		SlowStart: policy.SlowStart{
 			InitialCapacity: s.Rules.InitialCapacity,
 			WarmupTime:      policy.Nanos(s.Rules.WarmupTime),
 			OverloadFactor:  s.Rules.OverloadFactor,
 			OverloadWindow:  policy.Nanos(s.Rules.OverloadWindow),
 		},
-		policy.AttemptLimits{
+		Attempts: policy.AttemptLimits{
 			MaxAttempts:      s.Limits.MaxAttempts,
 			CanCancel:        s.Limits.CanCancel,
 			DecodeCanPrefill: s.Family.DecodeCanPrefill,
 		},
-		policy.ResponseSettings{
+		Responses: policy.ResponseSettings{
 			DeadlineGrace:  policy.Nanos(s.Rules.DeadlineGrace),
 			RoundInterval:  policy.Nanos(s.RoundInterval),
 			SendRetryAfter: s.Limits.SendRetryAfter,
 			MaxRetryAfter:  policy.Nanos(s.Limits.MaxRetryAfter),
 		},
-		policy.Discovery{OnRequest: s.listOnRequest(), MaxInterval: policy.Nanos(s.Rules.MaxListInterval)},
-		policy.Nanos(*s.Family.ReleaseTime),
-	)
+		Discovery:   policy.Discovery{OnRequest: s.listOnRequest(), MaxInterval: policy.Nanos(s.Rules.MaxListInterval)},
+		ReleaseTime: policy.Nanos(*s.Family.ReleaseTime),
+	})
 }
--- a/internal/simulatorwire/decisions.go
+++ b/internal/simulatorwire/decisions.go
@@ -57,8 +57,8 @@
 		w.write(messageSetTimer, id, duration, timerLabel)
 	case policy.WatchEndpoints:
 		w.write(messageWatchServers, id, watchEnabled)
-	case policy.LogMessage:
-		w.writeText(messageLog, id, decision.Text)
+	case policy.LogEjection:
+		w.writeText(messageLog, id, decision.Ejection.String())
 	default:
 		panic(fmt.Sprintf("decision with unknown action %d", decision.Action))
 	}
