--- a/cmd/docksail/lab_soak.go
+++ b/cmd/docksail/lab_soak.go
@@ -84,8 +84,8 @@
 		seed := options.firstSeed + uint64(n)
 		run := soak.Soak{
 			Seed: seed, Duration: options.length, MaxProcesses: options.maxProcesses,
-			LogDirectory:  filepath.Join(options.logs, strconv.FormatUint(seed, 10)),
-			Program: commandsOf(self), DispatcherProgram: commandsOf(dispatcher),
+			LogDirectory: filepath.Join(options.logs, strconv.FormatUint(seed, 10)),
+			Program:      commandsOf(self), DispatcherProgram: commandsOf(dispatcher),
 		}
 		verdict, err := run.Run()
 		if err != nil {
