--- a/internal/lab/simulation/discoveryserver.go
+++ b/internal/lab/simulation/discoveryserver.go
@@ -12,12 +12,12 @@
 	"docksail/internal/lab/eventlog"
 )
 
-// discoveryServer tells one dispatcher which hosts run, some time after it happened.
+// discoveryServer sends one dispatcher the list of servers and, after a delay, its changes.
 type discoveryServer struct {
 	sim        *Simulation
 	dispatcher int
 	addr       netip.AddrPort
-	loop       *eventloop.Loop // nil while it is away
+	loop       *eventloop.Loop // nil while it does not run
 	version    uint64
 	endpoints  []*pb.Host // by number
 	watchers   map[*grpcConn]*h2.Stream
@@ -28,7 +28,9 @@
 		return nil
 	}
 	d.loop, d.watchers = d.sim.network.NewLoop(d.addr.Addr(), nil), map[*grpcConn]*h2.Stream{}
-	_, err := d.loop.Listen(d.addr, false, func(c *eventloop.Conn, _ netip.AddrPort) eventloop.Handler { return serveConn(d.loop, c, d) })
+	_, err := d.loop.Listen(d.addr, false, func(c *eventloop.Conn, _ netip.AddrPort) eventloop.Handler {
+		return serveConn(d.loop, c, d)
+	})
 	return err
 }
 
@@ -39,49 +41,60 @@
 	}
 }
 
-// set makes a change known after the lister's time, whether or not it is away meanwhile.
-func (d *discoveryServer) set(h *pb.Host, late eventloop.Nanos) {
-	h = proto.Clone(h).(*pb.Host)
-	d.sim.scheduleAfter(late, func() {
-		d.endpoints[h.Id-1] = h
+// set publishes the state of a server after a delay, whether or not the discovery server runs in between.
+func (d *discoveryServer) set(endpoint *pb.Host, delay eventloop.Nanos) {
+	d.sim.scheduleAfter(delay, func() {
+		d.endpoints[endpoint.Id-1] = endpoint
 		d.version++
-		if news := (&pb.FleetNews{Version: d.version, Hosts: []*pb.Host{h}}); d.loop != nil {
-			d.loop.Post(func() { d.notifyWatchers(news) })
+		event := &pb.FleetNews{Version: d.version, Hosts: []*pb.Host{endpoint}}
+		if d.loop != nil {
+			d.loop.Post(func() { d.notifyWatchers(event) })
 		}
 	})
 }
 
-// notifyWatchers sends news to who watches: there is one dispatcher, with one connection but for the moments of a new one.
-func (d *discoveryServer) notifyWatchers(news *pb.FleetNews) {
-	for _, to := range sortedKeysBy(d.watchers, func(a *grpcConn) uint64 { return a.transport.SimulatedID() }) {
-		d.send(to, d.watchers[to], news)
+// notifyWatchers sends an event on all watch streams. There is one, except while the dispatcher reconnects.
+func (d *discoveryServer) notifyWatchers(event *pb.FleetNews) {
+	for _, c := range sortedKeysBy(d.watchers, func(c *grpcConn) uint64 { return c.transport.SimulatedID() }) {
+		d.send(c, d.watchers[c], event)
 	}
 }
 
-func (d *discoveryServer) send(to *grpcConn, s *h2.Stream, news *pb.FleetNews) {
-	b, err := proto.Marshal(news)
-	if err != nil {
-		panic(err)
-	}
-	s.SendMessage(b, false)
-	to.flush()
-	for _, h := range news.Hosts {
-		d.sim.Log.Add(eventlog.Entry{Kind: eventlog.EndpointNotified, Server: int(h.Id), Dispatcher: d.dispatcher, Note: h.Health.String(), Value: h.StartedUnixNs})
+func (d *discoveryServer) send(c *grpcConn, stream *h2.Stream, event *pb.FleetNews) {
+	stream.SendMessage(mustMarshal(event), false)
+	c.flush()
+	for _, endpoint := range event.Hosts {
+		d.sim.Log.Add(eventlog.Entry{
+			Kind: eventlog.EndpointNotified, Server: int(endpoint.Id), Dispatcher: d.dispatcher,
+			Note: endpoint.Health.String(), Value: endpoint.StartedUnixNs,
+		})
 	}
 }
 
-func (d *discoveryServer) opened(*grpcConn)                          {}
-func (d *discoveryServer) headers(*grpcConn, *h2.Stream, *h2.Header) {}
-func (d *discoveryServer) message(from *grpcConn, s *h2.Stream, _ []byte) {
-	d.watchers[from] = s
-	d.send(from, s, &pb.FleetNews{Version: d.version, Full: true, Hosts: d.endpoints})
+// message starts a watch with the complete list.
+func (d *discoveryServer) message(c *grpcConn, s *h2.Stream, _ []byte) {
+	d.watchers[c] = s
+	d.send(c, s, &pb.FleetNews{Version: d.version, Full: true, Hosts: d.endpoints})
 }
-func (d *discoveryServer) finished(*h2.Stream, codes.Code, string, *h2.Header) {}
+
 func (d *discoveryServer) reset(s *h2.Stream) {
-	for at, x := range d.watchers {
-		if x == s {
-			delete(d.watchers, at)
+	for c, stream := range d.watchers {
+		if stream == s {
+			delete(d.watchers, c)
 		}
 	}
 }
-func (d *discoveryServer) closed(at *grpcConn) { delete(d.watchers, at) }
+
+func (d *discoveryServer) closed(c *grpcConn)                                  { delete(d.watchers, c) }
+func (d *discoveryServer) opened(*grpcConn)                                    {}
+func (d *discoveryServer) headers(*grpcConn, *h2.Stream, *h2.Header)           {}
+func (d *discoveryServer) finished(*h2.Stream, codes.Code, string, *h2.Header) {}
+
+// mustMarshal encodes a message. It panics if the message is invalid, which is a fault of this package.
+func mustMarshal(m proto.Message) []byte {
+	text, err := proto.Marshal(m)
+	if err != nil {
+		panic(err)
+	}
+	return text
+}
