--- a/internal/lab/faultsearch/search_test.go
+++ b/internal/lab/faultsearch/search_test.go
@@ -5,6 +5,7 @@
 	"testing"
 
 	"docksail/internal/dispatch"
+	"docksail/internal/lab/invariants"
 	"docksail/internal/lab/scenario"
 	"docksail/policy"
 )
@@ -18,41 +19,45 @@
 	return s
 }
 
-// TestFixedSet: a set of drawn days breaks no rule.
+// TestFixedSet checks that a fixed set of random scenarios violates no invariant.
 func TestFixedSet(t *testing.T) {
-	x := Searcher{Base: base(t)}
-	tried, err := x.Search(t.Context(), 1, 60, func(f *Finding) {
+	s := Searcher{Base: base(t)}
+	runs, err := s.Search(t.Context(), 1, 60, func(f *Finding) {
 		text, err := f.Encode()
 		if err != nil {
 			t.Error(err)
 		}
 		t.Errorf("seed %d: %v%s\n%s", f.Seed, f.Violations, f.Panic, text)
 	})
-	if err != nil || tried != 60 {
-		t.Errorf("%d days played: %v", tried, err)
+	if err != nil || runs != 60 {
+		t.Errorf("%d scenarios run, want 60: %v", runs, err)
 	}
 }
 
-type deafToDrains struct{ dispatch.Module }
+// drainIgnorer reports draining servers to its module as serving.
+type drainIgnorer struct{ dispatch.Module }
 
-func (m deafToDrains) ServerListed(id policy.ServerID, zone policy.ZoneID, kind policy.KindID, cell policy.CellID, health policy.Health, launched policy.Nanos) {
+func (m drainIgnorer) ServerListed(
+	id policy.ServerID, zone policy.ZoneID, kind policy.KindID, cell policy.CellID, health policy.Health,
+	startedAt policy.Nanos,
+) {
 	if health == policy.Draining {
 		health = policy.Serving
 	}
-	m.Module.ServerListed(id, zone, kind, cell, health, launched)
+	m.Module.ServerListed(id, zone, kind, cell, health, startedAt)
 }
 
-// TestShrinks: a planted fault is found, and the day that shows it is made small: one drain is left, and the file plays
-// to the same end.
-func TestShrinks(t *testing.T) {
+// TestMinimize checks that a module which violates an invariant is detected, that the scenario is minimized to one
+// drain, and that the file of the finding gives the same violations.
+func TestMinimize(t *testing.T) {
 	wrap := func(int) func(dispatch.Module) dispatch.Module {
-		return func(m dispatch.Module) dispatch.Module { return deafToDrains{m} }
+		return func(m dispatch.Module) dispatch.Module { return drainIgnorer{m} }
 	}
-	x := Searcher{Base: base(t), WrapModule: wrap}
+	s := Searcher{Base: base(t), WrapModule: wrap}
 	ctx, stop := context.WithCancel(t.Context())
 	var got *Finding
-	if _, err := x.Search(ctx, 1, 40, func(f *Finding) {
-		if got == nil && f.Violations[0].Rule == 3 {
+	if _, err := s.Search(ctx, 1, 40, func(f *Finding) {
+		if got == nil && f.Violations[0].Rule == invariants.RuleDrain {
 			got = f
 			stop()
 		}
@@ -60,20 +65,20 @@
 		t.Fatal(err)
 	}
 	if got == nil {
-		t.Fatal("the planted fault is not found in 40 days")
+		t.Fatal("no violation was found in 40 scenarios")
 	}
-	if s := got.Script; len(s.Faults) > 2 || s.Faults[0].Kind != "drain" {
-		t.Errorf("left after %d plays: %+v", got.Plays, s.Faults)
+	if faults := got.Script.Faults; len(faults) > 2 || faults[0].Kind != scenario.FaultDrain {
+		t.Errorf("faults left after %d runs: %+v", got.Plays, faults)
 	}
 	text, err := got.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := scenario.Parse("found", text)
+	script, err := scenario.Parse("found", text)
 	if err != nil {
 		t.Fatalf("%v\n%s", err, text)
 	}
-	if broken, _, err := x.play(t.Context(), s); err != nil || len(broken) != len(got.Violations) {
-		t.Errorf("the file breaks %v, the find %v: %v", broken, got.Violations, err)
+	if o, err := s.run(t.Context(), script); err != nil || len(o.violations) != len(got.Violations) {
+		t.Errorf("violations of the file %v, of the finding %v: %v", o.violations, got.Violations, err)
 	}
 }
--- a/internal/lab/simulation/simulation_test.go
+++ b/internal/lab/simulation/simulation_test.go
@@ -42,7 +42,7 @@
 	return rep
 }
 
-// TestSameRun: the same script and seed give the same entries, byte by byte; another seed gives others.
+// TestSameRun checks that the same script and seed give the same entries, byte by byte, and another seed gives others.
 func TestSameRun(t *testing.T) {
 	var runs [3]bytes.Buffer
 	for i, seed := range []int64{5, 5, 6} {
@@ -51,63 +51,68 @@
 		}
 	}
 	if runs[0].Len() < 100000 || !bytes.Equal(runs[0].Bytes(), runs[1].Bytes()) {
-		t.Errorf("two runs of one seed wrote %d and %d bytes, and not the same", runs[0].Len(), runs[1].Len())
+		t.Errorf("two runs of one seed wrote different entries, of %d and %d bytes", runs[0].Len(), runs[1].Len())
 	}
 	if bytes.Equal(runs[0].Bytes(), runs[2].Bytes()) {
-		t.Error("another seed gave the same run")
+		t.Error("two seeds gave the same run")
 	}
 }
 
-// TestBadDays: the five rules over days with all troubles, each by its own seed.
-func TestBadDays(t *testing.T) {
+// TestAllFaults checks the invariants over a scenario with all faults, for several seeds.
+func TestAllFaults(t *testing.T) {
 	for seed := range int64(12) {
 		rep := play(t, load(t, 100+seed), nil)
 		for _, v := range rep.Violations {
 			t.Errorf("seed %d: %v", 100+seed, v)
 		}
-		jobs, honoured := 0, 0
+		requests, served := 0, 0
 		for name, s := range rep.Summaries {
-			jobs, honoured = jobs+s.Requests, honoured+s.Served
+			requests, served = requests+s.Requests, served+s.Served
 			if s.Corrupt > 0 {
-				t.Errorf("seed %d: %d answers of %s were not whole", 100+seed, s.Corrupt, name)
+				t.Errorf("seed %d: %d answers of class %s were corrupt", 100+seed, s.Corrupt, name)
 			}
 		}
-		if rep.Counts.InvalidDecisions > 0 || jobs < 500 || honoured < jobs*3/4 || rep.Simulated < 40*time.Second {
-			t.Errorf("seed %d: %d of %d jobs honoured in %v, %d decisions refused", 100+seed, honoured, jobs, rep.Simulated, rep.Counts.InvalidDecisions)
+		invalid := rep.Counts.InvalidDecisions
+		if invalid > 0 || requests < 500 || served < requests*3/4 || rep.Simulated < 40*time.Second {
+			t.Errorf("seed %d: %d of %d requests served in %v, %d invalid decisions",
+				100+seed, served, requests, rep.Simulated, invalid)
 		}
 	}
 }
 
-// deafToDrains tells its module that hosts serve that drain.
-type deafToDrains struct{ dispatch.Module }
+// drainIgnorer reports draining servers to its module as serving.
+type drainIgnorer struct{ dispatch.Module }
 
-func (m deafToDrains) ServerListed(id policy.ServerID, zone policy.ZoneID, kind policy.KindID, cell policy.CellID, health policy.Health, launched policy.Nanos) {
+func (m drainIgnorer) ServerListed(
+	id policy.ServerID, zone policy.ZoneID, kind policy.KindID, cell policy.CellID, health policy.Health,
+	startedAt policy.Nanos,
+) {
 	if health == policy.Draining {
 		health = policy.Serving
 	}
-	m.Module.ServerListed(id, zone, kind, cell, health, launched)
+	m.Module.ServerListed(id, zone, kind, cell, health, startedAt)
 }
 
-// keepsStates keeps what is held: it lets nothing go.
-type keepsStates struct{ dispatch.Module }
+// releaseDropper drops all decisions to release a state.
+type releaseDropper struct{ dispatch.Module }
 
-func (m keepsStates) NextDecision(now policy.Nanos) (policy.Decision, bool) {
+func (m releaseDropper) NextDecision(now policy.Nanos) (policy.Decision, bool) {
 	for {
-		what, ok := m.Module.NextDecision(now)
-		if !ok || what.Action != policy.ReleaseState {
-			return what, ok
+		decision, ok := m.Module.NextDecision(now)
+		if !ok || decision.Action != policy.ReleaseState {
+			return decision, ok
 		}
 	}
 }
 
-// TestPlantedFaults: rules that are broken on purpose are found in simulated time too.
+// TestPlantedFaults checks that modules which violate an invariant on purpose are detected.
 func TestPlantedFaults(t *testing.T) {
 	for _, c := range []struct {
 		rule invariants.Rule
 		wrap func(dispatch.Module) dispatch.Module
 	}{
-		{3, func(m dispatch.Module) dispatch.Module { return deafToDrains{m} }},
-		{5, func(m dispatch.Module) dispatch.Module { return keepsStates{m} }},
+		{invariants.RuleDrain, func(m dispatch.Module) dispatch.Module { return drainIgnorer{m} }},
+		{invariants.RuleRelease, func(m dispatch.Module) dispatch.Module { return releaseDropper{m} }},
 	} {
 		found := 0
 		for seed := int64(1); seed <= 6 && found == 0; seed++ {
@@ -118,37 +123,40 @@
 			}
 		}
 		if found == 0 {
-			t.Errorf("rule %d is broken on purpose and nothing is found", c.rule)
+			t.Errorf("no violation of rule %v was found", c.rule)
 		}
 	}
 }
 
-// TestHalfOpen: the only ways to the hosts go silent, with no reset, while nothing is out on them; they are noticed
-// with the first launches and made anew, well before a host's rest would end.
+// TestHalfOpen checks that dispatchers detect connections which went silent without a reset while they were idle. They
+// have to be replaced with the first attempts on them, well before an ejection of the servers would end.
 func TestHalfOpen(t *testing.T) {
 	s := load(t, 3)
 	s.Servers, s.Dispatchers = []scenario.ServerGroup{s.Servers[0], s.Servers[1]}, s.Dispatchers[:1]
 	s.Servers[0].Count, s.Servers[1].Count = 2, 2
-	s.SessionsPerSecond, s.Duration = 0.4, 60*time.Second // pauses of seconds between jobs
+	s.SessionsPerSecond, s.Duration = 0.4, 60*time.Second // seconds pass between requests
 	s.Faults = []scenario.Fault{{Kind: "halfopen", Start: 20 * time.Second, Servers: []int{1, 2, 3, 4}}}
 	rep := play(t, s, nil)
-	late, lost, last := 0, 0, rep.Entries[0].At+int64(time.Second)
+	requests, lost, loadStart := 0, 0, rep.Entries[0].At+int64(time.Second)
 	for _, e := range rep.Entries {
-		at := time.Duration(e.At - last)
+		at := time.Duration(e.At - loadStart)
 		if e.Kind == eventlog.RequestSent && at > 26*time.Second {
-			late++
+			requests++
 		}
-		if (e.Kind == eventlog.RequestAnswered && e.Code != "OK" || e.Kind == eventlog.RequestUnanswered) && at > 32*time.Second {
+		isLost := e.Kind == eventlog.RequestAnswered && e.Code != "OK" || e.Kind == eventlog.RequestUnanswered
+		if isLost && at > 32*time.Second {
 			lost++
 		}
 	}
-	if late < 20 || lost > 0 || len(rep.Violations) > 0 {
-		t.Errorf("of %d tries six seconds and more after the connections went silent, %d were lost; %v", late, lost, rep.Violations)
+	if requests < 20 || lost > 0 || len(rep.Violations) > 0 {
+		t.Errorf("of %d requests from six seconds after the connections went silent, %d were lost; violations %v",
+			requests, lost, rep.Violations)
 	}
 }
 
-// TestFound: days that once broke a rule, found by lab explore and made small, break none.
-func TestFound(t *testing.T) {
+// TestFixedFindings checks that scenarios which once violated an invariant do so no more. They were found and minimized by
+// package faultsearch.
+func TestFixedFindings(t *testing.T) {
 	names, err := filepath.Glob("../scenario/testdata/mended/*.json")
 	if err != nil || len(names) == 0 {
 		t.Fatal(names, err)
@@ -164,43 +172,52 @@
 	}
 }
 
-// outcomes counts how launches ended.
-type outcomes struct {
+// outcomeCounter counts the outcomes of attempts.
+type outcomeCounter struct {
 	dispatch.Module
-	n *[policy.Canceled + 1]int
+	counts *[policy.Canceled + 1]int
 }
 
-func (m outcomes) AttemptEnded(now policy.Nanos, id policy.RequestID, shot policy.AttemptNumber, how policy.Outcome, elapsed policy.Nanos, over bool, load policy.LoadReport) {
-	m.n[how]++
-	m.Module.AttemptEnded(now, id, shot, how, elapsed, over, load)
+func (m outcomeCounter) AttemptEnded(
+	now policy.Nanos, id policy.RequestID, number policy.AttemptNumber, outcome policy.Outcome, elapsed policy.Nanos,
+	isLast bool, load policy.LoadReport,
+) {
+	m.counts[outcome]++
+	m.Module.AttemptEnded(now, id, number, outcome, elapsed, isLast, load)
 }
 
-// TestStateGoneBeforeFetch: readers restart between the offer of a state and its fetch, and while it moves over a slow
-// link: the writer says that there is none, the prompt is read anew, no rule is broken.
+// TestStateGoneBeforeFetch restarts prefill servers before a decode server has fetched the state they hold, and while
+// it moves over a slow link. The decode server reports that there is none, the prefill is repeated, and no invariant is
+// violated.
 func TestStateGoneBeforeFetch(t *testing.T) {
 	s := load(t, 9)
 	s.Duration, s.SessionsPerSecond = 20*time.Second, 10
-	s.Faults = []scenario.Fault{{Kind: "links", Start: 2 * time.Second, Duration: 14 * time.Second, Role: scenario.Prefill, Factor: 60}}
+	s.Faults = []scenario.Fault{{
+		Kind: scenario.FaultSlowLinks, Start: 2 * time.Second, Duration: 14 * time.Second, Role: scenario.Prefill, Factor: 60,
+	}}
 	for i := range 6 {
-		s.Faults = append(s.Faults, scenario.Fault{Kind: "crash", Start: time.Duration(3+2*i) * time.Second, Duration: 200 * time.Millisecond, Servers: []int{1 + i%3, 8 + i%3}})
+		s.Faults = append(s.Faults, scenario.Fault{
+			Kind: scenario.FaultCrash, Start: time.Duration(3+2*i) * time.Second, Duration: 200 * time.Millisecond,
+			Servers: []int{1 + i%3, 8 + i%3},
+		})
 	}
-	var n [policy.Canceled + 1]int
-	rep := play(t, s, func(m dispatch.Module) dispatch.Module { return outcomes{m, &n} })
-	if n[policy.StateMissing] < 3 || len(rep.Violations) > 0 {
-		t.Errorf("%d launches found no state; %v", n[policy.StateMissing], rep.Violations)
+	var counts [policy.Canceled + 1]int
+	rep := play(t, s, func(m dispatch.Module) dispatch.Module { return outcomeCounter{m, &counts} })
+	if counts[policy.StateMissing] < 3 || len(rep.Violations) > 0 {
+		t.Errorf("%d attempts found no state, want 3 or more; violations %v", counts[policy.StateMissing], rep.Violations)
 	}
 	for name, sum := range rep.Summaries {
 		if sum.Corrupt > 0 || sum.Served < sum.Requests*4/10 {
-			t.Errorf("%s: %d of %d honoured, %d wrong", name, sum.Served, sum.Requests, sum.Corrupt)
+			t.Errorf("%s: %d of %d requests served, %d corrupt", name, sum.Served, sum.Requests, sum.Corrupt)
 		}
 	}
 }
 
-// TestFloodSimulated: beside one client's flood the small ones' p99 stays within eight times that of the day without
-// it, and nearly all are in time; in order of arrival half are.
+// TestFloodSimulated checks that during one client's flood the p99 of small clients stays within eight times that
+// without it, and that nearly all their requests are on time. Without fair queueing about half are.
 func TestFloodSimulated(t *testing.T) {
 	for seed := range int64(3) {
-		day := func(change func(s *scenario.Script)) *userclient.Summary {
+		playChanged := func(change func(s *scenario.Script)) *userclient.Summary {
 			s, err := scenario.Load("../../../experiments/flood-day.json")
 			if err != nil {
 				t.Fatal(err)
@@ -212,12 +229,16 @@
 			return sum
 		}
 		p99 := func(s *userclient.Summary) time.Duration { return s.FirstTokenTimes[len(s.FirstTokenTimes)*99/100] }
-		calm := day(func(s *scenario.Script) { s.SessionsPerSecond, s.Classes[0].Share, s.Classes[1].Share = 6, 1, 0 })
-		fair := day(func(*scenario.Script) {})
-		first := day(func(s *scenario.Script) { s.FIFO = true })
-		t.Logf("p99 %v without the flood, %v with it, %v in order of arrival; kept %.3f and %.3f", p99(calm), p99(fair), p99(first), fair.ValueShare(), first.ValueShare())
-		if p99(fair) > 8*p99(calm)+100*time.Millisecond || fair.ValueShare() < 0.97 || first.ValueShare() > 0.8 {
-			t.Errorf("seed %d: p99 %v beside %v without the flood; kept %.3f, in order of arrival %.3f", 50+seed, p99(fair), p99(calm), fair.ValueShare(), first.ValueShare())
+		calm := playChanged(func(s *scenario.Script) {
+			s.SessionsPerSecond, s.Classes[0].Share, s.Classes[1].Share = 6, 1, 0
+		})
+		fair := playChanged(func(*scenario.Script) {})
+		fifo := playChanged(func(s *scenario.Script) { s.FIFO = true })
+		t.Logf("p99 %v without the flood, %v with it, %v with it in order of arrival; value shares %.3f and %.3f",
+			p99(calm), p99(fair), p99(fifo), fair.ValueShare(), fifo.ValueShare())
+		if p99(fair) > 8*p99(calm)+100*time.Millisecond || fair.ValueShare() < 0.97 || fifo.ValueShare() > 0.8 {
+			t.Errorf("seed %d: p99 %v, %v without the flood; value share %.3f, %.3f in order of arrival",
+				50+seed, p99(fair), p99(calm), fair.ValueShare(), fifo.ValueShare())
 		}
 	}
 }
