--- a/internal/lab/calibrate/testbed.go
+++ b/internal/lab/calibrate/testbed.go
@@ -12,7 +12,7 @@
 
 	pb "docksail/api/docksail/v1"
 	"docksail/internal/lab/engine"
-	"docksail/internal/lab/engine/batch"
+	"docksail/internal/lab/engine/batchmodel"
 )
 
 const (
@@ -39,7 +39,7 @@
 	comparisons []Comparison
 
 	mixed testEngine // prefill and decode, always warm
-	shape batch.Shape
+	shape batchmodel.Shape
 
 	meanContext int64 // tokens of prompt and answer, in the middle of the answer that was alone
 }
