--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -1,9 +1,11 @@
 package scenario
 
 import (
+	"math/rand/v2"
 	"os"
 	"path/filepath"
 	"reflect"
+	"slices"
 	"strings"
 	"testing"
 )
@@ -128,3 +130,45 @@
 		}
 	}
 }
+
+// TestEveryFaultIsPlayed checks that every kind of fault is a change of servers, has an injector, or is played by the
+// clients.
+func TestEveryFaultIsPlayed(t *testing.T) {
+	playedByClients := []FaultKind{FaultBurst, FaultLongPrompts}
+	for _, kind := range FaultKinds() {
+		_, isChange := Fault{Kind: kind}.ServerChange()
+		_, isPeriodic := Fault{Kind: kind}.PeriodicChange()
+		count := 0
+		for _, is := range []bool{isChange, isPeriodic, injectors[kind] != nil, slices.Contains(playedByClients, kind)} {
+			if is {
+				count++
+			}
+		}
+		if count != 1 {
+			t.Errorf("fault %q is played in %d ways, want 1", kind, count)
+		}
+	}
+}
+
+func TestTargets(t *testing.T) {
+	script := Demo() // two prefill servers and two decode servers in zone a
+	specs := script.EngineSpecs()
+	for _, c := range []struct {
+		name  string
+		fault Fault
+		want  []int
+	}{
+		{"named servers", Fault{Servers: []int{4, 1}, Role: Prefill}, []int{3, 0}},
+		{"a role", Fault{Role: Decode}, []int{2, 3}},
+		{"another zone", Fault{Zone: "b"}, nil},
+		{"all", Fault{}, []int{0, 1, 2, 3}},
+		{"a share of a role", Fault{Role: Prefill, Share: 1}, []int{0, 1}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			got := c.fault.Targets(specs, rand.New(rand.NewPCG(1, 1)), ceil)
+			if !slices.Equal(got, c.want) {
+				t.Errorf("targets %v, want %v", got, c.want)
+			}
+		})
+	}
+}
--- a/internal/lab/simulation/simulation_test.go
+++ b/internal/lab/simulation/simulation_test.go
@@ -154,8 +154,8 @@
 	}
 }
 
-// TestFixedFindings checks that scenarios which once violated an invariant do so no more. They were found and minimized by
-// package faultsearch.
+// TestFixedFindings checks that scenarios which once violated an invariant do so no more. They were found and
+// minimized by package faultsearch.
 func TestFixedFindings(t *testing.T) {
 	names, err := filepath.Glob("../scenario/testdata/mended/*.json")
 	if err != nil || len(names) == 0 {
@@ -242,3 +242,22 @@
 		}
 	}
 }
+
+// TestEveryFaultIsPlayed checks that every kind of fault is a change of servers, has an injector, or is played by the
+// clients.
+func TestEveryFaultIsPlayed(t *testing.T) {
+	playedByClients := []scenario.FaultKind{scenario.FaultBurst, scenario.FaultLongPrompts}
+	for _, kind := range scenario.FaultKinds() {
+		_, isChange := scenario.Fault{Kind: kind}.ServerChange()
+		_, isPeriodic := scenario.Fault{Kind: kind}.PeriodicChange()
+		count := 0
+		for _, is := range []bool{isChange, isPeriodic, injectors[kind] != nil, slices.Contains(playedByClients, kind)} {
+			if is {
+				count++
+			}
+		}
+		if count != 1 {
+			t.Errorf("fault %q is played in %d ways, want 1", kind, count)
+		}
+	}
+}
