--- a/internal/lab/report/run.go
+++ b/internal/lab/report/run.go
@@ -14,7 +14,7 @@
 const binCount = 40
 
 // faultBegins is the note of an entry by which a fault begins; any other note ends it.
-const faultBegins = "begins"
+const faultBegins = eventlog.NoteFaultBegins
 
 // faultPeriod is the time of a fault, in seconds from the start.
 type faultPeriod struct {
