--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -29,19 +29,19 @@
 	if err := eventlog.Write(&b, rep.Entries); err != nil {
 		t.Fatal(err)
 	}
-	torn, err := eventlog.Read(bytes.NewReader(b.Bytes()[:b.Len()*2/3]))
-	if err == nil || !strings.Contains(err.Error(), "entry ") || len(torn) < len(rep.Entries)/2 {
-		t.Fatalf("%d of %d entries of a truncated log: %v", len(torn), len(rep.Entries), err)
+	truncated, err := eventlog.Read(bytes.NewReader(b.Bytes()[:b.Len()*2/3]))
+	if err == nil || !strings.Contains(err.Error(), "entry ") || len(truncated) < len(rep.Entries)/2 {
+		t.Fatalf("%d of %d entries of a truncated log: %v", len(truncated), len(rep.Entries), err)
 	}
 	dir := t.TempDir()
-	if err := WriteReport(dir, []RunEntries{{"whole", rep.Entries}, {"torn", torn}}); err != nil {
+	if err := WriteReport(dir, []RunEntries{{"whole", rep.Entries}, {"truncated", truncated}}); err != nil {
 		t.Fatal(err)
 	}
 	page, err := os.ReadFile(filepath.Join(dir, "report.html"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, want := range []string{"question", "booking", "crash", "torn", "data:image/png;base64,"} {
+	for _, want := range []string{"question", "booking", "crash", "truncated", "data:image/png;base64,"} {
 		if !strings.Contains(string(page), want) {
 			t.Errorf("want %q on the page", want)
 		}
