--- a/internal/batchrunner/runner_test.go
+++ b/internal/batchrunner/runner_test.go
@@ -59,6 +59,9 @@
 	case behaviour == "exhausted" && attempt == 1:
 		pushback("0")
 		return status.Error(codes.ResourceExhausted, "over quota")
+	case behaviour == "later":
+		pushback("3600000")
+		return status.Error(codes.Unavailable, "over capacity for an hour")
 	case behaviour == "failed":
 		pushback("-1")
 		return status.Error(codes.Aborted, "no server answered")
@@ -278,11 +281,12 @@
 
 	b := f.submit(line("one", "draft", "served", "")+line("two", "draft", "hangs", ""), time.Hour)
 	f.waitFor(b.ID, func(b batchstore.Batch) bool { return b.CompletedLines == 1 })
+	f.dispatcher.waitForAttempt(t, b.ID+"/two")
 	if _, err := f.runner.Cancel("a", b.ID); err != nil {
 		t.Fatal(err)
 	}
 	fmt.Fprintf(&got, "%s\n%s\n\n", "cancelled", f.describe(f.waitFor(b.ID, isTerminal)))
-	b = f.submit(line("one", "draft", "served", "")+line("two", "draft", "hangs", ""), 2*time.Second)
+	b = f.submit(line("one", "draft", "served", "")+line("two", "draft", "later", ""), 3*time.Second)
 	fmt.Fprintf(&got, "%s\n%s\n\n", "expired", f.describe(f.waitFor(b.ID, isTerminal)))
 
 	if os.Getenv("DOCKSAIL_WRITE_OUTCOMES") != "" {
