--- a/internal/config/policy.go
+++ b/internal/config/policy.go
@@ -38,7 +38,6 @@
 		Discovery:   policy.Discovery{MaxInterval: policy.Nanos(d.Discovery.RetryInterval)},
 		ReleaseTime: policy.Nanos(d.Rules.ReleaseTime),
 	})
-
 }
 
 // PolicyClasses returns the classes of requests as the policy takes them.
--- a/internal/e2e/batchapiclient_test.go
+++ b/internal/e2e/batchapiclient_test.go
@@ -23,163 +23,256 @@
 	"docksail/internal/state/batchstore"
 )
 
-// api is a batch API and its caller.
+// Keys of the batch API, by tenant.
+const (
+	mainKey  = "k1" // of the tenant without a name
+	otherKey = "k2" // of the tenant "other"
+	wrongKey = "k3"
+)
+
+const (
+	filesPath   = "/v1/files"
+	batchesPath = "/v1/batches"
+)
+
+// apiError is the part of an answer that says why a call was refused.
+type apiError struct {
+	Code string `json:"code"`
+}
+
+// batchObject is a batch, or an error.
+type batchObject struct {
+	ID            string  `json:"id"`
+	Status        string  `json:"status"`
+	InputFileID   string  `json:"input_file_id"`
+	OutputFileID  *string `json:"output_file_id"`
+	ErrorFileID   *string `json:"error_file_id"`
+	RequestCounts struct {
+		Total     int `json:"total"`
+		Completed int `json:"completed"`
+		Failed    int `json:"failed"`
+	} `json:"request_counts"`
+	Metadata map[string]string `json:"metadata"`
+	Errors   struct {
+		Data []struct {
+			Code string `json:"code"`
+			Line int    `json:"line"`
+		} `json:"data"`
+	} `json:"errors"`
+	Error *apiError `json:"error"`
+}
+
+// fileObject is a file, what became of it, or an error.
+type fileObject struct {
+	ID      string    `json:"id"`
+	Deleted bool      `json:"deleted"`
+	Error   *apiError `json:"error"`
+}
+
+// fileList is a page of files, or an error.
+type fileList struct {
+	Data    []fileObject `json:"data"`
+	HasMore bool         `json:"has_more"`
+	LastID  string       `json:"last_id"`
+	Error   *apiError    `json:"error"`
+}
+
+// hasCode reports whether an error has a code; a missing error has none.
+func (e *apiError) hasCode(code string) bool { return e != nil && e.Code == code }
+
+// resultLine is a line of a batch's results or errors.
+type resultLine struct {
+	CustomID string `json:"custom_id"`
+	Response *struct {
+		Body struct {
+			Choices []struct {
+				Text string `json:"text"`
+			} `json:"choices"`
+		} `json:"body"`
+	} `json:"response"`
+	Error *apiError `json:"error"`
+}
+
+// batchAPI calls a batch API with a key.
 type batchAPI struct {
 	t       *testing.T
-	at, key string
+	address string // URL without a path
+	key     string
 }
 
-func (a *batchAPI) call(method, path, kind string, body io.Reader) (int, map[string]any) {
+// call makes a call, decodes its answer into reply and returns its status code, which is 0 if there was no answer.
+func (a *batchAPI) call(method, path, contentType string, body io.Reader, reply any) int {
 	a.t.Helper()
-	status, b := a.raw(method, path, kind, body)
-	var m map[string]any
-	if err := json.Unmarshal(b, &m); err != nil {
-		a.t.Fatalf("%s %s: %d, %q: %v", method, path, status, b, err)
+	statusCode, text := a.callRaw(method, path, contentType, body)
+	if err := json.Unmarshal(text, reply); err != nil {
+		a.t.Fatalf("%s %s: %d, %q: %v", method, path, statusCode, text, err)
 	}
-	return status, m
+	return statusCode
 }
 
-func (a *batchAPI) raw(method, path, kind string, body io.Reader) (int, []byte) {
+// callRaw makes a call and returns its status code and body: 0 and an empty object if there was no answer.
+func (a *batchAPI) callRaw(method, path, contentType string, body io.Reader) (int, []byte) {
 	a.t.Helper()
-	req, err := http.NewRequest(method, a.at+path, body)
+	request, err := http.NewRequest(method, a.address+path, body)
 	if err != nil {
 		a.t.Fatal(err)
 	}
-	req.Header.Set("Authorization", "Bearer "+a.key)
-	if kind != "" {
-		req.Header.Set("Content-Type", kind)
+	request.Header.Set("Authorization", "Bearer "+a.key)
+	if contentType != "" {
+		request.Header.Set("Content-Type", contentType)
 	}
-	res, err := http.DefaultClient.Do(req)
+	noAnswer := []byte("{}")
+	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return 0, []byte("{}")
+		return 0, noAnswer
 	}
-	defer res.Body.Close()
-	b, err := io.ReadAll(res.Body)
+	defer response.Body.Close()
+	text, err := io.ReadAll(response.Body)
 	if err != nil {
-		return 0, []byte("{}")
+		return 0, noAnswer
 	}
-	return res.StatusCode, b
+	return response.StatusCode, text
 }
 
-func (a *batchAPI) upload(text string) (int, map[string]any) {
+// upload uploads a file with a text.
+func (a *batchAPI) upload(text string) (int, *fileObject) {
 	a.t.Helper()
-	var b bytes.Buffer
-	form := multipart.NewWriter(&b)
-	form.WriteField("purpose", "batch")
+	var body bytes.Buffer
+	form := multipart.NewWriter(&body)
+	if err := form.WriteField("purpose", "batch"); err != nil {
+		a.t.Fatal(err)
+	}
 	part, err := form.CreateFormFile("file", "lines.jsonl")
 	if err != nil {
 		a.t.Fatal(err)
 	}
-	io.WriteString(part, text)
+	if _, err := io.WriteString(part, text); err != nil {
+		a.t.Fatal(err)
+	}
 	form.Close()
-	return a.call("POST", "/v1/files", form.FormDataContentType(), &b)
+	file := &fileObject{}
+	return a.call(http.MethodPost, filesPath, form.FormDataContentType(), &body, file), file
 }
 
+// submit uploads a file, creates its batch and returns the batch's ID.
 func (a *batchAPI) submit(text, window string) string {
 	a.t.Helper()
-	status, f := a.upload(text)
-	if status != 200 {
-		a.t.Fatal(status, f)
+	statusCode, file := a.upload(text)
+	if statusCode != http.StatusOK {
+		a.t.Fatal(statusCode, file)
 	}
-	status, b := a.call("POST", "/v1/batches", "application/json", strings.NewReader(fmt.Sprintf(
-		`{"input_file_id": %q, "endpoint": "/v1/completions", "completion_window": %q, "metadata": {"for": "a test"}}`, f["id"], window)))
-	if status != 200 || b["status"] != "validating" {
-		a.t.Fatal(status, b)
+	body := fmt.Sprintf(`{"input_file_id": %q, "endpoint": "/v1/completions", "completion_window": %q,
+		"metadata": {"for": "a test"}}`, file.ID, window)
+	var batch batchObject
+	statusCode = a.call(http.MethodPost, batchesPath, "application/json", strings.NewReader(body), &batch)
+	if statusCode != http.StatusOK || batch.Status != "validating" {
+		a.t.Fatal(statusCode, batch)
 	}
-	return b["id"].(string)
+	return batch.ID
 }
 
-// until waits for a batch to be over.
-func (a *batchAPI) waitFor(id string, within time.Duration, states ...string) map[string]any {
+// waitFor waits until a batch has a status. Calls without an answer are repeated.
+func (a *batchAPI) waitFor(id string, timeout time.Duration, status string) *batchObject {
 	a.t.Helper()
-	var b map[string]any
-	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		status, m := a.call("GET", "/v1/batches/"+id, "", nil)
-		if status != 200 {
+	var last *batchObject
+	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+		batch := &batchObject{}
+		if a.call(http.MethodGet, batchesPath+"/"+id, "", nil, batch) != http.StatusOK {
 			continue
 		}
-		b = m
-		for _, s := range states {
-			if b["status"] == s {
-				return b
-			}
+		last = batch
+		if batch.Status == status {
+			return batch
 		}
 	}
-	a.t.Fatalf("within %v not %v: %v", within, states, b)
+	a.t.Fatalf("within %v not %s: %+v", timeout, status, last)
 	return nil
 }
 
-// results gives the lines of a batch's file, by custom id; each must stand there once.
-func (a *batchAPI) results(b map[string]any, which string, into map[string]map[string]any) int {
+// results adds the lines of a file to lines, by custom ID, and returns their count. An ID must not be there yet.
+// Without a file there are no lines.
+func (a *batchAPI) results(fileID *string, lines map[string]*resultLine) int {
 	a.t.Helper()
-	id, ok := b[which].(string)
-	if !ok {
+	if fileID == nil {
 		return 0
 	}
-	status, text := a.raw("GET", "/v1/files/"+id+"/content", "", nil)
-	if status != 200 {
-		a.t.Fatal(status)
+	statusCode, text := a.callRaw(http.MethodGet, filesPath+"/"+*fileID+"/content", "", nil)
+	if statusCode != http.StatusOK {
+		a.t.Fatal(statusCode)
 	}
-	n := 0
-	for scan := bufio.NewScanner(bytes.NewReader(text)); scan.Scan(); n++ {
-		var l map[string]any
-		if err := json.Unmarshal(scan.Bytes(), &l); err != nil {
-			a.t.Fatalf("%q: %v", scan.Text(), err)
+	count := 0
+	for scanner := bufio.NewScanner(bytes.NewReader(text)); scanner.Scan(); count++ {
+		line := &resultLine{}
+		if err := json.Unmarshal(scanner.Bytes(), line); err != nil {
+			a.t.Fatalf("%q: %v", scanner.Text(), err)
 		}
-		custom := l["custom_id"].(string)
-		if into[custom] != nil {
-			a.t.Errorf("%s has ended twice", custom)
+		if lines[line.CustomID] != nil {
+			a.t.Errorf("%s has ended twice", line.CustomID)
 		}
-		into[custom] = l
+		lines[line.CustomID] = line
 	}
-	return n
+	return count
 }
 
-func errorCode(l map[string]any) string { return l["error"].(map[string]any)["code"].(string) }
-
-func batchLines(n int, model string) string {
-	var b strings.Builder
-	for i := range n {
-		fmt.Fprintf(&b, `{"custom_id": "line%d", "method": "POST", "url": "/v1/completions", "body": {"model": %q, "prompt": "Draw up a roster, please: %d", "max_tokens": 6, "prompt_tokens": 60}}`+"\n", i, model, i)
+// batchLines returns a file of requests for a model, which is a class of requests.
+func batchLines(count int, model string) string {
+	var text strings.Builder
+	for i := range count {
+		fmt.Fprintf(&text, `{"custom_id": "line%d", "method": "POST", "url": "/v1/completions", "body": {"model": %q, `+
+			`"prompt": "Draw up a roster, please: %d", "max_tokens": 6, "prompt_tokens": 60}}`+"\n", i, model, i)
 	}
-	return b.String()
+	return text.String()
 }
 
 func hashOf(key string) string {
-	h := sha256.Sum256([]byte(key))
-	return hex.EncodeToString(h[:])
+	hash := sha256.Sum256([]byte(key))
+	return hex.EncodeToString(hash[:])
 }
 
-// openAPI serves the batch API of a stage's dispatcher for the tenants of the keys.
-func startBatchAPI(t *testing.T, deployment *scenario.Deployment, dir string, change func(p *batchrunner.Config)) *batchAPI {
+// startBatchAPI serves the batch API of a deployment's first dispatcher, with the store in a directory. change may be
+// nil.
+func startBatchAPI(
+	t *testing.T, deployment *scenario.Deployment, directory string, change func(*batchrunner.Config),
+) *batchAPI {
 	t.Helper()
-	s, err := batchstore.Open(dir, 1<<20)
+	store, err := batchstore.Open(directory, 1<<20)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := batchrunner.Config{
-		Tenants: []batchrunner.Tenant{{Name: "", Weight: 1}, {Name: "other", Weight: 1}}, DispatcherAddress: deployment.Addresses()[0], MaxLinesInFlight: 16, InitialBackoff: 50 * time.Millisecond, MaxLines: 1000, MaxLineBytes: 4096, Seed: 1,
-		Classes: map[string]batchrunner.Class{"question": {Timeout: 2 * time.Second}, "booking": {Effect: batchscheduler.NonIdempotent, Timeout: 2 * time.Second}},
+	config := batchrunner.Config{
+		Tenants:           []batchrunner.Tenant{{Name: "", Weight: 1}, {Name: "other", Weight: 1}},
+		DispatcherAddress: deployment.Addresses()[0],
+		MaxLinesInFlight:  16,
+		InitialBackoff:    50 * time.Millisecond,
+		MaxLines:          1000,
+		MaxLineBytes:      4096,
+		Seed:              1,
+		Classes: map[string]batchrunner.Class{
+			"question": {Timeout: 2 * time.Second},
+			"booking":  {Effect: batchscheduler.NonIdempotent, Timeout: 2 * time.Second},
+		},
 	}
 	if change != nil {
-		change(&p)
+		change(&config)
 	}
-	r, err := batchrunner.New(s, p, discardLog)
+	runner, err := batchrunner.New(store, config, discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	srv, err := frontend.New(ctx, s, r, frontend.Limits{MaxFileBytes: 200 << 10, MaxCompletionWindow: time.Hour, MaxHeaderBytes: 16 << 10}, map[string]string{hashOf("k1"): "", hashOf("k2"): "other"}, discardLog)
+	limits := frontend.Limits{MaxFileBytes: 200 << 10, MaxCompletionWindow: time.Hour, MaxHeaderBytes: 16 << 10}
+	tenants := map[string]string{hashOf(mainKey): "", hashOf(otherKey): "other"}
+	server, err := frontend.New(ctx, store, runner, limits, tenants, discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	done := make(chan error, 2)
-	go func() { done <- r.Run(ctx) }()
-	go func() { done <- srv.Serve(ctx, ln) }()
+	go func() { done <- runner.Run(ctx) }()
+	go func() { done <- server.Serve(ctx, listener) }()
 	t.Cleanup(func() {
 		stop()
 		for range 2 {
@@ -187,7 +280,7 @@
 				t.Error(err)
 			}
 		}
-		s.Close()
+		store.Close()
 	})
-	return &batchAPI{t, "http://" + ln.Addr().String(), "k1"}
+	return &batchAPI{t, "http://" + listener.Addr().String(), mainKey}
 }
--- a/internal/e2e/batchoutage_test.go
+++ b/internal/e2e/batchoutage_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"net"
+	"net/http"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -15,130 +16,168 @@
 	"docksail/internal/lab/eventlog"
 )
 
-// TestBatchSurvivesKills: the process is killed again and again while two batches run. Each line ends once; none of an
-// irreversible track runs twice.
-func TestBatchSurvivesKills(t *testing.T) {
-	t.Parallel()
-	dir := t.TempDir()
-	program := filepath.Join(dir, "docksail")
-	if out, err := exec.Command("go", "build", "-o", program, "../../cmd/docksail").CombinedOutput(); err != nil {
-		t.Fatalf("%v\n%s", err, out)
-	}
-	records := &eventlog.Log{}
-	var hosts []string
+// batchProcess is the program with a batch API, before stand-in engines.
+type batchProcess struct {
+	t        *testing.T
+	program  string // file
+	settings string // file
+	running  *exec.Cmd
+	api      *batchAPI
+	engines  *eventlog.Log // what the engines saw
+}
+
+// newBatchProcess builds the program, starts engines and writes the configuration. The program is not started yet.
+func newBatchProcess(t *testing.T) *batchProcess {
+	t.Helper()
+	directory := t.TempDir()
+	p := &batchProcess{t: t, program: filepath.Join(directory, "docksail"), engines: &eventlog.Log{}}
+	if output, err := exec.Command("go", "build", "-o", p.program, "../../cmd/docksail").CombinedOutput(); err != nil {
+		t.Fatalf("%v\n%s", err, output)
+	}
+	var servers []string
 	for i, role := range []string{"prefill", "prefill", "decode", "decode"} {
-		spec := engine.Spec{
-			ID: i + 1, Role: pb.Role_ROLE_READER, Zone: "a", Cell: "a1", Slots: 16, Queue: 64, MemoryTokens: 100000, PrefillRate: 20000, TokenGap: 4 * time.Millisecond,
-			RequestsPerSecond: 100, TransferRate: 1e6, MaxHoldTime: 2 * time.Second,
-		}
-		if role == "decode" {
-			spec.Role = pb.Role_ROLE_WRITER
-		}
-		e := engine.New(spec, engine.LinearModel{}, records)
-		if err := e.Start("127.0.0.1:0"); err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(e.Crash)
-		hosts = append(hosts, fmt.Sprintf(`{"id": %d, "address": %q, "role": %q, "zone": "a", "cell": "a1", "health": "serving", "started_unix_ns": 0}`, i+1, e.Addr(), role))
+		servers = append(servers, startBatchEngine(t, i+1, role, p.engines))
+	}
+	serverFile := filepath.Join(directory, "fleet.json")
+	writeFile(t, serverFile, `{"servers": [`+strings.Join(servers, ",")+`]}`)
+	apiAddress := freeAddress(t)
+	p.api = &batchAPI{t, "http://" + apiAddress, mainKey}
+	p.settings = filepath.Join(directory, "settings.json")
+	writeFile(t, p.settings, fmt.Sprintf(`{"listen": %q, "zone": "a", "fleet": {"file": %q},
+		"classes": [
+			{"name": "draft", "target": "2s", "timeout": "10s", "token_gap": "100ms", "effect": "idempotent"},
+			{"name": "book", "target": "2s", "timeout": "10s", "token_gap": "100ms", "effect": "non_idempotent"}],
+		"cold_start": {"from": 1, "warm_after": "1s", "overload_factor": 100, "overload_window": "1s"},
+		"rules": {"release_within": "500ms"}, "seed": 3,
+		"batch": {"listen": %q, "dir": %q, "keys": [{"sha256": %q}], "again_after": "50ms", "lines_out": 24}}`,
+		freeAddress(t), serverFile, apiAddress, filepath.Join(directory, "store"), hashOf(mainKey)))
+	return p
+}
+
+// startBatchEngine starts a stand-in engine and returns its entry for the file of servers.
+func startBatchEngine(t *testing.T, id int, role string, log *eventlog.Log) string {
+	t.Helper()
+	spec := engine.Spec{
+		ID: id, Role: pb.Role_ROLE_READER, Zone: "a", Cell: "a1", Slots: 16, Queue: 64, MemoryTokens: 100000,
+		PrefillRate: 20000, TokenGap: 4 * time.Millisecond, RequestsPerSecond: 100, TransferRate: 1e6,
+		MaxHoldTime: 2 * time.Second,
+	}
+	if role == "decode" {
+		spec.Role = pb.Role_ROLE_WRITER
+	}
+	e := engine.New(spec, engine.LinearModel{}, log)
+	if err := e.Start("127.0.0.1:0"); err != nil {
+		t.Fatal(err)
 	}
-	free := func() string {
-		ln, err := net.Listen("tcp", "127.0.0.1:0")
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer ln.Close()
-		return ln.Addr().String()
+	t.Cleanup(e.Crash)
+	return fmt.Sprintf(`{"id": %d, "address": %q, "role": %q, "zone": "a", "cell": "a1", "health": "serving",
+		"started_unix_ns": 0}`, id, e.Addr(), role)
+}
+
+func freeAddress(t *testing.T) string {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
 	}
-	at := free()
-	write := func(name, text string) string {
-		name = filepath.Join(dir, name)
-		if err := os.WriteFile(name, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		return name
+	defer listener.Close()
+	return listener.Addr().String()
+}
+
+func writeFile(t *testing.T, name, text string) {
+	t.Helper()
+	if err := os.WriteFile(name, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
 	}
-	fleet := write("fleet.json", `{"servers": [`+strings.Join(hosts, ",")+`]}`)
-	file := write("settings.json", fmt.Sprintf(`{"listen": %q, "zone": "a", "fleet": {"file": %q},
-		"classes": [{"name": "draft", "target": "2s", "timeout": "10s", "token_gap": "100ms", "effect": "idempotent"},
-			{"name": "book", "target": "2s", "timeout": "10s", "token_gap": "100ms", "effect": "non_idempotent"}],
-		"cold_start": {"from": 1, "warm_after": "1s", "overload_factor": 100, "overload_window": "1s"}, "rules": {"release_within": "500ms"}, "seed": 3,
-		"batch": {"listen": %q, "dir": %q, "keys": [{"sha256": %q}], "again_after": "50ms", "lines_out": 24}}`, free(), fleet, at, filepath.Join(dir, "store"), hashOf("k1")))
-	var running *exec.Cmd
-	start := func() {
-		running = exec.Command(program, "serve", file, "--log", "error")
-		running.Stderr = os.Stderr
-		if err := running.Start(); err != nil {
-			t.Fatal(err)
+}
+
+// start starts the program and waits until it answers.
+func (p *batchProcess) start() {
+	p.t.Helper()
+	p.running = exec.Command(p.program, "serve", p.settings, "--log", "error")
+	p.running.Stderr = os.Stderr
+	if err := p.running.Start(); err != nil {
+		p.t.Fatal(err)
+	}
+	for end := time.Now().Add(10 * time.Second); ; time.Sleep(10 * time.Millisecond) {
+		if statusCode, _ := p.api.callRaw(http.MethodGet, filesPath, "", nil); statusCode == http.StatusOK {
+			return
 		}
-	}
-	kill := func() {
-		running.Process.Kill()
-		running.Wait()
-	}
-	start()
-	t.Cleanup(func() { kill() })
-	a := &batchAPI{t, "http://" + at, "k1"}
-	up := func() {
-		t.Helper()
-		for end := time.Now().Add(10 * time.Second); ; time.Sleep(10 * time.Millisecond) {
-			if status, _ := a.raw("GET", "/v1/files", "", nil); status == 200 {
-				return
-			}
-			if time.Now().After(end) {
-				t.Fatal("the program does not come up")
-			}
+		if time.Now().After(end) {
+			p.t.Fatal("the program does not come up")
 		}
 	}
-	up()
-	const n = 250
-	drafts, books := a.submit(batchLines(n, "draft"), "10m"), a.submit(batchLines(n, "book"), "10m")
+}
+
+// kill kills the program.
+func (p *batchProcess) kill() {
+	if p.running.Process == nil { // it could not be started
+		return
+	}
+	_ = p.running.Process.Kill() // an error says that it has ended
+	_ = p.running.Wait()         // it says that it was killed
+}
+
+// TestBatchSurvivesKills kills the process again and again while two batches run. Each line must end once, and none of
+// a non-idempotent class may run twice.
+func TestBatchSurvivesKills(t *testing.T) {
+	t.Parallel()
+	const lineCount = 250
+	process := newBatchProcess(t)
+	t.Cleanup(func() { process.kill() })
+	process.start()
+	api := process.api
+	drafts := api.submit(batchLines(lineCount, "draft"), "10m")
+	bookings := api.submit(batchLines(lineCount, "book"), "10m")
 	for i := range 10 {
 		time.Sleep(time.Duration(150+40*i) * time.Millisecond)
-		kill()
-		start()
-		up()
-	}
-	draft, booked := a.waitFor(drafts, 60*time.Second, "completed"), a.waitFor(books, 60*time.Second, "completed")
-	all := map[string]map[string]any{}
-	if got := a.results(draft, "output_file_id", all); got != n || draft["error_file_id"] != nil {
-		t.Errorf("%d of %d drafts done, %v", got, n, draft)
-	}
-	all = map[string]map[string]any{}
-	done, lost := a.results(booked, "output_file_id", all), a.results(booked, "error_file_id", all)
-	if done+lost != n || len(all) != n || done < n/5 || lost == 0 {
-		t.Errorf("%d bookings done and %d lost of %d", done, lost, n)
-	}
-	for name, l := range all {
-		if l["error"] != nil && errorCode(l) != "may_have_run" {
-			t.Errorf("%s: %v", name, l["error"])
+		process.kill()
+		process.start()
+	}
+	draftBatch := api.waitFor(drafts, 60*time.Second, "completed")
+	bookingBatch := api.waitFor(bookings, 60*time.Second, "completed")
+	count := api.results(draftBatch.OutputFileID, map[string]*resultLine{})
+	if count != lineCount || draftBatch.ErrorFileID != nil {
+		t.Errorf("%d of %d drafts completed, %+v", count, lineCount, draftBatch)
+	}
+	lines := map[string]*resultLine{}
+	completed := api.results(bookingBatch.OutputFileID, lines)
+	failed := api.results(bookingBatch.ErrorFileID, lines)
+	if completed+failed != lineCount || len(lines) != lineCount || completed < lineCount/5 || failed == 0 {
+		t.Errorf("%d bookings completed and %d failed of %d", completed, failed, lineCount)
+	}
+	for name, line := range lines {
+		if line.Error != nil && line.Error.Code != "may_have_run" {
+			t.Errorf("%s: %v", name, line.Error)
 		}
 	}
-	ran := map[string]int{}
-	for _, e := range records.Entries() {
-		if e.Kind == eventlog.AnswerStarted && e.Class == "book" {
-			if ran[e.RequestLabel]++; ran[e.RequestLabel] > 1 {
-				t.Errorf("booking %s ran twice", e.RequestLabel)
+	runs := map[string]int{}
+	for _, entry := range process.engines.Entries() {
+		if entry.Kind == eventlog.AnswerStarted && entry.Class == "book" {
+			if runs[entry.RequestLabel]++; runs[entry.RequestLabel] > 1 {
+				t.Errorf("booking %s ran twice", entry.RequestLabel)
 			}
 		}
 	}
-	t.Logf("killed ten times: drafts %d done, bookings %d done and %d that may have run, %d ran", n, done, lost, len(ran))
+	t.Logf("killed ten times: drafts %d completed, bookings %d completed and %d that may have run, %d ran",
+		count, completed, failed, len(runs))
 }
 
-// TestBatchSurvivesOutage: the engines are gone for a while, then the dispatcher drains and comes back: the batch waits, and
-// every line is answered.
+// TestBatchSurvivesOutage checks that a batch waits while the engines are gone and while the dispatcher restarts, and
+// that every line is answered.
 func TestBatchSurvivesOutage(t *testing.T) {
 	t.Parallel()
+	const lineCount = 400
 	deployment, _ := startDeployment(t, nil)
-	a := startBatchAPI(t, deployment, t.TempDir(), nil)
-	id := a.submit(batchLines(400, "question"), "10m")
-	a.waitFor(id, 5*time.Second, "in_progress")
+	api := startBatchAPI(t, deployment, t.TempDir(), nil)
+	id := api.submit(batchLines(lineCount, "question"), "10m")
+	api.waitFor(id, 5*time.Second, "in_progress")
 	time.Sleep(300 * time.Millisecond)
 	for _, e := range deployment.Engines {
 		e.Crash()
 	}
 	time.Sleep(3 * time.Second)
-	b := a.waitFor(id, time.Second, "in_progress")
-	stood := b["request_counts"].(map[string]any)["completed"].(float64)
+	beforeReturn := api.waitFor(id, time.Second, "in_progress").RequestCounts.Completed
 	for _, e := range deployment.Engines {
 		if err := e.Start(""); err != nil {
 			t.Fatal(err)
@@ -150,12 +189,12 @@
 	if err := deployment.RestartDispatcher(0); err != nil {
 		t.Fatal(err)
 	}
-	b = a.waitFor(id, 60*time.Second, "completed")
-	all := map[string]map[string]any{}
-	if n := a.results(b, "output_file_id", all); n != 400 || stood >= 400 || b["error_file_id"] != nil {
-		t.Errorf("%d of 400 done, %.0f before the engines came back; %v", n, stood, b)
+	batch := api.waitFor(id, 60*time.Second, "completed")
+	count := api.results(batch.OutputFileID, map[string]*resultLine{})
+	if count != lineCount || beforeReturn >= lineCount || batch.ErrorFileID != nil {
+		t.Errorf("%d of %d completed, %d before the engines came back; %+v", count, lineCount, beforeReturn, batch)
 	}
-	for _, v := range deployment.CheckInvariants() {
-		t.Error(v)
+	for _, violation := range deployment.CheckInvariants() {
+		t.Error(violation)
 	}
 }
--- a/internal/e2e/drain_test.go
+++ b/internal/e2e/drain_test.go
@@ -9,9 +9,7 @@
 	"testing"
 	"time"
 
-	"google.golang.org/grpc"
 	"google.golang.org/grpc/codes"
-	"google.golang.org/grpc/credentials/insecure"
 	healthpb "google.golang.org/grpc/health/grpc_health_v1"
 	"google.golang.org/grpc/status"
 
@@ -19,23 +17,19 @@
 	"docksail/internal/lab/scenario"
 )
 
-// TestDrainDuringConnect: a launch that waits for its connection is not sent once the host drains.
+// TestDrainDuringConnect checks that an attempt which waits for its connection is not sent once the server drains.
 func TestDrainDuringConnect(t *testing.T) {
 	deployment, client := startDeployment(t, func(s *scenario.Script) { s.Servers[0].Count = 1 })
-	deployment.Proxies(0)[0].SetBlackhole(true) // the connection is made, but its engine never speaks
+	deployment.Proxies(0)[0].SetBlackhole(true) // the connection is made, but its engine never answers
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
-	done := make(chan *status.Status, 1)
-	go func() {
-		_, s, _ := generate(ctx, client, newRequest("drained"))
-		done <- s
-	}()
+	result := make(chan answer, 1)
+	go func() { result <- generate(ctx, client, newRequest("drained")) }()
 	time.Sleep(50 * time.Millisecond)
 	deployment.SetServerHealth(1, pb.Health_HEALTH_DRAINING)
 	deployment.Proxies(0)[0].SetBlackhole(false)
-	s := <-done
-	if s.Code() != codes.Unavailable {
-		t.Errorf("ended with %v, want a nack: there is no other reader", s)
+	if got := <-result; got.status.Code() != codes.Unavailable {
+		t.Errorf("ended with %v, want a rejection: there is no other prefill server", got.status)
 	}
 	for range 20 { // nothing new goes there
 		generate(ctx, client, newRequest("after"))
@@ -43,134 +37,119 @@
 	checkInvariants(t, deployment)
 }
 
-// TestDrain: jobs in hand are finished, new ones refused, then the dispatcher ends.
+// TestDrain checks that requests in flight are finished and new ones rejected, and that the dispatcher then ends.
 func TestDrain(t *testing.T) {
 	deployment, client := startDeployment(t, nil)
-	health := func() healthpb.HealthCheckResponse_ServingStatus {
-		c, err := grpc.NewClient(deployment.Addresses()[0], grpc.WithTransportCredentials(insecure.NewCredentials()))
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer c.Close()
-		res, err := healthpb.NewHealthClient(c).Check(context.Background(), &healthpb.HealthCheckRequest{})
-		if err != nil {
-			t.Fatal(err)
-		}
-		return res.Status
-	}
-	if s := health(); s != healthpb.HealthCheckResponse_SERVING {
-		t.Errorf("health %v before the drain", s)
-	}
-	watching, err := grpc.NewClient(deployment.Addresses()[0], grpc.WithTransportCredentials(insecure.NewCredentials()))
+	address := deployment.Addresses()[0]
+	checkHealth(t, address, healthpb.HealthCheckResponse_SERVING)
+	health := healthpb.NewHealthClient(dialConn(t, address))
+	watch, err := health.Watch(context.Background(), &healthpb.HealthCheckRequest{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer watching.Close()
-	watch, err := healthpb.NewHealthClient(watching).Watch(context.Background(), &healthpb.HealthCheckRequest{})
+	if update, err := watch.Recv(); err != nil || update.Status != healthpb.HealthCheckResponse_SERVING {
+		t.Fatalf("health watch: %v, %v", update, err)
+	}
+	started, result := startStream(client, "drain", 200)
+	<-started
+	dispatcher := deployment.Dispatcher(0)
+	dispatcher.Drain(5 * time.Second)
+	if update, err := watch.Recv(); err != nil || update.Status != healthpb.HealthCheckResponse_NOT_SERVING {
+		t.Errorf("health watch at the drain: %v, %v, want NOT_SERVING", update, err)
+	}
+	if got := <-result; got.Code() != codes.OK {
+		t.Errorf("the stream in flight ended with %v", got)
+	}
+	waitForEnd(t, dispatcher.Done())
+	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
+	defer cancel()
+	if got := generate(ctx, client, newRequest("late")); got.status.Code() != codes.Unavailable {
+		t.Errorf("a request after the drain ended with %v", got.status)
+	}
+}
+
+func checkHealth(t *testing.T, address string, want healthpb.HealthCheckResponse_ServingStatus) {
+	t.Helper()
+	conn := dialConn(t, address)
+	defer conn.Close()
+	response, err := healthpb.NewHealthClient(conn).Check(context.Background(), &healthpb.HealthCheckRequest{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if res, err := watch.Recv(); err != nil || res.Status != healthpb.HealthCheckResponse_SERVING {
-		t.Fatalf("health watch: %v, %v", res, err)
+	if response.Status != want {
+		t.Errorf("health %v, want %v", response.Status, want)
 	}
-	long := newRequest("drain")
-	long.MaxTokens = 200
-	end := make(chan *status.Status, 1)
-	began := make(chan bool)
+}
+
+// startStream sends a request. started is closed when its first token has come or it has failed, and result gets its
+// status at the end.
+func startStream(client pb.GenerationClient, label string, maxTokens uint32) (
+	started <-chan struct{}, result <-chan *status.Status,
+) {
+	startedChannel, resultChannel := make(chan struct{}), make(chan *status.Status, 1)
+	request := newRequest(label)
+	request.MaxTokens = maxTokens
 	go func() {
-		stream, err := client.Generate(context.Background(), long)
+		stream, err := client.Generate(context.Background(), request)
 		if err == nil {
 			_, err = stream.Recv()
 		}
-		close(began)
+		close(startedChannel)
 		for err == nil {
 			_, err = stream.Recv()
 		}
 		if errors.Is(err, io.EOF) {
 			err = nil
 		}
-		end <- status.Convert(err)
+		resultChannel <- status.Convert(err)
 	}()
-	<-began
-	r := deployment.Dispatcher(0)
-	r.Drain(5 * time.Second)
-	if res, err := watch.Recv(); err != nil || res.Status != healthpb.HealthCheckResponse_NOT_SERVING {
-		t.Errorf("health watch at the drain: %v, %v, want NOT_SERVING", res, err)
-	}
-	if s := <-end; s.Code() != codes.OK {
-		t.Errorf("the stream in hand ended with %v", s)
-	}
-	select {
-	case <-r.Done():
-	case <-time.After(3 * time.Second):
-		t.Fatal("the dispatcher did not end")
-	}
-	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-	defer cancel()
-	if _, s, _ := generate(ctx, client, newRequest("late")); s.Code() != codes.Unavailable {
-		t.Errorf("a job after the drain ended with %v", s)
-	}
+	return startedChannel, resultChannel
 }
 
-// TestDrainTimeout: what is not finished in the time to drain is answered all the same.
+// TestDrainTimeout checks that a request which is not finished when the time to drain is up is answered.
 func TestDrainTimeout(t *testing.T) {
 	deployment, client := startDeployment(t, nil)
 	hangEngines(deployment, 3, 4)
-	end := make(chan *status.Status, 1)
-	go func() {
-		_, s, _ := generate(context.Background(), client, newRequest("hung"))
-		end <- s
-	}()
+	result := make(chan answer, 1)
+	go func() { result <- generate(context.Background(), client, newRequest("hung")) }()
 	time.Sleep(150 * time.Millisecond)
-	r := deployment.Dispatcher(0)
-	begin := time.Now()
-	r.Drain(200 * time.Millisecond)
-	if s := <-end; s.Code() != codes.Unavailable || time.Since(begin) > time.Second {
-		t.Errorf("after %v: %v, want a nack for a redoable job at the end of the drain", time.Since(begin), s)
-	}
-	select {
-	case <-r.Done():
-	case <-time.After(3 * time.Second):
-		t.Fatal("the dispatcher did not end")
-	}
+	dispatcher := deployment.Dispatcher(0)
+	start := time.Now()
+	dispatcher.Drain(200 * time.Millisecond)
+	got := <-result
+	if elapsed := time.Since(start); got.status.Code() != codes.Unavailable || elapsed > time.Second {
+		t.Errorf("after %v: %v, want an idempotent request rejected at the end of the drain", elapsed, got.status)
+	}
+	waitForEnd(t, dispatcher.Done())
 }
 
-// TestDrainAnswersWaitingRequests: jobs that wait at the door when the dispatcher drains are answered, each once; those that leave
-// leave no trace.
+// TestDrainAnswersWaitingRequests checks that requests in the admission queue are answered once each when the
+// dispatcher drains, and that nothing is left of those whose clients cancel.
 func TestDrainAnswersWaitingRequests(t *testing.T) {
 	deployment, client := startDeployment(t, nil)
 	hangEngines(deployment, 1, 2)
 	var wg sync.WaitGroup
-	var mu sync.Mutex
-	ends := map[codes.Code]int{}
+	var ends statusCounts
 	for i := range 60 {
-		wg.Add(1)
-		go func() {
-			defer wg.Done()
+		wg.Go(func() {
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
 			if i%3 == 0 {
 				time.AfterFunc(150*time.Millisecond, cancel)
 			}
-			_, s, _ := generate(ctx, client, newRequest(fmt.Sprint("waits", i)))
-			mu.Lock()
-			ends[s.Code()]++
-			mu.Unlock()
-		}()
+			got := generate(ctx, client, newRequest(fmt.Sprint("waits", i)))
+			ends.add(got.status.Code())
+		})
 	}
 	time.Sleep(100 * time.Millisecond)
-	r := deployment.Dispatcher(0)
-	r.Drain(300 * time.Millisecond)
+	dispatcher := deployment.Dispatcher(0)
+	dispatcher.Drain(300 * time.Millisecond)
 	wg.Wait()
-	if ends[codes.Unavailable] != 40 || ends[codes.Canceled] != 20 {
-		t.Errorf("ended as %v, want 40 nacked and 20 left", ends)
-	}
-	select {
-	case <-r.Done():
-	case <-time.After(3 * time.Second):
-		t.Fatal("the dispatcher did not end")
+	if ends.of(codes.Unavailable) != 40 || ends.of(codes.Canceled) != 20 {
+		t.Errorf("ended as %v, want 40 rejected and 20 canceled", &ends)
 	}
-	for _, v := range deployment.CheckInvariants() {
-		t.Error(v)
+	waitForEnd(t, dispatcher.Done())
+	for _, violation := range deployment.CheckInvariants() {
+		t.Error(violation)
 	}
 }
--- a/internal/e2e/e2e_test.go
+++ b/internal/e2e/e2e_test.go
@@ -8,7 +8,10 @@
 	"io"
 	"log/slog"
 	"net"
+	"runtime"
+	"strconv"
 	"strings"
+	"sync"
 	"testing"
 	"time"
 
@@ -24,168 +27,264 @@
 	"docksail/internal/lab/scenario"
 )
 
+const (
+	pushbackKey = "grpc-retry-pushback-ms" // in trailers
+	ticketKey   = "docksail-ticket-bin"    // in headers and trailers
+)
+
 var discardLog = slog.New(slog.NewTextHandler(io.Discard, nil))
 
-// day is a small day that the tests change.
+// faultsPlaceholder stands for the list of faults in scenarioText.
+const faultsPlaceholder = "FAULTS"
+
+// scenarioText is a small scenario that tests change: servers 1 and 2 do prefill, 3 and 4 do decode.
 const scenarioText = `{
   "for": "5s", "sessions_per_second": 25, "lister_late": "50ms", "release_within": "300ms", "attempts": 5,
   "cold_start": {"from": 0.1, "warm_after": "6s", "overload_factor": 1.2, "overload_window": "1s"},
   "fleet": [
-    {"count": 2, "role": "prefill", "zone": "a", "cell": "a1", "slots": 8, "queue": 60, "reads_per_second": 7000, "requests_per_second": 17},
-    {"count": 2, "role": "decode", "zone": "a", "cell": "a1", "slots": 16, "queue": 60, "token_gap": "5ms", "requests_per_second": 40}
+    {"count": 2, "role": "prefill", "zone": "a", "cell": "a1", "slots": 8, "queue": 60,
+     "reads_per_second": 7000, "requests_per_second": 17},
+    {"count": 2, "role": "decode", "zone": "a", "cell": "a1", "slots": 16, "queue": 60,
+     "token_gap": "5ms", "requests_per_second": 40}
   ],
   "dispatchers": [{"zone": "a"}],
   "classes": [
-    {"name": "question", "share": 0.7, "target": "600ms", "timeout": "2s", "token_gap": "50ms", "effect": "idempotent",
-     "prompt": 100, "prompt_most": 600, "answer": 20, "retries": 1},
-    {"name": "booking", "share": 0.3, "target": "600ms", "timeout": "2s", "token_gap": "50ms", "effect": "non_idempotent",
-     "prompt": 100, "prompt_most": 600, "answer": 20, "retries": 1}
+    {"name": "question", "share": 0.7, "target": "600ms", "timeout": "2s", "token_gap": "50ms",
+     "effect": "idempotent", "prompt": 100, "prompt_most": 600, "answer": 20, "retries": 1},
+    {"name": "booking", "share": 0.3, "target": "600ms", "timeout": "2s", "token_gap": "50ms",
+     "effect": "non_idempotent", "prompt": 100, "prompt_most": 600, "answer": 20, "retries": 1}
   ],
-  "troubles": [TROUBLES]
+  "troubles": [FAULTS]
 }`
 
-// stage is one dispatcher with two readers (hosts 1 and 2) and two writers (3 and 4).
-func startDeployment(t *testing.T, change func(s *scenario.Script)) (*scenario.Deployment, pb.GenerationClient) {
+// wrapModule returns what stands between a dispatcher and its policy.
+type wrapModule = func(dispatch.Module) dispatch.Module
+
+// newScript returns the small scenario with faults, as JSON objects with commas between them.
+func newScript(t *testing.T, faults string) *scenario.Script {
 	t.Helper()
-	s, err := scenario.Parse("day", []byte(strings.Replace(scenarioText, "TROUBLES", "", 1)))
+	script, err := scenario.Parse("scenario", []byte(strings.Replace(scenarioText, faultsPlaceholder, faults, 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if change != nil {
-		change(s)
+	return script
+}
+
+// runScript plays a scenario and logs its report. wrap may be nil.
+func runScript(t *testing.T, script *scenario.Script, wrap wrapModule) *scenario.Report {
+	t.Helper()
+	deployment, err := scenario.StartWithModule(script, discardLog, func(int) wrapModule { return wrap })
+	if err != nil {
+		t.Fatal(err)
 	}
-	deployment, err := scenario.Start(s, discardLog)
+	defer deployment.Close()
+	report, err := deployment.Run(context.Background())
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(deployment.Close)
-	return deployment, dial(t, deployment.Addresses()[0])
+	var text strings.Builder
+	report.Print(&text)
+	t.Log("\n" + text.String())
+	return report
 }
 
-func dial(t *testing.T, to string) pb.GenerationClient {
+// startDeployment starts the servers and the dispatcher of the small scenario without its load, and returns a client.
+// change may be nil.
+func startDeployment(t *testing.T, change func(*scenario.Script)) (*scenario.Deployment, pb.GenerationClient) {
 	t.Helper()
-	c, err := grpc.NewClient(to, grpc.WithTransportCredentials(insecure.NewCredentials()))
+	script := newScript(t, "")
+	if change != nil {
+		change(script)
+	}
+	deployment, err := scenario.Start(script, discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close() })
-	return pb.NewGenerationClient(c)
+	t.Cleanup(deployment.Close)
+	return deployment, dial(t, deployment.Addresses()[0])
 }
 
-// dialFrom connects from one address of the loopback network.
-func dialFrom(t *testing.T, ip byte, to string) pb.GenerationClient {
+func dial(t *testing.T, address string) pb.GenerationClient {
 	t.Helper()
-	from := &net.Dialer{Timeout: 2 * time.Second, LocalAddr: &net.TCPAddr{IP: net.IPv4(127, 0, 0, ip)}}
-	conn, err := grpc.NewClient(to, grpc.WithTransportCredentials(insecure.NewCredentials()),
-		grpc.WithContextDialer(func(ctx context.Context, to string) (net.Conn, error) { return from.DialContext(ctx, "tcp", to) }))
+	return pb.NewGenerationClient(dialConn(t, address))
+}
+
+// dialFrom connects from an address of the loopback network: 127.0.0.host.
+func dialFrom(t *testing.T, host byte, address string) pb.GenerationClient {
+	t.Helper()
+	dialer := loopbackDialer(host)
+	return pb.NewGenerationClient(dialConn(t, address,
+		grpc.WithContextDialer(func(ctx context.Context, address string) (net.Conn, error) {
+			return dialer.DialContext(ctx, "tcp", address)
+		})))
+}
+
+func loopbackDialer(host byte) *net.Dialer {
+	return &net.Dialer{Timeout: 2 * time.Second, LocalAddr: &net.TCPAddr{IP: net.IPv4(127, 0, 0, host)}}
+}
+
+func dialConn(t *testing.T, address string, options ...grpc.DialOption) *grpc.ClientConn {
+	t.Helper()
+	options = append(options, grpc.WithTransportCredentials(insecure.NewCredentials()))
+	conn, err := grpc.NewClient(address, options...)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { conn.Close() })
-	return pb.NewGenerationClient(conn)
+	return conn
 }
 
 func newRequest(label string) *pb.GenerateRequest {
-	return &pb.GenerateRequest{Track: "question", PromptTokens: 500, MaxTokens: 20, Label: label, Prompt: []byte(label)}
+	return &pb.GenerateRequest{
+		Track: "question", PromptTokens: 500, MaxTokens: 20, Label: label, Prompt: []byte(label),
+	}
+}
+
+// answer is how a request ended.
+type answer struct {
+	tokens  int
+	status  *status.Status
+	trailer metadata.MD
 }
 
-// ask plays a job to its end: the tokens, the final status and the trailer.
-func generate(ctx context.Context, c pb.GenerationClient, req *pb.GenerateRequest) (int, *status.Status, metadata.MD) {
-	stream, err := c.Generate(ctx, req)
+// retryAfter returns how long the client was asked to wait, and 0 without a valid answer to that.
+func (a *answer) retryAfter() time.Duration {
+	milliseconds, err := strconv.Atoi(strings.Join(a.trailer.Get(pushbackKey), ""))
 	if err != nil {
-		return 0, status.Convert(err), nil
+		return 0
 	}
-	n := 0
+	return time.Duration(milliseconds) * time.Millisecond
+}
+
+// generate sends a request and reads its stream to the end. The status is DATA_LOSS if a token is wrong.
+func generate(ctx context.Context, client pb.GenerationClient, request *pb.GenerateRequest) answer {
+	stream, err := client.Generate(ctx, request)
+	if err != nil {
+		return answer{status: status.Convert(err)}
+	}
+	count := 0
 	for {
-		tok, err := stream.Recv()
+		message, err := stream.Recv()
 		if errors.Is(err, io.EOF) {
-			return n, status.New(codes.OK, ""), stream.Trailer()
+			return answer{count, status.New(codes.OK, ""), stream.Trailer()}
 		}
 		if err != nil {
-			return n, status.Convert(err), stream.Trailer()
+			return answer{count, status.Convert(err), stream.Trailer()}
 		}
-		for i, got := range tok.Tokens {
-			if int(tok.Position)+i != n || got != engine.TokenAt(req, n) {
-				return n, status.New(codes.DataLoss, fmt.Sprintf("token %d is wrong", n)), nil
+		for i, token := range message.Tokens {
+			if int(message.Position)+i != count || token != engine.TokenAt(request, count) {
+				return answer{count, status.New(codes.DataLoss, fmt.Sprintf("token %d is wrong", count)), nil}
 			}
-			n++
+			count++
 		}
 	}
 }
 
-// calm waits until no engine does or holds anything and the dispatcher has no job in hand.
-func waitUntilIdle(t *testing.T, deployment *scenario.Deployment, within time.Duration) {
+// statusCounts counts requests by how they ended. Its methods may be called from any goroutine.
+type statusCounts struct {
+	mu     sync.Mutex
+	counts map[codes.Code]int
+}
+
+func (s *statusCounts) add(code codes.Code) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.counts == nil {
+		s.counts = map[codes.Code]int{}
+	}
+	s.counts[code]++
+}
+
+func (s *statusCounts) of(code codes.Code) int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.counts[code]
+}
+
+func (s *statusCounts) String() string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return fmt.Sprint(s.counts)
+}
+
+// hangEngines has engines accept requests and never answer.
+func hangEngines(deployment *scenario.Deployment, ids ...int) {
+	for _, id := range ids {
+		deployment.Engines[id-1].SetFaults(func(f *engine.Faults) { f.Hanging = true })
+	}
+}
+
+// setDraining has engines reject requests as they do while they drain.
+func setDraining(deployment *scenario.Deployment, draining bool, ids ...int) {
+	for _, id := range ids {
+		deployment.Engines[id-1].SetFaults(func(f *engine.Faults) { f.Draining = draining })
+	}
+}
+
+// waitUntilIdle waits until no engine runs or holds anything and the dispatcher has no request in flight.
+func waitUntilIdle(t *testing.T, deployment *scenario.Deployment, timeout time.Duration) {
 	t.Helper()
-	var what string
-	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		what = ""
-		for _, e := range deployment.Engines {
-			running, waiting := e.Load()
-			if running+waiting+e.HeldStates() > 0 {
-				what += fmt.Sprintf(" host %d runs %d, has %d waiting, holds %d;", e.Spec.ID, running, waiting, e.HeldStates())
-			}
-		}
-		deployment.Dispatcher(0).RunOnLoop(func(d *dispatch.Dispatcher) {
-			if d.InFlight() > 0 {
-				what += fmt.Sprintf(" dispatcher has %d in hand", d.InFlight())
-			}
-		})
-		if what == "" {
+	var activity string
+	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+		if activity = describeActivity(deployment); activity == "" {
 			return
 		}
 	}
-	t.Errorf("after %v:%s", within, what)
+	t.Errorf("after %v:%s", timeout, activity)
 }
 
-func checkInvariants(t *testing.T, deployment *scenario.Deployment) {
-	t.Helper()
-	for _, v := range deployment.CheckInvariants() {
-		t.Error(v)
+// describeActivity returns what engines and dispatcher do, or an empty text.
+func describeActivity(deployment *scenario.Deployment) string {
+	var text strings.Builder
+	for _, e := range deployment.Engines {
+		running, waiting := e.Load()
+		if held := e.HeldStates(); running+waiting+held > 0 {
+			fmt.Fprintf(&text, " engine %d runs %d, has %d waiting, holds %d;", e.Spec.ID, running, waiting, held)
+		}
 	}
 	deployment.Dispatcher(0).RunOnLoop(func(d *dispatch.Dispatcher) {
-		if d.Counts.InvalidDecisions > 0 {
-			t.Errorf("the account of a job refused %d decisions", d.Counts.InvalidDecisions)
+		if d.InFlight() > 0 {
+			fmt.Fprintf(&text, " dispatcher has %d in flight", d.InFlight())
 		}
 	})
+	return text.String()
 }
 
-func hangEngines(deployment *scenario.Deployment, hosts ...int) {
-	for _, h := range hosts {
-		deployment.Engines[h-1].SetFaults(func(f *engine.Faults) { f.Hanging = true })
+// checkInvariants reports violations of the invariants and decisions that a request's state did not allow.
+func checkInvariants(t *testing.T, deployment *scenario.Deployment) {
+	t.Helper()
+	for _, violation := range deployment.CheckInvariants() {
+		t.Error(violation)
 	}
+	deployment.Dispatcher(0).RunOnLoop(func(d *dispatch.Dispatcher) {
+		if d.Counts.InvalidDecisions > 0 {
+			t.Errorf("%d invalid decisions", d.Counts.InvalidDecisions)
+		}
+	})
 }
 
-func setDraining(deployment *scenario.Deployment, yes bool, hosts ...int) {
-	for _, h := range hosts {
-		deployment.Engines[h-1].SetFaults(func(f *engine.Faults) { f.Draining = yes })
+// checkReport reports violations and invalid decisions in a report.
+func checkReport(t *testing.T, report *scenario.Report) {
+	t.Helper()
+	if len(report.Violations) > 0 || report.Counts.InvalidDecisions > 0 {
+		t.Errorf("%v, %d invalid decisions", report.Violations, report.Counts.InvalidDecisions)
 	}
 }
 
-func runScenario(t *testing.T, troubles string, wrap func(dispatch.Module) dispatch.Module, change func(s *scenario.Script)) *scenario.Report {
+// waitForEnd waits until a dispatcher that drains has ended.
+func waitForEnd(t *testing.T, done <-chan struct{}) {
 	t.Helper()
-	s, err := scenario.Parse("day", []byte(strings.Replace(scenarioText, "TROUBLES", troubles, 1)))
-	if err != nil {
-		t.Fatal(err)
+	select {
+	case <-done:
+	case <-time.After(3 * time.Second):
+		t.Fatal("the dispatcher did not end")
 	}
-	if change != nil {
-		change(s)
-	}
-	return runScript(t, s, wrap)
 }
 
-func runScript(t *testing.T, s *scenario.Script, wrap func(dispatch.Module) dispatch.Module) *scenario.Report {
-	t.Helper()
-	deployment, err := scenario.StartWithModule(s, discardLog, func(int) func(dispatch.Module) dispatch.Module { return wrap })
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer deployment.Close()
-	report, err := deployment.Run(context.Background())
-	if err != nil {
-		t.Fatal(err)
-	}
-	var out strings.Builder
-	report.Print(&out)
-	t.Log("\n" + out.String())
-	return report
+// heapBytes returns the size of the heap after a garbage collection.
+func heapBytes() uint64 {
+	var stats runtime.MemStats
+	runtime.GC()
+	runtime.ReadMemStats(&stats)
+	return stats.HeapAlloc
 }
--- a/internal/e2e/slowclient_test.go
+++ b/internal/e2e/slowclient_test.go
@@ -4,7 +4,6 @@
 	"context"
 	"fmt"
 	"net"
-	"runtime"
 	"sync"
 	"testing"
 	"time"
@@ -17,92 +16,131 @@
 	"docksail/internal/lab/scenario"
 )
 
-// TestClientStopsReading: its writer is held back, others run at full pace, memory stays bounded.
-func TestClientStopsReading(t *testing.T) {
-	deployment, client := startDeployment(t, func(s *scenario.Script) { s.Servers[1].TokenGap = 200 * time.Microsecond })
-	raw, err := net.Dial("tcp", deployment.Addresses()[0])
+const (
+	slowClientWindow = 2048    // bytes that the client takes
+	maxHeapGrowth    = 4 << 20 // bytes
+)
+
+// slowClient is a client that reads frames and never opens its window further.
+type slowClient struct {
+	mu       sync.Mutex
+	socket   net.Conn
+	conn     *h2.Conn
+	received int // bytes of messages
+}
+
+// startSlowClient sends a request for a long answer and reads in the background until the test ends.
+func startSlowClient(t *testing.T, address string) *slowClient {
+	t.Helper()
+	socket, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer raw.Close()
-	lim := h2.DefaultLimits
-	lim.StreamWindow = 2048
-	app := &slowClientHandler{}
-	c := h2.NewClientConn(lim, app)
-	s := c.OpenStream("/docksail.v1.Generation/Generate", "there", 0)
-	req := newRequest("still")
-	req.MaxTokens = 60000
-	b, err := proto.Marshal(req)
+	t.Cleanup(func() { socket.Close() })
+	limits := h2.DefaultLimits
+	limits.StreamWindow = slowClientWindow
+	c := &slowClient{socket: socket}
+	c.conn = h2.NewClientConn(limits, c)
+	stream := c.conn.OpenStream("/docksail.v1.Generation/Generate", "there", 0)
+	request := newRequest("slow")
+	request.MaxTokens = 60000
+	message, err := proto.Marshal(request)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.SendMessage(b, true)
-	raw.Write(c.TakeOutput())
-	go func() { // reads frames, but credits nothing
-		buf := make([]byte, 32<<10)
-		for {
-			n, err := raw.Read(buf)
-			if err != nil {
-				return
-			}
-			app.mu.Lock()
-			c.Feed(1, buf[:n])
-			raw.Write(c.TakeOutput())
-			app.mu.Unlock()
+	stream.SendMessage(message, true)
+	if _, err := socket.Write(c.conn.TakeOutput()); err != nil {
+		t.Fatal(err)
+	}
+	go c.read()
+	return c
+}
+
+// read feeds the connection until the socket is closed.
+func (c *slowClient) read() {
+	buffer := make([]byte, 32<<10)
+	for {
+		n, err := c.socket.Read(buffer)
+		if err != nil {
+			return
 		}
-	}()
-	took := func(label string) time.Duration {
-		begin := time.Now()
-		if n, s, _ := generate(context.Background(), client, newRequest(label)); s.Code() != codes.OK || n == 0 {
-			t.Errorf("%s: %d tokens, %v", label, n, s)
+		if err := c.feed(buffer[:n]); err != nil {
+			return
 		}
-		return time.Since(begin)
 	}
-	took("first")
-	var before, after runtime.MemStats
-	runtime.GC()
-	runtime.ReadMemStats(&before)
+}
+
+func (c *slowClient) feed(input []byte) error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	_ = c.conn.Feed(1, input) // the output says what is wrong
+	_, err := c.socket.Write(c.conn.TakeOutput())
+	return err
+}
+
+func (c *slowClient) receivedBytes() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.received
+}
+
+// MessageReceived counts the bytes of a message and its prefix.
+func (c *slowClient) MessageReceived(_ *h2.Stream, message []byte) bool {
+	const prefixBytes = 5
+	c.received += len(message) + prefixBytes
+	return true
+}
+
+// The other events of a connection have no effect.
+
+func (c *slowClient) HeadersReceived(*h2.Stream, *h2.Header)                    {}
+func (c *slowClient) RequestEnded(*h2.Stream)                                   {}
+func (c *slowClient) StreamFinished(*h2.Stream, codes.Code, string, *h2.Header) {}
+func (c *slowClient) StreamReset(*h2.Stream, http2.ErrCode, bool)               {}
+func (c *slowClient) StreamFlushed(*h2.Stream)                                  {}
+func (c *slowClient) GoAwayReceived()                                           {}
+func (c *slowClient) PingAcked()                                                {}
+
+// TestClientStopsReading checks that the decode server of a client that does not read is held back by flow control,
+// that others run at full speed, and that memory stays bounded.
+func TestClientStopsReading(t *testing.T) {
+	deployment, client := startDeployment(t, func(s *scenario.Script) { s.Servers[1].TokenGap = 200 * time.Microsecond })
+	slow := startSlowClient(t, deployment.Addresses()[0])
+	elapsedOf := func(label string) time.Duration {
+		start := time.Now()
+		got := generate(context.Background(), client, newRequest(label))
+		if got.status.Code() != codes.OK || got.tokens == 0 {
+			t.Errorf("%s: %d tokens, %v", label, got.tokens, got.status)
+		}
+		return time.Since(start)
+	}
+	elapsedOf("first")
+	before := heapBytes()
 	for i := range 10 {
-		if d := took(fmt.Sprint("other", i)); d > time.Second {
-			t.Errorf("another client waited %v", d)
+		if elapsed := elapsedOf(fmt.Sprint("other", i)); elapsed > time.Second {
+			t.Errorf("another client waited %v", elapsed)
 		}
 	}
 	time.Sleep(300 * time.Millisecond)
-	app.mu.Lock()
-	got := app.got
-	app.mu.Unlock()
-	if got == 0 || got > 2048 {
-		t.Errorf("the still client was sent %d bytes, want up to its window of 2048", got)
+	if received := slow.receivedBytes(); received == 0 || received > slowClientWindow {
+		t.Errorf("the slow client was sent %d bytes, want at most its window of %d", received, slowClientWindow)
 	}
-	held := false
-	for end := time.Now().Add(15 * time.Second); !held && time.Now().Before(end); { // once the windows are full
-		relayed := deployment.Counts().Messages
-		time.Sleep(300 * time.Millisecond)
-		held = deployment.Counts().Messages == relayed
+	if !relayStops(deployment, 15*time.Second) {
+		t.Error("the decode server of a client that does not read was not held back in 15 s")
 	}
-	if !held {
-		t.Error("the writer of a client that takes nothing was not held back in 15 s")
+	if growth := int64(heapBytes()) - int64(before); growth > maxHeapGrowth {
+		t.Errorf("heap grew by %d bytes", growth)
 	}
-	runtime.GC()
-	runtime.ReadMemStats(&after)
-	if grown := int64(after.HeapAlloc) - int64(before.HeapAlloc); grown > 4<<20 {
-		t.Errorf("heap grew by %d bytes", grown)
-	}
-}
-
-type slowClientHandler struct {
-	mu  sync.Mutex
-	got int
 }
 
-func (a *slowClientHandler) HeadersReceived(*h2.Stream, *h2.Header) {}
-func (a *slowClientHandler) MessageReceived(_ *h2.Stream, p []byte) bool {
-	a.got += len(p) + 5
-	return true
+// relayStops waits until the dispatcher relays nothing for a time, as all windows are full.
+func relayStops(deployment *scenario.Deployment, timeout time.Duration) bool {
+	for end := time.Now().Add(timeout); time.Now().Before(end); {
+		relayed := deployment.Counts().Messages
+		time.Sleep(300 * time.Millisecond)
+		if deployment.Counts().Messages == relayed {
+			return true
+		}
+	}
+	return false
 }
-func (a *slowClientHandler) RequestEnded(*h2.Stream)                                   {}
-func (a *slowClientHandler) StreamFinished(*h2.Stream, codes.Code, string, *h2.Header) {}
-func (a *slowClientHandler) StreamReset(*h2.Stream, http2.ErrCode, bool)               {}
-func (a *slowClientHandler) StreamFlushed(*h2.Stream)                                  {}
-func (a *slowClientHandler) GoAwayReceived()                                           {}
-func (a *slowClientHandler) PingAcked()                                                {}
