--- a/internal/batchrunner/finalize.go
+++ b/internal/batchrunner/finalize.go
@@ -2,9 +2,10 @@
 
 import (
 	"context"
+	"time"
+
 	"docksail/internal/decide/batchscheduler"
 	"docksail/internal/state/batchstore"
-	"time"
 )
 
 // finalizeRetryInterval is how long a finalization waits after an error, such as a full disk.
--- a/internal/batchrunner/request.go
+++ b/internal/batchrunner/request.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"docksail/internal/state/batchstore"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -10,6 +9,8 @@
 	"net/http"
 
 	"github.com/cespare/xxhash/v2"
+
+	"docksail/internal/state/batchstore"
 )
 
 // lineRequest is a line of an input file.
--- a/internal/batchrunner/result.go
+++ b/internal/batchrunner/result.go
@@ -1,11 +1,12 @@
 package batchrunner
 
 import (
-	"docksail/internal/decide/batchscheduler"
 	"encoding/json"
 	"fmt"
 	"net/http"
 	"strings"
+
+	"docksail/internal/decide/batchscheduler"
 )
 
 // errorCode is a code of the error file, which clients read.
--- a/internal/batchrunner/resume.go
+++ b/internal/batchrunner/resume.go
@@ -2,10 +2,11 @@
 
 import (
 	"context"
-	"docksail/internal/decide/batchscheduler"
-	"docksail/internal/state/batchstore"
 	"fmt"
 	"time"
+
+	"docksail/internal/decide/batchscheduler"
+	"docksail/internal/state/batchstore"
 )
 
 // resume adds a batch of the store to the scheduler, in whatever state it is. A batch in StateValidating is validated
--- a/internal/batchrunner/runner.go
+++ b/internal/batchrunner/runner.go
@@ -6,8 +6,6 @@
 
 import (
 	"context"
-	"docksail/internal/decide/batchscheduler"
-	"docksail/internal/state/batchstore"
 	"log/slog"
 	"math/rand/v2"
 	"sync"
@@ -17,6 +15,8 @@
 	"google.golang.org/grpc/credentials/insecure"
 
 	pb "docksail/api/docksail/v1"
+	"docksail/internal/decide/batchscheduler"
+	"docksail/internal/state/batchstore"
 )
 
 // CompletionsEndpoint is the only endpoint of a batch and the only URL of its lines.
--- a/internal/batchrunner/runner_test.go
+++ b/internal/batchrunner/runner_test.go
@@ -2,8 +2,6 @@
 
 import (
 	"context"
-	"docksail/internal/decide/batchscheduler"
-	"docksail/internal/state/batchstore"
 	"fmt"
 	"io"
 	"log/slog"
@@ -23,6 +21,8 @@
 	"google.golang.org/protobuf/encoding/prototext"
 
 	pb "docksail/api/docksail/v1"
+	"docksail/internal/decide/batchscheduler"
+	"docksail/internal/state/batchstore"
 )
 
 // outcomesFile holds validation errors, requests and results as the program of commit 61b72d4 gave them. With
--- a/internal/batchrunner/send.go
+++ b/internal/batchrunner/send.go
@@ -2,8 +2,6 @@
 
 import (
 	"context"
-	"docksail/internal/decide/batchscheduler"
-	"docksail/internal/state/batchstore"
 	"errors"
 	"io"
 	"strconv"
@@ -16,6 +14,8 @@
 	"google.golang.org/grpc/status"
 
 	pb "docksail/api/docksail/v1"
+	"docksail/internal/decide/batchscheduler"
+	"docksail/internal/state/batchstore"
 )
 
 // Metadata of the dispatcher's gRPC frontend.
--- a/internal/batchrunner/validate.go
+++ b/internal/batchrunner/validate.go
@@ -3,14 +3,15 @@
 import (
 	"bufio"
 	"bytes"
-	"docksail/internal/decide/batchscheduler"
-	"docksail/internal/state/batchstore"
 	"errors"
 	"hash/crc32"
 	"io"
 	"time"
 
 	"github.com/cespare/xxhash/v2"
+
+	"docksail/internal/decide/batchscheduler"
+	"docksail/internal/state/batchstore"
 )
 
 const (
--- a/internal/decide/batchscheduler/scheduler.go
+++ b/internal/decide/batchscheduler/scheduler.go
@@ -5,10 +5,11 @@
 
 import (
 	"cmp"
-	"docksail/internal/indexedheap"
 	"fmt"
 	"slices"
 	"sort"
+
+	"docksail/internal/indexedheap"
 )
 
 // Nanos is a time or a duration in nanoseconds.
--- a/internal/dispatch/attempts.go
+++ b/internal/dispatch/attempts.go
@@ -126,7 +126,8 @@
 	}
 	if d.debug {
 		d.log.Debug("attempt ended", "request_id", req.logID(), "attempt", number,
-			"server_id", d.backend.ServerName(req.Server), "prefill", req.IsPrefill, "outcome", outcome, "state", state, "sent_at", d.ModuleTime(req.SentAt),
+			"server_id", d.backend.ServerName(req.Server), "prefill", req.IsPrefill,
+			"outcome", outcome, "state", state, "sent_at", d.ModuleTime(req.SentAt),
 			"duration", now-req.SentAt, "streaming", req.IsStreaming(), "answered", req.Answered())
 	}
 	d.recordOutcome(now, req, outcome)
--- a/internal/frontend/batch/batches.go
+++ b/internal/frontend/batch/batches.go
@@ -1,11 +1,12 @@
 package batch
 
 import (
-	"docksail/internal/batchrunner"
-	"docksail/internal/state/batchstore"
 	"encoding/json"
 	"net/http"
 	"time"
+
+	"docksail/internal/batchrunner"
+	"docksail/internal/state/batchstore"
 )
 
 const (
--- a/internal/frontend/batch/errors.go
+++ b/internal/frontend/batch/errors.go
@@ -1,10 +1,11 @@
 package batch
 
 import (
-	"docksail/internal/state/batchstore"
 	"errors"
 	"fmt"
 	"net/http"
+
+	"docksail/internal/state/batchstore"
 )
 
 // Types of errors, as the API shows them.
--- a/internal/frontend/batch/files.go
+++ b/internal/frontend/batch/files.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"docksail/internal/state/batchstore"
 	"errors"
 	"fmt"
 	"io"
@@ -10,6 +9,8 @@
 	"net/http"
 	"strconv"
 	"time"
+
+	"docksail/internal/state/batchstore"
 )
 
 const (
--- a/internal/frontend/batch/responses.go
+++ b/internal/frontend/batch/responses.go
@@ -1,10 +1,11 @@
 package batch
 
 import (
-	"docksail/internal/decide/batchscheduler"
-	"docksail/internal/state/batchstore"
 	"encoding/json"
 	"net/http"
+
+	"docksail/internal/decide/batchscheduler"
+	"docksail/internal/state/batchstore"
 )
 
 // Kinds of objects, as the API shows them.
--- a/internal/frontend/batch/server.go
+++ b/internal/frontend/batch/server.go
@@ -5,8 +5,6 @@
 import (
 	"context"
 	"crypto/sha256"
-	"docksail/internal/batchrunner"
-	"docksail/internal/state/batchstore"
 	"encoding/hex"
 	"errors"
 	"fmt"
@@ -15,6 +13,9 @@
 	"net/http"
 	"strings"
 	"time"
+
+	"docksail/internal/batchrunner"
+	"docksail/internal/state/batchstore"
 )
 
 const (
--- a/internal/frontend/batch/server_test.go
+++ b/internal/frontend/batch/server_test.go
@@ -3,8 +3,6 @@
 import (
 	"bytes"
 	"crypto/sha256"
-	"docksail/internal/batchrunner"
-	"docksail/internal/state/batchstore"
 	"encoding/hex"
 	"fmt"
 	"io"
@@ -17,6 +15,9 @@
 	"strings"
 	"testing"
 	"time"
+
+	"docksail/internal/batchrunner"
+	"docksail/internal/state/batchstore"
 )
 
 // responsesFile holds the API's responses as the program of commit 61b72d4 gave them, with what differs from run to run
--- a/internal/state/batchstore/batches.go
+++ b/internal/state/batchstore/batches.go
@@ -1,12 +1,13 @@
 package batchstore
 
 import (
-	"docksail/internal/decide/batchscheduler"
-	"docksail/internal/state/recordstore"
 	"encoding/json"
 	"errors"
 	"fmt"
 	"time"
+
+	"docksail/internal/decide/batchscheduler"
+	"docksail/internal/state/recordstore"
 )
 
 // Batch is the record of a tenant's batch. Times are Unix seconds; 0 means not yet.
--- a/internal/state/batchstore/files.go
+++ b/internal/state/batchstore/files.go
@@ -1,12 +1,13 @@
 package batchstore
 
 import (
-	"docksail/internal/state/recordstore"
 	"errors"
 	"fmt"
 	"io"
 	"os"
 	"time"
+
+	"docksail/internal/state/recordstore"
 )
 
 // Purposes of files, as the API shows them.
--- a/internal/state/batchstore/format_test.go
+++ b/internal/state/batchstore/format_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"docksail/internal/decide/batchscheduler"
 	"encoding/hex"
 	"fmt"
 	"io"
@@ -15,6 +14,8 @@
 	"time"
 
 	"go.etcd.io/bbolt"
+
+	"docksail/internal/decide/batchscheduler"
 )
 
 // formatDir is a store's directory that the program of commit 61b72d4 wrote, by the operations of writeSampleStore.
--- a/internal/state/batchstore/linear_test.go
+++ b/internal/state/batchstore/linear_test.go
@@ -1,7 +1,6 @@
 package batchstore
 
 import (
-	"docksail/internal/decide/batchscheduler"
 	"errors"
 	"fmt"
 	"math/rand/v2"
@@ -11,6 +10,8 @@
 	"time"
 
 	"github.com/anishathalye/porcupine"
+
+	"docksail/internal/decide/batchscheduler"
 )
 
 // The tests of this file check concurrent histories of one batch, whose lines are ended and whose counts are read by
--- a/internal/state/batchstore/lines.go
+++ b/internal/state/batchstore/lines.go
@@ -1,12 +1,13 @@
 package batchstore
 
 import (
-	"docksail/internal/decide/batchscheduler"
-	"docksail/internal/state/recordstore"
 	"encoding/binary"
 	"fmt"
 	"hash/crc32"
 	"os"
+
+	"docksail/internal/decide/batchscheduler"
+	"docksail/internal/state/recordstore"
 )
 
 // Line is the record of a batch's line: where its text stands in the input file, and its state.
--- a/internal/state/batchstore/recovery.go
+++ b/internal/state/batchstore/recovery.go
@@ -1,12 +1,13 @@
 package batchstore
 
 import (
-	"docksail/internal/decide/batchscheduler"
-	"docksail/internal/state/recordstore"
 	"encoding/json"
 	"os"
 	"path/filepath"
 	"slices"
+
+	"docksail/internal/decide/batchscheduler"
+	"docksail/internal/state/recordstore"
 )
 
 // recoverContents counts the quota that tenants use and removes what an interrupted upload left behind: temporary
--- a/internal/state/batchstore/results.go
+++ b/internal/state/batchstore/results.go
@@ -2,12 +2,13 @@
 
 import (
 	"bytes"
-	"docksail/internal/decide/batchscheduler"
-	"docksail/internal/state/recordstore"
 	"errors"
 	"fmt"
 	"strings"
 	"time"
+
+	"docksail/internal/decide/batchscheduler"
+	"docksail/internal/state/recordstore"
 )
 
 // ResultKind says how a line ended. Its value begins the stored record of a result.
--- a/internal/state/batchstore/sample_test.go
+++ b/internal/state/batchstore/sample_test.go
@@ -1,12 +1,13 @@
 package batchstore
 
 import (
-	"docksail/internal/decide/batchscheduler"
 	"fmt"
 	"hash/crc32"
 	"strings"
 	"testing"
 	"time"
+
+	"docksail/internal/decide/batchscheduler"
 )
 
 // IDs of the sample store: newID draws them from sequentialBytes.
--- a/internal/state/batchstore/store.go
+++ b/internal/state/batchstore/store.go
@@ -7,7 +7,6 @@
 
 import (
 	"crypto/rand"
-	"docksail/internal/state/recordstore"
 	"encoding/hex"
 	"encoding/json"
 	"errors"
@@ -16,6 +15,8 @@
 	"os"
 	"path/filepath"
 	"sync"
+
+	"docksail/internal/state/recordstore"
 )
 
 // Errors that callers tell apart by errors.Is. The batch API returns their texts to its clients.
--- a/internal/state/batchstore/store_test.go
+++ b/internal/state/batchstore/store_test.go
@@ -2,8 +2,6 @@
 
 import (
 	"bytes"
-	"docksail/internal/decide/batchscheduler"
-	"docksail/internal/state/recordstore"
 	"errors"
 	"flag"
 	"fmt"
@@ -16,6 +14,9 @@
 	"time"
 
 	"pgregory.net/rapid"
+
+	"docksail/internal/decide/batchscheduler"
+	"docksail/internal/state/recordstore"
 )
 
 var (
