--- a/internal/lab/benchmark/benchmark.go
+++ b/internal/lab/benchmark/benchmark.go
@@ -59,7 +59,7 @@
 	fmt.Fprintf(c.Output, "stand-ins on loopback, tokens every %v, answers of up to %d, %v a pass\n",
 		c.TokenInterval, c.Tokens, c.Duration)
 	fmt.Fprintf(c.Output, "%-9s %8s %8s %10s %7s %10s %10s %12s %9s %9s %9s %9s\n",
-		"way", "streams", "jobs", "tokens", "failed", "tokens/s",
+		"route", "streams", "requests", "tokens", "failed", "tokens/s",
 		"cpu", "tokens/cpu s", "first p50", "first p99", "gap p50", "gap p99")
 }
 
@@ -84,7 +84,7 @@
 	if dispatcher.cpu <= 0 || baseline.cpu <= 0 || dispatcher.requests == 0 || baseline.requests == 0 {
 		return
 	}
-	fmt.Fprintf(c.Output, "at %d streams: %.2f times the baseline's tokens a CPU second, %.2f of its CPU a job\n",
+	fmt.Fprintf(c.Output, "at %d streams: %.2f times the baseline's tokens a CPU second, %.2f of its CPU a request\n",
 		streams, dispatcher.tokensPerCPUSecond()/baseline.tokensPerCPUSecond(),
 		dispatcher.cpuPerRequest()/baseline.cpuPerRequest())
 }
--- a/internal/lab/benchmark/benchmark_test.go
+++ b/internal/lab/benchmark/benchmark_test.go
@@ -61,7 +61,7 @@
 	}{
 		"half of the baseline's CPU": {
 			time.Second, 2 * time.Second,
-			memoryLine + "at 10 streams: 2.00 times the baseline's tokens a CPU second, 0.50 of its CPU a job\n",
+			memoryLine + "at 10 streams: 2.00 times the baseline's tokens a CPU second, 0.50 of its CPU a request\n",
 		},
 		"no CPU time": {0, 2 * time.Second, memoryLine},
 	} {
--- a/internal/lab/benchmark/memory.go
+++ b/internal/lab/benchmark/memory.go
@@ -85,7 +85,7 @@
 		})
 	}
 	time.Sleep(requestSettleTime)
-	return r.printMemory(w, "jobs waiting for a read", count, before)
+	return r.printMemory(w, "requests waiting for a prefill", count, before)
 }
 
 // printMemory writes by how much the relay's memory has grown for a number of items.
--- a/internal/lab/experiment/print.go
+++ b/internal/lab/experiment/print.go
@@ -74,13 +74,13 @@
 			name = "all"
 		}
 		figures = append(figures,
-			figure{"kept " + name, func(s *Summary) float64 { return valueOrNaN(s.ValueShare, class) }, "%.3f"},
+			figure{"value " + name, func(s *Summary) float64 { return valueOrNaN(s.ValueShare, class) }, "%.3f"},
 			figure{"p50 " + name, func(s *Summary) float64 { return valueOrNaN(s.P50, class) }, "%.0f ms"},
 			figure{"p99 " + name, func(s *Summary) float64 { return valueOrNaN(s.P99, class) }, "%.0f ms"})
 	}
 	return append(figures,
-		figure{"launches", func(s *Summary) float64 { return float64(s.Attempts) }, "%.0f"},
-		figure{"rules broken", func(s *Summary) float64 { return float64(s.Violations) }, "%.1f"})
+		figure{"attempts", func(s *Summary) float64 { return float64(s.Attempts) }, "%.0f"},
+		figure{"violations", func(s *Summary) float64 { return float64(s.Violations) }, "%.1f"})
 }
 
 // valueOrNaN returns the value of a key, or not a number if there is none.
--- a/internal/lab/report/classplots.go
+++ b/internal/lab/report/classplots.go
@@ -53,7 +53,7 @@
 // plotServedShare draws, by class, the share of the attempts sent in each bin that were served. Attempts that the
 // client canceled are not counted.
 func (d *runData) plotServedShare() (*plot.Plot, error) {
-	p := d.newPlot("service: share of tries honoured, by when they were asked", "share")
+	p := d.newPlot("service: share of attempts served, by when they were sent", "share")
 	p.Y.Min, p.Y.Max = 0, 1.3 // with room for the names of faults
 	p.Add(faultBands{periods: d.faults})
 	sent, served := newBinCounts(d.classes), newBinCounts(d.classes)
--- a/internal/lab/report/heatmap.go
+++ b/internal/lab/report/heatmap.go
@@ -103,7 +103,7 @@
 
 // plotHeatMap draws values by server over time. A server that is white for long was ejected, drained or gone.
 func (d *runData) plotHeatMap(spec heatMapSpec) (*plot.Plot, error) {
-	p := d.newPlot(spec.title, "host")
+	p := d.newPlot(spec.title, "server")
 	grid := d.serverBins(spec)
 	darkest, serverCount := grid.max(), float64(len(d.servers))
 	heatMap := plotter.NewHeatMap(grid, bluePalette{})
--- a/internal/lab/report/plot.go
+++ b/internal/lab/report/plot.go
@@ -66,21 +66,21 @@
 	specs := []plotSpec{
 		{
 			name: "service", draw: d.plotServedShare,
-			caption: "Share of tries that were honoured. Those that the client left by its own will are not counted. " +
-				"Bands are troubles of the script.",
+			caption: "Share of attempts that were served. Those that the client canceled are not counted. " +
+				"Bands are faults of the script.",
 		},
 		{
 			name: "first", draw: d.plotFirstTokenTime,
 			caption: "Time to the first token, on a logarithmic scale, of those that got one: " +
-				"what was refused is in the plot above alone.",
+				"what was rejected is in the plot above alone.",
 		},
 		{name: "gaps", draw: d.plotTokenIntervals, caption: "Time between tokens."},
 		{
 			name: "sent", isHeatMap: true,
-			caption: "Launches that passed towards each host. " +
-				"A host that is white while others are not was set aside, drained or gone.",
+			caption: "Attempts that passed towards each server. " +
+				"A server that is white while others are not was ejected, drained or gone.",
 			draw: func() (*plot.Plot, error) {
-				return d.plotHeatMap(heatMapSpec{title: "launches sent to each host", kind: eventlog.AttemptSent, value: one})
+				return d.plotHeatMap(heatMapSpec{title: "attempts sent to each server", kind: eventlog.AttemptSent, value: one})
 			},
 		},
 	}
@@ -90,7 +90,7 @@
 	return append(specs,
 		plotSpec{
 			name: "queue", isHeatMap: true,
-			caption: "Prompt tokens that each host had not read yet (mean of its samples).",
+			caption: "Prompt tokens queued at each server (mean of its samples).",
 			draw: func() (*plot.Plot, error) {
 				return d.plotHeatMap(heatMapSpec{
 					title: "prompt tokens not read yet", kind: eventlog.ServerLoad, value: queuedTokens, isMean: true,
@@ -99,7 +99,7 @@
 		},
 		plotSpec{
 			name: "memory", isHeatMap: true,
-			caption: "Share of each host's memory in use.",
+			caption: "Share of each server's memory in use.",
 			draw: func() (*plot.Plot, error) {
 				return d.plotHeatMap(heatMapSpec{
 					title: "share of memory in use", kind: eventlog.ServerLoad, value: memoryShare, isMean: true,
--- a/internal/lab/scenario/report.go
+++ b/internal/lab/scenario/report.go
@@ -34,8 +34,8 @@
 func (r *Report) Print(w io.Writer) {
 	r.printSummaries(w)
 	c := r.Counts
-	fmt.Fprintf(w, "dispatchers: %d launches, %d recalled, %d late, %d broken, %d releases, %d reports (%d late), "+
-		"%d refused at the gate, %d guarded\n", c.Attempts, c.Cancels, c.TimedOut, c.Broken, c.Releases, c.LoadReports,
+	fmt.Fprintf(w, "dispatchers: %d attempts, %d canceled, %d timed out, %d broken, %d releases, %d load reports (%d stale), "+
+		"%d rejected at intake, %d invalid decisions\n", c.Attempts, c.Cancels, c.TimedOut, c.Broken, c.Releases, c.LoadReports,
 		c.StaleLoadReports, c.RejectedAtIntake, c.InvalidDecisions)
 	r.printAdmissionCounts(w)
 	r.printReservedRetries(w)
@@ -43,8 +43,8 @@
 }
 
 func (r *Report) printSummaries(w io.Writer) {
-	fmt.Fprintf(w, "%-16s %7s %7s %8s %8s %8s %9s %5s %7s %6s %8s %8s %8s\n", "track", "jobs", "tries", "honoured",
-		"on time", "nacked", "abandoned", "left", "no end", "wrong", "kept", "p50 ms", "p99 ms")
+	fmt.Fprintf(w, "%-16s %7s %7s %8s %8s %8s %9s %5s %7s %6s %8s %8s %8s\n", "class", "reqs", "tries", "served",
+		"on time", "rejected", "failed", "left", "no end", "corrupt", "value", "p50 ms", "p99 ms")
 	for _, name := range slices.Sorted(maps.Keys(r.Summaries)) {
 		s := r.Summaries[name]
 		slices.Sort(s.FirstTokenTimes)
@@ -67,8 +67,8 @@
 		if c.Arrived == 0 {
 			continue
 		}
-		fmt.Fprintf(w, "door %d: %d came, %d admitted, %d cancelled, refused %v, mean wait %d ms, longest %d ms, "+
-			"booked %d, returned %d, kept %d, not honoured %d\n", i, c.Arrived, c.Admitted, c.Cancelled, c.Rejected,
+		fmt.Fprintf(w, "admission %d: %d arrived, %d admitted, %d canceled, rejected %v, mean wait %d ms, longest %d ms, "+
+			"reservations: %d granted, %d redeemed, %d admitted, %d invalid\n", i, c.Arrived, c.Admitted, c.Cancelled, c.Rejected,
 			c.TotalWait/int64(max(c.Admitted, 1))/1e6, c.MaxWait/1e6, c.ReservationsGranted, c.ReservationsRedeemed,
 			c.ReservationsAdmitted, c.ReservationsInvalid)
 	}
@@ -80,17 +80,17 @@
 		retries, served = retries+s.ReservedRetries, served+s.ReservedRetriesServed
 	}
 	if retries > 0 {
-		fmt.Fprintf(w, "back as advised: %d, %.3f of them honoured\n", retries, float64(served)/float64(retries))
+		fmt.Fprintf(w, "retries with a reservation: %d, %.3f of them served\n", retries, float64(served)/float64(retries))
 	}
 }
 
 func (r *Report) printViolations(w io.Writer) {
 	if len(r.Violations) == 0 {
-		fmt.Fprintf(w, "rules: all five kept, over %d launches on the sockets, in %v\n", r.Attempts,
+		fmt.Fprintf(w, "invariants: all five kept, over %d attempts on the sockets, in %v\n", r.Attempts,
 			r.Elapsed.Round(time.Second))
 		return
 	}
-	fmt.Fprintf(w, "rules: BROKEN, %d times\n", len(r.Violations))
+	fmt.Fprintf(w, "invariants: BROKEN, %d times\n", len(r.Violations))
 	for i, v := range r.Violations {
 		if i == maxPrintedViolations {
 			fmt.Fprintf(w, "  and %d more\n", len(r.Violations)-i)
