--- a/internal/backend/platform/backend.go
+++ b/internal/backend/platform/backend.go
@@ -127,7 +127,7 @@
 	return strconv.FormatUint(uint64(id), 10)
 }
 
-// Flush implements dispatch.Backend. It does nothing: connections write at the end of the turn by themselves.
+// Flush implements dispatch.Backend. It does nothing: connections write at the end of the iteration by themselves.
 func (b *Backend) Flush() {}
 
 // IsIdle implements dispatch.Backend. It reports whether no release is requested; each is pursued for a bounded time.
--- a/internal/backend/platform/conn.go
+++ b/internal/backend/platform/conn.go
@@ -44,7 +44,8 @@
 	c.detach()
 }
 
-// detach removes the connection from its server and from the counts at once: Closed follows only in a later turn.
+// detach removes the connection from its server and from the counts at once: Closed follows only in a later
+// iteration.
 func (c *conn) detach() {
 	if c.removed {
 		return
--- a/internal/backend/platform/releasetracker.go
+++ b/internal/backend/platform/releasetracker.go
@@ -75,7 +75,7 @@
 	return t.decisions.ReleasePending() || len(t.pending) > 0
 }
 
-// schedule has run called at the end of the turn, when it is known what else becomes of the request in it.
+// schedule has run called at the end of the iteration, when it is known what else becomes of the request in it.
 func (t *releaseTracker) schedule(now eventloop.Nanos) {
 	t.backend.loop.SetTimer(&t.timer, now, t.onTimer)
 }
