--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -91,7 +91,7 @@
 		report.positive(path+".requests_per_second", tenant.RequestsPerSecond)
 		if tenant.Weight < 0 || tenant.MaxRequestsPerSecond < 0 || tenant.MaxWaiting < 0 || tenant.MaxRunning < 0 ||
 			tenant.MaxPromptTokens < 0 {
-			report(path, "has a weight or limit below 0, want 0 for the usual or more")
+			report(path, "has a weight or limit below 0, want 0 for the default or more")
 		}
 	}
 	return names
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -18,7 +18,7 @@
 	Discovery    Discovery      `json:"fleet" need:"where the list of engines comes from"`
 	Classes      []Class        `json:"classes" was:"tracks" need:"a list of classes"`
 	Tenants      []Tenant       `json:"tenants"`
-	SlowStart    SlowStart      `json:"cold_start" need:"what a server bears that has just started"`
+	SlowStart    SlowStart      `json:"cold_start" need:"how much a server that has just started can do"`
 	Attempts     AttemptLimits  `json:"attempts" was:"launches"`
 	Responses    Responses      `json:"answers"`
 	Rules        Rules          `json:"rules" need:"the times of the rules"`
--- a/internal/simulatorwire/host.go
+++ b/internal/simulatorwire/adapter.go
@@ -19,11 +19,11 @@
 
 // Serve answers batches of events until the input ends. An error names the line of the input.
 func Serve(r io.Reader, w io.Writer) error {
-	h := newHost(r, w)
+	a := newAdapter(r, w)
 	for {
-		more, err := h.serveBatch()
+		more, err := a.serveBatch()
 		if err != nil {
-			return fmt.Errorf("line %d: %w", h.lineNumber, err)
+			return fmt.Errorf("line %d: %w", a.lineNumber, err)
 		}
 		if !more {
 			return nil
@@ -31,8 +31,8 @@
 	}
 }
 
-// host runs all dispatchers of this process.
-type host struct {
+// adapter runs all dispatchers of this process.
+type adapter struct {
 	in         *bufio.Scanner
 	out        *decisionWriter
 	lineNumber int
@@ -41,16 +41,16 @@
 	touched    []int64 // instances that had an event in this batch, in order of their first
 }
 
-func newHost(r io.Reader, w io.Writer) *host {
-	h := &host{in: bufio.NewScanner(r), out: newDecisionWriter(w), instances: make(map[int64]*instance)}
-	h.in.Buffer(make([]byte, initialBufferBytes), maxLineBytes)
-	return h
+func newAdapter(r io.Reader, w io.Writer) *adapter {
+	a := &adapter{in: bufio.NewScanner(r), out: newDecisionWriter(w), instances: make(map[int64]*instance)}
+	a.in.Buffer(make([]byte, initialBufferBytes), maxLineBytes)
+	return a
 }
 
 // instance is one dispatcher. Its configuration has the names on the wire by their IDs.
 type instance struct {
 	*platformconfig.Config
-	touched bool   // is in host.touched
+	touched bool   // is in adapter.touched
 	failure string // of the policy, by a panic; empty = none
 }
 
@@ -66,48 +66,48 @@
 	}
 }
 
-// nextMessage reads a line. It returns false at the end of the input and if reading failed, which h.in.Err tells apart.
-func (h *host) nextMessage() (message, bool) {
-	if !h.in.Scan() {
+// nextMessage reads a line. It returns false at the end of the input and if reading failed, which a.in.Err tells apart.
+func (a *adapter) nextMessage() (message, bool) {
+	if !a.in.Scan() {
 		return message{}, false
 	}
-	h.lineNumber++
-	return newMessage(h.in.Bytes()), true
+	a.lineNumber++
+	return newMessage(a.in.Bytes()), true
 }
 
 // serveBatch reads one batch and answers it. It returns false at the end of the input.
-func (h *host) serveBatch() (bool, error) {
-	start, ok := h.nextMessage()
+func (a *adapter) serveBatch() (bool, error) {
+	start, ok := a.nextMessage()
 	if !ok {
-		return false, h.in.Err()
+		return false, a.in.Err()
 	}
 	if start.name != messageSync {
 		return false, fmt.Errorf("a batch starts with %s, not %q", messageSync, start.name)
 	}
-	h.now = policy.Nanos(start.integer("clock"))
+	a.now = policy.Nanos(start.integer("clock"))
 	if start.err != nil {
 		return false, start.err
 	}
-	if err := h.readEvents(); err != nil {
+	if err := a.readEvents(); err != nil {
 		return false, err
 	}
-	for _, id := range h.touched {
-		if i := h.instances[id]; i != nil {
+	for _, id := range a.touched {
+		if i := a.instances[id]; i != nil {
 			i.touched = false
-			h.writeDecisions(id, i)
+			a.writeDecisions(id, i)
 		}
 	}
-	h.out.write(messageEndOfReply)
-	return true, h.out.Flush()
+	a.out.write(messageEndOfReply)
+	return true, a.out.Flush()
 }
 
 // readEvents reads and handles events to the end of the batch.
-func (h *host) readEvents() error {
-	h.touched = h.touched[:0]
+func (a *adapter) readEvents() error {
+	a.touched = a.touched[:0]
 	for {
-		event, ok := h.nextMessage()
+		event, ok := a.nextMessage()
 		if !ok {
-			if err := h.in.Err(); err != nil {
+			if err := a.in.Err(); err != nil {
 				return err
 			}
 			return errors.New("the input ends inside a batch, before " + messageEndOfBatch)
@@ -115,32 +115,32 @@
 		if event.name == messageEndOfBatch {
 			return nil
 		}
-		if err := h.handle(&event); err != nil {
+		if err := a.handle(&event); err != nil {
 			return err
 		}
 	}
 }
 
 // touch has the decisions of an instance written at the end of the batch.
-func (h *host) touch(id int64, i *instance) {
+func (a *adapter) touch(id int64, i *instance) {
 	if !i.touched {
 		i.touched = true
-		h.touched = append(h.touched, id)
+		a.touched = append(a.touched, id)
 	}
 }
 
 // writeDecisions writes all decisions that an instance has now, and its failure if it has failed.
-func (h *host) writeDecisions(id int64, i *instance) {
+func (a *adapter) writeDecisions(id int64, i *instance) {
 	i.call(func() {
 		for {
-			decision, ok := i.Policy.NextDecision(h.now)
+			decision, ok := i.Policy.NextDecision(a.now)
 			if !ok {
 				return
 			}
-			h.out.writeDecision(id, &decision)
+			a.out.writeDecision(id, &decision)
 		}
 	})
 	if i.failure != "" {
-		h.out.writeFailure(id, i.failure)
+		a.out.writeFailure(id, i.failure)
 	}
 }
--- a/internal/simulatorwire/host_test.go
+++ b/internal/simulatorwire/adapter_test.go
@@ -72,9 +72,9 @@
 	i := &instance{}
 	i.call(func() { panic("out of\nreach") })
 	var output strings.Builder
-	h := newHost(strings.NewReader(""), &output)
-	h.writeDecisions(4, i)
-	if err := h.out.Flush(); err != nil {
+	a := newAdapter(strings.NewReader(""), &output)
+	a.writeDecisions(4, i)
+	if err := a.out.Flush(); err != nil {
 		t.Fatal(err)
 	}
 	if output.String() != "INTERNAL_ERROR 4 out of reach\n" {
--- a/internal/simulatorwire/events.go
+++ b/internal/simulatorwire/events.go
@@ -52,33 +52,33 @@
 
 // handle decodes an event and calls the policy of its instance. Events of instances that do not run are decoded and
 // dropped.
-func (h *host) handle(m *message) error {
+func (a *adapter) handle(m *message) error {
 	id := m.integer("dispatcher")
 	if m.err != nil {
 		return m.err
 	}
-	i := h.instances[id]
+	i := a.instances[id]
 	if i != nil {
-		h.touch(id, i)
+		a.touch(id, i)
 	}
 	switch m.name {
 	case messageStart:
-		return h.start(m, id)
+		return a.start(m, id)
 	case messageStop:
-		h.stop(id)
+		a.stop(id)
 		return nil
 	case messageServerList:
-		return h.serverList(m, i)
+		return a.serverList(m, i)
 	case messageRequest:
-		return h.requestArrived(m, i)
+		return a.requestArrived(m, i)
 	case messageStreamStarted:
-		return h.streamStarted(m, i)
+		return a.streamStarted(m, i)
 	case messageAttemptEnded:
-		return h.attemptEnded(m, i)
+		return a.attemptEnded(m, i)
 	case messageRequestCanceled:
-		return h.requestCanceled(m, i)
+		return a.requestCanceled(m, i)
 	case messageTimerFired:
-		return h.timerFired(m, i)
+		return a.timerFired(m, i)
 	case messageHoldResult, messageHealth, messageMail: // answers to what the policy never asks for
 		return nil
 	}
@@ -86,7 +86,7 @@
 }
 
 // start starts an instance, in place of the one with its ID.
-func (h *host) start(m *message, id int64) error {
+func (a *adapter) start(m *message, id int64) error {
 	seed, err := strconv.ParseUint(string(m.field()), 10, 64)
 	if err != nil {
 		return fmt.Errorf("%s: entropy: %w", m.name, err)
@@ -95,19 +95,19 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", m.name, err)
 	}
-	replaced := h.instances[id]
+	replaced := a.instances[id]
 	i := &instance{Config: config, touched: replaced != nil}
-	h.touch(id, i)
-	h.instances[id] = i
+	a.touch(id, i)
+	a.instances[id] = i
 	return nil
 }
 
-func (h *host) stop(id int64) {
-	delete(h.instances, id)
-	h.touched = slices.DeleteFunc(h.touched, func(other int64) bool { return other == id })
+func (a *adapter) stop(id int64) {
+	delete(a.instances, id)
+	a.touched = slices.DeleteFunc(a.touched, func(other int64) bool { return other == id })
 }
 
-func (h *host) requestArrived(m *message, i *instance) error {
+func (a *adapter) requestArrived(m *message, i *instance) error {
 	request := policy.Request{
 		ID:              policy.RequestID(m.integer("txn")),
 		MaxOutputTokens: m.optionalInteger("output_cap"),
@@ -133,25 +133,25 @@
 		request.Tenant = policy.TenantID(m.indexOf("project", i.Tenants, tenant))
 	}
 	if m.err == nil {
-		i.call(func() { i.Policy.RequestArrived(h.now, request) })
+		i.call(func() { i.Policy.RequestArrived(a.now, request) })
 	}
 	return m.err
 }
 
-func (h *host) streamStarted(m *message, i *instance) error {
+func (a *adapter) streamStarted(m *message, i *instance) error {
 	request, attempt := m.integer("txn"), m.integer("shot")
 	m.integer("host")
 	elapsed := m.integer("elapsed_ns")
 	if m.err == nil && i != nil {
 		i.call(func() {
-			i.Policy.StreamStarted(h.now, policy.RequestID(request), policy.AttemptNumber(attempt),
+			i.Policy.StreamStarted(a.now, policy.RequestID(request), policy.AttemptNumber(attempt),
 				policy.Nanos(elapsed))
 		})
 	}
 	return m.err
 }
 
-func (h *host) attemptEnded(m *message, i *instance) error {
+func (a *adapter) attemptEnded(m *message, i *instance) error {
 	request, attempt := m.integer("txn"), m.integer("shot")
 	m.integer("host")
 	outcomeName := m.field()
@@ -166,31 +166,31 @@
 	}
 	if m.err == nil && i != nil {
 		i.call(func() {
-			i.Policy.AttemptEnded(h.now, policy.RequestID(request), policy.AttemptNumber(attempt), outcome,
+			i.Policy.AttemptEnded(a.now, policy.RequestID(request), policy.AttemptNumber(attempt), outcome,
 				policy.Nanos(elapsed), complete, load)
 		})
 	}
 	return m.err
 }
 
-func (h *host) requestCanceled(m *message, i *instance) error {
+func (a *adapter) requestCanceled(m *message, i *instance) error {
 	request := m.integer("txn")
 	if m.err == nil && i != nil {
-		i.call(func() { i.Policy.RequestCanceled(h.now, policy.RequestID(request)) })
+		i.call(func() { i.Policy.RequestCanceled(a.now, policy.RequestID(request)) })
 	}
 	return m.err
 }
 
-func (h *host) timerFired(m *message, i *instance) error {
+func (a *adapter) timerFired(m *message, i *instance) error {
 	m.integer("label")
 	if m.err == nil && i != nil {
-		i.call(func() { i.Policy.TimerFired(h.now) })
+		i.call(func() { i.Policy.TimerFired(a.now) })
 	}
 	return m.err
 }
 
 // serverList reads the message of a list and the lines of its servers.
-func (h *host) serverList(m *message, i *instance) error {
+func (a *adapter) serverList(m *message, i *instance) error {
 	scope := string(m.field())
 	m.optionalInteger("version")
 	count := m.optionalInteger("lines")
@@ -205,14 +205,14 @@
 	if i != nil {
 		i.call(func() {
 			if scope == scopeUnavailable {
-				i.Policy.ListUpdateFailed(h.now)
+				i.Policy.ListUpdateFailed(a.now)
 			} else {
 				i.Policy.ListUpdateStarted(scope != scopeUpdate)
 			}
 		})
 	}
 	for ; count > 0; count-- {
-		server, ok := h.nextMessage()
+		server, ok := a.nextMessage()
 		if !ok {
 			return fmt.Errorf("%s: %w", m.name, errListEnds)
 		}
@@ -221,7 +221,7 @@
 		}
 	}
 	if i != nil && scope != scopeUnavailable {
-		i.call(func() { i.Policy.ListUpdateEnded(h.now) })
+		i.call(func() { i.Policy.ListUpdateEnded(a.now) })
 	}
 	return nil
 }
