--- a/cmd/docksail/serve.go
+++ b/cmd/docksail/serve.go
@@ -141,8 +141,8 @@
 		err = p.node.SetTenantLimits(changed)
 	}
 	if err != nil {
-		p.log.Error("tenant limits not reloaded", "error", err)
+		p.log.Error("tenant limits not changed", "error", err)
 		return
 	}
-	p.log.Info("tenant limits reloaded")
+	p.log.Info("tenant limits changed")
 }
--- a/internal/statuslog/statuslog.go
+++ b/internal/statuslog/statuslog.go
@@ -21,7 +21,7 @@
 
 // writeServer logs what the policy assumes of a server beside what the server reported and its connections show.
 func writeServer(log *slog.Logger, server *node.ServerStatus) {
-	log.LogAttrs(context.Background(), serverLevel(server), "server status",
+	log.LogAttrs(context.Background(), serverLevel(server), "server estimate",
 		slog.String("server_id", server.Name),
 		slog.Bool("prefill", server.Prefill),
 		slog.Int64("queued_prompt_tokens", server.QueuedPromptTokens),
--- a/internal/statuslog/statuslog_test.go
+++ b/internal/statuslog/statuslog_test.go
@@ -57,7 +57,7 @@
 	if len(lines) != 2 || !strings.Contains(lines[0], "msg=counts view=") || strings.Contains(lines[0], "p1") {
 		t.Fatalf("logged %q, want counts and one server", lines)
 	}
-	const want = `level=INFO msg="server status" server_id=p1 prefill=true queued_prompt_tokens=700 ` +
+	const want = `level=INFO msg="server estimate" server_id=p1 prefill=true queued_prompt_tokens=700 ` +
 		`reported_prompt_tokens=1500 report_age_ms=3 unanswered_attempts=1 streams=0 in_flight_attempts=0 ` +
 		`idle_connections=2 ejected=false mismatch=true`
 	if !strings.HasSuffix(lines[1], want) {
