--- a/internal/frontend/batch/errors.go
+++ b/internal/frontend/batch/errors.go
@@ -1,10 +1,11 @@
 package batch
 
 import (
-	"docksail/internal/state/batchstore"
 	"errors"
 	"fmt"
 	"net/http"
+
+	"docksail/internal/state/batchstore"
 )
 
 // Types of errors, as the API shows them.
@@ -79,7 +80,7 @@
 func (s *Server) writeError(w http.ResponseWriter, err error) {
 	shown := asAPIError(err)
 	if shown == errInternal {
-		s.log.Error("batch API call failed", "error", err)
+		s.log.Error("batch api call failed", "error", err)
 	}
 	body := errorResponse{Error: errorBody{
 		Code: nullIfEmpty(shown.code), Message: shown.message, Param: nullIfEmpty(shown.param), Type: shown.errorType,
