--- a/internal/lab/scenario/report.go
+++ b/internal/lab/scenario/report.go
@@ -34,9 +34,9 @@
 func (r *Report) Print(w io.Writer) {
 	r.printSummaries(w)
 	c := r.Counts
-	fmt.Fprintf(w, "dispatchers: %d attempts, %d canceled, %d timed out, %d broken, %d releases, %d load reports (%d stale), "+
-		"%d rejected at intake, %d invalid decisions\n", c.Attempts, c.Cancels, c.TimedOut, c.Broken, c.Releases, c.LoadReports,
-		c.StaleLoadReports, c.RejectedAtIntake, c.InvalidDecisions)
+	fmt.Fprintf(w, "dispatchers: %d attempts, %d canceled, %d timed out, %d broken, %d releases, "+
+		"%d load reports (%d stale), %d rejected at intake, %d invalid decisions\n",
+		c.Attempts, c.Cancels, c.TimedOut, c.Broken, c.Releases, c.LoadReports, c.StaleLoadReports, c.RejectedAtIntake, c.InvalidDecisions)
 	r.printAdmissionCounts(w)
 	r.printReservedRetries(w)
 	r.printViolations(w)
@@ -68,7 +68,8 @@
 			continue
 		}
 		fmt.Fprintf(w, "admission %d: %d arrived, %d admitted, %d canceled, rejected %v, mean wait %d ms, longest %d ms, "+
-			"reservations: %d granted, %d redeemed, %d admitted, %d invalid\n", i, c.Arrived, c.Admitted, c.Cancelled, c.Rejected,
+			"reservations: %d granted, %d redeemed, %d admitted, %d invalid\n",
+			i, c.Arrived, c.Admitted, c.Cancelled, c.Rejected,
 			c.TotalWait/int64(max(c.Admitted, 1))/1e6, c.MaxWait/1e6, c.ReservationsGranted, c.ReservationsRedeemed,
 			c.ReservationsAdmitted, c.ReservationsInvalid)
 	}
