--- a/cmd/docksail/main_test.go
+++ b/cmd/docksail/main_test.go
@@ -51,6 +51,14 @@
 	if alias.Flags().Lookup("every") == nil {
 		t.Error("the former command has lost its flag --every")
 	}
+	file := filepath.Join(t.TempDir(), "status")
+	writeFile(t, file, `{"format": 1, "at": "2026-12-02T10:00:00Z", "View": {"InHand": 7}}`)
+	for _, command := range []string{"status", "view"} {
+		output, err := program(command, file).Output()
+		if err != nil || !bytes.Contains(output, []byte("7 requests in hand")) {
+			t.Errorf("%s: %v, output %q", command, err, output)
+		}
+	}
 }
 
 func writeFile(t *testing.T, name, text string) {
--- a/cmd/docksail/serve_test.go
+++ b/cmd/docksail/serve_test.go
@@ -216,12 +216,14 @@
 	t.Errorf("%s: status shows %s, want %q", when, output, want)
 }
 
-// TestStatusFormat checks that a status file of another format is an error.
+// TestStatusFormat checks that a status file of another format is an error, by the former name of the command too.
 func TestStatusFormat(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "other")
 	writeFile(t, file, `{"format": 9}`)
-	output, err := program("status", file).CombinedOutput()
-	if err == nil || !bytes.Contains(output, []byte("format 9, want 1")) {
-		t.Errorf("another format: %v, %s", err, output)
+	for _, command := range []string{"status", "view"} {
+		output, err := program(command, file).CombinedOutput()
+		if err == nil || !bytes.Contains(output, []byte("format 9, want 1")) {
+			t.Errorf("%s of another format: %v, %s", command, err, output)
+		}
 	}
 }
--- a/internal/lab/scenario/report.go
+++ b/internal/lab/scenario/report.go
@@ -36,7 +36,8 @@
 	c := r.Counts
 	fmt.Fprintf(w, "dispatchers: %d attempts, %d canceled, %d timed out, %d broken, %d releases, "+
 		"%d load reports (%d stale), %d rejected at intake, %d invalid decisions\n",
-		c.Attempts, c.Cancels, c.TimedOut, c.Broken, c.Releases, c.LoadReports, c.StaleLoadReports, c.RejectedAtIntake, c.InvalidDecisions)
+		c.Attempts, c.Cancels, c.TimedOut, c.Broken, c.Releases, c.LoadReports, c.StaleLoadReports,
+		c.RejectedAtIntake, c.InvalidDecisions)
 	r.printAdmissionCounts(w)
 	r.printReservedRetries(w)
 	r.printViolations(w)
