--- a/internal/lab/experiment/golden_test.go
+++ b/internal/lab/experiment/golden_test.go
@@ -5,6 +5,7 @@
 	"crypto/sha256"
 	"encoding/hex"
 	"encoding/json"
+	"flag"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -14,6 +15,10 @@
 	"docksail/internal/lab/scenario"
 )
 
+var updateGolden = flag.Bool("update", false, "record the golden runs anew")
+
+const goldenFile = "testdata/golden.json"
+
 // digestLength is how many hexadecimal digits of a SHA-256 sum testdata/golden.json keeps.
 const digestLength = 16
 
@@ -21,16 +26,16 @@
 type goldenRun struct {
 	Script  string `json:"script"` // relative to the repository's root
 	Seed    int64  `json:"seed"`
-	Policy  string `json:"policy"`  // a textbook policy in place of docksail's
-	Sums    string `json:"sums"`    // of what `docksail lab sim --sums` prints
-	Entries string `json:"entries"` // of what `docksail lab sim --entries` writes
+	Policy  string `json:"policy,omitempty"` // a textbook policy in place of docksail's
+	Sums    string `json:"sums"`             // of what `docksail lab sim --sums` prints
+	Entries string `json:"entries"`          // of what `docksail lab sim --entries` writes
 }
 
 // TestGoldenRuns plays scenarios in simulated time and compares the outcome with recorded digests. A refactoring must
 // not change any of them; a change of behavior on purpose records new ones, and its commit says why. The digests hold
 // on amd64, where Go does not fuse floating-point operations.
 func TestGoldenRuns(t *testing.T) {
-	text, err := os.ReadFile("testdata/golden.json")
+	text, err := os.ReadFile(goldenFile)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -41,6 +46,9 @@
 	if len(runs) < 38 {
 		t.Fatalf("%d recorded runs, want 38 at least", len(runs))
 	}
+	if *updateGolden {
+		recordGolden(t, runs)
+	}
 	for _, want := range runs {
 		t.Run(fmt.Sprintf("%s/seed=%d/%s", filepath.Base(want.Script), want.Seed, want.Policy), func(t *testing.T) {
 			t.Parallel()
@@ -52,6 +60,29 @@
 	}
 }
 
+// recordGolden plays the runs, replaces their digests and writes them to the golden file, a run a line.
+func recordGolden(t *testing.T, runs []goldenRun) {
+	t.Helper()
+	var file bytes.Buffer
+	file.WriteString("[\n")
+	for i := range runs {
+		runs[i] = playGolden(t, runs[i])
+		line, err := json.Marshal(runs[i])
+		if err != nil {
+			t.Fatal(err)
+		}
+		fmt.Fprintf(&file, "  %s", line)
+		if i < len(runs)-1 {
+			file.WriteByte(',')
+		}
+		file.WriteByte('\n')
+	}
+	file.WriteString("]\n")
+	if err := os.WriteFile(goldenFile, file.Bytes(), 0o600); err != nil {
+		t.Fatal(err)
+	}
+}
+
 // playGolden plays a recorded run again and returns it with the digests of the new outcome.
 func playGolden(t *testing.T, run goldenRun) goldenRun {
 	t.Helper()
