--- a/internal/lab/scenario/control.go
+++ b/internal/lab/scenario/control.go
@@ -14,6 +14,9 @@
 	"docksail/internal/lab/invariants"
 )
 
+// Tests that drive a deployment step by step, those of internal/e2e, call the exported methods of this file; a scenario
+// reaches the same actions through its faults. So no command reaches some of them, and deadcode lists those.
+
 // startDispatcher starts dispatcher n, on its former address if it ran before.
 func (d *Deployment) startDispatcher(n int) error {
 	c := *d.configs[n]
--- a/internal/lab/soak/oracle.go
+++ b/internal/lab/soak/oracle.go
@@ -264,7 +264,7 @@
 	return texts
 }
 
-// HeldRequests returns the IDs, sorted, of the requests for which a state is held.
+// HeldRequests returns the IDs, sorted, of the requests for which a state is held. Only tests that script a fault call it.
 func (o *Oracle) HeldRequests() []string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -278,7 +278,7 @@
 	return ids
 }
 
-// Trace returns what was recorded of a request, one event a line.
+// Trace returns what was recorded of a request, one event a line. Only tests that script a fault call it.
 func (o *Oracle) Trace(id string) string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
