--- a/internal/lab/soak/oracle.go
+++ b/internal/lab/soak/oracle.go
@@ -264,7 +264,8 @@
 	return texts
 }
 
-// HeldRequests returns the IDs, sorted, of the requests for which a state is held. Only tests that script a fault call it.
+// HeldRequests returns the IDs, sorted, of the requests for which a state is held. Only tests that script a fault
+// call it.
 func (o *Oracle) HeldRequests() []string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
