--- a/internal/batchrunner/resume.go
+++ b/internal/batchrunner/resume.go
@@ -12,6 +12,14 @@
 // resume adds a batch of the store to the scheduler, in whatever state it is. A batch in StateValidating is validated
 // first; if it is not accepted, it is not added.
 func (r *Runner) resume(ctx context.Context, b batchstore.Batch) (err error) {
+	// A batch that is submitted as Run begins is also among the unfinished ones that Run reads: it must not run twice.
+	if !r.beginResume(b.ID) {
+		return nil
+	}
+	defer r.endResume(b.ID)
+	if b, err = r.store.Batch(b.Tenant, b.ID); err != nil || b.State.IsTerminal() {
+		return err
+	}
 	if b.State == batchscheduler.StateValidating {
 		if b, err = r.validate(b); err != nil || b.State != batchscheduler.StateInProgress {
 			return err
@@ -35,6 +43,23 @@
 	return r.activate(ctx, b, tenant, recovered)
 }
 
+// beginResume reserves a batch for one call of resume. It reports false if another call has it or it is active.
+func (r *Runner) beginResume(batchID string) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.resuming[batchID] || r.active[batchID] != nil {
+		return false
+	}
+	r.resuming[batchID] = true
+	return true
+}
+
+func (r *Runner) endResume(batchID string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	delete(r.resuming, batchID)
+}
+
 // lineFailure is a line that fails while its batch is resumed.
 type lineFailure struct {
 	index    batchscheduler.LineIndex
--- a/internal/batchrunner/runner.go
+++ b/internal/batchrunner/runner.go
@@ -68,6 +68,7 @@
 	mu          sync.Mutex
 	scheduler   *batchscheduler.Scheduler
 	active      map[string]*activeBatch // by the ID in the store
+	resuming    map[string]bool         // batches that a call of resume works on, by the ID in the store
 	byID        map[batchscheduler.BatchID]*activeBatch
 	lastBatchID batchscheduler.BatchID
 }
@@ -122,6 +123,7 @@
 		wake:      make(chan struct{}, 1),
 		scheduler: scheduler,
 		active:    map[string]*activeBatch{},
+		resuming:  map[string]bool{},
 		byID:      map[batchscheduler.BatchID]*activeBatch{},
 	}, nil
 }
--- a/internal/batchrunner/runner_test.go
+++ b/internal/batchrunner/runner_test.go
@@ -108,11 +108,20 @@
 	runner     *Runner
 	dispatcher *fakeDispatcher
 	ctx        context.Context // ends with the runner
+	run        func()          // starts the runner; once
 	stop       func()
 }
 
 // newFixture starts a runner over the store of a directory.
 func newFixture(t *testing.T, dir string) *fixture {
+	t.Helper()
+	f := newIdleFixture(t, dir)
+	f.run()
+	return f
+}
+
+// newIdleFixture returns a fixture whose runner does not run yet.
+func newIdleFixture(t *testing.T, dir string) *fixture {
 	t.Helper()
 	store, err := batchstore.Open(dir, 0)
 	if err != nil {
@@ -142,7 +151,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	go func() { ended <- runner.Run(ctx) }()
+	run := func() { go func() { ended <- runner.Run(ctx) }() }
 	stop := sync.OnceFunc(func() {
 		cancel()
 		if err := <-ended; err != nil {
@@ -157,7 +166,7 @@
 		}
 	})
 	t.Cleanup(stop)
-	return &fixture{t, store, runner, dispatcher, ctx, stop}
+	return &fixture{t, store, runner, dispatcher, ctx, run, stop}
 }
 
 // submit creates a batch over a file of lines and submits it.
@@ -309,6 +318,23 @@
 	}
 }
 
+// TestSubmitAsRunBegins checks that a batch which is submitted before the runner reads the unfinished ones, and so is
+// among them, runs once.
+func TestSubmitAsRunBegins(t *testing.T) {
+	f := newIdleFixture(t, t.TempDir())
+	b := f.submit(line("one", "book", "served", "")+line("two", "book", "served", ""), time.Hour)
+	f.run()
+	if ended := f.waitFor(b.ID, isTerminal); ended.CompletedLines != 2 {
+		t.Errorf("%d lines completed, want 2", ended.CompletedLines)
+	}
+	f.stop()
+	for _, id := range []string{"/one", "/two"} {
+		if n := f.dispatcher.attemptCount(b.ID + id); n != 1 {
+			t.Errorf("line %s was sent %d times, want once", id, n)
+		}
+	}
+}
+
 // TestResume checks that a batch which was under way when the runner ended is completed by the next one: an idempotent
 // line is sent again, a non-idempotent line that may have run is not.
 func TestResume(t *testing.T) {
