--- a/policy/affinity_test.go
+++ b/policy/affinity_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// replicasUsed returns how many of twenty prefill servers the first requests of forty sessions with one prefix go to.
-// Each session comes to a dispatcher of its own, which has seen otherCount other requests; one of every of them has the
-// prefix, none if every is 0.
+// replicasUsed returns how many of twenty prefill servers get the first requests of forty sessions that share a
+// prefix. The first request of each session goes to a dispatcher of its own, which has counted otherCount other
+// requests. One in every of them has the prefix, or none if every is 0.
 func replicasUsed(t *testing.T, otherCount, every int) int {
 	t.Helper()
 	const prefix = PrefixKey(99)
@@ -43,26 +43,26 @@
 			}
 			send(RequestID(n+1), SessionKey(5000+100*session+n), other)
 		}
-		router.prefixes.hints = map[uint64]prefixHints{} // the dispatcher's own requests must not lead the way
+		router.prefixes.hints = map[uint64]prefixHints{} // without hints from the dispatcher's own requests
 		used[send(1000, SessionKey(session+1), prefix)] = true
 	}
 	return len(used)
 }
 
-// TestReplicas checks that a prefix that few other requests have goes to one replica at every dispatcher, and one that
-// many have to several. A dispatcher that has seen too little to tell uses four, so that a common prefix does not
-// overload one server while all are new.
-func TestReplicas(t *testing.T) {
-	for _, c := range []struct{ otherCount, every, least, most int }{
+// TestReplicaCount checks that a rare prefix has one replica at every dispatcher and a common one several. A
+// dispatcher that has counted too few requests to tell uses four, so that a common prefix does not overload one
+// server.
+func TestReplicaCount(t *testing.T) {
+	for _, c := range []struct{ otherCount, every, minReplicas, maxReplicas int }{
 		{24, 0, 1, 1},
 		{0, 0, 4, 4},
 		{6, 0, 4, 4},
 		{24, 4, 4, 12},
 		{12, 4, 4, 12},
 	} {
-		if n := replicasUsed(t, c.otherCount, c.every); n < c.least || n > c.most {
-			t.Errorf("%d requests seen, one in %d with the prefix: %d replicas, want %d to %d",
-				c.otherCount, c.every, n, c.least, c.most)
+		if n := replicasUsed(t, c.otherCount, c.every); n < c.minReplicas || n > c.maxReplicas {
+			t.Errorf("%d requests counted, one in %d with the prefix: got %d replicas, want %d to %d",
+				c.otherCount, c.every, n, c.minReplicas, c.maxReplicas)
 		}
 	}
 }
--- a/policy/alloc_test.go
+++ b/policy/alloc_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-func TestOrdinaryPathAllocatesNothing(t *testing.T) {
+// TestServedRequestDoesNotAllocate checks that a request that is served by its first attempts allocates no memory.
+func TestServedRequestDoesNotAllocate(t *testing.T) {
 	router := newRouter(t, Config{
 		Seed:        1,
 		Self:        Identity{Count: 1},
@@ -34,6 +35,6 @@
 		serveRequest()
 	}
 	if n := testing.AllocsPerRun(500, serveRequest); n > 0 {
-		t.Fatalf("%v allocations for a request, want none", n)
+		t.Fatalf("got %v allocations for a request, want 0", n)
 	}
 }
--- a/policy/classes_test.go
+++ b/policy/classes_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// playClasses reports some thousand random events to a router with these classes, and returns all its decisions.
-// classIDs are the classes of the requests, drawn with equal probability.
-func playClasses(t *testing.T, seed uint64, classes []Class, classIDs []ClassID) []Decision {
+// runRandomEvents reports random events to a router with these classes, and returns all its decisions. The class of
+// each request is one of the two classIDs, with equal probability.
+func runRandomEvents(t *testing.T, seed uint64, classes []Class, classIDs []ClassID) []Decision {
 	t.Helper()
 	router := newRouter(t, Config{
 		Seed:      7,
@@ -71,38 +71,39 @@
 				router.AttemptEnded(now, decision.Request, decision.Attempt, Canceled, 1e6, false, NoLoadReport)
 			default:
 			}
-			decision.Ejection = Ejection{} // names the class
+			decision.Ejection = Ejection{} // an Ejection contains the ClassID, which depends on the order
 			decisions = append(decisions, decision)
 		}
 	}
 	return decisions
 }
 
-// TestClassOrder checks that no decision depends on the order of the classes in the settings.
-func TestClassOrder(t *testing.T) {
+// TestDecisionsIgnoreClassOrder checks that no decision depends on the order of the classes in the settings.
+func TestDecisionsIgnoreClassOrder(t *testing.T) {
 	quick := Class{LatencyTarget: 1e9, LatencyTargetPer1k: 40e6, Timeout: 5e9, Value: 1}
 	slow := Class{
 		LatencyTarget: 4e9, LatencyTargetPer1k: 40e6, Timeout: 9e9, Value: 3,
 		Idempotency: Deduplicated, DedupWindow: 3e9,
 	}
 	for seed := range uint64(5) {
-		a := playClasses(t, seed, []Class{quick, slow}, []ClassID{0, 1})
-		b := playClasses(t, seed, []Class{slow, quick}, []ClassID{1, 0})
-		for i := range min(len(a), len(b)) {
-			if a[i] != b[i] {
-				t.Fatalf("seed %d, decision %d of %d: %+v, and %+v with the classes in reverse order",
-					seed, i, len(a), a[i], b[i])
+		inOrder := runRandomEvents(t, seed, []Class{quick, slow}, []ClassID{0, 1})
+		reversed := runRandomEvents(t, seed, []Class{slow, quick}, []ClassID{1, 0})
+		for i := range min(len(inOrder), len(reversed)) {
+			if inOrder[i] != reversed[i] {
+				t.Fatalf("seed %d, decision %d of %d: got %+v, but %+v with the classes in reverse order",
+					seed, i, len(inOrder), inOrder[i], reversed[i])
 			}
 		}
-		if len(a) != len(b) || len(a) < 4000 {
-			t.Errorf("seed %d: %d and %d decisions", seed, len(a), len(b))
+		if len(inOrder) != len(reversed) || len(inOrder) < 4000 {
+			t.Errorf("seed %d: got %d decisions, %d with the classes in reverse order, want equal numbers from 4000 on",
+				seed, len(inOrder), len(reversed))
 		}
 	}
 }
 
-// TestStallIsJudgedByTheClassTarget checks that a server that has not answered a class with a long latency target is
-// not considered stalled by the target of a quicker class.
-func TestStallIsJudgedByTheClassTarget(t *testing.T) {
+// TestStallUsesClassLatencyTarget checks that a server that has not answered a class with a long latency target does
+// not count as stalled by the target of a quicker class.
+func TestStallUsesClassLatencyTarget(t *testing.T) {
 	quick, slow := Class{LatencyTarget: 1e9, Timeout: 20e9}, Class{LatencyTarget: 6e9, Timeout: 20e9}
 	router := newRouter(t, Config{
 		Seed:        7,
@@ -127,7 +128,7 @@
 		router.AttemptEnded(now, RequestID(id), 0, Prefilled, 1e6, false, NoLoadReport)
 		discardDecisions(router, now)
 	}
-	now += 1500e6 // more than a sixth of twice the quick target, less than that of the slow one
+	now += 1500e6 // above a third of the quick class's target, below a third of the slow class's
 	router.TimerFired(now)
 	cancelCount := 0
 	for decision, ok := router.NextDecision(now); ok; decision, ok = router.NextDecision(now) {
@@ -136,6 +137,6 @@
 		}
 	}
 	if cancelCount != 1 {
-		t.Errorf("%d attempts are cancelled, want that of the quick class alone", cancelCount)
+		t.Errorf("got %d cancelled attempts, want 1: that of the quick class", cancelCount)
 	}
 }
--- a/policy/decisions_test.go
+++ b/policy/decisions_test.go
@@ -15,19 +15,20 @@
 	now       Nanos
 	timer     Nanos // when the router wants TimerFired; Never = not set
 	nextID    RequestID
-	attempts  map[RequestID]AttemptNumber // the last attempt of each request
+	attempts  map[RequestID]AttemptNumber // last attempt of each request
 	pending   []pendingAttempt
-	held      []RequestID // requests whose state is held
+	held      []RequestID // requests whose KV state was held at some time
 	decisions int
 	digest    [sha256.Size]byte
 }
 
+// pendingAttempt is an attempt that has not ended.
 type pendingAttempt struct {
-	request RequestID
-	attempt AttemptNumber
-	server  ServerID
-	sentAt  Nanos
-	begun   bool
+	request       RequestID
+	attempt       AttemptNumber
+	server        ServerID
+	sentAt        Nanos
+	streamStarted bool
 }
 
 const (
@@ -74,19 +75,19 @@
 	return r
 }
 
-func (r *decisionRecorder) list(id ServerID, health Health, startedAt Nanos) {
+func (r *decisionRecorder) listServer(id ServerID, health Health, startedAt Nanos) {
 	r.router.ServerListed(id, ZoneID(id%3), KindID(roleOf(id)), CellID(id%7/2), health, startedAt)
 }
 
 func (r *decisionRecorder) listAll() {
 	r.router.ListUpdateStarted(true)
 	for id := ServerID(1); id <= recordedServers; id++ {
-		r.list(id, Serving, 0)
+		r.listServer(id, Serving, 0)
 	}
 	r.router.ListUpdateEnded(r.now)
 }
 
-// takeDecisions hashes the decisions due now and remembers the attempts among them.
+// takeDecisions hashes the decisions that are due and records the attempts among them.
 func (r *decisionRecorder) takeDecisions() {
 	for decision, ok := r.router.NextDecision(r.now); ok; decision, ok = r.router.NextDecision(r.now) {
 		r.decisions++
@@ -101,8 +102,8 @@
 		case SetTimer:
 			r.timer = r.now + decision.Duration
 		case SendAttempt:
-			attempt, again := r.attempts[decision.Request]
-			if again {
+			attempt, isRetry := r.attempts[decision.Request]
+			if isRetry {
 				attempt++
 			}
 			r.attempts[decision.Request] = attempt
@@ -121,7 +122,7 @@
 	}
 }
 
-func (r *decisionRecorder) arrive() {
+func (r *decisionRecorder) sendRequest() {
 	r.nextID++
 	request := Request{
 		ID: r.nextID, Class: ClassID(r.rng.IntN(4)), Tenant: TenantID(r.rng.IntN(3) - 1),
@@ -137,8 +138,8 @@
 	r.router.RequestArrived(r.now, request)
 }
 
-// progress begins the stream of a pending attempt or ends the attempt. Server 5 fails often, server 2 is slow.
-func (r *decisionRecorder) progress() {
+// advanceAttempt begins the stream of a pending attempt or ends the attempt. Server 5 fails often, server 2 is slow.
+func (r *decisionRecorder) advanceAttempt() {
 	if len(r.pending) == 0 {
 		return
 	}
@@ -148,15 +149,15 @@
 	if p.server == 2 {
 		elapsed *= 6
 	}
-	if !p.begun && roleOf(p.server) != Prefill && r.rng.IntN(2) == 0 {
-		p.begun = true
+	if !p.streamStarted && roleOf(p.server) != Prefill && r.rng.IntN(2) == 0 {
+		p.streamStarted = true
 		r.router.StreamStarted(r.now, p.request, p.attempt, elapsed)
 		return
 	}
 	ended := *p
 	r.pending = append(r.pending[:i], r.pending[i+1:]...)
 	outcome := Served
-	if roleOf(p.server) == Prefill && !ended.begun {
+	if roleOf(p.server) == Prefill && !ended.streamStarted {
 		outcome = Prefilled
 		r.held = append(r.held, ended.request)
 	}
@@ -182,21 +183,21 @@
 		r.listAll()
 	case 2, 3, 4:
 		r.router.ListUpdateStarted(false)
-		r.list(id, Serving, r.now-Nanos(r.rng.IntN(4)*1e9))
+		r.listServer(id, Serving, r.now-Nanos(r.rng.IntN(4)*1e9))
 		r.router.ListUpdateEnded(r.now)
 	default:
 		r.router.ListUpdateStarted(false)
-		r.list(id, Health(r.rng.IntN(3)), 0)
+		r.listServer(id, Health(r.rng.IntN(3)), 0)
 		r.router.ListUpdateEnded(r.now)
 	}
 }
 
-// drain takes all servers of a role out of service.
+// drain lists all servers of a role as draining.
 func (r *decisionRecorder) drain(role Role) {
 	r.router.ListUpdateStarted(false)
 	for id := ServerID(1); id <= recordedServers+6; id++ {
 		if roleOf(id) == role {
-			r.list(id, Draining, 0)
+			r.listServer(id, Draining, 0)
 		}
 	}
 	r.router.ListUpdateEnded(r.now)
@@ -212,8 +213,8 @@
 			r.timer = Never
 			r.router.TimerFired(r.now)
 		}
-		if step/1500%2 == 1 || r.rng.IntN(2) == 0 { // every other quarter has more load than it can bear
-			r.arrive()
+		if step/1500%2 == 1 || r.rng.IntN(2) == 0 { // every other quarter of the run is an overload
+			r.sendRequest()
 		}
 		switch step {
 		case 4200:
@@ -225,7 +226,7 @@
 			r.listAll()
 		}
 		for range r.rng.IntN(3) {
-			r.progress()
+			r.advanceAttempt()
 		}
 		switch r.rng.IntN(60) {
 		case 0, 1:
@@ -245,8 +246,8 @@
 	}
 }
 
-// TestDecisionsAsRecorded compares all decisions under random events with a recorded digest. A change that is meant to
-// alter decisions records the digests anew, and says so; any other change must keep them.
+// TestDecisionsAsRecorded compares all decisions under random events with a recorded digest. Only a change that is
+// meant to alter decisions may update the digests, and its commit must say so.
 func TestDecisionsAsRecorded(t *testing.T) {
 	if runtime.GOARCH != "amd64" {
 		t.Skip("recorded on amd64; other architectures may fuse multiplications and additions and so round differently")
@@ -287,7 +288,7 @@
 			recorder := newDecisionRecorder(t, c.seed, c.discovery, c.limits)
 			recorder.run()
 			if got := fmt.Sprintf("%x", recorder.digest[:8]); got != c.wantDigest {
-				t.Errorf("the digest of %d decisions is %s, want %s", recorder.decisions, got, c.wantDigest)
+				t.Errorf("digest of %d decisions: got %s, want %s", recorder.decisions, got, c.wantDigest)
 			}
 		})
 	}
--- a/policy/endpoints_test.go
+++ b/policy/endpoints_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// TestReplacedServersLeaveNothing checks that servers that are replaced under new names, each in a cell of its own,
-// leave nothing behind.
-func TestReplacedServersLeaveNothing(t *testing.T) {
+// TestReplacedServersAreRemoved guards against a memory leak while servers are replaced under new names, each in a
+// cell of its own.
+func TestReplacedServersAreRemoved(t *testing.T) {
 	router := newRouter(t, Config{
 		Seed:        1,
 		Self:        Identity{Count: 2},
@@ -30,9 +30,9 @@
 		})
 		prefill := takeAttempt(router, now)
 		if prefill == 0 {
-			t.Fatalf("request %d finds no prefill server", n)
+			t.Fatalf("request %d: got no prefill server", n)
 		}
-		// The prefill server goes while the request's state is there. Its successor has another name and cell.
+		// The prefill server goes while it holds the request's state. Its successor has another ID and cell.
 		router.ListUpdateStarted(false)
 		router.ServerListed(prefill, ZoneID(prefill%3), 0, CellID(prefill), Gone, 0)
 		for nextID%2 != 0 {
@@ -43,17 +43,17 @@
 		router.ListUpdateEnded(now)
 		router.AttemptEnded(now, id, 0, Prefilled, 1e6, false, NoLoadReport)
 		if decode := takeAttempt(router, now); decode == 0 || decode%2 == 0 {
-			t.Fatalf("request %d goes to server %d, want a decode server", n, decode)
+			t.Fatalf("request %d: got server %d, want a decode server", n, decode)
 		}
 		router.StreamStarted(now, id, 1, 1e6)
 		router.AttemptEnded(now, id, 1, Served, 1e6, true, NoLoadReport)
 		discardDecisions(router, now)
 	}
 	if len(router.servers) > 20 || len(router.serverIndex) > 20 || len(router.locality.cells) > 20 {
-		t.Errorf("after 10000 replacements %d servers, %d ids, %d cells, want about the 14 there are",
+		t.Errorf("after 10000 replacements: got %d servers, %d ids, %d cells, want at most 20 of each",
 			len(router.servers), len(router.serverIndex), len(router.locality.cells))
 	}
-	if n := len(router.prefixes.hints); n > 2000 { // those of 30 s
-		t.Errorf("%d marked prefixes, want at most 2000", n)
+	if n := len(router.prefixes.hints); n > 2000 { // sessions of the last 30 s, one every 150 ms
+		t.Errorf("got %d prefixes with hints, want at most 2000", n)
 	}
 }
--- a/policy/fairness_test.go
+++ b/policy/fairness_test.go
@@ -8,41 +8,43 @@
 	"testing"
 )
 
-// prefillFleet is a few dispatchers and prefill servers that read prompts one after another at a fixed rate.
+// prefillFleet simulates several dispatchers and prefill servers. Each server processes its prompts one after another
+// at a fixed rate.
 type prefillFleet struct {
 	routers  []*Router
 	timers   []Nanos
 	now      Nanos
-	freeAt   map[ServerID]Nanos // when a server has read what it has
-	pending  []prefillEnd       // in the order in which they are due
+	freeAt   map[ServerID]Nanos // when a server has processed all its prompts
+	pending  []prefillEnd       // ordered by time
 	requests []fairnessRequest  // by ID, from 1
 }
 
-// prefillEnd is the end of an attempt that is due at a time.
+// prefillEnd is the scheduled end of an attempt and its outcome.
 type prefillEnd struct {
 	pendingEnd
 	outcome Outcome
 }
 
+// fairnessRequest is a request and how it has gone so far.
 type fairnessRequest struct {
 	promptTokens int64
 	session      SessionKey
 	class        ClassID
 	tenant       TenantID
-	sentAt       Nanos // the outstanding attempt
+	sentAt       Nanos // when the outstanding attempt was sent
 	answered     bool
 }
 
 const (
-	fairnessRouters      = 4
-	fairnessServers      = 6
-	fairnessRate         = 15000  // prompt tokens a second and server
-	fairnessPromptTokens = 2000.0 // mean length of a prompt
-	fairnessTimeout      = Nanos(6e9)
-	fairnessRound        = Nanos(4e6)
+	fairnessRouters         = 4
+	fairnessServers         = 6
+	fairnessTokensPerSecond = 15000  // prompt tokens per second of one server
+	fairnessPromptTokens    = 2000.0 // mean length of a prompt
+	fairnessTimeout         = Nanos(6e9)
+	fairnessRound           = Nanos(4e6)
 )
 
-// fairnessClass is the class of a fleet with only one.
+// fairnessClass is the class of the tests with a single class.
 var fairnessClass = Class{LatencyTarget: 1500e6, LatencyTargetPer1k: 40e6, Timeout: fairnessTimeout, Value: 1}
 
 func newPrefillFleet(t *testing.T, tenants []Tenant, classes ...Class) *prefillFleet {
@@ -71,7 +73,7 @@
 	return f
 }
 
-// endAttempt has an attempt end at a time.
+// endAttempt schedules the end of an attempt.
 func (f *prefillFleet) endAttempt(at Nanos, router int, id RequestID, attempt AttemptNumber, outcome Outcome) {
 	end := prefillEnd{pendingEnd{at, router, id, attempt}, outcome}
 	i, _ := slices.BinarySearchFunc(f.pending, end, func(a, b prefillEnd) int {
@@ -80,8 +82,8 @@
 	f.pending = slices.Insert(f.pending, i, end)
 }
 
-// carryOut carries out the decisions of a router.
-func (f *prefillFleet) carryOut(n int) {
+// applyDecisions carries out the decisions of a router that are due.
+func (f *prefillFleet) applyDecisions(n int) {
 	router := f.routers[n]
 	for decision, ok := router.NextDecision(f.now); ok; decision, ok = router.NextDecision(f.now) {
 		switch decision.Action {
@@ -92,12 +94,12 @@
 			attempt := AttemptNumber(req.attempts - 1)
 			request := &f.requests[decision.Request-1]
 			request.sentAt = f.now
-			readTime := Nanos(float64(request.promptTokens) / fairnessRate * 1e9)
+			readTime := Nanos(float64(request.promptTokens) / fairnessTokensPerSecond * 1e9)
 			doneAt, timeoutAt := max(f.now, f.freeAt[decision.Server])+readTime, f.now+decision.Duration
 			if doneAt <= timeoutAt {
 				f.freeAt[decision.Server] = doneAt
 				f.endAttempt(doneAt, n, decision.Request, attempt, Prefilled)
-			} else { // leaves the server's queue before its turn
+			} else { // times out in the server's queue
 				f.endAttempt(timeoutAt, n, decision.Request, attempt, TimedOut)
 			}
 		case CancelAttempt:
@@ -108,10 +110,10 @@
 	}
 }
 
-// run has requests come for a time, at a load relative to what the servers bear, and plays until all attempts have
-// ended. owner draws the class and tenant of a request.
-func (f *prefillFleet) run(duration Nanos, load float64, rng *rand.Rand, owner func() (ClassID, TenantID)) {
-	rate, due := load*fairnessServers*fairnessRate/fairnessPromptTokens, 0.0
+// run simulates requests for a duration, at a load relative to the capacity of the servers, and goes on until all
+// attempts have ended. drawOwner draws the class and tenant of a request.
+func (f *prefillFleet) run(duration Nanos, load float64, rng *rand.Rand, drawOwner func() (ClassID, TenantID)) {
+	rate, due := load*fairnessServers*fairnessTokensPerSecond/fairnessPromptTokens, 0.0
 	for until := f.now + duration; f.now < until || len(f.pending) > 0; f.now += fairnessRound {
 		for len(f.pending) > 0 && f.pending[0].at <= f.now {
 			end := f.pending[0]
@@ -120,34 +122,35 @@
 			request.answered = request.answered || prefilled
 			f.routers[end.router].AttemptEnded(f.now, end.request, end.attempt, end.outcome, f.now-request.sentAt,
 				prefilled, NoLoadReport)
-			f.carryOut(end.router)
+			f.applyDecisions(end.router)
 		}
 		for due += rate * float64(fairnessRound) / 1e9; due >= 1 && f.now < until; due-- {
-			f.arrive(rng, owner)
+			f.sendRequest(rng, drawOwner)
 		}
 		for n, at := range f.timers {
 			if at <= f.now {
 				f.timers[n] = Never
 				f.routers[n].TimerFired(f.now)
-				f.carryOut(n)
+				f.applyDecisions(n)
 			}
 		}
 	}
 }
 
-func (f *prefillFleet) arrive(rng *rand.Rand, owner func() (ClassID, TenantID)) {
+// sendRequest reports a random request to a random router.
+func (f *prefillFleet) sendRequest(rng *rand.Rand, drawOwner func() (ClassID, TenantID)) {
 	n := rng.IntN(len(f.routers))
 	request := fairnessRequest{
 		promptTokens: int64(200 + rng.ExpFloat64()*(fairnessPromptTokens-200)),
 		session:      SessionKey(rng.IntN(120) + 1),
 	}
-	request.class, request.tenant = owner()
+	request.class, request.tenant = drawOwner()
 	f.requests = append(f.requests, request)
 	f.routers[n].RequestArrived(f.now, Request{
 		ID: RequestID(len(f.requests)), Class: request.class, Tenant: request.tenant, Session: request.session,
 		PromptTokens: request.promptTokens, Deadline: f.now + fairnessTimeout,
 	})
-	f.carryOut(n)
+	f.applyDecisions(n)
 }
 
 // answeredShare returns the answered share of the requests that match.
@@ -165,11 +168,10 @@
 
 func anyRequest(fairnessRequest) bool { return true }
 
-// TestLongPromptsAndSessionsAreServed checks that long prompts have their part of the answers: up to the load that the
-// servers bear the longest tenth is answered two thirds as often as all, beyond it half as often. While there is
-// capacity no session is rejected throughout.
-func TestLongPromptsAndSessionsAreServed(t *testing.T) {
-	for _, c := range []struct{ load, least float64 }{{0.6, 2.0 / 3}, {0.9, 2.0 / 3}, {1.3, 1.0 / 2}} {
+// TestLongPromptsAndSessionsDoNotStarve checks that the longest tenth of the prompts is answered at least two thirds
+// as often as all prompts below capacity, and half as often above it. Below capacity, every session gets an answer.
+func TestLongPromptsAndSessionsDoNotStarve(t *testing.T) {
+	for _, c := range []struct{ load, minShare float64 }{{0.6, 2.0 / 3}, {0.9, 2.0 / 3}, {1.3, 1.0 / 2}} {
 		t.Run(fmt.Sprint(c.load), func(t *testing.T) {
 			f := newPrefillFleet(t, nil, fairnessClass)
 			f.run(60e9, c.load, rand.New(rand.NewPCG(1, 0)), func() (ClassID, TenantID) { return 0, -1 })
@@ -183,9 +185,9 @@
 			long := lengths[len(lengths)*9/10]
 			all := f.answeredShare(anyRequest)
 			longest := f.answeredShare(func(request fairnessRequest) bool { return request.promptTokens >= long })
-			if all < 0.5 || longest < c.least*all {
-				t.Errorf("answered: %.2f of all, %.2f of the longest tenth, want %.2f of that at least",
-					all, longest, c.least)
+			if all < 0.5 || longest < c.minShare*all {
+				t.Errorf("answered: got %.2f of all, %.2f of the longest tenth, want at least 0.5 and %.2f times the first",
+					all, longest, c.minShare)
 			}
 			rejected := 0
 			for _, answered := range sessions {
@@ -194,17 +196,17 @@
 				}
 			}
 			if c.load < 1 && rejected > 0 {
-				t.Errorf("%d of %d sessions are rejected throughout", rejected, len(sessions))
+				t.Errorf("got no answer for %d of %d sessions", rejected, len(sessions))
 			}
-			t.Logf("%d requests, answered %.2f, longest tenth %.2f, sessions without any %d of %d",
+			t.Logf("%d requests, answered %.2f, longest tenth %.2f, sessions without an answer %d of %d",
 				len(f.requests), all, longest, rejected, len(sessions))
 		})
 	}
 }
 
-// TestNoClassIsLeftOut checks that under overload no class is left out, whatever its target, its value and its place in
-// the settings.
-func TestNoClassIsLeftOut(t *testing.T) {
+// TestNoClassStarves checks that under overload every class gets answers, independent of its latency target, its value
+// and its place in the settings.
+func TestNoClassStarves(t *testing.T) {
 	slow := Class{LatencyTarget: 4e9, LatencyTargetPer1k: 40e6, Timeout: fairnessTimeout, Value: 5}
 	for order, classes := range map[string][]Class{
 		"quick first": {fairnessClass, slow},
@@ -217,16 +219,17 @@
 		for id := range classes {
 			got := f.answeredShare(func(request fairnessRequest) bool { return request.class == ClassID(id) })
 			if got < 2*all/3 {
-				t.Errorf("%s: %.2f of class %d are answered, of all %.2f", order, got, id, all)
+				t.Errorf("%s: answered: got %.2f of class %d, want at least two thirds of the share of all, %.2f",
+					order, got, id, all)
 			}
-			t.Logf("%s: %.2f of class %d, of all %.2f", order, got, id, all)
+			t.Logf("%s: answered %.2f of class %d, %.2f of all", order, got, id, all)
 		}
 	}
 }
 
-// TestTenantWithinItsQuota checks that a tenant within its quota is served better than one far over it.
-func TestTenantWithinItsQuota(t *testing.T) {
-	const capacity = fairnessServers * fairnessRate / fairnessPromptTokens // requests a second
+// TestTenantWithinQuotaServedBetter checks that a tenant within its quota gets more answers than one far over it.
+func TestTenantWithinQuotaServedBetter(t *testing.T) {
+	const capacity = fairnessServers * fairnessTokensPerSecond / fairnessPromptTokens // requests a second
 	rng := rand.New(rand.NewPCG(3, 0))
 	tenants := []Tenant{{RequestsPerSecond: capacity / 2}, {RequestsPerSecond: capacity / 2}}
 	f := newPrefillFleet(t, tenants, fairnessClass)
@@ -234,12 +237,13 @@
 		if rng.IntN(4) == 0 {
 			return 0, 0
 		}
-		return 0, 1 // three times as much as the other, over its quota
+		return 0, 1 // three times the rate of the other, over its quota
 	})
 	within := f.answeredShare(func(request fairnessRequest) bool { return request.tenant == 0 })
 	over := f.answeredShare(func(request fairnessRequest) bool { return request.tenant == 1 })
 	if within < over+0.05 || within < 0.5 {
-		t.Errorf("answered: %.2f of the tenant within its quota, %.2f of the other", within, over)
+		t.Errorf("answered: got %.2f of the tenant within its quota, %.2f of the other, want at least 0.5 and 0.05 more",
+			within, over)
 	}
-	t.Logf("%.2f and %.2f", within, over)
+	t.Logf("answered %.2f of the tenant within its quota, %.2f of the other", within, over)
 }
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -9,18 +9,18 @@
 	"time"
 )
 
-// steadyFleet has one router route steady traffic over a fleet of any size.
+// steadyFleet simulates one router with steady traffic and a fleet of any size.
 type steadyFleet struct {
 	router        *Router
 	now           Nanos
 	timer         Nanos
 	lastID        RequestID
-	interval      Nanos // between two requests: what one dispatcher sees does not grow with the fleet
+	interval      Nanos // between two requests; does not depend on the size of the fleet
 	nextArrivalAt Nanos
-	pending       []steadyEnd // in the order in which they are due
+	pending       []steadyEnd // ordered by time
 }
 
-// steadyEnd is the end of an attempt that is due at a time.
+// steadyEnd is the scheduled end of an attempt and its outcome.
 type steadyEnd struct {
 	at      Nanos
 	request RequestID
@@ -30,10 +30,10 @@
 
 const (
 	steadyRound   = Nanos(10e6)
-	steadyLatency = Nanos(200e6) // of a prefill and of an answer
+	steadyLatency = Nanos(200e6) // of each attempt
 )
 
-// newSteadyFleet returns a router with half as many prefill servers as decode servers.
+// newSteadyFleet returns a fleet with half as many prefill servers as decode servers.
 func newSteadyFleet(tb testing.TB, servers, requestsPerSecond int) *steadyFleet {
 	tb.Helper()
 	f := &steadyFleet{now: 1e9, timer: Never, interval: 1e9 / Nanos(requestsPerSecond)}
@@ -56,12 +56,12 @@
 		f.router.ServerListed(ServerID(i+1), ZoneID(i%4), kind, CellID(i/8), Serving, 0)
 	}
 	f.router.ListUpdateEnded(f.now)
-	f.carryOut()
+	f.applyDecisions()
 	return f
 }
 
-// carryOut carries out the decisions of the router.
-func (f *steadyFleet) carryOut() {
+// applyDecisions carries out the decisions that are due.
+func (f *steadyFleet) applyDecisions() {
 	for decision, ok := f.router.NextDecision(f.now); ok; decision, ok = f.router.NextDecision(f.now) {
 		switch decision.Action {
 		case SetTimer:
@@ -79,7 +79,7 @@
 	}
 }
 
-// run plays for a time.
+// run simulates a duration.
 func (f *steadyFleet) run(duration Nanos) {
 	for until := f.now + duration; f.now < until; f.now += steadyRound {
 		for len(f.pending) > 0 && f.pending[0].at <= f.now {
@@ -87,7 +87,7 @@
 			f.pending = f.pending[1:]
 			f.router.AttemptEnded(f.now, end.request, end.attempt, end.outcome, steadyLatency, end.outcome == Served,
 				NoLoadReport)
-			f.carryOut()
+			f.applyDecisions()
 		}
 		if f.now >= f.nextArrivalAt {
 			f.nextArrivalAt += f.interval
@@ -96,17 +96,17 @@
 				ID: f.lastID, Tenant: -1, Session: SessionKey(f.lastID), Prefix: PrefixKey(f.lastID%50 + 1),
 				PromptTokens: 4000, PrefixTokens: 1000, Deadline: f.now + 5e9,
 			})
-			f.carryOut()
+			f.applyDecisions()
 		}
 		if f.timer <= f.now {
 			f.timer = Never
 			f.router.TimerFired(f.now)
-			f.carryOut()
+			f.applyDecisions()
 		}
 	}
 }
 
-// BenchmarkFleet measures one second of traffic of one dispatcher, by the size of the fleet and the request rate.
+// BenchmarkFleet measures one second of the traffic of one dispatcher, by request rate and size of the fleet.
 func BenchmarkFleet(b *testing.B) {
 	for _, perSecond := range []int{2, 30} {
 		for _, servers := range []int{100, 200, 800, 3200} {
@@ -121,21 +121,20 @@
 	}
 }
 
-// TestLargeListIsTakenInTime checks that the list of the largest fleet, cell by cell, costs a moment of processor time.
-// Looking for a cell among the servers of all others took three quarters of a minute of it, in which a dispatcher that
-// has just started is not ready.
-func TestLargeListIsTakenInTime(t *testing.T) {
-	const limit = 2 * time.Second // a hundred times what it takes
-	begun := time.Now()
+// TestLargeListLoadsQuickly guards against a time quadratic in the size of the endpoint list, during which a
+// dispatcher that has just started would not be ready.
+func TestLargeListLoadsQuickly(t *testing.T) {
+	const limit = 2 * time.Second
+	startedAt := time.Now()
 	newSteadyFleet(t, 3200, 1)
-	if took := time.Since(begun); took > limit {
-		t.Errorf("a list of 3,200 servers took %v, want %v at most", took, limit)
+	if took := time.Since(startedAt); took > limit {
+		t.Errorf("list of 3,200 servers: took %v, want at most %v", took, limit)
 	}
 }
 
-// TestReplicasAreTheHighestHashes compares the replicas of prefixes with their definition: of the eligible servers of
-// the role, the first by rendezvous hash.
-func TestReplicasAreTheHighestHashes(t *testing.T) {
+// TestReplicasHaveHighestHashes compares the replicas of prefixes with their definition: the eligible servers of the
+// role with the highest rendezvous hashes.
+func TestReplicasHaveHighestHashes(t *testing.T) {
 	fleet := newSteadyFleet(t, 60, 10)
 	fleet.run(5e9)
 	router := fleet.router
@@ -161,17 +160,17 @@
 		}
 		slices.Sort(want)
 		if !slices.Equal(got, want) {
-			t.Fatalf("prefix %d: replicas %v, want %v", req.Prefix, got, want)
+			t.Fatalf("prefix %d: got replicas %v, want %v", req.Prefix, got, want)
 		}
 		if !slices.Contains(want, router.affinity.sessionReplica) {
-			t.Fatalf("prefix %d: the session's replica %d is none of %v", req.Prefix, router.affinity.sessionReplica, want)
+			t.Fatalf("prefix %d: got session replica %d, want one of %v", req.Prefix, router.affinity.sessionReplica, want)
 		}
 	}
 }
 
-// TestCountsAreKeptUpToDate has servers come, go, start anew, drain and be ejected at random. After each review the
-// counts must be those that counting all servers anew gives.
-func TestCountsAreKeptUpToDate(t *testing.T) {
+// TestServerCountsMatchRecount checks that after each review the counts are equal to those of a full recount, while
+// servers are added, removed, restarted, drained and ejected at random.
+func TestServerCountsMatchRecount(t *testing.T) {
 	fleet := newSteadyFleet(t, 30, 20)
 	router, rng := fleet.router, rand.New(rand.NewPCG(1, 2))
 	for n := range 2000 {
@@ -198,7 +197,7 @@
 		router.locality.computeCapacities()
 		if counts != router.counts || !slices.Equal(cells, router.locality.cells) ||
 			!slices.Equal(zones, router.locality.zones) {
-			t.Fatalf("step %d: counts %v, want %v; cells %v, want %v",
+			t.Fatalf("step %d: got counts %v, want %v; got cells %v, want %v",
 				n, counts, router.counts, cells, router.locality.cells)
 		}
 		checkCells(t, router)
@@ -217,7 +216,7 @@
 	for i := range router.locality.cells {
 		c := &router.locality.cells[i]
 		if c.serverCount != members[i] || router.locality.index[c.key()] != int32(i) {
-			t.Fatalf("cell %d has %d servers, counted as %d", i, members[i], c.serverCount)
+			t.Fatalf("cell %d: has %d servers, but its server count is %d or its index is wrong", i, members[i], c.serverCount)
 		}
 	}
 }
--- a/policy/router_test.go
+++ b/policy/router_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// newRouter returns a router with these settings.
+// newRouter returns a router with these settings. It ends the test if they are invalid.
 func newRouter(tb testing.TB, config Config) *Router {
 	tb.Helper()
 	router, err := New(config)
@@ -15,7 +15,7 @@
 	return router
 }
 
-// discardDecisions takes all decisions that are due.
+// discardDecisions takes and ignores all decisions that are due.
 func discardDecisions(router *Router, now Nanos) {
 	for ok := true; ok; {
 		_, ok = router.NextDecision(now)
@@ -33,7 +33,8 @@
 	return server
 }
 
-func TestNewChecksItsSettings(t *testing.T) {
+// TestNewRejectsInvalidConfig checks that New returns an error for each kind of invalid setting.
+func TestNewRejectsInvalidConfig(t *testing.T) {
 	valid := Config{
 		Self: Identity{Count: 1}, Classes: []Class{{LatencyTarget: 1e9, Timeout: 5e9}}, Roles: []Role{Prefill},
 		Attempts: AttemptLimits{MaxAttempts: 1}, ReleaseTime: 1e9,
@@ -52,14 +53,14 @@
 			config := valid
 			invalidate(&config)
 			if _, err := New(config); err == nil {
-				t.Error("New accepts the settings, want an error")
+				t.Error("got no error, want one")
 			}
 		})
 	}
 }
 
-// TestNames checks that every value of an enumeration has a name of its own.
-func TestNames(t *testing.T) {
+// TestEnumerationNames checks that every value of an enumeration has a name of its own.
+func TestEnumerationNames(t *testing.T) {
 	for _, c := range []struct {
 		enumeration string
 		count       int
@@ -77,17 +78,17 @@
 		for value := range c.count {
 			name := c.name(uint8(value)).String()
 			if name == "unknown" || seen[name] {
-				t.Errorf("%s %d is named %q, want a name of its own", c.enumeration, value, name)
+				t.Errorf("%s %d: got name %q, want a unique name", c.enumeration, value, name)
 			}
 			seen[name] = true
 		}
 		if name := c.name(uint8(c.count)).String(); name != "unknown" {
-			t.Errorf("%s %d, which does not exist, is named %q", c.enumeration, c.count, name)
+			t.Errorf("%s %d, which does not exist: got name %q, want unknown", c.enumeration, c.count, name)
 		}
 	}
 }
 
-// TestEjectionString checks the description of ejections, which the simulator's wire carries.
+// TestEjectionString checks the description of ejections, which is part of the protocol with the simulator.
 func TestEjectionString(t *testing.T) {
 	for want, ejection := range map[string]Ejection{
 		"server 3 ejected for 500 ms: failing":              {3, NoClass, EjectedFailing, 500 * ms},
@@ -96,7 +97,7 @@
 		"server 3 silent to class 0, left alone for 500 ms": {3, 0, EjectedSilent, 500 * ms},
 	} {
 		if got := ejection.String(); got != want {
-			t.Errorf("%+v is described as %q, want %q", ejection, got, want)
+			t.Errorf("%+v: got %q, want %q", ejection, got, want)
 		}
 	}
 }
--- a/policy/scenario_test.go
+++ b/policy/scenario_test.go
@@ -10,27 +10,27 @@
 	"testing"
 )
 
-// The scenarios in testdata are played line by line. All times are milliseconds. A scenario starts with a line of two
-// equals signs and its name. A line holds one or several of these commands, separated by semicolons; loop and end stand
-// alone:
+// The scenarios in testdata run line by line. All times are milliseconds. A scenario starts with a line of two equals
+// signs and its name. A line has one or more of these commands, separated by semicolons; loop and end have lines of
+// their own:
 //
-//	set NAME VALUE                        a setting (see defaultSettings), before anything else
-//	server ID ROLE [zone=Z cell=C health=H started=T]   the endpoint list names a server
-//	full                                  the servers that follow are a full list
+//	set NAME VALUE                        changes a setting (see defaultSettings); only at the start of a scenario
+//	server ID ROLE [zone=Z cell=C health=H started=T]   the endpoint list has a server
+//	full                                  starts a full list, which has the servers that follow
 //	list-failed                           the endpoint list could not be obtained
-//	at T                                  time advances; timers that are due on the way fire
-//	request ID [prompt=N shared=N prefix=K session=K timeout=T tenant=N]
+//	at T                                  advances the time and fires the timers that are due
+//	request ID [prompt=N shared=N prefix=K session=K timeout=T tenant=N]   a request arrives
 //	began ID [after=T]                    the stream of the last attempt begins, T after it was sent
-//	ended ID OUTCOME [after=T] [held=T] [answered]      the last attempt ends; held is since when the KV state
-//	                                      counts as held, 0 = it was released; answered: finally
+//	ended ID OUTCOME [after=T] [held=T] [answered]      the last attempt ends; held: the time since which
+//	                                      the KV state is held, 0 = released; answered: the request has its final answer
 //	canceled ID                           the client cancels a request
-//	expect ACTION [ID] [on SERVER[|SERVER]] [for T] [before T]   the next decision, timers and ejections left out
-//	count SERVER                          takes all decisions now and adds up the attempts at SERVER among them
-//	counted A B                           the sum is from A to B; it starts anew
-//	next-dispatcher                       another dispatcher, with the next number, at the first time
-//	nothing                               no decision is left
-//	log TEXT                              an ejection whose description has TEXT was returned
-//	loop A B ... end                      the lines between, with $ standing for A to B
+//	expect ACTION [ID] [on SERVER[|SERVER]] [for T] [before T]   checks the next decision, without timers and ejections
+//	count SERVER                          takes all decisions and counts the attempts at SERVER among them
+//	counted A B                           checks that the count is from A to B, and resets it
+//	next-dispatcher                       starts another dispatcher, with the next number, at the start time
+//	nothing                               checks that no decision is left
+//	log TEXT                              checks that an ejection with TEXT in its description was returned
+//	loop A B ... end                      repeats the lines between, with $ replaced by A to B
 //
 // A scenario fails if a decision is left at its end. Idempotency, scopes and health are given by number.
 
@@ -39,7 +39,7 @@
 	scenarioStart = 1000 * ms
 )
 
-// defaultSettings are the settings of a scenario that sets nothing; shares are in percent.
+// defaultSettings are the settings of a scenario without set commands. Shares are in percent.
 var defaultSettings = map[string]int{
 	"target": 1000, "target-per-1k": 60, "timeout": 5000, "max-attempts": 6, "can-cancel": 1, "grace": 16, "round": 4,
 	"release": 500, "initial-capacity": 30, "warmup": 10000, "overload-factor": 250, "overload-window": 2000,
@@ -47,13 +47,13 @@
 	"dedup-scope": 0, "dedup-window": 0, "decode-can-prefill": 0, "quota": 0,
 }
 
-// actionNames are the actions as expect names them.
+// actionNames are the names of the actions in the command expect.
 var actionNames = map[Action]string{
 	SendAttempt: "attempt", CancelAttempt: "cancel", RejectRequest: "reject", FailRequest: "fail",
 	ReleaseState: "release", WatchEndpoints: "watch",
 }
 
-// outcomeByName returns the outcome that ended names, such as timed-out.
+// outcomeByName returns the outcome with a name in the command ended, such as timed-out.
 func outcomeByName(name string) (Outcome, bool) {
 	for outcome := Served; outcome <= StaleConnection; outcome++ {
 		if strings.ReplaceAll(outcome.String(), " ", "-") == name {
@@ -63,29 +63,30 @@
 	return 0, false
 }
 
-// player plays one scenario.
-type player struct {
+// scenarioRunner runs one scenario.
+type scenarioRunner struct {
 	t            *testing.T
-	command      string // being played, for messages
+	command      string // current command, for messages
 	settings     map[string]int
 	router       *Router
 	now          Nanos
 	timer        Nanos
-	decisions    []Decision // not expected yet
-	log          []string
-	lastAttempts map[int]AttemptNumber // by request
+	decisions    []Decision            // taken from the router and not checked yet
+	log          []string              // descriptions of the ejections
+	lastAttempts map[int]AttemptNumber // by request ID
 	listing      bool                  // a list update is open
-	attemptCount int                   // by the command count
+	attemptCount int                   // result of the command count
 }
 
-func newPlayer(t *testing.T) *player {
+func newScenarioRunner(t *testing.T) *scenarioRunner {
 	t.Helper()
-	return &player{
+	return &scenarioRunner{
 		t: t, now: scenarioStart, timer: Never, lastAttempts: map[int]AttemptNumber{},
 		settings: maps.Clone(defaultSettings),
 	}
 }
 
+// TestScenarios runs all scenarios in testdata.
 func TestScenarios(t *testing.T) {
 	files, _ := filepath.Glob("testdata/*.txt")
 	if len(files) == 0 {
@@ -99,16 +100,17 @@
 		for _, part := range strings.Split(string(text), "\n== ")[1:] {
 			name, body, _ := strings.Cut(part, "\n")
 			t.Run(strings.TrimSuffix(filepath.Base(file), ".txt")+"/"+name, func(t *testing.T) {
-				p := newPlayer(t)
-				p.play(strings.Split(body, "\n"))
-				p.expectNothing("the end")
+				r := newScenarioRunner(t)
+				r.runLines(strings.Split(body, "\n"))
+				r.expectNothing("the end")
 			})
 		}
 	}
 }
 
-func (p *player) play(lines []string) {
-	p.t.Helper()
+// runLines runs the commands of some lines.
+func (r *scenarioRunner) runLines(lines []string) {
+	r.t.Helper()
 	for i := 0; i < len(lines); i++ {
 		line, _, _ := strings.Cut(lines[i], "#")
 		if words := strings.Fields(line); len(words) > 0 && words[0] == "loop" {
@@ -117,235 +119,236 @@
 				end++
 			}
 			body := strings.Join(lines[i+1:end], "\n")
-			for n := p.number(words[1]); n <= p.number(words[2]); n++ {
-				p.play(strings.Split(strings.ReplaceAll(body, "$", strconv.Itoa(n)), "\n"))
+			for n := r.parseNumber(words[1]); n <= r.parseNumber(words[2]); n++ {
+				r.runLines(strings.Split(strings.ReplaceAll(body, "$", strconv.Itoa(n)), "\n"))
 			}
 			i = end
 			continue
 		}
-		for p.command = range strings.SplitSeq(line, ";") {
-			if words := strings.Fields(p.command); len(words) > 0 {
-				p.do(words)
+		for r.command = range strings.SplitSeq(line, ";") {
+			if words := strings.Fields(r.command); len(words) > 0 {
+				r.runCommand(words)
 			}
 		}
 	}
 }
 
-func (p *player) number(s string) int {
-	p.t.Helper()
+func (r *scenarioRunner) parseNumber(s string) int {
+	r.t.Helper()
 	n, err := strconv.Atoi(s)
 	if err != nil {
-		p.t.Fatalf("%s: %v", p.command, err)
+		r.t.Fatalf("%s: %v", r.command, err)
 	}
 	return n
 }
 
-// start makes the router with the scenario's settings.
-func (p *player) start() {
-	p.t.Helper()
-	set := p.settings
-	duration := func(name string) Nanos { return Nanos(set[name]) * ms }
-	share := func(name string) float64 { return float64(set[name]) / 100 }
-	p.router = newRouter(p.t, Config{
+// start creates the router with the settings of the scenario.
+func (r *scenarioRunner) start() {
+	r.t.Helper()
+	settings := r.settings
+	duration := func(name string) Nanos { return Nanos(settings[name]) * ms }
+	share := func(name string) float64 { return float64(settings[name]) / 100 }
+	r.router = newRouter(r.t, Config{
 		Seed: 1,
-		Self: Identity{Number: int32(set["number"]), Count: int32(set["dispatchers"])},
+		Self: Identity{Number: int32(settings["number"]), Count: int32(settings["dispatchers"])},
 		Classes: []Class{{
 			LatencyTarget: duration("target"), LatencyTargetPer1k: duration("target-per-1k"),
 			Timeout: duration("timeout"), Value: 1, InterTokenTarget: 50 * ms,
-			Idempotency: Idempotency(set["idempotency"]), DedupScope: DedupScope(set["dedup-scope"]),
+			Idempotency: Idempotency(settings["idempotency"]), DedupScope: DedupScope(settings["dedup-scope"]),
 			DedupWindow: duration("dedup-window"),
 		}},
-		Tenants: []Tenant{{RequestsPerSecond: float64(set["quota"])}},
+		Tenants: []Tenant{{RequestsPerSecond: float64(settings["quota"])}},
 		Roles:   []Role{Prefill, Decode, Mixed},
 		SlowStart: SlowStart{
 			InitialCapacity: share("initial-capacity"), WarmupTime: duration("warmup"),
 			OverloadFactor: share("overload-factor"), OverloadWindow: duration("overload-window"),
 		},
 		Attempts: AttemptLimits{
-			MaxAttempts: int32(set["max-attempts"]), CanCancel: set["can-cancel"] == 1,
-			DecodeCanPrefill: set["decode-can-prefill"] == 1,
+			MaxAttempts: int32(settings["max-attempts"]), CanCancel: settings["can-cancel"] == 1,
+			DecodeCanPrefill: settings["decode-can-prefill"] == 1,
 		},
 		Responses: ResponseSettings{
 			DeadlineGrace: duration("grace"), RoundInterval: duration("round"),
-			SendRetryAfter: set["retry-after"] == 1, MaxRetryAfter: duration("max-retry-after"),
+			SendRetryAfter: settings["retry-after"] == 1, MaxRetryAfter: duration("max-retry-after"),
 		},
-		Discovery:   Discovery{OnRequest: set["on-request"] == 1, MaxInterval: 10000 * ms},
+		Discovery:   Discovery{OnRequest: settings["on-request"] == 1, MaxInterval: 10000 * ms},
 		ReleaseTime: duration("release"),
 	})
 }
 
-// settle closes an open list update and takes the decisions that are due.
-func (p *player) settle() {
-	if p.listing {
-		p.listing = false
-		p.router.ListUpdateEnded(p.now)
+// takeDecisions ends an open list update and takes the decisions that are due.
+func (r *scenarioRunner) takeDecisions() {
+	if r.listing {
+		r.listing = false
+		r.router.ListUpdateEnded(r.now)
 	}
-	for decision, ok := p.router.NextDecision(p.now); ok; decision, ok = p.router.NextDecision(p.now) {
+	for decision, ok := r.router.NextDecision(r.now); ok; decision, ok = r.router.NextDecision(r.now) {
 		switch decision.Action {
 		case SetTimer:
-			p.timer = min(p.timer, p.now+decision.Duration)
+			r.timer = min(r.timer, r.now+decision.Duration)
 		case LogEjection:
-			p.log = append(p.log, decision.Ejection.String())
+			r.log = append(r.log, decision.Ejection.String())
 		case SendAttempt:
-			if _, again := p.lastAttempts[int(decision.Request)]; again {
-				p.lastAttempts[int(decision.Request)]++
+			if _, isRetry := r.lastAttempts[int(decision.Request)]; isRetry {
+				r.lastAttempts[int(decision.Request)]++
 			} else {
-				p.lastAttempts[int(decision.Request)] = 0
+				r.lastAttempts[int(decision.Request)] = 0
 			}
-			p.decisions = append(p.decisions, decision)
+			r.decisions = append(r.decisions, decision)
 		default:
-			p.decisions = append(p.decisions, decision)
+			r.decisions = append(r.decisions, decision)
 		}
 	}
 }
 
-// options returns the options NAME=VALUE of a command, with the defaults of those it leaves out.
-func (p *player) options(words []string) map[string]int {
-	p.t.Helper()
+// options returns the options NAME=VALUE of a command, with default values for those that it does not have.
+func (r *scenarioRunner) options(words []string) map[string]int {
+	r.t.Helper()
 	options := map[string]int{
 		"zone": 0, "cell": 0, "started": 0, "prompt": 500, "shared": 0, "prefix": 0, "session": 0,
-		"timeout": p.settings["timeout"], "tenant": -1, "after": 50, "health": 0, "held": -1,
+		"timeout": r.settings["timeout"], "tenant": -1, "after": 50, "health": 0, "held": -1,
 	}
 	for _, word := range words {
 		if name, value, ok := strings.Cut(word, "="); ok {
 			if _, known := options[name]; !known {
-				p.t.Fatalf("%s: unknown option %s", p.command, name)
+				r.t.Fatalf("%s: unknown option %s", r.command, name)
 			}
-			options[name] = p.number(value)
+			options[name] = r.parseNumber(value)
 		}
 	}
 	return options
 }
 
-func (p *player) do(words []string) {
-	p.t.Helper()
-	if p.router == nil && words[0] != "set" {
-		p.start()
+// runCommand runs one command, which is split into words.
+func (r *scenarioRunner) runCommand(words []string) {
+	r.t.Helper()
+	if r.router == nil && words[0] != "set" {
+		r.start()
 	}
-	options := p.options(words)
+	options := r.options(words)
 	id := 0
 	if len(words) > 1 && words[0] != "set" && words[0] != "log" && words[0] != "expect" {
-		id = p.number(words[1])
+		id = r.parseNumber(words[1])
 	}
 	switch words[0] {
 	case "set":
-		p.set(words[1], words[2])
+		r.set(words[1], words[2])
 		return
 	case "server", "full":
-		p.list(words, ServerID(id), options)
+		r.list(words, ServerID(id), options)
 		return
 	case "list-failed":
-		p.router.ListUpdateFailed(p.now)
+		r.router.ListUpdateFailed(r.now)
 	case "at":
-		p.advance(Nanos(id) * ms)
+		r.advance(Nanos(id) * ms)
 	case "request":
-		p.settle()
-		p.router.RequestArrived(p.now, Request{
+		r.takeDecisions()
+		r.router.RequestArrived(r.now, Request{
 			ID: RequestID(id), Tenant: TenantID(options["tenant"]), Session: SessionKey(options["session"]),
 			Prefix: PrefixKey(options["prefix"]), PromptTokens: int64(options["prompt"]),
 			PrefixTokens: int64(options["shared"]), MaxOutputTokens: 200,
-			Deadline: p.now + Nanos(options["timeout"])*ms,
+			Deadline: r.now + Nanos(options["timeout"])*ms,
 		})
 	case "began":
-		p.router.StreamStarted(p.now, RequestID(id), p.lastAttempts[id], Nanos(options["after"])*ms)
+		r.router.StreamStarted(r.now, RequestID(id), r.lastAttempts[id], Nanos(options["after"])*ms)
 	case "ended":
-		p.endAttempt(words, id, options)
+		r.endAttempt(words, id, options)
 	case "canceled":
-		p.router.RequestCanceled(p.now, RequestID(id))
+		r.router.RequestCanceled(r.now, RequestID(id))
 	case "expect":
-		p.expect(words[1:])
+		r.expect(words[1:])
 	case "count":
-		p.countAttempts(ServerID(id))
+		r.countAttempts(ServerID(id))
 	case "counted":
-		if most := p.number(words[2]); p.attemptCount < id || p.attemptCount > most {
-			p.t.Fatalf("%s: counted %d", p.command, p.attemptCount)
+		if most := r.parseNumber(words[2]); r.attemptCount < id || r.attemptCount > most {
+			r.t.Fatalf("%s: got a count of %d", r.command, r.attemptCount)
 		}
-		p.attemptCount = 0
+		r.attemptCount = 0
 	case "next-dispatcher":
-		p.now, p.timer, p.lastAttempts = scenarioStart, Never, map[int]AttemptNumber{}
-		p.settings["number"]++
-		p.start()
+		r.now, r.timer, r.lastAttempts = scenarioStart, Never, map[int]AttemptNumber{}
+		r.settings["number"]++
+		r.start()
 	case "nothing":
-		p.expectNothing(p.command)
+		r.expectNothing(r.command)
 	case "log":
-		p.settle()
-		if want := strings.Join(words[1:], " "); !strings.Contains(strings.Join(p.log, "\n"), want) {
-			p.t.Fatalf("no log line with %q among %q", want, p.log)
+		r.takeDecisions()
+		if want := strings.Join(words[1:], " "); !strings.Contains(strings.Join(r.log, "\n"), want) {
+			r.t.Fatalf("want an ejection with %q, got %q", want, r.log)
 		}
 	default:
-		p.t.Fatalf("%s: unknown command", p.command)
+		r.t.Fatalf("%s: unknown command", r.command)
 	}
-	p.settle()
+	r.takeDecisions()
 }
 
-func (p *player) set(name, value string) {
-	p.t.Helper()
-	if p.router != nil {
-		p.t.Fatalf("%s: settings come first", p.command)
+func (r *scenarioRunner) set(name, value string) {
+	r.t.Helper()
+	if r.router != nil {
+		r.t.Fatalf("%s: set command after the start of the scenario", r.command)
 	}
-	if _, known := p.settings[name]; !known {
-		p.t.Fatalf("%s: unknown setting", p.command)
+	if _, known := r.settings[name]; !known {
+		r.t.Fatalf("%s: unknown setting", r.command)
 	}
-	p.settings[name] = p.number(value)
+	r.settings[name] = r.parseNumber(value)
 }
 
-func (p *player) list(words []string, id ServerID, options map[string]int) {
+func (r *scenarioRunner) list(words []string, id ServerID, options map[string]int) {
 	full := words[0] == "full"
-	if !p.listing || full {
-		p.router.ListUpdateStarted(full)
+	if !r.listing || full {
+		r.router.ListUpdateStarted(full)
 	}
-	p.listing = true
+	r.listing = true
 	if !full {
 		kind := map[string]KindID{"prefill": 0, "decode": 1, "mixed": 2}[words[2]]
-		p.router.ServerListed(id, ZoneID(options["zone"]), kind, CellID(options["cell"]), Health(options["health"]),
+		r.router.ServerListed(id, ZoneID(options["zone"]), kind, CellID(options["cell"]), Health(options["health"]),
 			Nanos(options["started"])*ms)
 	}
 }
 
-// advance lets time go on to a time; timers that are due on the way fire.
-func (p *player) advance(to Nanos) {
-	p.settle()
-	for p.timer <= to {
-		p.now, p.timer = max(p.timer, p.now), Never
-		p.router.TimerFired(p.now)
-		p.settle()
+// advance advances the time and fires the timers that are due.
+func (r *scenarioRunner) advance(to Nanos) {
+	r.takeDecisions()
+	for r.timer <= to {
+		r.now, r.timer = max(r.timer, r.now), Never
+		r.router.TimerFired(r.now)
+		r.takeDecisions()
 	}
-	p.now = to
+	r.now = to
 }
 
-func (p *player) endAttempt(words []string, id int, options map[string]int) {
-	p.t.Helper()
+func (r *scenarioRunner) endAttempt(words []string, id int, options map[string]int) {
+	r.t.Helper()
 	outcome, ok := outcomeByName(words[2])
 	if !ok {
-		p.t.Fatalf("%s: unknown outcome", p.command)
+		r.t.Fatalf("%s: unknown outcome", r.command)
 	}
 	answered := words[len(words)-1] == "answered"
-	p.router.AttemptEnded(p.now, RequestID(id), p.lastAttempts[id], outcome, Nanos(options["after"])*ms, answered,
+	r.router.AttemptEnded(r.now, RequestID(id), r.lastAttempts[id], outcome, Nanos(options["after"])*ms, answered,
 		NoLoadReport)
 	if held := options["held"]; held == 0 {
-		p.router.StateHeldSince(p.now, RequestID(id), Never)
+		r.router.StateHeldSince(r.now, RequestID(id), Never)
 	} else if held > 0 {
-		p.router.StateHeldSince(p.now, RequestID(id), Nanos(held)*ms)
+		r.router.StateHeldSince(r.now, RequestID(id), Nanos(held)*ms)
 	}
 }
 
-func (p *player) countAttempts(server ServerID) {
-	p.settle()
-	for _, decision := range p.decisions {
+func (r *scenarioRunner) countAttempts(server ServerID) {
+	r.takeDecisions()
+	for _, decision := range r.decisions {
 		if decision.Action == SendAttempt && decision.Server == server {
-			p.attemptCount++
+			r.attemptCount++
 		}
 	}
-	p.decisions = p.decisions[:0]
+	r.decisions = r.decisions[:0]
 }
 
-func (p *player) expect(words []string) {
-	p.t.Helper()
-	if len(p.decisions) == 0 {
-		p.t.Fatalf("at %d: %s: nothing was decided", p.now/ms, p.command)
+func (r *scenarioRunner) expect(words []string) {
+	r.t.Helper()
+	if len(r.decisions) == 0 {
+		r.t.Fatalf("at %d: %s: got no decision", r.now/ms, r.command)
 	}
-	got := p.decisions[0]
-	p.decisions = p.decisions[1:]
+	got := r.decisions[0]
+	r.decisions = r.decisions[1:]
 	name := actionNames[got.Action]
 	ok := name == words[0] && (len(words) < 2 || fmt.Sprint(got.Request) == words[1])
 	if n := len(words) - 2; n > 0 && words[n] == "before" {
@@ -365,14 +368,14 @@
 		}
 	}
 	if !ok {
-		p.t.Fatalf("at %d: %s: got %s %d on %d", p.now/ms, p.command, name, got.Request, got.Server)
+		r.t.Fatalf("at %d: %s: got action %s, request %d, server %d", r.now/ms, r.command, name, got.Request, got.Server)
 	}
 }
 
-func (p *player) expectNothing(where string) {
-	p.t.Helper()
-	p.settle()
-	if len(p.decisions) > 0 {
-		p.t.Fatalf("at %d: %s: left over: %+v", p.now/ms, where, p.decisions[0])
+func (r *scenarioRunner) expectNothing(where string) {
+	r.t.Helper()
+	r.takeDecisions()
+	if len(r.decisions) > 0 {
+		r.t.Fatalf("at %d: %s: got %+v, want no decision", r.now/ms, where, r.decisions[0])
 	}
 }
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -7,18 +7,18 @@
 	"testing"
 )
 
-// slowStartFleet is a fleet of dispatchers that share servers of one role, of which the last has just started. The
-// traffic is uneven: the first dispatchers get several times the mean.
+// slowStartFleet simulates dispatchers that share servers of one role, of which the last one starts during the test.
+// The first dispatchers get several times the mean traffic.
 type slowStartFleet struct {
 	routers          []*Router
 	timers           []Nanos
 	now              Nanos
-	pending          []pendingEnd // in the order in which they are due
-	startingAttempts []Nanos      // times of the attempts at the server that has just started
+	pending          []pendingEnd // ordered by time
+	startingAttempts []Nanos      // times of the attempts at the server in slow start
 	lastID           RequestID
 }
 
-// pendingEnd is the end of an attempt that is due at a time.
+// pendingEnd is the scheduled end of an attempt.
 type pendingEnd struct {
 	at      Nanos
 	router  int
@@ -28,19 +28,19 @@
 
 const (
 	slowStartServers  = 10
-	slowStartRate     = 600                        // requests a second, all dispatchers together
-	slowStartLatency  = Nanos(60e6)                // of a prefill
-	slowStartAt       = Nanos(100e9)               // when the last server starts
-	slowStartServerID = ServerID(slowStartServers) // the last server
-	slowStartRound    = Nanos(4e6)                 // time between two rounds
-	warmPerWindow     = slowStartRate / slowStartServers * 3.
+	slowStartRate     = 600                                   // requests per second, over all dispatchers
+	slowStartLatency  = Nanos(60e6)                           // of a prefill
+	slowStartAt       = Nanos(100e9)                          // when the last server starts
+	slowStartServerID = ServerID(slowStartServers)            // the last server
+	slowStartRound    = Nanos(4e6)                            // time between two rounds
+	warmPerWindow     = slowStartRate / slowStartServers * 3. // requests of a warm server in an OverloadWindow
 )
 
 var slowStartSettings = SlowStart{
 	InitialCapacity: 0.3, WarmupTime: 10e9, OverloadFactor: 2.5, OverloadWindow: 3e9,
 }
 
-// startRouter starts a dispatcher, or starts it anew.
+// startRouter starts or restarts a dispatcher.
 func (f *slowStartFleet) startRouter(t *testing.T, n int) {
 	t.Helper()
 	router := newRouter(t, Config{
@@ -65,8 +65,8 @@
 	router.ListUpdateEnded(f.now)
 }
 
-// carryOut carries out the decisions of a router.
-func (f *slowStartFleet) carryOut(n int) {
+// applyDecisions carries out the decisions of a router that are due.
+func (f *slowStartFleet) applyDecisions(n int) {
 	router := f.routers[n]
 	for decision, ok := router.NextDecision(f.now); ok; decision, ok = router.NextDecision(f.now) {
 		switch decision.Action {
@@ -84,38 +84,38 @@
 	}
 }
 
-// run plays until a time.
+// run simulates the traffic until a time.
 func (f *slowStartFleet) run(until Nanos, rng *rand.Rand) {
-	due := 0.0 // requests
+	due := 0.0 // requests that are due
 	for ; f.now < until; f.now += slowStartRound {
 		for len(f.pending) > 0 && f.pending[0].at <= f.now {
 			end := f.pending[0]
 			f.pending = f.pending[1:]
 			f.routers[end.router].AttemptEnded(f.now, end.request, end.attempt, Prefilled, slowStartLatency, true,
 				NoLoadReport)
-			f.carryOut(end.router)
+			f.applyDecisions(end.router)
 		}
 		for due += slowStartRate * float64(slowStartRound) / 1e9; due >= 1; due-- {
-			n := int(float64(len(f.routers)) * math.Pow(rng.Float64(), 2)) // the first tenth gets a third of all
+			n := int(float64(len(f.routers)) * math.Pow(rng.Float64(), 2)) // the first tenth of the routers gets a third
 			f.lastID++
 			f.routers[n].RequestArrived(f.now, Request{
 				ID: f.lastID, Tenant: -1, Session: SessionKey(f.lastID), PromptTokens: 1000, Deadline: f.now + 5e9,
 			})
-			f.carryOut(n)
+			f.applyDecisions(n)
 		}
 		for n, at := range f.timers {
 			if at <= f.now {
 				f.timers[n] = Never
 				f.routers[n].TimerFired(f.now)
-				f.carryOut(n)
+				f.applyDecisions(n)
 			}
 		}
 	}
 }
 
-// TestSlowStartStaysWithinCapacity checks that a server that has just started gets no more in any window than it bears,
-// apart from chance, however many dispatchers share the traffic, however unevenly, and though a third of them start
-// anew in the middle.
+// TestSlowStartStaysWithinCapacity checks that a server in slow start is not overloaded in any window, apart from
+// random variation, for several numbers of dispatchers with uneven traffic, a third of which restart during the slow
+// start.
 func TestSlowStartStaysWithinCapacity(t *testing.T) {
 	for _, count := range []int{1, 25, 300} {
 		t.Run(fmt.Sprint(count), func(t *testing.T) {
@@ -146,9 +146,9 @@
 			}
 			budget := slowStartSettings.OverloadFactor * slowStartSettings.InitialCapacity * warmPerWindow
 			if bound := budget + 2*math.Sqrt(budget) + 2; float64(most) > bound || most == 0 {
-				t.Errorf("%d attempts in a window, want some and at most %.0f", most, bound)
+				t.Errorf("got %d attempts in a window, want 1 to %.0f", most, bound)
 			}
-			t.Logf("%d of %.0f in the fullest window, %d in all", most, budget, len(f.startingAttempts))
+			t.Logf("%d of %.0f attempts in the fullest window, %d in total", most, budget, len(f.startingAttempts))
 		})
 	}
 }
