--- a/policy/affinity.go
+++ b/policy/affinity.go
@@ -23,7 +23,7 @@
 	nothingCached
 )
 
-// replica is a server that may be a replica of a prefix. Those with the highest hashes are.
+// replica is a candidate for a replica of a prefix. The candidates with the highest hashes are its replicas.
 type replica struct {
 	hash   uint64
 	server int32
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -20,7 +20,7 @@
 	return responseFailed
 }
 
-// isCurrentAttempt reports whether an attempt is the outstanding one of a request; req is nil if there is none.
+// isCurrentAttempt reports whether an attempt is the outstanding one of a request. It is not if req is nil.
 func isCurrentAttempt(req *requestState, attempt AttemptNumber) bool {
 	return req != nil && req.attemptOutstanding && attempt == AttemptNumber(req.attempts-1)
 }
--- a/policy/decision.go
+++ b/policy/decision.go
@@ -29,7 +29,7 @@
 // The reasons for ejections.
 const (
 	EjectedFailing     EjectionReason = iota // its attempts fail far more often than those of its peers
-	EjectedUnreachable                       // no connection could be established
+	EjectedUnreachable                       // no connection to it could be established
 	EjectedSlow                              // its latencies are far above those of its peers
 	EjectedSilent                            // it did not respond to an attempt
 )
--- a/policy/next.go
+++ b/policy/next.go
@@ -120,7 +120,7 @@
 	return Decision{Action: CancelAttempt, Request: req.ID, Attempt: AttemptNumber(req.attempts - 1)}, true
 }
 
-// shouldGiveUp reports whether a request must not be sent again, or could not be answered in time.
+// shouldGiveUp reports whether a request must not be sent again or could not be answered in time.
 func (r *Router) shouldGiveUp(now Nanos, req *requestState) bool {
 	return req.givenUp ||
 		now+r.config.Responses.RoundInterval >= req.Deadline ||
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -56,8 +56,8 @@
 	return best
 }
 
-// lowestEligible returns the lowest value of a metric over the eligible servers that metric admits, or Never without
-// such a server.
+// lowestEligible returns the lowest value of a metric over the eligible servers that metric admits, or Never if
+// there are none.
 func (r *Router) lowestEligible(now Nanos, req *requestState, pass selectionPass,
 	metric func(srv *server) (int64, bool),
 ) int64 {
