--- a/internal/decide/intake/intake.go
+++ b/internal/decide/intake/intake.go
@@ -1,25 +1,25 @@
-// Package intake decides whether a dispatcher accepts a request at all, before package policy sees it, and how requests
-// in progress end when the time for a drain is up.
+// Package intake decides whether a dispatcher accepts a request at all, before package policy sees it, and how the
+// requests that are still in progress at the deadline of a drain end.
 //
 // The package does no I/O and reads no clock. All times are nanoseconds.
 package intake
 
-// Verdict is whether a request is accepted, or why it is rejected.
+// Verdict is the decision on a request: Accepted, or the reason for its rejection.
 type Verdict uint8
 
 // The verdicts.
 const (
 	Accepted         Verdict = iota
 	Draining                 // the dispatcher drains
-	AtCapacity               // the dispatcher has as many requests in progress as it may
-	PromptTooLong            // the prompt is longer than any may be
-	DeadlineTooClose         // an answer could not reach the client before its deadline
-	NoServersKnown           // no endpoint list was received yet
+	AtCapacity               // the dispatcher has its maximum number of requests in progress
+	PromptTooLong            // the prompt exceeds the token limit
+	DeadlineTooClose         // no answer could reach the client before its deadline
+	NoServersKnown           // no endpoint list has been received yet
 )
 
-// verdictTexts are part of the interface: clients receive them as the reason of a rejection.
+// verdictTexts are part of the interface: clients receive them as the reason for a rejection.
 var verdictTexts = [...]string{
-	Accepted:         "taken",
+	Accepted:         "accepted",
 	Draining:         "dispatcher drains",
 	AtCapacity:       "too many requests in hand",
 	PromptTooLong:    "prompt too long",
@@ -27,26 +27,25 @@
 	NoServersKnown:   "no engines known",
 }
 
-// String returns the reason as clients receive it.
+// String returns the text of the verdict. Clients receive that of a rejection.
 func (v Verdict) String() string { return verdictTexts[v] }
 
-// IsRetryable reports whether the same request may be accepted later, so that the client is told when to retry.
+// IsRetryable reports whether the same request may be accepted later, so that the client can be told when to retry.
 func (v Verdict) IsRetryable() bool { return v != PromptTooLong }
 
-// Limits is the state of the dispatcher by which requests are accepted.
+// Limits holds the limits and the state of a dispatcher that decide whether it accepts a request.
 type Limits struct {
-	MaxRequests     int   // requests in progress
-	MaxPromptTokens int64 // tokens of one prompt
+	MaxRequests     int   // in progress
+	MaxPromptTokens int64 // per request
 	Draining        bool  // the dispatcher drains
-	ListKnown       bool  // an endpoint list was received
+	ListKnown       bool  // an endpoint list has been received
 }
 
-// Check decides about a request while inProgress others are in progress. timeLeft is the time to the client's deadline
-// less the time that an answer needs to arrive; latencyTarget is the request's own.
+// Check decides on a request while inProgress others are in progress. timeLeft is the time until the client's deadline
+// less the time that an answer takes to reach the client; latencyTarget is that of the request.
 //
-// retryAfter is how long the client should wait before it retries: half a latency target at capacity, about the time in
-// which the head of a burst passes, and one target without an endpoint list. It is 0 in a drain, as other dispatchers
-// accept the request at once.
+// retryAfter is how long the client should wait before it retries: half the latency target at capacity, and the whole
+// latency target without an endpoint list. It is 0 in a drain, as other dispatchers accept the request at once.
 func (l *Limits) Check(inProgress int, promptTokens, timeLeft, latencyTarget int64) (
 	verdict Verdict, retryAfter int64,
 ) {
@@ -65,20 +64,20 @@
 	return Accepted, 0
 }
 
-// OverdueMargin is how long after its client's deadline a request without an answer counts as overlooked. It is later
-// than any answer that was decided, and well within the half second in which an answer still counts as given.
+// OverdueMargin is how long after its client's deadline a request without an answer counts as overdue. Every
+// answer that was decided is given before that; an answer still counts until half a second after the deadline.
 const OverdueMargin = 100e6
 
-// DrainOutcome is how a request ends that is in progress when the time for a drain is up.
+// DrainOutcome is how a request ends that is still in progress at the deadline of a drain.
 type DrainOutcome uint8
 
 // The outcomes.
 const (
-	Rejected DrainOutcome = iota // a retry is harmless
-	Failed                       // the request may have run, and must not run twice
+	Rejected DrainOutcome = iota // the request may be retried safely
+	Failed                       // the request may have run and must not run twice
 )
 
-// OutcomeAtDrainDeadline returns how such a request ends. idempotent reports whether it may run twice, mayHaveRun
+// OutcomeAtDrainDeadline returns the outcome of a request. idempotent reports whether it may run twice, mayHaveRun
 // whether an attempt was sent to a server that produces answers.
 func OutcomeAtDrainDeadline(idempotent, mayHaveRun bool) DrainOutcome {
 	if idempotent || !mayHaveRun {
--- a/internal/decide/intake/intake_test.go
+++ b/internal/decide/intake/intake_test.go
@@ -2,6 +2,7 @@
 
 import "testing"
 
+// TestCheck checks the verdict and the retry delay at each limit.
 func TestCheck(t *testing.T) {
 	const latencyTarget = 1000
 	limits := Limits{MaxRequests: 10, MaxPromptTokens: 100, ListKnown: true}
@@ -27,11 +28,12 @@
 			t.Errorf("%s: %v, retry after %d, want %v, %d", c.name, got, retryAfter, c.want, c.retryAfter)
 		}
 		if got.IsRetryable() == (got == PromptTooLong) {
-			t.Errorf("%s: retryable %v: only what can never be accepted is not", c.name, got.IsRetryable())
+			t.Errorf("%s: IsRetryable is %v, want false for PromptTooLong only", c.name, got.IsRetryable())
 		}
 	}
 }
 
+// TestOutcomeAtDrainDeadline checks that only a request that must not run twice and may have run fails.
 func TestOutcomeAtDrainDeadline(t *testing.T) {
 	for _, c := range []struct {
 		idempotent, mayHaveRun bool
--- a/internal/decide/intake/text_test.go
+++ b/internal/decide/intake/text_test.go
@@ -2,10 +2,10 @@
 
 import "testing"
 
-// TestVerdictText fixes the texts, since clients receive them as the reason of a rejection.
+// TestVerdictText checks the texts of the verdicts, which clients receive as the reason for a rejection.
 func TestVerdictText(t *testing.T) {
 	for verdict, want := range map[Verdict]string{
-		Accepted: "taken", Draining: "dispatcher drains", AtCapacity: "too many requests in hand",
+		Accepted: "accepted", Draining: "dispatcher drains", AtCapacity: "too many requests in hand",
 		PromptTooLong: "prompt too long", DeadlineTooClose: "no time left", NoServersKnown: "no engines known",
 	} {
 		if got := verdict.String(); got != want {
