--- a/internal/decide/abuse/abuse_test.go
+++ b/internal/decide/abuse/abuse_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// TestAllowances checks that each event has its burst, that events do not share it, and that it refills.
+// TestAllowances checks that each event has a burst of its own, and that its bucket refills.
 func TestAllowances(t *testing.T) {
 	for event := range eventCount {
 		var l Limiter
@@ -11,7 +11,7 @@
 			n++
 		}
 		if float64(n) != allowances[event].burst {
-			t.Errorf("%v: %d at once, want %v", event, n, allowances[event].burst)
+			t.Errorf("%v: %d allowed at once, want %v", event, n, allowances[event].burst)
 		}
 		for other := range eventCount {
 			if other != event && !l.Allow(1, other) {
@@ -19,7 +19,7 @@
 			}
 		}
 		if !l.Allow(int64(1e9*(3+1/allowances[event].perSecond)), event) {
-			t.Errorf("%v: still refused after the allowance has refilled", event)
+			t.Errorf("%v: still refused after the bucket has refilled", event)
 		}
 	}
 }
@@ -28,20 +28,20 @@
 // times the rate is not.
 func TestSteadyRate(t *testing.T) {
 	for event := range eventCount {
-		for _, pace := range []float64{0.75, 1.5} {
+		for _, rateFactor := range []float64{0.75, 1.5} {
 			var l Limiter
 			allowed := true
 			for i := 1; i < 20000 && allowed; i++ {
-				allowed = l.Allow(int64(float64(i)*1e9/(pace*allowances[event].perSecond)), event)
+				allowed = l.Allow(int64(float64(i)*1e9/(rateFactor*allowances[event].perSecond)), event)
 			}
-			if allowed != (pace < 1) {
-				t.Errorf("%v at %v of the rate: allowed %v", event, pace, allowed)
+			if allowed != (rateFactor < 1) {
+				t.Errorf("%v at %v times the rate: allowed %v", event, rateFactor, allowed)
 			}
 		}
 	}
 }
 
-// TestClockBackwards checks that a clock that runs backwards refills nothing.
+// TestClockBackwards checks that no tokens are added while the clock runs backwards.
 func TestClockBackwards(t *testing.T) {
 	var l Limiter
 	l.Allow(1e12, Ping)
@@ -50,11 +50,11 @@
 			return
 		}
 	}
-	t.Error("a clock that runs backwards refills the allowance")
+	t.Error("100 PINGs allowed while the clock ran backwards")
 }
 
-// TestClosedStreamResets checks that a thousand requests that time out at once may all be reset while their ends are on
-// the way, and that resets of closed streams beyond that are limited.
+// TestClosedStreamResets checks that a thousand requests that end at once may all be reset while the ends of their
+// responses are in transit, and that further resets of closed streams are limited.
 func TestClosedStreamResets(t *testing.T) {
 	var l Limiter
 	for range 1000 {
@@ -62,7 +62,7 @@
 	}
 	for range 1000 {
 		if !l.Allow(1, ClosedStreamReset) {
-			t.Fatal("a peer whose requests ended together is refused")
+			t.Fatal("a reset of a stream that ended together with others is refused")
 		}
 	}
 	n := 0
--- a/internal/decide/abuse/golden_test.go
+++ b/internal/decide/abuse/golden_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// TestGoldenDecisions checks that the limiter still takes the recorded decisions.
+// TestGoldenDecisions checks that the limiter's decisions equal the recorded ones.
 func TestGoldenDecisions(t *testing.T) {
 	const want = "3d05ef86e0ac098ba10b5d018292acb6b39b548dbdaad8ba698c3e3ab4457ad8"
 	rng := rand.New(rand.NewPCG(1, 7))
--- a/internal/decide/background/background.go
+++ b/internal/decide/background/background.go
@@ -1,6 +1,6 @@
-// Package background decides how many background requests may be in flight beside interactive ones. Background requests
-// use the capacity that the fleet has idle; their concurrency limit follows additive increase, multiplicative decrease,
-// and falls at the first sign that they delay an interactive request.
+// Package background decides how many background requests may be in flight beside interactive ones. Background
+// requests use the fleet's idle capacity; their concurrency limit follows additive increase, multiplicative decrease
+// (AIMD), and is decreased at the first sign that they delay an interactive request.
 //
 // The package does no I/O and reads no clock.
 package background
@@ -10,13 +10,13 @@
 
 // Limiter is the concurrency limiter of background requests. Create it with New.
 type Limiter struct {
-	latencyObjective Nanos   // the shortest of the interactive classes
+	latencyObjective Nanos   // the shortest latency objective of the interactive classes
 	limit            float64 // background requests that may be in flight
 	inFlight         int     // background requests that are in flight
-	starting         int     // of those, the ones without a first token
-	pausedUntil      Nanos   // nothing is admitted before
+	starting         int     // those of them without a first token
+	pausedUntil      Nanos   // no background request is admitted before
 	decreasedAt      Nanos   // time of the last decrease
-	limited          bool    // the limit has held a request back since it was last changed
+	limitReached     bool    // the limit has delayed a request since it was last changed
 	Counts           Counts
 }
 
@@ -24,39 +24,39 @@
 type Counts struct{ Admitted, Served, Decreases, Pauses uint64 }
 
 const (
-	// queueWaitSignal is the wait of an interactive request in the admission queue, as a part of the latency objective,
-	// above which the limit is decreased: an idle fleet takes a request at once.
-	queueWaitSignal = 1.0 / 32
-	// firstTokenSignal is the time to first token of an interactive request, as a part of its own latency objective,
-	// above which the limit is decreased. It is a small part on an idle fleet.
-	firstTokenSignal = 1.0 / 3
-	// firstTokenPauseSignal is the part of the latency objective above which admission is paused as well.
-	firstTokenPauseSignal = 1.0 / 2
-	// decreaseInterval is the minimum time between two decreases, as a part of the latency objective: requests admitted
-	// before a decrease take that long to end.
-	decreaseInterval = 1.0 / 2
-	// pauseDuration is how long admission is paused, in latency objectives.
-	pauseDuration = 2
-	// startingPart is the part of the limit that may wait for a first token: prefills of background requests delay the
-	// prefills of others, their decodes run beside them.
-	startingPart = 1.0 / 4
-	// increase is how much the limit grows while as many requests as the limit are served.
-	increase = 1
+	// queueWaitThreshold is the wait of an interactive request in the admission queue, as a fraction of the latency
+	// objective, above which the limit is decreased. With idle capacity there is hardly any wait.
+	queueWaitThreshold = 1.0 / 32
+	// firstTokenThreshold is the time to first token of an interactive request, as a fraction of its own latency
+	// objective, above which the limit is decreased.
+	firstTokenThreshold = 1.0 / 3
+	// pauseThreshold is the fraction of the latency objective above which admission is also paused.
+	pauseThreshold = 1.0 / 2
+	// decreaseIntervalFraction is the minimum time between two decreases, as a fraction of the latency objective, so that
+	// requests admitted before a decrease can end first.
+	decreaseIntervalFraction = 1.0 / 2
+	// pauseDurationFactor is the duration of a pause of admission, as a multiple of the latency objective.
+	pauseDurationFactor = 2
+	// startingFraction is the fraction of the limit that may be waiting for a first token. It is small
+	// because background prefills delay other prefills, whereas decodes run beside each other.
+	startingFraction = 1.0 / 4
+	// additiveIncrease is how much the limit grows when as many requests as the limit have been served.
+	additiveIncrease = 1
 )
 
-// New returns a limiter that allows one request. latencyObjective is the shortest of the interactive classes.
+// New returns a limiter with a limit of one request. latencyObjective is the shortest of the interactive classes.
 func New(latencyObjective Nanos) *Limiter {
 	return &Limiter{latencyObjective: max(latencyObjective, 1), limit: 1}
 }
 
-// CanAdmit reports whether a background request that waits may be admitted now. A false result is noted as a sign that
-// the limit is in use, without which it does not grow.
+// CanAdmit reports whether a waiting background request may be admitted now. If the limit forbids it, this is
+// recorded, because the limit only grows while it is reached.
 func (l *Limiter) CanAdmit(now Nanos) bool {
 	if now < l.pausedUntil {
 		return false
 	}
-	canAdmit := l.inFlight < max(int(l.limit), 1) && l.starting < max(int(l.limit*startingPart), 1)
-	l.limited = l.limited || !canAdmit
+	canAdmit := l.inFlight < max(int(l.limit), 1) && l.starting < max(int(l.limit*startingFraction), 1)
+	l.limitReached = l.limitReached || !canAdmit
 	return canAdmit
 }
 
@@ -65,10 +65,10 @@
 	return l.pausedUntil, l.pausedUntil > now
 }
 
-// InFlight returns the number of background requests in flight.
+// InFlight returns the number of background requests that were admitted and have not ended.
 func (l *Limiter) InFlight() int { return l.inFlight }
 
-// Limit returns how many background requests may be in flight.
+// Limit returns the concurrency limit.
 func (l *Limiter) Limit() float64 { return l.limit }
 
 // RecordAdmitted records that a background request was admitted.
@@ -83,12 +83,13 @@
 
 // Outcome is how a background request ended.
 type Outcome struct {
-	Started bool // its first token had come
+	Started bool // it had its first token
 	Served  bool // it was answered in full
 }
 
 // RecordFinished records the end of a background request that was admitted. The limit grows if the request was served
-// and the limit was in use, and is decreased if it was not served: the fleet had no capacity for it.
+// and the limit was reached. It is decreased if the request was not served, which indicates that the fleet had no
+// capacity for it.
 func (l *Limiter) RecordFinished(now Nanos, outcome Outcome) {
 	l.inFlight = max(l.inFlight-1, 0)
 	if !outcome.Started {
@@ -99,43 +100,44 @@
 		return
 	}
 	l.Counts.Served++
-	if l.limited {
-		l.limit += increase / l.limit
-		l.limited = false
+	if l.limitReached {
+		l.limit += additiveIncrease / l.limit
+		l.limitReached = false
 	}
 }
 
-// ObserveQueueWait takes into account how long an interactive request waited in the admission queue.
+// ObserveQueueWait decreases the limit if an interactive request waited too long in the admission queue.
 func (l *Limiter) ObserveQueueWait(now, wait Nanos) {
-	if l.inFlight > 0 && float64(wait) > queueWaitSignal*float64(l.latencyObjective) {
+	if l.inFlight > 0 && float64(wait) > queueWaitThreshold*float64(l.latencyObjective) {
 		l.decrease(now)
 	}
 }
 
-// ObserveFirstToken takes into account the time to first token of an interactive request with its latency objective.
+// ObserveFirstToken decreases the limit, and may pause admission, if the time to first token of an interactive request
+// is a large fraction of its latency objective.
 func (l *Limiter) ObserveFirstToken(now, timeToFirstToken, latencyObjective Nanos) {
-	switch part := float64(timeToFirstToken) / float64(max(latencyObjective, 1)); {
-	case part > firstTokenPauseSignal:
+	switch fraction := float64(timeToFirstToken) / float64(max(latencyObjective, 1)); {
+	case fraction > pauseThreshold:
 		l.ObserveRejection(now)
-	case part > firstTokenSignal && l.inFlight > 0:
+	case fraction > firstTokenThreshold && l.inFlight > 0:
 		l.decrease(now)
 	}
 }
 
-// ObserveRejection takes into account that an interactive request was rejected or very late: there is no capacity to
-// spare, so admission is paused and the limit decreased.
+// ObserveRejection pauses admission and decreases the limit because an interactive request was rejected or very late:
+// there is no idle capacity.
 func (l *Limiter) ObserveRejection(now Nanos) {
 	l.Counts.Pauses++
-	l.pausedUntil = max(l.pausedUntil, now+pauseDuration*l.latencyObjective)
+	l.pausedUntil = max(l.pausedUntil, now+pauseDurationFactor*l.latencyObjective)
 	l.decrease(now)
 }
 
-// decrease halves the limit, unless the last decrease was too recent to have shown its effect.
+// decrease halves the limit, unless the last decrease is too recent to have taken effect.
 func (l *Limiter) decrease(now Nanos) {
-	if l.Counts.Decreases > 0 && now < l.decreasedAt+Nanos(decreaseInterval*float64(l.latencyObjective)) {
+	if l.Counts.Decreases > 0 && now < l.decreasedAt+Nanos(decreaseIntervalFraction*float64(l.latencyObjective)) {
 		return
 	}
 	l.Counts.Decreases++
 	l.decreasedAt = now
-	l.limit, l.limited = max(l.limit/2, 1), false
+	l.limit, l.limitReached = max(l.limit/2, 1), false
 }
--- a/internal/decide/background/background_test.go
+++ b/internal/decide/background/background_test.go
@@ -14,8 +14,8 @@
 	rejected = Outcome{}
 )
 
-// TestLimitGrowsToCapacity checks that without interactive requests the limit grows until the fleet is full, and stays
-// near its capacity.
+// TestLimitGrowsToCapacity checks that without interactive requests the limit grows to the fleet's capacity and stays
+// near it.
 func TestLimitGrowsToCapacity(t *testing.T) {
 	l := New(sec)
 	const capacity = 40
@@ -32,7 +32,7 @@
 			l.RecordStarted()
 			running++
 		}
-		if running > 0 { // one ends in each step
+		if running > 0 { // one request ends in each step
 			l.RecordFinished(now, served)
 			running--
 		}
@@ -41,13 +41,13 @@
 		}
 	}
 	if nearlyFull < 1000 || rejections > 100 {
-		t.Errorf("of 4,000 steps the fleet was three quarters full in %d, want 1,000; %d requests rejected, want at most 100",
+		t.Errorf("the fleet was three quarters full in %d of 4,000 steps, want 1,000; %d rejections, want at most 100",
 			nearlyFull, rejections)
 	}
 }
 
-// TestLimitGrowsOnlyInUse checks that the limit grows with requests that end with their first token, of which few are
-// in flight at once, as long as more would be admitted, and does not grow while none would.
+// TestLimitGrowsOnlyInUse checks that the limit grows while it is reached, also by requests that end with their first
+// token, and does not grow while fewer requests are in flight.
 func TestLimitGrowsOnlyInUse(t *testing.T) {
 	l := New(sec)
 	for range 100 {
@@ -61,11 +61,11 @@
 	}
 	before := l.Limit()
 	if before < 8 {
-		t.Errorf("after a hundred rounds the limit is %v, want 8 or more", before)
+		t.Errorf("after 100 rounds at the limit it is %v, want 8 or more", before)
 	}
 	for range 100 {
 		if !l.CanAdmit(0) {
-			t.Fatal("a single request is not admitted")
+			t.Fatal("a request is not admitted while none is in flight")
 		}
 		l.RecordAdmitted()
 		l.RecordStarted()
@@ -76,9 +76,9 @@
 	}
 }
 
-// TestYields checks that a sign of interactive load halves the limit, that a strong one pauses admission, and that
-// signs that come together count once.
-func TestYields(t *testing.T) {
+// TestInteractiveLoadLowersLimit checks that a delay of interactive requests halves the limit, that a rejection pauses
+// admission, and that simultaneous delays count once.
+func TestInteractiveLoadLowersLimit(t *testing.T) {
 	l := New(sec)
 	for range 200 {
 		l.RecordAdmitted()
@@ -95,12 +95,12 @@
 		l.ObserveQueueWait(now, sec/10)
 	}
 	if got := l.Limit(); got != before/2 {
-		t.Errorf("after ten signs at once the limit is %v, want half of %v", got, before)
+		t.Errorf("after ten simultaneous long waits the limit is %v, want half of %v", got, before)
 	}
 	l.ObserveQueueWait(now+sec, sec/100)
 	l.ObserveFirstToken(now+sec, sec/10, sec)
 	if got := l.Limit(); got != before/2 {
-		t.Errorf("without a sign the limit went to %v, want %v", got, before/2)
+		t.Errorf("after a short wait and an early first token the limit is %v, want %v", got, before/2)
 	}
 	l.ObserveFirstToken(now+sec, sec*4/10, sec)
 	if got := l.Limit(); got != before/4 {
@@ -115,8 +115,8 @@
 	}
 }
 
-// TestCountsStayInBounds checks that the counts are right under random operations, and that a request is admitted after
-// a quiet time.
+// TestCountsStayInBounds checks that the counts are right under random operations, and that a request is admitted
+// after a time without operations.
 func TestCountsStayInBounds(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "seed"), 0))
@@ -158,7 +158,7 @@
 			started--
 		}
 		if !l.CanAdmit(now + 10*sec) {
-			rt.Fatal("after a quiet time no request is admitted")
+			rt.Fatal("no request is admitted 10 s after the last operation")
 		}
 	})
 }
--- a/internal/decide/background/golden_test.go
+++ b/internal/decide/background/golden_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// TestGoldenDecisions checks that the limiter still takes the recorded decisions.
+// TestGoldenDecisions checks that the limiter's decisions equal the recorded ones.
 func TestGoldenDecisions(t *testing.T) {
 	const want = "36020e05e9bc0a4f5632f12b77bd4116d811a5572e9f0d85389bc16550a8946f"
 	rng := rand.New(rand.NewPCG(1, 7))
@@ -43,8 +43,8 @@
 				l.ObserveRejection(now)
 			}
 		}
-		at, paused := l.PausedUntil(now)
-		fmt.Fprintln(digest, admitted, l.InFlight(), l.Limit(), at, paused)
+		end, paused := l.PausedUntil(now)
+		fmt.Fprintln(digest, admitted, l.InFlight(), l.Limit(), end, paused)
 	}
 	fmt.Fprintf(digest, "%v\n", l.Counts)
 	t.Logf("%+v", l.Counts)
--- a/internal/decide/connlimit/connlimit.go
+++ b/internal/decide/connlimit/connlimit.go
@@ -1,14 +1,15 @@
-// Package connlimit decides which connections a frontend accepts, by source address, so that a flood of connections is
-// stopped where that is cheapest. Every connection is accepted while fewer than half of the limit are open. Above that,
-// one source may hold only a part of what is free, and its rate of new connections is limited by a token bucket.
+// Package connlimit decides which connections a frontend accepts, by source address, so that a flood of connections
+// is stopped before it causes further work. Every connection is accepted while fewer than half of the limit are open.
+// From there on, one source may hold only a fraction of the free connections, and its rate of new connections is
+// limited by a token bucket.
 //
 // The package does no I/O, reads no clock and tracks a bounded number of sources.
 package connlimit
 
 import "fmt"
 
-// Source identifies where connections come from: an IPv4 address, or an IPv6 /64 network, since one host has a whole
-// one.
+// Source identifies where connections come from: an IPv4 address, or an IPv6 /64 network, since a single host can use
+// any address of its network.
 type Source [16]byte
 
 // SourceOf returns the source of an address in its 16-byte form.
@@ -28,41 +29,43 @@
 	return addr[10] == 0xff && addr[11] == 0xff
 }
 
-// Verdict is the decision on a new connection: Accepted, or the reason why it is closed.
+// Verdict is the decision on a new connection: Accepted, or the reason for closing it.
 type Verdict uint8
 
 // The verdicts.
 const (
 	Accepted           Verdict = iota
 	LimitReached               // the maximum number of connections is open
-	SourceLimitReached         // the source holds its part of the connections
-	SourceRateExceeded         // the source opens connections faster than it may
+	SourceLimitReached         // the source has as many connections as it may hold
+	SourceRateExceeded         // the source exceeds its rate of new connections
 )
 
+// String returns a short description of the verdict.
 func (v Verdict) String() string {
 	return [...]string{"taken", "too many connections", "too many connections from one address", "connects too fast"}[v]
 }
 
 const (
-	// scarceFrom is the part of the limit from which on connections are scarce: below it, sources are not limited.
-	scarceFrom = 1.0 / 2
-	// maxSourcePart is the part of the free connections that one source may hold while connections are scarce. Each
-	// further source finds some left, however many hold theirs.
-	maxSourcePart = 1.0 / 8
-	// minPerSource is how many connections a source may hold however scarce they are, as long as one is free: a single
-	// client needs a few.
+	// scarcityThreshold is the fraction of the limit that must be open for connections to count as scarce. Below it,
+	// sources are not limited.
+	scarcityThreshold = 1.0 / 2
+	// maxSourceFraction is the fraction of the free connections that one source may hold while connections are scarce.
+	// Since it refers to the free ones, each further source still finds some.
+	maxSourceFraction = 1.0 / 8
+	// minPerSource is how many connections a source may hold even if its fraction is smaller, as long as one is free.
 	minPerSource = 4
-	// burst and perSecond configure a source's token bucket for new connections while connections are scarce.
-	burst     = 32
-	perSecond = 8
+	// newConnectionBurst and newConnectionsPerSecond configure the token bucket that limits the new connections of a
+	// source while connections are scarce.
+	newConnectionBurst      = 32
+	newConnectionsPerSecond = 8
 
 	nanosPerSecond = 1e9
 )
 
-// sourceState is what is tracked of a source.
+// sourceState is the state of a tracked source.
 type sourceState struct {
-	open       int     // connections
-	tokensUsed float64 // of burst
+	open       int     // open connections
+	tokensUsed float64 // tokens taken, at most newConnectionBurst
 	refilledAt int64   // time in nanoseconds
 }
 
@@ -88,13 +91,13 @@
 // New returns a limiter for at most maxConnections connections. It returns an error if that is less than 1.
 func New(maxConnections int) (*Limiter, error) {
 	if maxConnections < 1 {
-		return nil, fmt.Errorf("%d connections: want 1 or more", maxConnections)
+		return nil, fmt.Errorf("max connections is %d, must be at least 1", maxConnections)
 	}
 	return &Limiter{maxConnections: maxConnections, sources: make(map[Source]*sourceState)}, nil
 }
 
-// Accept decides on a new connection from source at time now, in nanoseconds. The caller must call Closed when a
-// connection that was accepted has ended.
+// Accept decides on a new connection from source at time now, in nanoseconds. The caller must call Closed when an
+// accepted connection has ended.
 func (l *Limiter) Accept(now int64, source Source) Verdict {
 	state := l.sources[source]
 	verdict := l.check(now, state)
@@ -110,14 +113,14 @@
 			state = l.track(now, source)
 		}
 		state.open++
-		state.tokensUsed = min(state.tokensUsed+1, burst)
+		state.tokensUsed = min(state.tokensUsed+1, newConnectionBurst)
 		l.open++
 		l.Counts.Accepted++
 	}
 	return verdict
 }
 
-// check returns the verdict on a connection of a source; state is nil for one that is not tracked.
+// check returns the verdict on a new connection from a source; state is nil if the source is not tracked.
 func (l *Limiter) check(now int64, state *sourceState) Verdict {
 	if l.open >= l.maxConnections {
 		return LimitReached
@@ -126,14 +129,14 @@
 		return Accepted
 	}
 	state.refill(now)
-	if float64(l.open) < scarceFrom*float64(l.maxConnections) {
+	if float64(l.open) < scarcityThreshold*float64(l.maxConnections) {
 		return Accepted
 	}
-	maxOpen := max(minPerSource, int(maxSourcePart*float64(l.maxConnections-l.open)))
+	maxOpen := max(minPerSource, int(maxSourceFraction*float64(l.maxConnections-l.open)))
 	if state.open >= maxOpen {
 		return SourceLimitReached
 	}
-	if state.tokensUsed >= burst {
+	if state.tokensUsed >= newConnectionBurst {
 		return SourceRateExceeded
 	}
 	return Accepted
@@ -146,12 +149,12 @@
 	}
 }
 
-// tokensSinceRefill returns the tokens that the time since the last refill brings.
+// tokensSinceRefill returns the tokens that have accrued since the last refill.
 func (s *sourceState) tokensSinceRefill(now int64) float64 {
-	return float64(now-s.refilledAt) / nanosPerSecond * perSecond
+	return float64(now-s.refilledAt) / nanosPerSecond * newConnectionsPerSecond
 }
 
-// Closed records the end of a connection that was accepted.
+// Closed records the end of an accepted connection.
 func (l *Limiter) Closed(source Source) {
 	state := l.sources[source]
 	if state == nil || state.open == 0 {
@@ -161,10 +164,10 @@
 	l.open--
 }
 
-// track adds the state of a source.
+// track starts tracking a source and returns its state.
 func (l *Limiter) track(now int64, source Source) *sourceState {
 	if now >= l.nextSweepAt || l.tooManySources() {
-		l.nextSweepAt = now + burst/perSecond*nanosPerSecond
+		l.nextSweepAt = now + newConnectionBurst/newConnectionsPerSecond*nanosPerSecond
 		l.sweep(now)
 	}
 	state := l.newState()
@@ -174,9 +177,9 @@
 	return state
 }
 
-// sweep drops sources without connections whose bucket is full again, or all without connections if there are too many.
-// It runs at most once in the time in which a bucket fills, so the number of sources is bounded by that of the open
-// connections and of those that may be opened in that time.
+// sweep drops the sources without connections whose bucket is full again, or all sources without connections if too
+// many are tracked. Otherwise it runs at most once in the time in which an empty bucket fills, so the number of
+// sources is bounded by the connections that are open or are opened in that time.
 func (l *Limiter) sweep(now int64) {
 	for source, state := range l.sources {
 		if state.open == 0 && (l.tooManySources() || state.tokensSinceRefill(now) >= state.tokensUsed) {
--- a/internal/decide/connlimit/connlimit_test.go
+++ b/internal/decide/connlimit/connlimit_test.go
@@ -21,7 +21,7 @@
 	return SourceOf(netip.AddrFrom4([4]byte{10, byte(n >> 16), byte(n >> 8), byte(n)}).As16())
 }
 
-// TestFloodFromOneSource checks that a source that takes all it can leaves connections for others.
+// TestFloodFromOneSource checks that a source that opens as many connections as it can leaves some for others.
 func TestFloodFromOneSource(t *testing.T) {
 	l := newLimiter(t, 1000)
 	accepted := 0
@@ -31,18 +31,18 @@
 		}
 	}
 	if accepted > 700 || accepted < 500 {
-		t.Errorf("one source has %d of 1,000 connections, want half and a part of the rest: 500 to 700", accepted)
+		t.Errorf("one source has %d of 1,000 connections, want 500 to 700", accepted)
 	}
 	for i := range 50 {
 		for range minPerSource {
 			if verdict := l.Accept(1e10, source(2+i)); verdict != Accepted {
-				t.Fatalf("source %d is refused: %v", i, verdict)
+				t.Fatalf("connection from source %d refused: %v", i, verdict)
 			}
 		}
 	}
 }
 
-// TestFloodFromManySources checks that sources that each take their part use nearly all connections and no more.
+// TestFloodFromManySources checks that many sources at their limits use nearly all connections and no more.
 func TestFloodFromManySources(t *testing.T) {
 	l := newLimiter(t, 1000)
 	for i := range 60 {
@@ -54,7 +54,7 @@
 		t.Fatalf("%d connections open, want at most 1,000", l.open)
 	}
 	if l.open < 900 {
-		t.Errorf("%d of 1,000 connections used by 60 sources that want more, want 900 or more", l.open)
+		t.Errorf("%d of 1,000 connections open during a flood from 60 sources, want 900 or more", l.open)
 	}
 }
 
@@ -68,14 +68,14 @@
 	}
 }
 
-// TestSourceOf checks that an IPv6 network is one source and that each IPv4 address is one.
+// TestSourceOf checks that an IPv6 /64 network is one source and that each IPv4 address is a source of its own.
 func TestSourceOf(t *testing.T) {
 	a, b := netip.MustParseAddr("2001:db8::1").As16(), netip.MustParseAddr("2001:db8::ffff:1").As16()
 	if SourceOf(a) != SourceOf(b) {
-		t.Error("two addresses of one IPv6 network are two sources")
+		t.Error("two addresses of one IPv6 /64 network are different sources")
 	}
 	if SourceOf(netip.MustParseAddr("127.0.0.1").As16()) == SourceOf(netip.MustParseAddr("127.0.0.2").As16()) {
-		t.Error("two IPv4 addresses are one source")
+		t.Error("two IPv4 addresses are the same source")
 	}
 }
 
@@ -87,7 +87,7 @@
 		var open []Source
 		now := int64(0)
 		for range rapid.IntRange(1, 400).Draw(rt, "steps") {
-			now += rapid.Int64Range(0, 2e9).Draw(rt, "time")
+			now += rapid.Int64Range(0, 2e9).Draw(rt, "elapsed nanoseconds")
 			if len(open) == 0 || rapid.IntRange(0, 2).Draw(rt, "operation") > 0 {
 				s := source(rapid.IntRange(0, 200).Draw(rt, "source"))
 				verdict := l.Accept(now, s)
@@ -98,7 +98,7 @@
 					rt.Fatalf("verdict %q with %d of %d open", verdict, len(open), maxConnections)
 				}
 			} else {
-				i := rapid.IntRange(0, len(open)-1).Draw(rt, "which")
+				i := rapid.IntRange(0, len(open)-1).Draw(rt, "connection to close")
 				l.Closed(open[i])
 				open = append(open[:i], open[i+1:]...)
 			}
--- a/internal/decide/connlimit/golden_test.go
+++ b/internal/decide/connlimit/golden_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// TestGoldenDecisions checks that the limiter still takes the recorded decisions.
+// TestGoldenDecisions checks that the limiter's decisions equal the recorded ones.
 func TestGoldenDecisions(t *testing.T) {
 	const want = "bcc2669b49cc6ebd3afc525d36bf1ec0dff29a4050d04498be8f92bf324f66b1"
 	rng := rand.New(rand.NewPCG(1, 7))
@@ -34,7 +34,7 @@
 		closing := rng.IntN(2)
 		if step%4000 > 3000 {
 			closing = 3
-		} else if reconnects { // 60 of 100 stay open: room is short, but not used up
+		} else if reconnects { // 60 of 100 stay open: connections are scarce, but some are free
 			closing = max(len(open)-60, 0)
 		}
 		for range closing {
