--- a/internal/decide/admission/background_test.go
+++ b/internal/decide/admission/background_test.go
@@ -8,8 +8,8 @@
 	return request
 }
 
-// TestBackgroundRequests checks that background requests are admitted while no interactive request waits and none is
-// unsent, have places of their own, and are shed first.
+// TestBackgroundRequests checks that background requests are admitted only while no interactive request waits and none
+// is unsent, have a queue limit of their own, and are shed first.
 func TestBackgroundRequests(t *testing.T) {
 	q := newQueue(t, 40, TenantLimits{Weight: 1})
 	var first Request
@@ -19,20 +19,20 @@
 			first = request
 		}
 		verdict, advice := q.Enqueue(0, request)
-		want := i < 9 // a quarter of 40, of which an eighth is kept for reservations
+		want := i < 9 // a quarter of 40, less the eighth kept for reservations
 		if (verdict == Queued) != want || verdict != Queued && advice.RetryAfter <= 0 {
 			t.Fatalf("background request %d: %v, %+v", i, verdict, advice)
 		}
 	}
 	for range 35 {
 		if verdict, _ := q.Enqueue(0, newRequest(0, 0, 100)); verdict != Queued {
-			t.Fatalf("background requests take the places of others: %v", verdict)
+			t.Fatalf("an interactive request is rejected while background requests wait: %v", verdict)
 		}
 	}
 	for range 35 {
 		id, ok := q.NextAdmissible(1, 0)
 		if !ok || !q.interactive.contains(id) {
-			t.Fatal("a background request is admissible before others")
+			t.Fatal("a background request is admissible before interactive ones")
 		}
 		q.Admit(1, id)
 	}
@@ -51,7 +51,7 @@
 	q.RecordFirstToken(2, first, 1)
 	q.RecordFinished(2, first, Result{Served: true, AnswerTokens: 10})
 	if q.BackgroundInFlight() != 0 {
-		t.Errorf("%d background requests in flight, want none", q.BackgroundInFlight())
+		t.Errorf("%d background requests in flight after the only one ended, want none", q.BackgroundInFlight())
 	}
 	q.Enqueue(3, newRequest(0, 0, 100))
 	if id, _ := q.NextToShed(); !q.background.contains(id) {
@@ -60,7 +60,7 @@
 	now, expired := 2*sec, 0
 	for id, ok := q.NextExpired(now); ok; id, ok = q.NextExpired(now) {
 		if advice := q.Reject(now, id, TooLate); advice.RetryAfter <= 0 {
-			t.Errorf("rejected with %+v, want a time to retry", advice)
+			t.Errorf("request rejected with advice %+v, want a retry delay", advice)
 		}
 		expired++
 	}
--- a/internal/decide/admission/displacement.go
+++ b/internal/decide/admission/displacement.go
@@ -2,33 +2,36 @@
 
 import "slices"
 
-// displacedRequest is a request that gave up its place and has not been rejected yet.
+// displacedRequest is a request that was removed in favor of another and has not been rejected yet.
 type displacedRequest struct {
 	Request
 	cost float64
 }
 
-// displaceable returns the request of tenant from that makes room for a new request of flow f of tenant t: the newest
-// request without a reservation of the flow with the most load, if that flow has more load for its tenant's weight than
-// f would have. It returns nil if there is none. Without displacement, a flood that fills the queue would keep out the
-// requests that the order within the queue favors. f is nil if the flow does not exist yet.
-func (q *fairQueue) displaceable(now Nanos, from, t *tenant, f *flow, request pricedRequest) *queuedRequest {
-	if q.fifo || from == nil || from.flowsByLoad.Len() == 0 {
+// displaceable returns the waiting request of victimTenant to remove in favor of a new request of flow f of tenant t.
+// It is the newest request without a reservation in the flow of victimTenant with the most load, provided that this
+// flow, relative to its tenant's weight, has more load than f would have with the new request; otherwise it is nil. f
+// is nil if the flow does not exist yet.
+//
+// Without displacement, a flood that fills the queue would shut out the requests that fair queueing favors.
+func (q *fairQueue) displaceable(now Nanos, victimTenant, t *tenant, f *flow, request pricedRequest) *queuedRequest {
+	if q.fifo || victimTenant == nil || victimTenant.flowsByLoad.Len() == 0 {
 		return nil
 	}
-	heaviest := from.flowsByLoad.Min()
-	if heaviest == f {
+	mostLoaded := victimTenant.flowsByLoad.Min()
+	if mostLoaded == f {
 		return nil
 	}
-	load := q.loadWith(now, t, f, request)
-	if load/t.Weight >= heaviest.load()/from.Weight {
+	load := q.loadWithRequest(now, t, f, request)
+	if load/t.Weight >= mostLoaded.load()/victimTenant.Weight {
 		return nil
 	}
-	return heaviest.newest(false)
+	return mostLoaded.newest(false)
 }
 
-// loadWith returns the load that flow f, which is nil if the flow does not exist yet, would have with another request.
-func (q *fairQueue) loadWith(now Nanos, t *tenant, f *flow, request pricedRequest) float64 {
+// loadWithRequest returns the load that flow f would have with another request. f is nil if the flow does not exist
+// yet.
+func (q *fairQueue) loadWithRequest(now Nanos, t *tenant, f *flow, request pricedRequest) float64 {
 	if f != nil {
 		return float64(f.requests.Len()+1) / f.weight
 	}
@@ -36,30 +39,30 @@
 	return 1 / weight
 }
 
-// heaviestTenant returns the tenant whose flow with the most load has more load for the tenant's weight than those of
-// other tenants; nil if no request waits.
-func (q *fairQueue) heaviestTenant() *tenant {
-	var heaviest *tenant
+// mostLoadedTenant returns the tenant that has the flow with the most load relative to its tenant's weight; nil if no
+// request waits.
+func (q *fairQueue) mostLoadedTenant() *tenant {
+	var mostLoaded *tenant
 	maxLoad := 0.0
 	for _, t := range q.tenants {
 		if t.flowsByLoad.Len() == 0 {
 			continue
 		}
 		if load := t.flowsByLoad.Min().load() / t.Weight; load > maxLoad {
-			heaviest, maxLoad = t, load
+			mostLoaded, maxLoad = t, load
 		}
 	}
-	return heaviest
+	return mostLoaded
 }
 
-// displace removes a request in favor of another; popDisplaced returns it.
-func (q *fairQueue) displace(now Nanos, w *queuedRequest) {
-	q.displacedRequests = append(q.displacedRequests, displacedRequest{w.Request, w.cost})
-	w.flow.tenant.counts.Rejected[QueueFull]++
-	q.remove(now, w)
+// displace removes a waiting request in favor of another. popDisplaced returns it later.
+func (q *fairQueue) displace(now Nanos, queued *queuedRequest) {
+	q.displacedRequests = append(q.displacedRequests, displacedRequest{queued.Request, queued.cost})
+	queued.flow.tenant.counts.Rejected[QueueFull]++
+	q.remove(now, queued)
 }
 
-// popDisplaced returns the displaced request that was first, and whether there is one.
+// popDisplaced removes and returns the request that was displaced first, and whether there is one.
 func (q *fairQueue) popDisplaced(now Nanos) (RequestID, RetryAdvice, bool) {
 	if len(q.displacedRequests) == 0 {
 		return 0, RetryAdvice{}, false
@@ -70,7 +73,7 @@
 	return displaced.ID, q.reserveRetry(now, t, request, QueueFull, 0), true
 }
 
-// dropDisplaced forgets a displaced request whose client has left.
+// dropDisplaced discards a displaced request whose client has left.
 func (q *fairQueue) dropDisplaced(id RequestID) {
 	i := slices.IndexFunc(q.displacedRequests, func(d displacedRequest) bool { return d.ID == id })
 	if i >= 0 {
@@ -80,7 +83,7 @@
 
 // nextToShed returns the newest request of the flow with the most load, and whether any request waits.
 func (q *fairQueue) nextToShed() (RequestID, bool) {
-	t := q.heaviestTenant()
+	t := q.mostLoadedTenant()
 	if t == nil {
 		return 0, false
 	}
--- a/internal/decide/admission/fairness_test.go
+++ b/internal/decide/admission/fairness_test.go
@@ -8,8 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestFairAgainstFluid checks that what tenants with waiting requests are admitted differs from their shares by no more
-// than the bound of start-time fair queueing, and from an ideal fluid schedule by no more than a largest request each.
+// TestFairAgainstFluid checks that the admitted costs of tenants with waiting requests, relative to their weights,
+// differ by no more than the bound of start-time fair queueing, and from an ideal fluid schedule by no more than one
+// largest request for each tenant and one more.
 func TestFairAgainstFluid(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		seed := rapid.Uint64().Draw(rt, "seed")
@@ -23,15 +24,15 @@
 			tenants = append(tenants, TenantLimits{Weight: weight})
 		}
 		q := newQueue(t, 100000, tenants...)
-		owner, cost := map[RequestID]int{}, map[RequestID]float64{}
+		tenantOf, cost := map[RequestID]int{}, map[RequestID]float64{}
 		largest := 0.0
-		for i := range n { // each has enough waiting for the whole test
+		for i := range n { // each has enough waiting requests for the whole test
 			for range 400 {
 				request := newRequest(i, 0, int64(1+rng.IntN(1000)))
 				if verdict, _ := q.Enqueue(1, request); verdict != Queued {
 					rt.Fatalf("rejected: %v", verdict)
 				}
-				owner[request.ID], cost[request.ID] = i, EstimatedCost(request.PromptTokens, 0)
+				tenantOf[request.ID], cost[request.ID] = i, EstimatedCost(request.PromptTokens, 0)
 				largest = max(largest, cost[request.ID])
 			}
 		}
@@ -39,17 +40,17 @@
 		for range 300 {
 			id, ok := q.NextAdmissible(0, 0)
 			if !ok {
-				rt.Fatal("no request is admissible while some wait")
+				rt.Fatal("no request is admissible while requests wait")
 			}
 			q.Admit(2, id)
-			admitted[owner[id]] += cost[id]
+			admitted[tenantOf[id]] += cost[id]
 			total += cost[id]
 			for i := range n {
 				for k := range n {
 					difference := math.Abs(admitted[i]/tenants[i].Weight - admitted[k]/tenants[k].Weight)
 					bound := largest/tenants[i].Weight + largest/tenants[k].Weight
 					if difference > bound+1e-6 {
-						rt.Fatalf("seed %d: tenants %d and %d differ by %.0f for their weights, want at most %.0f",
+						rt.Fatalf("seed %d: tenants %d and %d differ by %.0f relative to weight, want at most %.0f",
 							seed, i, k, difference, bound)
 					}
 				}
@@ -63,8 +64,8 @@
 	})
 }
 
-// TestFlood checks that a client that floods the queue, under one name or under many invented ones, does not make small
-// known clients wait longer than a few of their own requests take.
+// TestFlood checks that a client that floods the queue, under one name or under many invented ones, hardly delays
+// known clients that send few requests.
 func TestFlood(t *testing.T) {
 	for name, floodClient := range map[string]func(i int) uint64{
 		"one name":   func(int) uint64 { return 77 },
@@ -84,7 +85,7 @@
 			}}
 			n := 0
 			for now := Nanos(0); now < 4*sec; now += 10 * ms {
-				for range 30 { // fifteen times what is served
+				for range 30 { // fifteen times the throughput
 					n++
 					request := newRequest(0, floodClient(n), 100)
 					request.Source = 9
@@ -102,16 +103,16 @@
 				servers.serve(now, now+10*ms, 20)
 			}
 			if maxSmallWait > 50*ms {
-				t.Errorf("a small client waited %d ms, want at most 50: five requests take 25", maxSmallWait/ms)
+				t.Errorf("a small client waited %d ms, want at most 50", maxSmallWait/ms)
 			}
 			if maxFloodWait < 500*ms {
-				t.Errorf("the flood waited %d ms at most, want 500: it was no flood", maxFloodWait/ms)
+				t.Errorf("the flood waited at most %d ms, want 500 for a flood", maxFloodWait/ms)
 			}
 		})
 	}
 }
 
-// TestIdleTenant checks that a tenant does not save up service in an hour without a request.
+// TestIdleTenant checks that a tenant without requests does not accumulate service.
 func TestIdleTenant(t *testing.T) {
 	q := newQueue(t, 1000, TenantLimits{Weight: 1}, TenantLimits{Weight: 1})
 	for range 100 {
@@ -119,25 +120,25 @@
 		admitNext(q, 1)
 	}
 	now := 3600 * sec
-	owner := map[RequestID]int{}
+	tenantOf := map[RequestID]int{}
 	for range 50 {
 		for i := range 2 {
 			request := newRequest(i, 0, 100)
 			q.Enqueue(now, request)
-			owner[request.ID] = i
+			tenantOf[request.ID] = i
 		}
 	}
 	admitted := [2]int{}
 	for range 40 {
-		admitted[owner[admitNext(q, now)]]++
+		admitted[tenantOf[admitNext(q, now)]]++
 	}
 	if admitted[0] < 18 || admitted[1] < 18 {
-		t.Errorf("of 40 requests %v were admitted, want half of each", admitted)
+		t.Errorf("%v of 40 requests admitted by tenant, want about half each", admitted)
 	}
 }
 
-// TestHugeRequest checks that among many small requests of another client at most one huge request is admitted: the
-// second has to wait for the charge of the first.
+// TestHugeRequest checks that of two huge requests, the charge for the first delays the second behind the small
+// requests of another client.
 func TestHugeRequest(t *testing.T) {
 	q := newQueue(t, 1000, TenantLimits{Weight: 1})
 	makeKnown(q, 1, 0, 1, 2)
@@ -159,36 +160,37 @@
 	}
 }
 
-// TestWeightsChange checks that service follows new weights from the change on.
+// TestWeightsChange checks that service follows a change of weights at once.
 func TestWeightsChange(t *testing.T) {
 	q := newQueue(t, 10000, TenantLimits{Weight: 1}, TenantLimits{Weight: 1})
-	owner := map[RequestID]int{}
+	tenantOf := map[RequestID]int{}
 	for range 2000 {
 		for i := range 2 {
 			request := newRequest(i, 0, 100)
 			q.Enqueue(1, request)
-			owner[request.ID] = i
+			tenantOf[request.ID] = i
 		}
 	}
 	admit := func(n int) [2]int {
 		admitted := [2]int{}
 		for range n {
-			admitted[owner[admitNext(q, 2)]]++
+			admitted[tenantOf[admitNext(q, 2)]]++
 		}
 		return admitted
 	}
 	if got := admit(200); got[0] < 99 || got[1] < 99 {
-		t.Errorf("with equal weights %v of 200 were admitted, want 99 or more of each", got)
+		t.Errorf("with equal weights %v of 200 requests admitted by tenant, want 99 or more each", got)
 	}
 	if err := q.SetTenant(1, TenantLimits{Weight: 4}); err != nil {
 		t.Fatal(err)
 	}
 	if got := admit(500); got[1] < 396 || got[1] > 404 {
-		t.Errorf("at four to one %v of 500 were admitted, want 396 to 404 of the second", got)
+		t.Errorf("with weights 1 and 4 %v of 500 requests admitted by tenant, want 396 to 404 of the second", got)
 	}
 }
 
-// TestEarliestDueFirst checks that of a client's requests the one is admitted first whose latency objective ends first.
+// TestEarliestDueFirst checks that the requests of a client are admitted in the order of arrival plus latency
+// objective.
 func TestEarliestDueFirst(t *testing.T) {
 	q := newQueue(t, 100, TenantLimits{Weight: 1})
 	makeKnown(q, 1, 0, 5)
--- a/internal/decide/admission/fairqueue.go
+++ b/internal/decide/admission/fairqueue.go
@@ -5,16 +5,16 @@
 )
 
 const (
-	// reservedPlacesPart is the part of the queue that is kept for requests that come with a reservation.
-	reservedPlacesPart = 1.0 / 8
-	// maxWaitPart is the part of a request's latency objective, or of the time until its deadline if that is shorter,
-	// within which it must be admitted: the rest is needed for the work, and a later answer is worth little.
-	maxWaitPart = 0.5
-	// clientMemory is how long a client is known after its last request, in latency objectives.
-	clientMemory = 600
+	// reservedCapacityFraction is the fraction of the queue that is kept free for requests with a reservation.
+	reservedCapacityFraction = 1.0 / 8
+	// maxWaitFraction is the fraction of a request's latency objective, or of the time until its deadline if that is
+	// shorter, within which it must be admitted. The rest is left for the prefill.
+	maxWaitFraction = 0.5
+	// clientRetention is how long a client is remembered after its last served request, in latency objectives.
+	clientRetention = 600
 )
 
-// fairQueue is a queue of waiting requests in the order of start-time fair queueing.
+// fairQueue is a queue of requests that are admitted in the order of start-time fair queueing.
 type fairQueue struct {
 	fifo             bool
 	maxWaiting       int
@@ -22,7 +22,7 @@
 	latencyObjective Nanos
 
 	tenants           []*tenant
-	activeTenants     indexedheap.Heap[*tenant] // those of which a request may be admitted, by start tag
+	activeTenants     indexedheap.Heap[*tenant] // tenants with admissible requests, by start tag
 	virtualTime       float64                   // among tenants
 	requests          map[RequestID]*queuedRequest
 	byExpiry          indexedheap.Heap[*queuedRequest]
@@ -33,21 +33,21 @@
 	throughput   throughputMeter
 	reservations *reservationTable
 
-	lastSequence  uint64 // the last sequence number that a request or a flow was given
+	lastSequence  uint64 // last sequence number given to a request or a flow
 	flowCount     int
-	nextFlowSweep uint64 // sequence number
-	freeRequests  []*queuedRequest
-	freeFlows     []*flow
+	nextFlowSweep uint64           // sequence number from which flows may be swept again
+	freeRequests  []*queuedRequest // for reuse
+	freeFlows     []*flow          // for reuse
 }
 
-// queuedRequest is a request that waits.
+// queuedRequest is a waiting request.
 type queuedRequest struct {
 	Request
 	cost           float64
 	enqueuedAt     Nanos
 	flow           *flow
-	dueAt          Nanos // orders the requests of a flow
-	admitBy        Nanos // from then on it is too late to admit it
+	dueAt          Nanos // order within the flow
+	admitBy        Nanos // time from which it is too late to admit the request
 	sequence       uint64
 	flowIndex      int // in flow.requests
 	expiryIndex    int // in fairQueue.byExpiry
@@ -74,7 +74,7 @@
 		requests:         make(map[RequestID]*queuedRequest),
 		byExpiry:         newExpiryHeap(),
 		clients:          newKnownClients(config.MaxKnownClients),
-		throughput:       throughputMeter{timeConstant: throughputMemory * config.LatencyObjective},
+		throughput:       throughputMeter{timeConstant: throughputTimeConstant * config.LatencyObjective},
 		reservations:     newReservationTable(config.Signer, config.LatencyObjective),
 	}
 }
@@ -83,7 +83,7 @@
 
 func (q *fairQueue) contains(id RequestID) bool { return q.requests[id] != nil }
 
-// tenant returns a tenant by its number; nil if there is none.
+// tenant returns the tenant with the given number; nil if it does not exist.
 func (q *fairQueue) tenant(number int) *tenant {
 	if number < 0 || number >= len(q.tenants) {
 		return nil
@@ -91,9 +91,9 @@
 	return q.tenants[number]
 }
 
-// latestAdmission returns the time from which on it is too late to admit a request that arrives now.
+// latestAdmission returns the time from which it is too late to admit a request that arrives now.
 func latestAdmission(now Nanos, request *Request) Nanos {
-	return now + Nanos(maxWaitPart*float64(min(request.LatencyObjective, request.Deadline-now)))
+	return now + Nanos(maxWaitFraction*float64(min(request.LatencyObjective, request.Deadline-now)))
 }
 
 // enqueue adds a request, or rejects it and returns when its client should retry.
@@ -123,7 +123,7 @@
 	return Queued, RetryAdvice{}
 }
 
-// redeemTicket reports whether a request comes with a valid reservation, which can be used once.
+// redeemTicket reports whether a request presents a valid reservation, and marks the reservation as used.
 func (q *fairQueue) redeemTicket(now Nanos, t *tenant, request *Request) bool {
 	if request.Ticket == nil {
 		return false
@@ -136,8 +136,8 @@
 	return true
 }
 
-// check returns the verdict on a request that arrives, and, if it may wait, the request that it displaces; nil if there
-// is a free place.
+// check returns the verdict on a new request. If it may wait, check also returns the request that has to be displaced
+// for it; nil if none has to.
 func (q *fairQueue) check(
 	now Nanos, t *tenant, request pricedRequest, reserved bool,
 ) (displaced *queuedRequest, verdict Verdict) {
@@ -154,8 +154,8 @@
 			return nil, TenantQueueFull
 		}
 	}
-	if displaced == nil && len(q.requests) >= q.places(reserved) {
-		if displaced = q.displaceable(now, q.heaviestTenant(), t, f, request); displaced == nil {
+	if displaced == nil && len(q.requests) >= q.capacity(reserved) {
+		if displaced = q.displaceable(now, q.mostLoadedTenant(), t, f, request); displaced == nil {
 			return nil, QueueFull
 		}
 	}
@@ -165,32 +165,33 @@
 	return displaced, Queued
 }
 
-// places returns how many places the queue has for requests with or without a reservation.
-func (q *fairQueue) places(reserved bool) int {
-	places := q.maxWaiting
+// capacity returns the number of waiting requests from which the queue is full for a request with or without a
+// reservation.
+func (q *fairQueue) capacity(reserved bool) int {
+	capacity := q.maxWaiting
 	if !reserved {
-		places -= int(reservedPlacesPart * float64(q.maxWaiting))
+		capacity -= int(reservedCapacityFraction * float64(q.maxWaiting))
 	}
-	return max(places, 1)
+	return max(capacity, 1)
 }
 
-// insert adds a request that may wait.
+// insert adds a request to the queue.
 func (q *fairQueue) insert(now Nanos, t *tenant, request pricedRequest, reserved bool) {
 	f := q.findOrAddFlow(now, t, request.Request)
-	w := q.newQueuedRequest()
-	*w = queuedRequest{
+	queued := q.newQueuedRequest()
+	*queued = queuedRequest{
 		Request: *request.Request, cost: request.cost, enqueuedAt: now, flow: f, dueAt: now + request.LatencyObjective,
 		sequence: q.nextSequence(), hasReservation: reserved, admitBy: latestAdmission(now, request.Request),
 	}
-	w.Ticket = nil
-	if q.fifo || reserved { // a request with a reservation has waited at its client
-		w.dueAt = now
+	queued.Ticket = nil
+	if q.fifo || reserved { // a request with a reservation has already waited at its client
+		queued.dueAt = now
 	}
 	if q.waitingCost <= 0 {
 		q.throughput.start(now)
 	}
-	q.requests[request.ID] = w
-	q.byExpiry.PushOrFix(w)
+	q.requests[request.ID] = queued
+	q.byExpiry.PushOrFix(queued)
 	q.waitingCost += request.cost
 	t.waiting++
 	if f.requests.Len() == 0 {
@@ -199,28 +200,28 @@
 			t.startTag = max(t.startTag, q.virtualTime)
 		}
 	}
-	f.requests.PushOrFix(w)
+	f.requests.PushOrFix(queued)
 	q.updateFlow(f)
 	q.updateTenant(t)
 }
 
-// remove takes a waiting request out of the queue. The memory of w is used again.
-func (q *fairQueue) remove(now Nanos, w *queuedRequest) {
-	f, t := w.flow, w.flow.tenant
-	f.requests.Remove(w)
-	q.byExpiry.Remove(w)
+// remove removes a waiting request from the queue. The caller must not use queued afterwards: its memory is reused.
+func (q *fairQueue) remove(now Nanos, queued *queuedRequest) {
+	f, t := queued.flow, queued.flow.tenant
+	f.requests.Remove(queued)
+	q.byExpiry.Remove(queued)
 	t.waiting--
-	q.waitingCost = max(q.waitingCost-w.cost, 0)
-	delete(q.requests, w.ID)
+	q.waitingCost = max(q.waitingCost-queued.cost, 0)
+	delete(q.requests, queued.ID)
 	if len(q.requests) == 0 {
 		q.waitingCost = 0
 		q.throughput.stop(now)
 	}
-	q.freeRequests = append(q.freeRequests, w)
+	q.freeRequests = append(q.freeRequests, queued)
 	q.updateFlow(f)
 	q.updateTenant(t)
-	if f.isForgettable() {
-		q.forgetFlow(f)
+	if f.isRemovable() {
+		q.removeFlow(f)
 	}
 }
 
@@ -229,18 +230,19 @@
 	if n == 0 {
 		return new(queuedRequest)
 	}
-	w := q.freeRequests[n-1]
+	queued := q.freeRequests[n-1]
 	q.freeRequests = q.freeRequests[:n-1]
-	return w
+	return queued
 }
 
-// nextSequence returns the sequence number of a new request or flow, by which ties are broken.
+// nextSequence returns the sequence number of a new request or flow. Sequence numbers break ties.
 func (q *fairQueue) nextSequence() uint64 {
 	q.lastSequence++
 	return q.lastSequence
 }
 
-// nextAdmissible returns the first request of the flow and the tenant with the least start tags.
+// nextAdmissible returns the first request of the flow with the least start tag of the tenant with the least start
+// tag, and whether any request may be admitted.
 func (q *fairQueue) nextAdmissible() (RequestID, bool) {
 	if q.activeTenants.Len() == 0 {
 		return 0, false
@@ -248,21 +250,22 @@
 	return q.activeTenants.Min().activeFlows.Min().requests.Min().ID, true
 }
 
-// admit removes a request, charges its cost and returns how long it waited; false if it does not wait.
+// admit removes a waiting request, charges its cost and returns how long it waited. ok is false if the request does
+// not wait.
 func (q *fairQueue) admit(now Nanos, id RequestID) (wait Nanos, ok bool) {
-	w := q.requests[id]
-	if w == nil {
+	queued := q.requests[id]
+	if queued == nil {
 		return 0, false
 	}
-	f, t := w.flow, w.flow.tenant
+	f, t := queued.flow, queued.flow.tenant
 	q.virtualTime = max(q.virtualTime, t.startTag)
 	t.virtualTime = max(t.virtualTime, f.startTag)
-	f.startTag += w.cost / f.weight
-	t.startTag += w.cost / t.Weight
-	wait = now - w.enqueuedAt
-	t.counts.recordAdmitted(w, wait)
+	f.startTag += queued.cost / f.weight
+	t.startTag += queued.cost / t.Weight
+	wait = now - queued.enqueuedAt
+	t.counts.recordAdmitted(queued, wait)
 	t.running++
-	q.remove(now, w)
+	q.remove(now, queued)
 	return wait, true
 }
 
@@ -274,7 +277,7 @@
 	}
 	t.running = max(t.running-1, 0)
 	if result.Served {
-		q.clients.recordServed(now, t.number, request.Client, clientMemory*q.latencyObjective)
+		q.clients.recordServed(now, t.number, request.Client, clientRetention*q.latencyObjective)
 		q.correctCharge(now, t, request, result.AnswerTokens)
 	}
 	q.updateTenant(t)
@@ -295,28 +298,29 @@
 
 // cancel removes a request and reports whether it was waiting.
 func (q *fairQueue) cancel(now Nanos, id RequestID) bool {
-	w := q.requests[id]
-	if w == nil {
+	queued := q.requests[id]
+	if queued == nil {
 		return false
 	}
-	w.flow.tenant.counts.Cancelled++
-	q.remove(now, w)
+	queued.flow.tenant.counts.Cancelled++
+	q.remove(now, queued)
 	return true
 }
 
-// reject removes a request and returns when its client should retry; no advice if it does not wait.
+// reject removes a waiting request and returns when its client should retry; the advice is empty if the request does
+// not wait.
 func (q *fairQueue) reject(now Nanos, id RequestID, reason Verdict) RetryAdvice {
-	w := q.requests[id]
-	if w == nil {
+	queued := q.requests[id]
+	if queued == nil {
 		return RetryAdvice{}
 	}
-	request, t, cost := w.Request, w.flow.tenant, w.cost // w is used again once it is removed
+	request, t, cost := queued.Request, queued.flow.tenant, queued.cost // remove reuses queued
 	t.counts.Rejected[reason]++
-	q.remove(now, w)
+	q.remove(now, queued)
 	return q.reserveRetry(now, t, pricedRequest{&request, cost}, reason, 0)
 }
 
-// nextExpired returns a request for which it is too late, and whether there is one.
+// nextExpired returns a waiting request that it is too late to admit, and whether there is one.
 func (q *fairQueue) nextExpired(now Nanos) (RequestID, bool) {
 	if q.byExpiry.Len() == 0 || now < q.byExpiry.Min().admitBy {
 		return 0, false
--- a/internal/decide/admission/flow.go
+++ b/internal/decide/admission/flow.go
@@ -5,23 +5,24 @@
 )
 
 const (
-	// unknownClientsWeight is the weight of the flow that the unknown clients of one source share, in clients.
+	// unknownClientsWeight is the weight of the flow that the unknown clients of one source share. That of a known
+	// client is 1.
 	unknownClientsWeight = 4
-	// flowSweepPart is the part of the flows that must be added before a sweep looks at all of them again, so that the
-	// work of a sweep is small for each.
-	flowSweepPart = 16
+	// flowSweepDivisor bounds the amortized cost of sweeps: after a sweep of n flows, at least n/flowSweepDivisor
+	// requests or flows must be added before the next.
+	flowSweepDivisor = 16
 )
 
-// overflowKey is the key of the flow that new clients of a tenant share while there are too many flows.
+// overflowKey is the key of the flow that new clients of a tenant share while the maximum number of flows exists.
 var overflowKey = flowKey{hash: ^uint64(0)}
 
-// flow is the waiting requests of one known client, or of the unknown clients of one source.
+// flow holds the waiting requests of one known client, or of the unknown clients of one source.
 type flow struct {
 	key         flowKey
 	tenant      *tenant
 	weight      float64
 	requests    indexedheap.Heap[*queuedRequest]
-	startTag    float64 // virtual time at which its next request starts
+	startTag    float64 // virtual time at which the service of its next request starts
 	sequence    uint64
 	activeIndex int // in tenant.activeFlows
 	loadIndex   int // in tenant.flowsByLoad
@@ -33,11 +34,11 @@
 	hash  uint64 // of the client's name if it is known, else of its source
 }
 
-// load returns the number of waiting requests for the weight of the flow.
+// load returns the number of waiting requests divided by the weight of the flow.
 func (f *flow) load() float64 { return float64(f.requests.Len()) / f.weight }
 
-// isForgettable reports whether the flow has no requests and no charge that its next request would have to wait for.
-func (f *flow) isForgettable() bool {
+// isRemovable reports whether the flow has no requests, and no charge that would delay its next request.
+func (f *flow) isRemovable() bool {
 	return f.requests.Len() == 0 && f.startTag <= f.tenant.virtualTime
 }
 
@@ -45,15 +46,15 @@
 // skipped unless includeReserved is true.
 func (f *flow) newest(includeReserved bool) *queuedRequest {
 	var newest *queuedRequest
-	for _, w := range f.requests.Items() {
-		if (includeReserved || !w.hasReservation) && (newest == nil || w.sequence > newest.sequence) {
-			newest = w
+	for _, queued := range f.requests.Items() {
+		if (includeReserved || !queued.hasReservation) && (newest == nil || queued.sequence > newest.sequence) {
+			newest = queued
 		}
 	}
 	return newest
 }
 
-// clientKey returns the key under which the client of a request is accounted for, and its weight.
+// clientKey returns the flow key of the client of a request, and its weight.
 func (q *fairQueue) clientKey(now Nanos, t *tenant, request *Request) (key flowKey, weight float64) {
 	if request.Client != 0 && q.clients.isKnown(now, t.number, request.Client) {
 		return flowKey{known: true, hash: request.Client}, 1
@@ -75,7 +76,7 @@
 	return t.flows[key]
 }
 
-// findOrAddFlow returns the flow to which a request belongs and adds it if it does not exist.
+// findOrAddFlow returns the flow to which a request belongs, and adds it if it does not exist.
 func (q *fairQueue) findOrAddFlow(now Nanos, t *tenant, request *Request) *flow {
 	key, weight := q.flowKey(now, t, request)
 	if f := t.flows[key]; f != nil {
@@ -106,24 +107,24 @@
 	return f
 }
 
-// sweepFlows forgets the flows that can be forgotten, unless the last sweep was too recent. It reports whether a flow
-// may be added.
+// sweepFlows removes the flows that are no longer needed, unless the last sweep was too recent. It reports whether a
+// flow may be added.
 func (q *fairQueue) sweepFlows() bool {
 	if q.lastSequence < q.nextFlowSweep {
 		return false
 	}
-	q.nextFlowSweep = q.lastSequence + uint64(q.flowCount/flowSweepPart)
+	q.nextFlowSweep = q.lastSequence + uint64(q.flowCount/flowSweepDivisor)
 	for _, t := range q.tenants {
 		for _, f := range t.flows { // the result does not depend on the order of the map
-			if f.isForgettable() {
-				q.forgetFlow(f)
+			if f.isRemovable() {
+				q.removeFlow(f)
 			}
 		}
 	}
 	return q.flowCount < q.maxFlows
 }
 
-func (q *fairQueue) forgetFlow(f *flow) {
+func (q *fairQueue) removeFlow(f *flow) {
 	delete(f.tenant.flows, f.key)
 	q.flowCount--
 	f.tenant = nil
--- a/internal/decide/admission/golden_test.go
+++ b/internal/decide/admission/golden_test.go
@@ -8,14 +8,14 @@
 	"testing"
 )
 
-// goldenRuns are runs of random operations with the SHA-256 digests of the decisions taken in them. A change of a
-// digest means that the queue decides differently than before.
+// goldenRuns are runs of random operations with the SHA-256 digests of the decisions. A different digest means that
+// the queue decides differently.
 var goldenRuns = []struct {
 	name             string
 	seed             uint64
 	fifo             bool
 	clients, sources int
-	maxFlows         int // 0 = as many as usual
+	maxFlows         int // 0 = the default
 	digest           string
 }{
 	{
@@ -40,7 +40,7 @@
 	},
 }
 
-// TestGoldenDecisions checks that the queue still takes the recorded decisions.
+// TestGoldenDecisions checks that the queue's decisions equal the recorded ones.
 func TestGoldenDecisions(t *testing.T) {
 	for _, run := range goldenRuns {
 		t.Run(run.name, func(t *testing.T) {
@@ -48,7 +48,7 @@
 			if run.maxFlows > 0 {
 				q.interactive.maxFlows, q.background.maxFlows = run.maxFlows, run.maxFlows
 			}
-			if got := playRandomOperations(t, q, run.seed, run.clients, run.sources); got != run.digest {
+			if got := runRandomOperations(t, q, run.seed, run.clients, run.sources); got != run.digest {
 				t.Errorf("digest of the decisions is %s, want %s", got, run.digest)
 			}
 		})
@@ -68,7 +68,7 @@
 	return q
 }
 
-// TestVerdictTexts checks the texts that clients are sent.
+// TestVerdictTexts checks the texts of the verdicts, which clients receive as the reason for a rejection.
 func TestVerdictTexts(t *testing.T) {
 	want := []string{
 		"admitted", "too many requests waiting", "too many requests of the tenant waiting",
@@ -80,18 +80,18 @@
 	}
 	for v := range verdictCount {
 		if v.String() != want[v] {
-			t.Errorf("verdict %d reads %q, want %q", v, v, want[v])
+			t.Errorf("text of verdict %d is %q, want %q", v, v, want[v])
 		}
 	}
 }
 
-// playRandomOperations drives a queue through every operation in an order drawn from seed, and returns a digest of all
-// decisions and of the counts at the end.
-func playRandomOperations(t *testing.T, q *Queue, seed uint64, clients, sources int) string {
+// runRandomOperations calls every operation of a queue in an order drawn from seed, and returns a digest of all
+// decisions and of the final counts.
+func runRandomOperations(t *testing.T, q *Queue, seed uint64, clients, sources int) string {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 7))
 	digest := sha256.New()
-	record := func(what string, values ...any) { fmt.Fprintln(digest, what, values) }
+	record := func(event string, values ...any) { fmt.Fprintln(digest, event, values) }
 	type retry struct {
 		at      Nanos
 		request Request
@@ -100,8 +100,8 @@
 	var unsent, running []Request
 	requests := map[RequestID]Request{}
 	now, nextID := sec, RequestID(0)
-	advised := func(what string, id RequestID, a RetryAdvice) {
-		record(what, id, a.RetryAfter)
+	recordAdvice := func(event string, id RequestID, a RetryAdvice) {
+		record(event, id, a.RetryAfter)
 		if a.Ticket == nil {
 			return
 		}
@@ -119,13 +119,13 @@
 		verdict, advice := q.Enqueue(now, request)
 		record("enqueue", request.ID, verdict)
 		if verdict != Queued {
-			advised("rejected", request.ID, advice)
+			recordAdvice("rejected", request.ID, advice)
 		}
 	}
 	for step := range 6000 {
 		now += rng.Int64N(8 * ms)
 		arrivals := 1 + rng.IntN(3)
-		if step%1500 > 1000 { // the queue drains, and background requests get their turn
+		if step%1500 > 1000 { // the queue empties, so that background requests are admitted
 			arrivals = rng.IntN(4) / 3
 		}
 		for range arrivals {
@@ -143,10 +143,10 @@
 			}
 		}
 		for id, a, ok := q.PopDisplaced(now); ok; id, a, ok = q.PopDisplaced(now) {
-			advised("displaced", id, a)
+			recordAdvice("displaced", id, a)
 		}
 		for id, ok := q.NextExpired(now); ok; id, ok = q.NextExpired(now) {
-			advised("expired", id, q.Reject(now, id, TooLate))
+			recordAdvice("expired", id, q.Reject(now, id, TooLate))
 		}
 		ages := make([]Nanos, len(unsent))
 		for i := range ages {
@@ -165,7 +165,7 @@
 				running, unsent = append(running, request), unsent[1:]
 			case 3:
 				q.RecordNotSent()
-				advised("unsent", request.ID, q.ReserveRetry(now, request, rng.Int64N(sec)))
+				recordAdvice("unsent", request.ID, q.ReserveRetry(now, request, rng.Int64N(sec)))
 				q.RecordFinished(now, request, Result{Served: false, AnswerTokens: 0})
 				unsent = unsent[1:]
 			}
@@ -187,7 +187,7 @@
 		if step%100 == 0 {
 			for range q.ShedCount(rng.Int64N(sec/6), uint64(rng.IntN(102)), 100) {
 				if id, ok := q.NextToShed(); ok {
-					advised("shed", id, q.Reject(now, id, Overloaded))
+					recordAdvice("shed", id, q.Reject(now, id, Overloaded))
 				}
 			}
 		}
--- a/internal/decide/admission/helpers_test.go
+++ b/internal/decide/admission/helpers_test.go
@@ -20,6 +20,7 @@
 	return q
 }
 
+// setTenants adds tenants with the given limits, numbered from 0.
 func setTenants(tb testing.TB, q *Queue, tenants ...TenantLimits) {
 	tb.Helper()
 	for number, limits := range tenants {
@@ -29,10 +30,10 @@
 	}
 }
 
-// makeKnown records as many served requests of the clients as make them known.
+// makeKnown records enough served requests of each client to make it known.
 func makeKnown(q *Queue, now Nanos, tenant int, clients ...uint64) {
 	for _, client := range clients {
-		for range knownAfter {
+		for range minServedRequests {
 			q.interactive.clients.recordServed(now, tenant, client, 1000*sec)
 		}
 	}
@@ -40,7 +41,7 @@
 
 var lastRequestID RequestID
 
-// newRequest returns a request with an ID of its own, no answer tokens and no deadline to speak of.
+// newRequest returns a request with a unique ID, no answer tokens and a deadline beyond the end of any test.
 func newRequest(tenant int, client uint64, promptTokens int64) Request {
 	lastRequestID++
 	return Request{
@@ -64,21 +65,21 @@
 	}
 }
 
-// rejectExpired rejects the requests for which it is too late.
+// rejectExpired rejects the requests that it is too late to admit.
 func rejectExpired(q *Queue, now Nanos) {
 	for id, ok := q.NextExpired(now); ok; id, ok = q.NextExpired(now) {
 		q.Reject(now, id, TooLate)
 	}
 }
 
-// fleet serves requests at once, at a limited throughput.
+// fleet simulates servers with a limited throughput and no latency.
 type fleet struct {
 	queue  *Queue
 	credit float64                      // cost that may be served now
-	served func(id RequestID, at Nanos) // called for each request
+	served func(id RequestID, at Nanos) // called for each served request
 }
 
-// serve admits and serves requests of costPerMS in each millisecond.
+// serve admits and serves requests from one time to another, up to costPerMS in each millisecond.
 func (f *fleet) serve(from, to Nanos, costPerMS float64) {
 	for now := from; now < to; now += ms {
 		f.credit = min(f.credit+costPerMS, 10*costPerMS)
--- a/internal/decide/admission/ordering.go
+++ b/internal/decide/admission/ordering.go
@@ -2,29 +2,29 @@
 
 import "docksail/internal/indexedheap"
 
-// The heaps of the queue. Ties are broken by sequence or tenant number, so that equal calls lead to equal decisions.
+// The heaps break ties by sequence or tenant number, so that decisions are deterministic.
 
-// newRequestHeap returns a heap for the requests of a flow, the one that is due first at the top.
+// newRequestHeap returns a heap of the requests of a flow with the one that is due first at the top.
 func newRequestHeap() indexedheap.Heap[*queuedRequest] {
 	return indexedheap.Heap[*queuedRequest]{
 		Less: func(a, b *queuedRequest) bool {
 			return a.dueAt < b.dueAt || a.dueAt == b.dueAt && a.sequence < b.sequence
 		},
-		Index: func(w *queuedRequest) *int { return &w.flowIndex },
+		Index: func(queued *queuedRequest) *int { return &queued.flowIndex },
 	}
 }
 
-// newExpiryHeap returns a heap for all waiting requests, the one that expires first at the top.
+// newExpiryHeap returns a heap of all waiting requests with the one that expires first at the top.
 func newExpiryHeap() indexedheap.Heap[*queuedRequest] {
 	return indexedheap.Heap[*queuedRequest]{
 		Less: func(a, b *queuedRequest) bool {
 			return a.admitBy < b.admitBy || a.admitBy == b.admitBy && a.sequence < b.sequence
 		},
-		Index: func(w *queuedRequest) *int { return &w.expiryIndex },
+		Index: func(queued *queuedRequest) *int { return &queued.expiryIndex },
 	}
 }
 
-// newFlowHeap returns a heap for the flows of a tenant, the one with the least start tag at the top.
+// newFlowHeap returns a heap of the flows of a tenant with the one with the least start tag at the top.
 func newFlowHeap() indexedheap.Heap[*flow] {
 	return indexedheap.Heap[*flow]{
 		Less: func(a, b *flow) bool {
@@ -34,7 +34,7 @@
 	}
 }
 
-// newLoadHeap returns a heap for the flows of a tenant, the one with the most load at the top.
+// newLoadHeap returns a heap of the flows of a tenant with the one with the most load at the top.
 func newLoadHeap() indexedheap.Heap[*flow] {
 	return indexedheap.Heap[*flow]{
 		Less: func(a, b *flow) bool {
@@ -45,7 +45,7 @@
 	}
 }
 
-// newTenantHeap returns a heap for tenants, the one with the least start tag at the top.
+// newTenantHeap returns a heap of tenants with the one with the least start tag at the top.
 func newTenantHeap() indexedheap.Heap[*tenant] {
 	return indexedheap.Heap[*tenant]{
 		Less: func(a, b *tenant) bool {
@@ -55,7 +55,7 @@
 	}
 }
 
-// updateFlow restores the position of a flow in its tenant's heaps after a change.
+// updateFlow adds a flow to its tenant's heaps, moves it in them or removes it from them after a change.
 func (q *fairQueue) updateFlow(f *flow) {
 	if f.requests.Len() == 0 {
 		f.tenant.activeFlows.Remove(f)
@@ -66,14 +66,14 @@
 	f.tenant.flowsByLoad.PushOrFix(f)
 }
 
-// updateTenant restores the position of a tenant among those of which a request may be admitted.
+// updateTenant adds a tenant to activeTenants, moves it there or removes it after a change.
 func (q *fairQueue) updateTenant(t *tenant) {
 	if t.activeFlows.Len() == 0 || t.MaxRunning > 0 && t.running >= t.MaxRunning {
 		q.activeTenants.Remove(t)
 		return
 	}
 	if t.activeIndex == 0 {
-		t.startTag = max(t.startTag, q.virtualTime) // service that it did not use is not saved up
+		t.startTag = max(t.startTag, q.virtualTime) // unused service is not carried over
 	}
 	q.activeTenants.PushOrFix(t)
 }
--- a/internal/decide/admission/queue.go
+++ b/internal/decide/admission/queue.go
@@ -6,57 +6,57 @@
 	"docksail/internal/decide/background"
 )
 
-// MaxAdmissionsPerTurn is how many requests may be admitted in one iteration of the event loop: before more are, the
-// loop must notice how long the iteration took, and read what has arrived meanwhile.
+// MaxAdmissionsPerTurn is how many requests may be admitted in one iteration of the event loop, so that the loop can
+// measure the duration of the iteration and read new input in between.
 const MaxAdmissionsPerTurn = 16
 
 const (
-	// maxUnsent is the most requests that may have been admitted and not sent to a server yet.
+	// maxUnsent is the upper bound of the limit of unsent requests: those admitted and not yet sent to a server.
 	maxUnsent = 4
-	// unsentIncrease is how much the limit of unsent requests grows with each one sent. A request that could not be sent
-	// halves it, so many attempts make up for one rejection.
+	// unsentIncrease is how much the limit of unsent requests grows with each request that is sent. A request that
+	// could not be sent halves the limit.
 	unsentIncrease = 1.0 / 8
-	// unsentGracePart is how long an unsent request keeps others from being admitted, as a part of the latency
+	// unsentGraceFraction is how long an unsent request prevents further admissions, as a fraction of the latency
 	// objective: half of the time for which the policy module lets a request wait.
-	unsentGracePart = 1.0 / 16
-	// overloadPart is the part of the latency objective that one iteration of the event loop may take: a request needs
-	// several of them.
-	overloadPart = 1.0 / 8
-	// shedPart is the part of the waiting requests that one overloaded iteration sheds.
-	shedPart = 1.0 / 8
-	// backgroundPart is the size of the queue of background requests as a part of MaxWaiting.
-	backgroundPart = 1.0 / 4
-	// spareFlows is how many flows may be remembered beside one for each waiting request.
-	spareFlows = 1024
+	unsentGraceFraction = 1.0 / 16
+	// overloadFraction is the duration of an iteration of the event loop, as a fraction of the latency objective, from
+	// which the loop is overloaded. A request takes several iterations.
+	overloadFraction = 1.0 / 8
+	// shedFraction is the fraction of the waiting requests that is shed after an overloaded iteration.
+	shedFraction = 1.0 / 8
+	// backgroundFraction is the size of the queue of background requests as a fraction of MaxWaiting.
+	backgroundFraction = 1.0 / 4
+	// extraFlows is how many flows may exist in addition to one for each waiting request.
+	extraFlows = 1024
 )
 
 // Config configures a queue.
 type Config struct {
-	MaxWaiting       int           // interactive requests that may wait; background requests have places of their own
-	MaxKnownClients  int           // clients that are remembered
-	LatencyObjective Nanos         // the shortest of the classes; the queue measures durations by it
-	Signer           *TicketSigner // signs reservations; if nil, rejected requests get none
-	FIFO             bool          // admit interactive requests in order of arrival: a baseline for experiments
+	MaxWaiting       int           // interactive requests that may wait; background requests have a limit of their own
+	MaxKnownClients  int           // clients whose served requests are counted
+	LatencyObjective Nanos         // the shortest of the classes; the queue scales its durations by it
+	Signer           *TicketSigner // signs reservations; if nil, none are made
+	FIFO             bool          // admit interactive requests in order of arrival, as a baseline for experiments
 }
 
-// Queue holds the requests that wait for admission, interactive and background ones apart. Create it with New.
+// Queue holds the requests that wait for admission, interactive and background ones separately. Create it with New.
 type Queue struct {
 	latencyObjective  Nanos
 	interactive       *fairQueue
 	background        *fairQueue
 	backgroundLimiter *background.Limiter
-	unsentLimit       float64 // requests that may have been admitted and not sent yet
+	unsentLimit       float64 // how many requests may be admitted and not yet sent
 }
 
-// New returns an empty queue without tenants. It returns an error if a number in config is not above 0.
+// New returns an empty queue without tenants. It returns an error if a number in config is less than 1.
 func New(config Config) (*Queue, error) {
 	if config.MaxWaiting < 1 || config.MaxKnownClients < 1 || config.LatencyObjective < 1 {
-		return nil, fmt.Errorf("admission queue for %d requests and %d clients, latency objective %d: want all above 0",
+		return nil, fmt.Errorf("max waiting is %d, max known clients %d and latency objective %d, each must be at least 1",
 			config.MaxWaiting, config.MaxKnownClients, config.LatencyObjective)
 	}
-	maxFlows := config.MaxWaiting + spareFlows
+	maxFlows := config.MaxWaiting + extraFlows
 	backgroundConfig := Config{
-		MaxWaiting:       max(int(backgroundPart*float64(config.MaxWaiting)), 1),
+		MaxWaiting:       max(int(backgroundFraction*float64(config.MaxWaiting)), 1),
 		MaxKnownClients:  1,
 		LatencyObjective: config.LatencyObjective,
 		Signer:           config.Signer,
@@ -70,8 +70,9 @@
 	}, nil
 }
 
-// SetTenant adds tenant number, which must be the next one, or changes the limits of an existing tenant, also for
-// requests that wait already. Background requests are not subject to its rate and its numbers of requests.
+// SetTenant adds tenant number, which must be the next one, or changes the limits of an existing one, also for
+// requests that are already waiting. The tenant's limits on rate, waiting and running requests do not apply to
+// background requests.
 func (q *Queue) SetTenant(number int, limits TenantLimits) error {
 	if err := q.interactive.setTenant(number, limits); err != nil {
 		return err
@@ -82,13 +83,14 @@
 // TenantCounts returns the counters of a tenant's interactive requests.
 func (q *Queue) TenantCounts(number int) TenantCounts { return q.interactive.tenants[number].counts }
 
-// TenantLoad returns how many interactive requests of a tenant wait, and how many were admitted and have not ended.
+// TenantLoad returns how many interactive requests of a tenant are waiting, and how many were admitted and have not
+// ended.
 func (q *Queue) TenantLoad(number int) (waiting, running int) {
 	t := q.interactive.tenants[number]
 	return t.waiting, t.running
 }
 
-// Waiting returns the number of waiting requests, background ones included.
+// Waiting returns the number of waiting requests, including background requests.
 func (q *Queue) Waiting() int { return q.interactive.waiting() + q.background.waiting() }
 
 // BackgroundWaiting returns the number of waiting background requests.
@@ -100,10 +102,10 @@
 // BackgroundLimit returns how many background requests may be in flight.
 func (q *Queue) BackgroundLimit() float64 { return q.backgroundLimiter.Limit() }
 
-// FlowCount returns the number of flows of interactive requests that are remembered.
+// FlowCount returns the number of flows of interactive requests.
 func (q *Queue) FlowCount() int { return q.interactive.flowCount }
 
-// queueFor returns the queue in which a request belongs.
+// queueFor returns the queue to which a request belongs.
 func (q *Queue) queueFor(request *Request) *fairQueue {
 	if request.Background {
 		return q.background
@@ -111,7 +113,7 @@
 	return q.interactive
 }
 
-// queueHolding returns the queue in which a request waits; the interactive one if it does not wait.
+// queueHolding returns the queue in which a request waits, or the interactive queue if the request does not wait.
 func (q *Queue) queueHolding(id RequestID) *fairQueue {
 	if q.background.contains(id) {
 		return q.background
@@ -129,23 +131,25 @@
 	return verdict, advice
 }
 
-// CanAdmit reports whether another request may be admitted, given for how long the requests that were admitted and not
-// sent have been waiting for it. While one of them is fresh, none may: the next follows in the same iteration once it
-// is sent, so that the order stays that of the queue. Those that have waited longer are held up by the policy module or
-// cannot be placed; they do not keep others back.
+// CanAdmit reports whether another request may be admitted. unsentAges holds, for each request that was admitted and
+// not yet sent, the time since its admission.
+//
+// A recently admitted request prevents further admissions until it is sent, which usually happens in the same
+// iteration of the event loop: so requests are sent in the order of the queue. One that has waited longer is delayed
+// by the policy module or cannot be placed, and only counts towards the limit of unsent requests.
 func (q *Queue) CanAdmit(unsentAges []Nanos) bool {
-	fresh := 0
+	recent := 0
 	for _, age := range unsentAges {
-		if age <= Nanos(unsentGracePart*float64(q.latencyObjective)) {
-			fresh++
+		if age <= Nanos(unsentGraceFraction*float64(q.latencyObjective)) {
+			recent++
 		}
 	}
-	return fresh == 0 && len(unsentAges) < int(q.unsentLimit)
+	return recent == 0 && len(unsentAges) < int(q.unsentLimit)
 }
 
-// NextAdmissible returns the next request to admit, and whether there is one, while unsentCount admitted requests are
-// not sent yet. A background request is next if no interactive one waits, no request is unsent and there is capacity to
-// spare. The request keeps waiting until Admit is called.
+// NextAdmissible returns the next request to admit, and whether there is one, while unsentCount admitted requests have
+// not been sent yet. A background request is next only if no interactive request waits, no request is unsent and there
+// is idle capacity. The request remains in the queue until Admit is called.
 func (q *Queue) NextAdmissible(now Nanos, unsentCount int) (RequestID, bool) {
 	if id, ok := q.interactive.nextAdmissible(); ok {
 		return id, true
@@ -156,7 +160,7 @@
 	return 0, false
 }
 
-// Admit removes a request that NextAdmissible returned from the queue.
+// Admit admits a request that NextAdmissible returned, which removes it from the queue.
 func (q *Queue) Admit(now Nanos, id RequestID) {
 	queue := q.queueHolding(id)
 	wait, admitted := queue.admit(now, id)
@@ -169,14 +173,15 @@
 	}
 }
 
-// RecordSent records that an admitted request was sent to a server. It measures the throughput behind the queue.
+// RecordSent records that an admitted request was sent to a server. The throughput behind the queue is measured by
+// these calls.
 func (q *Queue) RecordSent(now Nanos, request Request) {
 	q.interactive.throughput.record(now, EstimatedCost(request.PromptTokens, request.MaxAnswerTokens))
 	q.unsentLimit = min(q.unsentLimit+unsentIncrease, maxUnsent)
 }
 
-// RecordNotSent records that the policy module rejected an admitted request without sending it. Fewer requests may be
-// unsent from then on, so that they do not compete for the next attempt outside the order of the queue.
+// RecordNotSent records that the policy module rejected an admitted request without sending it. It lowers the limit of
+// unsent requests, because these compete for the next attempt regardless of the order of the queue.
 func (q *Queue) RecordNotSent() { q.unsentLimit = max(q.unsentLimit/2, 1) }
 
 // RecordFirstToken records the time to first token of an admitted request.
@@ -204,8 +209,8 @@
 	}
 }
 
-// Cancel removes a request whose client has left or whose time is up. It reports whether the request was waiting. A
-// request that was displaced is not returned by PopDisplaced any more.
+// Cancel removes a request whose client has left or whose deadline has passed. It reports whether the request was
+// waiting. PopDisplaced no longer returns a canceled request that was displaced.
 func (q *Queue) Cancel(now Nanos, id RequestID) bool {
 	if q.queueHolding(id).cancel(now, id) {
 		return true
@@ -215,8 +220,8 @@
 	return false
 }
 
-// PopDisplaced removes and returns a request that was displaced by another, with the advice for its client, and whether
-// there is one. The caller must reject it.
+// PopDisplaced removes and returns a request that was displaced by another, with the advice for its client, and
+// whether there is one. The caller must reject the request.
 func (q *Queue) PopDisplaced(now Nanos) (RequestID, RetryAdvice, bool) {
 	if id, advice, ok := q.interactive.popDisplaced(now); ok {
 		return id, advice, true
@@ -224,8 +229,8 @@
 	return q.background.popDisplaced(now)
 }
 
-// NextExpired returns a waiting request for which it is too late, and whether there is one. The caller must call
-// Reject.
+// NextExpired returns a waiting request that it is too late to admit, and whether there is one. The caller must call
+// Reject for it.
 func (q *Queue) NextExpired(now Nanos) (RequestID, bool) {
 	if id, ok := q.interactive.nextExpired(now); ok {
 		return id, true
@@ -233,8 +238,8 @@
 	return q.background.nextExpired(now)
 }
 
-// NextWakeup returns the earliest time at which NextExpired or NextAdmissible may return something else without another
-// call, and whether there is one.
+// NextWakeup returns the earliest time at which the result of NextExpired or NextAdmissible may change without another
+// call in between, and whether there is one.
 func (q *Queue) NextWakeup(now Nanos) (at Nanos, ok bool) {
 	at, ok = q.interactive.nextExpiry()
 	backgroundExpiry, backgroundWaits := q.background.nextExpiry()
@@ -250,7 +255,7 @@
 	return at, true
 }
 
-// Reject removes a waiting request and returns when its client should retry. It returns no advice if the request does
+// Reject removes a waiting request and returns when its client should retry. The advice is empty if the request does
 // not wait.
 func (q *Queue) Reject(now Nanos, id RequestID, reason Verdict) RetryAdvice {
 	if q.interactive.contains(id) {
@@ -259,8 +264,8 @@
 	return q.queueHolding(id).reject(now, id, reason)
 }
 
-// ReserveRetry returns when the client of a request that was admitted and then rejected by the policy module should
-// retry, minDelay from now at the earliest, and makes a reservation for it.
+// ReserveRetry makes a reservation for the retry of a request that was admitted and then rejected by the policy
+// module, and returns when its client should retry: minDelay from now at the earliest.
 func (q *Queue) ReserveRetry(now Nanos, request Request, minDelay Nanos) RetryAdvice {
 	queue := q.queueFor(&request)
 	t := queue.tenant(request.Tenant)
@@ -274,19 +279,19 @@
 }
 
 // ShedCount returns how many waiting requests should be rejected as Overloaded after an iteration of the event loop
-// that took the given time, while memoryUsed bytes are in use: an event loop that lags makes every request late, so
-// waiting requests are rejected before running ones suffer. maxMemory is 0 if memory is not limited.
+// that took the given time, while memoryUsed bytes are in use. A slow event loop delays every request, so waiting
+// requests are shed to protect the running ones. maxMemory is 0 if memory is not limited.
 func (q *Queue) ShedCount(iteration Nanos, memoryUsed, maxMemory uint64) int {
-	slow := iteration >= Nanos(overloadPart*float64(q.latencyObjective))
-	memoryShort := maxMemory > 0 && memoryUsed > maxMemory
-	if !slow && !memoryShort || q.Waiting() == 0 {
+	slow := iteration >= Nanos(overloadFraction*float64(q.latencyObjective))
+	overMemoryLimit := maxMemory > 0 && memoryUsed > maxMemory
+	if !slow && !overMemoryLimit || q.Waiting() == 0 {
 		return 0
 	}
-	return max(1, int(shedPart*float64(q.Waiting())))
+	return max(1, int(shedFraction*float64(q.Waiting())))
 }
 
-// NextToShed returns the request that should be shed first, and whether any waits: a background request before
-// others, then the newest request of the flow with the most waiting requests for its weight.
+// NextToShed returns the request that should be shed first, and whether any waits. Background requests are shed before
+// interactive ones, then the newest request of the flow with the most load.
 func (q *Queue) NextToShed() (RequestID, bool) {
 	if q.background.waiting() > 0 {
 		return q.background.nextToShed()
--- a/internal/decide/admission/queue_test.go
+++ b/internal/decide/admission/queue_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// queueModel compares a queue with plain maps of the requests that wait and run.
+// queueModel is a reference model of a queue: the requests that wait and those that run.
 type queueModel struct {
 	rt      *rapid.T
 	queue   *Queue
@@ -18,8 +18,8 @@
 	running []Request
 }
 
-// TestWorkConserving checks under random operations that a request is admissible whenever one may be admitted, that
-// each request leaves the queue exactly once, and that nothing is left behind.
+// TestWorkConserving checks under random operations that a request is admissible whenever the limits allow one, that
+// each request leaves the queue exactly once, and that an empty queue has no cost.
 func TestWorkConserving(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		q := newQueue(t, 50, TenantLimits{Weight: 1}, TenantLimits{Weight: 3, MaxRunning: 4},
@@ -47,7 +47,7 @@
 			q.Cancel(m.now, id)
 		}
 		if q.Waiting() != 0 || q.interactive.waitingCost != 0 {
-			rt.Fatalf("%d requests of cost %v wait after all were cancelled", q.Waiting(), q.interactive.waitingCost)
+			rt.Fatalf("%d requests of cost %v wait after all were canceled", q.Waiting(), q.interactive.waitingCost)
 		}
 	})
 }
@@ -59,7 +59,7 @@
 	verdict, advice := m.queue.Enqueue(m.now, request)
 	if verdict != Queued {
 		if advice.RetryAfter <= 0 {
-			m.rt.Fatalf("rejected as %q without a time to retry", verdict)
+			m.rt.Fatalf("rejected as %q without a retry delay", verdict)
 		}
 		return
 	}
@@ -109,7 +109,7 @@
 func (m *queueModel) cancel() {
 	for id := range m.waiting {
 		if !m.queue.Cancel(m.now, id) || m.queue.Cancel(m.now, id) {
-			m.rt.Fatal("want a waiting request to be cancelled once")
+			m.rt.Fatal("a waiting request was not canceled exactly once")
 		}
 		delete(m.waiting, id)
 		return
@@ -151,7 +151,7 @@
 	}
 }
 
-// TestDeterministic checks that equal calls lead to equal decisions, whatever the order of maps.
+// TestDeterministic checks that equal calls lead to equal decisions, independent of map iteration order.
 func TestDeterministic(t *testing.T) {
 	run := func() string {
 		lastRequestID = 1000000
@@ -181,8 +181,8 @@
 	}
 }
 
-// TestMemoryBound checks that the numbers of waiting requests and flows stay bounded under a flood of client names from
-// many sources.
+// TestMemoryBound checks that the numbers of waiting requests and flows stay bounded under a flood of client names
+// from many sources.
 func TestMemoryBound(t *testing.T) {
 	q := newQueue(t, 2000, TenantLimits{Weight: 1})
 	for i := range 200000 {
@@ -193,14 +193,14 @@
 		if id, ok := q.NextAdmissible(0, 0); ok && i%3 == 0 {
 			q.Admit(now, id)
 		}
-		if q.Waiting() > 2000 || q.FlowCount() > 2000+spareFlows+1 {
-			t.Fatalf("%d requests wait in %d flows, want at most 2,000 in %d", q.Waiting(), q.FlowCount(), 2000+spareFlows+1)
+		if q.Waiting() > 2000 || q.FlowCount() > 2000+extraFlows+1 {
+			t.Fatalf("%d requests wait in %d flows, want at most 2,000 in %d", q.Waiting(), q.FlowCount(), 2000+extraFlows+1)
 		}
 	}
 }
 
-// TestUnsentLimit checks that requests that could not be sent lower the number that may be unsent, and that requests
-// that are sent raise it again.
+// TestUnsentLimit checks that requests that could not be sent lower the limit of unsent requests, and that sent
+// requests raise it again.
 func TestUnsentLimit(t *testing.T) {
 	q := newQueue(t, 10, TenantLimits{Weight: 1})
 	ages := []Nanos{sec, sec, sec, sec}
@@ -225,8 +225,8 @@
 	}
 }
 
-// TestShedding checks that an overloaded dispatcher sheds an eighth of the waiting requests, from the flow with the
-// most load.
+// TestShedding checks that an overloaded dispatcher sheds an eighth of the waiting requests, starting with the flow
+// that has the most load.
 func TestShedding(t *testing.T) {
 	q := newQueue(t, 1000, TenantLimits{Weight: 1}, TenantLimits{Weight: 1})
 	for range 80 {
@@ -258,7 +258,7 @@
 	}
 }
 
-// BenchmarkQueue measures a request through the queue, by the number of flows.
+// BenchmarkQueue measures one request from Enqueue to RecordFinished at several numbers of flows.
 func BenchmarkQueue(b *testing.B) {
 	for _, flows := range []int{10, 1000, 100000} {
 		b.Run(fmt.Sprint(flows), func(b *testing.B) {
--- a/internal/decide/admission/reservations.go
+++ b/internal/decide/admission/reservations.go
@@ -5,61 +5,64 @@
 const (
 	// slotCount is the number of time slots for which reservations can be made.
 	slotCount = 256
-	// slotLengthPart is the length of a slot as a part of the latency objective.
-	slotLengthPart = 1.0 / 4
-	// reservablePart is the part of the throughput that can be reserved: the rest is for requests without a reservation,
-	// and for a throughput that falls.
-	reservablePart = 1.0 / 2
-	// earlySlots and lateSlots are how many slots before and after its own a ticket is valid: clocks and networks are not
-	// exact.
+	// slotLengthFraction is the length of a slot as a fraction of the latency objective.
+	slotLengthFraction = 1.0 / 4
+	// reservableFraction is the fraction of the throughput that can be reserved. The rest serves requests without a
+	// reservation and absorbs a decrease in throughput.
+	reservableFraction = 1.0 / 2
+	// earlySlots and lateSlots are how many slots before and after its own a ticket is valid, to tolerate clock skew
+	// and network delay.
 	earlySlots = 1
 	lateSlots  = 4
-	// maxTicketsPerSlot is the most reservations of a slot.
+	// maxTicketsPerSlot is the maximum number of reservations of a slot.
 	maxTicketsPerSlot = 4096
-	// maxHolderPart is the part of the capacity of all slots up to a client's own that may be reserved for the client, by
-	// its weight, but at least one reservation: a client that is rejected a thousand times must not take the places of
-	// others.
-	maxHolderPart = 1.0 / 8
-	// holderBuckets is the number of hash buckets in which a slot counts the reservations of its holders.
+	// maxHolderFraction is the fraction of the capacity, of all slots up to that of a new reservation, that a holder
+	// may reserve for each unit of its weight. One reservation is always allowed. A client that is rejected often thus
+	// leaves capacity to others.
+	maxHolderFraction = 1.0 / 8
+	// holderBuckets is the number of hash buckets in which a slot sums the reserved cost of its holders.
 	holderBuckets = 64
-	// defaultRetryPart is the delay of a retry as a part of the latency objective while no throughput is measured.
-	defaultRetryPart = 1.0 / 2
-	// goldenRatioPart spreads the reservations of a slot evenly over its time, however many are made.
-	goldenRatioPart = 0.6180339887498949
+	// defaultRetryFraction is the minimum delay of a retry, as a fraction of the latency objective, while there is no
+	// measurement of the throughput.
+	defaultRetryFraction = 1.0 / 2
+	// goldenRatioFraction is the fractional part of the golden ratio. Its multiples modulo 1 are spread evenly over
+	// the slot, whatever the number of reservations.
+	goldenRatioFraction = 0.6180339887498949
 )
 
-// reservationTable holds the reservations of the coming time slots: the cost reserved, and which tickets were used.
+// reservationTable holds the reserved costs and the tickets of the upcoming time slots.
 type reservationTable struct {
-	signer     *TicketSigner // nil: no reservations are made
+	signer     *TicketSigner // if nil, no reservations are made
 	slotLength Nanos
-	slots      [slotCount]timeSlot // a ring, by number
+	slots      [slotCount]timeSlot // ring buffer, indexed by slot number modulo slotCount
 }
 
+// timeSlot holds the reservations of one time slot.
 type timeSlot struct {
-	number       int64
-	cost         float64 // reserved
-	granted      uint32  // tickets
-	redeemed     [maxTicketsPerSlot / 64]uint64
-	costByHolder [holderBuckets]float64 // reserved, by the hash of the holder
+	number       int64                          // start time divided by slotLength; -1 if unused
+	cost         float64                        // total reserved cost
+	granted      uint32                         // number of tickets granted
+	redeemed     [maxTicketsPerSlot / 64]uint64 // bit set of the serials of the tickets used
+	costByHolder [holderBuckets]float64         // reserved cost by hash of the holder
 }
 
-// reservationClaim is what is to be reserved.
+// reservationClaim describes a reservation to make.
 type reservationClaim struct {
-	notBefore Nanos
-	holder    uint64  // hash of the client, or of the source of an unknown one
+	notBefore Nanos   // earliest time of the retry
+	holder    uint64  // hash of the client, or of its source if it is unknown
 	weight    float64 // of the holder
 	cost      float64
 }
 
 func newReservationTable(signer *TicketSigner, latencyObjective Nanos) *reservationTable {
-	r := &reservationTable{signer: signer, slotLength: max(Nanos(slotLengthPart*float64(latencyObjective)), 1)}
+	r := &reservationTable{signer: signer, slotLength: max(Nanos(slotLengthFraction*float64(latencyObjective)), 1)}
 	for i := range r.slots {
 		r.slots[i].number = -1
 	}
 	return r
 }
 
-// slot returns the slot of a number and drops an older one in its place.
+// slot returns the slot with the given number. It replaces the older slot at the same index of the ring buffer.
 func (r *reservationTable) slot(number int64) *timeSlot {
 	s := &r.slots[number%slotCount]
 	if s.number != number {
@@ -68,22 +71,22 @@
 	return s
 }
 
-// horizon returns the time that all slots cover.
+// horizon returns the total length of all slots.
 func (r *reservationTable) horizon() Nanos { return slotCount * r.slotLength }
 
-// reserve makes a reservation in the first slot that has enough capacity at the given throughput. It returns the number
-// of the slot and the serial of the reservation in it, and whether there is such a slot.
+// reserve makes a reservation in the first slot that has enough capacity at the given throughput. It returns the
+// number of the slot and the serial of the reservation in it, and whether there is such a slot.
 func (r *reservationTable) reserve(
 	now Nanos, claim reservationClaim, throughput float64,
 ) (slot int64, serial uint32, ok bool) {
-	capacity := reservablePart * throughput * float64(r.slotLength)
+	capacity := reservableFraction * throughput * float64(r.slotLength)
 	first, last := now/r.slotLength+1, now/r.slotLength+slotCount-lateSlots-2
 	heldCost := 0.0 // by the holder, in all slots so far
 	for n := first; n <= last; n++ {
 		s := r.slot(n)
 		holderCost := &s.costByHolder[claim.holder%holderBuckets]
 		heldCost += *holderCost
-		maxHeldCost := claim.weight * maxHolderPart * capacity * float64(n-first+1)
+		maxHeldCost := claim.weight * maxHolderFraction * capacity * float64(n-first+1)
 		holderFull := heldCost > 0 && heldCost+claim.cost > maxHeldCost
 		if n < claim.notBefore/r.slotLength || holderFull || !s.hasCapacity(claim.cost, capacity) {
 			continue
@@ -96,7 +99,8 @@
 	return 0, 0, false
 }
 
-// hasCapacity reports whether cost can be reserved in a slot. A request larger than a slot takes one of its own.
+// hasCapacity reports whether cost can be reserved in a slot. A request that exceeds the capacity of a slot gets one
+// of its own.
 func (s *timeSlot) hasCapacity(cost, capacity float64) bool {
 	return s.granted < maxTicketsPerSlot && (s.cost+cost <= capacity || s.granted == 0)
 }
@@ -121,21 +125,21 @@
 	return true
 }
 
-// retryTime returns the time of a reservation's retry: reservations are spread over their slot by their serial.
+// retryTime returns when the client of a reservation should retry. The retries of a slot are spread over its length.
 func (r *reservationTable) retryTime(slot int64, serial uint32) Nanos {
-	_, part := math.Modf(float64(serial) * goldenRatioPart)
-	return slot*r.slotLength + Nanos(part*float64(r.slotLength))
+	_, fraction := math.Modf(float64(serial) * goldenRatioFraction)
+	return slot*r.slotLength + Nanos(fraction*float64(r.slotLength))
 }
 
-// reserveRetry returns when the client of a rejected request should retry, minDelay from now at the earliest, and makes
-// a reservation for it. If the tenant exceeded its rate, the retry comes no earlier than the rate allows.
+// reserveRetry makes a reservation for the retry of a rejected request and returns when its client should retry:
+// minDelay from now at the earliest, and if the tenant exceeded its rate, not before the rate allows it.
 func (q *fairQueue) reserveRetry(
 	now Nanos, t *tenant, request pricedRequest, reason Verdict, minDelay Nanos,
 ) RetryAdvice {
 	throughput := q.throughput.costPerNano(now)
 	notBefore := now + minDelay
 	if throughput <= 0 {
-		notBefore = max(notBefore, now+Nanos(defaultRetryPart*float64(q.latencyObjective)))
+		notBefore = max(notBefore, now+Nanos(defaultRetryFraction*float64(q.latencyObjective)))
 	}
 	if reason == TenantRateExceeded && t.RequestsPerSecond > 0 {
 		notBefore = max(notBefore, now+Nanos((1-t.tokens)/t.RequestsPerSecond*nanosPerSecond))
@@ -144,7 +148,7 @@
 	if throughput <= 0 || q.reservations.signer == nil {
 		return RetryAdvice{RetryAfter: max(notBefore-now, 1)}
 	}
-	if reason != TenantRateExceeded { // the requests before it in its flow are admitted first, not all that wait
+	if reason != TenantRateExceeded { // only requests ahead of it in its flow delay it, not all that wait
 		wait := q.estimatedWait(now, t, q.findFlow(now, t, request.Request), request.cost)
 		notBefore = max(notBefore, now+min(wait, q.reservations.horizon()/2))
 	}
@@ -163,8 +167,8 @@
 	}
 }
 
-// limitedThroughput returns the throughput of a tenant whose rate allows at most tenantThroughput, which also stands in
-// for a throughput that is not measured.
+// limitedThroughput returns the throughput available to a tenant whose rate limit amounts to tenantThroughput: the
+// lower of the two, or tenantThroughput if the throughput has not been measured.
 func limitedThroughput(throughput, tenantThroughput float64) float64 {
 	if throughput = min(throughput, tenantThroughput); throughput <= 0 {
 		return tenantThroughput
--- a/internal/decide/admission/reservations_test.go
+++ b/internal/decide/admission/reservations_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// TestTickets checks that a ticket is valid once, for its client, at its time, and cannot be changed or invented.
+// TestTickets checks that a ticket is valid once, for its client and in its time, and cannot be changed or forged.
 func TestTickets(t *testing.T) {
 	q := newQueue(t, 16, TenantLimits{Weight: 1}, TenantLimits{Weight: 1})
 	now := sec
@@ -51,11 +51,11 @@
 		}
 	}
 	if r.redeem(due, 0, 5, &Ticket{Tenant: 0, Client: 5, Slot: ticket.Slot, Serial: ticket.Serial + 4000}) {
-		t.Error("a ticket with a serial that was never granted is valid")
+		t.Error("a ticket with a serial that was not granted is valid")
 	}
 }
 
-// checkEncoding checks that a ticket can be decoded, and that none of its bytes can be changed.
+// checkEncoding checks that an encoded ticket can be decoded, and not if any of its bytes was changed.
 func checkEncoding(t *testing.T, signer *TicketSigner, ticket *Ticket) {
 	t.Helper()
 	encoded := signer.Encode(ticket)
@@ -65,24 +65,24 @@
 	for i := range encoded {
 		encoded[i] ^= 1
 		if _, err := signer.Decode(encoded); err == nil {
-			t.Fatalf("byte %d was changed and the ticket accepted", i)
+			t.Fatalf("ticket accepted although byte %d was changed", i)
 		}
 		encoded[i] ^= 1
 	}
 }
 
-// TestRetriesWithTickets checks that nearly all requests that were rejected in a burst are admitted and served if they
-// retry with their ticket at the advised time, also if clocks are off or the throughput has fallen to half meanwhile.
+// TestRetriesWithTickets checks that nearly all requests that were rejected in a burst are served if they retry with
+// their ticket at the advised time, also with clock skew or after the throughput has fallen by half.
 func TestRetriesWithTickets(t *testing.T) {
 	const costPerMS = 25
 	for _, test := range []struct {
 		name            string
-		throughputLater float64 // after the burst, as a part of that before
+		throughputLater float64 // after the burst, as a fraction of that before
 		maxClockError   Nanos
-		minServed       float64 // as a part of the retries
+		minServed       float64 // as a fraction of the retries
 	}{
 		{"at the advised time", 1, 0, 0.95},
-		{"clocks off", 1, 150 * ms, 0.95},
+		{"clock skew", 1, 150 * ms, 0.95},
 		{"half the throughput", 0.5, 0, 0.95},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -101,7 +101,7 @@
 				request Request
 			}
 			var retries []retry
-			for range 300 { // more than a second of five times the throughput
+			for range 300 { // 1.2 s at five times the throughput
 				for range 5 {
 					request := newRequest(0, uint64(1+rng.IntN(500)), 100)
 					request.Deadline = now + 2*sec
@@ -121,7 +121,7 @@
 				}
 			}
 			if len(retries) < 100 {
-				t.Fatalf("%d rejected with a reservation, want 100 or more; %+v", len(retries), q.TenantCounts(0))
+				t.Fatalf("%d rejections with a reservation, want 100 or more; counts %+v", len(retries), q.TenantCounts(0))
 			}
 			retryCount, queued := 0, map[RequestID]bool{}
 			for end := now + 80*sec; now < end; {
@@ -146,22 +146,21 @@
 					servedCount++
 				}
 			}
-			part := float64(servedCount) / float64(retryCount)
-			t.Logf("%d retries at the advised time, %.3f of them served", retryCount, part)
-			if retryCount < 100 || part < test.minServed {
-				t.Errorf("%.3f of %d retries served, want %.2f or more of at least 100", part, retryCount, test.minServed)
+			fraction := float64(servedCount) / float64(retryCount)
+			t.Logf("%d retries at the advised time, %.3f of them served", retryCount, fraction)
+			if retryCount < 100 || fraction < test.minServed {
+				t.Errorf("%.3f of %d retries served, want %.2f or more of at least 100", fraction, retryCount, test.minServed)
 			}
 		})
 	}
 }
 
-// TestManyReservationsOfOneClient checks that a client that makes a thousand reservations leaves capacity of each slot
-// to others.
+// TestManyReservationsOfOneClient checks that a client with many reservations leaves capacity of each slot to others.
 func TestManyReservationsOfOneClient(t *testing.T) {
 	q := newQueue(t, 64, TenantLimits{Weight: 1})
 	makeKnown(q, 1, 0, 5, 6)
 	now := sec
-	for range 2000 { // a throughput is measured, and the queue is full
+	for range 2000 { // measures a throughput and fills the queue
 		q.Enqueue(now, newRequest(0, 7, 100))
 		if q.Waiting() > 50 {
 			sendNext(q, now)
@@ -187,16 +186,16 @@
 	}
 	advice := q.Reject(now, other.ID, Overloaded)
 	if advice.Ticket == nil {
-		t.Fatalf("%+v: want a reservation", advice)
+		t.Fatalf("no ticket in advice %+v", advice)
 	}
 	if advice.RetryAfter > firstRetryAfter+2*q.interactive.reservations.slotLength {
-		t.Errorf("after %d reservations of another client the retry is due in %d ms, the first of those was in %d ms",
+		t.Errorf("after %d reservations of another client the retry is due in %d ms; that client's first was in %d ms",
 			reservations, advice.RetryAfter/ms, firstRetryAfter/ms)
 	}
 }
 
-// TestEarlyRetries checks that tickets are not valid if their clients all retry at once before their time, that the
-// number of waiting requests stays bounded then, and that a small known client is admitted soon.
+// TestEarlyRetries checks that when many clients retry before their time, their tickets are not valid, the number of
+// waiting requests stays bounded, and a known client with one request is admitted soon.
 func TestEarlyRetries(t *testing.T) {
 	q := newQueue(t, 64, TenantLimits{Weight: 1})
 	makeKnown(q, 1, 0, 6)
@@ -226,7 +225,7 @@
 	}
 	redeemed := q.TenantCounts(0).ReservationsRedeemed - before.ReservationsRedeemed
 	if redeemed != 0 || q.Waiting() > 64 {
-		t.Errorf("%d tickets were valid before their time, want none; %d requests wait, want at most 64",
+		t.Errorf("%d tickets valid before their time, want none; %d requests wait, want at most 64",
 			redeemed, q.Waiting())
 	}
 	admitNext(q, now)
@@ -242,8 +241,8 @@
 	}
 }
 
-// TestRetryDelayFollowsShare checks that a client that is rejected while the flood of another waits is told to retry
-// after the requests before its own share, and not after the flood.
+// TestRetryDelayFollowsShare checks that the retry delay of a client depends on its own share of the throughput and
+// not on the waiting requests of a client that floods the queue.
 func TestRetryDelayFollowsShare(t *testing.T) {
 	q := newQueue(t, 1000, TenantLimits{Weight: 1})
 	makeKnown(q, 0, 0, 7, 8)
@@ -260,10 +259,10 @@
 	}
 	small, flood := q.ReserveRetry(now, newRequest(0, 8, 1000), 0), q.ReserveRetry(now, newRequest(0, 7, 1000), 0)
 	if small.Ticket == nil || flood.Ticket == nil {
-		t.Fatalf("%+v and %+v, want two reservations", small, flood)
+		t.Fatalf("advice %+v and %+v, want two reservations", small, flood)
 	}
 	if small.RetryAfter > flood.RetryAfter/2 || flood.RetryAfter < 500*ms {
-		t.Errorf("retry after %d ms for the small client, want at most half of the flood's; %d ms for the flood, want 500",
+		t.Errorf("small client: retry after %d ms, want at most half of the flood's; flood: after %d ms, want 500",
 			small.RetryAfter/ms, flood.RetryAfter/ms)
 	}
 }
--- a/internal/decide/admission/throughput.go
+++ b/internal/decide/admission/throughput.go
@@ -3,64 +3,67 @@
 import "math"
 
 const (
-	// throughputMemory is the time constant of the throughput measurement in latency objectives, long enough that a
-	// single gap matters little.
-	throughputMemory = 4
-	// minBusyPart is the part of the time constant for which requests must have waited before there is a measurement.
-	minBusyPart = 1.0 / 64
+	// throughputTimeConstant is the time constant of the throughput measurement, in latency objectives. It is long
+	// enough that a single gap has little effect.
+	throughputTimeConstant = 4
+	// minBusyFraction is the fraction of the time constant for which requests must have waited before there is a
+	// measurement.
+	minBusyFraction = 1.0 / 64
 )
 
-// throughputMeter measures the cost that is sent in a nanosecond while requests wait. Only then does it show what the
-// fleet behind the queue can take. Older measurements decay exponentially.
+// throughputMeter measures the cost of the requests sent per nanosecond while others wait. Only then is it determined
+// by the capacity of the fleet behind the queue rather than by the arrival rate. Older measurements decay
+// exponentially with the time in which requests wait.
 type throughputMeter struct {
-	timeConstant Nanos
-	busySince    Nanos   // requests wait, and are accounted for up to then; 0 if none waits
-	busyTime     float64 // nanoseconds in which requests waited, decayed
-	cost         float64 // sent in that time, decayed
+	timeConstant   Nanos
+	accountedUntil Nanos   // time up to which busyTime and cost are accounted for; 0 while no request waits
+	busyTime       float64 // nanoseconds in which requests waited, decayed
+	cost           float64 // cost of the requests sent in that time, decayed
 }
 
-// start records that requests wait from now on.
-func (m *throughputMeter) start(now Nanos) { m.busySince = now }
+// start records that the queue is no longer empty.
+func (m *throughputMeter) start(now Nanos) { m.accountedUntil = now }
 
-// stop records that no request waits any more.
+// stop records that the queue is empty.
 func (m *throughputMeter) stop(now Nanos) {
 	m.advance(now)
-	m.busySince = 0
+	m.accountedUntil = 0
 }
 
-// advance accounts for the time up to now.
+// advance accounts for the time up to now, in which requests waited.
 func (m *throughputMeter) advance(now Nanos) {
-	if m.busySince == 0 || now <= m.busySince {
+	if m.accountedUntil == 0 || now <= m.accountedUntil {
 		return
 	}
-	elapsed := float64(now - m.busySince)
+	elapsed := float64(now - m.accountedUntil)
 	decay := math.Exp(-elapsed / float64(m.timeConstant))
 	m.busyTime = m.busyTime*decay + elapsed
 	m.cost *= decay
-	m.busySince = now
+	m.accountedUntil = now
 }
 
-// record accounts for a request of the given cost that was sent; it is ignored while no request waits.
+// record accounts for the cost of a request that was sent. It does nothing while no request waits.
 func (m *throughputMeter) record(now Nanos, cost float64) {
-	if m.busySince == 0 {
+	if m.accountedUntil == 0 {
 		return
 	}
 	m.advance(now)
 	m.cost += cost
 }
 
-// costPerNano returns the throughput up to now; 0 if requests have hardly had to wait yet.
+// costPerNano returns the throughput; 0 if requests have not waited long enough for a measurement.
 func (m *throughputMeter) costPerNano(now Nanos) float64 {
 	m.advance(now)
-	if m.busyTime < float64(m.timeConstant)*minBusyPart {
+	if m.busyTime < float64(m.timeConstant)*minBusyFraction {
 		return 0
 	}
 	return m.cost / m.busyTime
 }
 
-// estimatedWait returns how long a new request of the given cost would wait in flow f of tenant t: until the requests
-// before it in its flow are admitted at the flow's share of the throughput, but no longer than until all waiting
-// requests are. f is nil if the flow does not exist yet.
+// estimatedWait returns how long a new request of the given cost would wait in flow f of tenant t: the time in which
+// it and the requests ahead of it in its flow are admitted at the flow's share of the throughput, or in which all
+// waiting requests are admitted if that is less. It returns 0 without a measurement of the throughput. f is nil if the
+// flow does not exist yet.
 func (q *fairQueue) estimatedWait(now Nanos, t *tenant, f *flow, cost float64) Nanos {
 	throughput := q.throughput.costPerNano(now)
 	if throughput <= 0 || len(q.requests) == 0 {
@@ -69,8 +72,8 @@
 	flowCost, flowWeight := cost, 1.0
 	if f != nil {
 		flowWeight = f.weight
-		for _, w := range f.requests.Items() {
-			flowCost += w.cost
+		for _, queued := range f.requests.Items() {
+			flowCost += queued.cost
 		}
 	}
 	otherFlowWeights := 0.0
--- a/internal/decide/admission/ticket.go
+++ b/internal/decide/admission/ticket.go
@@ -13,7 +13,7 @@
 	Tenant int
 	Client uint64 // as in Request
 	Slot   int64  // number of the time slot in which the retry is due
-	Serial uint32 // number of the reservation in its slot
+	Serial uint32 // number of the reservation within its slot
 }
 
 // An encoded ticket is the tenant, the client, the slot and the serial in big-endian order, followed by the signature.
@@ -26,19 +26,20 @@
 	ticketSize      = signatureOffset + signatureSize
 )
 
-// ErrInvalidTicket is returned for a ticket that was not signed with the key of this signer.
-var ErrInvalidTicket = errors.New("ticket has no valid signature")
+// ErrInvalidTicket reports that a ticket has the wrong size or was not signed with the key of the signer.
+var ErrInvalidTicket = errors.New("invalid ticket size or signature")
 
-// TicketSigner signs tickets, so that clients can neither invent nor change one.
+// TicketSigner signs tickets, so that clients can neither forge nor change one.
 type TicketSigner struct {
 	mac hash.Hash
-	sum []byte // buffer
+	sum []byte // reused by signature
 }
 
-// NewTicketSigner returns a signer. The key should be 32 random bytes; tickets are valid as long as it is used.
+// NewTicketSigner returns a signer. The key should be 32 random bytes. Only signers with the
+// same key accept its tickets.
 func NewTicketSigner(key []byte) *TicketSigner { return &TicketSigner{mac: hmac.New(sha256.New, key)} }
 
-// signature returns the signature of data; it is valid until the next call.
+// signature returns the signature of data. The result is valid until the next call.
 func (s *TicketSigner) signature(data []byte) []byte {
 	s.mac.Reset()
 	s.mac.Write(data)
@@ -46,7 +47,7 @@
 	return s.sum[:signatureSize]
 }
 
-// Encode returns the signed form of a ticket that its client is sent.
+// Encode returns the signed encoding of a ticket, as sent to its client.
 func (s *TicketSigner) Encode(t *Ticket) []byte {
 	b := make([]byte, 0, ticketSize)
 	b = binary.BigEndian.AppendUint64(b, uint64(t.Tenant))
@@ -56,7 +57,7 @@
 	return append(b, s.signature(b)...)
 }
 
-// Decode returns the ticket that Encode encoded as b. It returns ErrInvalidTicket if the signature does not match.
+// Decode returns the ticket encoded as b. It returns ErrInvalidTicket if the size or the signature of b is wrong.
 func (s *TicketSigner) Decode(b []byte) (*Ticket, error) {
 	if len(b) != ticketSize || !hmac.Equal(s.signature(b[:signatureOffset]), b[signatureOffset:]) {
 		return nil, ErrInvalidTicket
--- a/internal/decide/background/background.go
+++ b/internal/decide/background/background.go
@@ -32,8 +32,8 @@
 	firstTokenThreshold = 1.0 / 3
 	// pauseThreshold is the fraction of the latency objective above which admission is also paused.
 	pauseThreshold = 1.0 / 2
-	// decreaseIntervalFraction is the minimum time between two decreases, as a fraction of the latency objective, so that
-	// requests admitted before a decrease can end first.
+	// decreaseIntervalFraction is the minimum time between two decreases, as a fraction of the latency objective, so
+	// that requests admitted before a decrease can end first.
 	decreaseIntervalFraction = 1.0 / 2
 	// pauseDurationFactor is the duration of a pause of admission, as a multiple of the latency objective.
 	pauseDurationFactor = 2
