--- a/internal/decide/intake/intake.go
+++ b/internal/decide/intake/intake.go
@@ -9,22 +9,22 @@
 
 // The verdicts.
 const (
-	Accepted         Verdict = iota
-	Draining                 // the dispatcher drains
-	AtCapacity               // the dispatcher has its maximum number of requests in progress
-	PromptTooLong            // the prompt exceeds the token limit
-	DeadlineTooClose         // no answer could reach the client before its deadline
-	NoServersKnown           // no endpoint list has been received yet
+	Accepted            Verdict = iota
+	Draining                    // the dispatcher drains
+	AtCapacity                  // the dispatcher has its maximum number of requests in progress
+	PromptTooLong               // the prompt exceeds the token limit
+	DeadlineTooClose            // no answer could reach the client before its deadline
+	EndpointListUnknown         // no endpoint list has been received yet
 )
 
 // verdictTexts are part of the interface: clients receive them as the reason for a rejection.
 var verdictTexts = [...]string{
-	Accepted:         "accepted",
-	Draining:         "dispatcher drains",
-	AtCapacity:       "too many requests in hand",
-	PromptTooLong:    "prompt too long",
-	DeadlineTooClose: "no time left",
-	NoServersKnown:   "no engines known",
+	Accepted:            "accepted",
+	Draining:            "dispatcher drains",
+	AtCapacity:          "too many requests in hand",
+	PromptTooLong:       "prompt too long",
+	DeadlineTooClose:    "no time left",
+	EndpointListUnknown: "no engines known",
 }
 
 // String returns the text of the verdict. Clients receive that of a rejection.
@@ -57,7 +57,7 @@
 	case timeLeft <= 0:
 		return DeadlineTooClose, 0
 	case !l.ListKnown:
-		return NoServersKnown, latencyTarget
+		return EndpointListUnknown, latencyTarget
 	case inProgress >= l.MaxRequests:
 		return AtCapacity, latencyTarget / 2
 	}
--- a/internal/decide/intake/intake_test.go
+++ b/internal/decide/intake/intake_test.go
@@ -21,7 +21,7 @@
 		{"prompt too long", limits, 0, 101, 1, PromptTooLong, 0},
 		{"no time left", limits, 0, 1, 0, DeadlineTooClose, 0},
 		{"draining before capacity", draining, 10, 1, 1, Draining, 0},
-		{"no list yet", listUnknown, 0, 1, 1, NoServersKnown, 1000},
+		{"no endpoint list yet", listUnknown, 0, 1, 1, EndpointListUnknown, 1000},
 	} {
 		got, retryAfter := c.limits.Check(c.inProgress, c.prompt, c.timeLeft, latencyTarget)
 		if got != c.want || retryAfter != c.retryAfter {
--- a/internal/decide/intake/text_test.go
+++ b/internal/decide/intake/text_test.go
@@ -6,7 +6,7 @@
 func TestVerdictText(t *testing.T) {
 	for verdict, want := range map[Verdict]string{
 		Accepted: "accepted", Draining: "dispatcher drains", AtCapacity: "too many requests in hand",
-		PromptTooLong: "prompt too long", DeadlineTooClose: "no time left", NoServersKnown: "no engines known",
+		PromptTooLong: "prompt too long", DeadlineTooClose: "no time left", EndpointListUnknown: "no engines known",
 	} {
 		if got := verdict.String(); got != want {
 			t.Errorf("verdict %d is %q, want %q", uint8(verdict), got, want)
