--- a/internal/decide/batchscheduler/export_test.go
+++ b/internal/decide/batchscheduler/export_test.go
@@ -1,9 +1,9 @@
 package batchscheduler
 
-// InFlight returns the number of lines in flight. Only tests use it.
+// InFlight returns the number of lines in flight.
 func (s *Scheduler) InFlight() int { return s.inFlight }
 
-// String names the verdict in messages of tests.
+// String returns the verdict's name for test failure messages.
 func (v Verdict) String() string {
 	switch v {
 	case VerdictCompleted:
--- a/internal/decide/batchscheduler/outcome.go
+++ b/internal/decide/batchscheduler/outcome.go
@@ -4,37 +4,37 @@
 type Outcome uint8
 
 const (
-	// OutcomeServed means that the request was answered.
+	// OutcomeServed means that the request was served and its response received.
 	OutcomeServed Outcome = iota
-	// OutcomeRejected means that the request was not begun: a retry does no harm.
+	// OutcomeRejected means that the request did not run, so that a retry is safe.
 	OutcomeRejected
 	// OutcomeFailed means that the request failed and may have run.
 	OutcomeFailed
-	// OutcomeConnectionLost means that the connection ended first; the request may have run.
+	// OutcomeConnectionLost means that the connection was lost before the response; the request may have run.
 	OutcomeConnectionLost
-	// OutcomeInvalid means that the request will never be accepted.
+	// OutcomeInvalid means that the request was rejected as invalid and every retry would be.
 	OutcomeInvalid
 )
 
-// mayHaveRun reports whether the request may have run without an answer.
+// mayHaveRun reports whether the request may have run although no response came.
 func (o Outcome) mayHaveRun() bool { return o == OutcomeFailed || o == OutcomeConnectionLost }
 
 // Verdict says what becomes of a line whose attempt has ended.
 type Verdict uint8
 
 const (
-	// VerdictCompleted means that the line has ended with an answer.
+	// VerdictCompleted means that the line has ended with a response.
 	VerdictCompleted Verdict = iota
 	// VerdictRetry means that NextLine returns the line again after a backoff.
 	VerdictRetry
-	// VerdictFailed means that the line has ended without an answer.
+	// VerdictFailed means that the line has ended without a response.
 	VerdictFailed
 )
 
-// FailureReason says why a line has failed. Its text stands in the error file of the batch.
+// FailureReason says why a line has failed. Its text is written to the error file of the batch.
 type FailureReason string
 
-// Reasons of VerdictFailed, and ReasonCancelled of the lines that a cancelled batch never sent.
+// Reasons of VerdictFailed; ReasonCancelled is used for the lines that a cancelled batch did not send.
 const (
 	ReasonMayHaveRun           FailureReason = "may have run: it is not sent again"
 	ReasonTooManyAttempts      FailureReason = "gave up after so many tries"
@@ -46,21 +46,22 @@
 )
 
 const (
-	// maxUncertainAttempts bounds the attempts of a line that may have run. Rejections are not bounded: a rejected line
-	// is retried until the deadline of its batch.
+	// maxUncertainAttempts bounds a line's attempts that may have run. Rejected attempts are not counted: they are
+	// retried until the deadline of the batch.
 	maxUncertainAttempts = 4
-	// backoffFactor is how much longer each backoff is than the one before.
+	// backoffFactor is the ratio of each backoff to the previous one.
 	backoffFactor = 2.0
 	// maxBackoffMultiple bounds a backoff, as a multiple of the initial backoff.
 	maxBackoffMultiple = 64
 	// maxBackoffSteps bounds the multiplications for one backoff.
 	maxBackoffSteps = 32
-	// jitterFraction of a backoff is added at random, so that lines which were rejected together spread out.
+	// jitterFraction bounds the random part of a backoff, as a fraction of it. It spreads out the retries of lines that
+	// were rejected together.
 	jitterFraction = 0.25
 )
 
-// ReportOutcome accounts that an attempt of a line has ended. retryAfter is how long a rejection asks to wait. The
-// reason is set if the verdict is VerdictFailed.
+// ReportOutcome records the end of a line's attempt and returns what becomes of the line. retryAfter is the least wait
+// that a rejection asked for, or 0. The reason is empty unless the verdict is VerdictFailed.
 func (s *Scheduler) ReportOutcome(
 	now Nanos, id BatchID, index LineIndex, outcome Outcome, retryAfter Nanos,
 ) (Verdict, FailureReason) {
@@ -89,7 +90,7 @@
 	return VerdictRetry, ""
 }
 
-// completeLine accounts a line as completed.
+// completeLine records that a line has completed.
 func (b *batchRecord) completeLine(now Nanos, line *lineRecord) {
 	line.State = LineCompleted
 	b.remainingCost -= line.Cost
@@ -97,7 +98,8 @@
 	b.completedCount++
 }
 
-// countAttempt counts an attempt that was not served. It returns why the line has failed, or "" if it may be retried.
+// countAttempt counts an attempt that was not served. It returns the reason if the line has failed by it, or "" if the
+// line may be retried.
 func (b *batchRecord) countAttempt(now Nanos, line *lineRecord, outcome Outcome) FailureReason {
 	mayHaveRun := outcome.mayHaveRun()
 	switch {
--- a/internal/decide/batchscheduler/recorded_test.go
+++ b/internal/decide/batchscheduler/recorded_test.go
@@ -7,15 +7,15 @@
 	"testing"
 )
 
-// recordedDecisions holds digests of the decisions that the program of commit 61b72d4 takes in randomDecisions. A
-// digest's index is its seed.
+// recordedDecisions holds the digests that randomDecisions returned with the scheduler of commit 61b72d4, indexed by
+// seed.
 var recordedDecisions = []uint64{}
 
-// randomDecisions returns a digest of a scheduler's decisions over some thousand random calls.
+// randomDecisions returns a digest of a scheduler's decisions in a random sequence of calls.
 func randomDecisions(t *testing.T, seed uint64) uint64 {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 17))
-	s, err := New([]float64{1, 2.5, 0.3}, sec/10, 12, rng.Float64)
+	s, err := New([]float64{1, 2.5, 0.3}, second/10, 12, rng.Float64)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -28,7 +28,7 @@
 	var sent []sentLine
 	now, lastID := Nanos(1), BatchID(0)
 	for range 6000 {
-		now += rng.Int64N(sec / 20)
+		now += rng.Int64N(second / 20)
 		switch action := rng.IntN(40); {
 		case action == 0 && lastID < 30:
 			lastID++
@@ -39,8 +39,8 @@
 				}
 			}
 			record("add", s.AddBatch(Batch{
-				ID: (lastID * 7) % 31, Tenant: rng.IntN(3), Effect: Effect(rng.IntN(3)), DeduplicationWindow: 3 * sec,
-				Deadline: now + rng.Int64N(200*sec), Lines: lines,
+				ID: (lastID * 7) % 31, Tenant: rng.IntN(3), Effect: Effect(rng.IntN(3)), DeduplicationWindow: 3 * second,
+				Deadline: now + rng.Int64N(200*second), Lines: lines,
 			}) == nil)
 		case action == 1:
 			s.StopBatch(BatchID(rng.IntN(31)))
@@ -69,14 +69,14 @@
 			i := rng.IntN(len(sent))
 			line := sent[i]
 			sent = append(sent[:i], sent[i+1:]...)
-			verdict, reason := s.ReportOutcome(now, line.id, line.index, Outcome(rng.IntN(5)), rng.Int64N(sec)*rng.Int64N(2))
+			verdict, reason := s.ReportOutcome(now, line.id, line.index, Outcome(rng.IntN(5)), rng.Int64N(second)*rng.Int64N(2))
 			record("outcome", uint8(verdict), reason)
 		}
 	}
 	return digest.Sum64()
 }
 
-// TestRecordedDecisions checks that random calls lead to the decisions that commit 61b72d4 takes.
+// TestRecordedDecisions checks that the scheduler still takes the decisions of commit 61b72d4.
 func TestRecordedDecisions(t *testing.T) {
 	for seed, want := range recordedDecisions {
 		if got := randomDecisions(t, uint64(seed)); got != want {
--- a/internal/decide/batchscheduler/scheduler.go
+++ b/internal/decide/batchscheduler/scheduler.go
@@ -1,6 +1,6 @@
-// Package batchscheduler decides how the lines of batches are sent: which line of which batch is sent next, which is
-// retried and when, what a restart means for a line in flight, and which state of a batch may follow another. It does
-// no I/O and reads no clock.
+// Package batchscheduler decides how the lines of batches are sent: which line of which batch is sent next, whether and
+// when a line is retried, how a line in flight is recovered after a restart, and which state transitions of a batch are
+// valid. It does no I/O and reads no clock.
 package batchscheduler
 
 import (
@@ -15,47 +15,47 @@
 // Nanos is a time or a duration in nanoseconds.
 type Nanos = int64
 
-// BatchID names a batch of a scheduler.
+// BatchID identifies a batch within a scheduler.
 type BatchID uint64
 
-// LineIndex is a line's position in its batch, from 0.
+// LineIndex is the index of a line in its batch, counted from 0.
 type LineIndex int32
 
-// Batch is a batch as AddBatch takes it.
+// Batch describes a batch to AddBatch.
 type Batch struct {
 	ID                  BatchID
-	Tenant              int // index of the weights given to New
+	Tenant              int // index into the weights given to New
 	Effect              Effect
-	DeduplicationWindow Nanos // of Deduplicated lines, from the first attempt that may have run
+	DeduplicationWindow Nanos // for Deduplicated lines, counted from the end of the first attempt that may have run
 	Deadline            Nanos // end of the completion window
 	Lines               []LineSpec
 }
 
-// LineSpec is a line as AddBatch takes it.
+// LineSpec describes a line to AddBatch.
 type LineSpec struct {
-	Cost        float64 // in tokens read
-	PrefixGroup uint64  // lines of a group share the beginning of their prompts and are sent together; 0 = no group
+	Cost        float64 // in prompt tokens or their equivalent
+	PrefixGroup uint64  // lines of a group share a prompt prefix and are sent consecutively; 0 = no group
 	State       LineState
 }
 
-// completionHistory is the number of completed lines from whose times Forecast takes the pace of a batch.
+// completionHistory is the number of recent line completions from which Forecast computes the rate of a batch.
 const completionHistory = 256
 
 type lineRecord struct {
 	LineSpec
 	index             LineIndex
 	uncertainAttempts uint8 // attempts that may have run
-	rejections        uint8 // wraps around, which begins the backoff anew
+	rejections        uint8 // wraps around, which resets the backoff
 	firstUncertainAt  Nanos // end of the first attempt that may have run; 0 = none
 	retryAt           Nanos
-	heapPlace         int // in batchRecord.retries
+	heapIndex         int // index in batchRecord.retries
 }
 
 type batchRecord struct {
 	Batch
 	lines           []lineRecord
 	sendOrder       []LineIndex
-	nextUnsent      int // in sendOrder
+	nextUnsent      int // index in sendOrder
 	retries         indexedheap.Heap[*lineRecord]
 	waiting         int
 	inFlight        int
@@ -65,13 +65,13 @@
 	completedCount  int
 }
 
-// tenant accounts a tenant's share by start-time fair queueing.
+// tenant holds a tenant's state in start-time fair queueing.
 type tenant struct {
-	weight       float64
-	virtualStart float64
+	weight        float64
+	virtualFinish float64 // virtual time at which its last sent line ends
 }
 
-// Scheduler holds the batches that are under way. It is not safe for concurrent use.
+// Scheduler holds the batches in progress and selects their lines. It is not safe for concurrent use.
 type Scheduler struct {
 	initialBackoff Nanos
 	maxInFlight    int
@@ -83,11 +83,11 @@
 	batches        []*batchRecord // ordered by ID
 }
 
-// New returns a scheduler for tenants with these weights. A line waits initialBackoff after its first attempt, and at
-// most maxInFlight lines are in flight at a time. random returns numbers in [0, 1).
+// New returns a scheduler for tenants with the given weights. A line waits initialBackoff, plus jitter, before its
+// first retry, and at most maxInFlight lines are in flight at a time. random returns numbers in [0, 1).
 func New(weights []float64, initialBackoff Nanos, maxInFlight int, random func() float64) (*Scheduler, error) {
 	if initialBackoff <= 0 || maxInFlight < 1 || len(weights) == 0 {
-		return nil, fmt.Errorf("%d tenants, an initial backoff of %d, at most %d lines in flight: want all above 0",
+		return nil, fmt.Errorf("%d tenants, initial backoff %d ns, max in flight %d: each must be above 0",
 			len(weights), initialBackoff, maxInFlight)
 	}
 	s := &Scheduler{
@@ -95,25 +95,26 @@
 	}
 	for i, weight := range weights {
 		if !(weight > 0) {
-			return nil, fmt.Errorf("tenant %d: weight %v, want more than 0", i, weight)
+			return nil, fmt.Errorf("tenant %d: weight is %v, must be above 0", i, weight)
 		}
 		s.tenants = append(s.tenants, tenant{weight: weight})
 	}
 	return s, nil
 }
 
-// AddBatch adds a batch, whose waiting lines are sent from now on. No line may be in flight: see RecoverLine.
+// AddBatch adds a batch; NextLine then returns its waiting lines. Lines that were in flight before a restart must have
+// the state that RecoverLine returns.
 func (s *Scheduler) AddBatch(b Batch) error {
 	if s.byID[b.ID] != nil || b.Tenant < 0 || b.Tenant >= len(s.tenants) {
-		return fmt.Errorf("batch %d of tenant %d: want a new one, of tenants 0 to %d", b.ID, b.Tenant, len(s.tenants)-1)
+		return fmt.Errorf("batch %d: the ID is in use or tenant %d is not in 0 to %d", b.ID, b.Tenant, len(s.tenants)-1)
 	}
 	record, err := newBatchRecord(b)
 	if err != nil {
 		return err
 	}
 	s.byID[b.ID] = record
-	place := sort.Search(len(s.batches), func(i int) bool { return s.batches[i].ID >= b.ID })
-	s.batches = slices.Insert(s.batches, place, record)
+	position := sort.Search(len(s.batches), func(i int) bool { return s.batches[i].ID >= b.ID })
+	s.batches = slices.Insert(s.batches, position, record)
 	return nil
 }
 
@@ -122,13 +123,13 @@
 		Batch: b,
 		lines: make([]lineRecord, len(b.Lines)),
 		retries: indexedheap.Heap[*lineRecord]{
-			Index: func(l *lineRecord) *int { return &l.heapPlace },
+			Index: func(l *lineRecord) *int { return &l.heapIndex },
 			Less:  func(a, b *lineRecord) bool { return a.retryAt < b.retryAt },
 		},
 	}
 	for i, line := range b.Lines {
 		if line.State == LineInFlight {
-			return nil, fmt.Errorf("batch %d, line %d is in flight: want it as RecoverLine returns it", b.ID, i)
+			return nil, fmt.Errorf("batch %d: line %d is in flight, its state was not recovered by RecoverLine", b.ID, i)
 		}
 		record.lines[i].LineSpec, record.lines[i].index = line, LineIndex(i)
 		if line.State == LineWaiting {
@@ -142,7 +143,7 @@
 	return record, nil
 }
 
-// sortByPrefixGroup moves the lines of each prefix group to the first of them.
+// sortByPrefixGroup moves the lines of each prefix group behind the first line of the group, in their order.
 func sortByPrefixGroup(order []LineIndex, lines []LineSpec) {
 	firstOfGroup := map[uint64]LineIndex{}
 	for _, index := range order {
@@ -151,16 +152,16 @@
 			firstOfGroup[group] = index
 		}
 	}
-	place := func(index LineIndex) LineIndex {
+	sortKey := func(index LineIndex) LineIndex {
 		if group := lines[index].PrefixGroup; group != 0 {
 			return firstOfGroup[group]
 		}
 		return index
 	}
-	slices.SortStableFunc(order, func(a, b LineIndex) int { return cmp.Compare(place(a), place(b)) })
+	slices.SortStableFunc(order, func(a, b LineIndex) int { return cmp.Compare(sortKey(a), sortKey(b)) })
 }
 
-// RemoveBatch removes a batch.
+// RemoveBatch removes a batch, if the scheduler has it.
 func (s *Scheduler) RemoveBatch(id BatchID) {
 	removed := s.byID[id]
 	if removed == nil {
@@ -171,14 +172,14 @@
 	s.batches = slices.DeleteFunc(s.batches, func(b *batchRecord) bool { return b == removed })
 }
 
-// StopBatch makes a batch send no more lines, because it was cancelled.
+// StopBatch stops a cancelled batch: NextLine returns none of its lines any more.
 func (s *Scheduler) StopBatch(id BatchID) {
 	if b := s.byID[id]; b != nil {
 		b.stopped = true
 	}
 }
 
-// ExpireNext stops a batch whose deadline has passed and returns its ID. It returns false if there is none left.
+// ExpireNext stops one batch whose deadline has passed and returns its ID. It returns false if there is no such batch.
 func (s *Scheduler) ExpireNext(now Nanos) (BatchID, bool) {
 	for _, b := range s.batches {
 		if !b.stopped && now >= b.Deadline {
@@ -189,8 +190,8 @@
 	return 0, false
 }
 
-// UnsentLines returns the lines of a batch that will never be sent, and whether the batch has ended: no line is in
-// flight, and none waits unless the batch was stopped.
+// UnsentLines reports whether a batch has ended, and returns the lines of an ended batch that will not be sent. A batch
+// has ended if no line is in flight and, unless the batch was stopped, no line is waiting.
 func (s *Scheduler) UnsentLines(id BatchID) (unsent []LineIndex, ended bool) {
 	b := s.byID[id]
 	if b == nil || b.inFlight > 0 || b.waiting > 0 && !b.stopped {
@@ -222,8 +223,8 @@
 	return max(next, now), ok
 }
 
-// Forecast returns when a batch will have ended at the pace of its last completed lines, and false if there are too few
-// of them.
+// Forecast returns when a batch ends if its lines continue to complete at the recent rate, and false if too few lines
+// have completed.
 func (s *Scheduler) Forecast(now Nanos, id BatchID) (Nanos, bool) {
 	const minCompleted = 8
 	b := s.byID[id]
--- a/internal/decide/batchscheduler/scheduler_test.go
+++ b/internal/decide/batchscheduler/scheduler_test.go
@@ -9,11 +9,11 @@
 	"pgregory.net/rapid"
 )
 
-const sec = Nanos(1e9)
+const second = Nanos(1e9)
 
 func newScheduler(t *testing.T, maxInFlight int, weights ...float64) *Scheduler {
 	t.Helper()
-	s, err := New(weights, sec/10, maxInFlight, rand.New(rand.NewPCG(1, 2)).Float64)
+	s, err := New(weights, second/10, maxInFlight, rand.New(rand.NewPCG(1, 2)).Float64)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -29,11 +29,11 @@
 
 // waitingLines returns n waiting lines of the same cost.
 func waitingLines(n int) []LineSpec {
-	es := make([]LineSpec, n)
-	for i := range es {
-		es[i].Cost = 100
+	lines := make([]LineSpec, n)
+	for i := range lines {
+		lines[i].Cost = 100
 	}
-	return es
+	return lines
 }
 
 // TestEveryLineEndsOnce checks under random outcomes and restarts that each line ends once, and that a non-idempotent
@@ -43,14 +43,14 @@
 		effect := Effect(rapid.IntRange(0, 2).Draw(rt, "effect"))
 		n := rapid.IntRange(1, 40).Draw(rt, "lines")
 		b := Batch{
-			ID: 7, Effect: effect, DeduplicationWindow: 5 * sec,
-			Deadline: rapid.Int64Range(sec, 1000*sec).Draw(rt, "ends"), Lines: waitingLines(n),
+			ID: 7, Effect: effect, DeduplicationWindow: 5 * second,
+			Deadline: rapid.Int64Range(second, 1000*second).Draw(rt, "deadline"), Lines: waitingLines(n),
 		}
 		s := newScheduler(t, 8, 1)
 		if err := s.AddBatch(b); err != nil {
 			rt.Fatal(err)
 		}
-		stored := make([]LineState, n) // in place of the store
+		stored := make([]LineState, n) // stands in for the store
 		mayHaveRun := make([]bool, n)
 		ended := make([]int, n)
 		var inFlight []LineIndex
@@ -60,13 +60,13 @@
 			ended[l]++
 		}
 		for range 4000 {
-			now += rapid.Int64Range(0, sec/2).Draw(rt, "pass")
+			now += rapid.Int64Range(0, second/2).Draw(rt, "elapsed")
 			s.ExpireNext(now)
-			switch action := rapid.IntRange(0, 19).Draw(rt, "what"); {
+			switch action := rapid.IntRange(0, 19).Draw(rt, "action"); {
 			case action < 10:
 				if _, l, ok := s.NextLine(now); ok {
 					if effect == NonIdempotent && mayHaveRun[l] {
-						rt.Fatalf("line %d is sent though it may have run", l)
+						rt.Fatalf("line %d is sent again although it may have run", l)
 					}
 					stored[l] = LineInFlight
 					inFlight = append(inFlight, l)
@@ -77,7 +77,7 @@
 				}
 				l := inFlight[0]
 				inFlight = inFlight[1:]
-				outcome := Outcome(rapid.IntRange(0, 4).Draw(rt, "how"))
+				outcome := Outcome(rapid.IntRange(0, 4).Draw(rt, "outcome"))
 				if outcome == OutcomeFailed || outcome == OutcomeConnectionLost {
 					mayHaveRun[l] = true
 				}
@@ -109,15 +109,15 @@
 			if s.InFlight() != len(inFlight) || s.InFlight() > 8 {
 				rt.Fatalf("%d lines in flight, want %d", s.InFlight(), len(inFlight))
 			}
-			if unsent, isOver := s.UnsentLines(7); isOver && len(inFlight) == 0 {
+			if unsent, batchEnded := s.UnsentLines(7); batchEnded && len(inFlight) == 0 {
 				for _, l := range unsent {
 					finish(l, LineFailed)
 				}
 				break
 			}
 		}
-		if _, isOver := s.UnsentLines(7); !isOver {
-			return // it was cut short by the number of steps
+		if _, batchEnded := s.UnsentLines(7); !batchEnded {
+			return // the batch has not ended within the steps above
 		}
 		for i, n := range ended {
 			if n != 1 {
@@ -127,15 +127,15 @@
 	})
 }
 
-// TestFairness checks that tenants share by weight whatever the number and size of their batches, and that among a
-// tenant's batches the one with the higher required rate is served faster.
+// TestFairness checks that tenants are served in proportion to their weights, however many batches they have, and that
+// the batch with the higher required rate is served faster than the tenant's others.
 func TestFairness(t *testing.T) {
 	s := newScheduler(t, 1, 1, 3)
 	for i, b := range []Batch{
-		{ID: 1, Tenant: 0, Deadline: 1000 * sec, Lines: waitingLines(5000)},
-		{ID: 2, Tenant: 1, Deadline: 1000 * sec, Lines: waitingLines(5000)},
-		{ID: 3, Tenant: 0, Deadline: 100 * sec, Lines: waitingLines(5000)},
-		{ID: 4, Tenant: 0, Deadline: 1000 * sec, Lines: waitingLines(5000)},
+		{ID: 1, Tenant: 0, Deadline: 1000 * second, Lines: waitingLines(5000)},
+		{ID: 2, Tenant: 1, Deadline: 1000 * second, Lines: waitingLines(5000)},
+		{ID: 3, Tenant: 0, Deadline: 100 * second, Lines: waitingLines(5000)},
+		{ID: 4, Tenant: 0, Deadline: 1000 * second, Lines: waitingLines(5000)},
 	} {
 		if err := s.AddBatch(b); err != nil {
 			t.Fatal(i, err)
@@ -151,21 +151,21 @@
 		s.ReportOutcome(Nanos(i+1), id, l, OutcomeServed, 0)
 	}
 	if got := float64(sent[2]) / 2000; math.Abs(got-0.75) > 0.01 {
-		t.Errorf("the tenant with three times the weight has %.3f", got)
+		t.Errorf("the tenant with weight 3 of 4 has a share of %.3f, want 0.75", got)
 	}
 	if sent[3] < 400 {
-		t.Errorf("sent %v: batch 3 has a tenth of the others' time", sent)
+		t.Errorf("lines sent by batch: %v, want at least 400 of batch 3, which has a tenth of the others' time", sent)
 	}
 }
 
-// TestPrefixGroupsTogether checks that lines of a prefix group are sent one after another.
+// TestPrefixGroupsTogether checks that the lines of a prefix group are sent consecutively.
 func TestPrefixGroupsTogether(t *testing.T) {
 	s := newScheduler(t, 100, 1)
 	lines := waitingLines(12)
 	for i := range lines {
-		lines[i].PrefixGroup = uint64(i % 3) // 0 is none
+		lines[i].PrefixGroup = uint64(i % 3) // 0 = no group
 	}
-	addBatch(t, s, Batch{ID: 1, Deadline: sec, Lines: lines})
+	addBatch(t, s, Batch{ID: 1, Deadline: second, Lines: lines})
 	var got []LineIndex
 	for {
 		_, l, ok := s.NextLine(1)
@@ -175,15 +175,15 @@
 		got = append(got, l)
 	}
 	if want := "[0 1 4 7 10 2 5 8 11 3 6 9]"; fmt.Sprint(got) != want {
-		t.Errorf("%v, want %v", got, want)
+		t.Errorf("lines sent in the order %v, want %v", got, want)
 	}
 }
 
-// TestBackoff checks that a rejected line is retried later and later, not before the time it was asked to wait, and
-// that a line fails after a few attempts that may have run.
+// TestBackoff checks that the backoff of a rejected line is bounded and at least the requested wait, and that a line
+// fails after maxUncertainAttempts attempts that may have run.
 func TestBackoff(t *testing.T) {
 	s := newScheduler(t, 1, 1)
-	addBatch(t, s, Batch{ID: 1, Deadline: 1000 * sec, Lines: waitingLines(1)})
+	addBatch(t, s, Batch{ID: 1, Deadline: 1000 * second, Lines: waitingLines(1)})
 	now, last := Nanos(1), Nanos(0)
 	for i := range 8 {
 		_, l, ok := s.NextLine(now)
@@ -192,17 +192,17 @@
 		}
 		retryAfter := Nanos(0)
 		if i == 5 {
-			retryAfter = 30 * sec
+			retryAfter = 30 * second
 		}
 		if verdict, _ := s.ReportOutcome(now, 1, l, OutcomeRejected, retryAfter); verdict != VerdictRetry {
 			t.Fatal(verdict)
 		}
 		if _, _, ok := s.NextLine(now + last); ok {
-			t.Errorf("attempt %d is retried without a wait", i)
+			t.Errorf("attempt %d is retried without a backoff", i)
 		}
 		at, _ := s.NextEventAt(now)
-		if at < now+retryAfter || at-now < last/2 || at-now > 40*sec {
-			t.Errorf("attempt %d waits %d ms", i, (at-now)/1e6)
+		if at < now+retryAfter || at-now < last/2 || at-now > 40*second {
+			t.Errorf("attempt %d is retried after %d ms", i, (at-now)/1e6)
 		}
 		now, last = at, 0
 	}
@@ -214,17 +214,17 @@
 		verdict, reason := s.ReportOutcome(now, 1, l, OutcomeFailed, 0)
 		isLast := i == maxUncertainAttempts-1
 		if (verdict == VerdictFailed) != isLast || verdict == VerdictFailed && reason != ReasonTooManyAttempts {
-			t.Fatalf("after %d attempts that may have run: %v, %q", i+1, verdict, reason)
+			t.Fatalf("after %d attempts that may have run: verdict %v, reason %q", i+1, verdict, reason)
 		}
-		now += 100 * sec
+		now += 100 * second
 	}
 }
 
-// TestDeadline checks that a batch whose deadline passes keeps what is completed, lets lines in flight end and
-// returns the rest as unsent.
+// TestDeadline checks that a batch whose deadline passes sends no further line, waits for its lines in flight and
+// returns the others as unsent.
 func TestDeadline(t *testing.T) {
 	s := newScheduler(t, 4, 1)
-	addBatch(t, s, Batch{ID: 1, Deadline: 10 * sec, Lines: waitingLines(10)})
+	addBatch(t, s, Batch{ID: 1, Deadline: 10 * second, Lines: waitingLines(10)})
 	now := Nanos(1)
 	for range 20 {
 		id, l, ok := s.NextLine(now)
@@ -236,48 +236,48 @@
 		}
 	}
 	if _, ok := s.Forecast(now, 1); ok {
-		t.Error("a forecast from four results")
+		t.Error("a forecast after four completed lines, want none")
 	}
-	if id, ok := s.ExpireNext(10 * sec); !ok || id != 1 {
+	if id, ok := s.ExpireNext(10 * second); !ok || id != 1 {
 		t.Fatal("the batch does not expire")
 	}
-	if _, ok := s.ExpireNext(11 * sec); ok {
+	if _, ok := s.ExpireNext(11 * second); ok {
 		t.Error("the batch expires twice")
 	}
-	if _, _, ok := s.NextLine(10 * sec); ok {
+	if _, _, ok := s.NextLine(10 * second); ok {
 		t.Error("a line is sent after the deadline")
 	}
-	if _, isOver := s.UnsentLines(1); isOver {
+	if _, batchEnded := s.UnsentLines(1); batchEnded {
 		t.Error("the batch has ended while lines are in flight")
 	}
-	s.ReportOutcome(10*sec, 1, 4, OutcomeServed, 0)
+	s.ReportOutcome(10*second, 1, 4, OutcomeServed, 0)
 	for l := LineIndex(5); l < 8; l++ {
-		verdict, reason := s.ReportOutcome(10*sec, 1, l, OutcomeRejected, 0)
+		verdict, reason := s.ReportOutcome(10*second, 1, l, OutcomeRejected, 0)
 		if verdict != VerdictFailed || reason != ReasonWindowExpired {
-			t.Errorf("%v %q", verdict, reason)
+			t.Errorf("verdict %v, reason %q", verdict, reason)
 		}
 	}
-	if unsent, isOver := s.UnsentLines(1); !isOver || fmt.Sprint(unsent) != "[8 9]" {
-		t.Errorf("%v, %v", unsent, isOver)
+	if unsent, batchEnded := s.UnsentLines(1); !batchEnded || fmt.Sprint(unsent) != "[8 9]" {
+		t.Errorf("unsent lines %v, ended %v, want [8 9] and true", unsent, batchEnded)
 	}
 }
 
-// TestForecast checks that at a steady pace the forecast is the time that the remaining lines take.
+// TestForecast checks the forecast of a batch whose lines complete at a constant rate.
 func TestForecast(t *testing.T) {
 	s := newScheduler(t, 1, 1)
-	addBatch(t, s, Batch{ID: 1, Deadline: 1000 * sec, Lines: waitingLines(300)})
+	addBatch(t, s, Batch{ID: 1, Deadline: 1000 * second, Lines: waitingLines(300)})
 	now := Nanos(0)
 	for range 100 {
 		_, l, _ := s.NextLine(now)
-		now += sec / 2
+		now += second / 2
 		s.ReportOutcome(now, 1, l, OutcomeServed, 0)
 	}
-	if at, ok := s.Forecast(now, 1); !ok || math.Abs(float64(at-now)/float64(100*sec)-1) > 0.05 {
-		t.Errorf("forecast in %d s, want 100", (at-now)/sec)
+	if at, ok := s.Forecast(now, 1); !ok || math.Abs(float64(at-now)/float64(100*second)-1) > 0.05 {
+		t.Errorf("forecast in %d s, want 100", (at-now)/second)
 	}
 }
 
-// TestCheckTransition checks the number of valid transitions and that no state follows a terminal one.
+// TestCheckTransition checks the number of valid transitions and that terminal states have none.
 func TestCheckTransition(t *testing.T) {
 	ok := 0
 	for a := range batchStateCount {
--- a/internal/decide/batchscheduler/selection.go
+++ b/internal/decide/batchscheduler/selection.go
@@ -13,12 +13,12 @@
 	return b.retries.Len() > 0 && b.retries.Min().retryAt <= now
 }
 
-// requiredRate returns the cost per nanosecond at which the batch meets its deadline.
+// requiredRate returns the cost per nanosecond that the batch needs to meet its deadline.
 func (b *batchRecord) requiredRate(now Nanos) float64 {
 	return b.remainingCost / float64(max(b.Deadline-now, 1))
 }
 
-// takeLine returns the batch's next line: a retry that is due, otherwise the next line that was never sent.
+// takeLine removes and returns the batch's next line: a retry that is due, otherwise the next line in sendOrder.
 func (b *batchRecord) takeLine(now Nanos) *lineRecord {
 	if b.hasDueRetry(now) {
 		line := b.retries.Min()
@@ -30,8 +30,8 @@
 	return &b.lines[index]
 }
 
-// NextLine returns the next line to send and accounts it as in flight, or false if no line may be sent now. Among
-// tenants the one with the smallest served cost for its weight goes first, among a tenant's batches the one with the
+// NextLine returns the next line to send and marks it as in flight, or returns false if no line may be sent now. It
+// selects the tenant that has been charged the least cost relative to its weight, and of its batches the one with the
 // highest required rate.
 func (s *Scheduler) NextLine(now Nanos) (BatchID, LineIndex, bool) {
 	if s.inFlight >= s.maxInFlight {
@@ -39,7 +39,7 @@
 	}
 	var next *batchRecord
 	for _, b := range s.batches {
-		if b.hasSendableLine(now) && (next == nil || s.goesBefore(b, next, now)) {
+		if b.hasSendableLine(now) && (next == nil || s.precedes(b, next, now)) {
 			next = b
 		}
 	}
@@ -55,8 +55,8 @@
 	return next.ID, line.index, true
 }
 
-// goesBefore reports whether batch a is served before batch b.
-func (s *Scheduler) goesBefore(a, b *batchRecord, now Nanos) bool {
+// precedes reports whether a line of batch a is sent before one of batch b.
+func (s *Scheduler) precedes(a, b *batchRecord, now Nanos) bool {
 	if a.Tenant == b.Tenant {
 		return a.requiredRate(now) > b.requiredRate(now)
 	}
@@ -66,12 +66,13 @@
 
 // virtualStart returns the virtual time at which a tenant's next line starts.
 func (s *Scheduler) virtualStart(tenant int) float64 {
-	return max(s.tenants[tenant].virtualStart, s.virtualTime)
+	return max(s.tenants[tenant].virtualFinish, s.virtualTime)
 }
 
-// chargeTenant advances virtual time to the start of a tenant's line, and the tenant by the line's cost for its weight.
+// chargeTenant advances the virtual time to the start of a tenant's line, and sets the tenant's virtual finish by the
+// line's cost divided by the tenant's weight.
 func (s *Scheduler) chargeTenant(index int, cost float64) {
 	t := &s.tenants[index]
 	s.virtualTime = s.virtualStart(index)
-	t.virtualStart = s.virtualTime + cost/t.weight
+	t.virtualFinish = s.virtualTime + cost/t.weight
 }
--- a/internal/decide/batchscheduler/states.go
+++ b/internal/decide/batchscheduler/states.go
@@ -5,33 +5,33 @@
 	"slices"
 )
 
-// Effect says what a second attempt of a request does.
+// Effect says whether a request may run more than once.
 type Effect uint8
 
 const (
-	// Idempotent requests may run any number of times.
+	// Idempotent requests may run repeatedly without harm.
 	Idempotent Effect = iota
-	// Deduplicated requests run once within the deduplication window of their idempotency key.
+	// Deduplicated requests run at most once within the dedup window of their idempotency key.
 	Deduplicated
-	// NonIdempotent requests act again at each run.
+	// NonIdempotent requests have a further effect each time they run.
 	NonIdempotent
 )
 
-// BatchState is the state of a batch. Its values are stored, its texts are those of the batch API.
+// BatchState is the state of a batch. Its numeric values are stored; its texts are part of the batch API.
 type BatchState uint8
 
 const (
-	// StateValidating is the state of a new batch, whose input file is being checked.
+	// StateValidating means that the batch is new and its input file is being validated.
 	StateValidating BatchState = iota
-	// StateFailed means that the input file was not accepted.
+	// StateFailed means that the input file is invalid.
 	StateFailed
-	// StateInProgress means that lines are sent.
+	// StateInProgress means that lines are being sent.
 	StateInProgress
-	// StateFinalizing means that all lines have ended and the result files are being written.
+	// StateFinalizing means that no line is in flight or will be sent, and the result files are being written.
 	StateFinalizing
-	// StateCompleted means that all lines have ended by themselves.
+	// StateCompleted means that every line has ended with a response or a failure of its own.
 	StateCompleted
-	// StateExpired means that the completion window ended first.
+	// StateExpired means that the completion window ended before all lines did.
 	StateExpired
 	// StateCancelling means that the batch was cancelled and lines may still be in flight.
 	StateCancelling
@@ -51,12 +51,12 @@
 	return batchStateNames[s]
 }
 
-// IsTerminal reports whether no state may follow.
+// IsTerminal reports whether the state has no valid transition.
 func (s BatchState) IsTerminal() bool {
 	return s == StateFailed || s == StateCompleted || s == StateExpired || s == StateCancelled
 }
 
-// validTransitions holds the states that may follow each state.
+// validTransitions maps each state to the states that may follow it.
 var validTransitions = [batchStateCount][]BatchState{
 	StateValidating: {StateFailed, StateInProgress, StateCancelling},
 	StateInProgress: {StateFinalizing, StateCancelling},
@@ -64,14 +64,14 @@
 	StateCancelling: {StateFinalizing, StateCancelled},
 }
 
-// TransitionError reports that a batch's state may not follow another.
+// TransitionError reports an invalid transition between states of a batch.
 type TransitionError struct{ From, To BatchState }
 
 func (e *TransitionError) Error() string {
 	return fmt.Sprintf("a batch that is %v cannot become %v", e.From, e.To)
 }
 
-// CheckTransition returns a *TransitionError if the state to may not follow the state from.
+// CheckTransition returns a *TransitionError if the transition from one state to the other is invalid.
 func CheckTransition(from, to BatchState) error {
 	if from < batchStateCount && slices.Contains(validTransitions[from], to) {
 		return nil
@@ -79,7 +79,7 @@
 	return &TransitionError{from, to}
 }
 
-// LineState is the state of a line. Its values are stored.
+// LineState is the state of a line. Its numeric values are stored.
 type LineState uint8
 
 const (
@@ -87,9 +87,9 @@
 	LineWaiting LineState = iota
 	// LineInFlight means that an attempt may be in flight.
 	LineInFlight
-	// LineCompleted means that the line's answer is stored.
+	// LineCompleted means that the line's response is stored.
 	LineCompleted
-	// LineFailed means that the line ended without an answer; the reason is stored.
+	// LineFailed means that the line ended without a response; the reason is stored.
 	LineFailed
 )
 
@@ -107,8 +107,8 @@
 	return "unknown"
 }
 
-// RecoverLine returns the state of a stored line after a restart. The attempt of a line in flight ended with the client
-// that sent it: the line waits again, unless it must not run twice; then it has failed and mayHaveRun is true.
+// RecoverLine returns the state of a stored line after a restart. The process that sent a line in flight has ended, and
+// the attempt with it: the line waits again or, if it is non-idempotent, has failed and mayHaveRun is true.
 func RecoverLine(state LineState, effect Effect) (recovered LineState, mayHaveRun bool) {
 	switch {
 	case state != LineInFlight:
