--- a/internal/decide/clientconn/eviction.go
+++ b/internal/decide/clientconn/eviction.go
@@ -1,23 +1,26 @@
 package clientconn
 
-// MaxEvictionCandidates bounds the connections of a kind that are examined to find one that may be evicted.
+// MaxEvictionCandidates bounds the connections in one state that are examined to find one that may be evicted.
 const MaxEvictionCandidates = 4
 
-// Eviction is which connection is closed when a new one exceeds the limit.
+// Eviction says which connection is closed when a new one exceeds the limit.
 type Eviction uint8
 
 // The evictions.
 const (
-	RejectNewConn         Eviction = iota // the new connection
-	EvictOldestIncomplete                 // the oldest one without a complete request
-	EvictOldestIdle                       // the one idle for longest
+	RejectNewConn         Eviction = iota // close the new connection
+	EvictOldestIncomplete                 // close the oldest connection without a complete request
+	EvictOldestIdle                       // close the connection that has been idle for longest
 )
 
-// ChooseEviction returns which connection is closed for a new one. incompleteSince and idleSince are since when the
-// oldest connections of the two kinds are in their state, 0 if there is none; only connections count that have neither
-// unread input nor unwritten output. The client of an idle connection makes another one for its next request, whereas
-// one whose first request was not read fails: so an idle one is evicted unless another has long been silent. This keeps
-// crowds of connections from locking out other clients.
+// ChooseEviction returns which connection is closed for a new one, so that no client can lock out others by opening
+// many connections. incompleteSince is when the oldest connection without a complete request entered its state,
+// idleSince the same for the oldest idle connection; 0 means that there is none. Connections with unread input or
+// unwritten output must not be counted.
+//
+// An idle connection is evicted before one without a complete request: its client can open another one for its next
+// request, whereas a client whose first request is not read sees a failure. A connection that has had no complete
+// request for minIncompleteTime is evicted before either.
 func ChooseEviction(now, incompleteSince, idleSince int64) Eviction {
 	hasIncomplete, hasIdle := incompleteSince > 0, idleSince > 0
 	switch {
--- a/internal/decide/clientconn/limits.go
+++ b/internal/decide/clientconn/limits.go
@@ -1,27 +1,27 @@
 package clientconn
 
 const (
-	// processDescriptorFraction is the fraction of the descriptors that is kept for the process itself, and
-	// minProcessDescriptors is added to it: for the log, the endpoint list and descriptors between two owners.
+	// processDescriptorFraction is the fraction of the descriptors that is reserved for the process itself, in addition
+	// to baseProcessDescriptors: for the log, the endpoint list and descriptors that are being handed over.
 	processDescriptorFraction = 1.0 / 32
-	minProcessDescriptors     = 24
-	// serverConnFraction is the fraction of all descriptors for connections to servers. Clients hold as many for
-	// requests, each of which has one outstanding attempt at most. The rest is also for clients, as more of them
-	// connect than send requests.
+	baseProcessDescriptors    = 24
+	// serverConnFraction is the fraction of all descriptors for connections to servers. Client connections have at
+	// least as many, as a request has one outstanding attempt at most and not every client sends a request.
 	serverConnFraction = 1.0 / 3
-	// partialRequestFraction is the fraction of the memory that requests received in part may use.
+	// partialRequestFraction is the fraction of the process's memory for partly received requests.
 	partialRequestFraction = 1.0 / 16
 )
 
-// DescriptorShares returns how many of the process's descriptors connections of clients and to servers may use.
+// DescriptorShares returns how many descriptors client connections and connections to servers may use, of the given
+// number for the process.
 func DescriptorShares(descriptors int) (clients, servers int) {
-	forProcess := minProcessDescriptors + int(processDescriptorFraction*float64(descriptors))
+	forProcess := baseProcessDescriptors + int(processDescriptorFraction*float64(descriptors))
 	servers = max(int(serverConnFraction*float64(descriptors)), 1)
 	return max(descriptors-forProcess-servers, 1), servers
 }
 
-// MaxPartialRequestBytes returns how many bytes of requests received in part may be kept in a process with so many
-// bytes of memory.
+// MaxPartialRequestBytes returns how many bytes of partly received requests may be kept in a process with the given
+// memory in bytes.
 func MaxPartialRequestBytes(memory int64) int64 {
 	return int64(partialRequestFraction * float64(memory))
 }
