--- a/internal/decide/clientconn/eviction.go
+++ b/internal/decide/clientconn/eviction.go
@@ -19,8 +19,8 @@
 // unwritten output must not be counted.
 //
 // An idle connection is evicted before one without a complete request: its client can open another one for its next
-// request, whereas a client whose first request is not read sees a failure. A connection that has had no complete
-// request for minIncompleteTime is evicted before either.
+// request, whereas a client whose first request is not read sees a failure. If the latter has been incomplete for
+// minIncompleteTime, it is evicted first.
 func ChooseEviction(now, incompleteSince, idleSince int64) Eviction {
 	hasIncomplete, hasIdle := incompleteSince > 0, idleSince > 0
 	switch {
--- a/internal/decide/discovery/discovery.go
+++ b/internal/decide/discovery/discovery.go
@@ -1,42 +1,43 @@
-// Package discovery decides about the watch on the endpoint list: when a silent one is given up, when the next is
-// opened, and how long a new process waits for its first list.
+// Package discovery decides about the watch on the endpoint list: when a silent watch is abandoned, when the next one
+// is opened, and how long a new process waits for its first list.
 //
-// The service counts an update as delivered six seconds after discovery could be reached, received or not. Within that
-// time a watch that fell silent just after its last byte must be noticed, one attempt to open another may fail, and the
-// next attempt must succeed.
+// The platform counts an update as delivered six seconds after discovery could be reached, whether it was received or
+// not. The timeouts here fit into that time: a watch that went silent right after its last byte is detected, one
+// attempt to open another watch fails, and the next attempt succeeds.
 //
 // The package does no I/O and reads no clock. All durations are nanoseconds.
 package discovery
 
 const (
-	// heartbeatInterval is how often a watch without updates sends a sign of life.
+	// heartbeatInterval is the interval at which discovery sends a heartbeat on a watch without updates.
 	heartbeatInterval = int64(2e9)
 
-	// SilenceTimeout is how long a watch may send nothing: one heartbeat interval, and half of one for a busy machine.
+	// SilenceTimeout is how long a watch may be silent: one heartbeat interval, and half of one for scheduling delays.
 	SilenceTimeout = heartbeatInterval + heartbeatInterval/2
-	// ConnectTimeout is how long a new watch may take to connect. Discovery is reached by an agent on this machine.
+	// ConnectTimeout is how long a new watch may take to connect. It connects to the discovery agent on this machine.
 	ConnectTimeout = heartbeatInterval / 8
-	// AnswerTimeout is how long a connected watch may take to begin its answer. While discovery is down, the agent is
-	// silent, and answers the call that is open when it is back.
+	// AnswerTimeout is how long the agent may take to begin the response to a new watch. While discovery is down, the
+	// agent leaves a call open and responds once discovery is back.
 	AnswerTimeout = 3 * heartbeatInterval / 8
-	// InitialListTimeout is how long a new process waits for the list before it accepts clients; after that it uses the
-	// list that it was started with.
+	// InitialListTimeout is how long a new process waits for the endpoint list before it accepts clients with the list
+	// that it was started with.
 	InitialListTimeout = heartbeatInterval / 8
 
-	// maxReconnectDelay bounds the delay before a watch is opened again, so that a call is open, or soon is, when
-	// discovery is back. It is shorter than the time in which an attempt may still be sent to a server that drains.
+	// maxReconnectDelay bounds the delay before a watch is opened again, so that a call is open, or soon will be, when
+	// discovery is back. It is shorter than the time in which an attempt may still be sent to a draining server.
 	maxReconnectDelay = heartbeatInterval / 8
-	// pollAnswerTimeout is how long discovery may take where it answers by itself, and an eighth more: one such call and
-	// the start of the next fit into the six seconds after silence was noticed.
-	pollAnswerTimeout = 9 * heartbeatInterval / 8
-	// maxRejectedDelay bounds the delay after rejected calls: two more calls fit into the six seconds.
+	// directResponseTimeout is how long discovery may take to respond where it responds itself, with an eighth of the
+	// heartbeat interval as a margin. One such call and the start of the next fit into the six seconds.
+	directResponseTimeout = 9 * heartbeatInterval / 8
+	// maxRejectedDelay bounds the delay after rejected calls, so that two more calls fit into the six seconds.
 	maxRejectedDelay = heartbeatInterval
-	// maxDelayDoublings is the number of consecutive rejections after which the delay is at its bound.
+	// maxDelayDoublings is the number of consecutive rejections up to which the delay doubles.
 	maxDelayDoublings = 3
 )
 
-// RetryDelay returns the delay before the next watch is opened, after so many consecutive watches that could not be
-// opened and consecutive calls that discovery rejected. random in [0, 1) spreads the calls of all dispatchers.
+// RetryDelay returns the delay before the next watch is opened. failures is the number of consecutive watches that
+// could not be opened, rejections the number of consecutive calls that discovery rejected. random is in [0, 1) and
+// spreads out the calls of different dispatchers.
 func RetryDelay(failures, rejections int, random float64) int64 {
 	if rejections > 0 {
 		return rejectedDelay(rejections, random)
@@ -44,17 +45,17 @@
 	return reconnectDelay(failures, random)
 }
 
-// reconnectDelay returns the delay after a watch that was lost or could not be opened. An open call costs nothing while
-// it waits, so the delay does not grow.
+// reconnectDelay returns the delay after a watch that was lost or could not be opened. It does not grow with the number
+// of failures, as an open call costs nothing while it waits.
 func reconnectDelay(failures int, random float64) int64 {
-	if failures == 0 { // a working watch was lost, possibly those of all dispatchers at once
+	if failures == 0 { // an established watch was lost, possibly on all dispatchers at once
 		return int64(random * float64(maxReconnectDelay))
 	}
 	return maxReconnectDelay/2 + int64(random*float64(maxReconnectDelay/2))
 }
 
-// rejectedDelay returns the delay after calls that discovery rejected. It is up then, and has more calls than it takes,
-// so each rejection doubles the delay. Without that, dispatchers that called again at once kept each other rejected.
+// rejectedDelay returns the delay after calls that discovery rejected. Discovery is then up but overloaded, so each
+// rejection doubles the delay; dispatchers that retried at once would keep it overloaded.
 func rejectedDelay(rejections int, random float64) int64 {
 	delay := maxRejectedDelay
 	if rejections <= maxDelayDoublings {
@@ -63,12 +64,12 @@
 	return delay/2 + int64(random*float64(delay/2))
 }
 
-// ResponseTimeout returns how long a new watch may take to begin its answer, and then to send the first data. Where
-// lists are polled, and after rejected calls, discovery itself answers, after two seconds at the latest; a call that is
-// given up earlier counts against the next one.
+// ResponseTimeout returns how long the response to a new watch may take to begin, and then to send its first data.
+// Where lists are polled, and after rejected calls, discovery itself responds, within two seconds; a call that is
+// abandoned earlier counts against the next one.
 func ResponseTimeout(polling bool, rejections int) int64 {
 	if polling || rejections > 0 {
-		return pollAnswerTimeout
+		return directResponseTimeout
 	}
 	return AnswerTimeout
 }
