--- a/internal/decide/discovery/discovery.go
+++ b/internal/decide/discovery/discovery.go
@@ -16,9 +16,9 @@
 	SilenceTimeout = heartbeatInterval + heartbeatInterval/2
 	// ConnectTimeout is how long a new watch may take to connect. It connects to the discovery agent on this machine.
 	ConnectTimeout = heartbeatInterval / 8
-	// AnswerTimeout is how long the agent may take to begin the response to a new watch. While discovery is down, the
-	// agent leaves a call open and responds once discovery is back.
-	AnswerTimeout = 3 * heartbeatInterval / 8
+	// agentResponseTimeout is how long the agent may take to begin the response to a new watch. While discovery is
+	// down, the agent leaves a call open and responds once discovery is back.
+	agentResponseTimeout = 3 * heartbeatInterval / 8
 	// InitialListTimeout is how long a new process waits for the endpoint list before it accepts clients with the list
 	// that it was started with.
 	InitialListTimeout = heartbeatInterval / 8
@@ -71,5 +71,5 @@
 	if polling || rejections > 0 {
 		return directResponseTimeout
 	}
-	return AnswerTimeout
+	return agentResponseTimeout
 }
--- a/internal/decide/discovery/discovery_test.go
+++ b/internal/decide/discovery/discovery_test.go
@@ -11,7 +11,7 @@
 // TestReconnectInTime checks that a silent watch is replaced within deliveryTime although the first attempt fails, and
 // that delays do not grow.
 func TestReconnectInTime(t *testing.T) {
-	const openTimeout = ConnectTimeout + AnswerTimeout
+	const openTimeout = ConnectTimeout + agentResponseTimeout
 	for _, random := range []float64{0, 0.5, almostOne} {
 		if at := SilenceTimeout + openTimeout + reconnectDelay(1, random) + openTimeout; at >= deliveryTime {
 			t.Errorf("random %v: the list is received after %d ns, want less than %d ns", random, at, deliveryTime)
@@ -30,8 +30,8 @@
 	if at >= deliveryTime {
 		t.Errorf("where lists are polled the second attempt starts after %d ns, want less than %d ns", at, deliveryTime)
 	}
-	if AnswerTimeout < 2*longest {
-		t.Error("the longest delay exceeds half of AnswerTimeout: a call is open for too small a part of the time")
+	if agentResponseTimeout < 2*longest {
+		t.Error("the longest delay exceeds half of agentResponseTimeout: a call is open for too small a part of the time")
 	}
 	if longest-reconnectDelay(1, 0) < 100e6 {
 		t.Error("the random part of the delay is too small: all dispatchers call at about the same time")
@@ -46,8 +46,8 @@
 	if ResponseTimeout(true, 0) <= 2e9 || ResponseTimeout(false, 1) <= 2e9 {
 		t.Error("a call to which discovery itself responds is abandoned before its response")
 	}
-	if ResponseTimeout(false, 0) != AnswerTimeout {
-		t.Error("a call to which the agent responds has a timeout other than AnswerTimeout")
+	if ResponseTimeout(false, 0) != agentResponseTimeout {
+		t.Error("a call to which the agent responds has a timeout other than agentResponseTimeout")
 	}
 }
 
