--- a/internal/decide/keepalive/selection.go
+++ b/internal/decide/keepalive/selection.go
@@ -1,21 +1,21 @@
 package keepalive
 
-// maxConns bounds the connections to one engine. A second one helps where the engine allows few streams on one; more
-// would only cost it.
+// maxConns bounds the connections to one engine. More than one is needed only where the engine allows few streams on a
+// connection.
 const maxConns = 4
 
-// ConnChoice is by which connection an attempt is sent.
+// ConnChoice says which kind of connection an attempt is sent on.
 type ConnChoice uint8
 
 // The choices.
 const (
-	UseConn  ConnChoice = iota // an existing connection
-	DialConn                   // a new connection
-	NoConn                     // none: all are full and no more are allowed, so the attempt is not sent
+	UseConn  ConnChoice = iota // on an existing connection
+	DialConn                   // on a new connection
+	NoConn                     // on none: all are full and no more are allowed, so the attempt is not sent
 )
 
-// SelectConn returns by which connection an attempt is sent: the ready one with fewest streams, else the connecting one
-// with fewest streams, else a new one. index is that of the existing connection with UseConn, otherwise -1.
+// SelectConn returns the connection for an attempt: the ready one with the fewest streams, otherwise the connecting one
+// with the fewest streams, otherwise a new one. index is the index in conns with UseConn, and -1 otherwise.
 func SelectConn(conns []ConnStatus) (choice ConnChoice, index int) {
 	index = fewestStreams(conns, func(c ConnStatus) bool { return c.Ready })
 	if index < 0 {
@@ -30,7 +30,7 @@
 	return NoConn, -1
 }
 
-// fewestStreams returns the index of the connection with fewest streams among the eligible ones, or -1.
+// fewestStreams returns the index of the eligible connection with the fewest streams, or -1 if none is eligible.
 func fewestStreams(conns []ConnStatus, eligible func(ConnStatus) bool) int {
 	best := -1
 	for i, conn := range conns {
--- a/internal/decide/keepalive/selection_test.go
+++ b/internal/decide/keepalive/selection_test.go
@@ -21,7 +21,7 @@
 	} {
 		choice, index := SelectConn(c.conns)
 		if choice != c.choice || index != c.index {
-			t.Errorf("%s: choice %d, index %d, want %d, %d", c.name, choice, index, c.choice, c.index)
+			t.Errorf("%s: choice %d, index %d, want choice %d, index %d", c.name, choice, index, c.choice, c.index)
 		}
 	}
 }
--- a/internal/decide/keepalive/throttle.go
+++ b/internal/decide/keepalive/throttle.go
@@ -1,14 +1,13 @@
 package keepalive
 
-// RestartThrottle limits the attempts to an engine that may have restarted, and so be slow, before the endpoint list
-// says so: one whose connection was lost, or to which one is established while there is no list. It allows one
-// outstanding attempt, and one more for each answer. The zero value does not limit anything.
+// RestartThrottle limits the outstanding attempts to an engine that may have restarted, and so may be slow, until the
+// endpoint list shows whether it has. It is used when a connection to the engine is lost, or established while there is
+// no list. The limit starts at one and rises by one with each answer. The zero value imposes no limit.
 type RestartThrottle struct {
-	maxOutstanding int // 0 if attempts are not limited
+	maxOutstanding int // 0 = no limit
 }
 
-// maxThrottledAttempts is the limit above which the throttle ends. A slow engine that was sent so many more attempts,
-// one for each answer, can bear them or has been seen to fail.
+// maxThrottledAttempts is the limit above which the throttle ends: by then, the engine has answered as many attempts.
 const maxThrottledAttempts = 16
 
 // ConnLost starts the throttle, as the engine may have restarted.
@@ -24,17 +23,17 @@
 	}
 }
 
-// ListUpdated ends the throttle: the endpoint list says now when the engine was started.
+// ListUpdated ends the throttle, as the updated endpoint list says when the engine was started.
 func (t *RestartThrottle) ListUpdated() { t.maxOutstanding = 0 }
 
 // IsActive reports whether attempts are limited.
 func (t *RestartThrottle) IsActive() bool { return t.maxOutstanding > 0 }
 
-// Allows reports whether another attempt may be sent to the engine beside the outstanding ones.
+// Allows reports whether another attempt may be sent to an engine with this many outstanding ones.
 func (t *RestartThrottle) Allows(outstanding int) bool {
 	return !t.IsActive() || outstanding < t.maxOutstanding
 }
 
-// MaxHoldTime returns how long an attempt may wait for a RestartThrottle. It is short, as the request has other engines
-// to go to, and KV state may be held for it.
+// MaxHoldTime returns how long an attempt may wait for a RestartThrottle. It is short, as the request can be sent to
+// another engine, and KV state may be held for it meanwhile.
 func (p Policy) MaxHoldTime() int64 { return p.LatencyTarget / pingDelayDivisor }
--- a/internal/decide/keepalive/throttle_test.go
+++ b/internal/decide/keepalive/throttle_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestRestartThrottle: after a lost connection one attempt at a time, one more with each answer, until the list is
-// updated or there were enough answers.
+// TestRestartThrottle checks that the limit after a lost connection starts at one, rises with each answer, and is
+// lifted by an update of the list or by enough answers.
 func TestRestartThrottle(t *testing.T) {
 	var throttle RestartThrottle
 	throttle.AnswerReceived()
@@ -18,11 +18,11 @@
 		throttle.AnswerReceived()
 	}
 	if !throttle.Allows(1000) {
-		t.Error("the throttle does not end by answers")
+		t.Error("the throttle does not end after enough answers")
 	}
 	throttle.ConnLost()
 	throttle.ListUpdated()
 	if !throttle.Allows(1000) {
-		t.Error("the throttle does not end by an update of the list")
+		t.Error("the throttle does not end with an update of the list")
 	}
 }
