--- a/internal/decide/serverconn/release_test.go
+++ b/internal/decide/serverconn/release_test.go
@@ -10,10 +10,10 @@
 	}{
 		"no server":                {nil, 0, -1},
 		"all gone":                 {[]ReleaseCandidate{{Gone: true, HasIdleConn: true, LastHeardAt: 9}}, 0, -1},
-		"heard from last":          {[]ReleaseCandidate{idle(1), idle(9), idle(5)}, 0, 1},
+		"most recently heard from": {[]ReleaseCandidate{idle(1), idle(9), idle(5)}, 0, 1},
 		"idle connection first":    {[]ReleaseCandidate{{LastHeardAt: 9}, idle(1)}, 0, 1},
 		"idle one may be dead":     {[]ReleaseCandidate{{LastHeardAt: 9}, idle(1)}, 1, 0},
-		"heard from at once, idle": {[]ReleaseCandidate{{LastHeardAt: 9}, idle(9)}, 1, 1},
+		"heard from equally, idle": {[]ReleaseCandidate{{LastHeardAt: 9}, idle(9)}, 1, 1},
 		"untried before tried": {[]ReleaseCandidate{
 			{LastHeardAt: 9, HasIdleConn: true, Tried: true}, {LastHeardAt: 1},
 		}, 0, 1},
@@ -22,7 +22,7 @@
 		}, 0, 1},
 	} {
 		if got := SelectReleaseServer(c.candidates, c.round); got != c.want {
-			t.Errorf("%s: %d, want %d", name, got, c.want)
+			t.Errorf("%s: index %d, want %d", name, got, c.want)
 		}
 	}
 }
--- a/internal/decide/streamwatch/streamwatch.go
+++ b/internal/decide/streamwatch/streamwatch.go
@@ -1,60 +1,59 @@
-// Package streamwatch decides when an answer that streams to its client is ended early. It distinguishes a decode
-// server that has fallen silent from one that is slow and from a client that does not read, and it ends a stream before
-// the client's deadline.
+// Package streamwatch decides when a streaming answer is ended early: when its decode server has gone silent, when its
+// client does not read, and shortly before the client's deadline.
 //
 // The package does no I/O and reads no clock. All times are nanoseconds on one clock of the caller.
 package streamwatch
 
-// Verdict is what to do with a stream.
+// Verdict says whether a stream continues and, if not, why it is ended.
 type Verdict uint8
 
 // The verdicts.
 const (
-	Continue         Verdict = iota
-	ServerSilent             // end it: the decode server sends no more tokens, and the request has failed
-	ClientNotReading         // end it: the client reads nothing
-	DeadlineReached          // end it now, so that the final answer reaches the client before its deadline
+	Continue         Verdict = iota // the stream continues
+	ServerSilent                    // ended: the decode server sends no more tokens, and the request has failed
+	ClientNotReading                // ended: the client does not read
+	DeadlineReached                 // ended now, so that the final answer reaches the client before its deadline
 )
 
-// verdictTexts are part of the interface: clients receive them as the reason of a failed request.
+// verdictTexts are received by clients as the reason of a failed request, except that of Continue.
 var verdictTexts = [...]string{
-	Continue:         "goes on",
+	Continue:         "continue",
 	ServerSilent:     "decode server silent",
 	ClientNotReading: "client does not read",
 	DeadlineReached:  "time is up",
 }
 
-// String returns the reason as clients receive it.
+// String returns the text that clients receive.
 func (v Verdict) String() string { return verdictTexts[v] }
 
 const (
-	// maxSilenceGaps is how many target gaps between tokens a decode server may be silent. A batch that is held up by
-	// long prefills or a preemption is silent for tens of gaps, a dead server for ever.
+	// maxSilenceGaps is how many target gaps between tokens a decode server may be silent. Long prefills or a preemption
+	// can delay a decode batch by tens of gaps.
 	maxSilenceGaps = 60
-	// minSilenceTargets is the least silence that is allowed, as a multiple of the first-token target. It counts where
-	// gaps are short: a decode server that recomputes an answer after it ran out of memory needs about that time.
+	// minSilenceTargets is the lower bound of the allowed silence, as a multiple of the first-token target. It applies
+	// if gaps are short: a decode server that ran out of memory needs about that time to recompute an answer.
 	minSilenceTargets = 1
-	// silenceMarginDivisor divides the silence that a client tolerates into the part that is reserved for the end of the
-	// stream to arrive.
+	// silenceMarginDivisor divides the silence that a client tolerates into the part that is left for the end of the
+	// stream to reach the client.
 	silenceMarginDivisor = 10
-	// clientStallFactor is how many times longer a client may read nothing than a server may send nothing. Its own
-	// deadline goes on meanwhile.
+	// clientStallFactor is how many times longer a client may read nothing than a server may send nothing. The client's
+	// deadline applies meanwhile.
 	clientStallFactor = 4
 )
 
-// Stream is what is known about a stream.
+// Stream describes a streaming answer.
 type Stream struct {
-	FirstTokenAt     int64 // when the first token came
-	LastTokenAt      int64 // when the last token came
+	FirstTokenAt     int64 // when the first token was received
+	LastTokenAt      int64 // when the latest token was received
 	TargetTokenGap   int64 // target time between tokens
 	FirstTokenTarget int64 // target time to the first token
 	CallDeadline     int64 // the client's deadline; 0 if it has none
-	AnswerLeadTime   int64 // the final answer is sent so long before the deadline
+	AnswerLeadTime   int64 // how long before the deadline the final answer is sent
 	MaxSilence       int64 // how long the client tolerates silence after a token; 0 if unknown
-	ClientBlocked    bool  // received data waits for the client, at least since the last token
+	ClientBlocked    bool  // received data has waited for the client to read, at least since the latest token
 }
 
-// Check returns what to do with a stream now and, with Continue, when to check it again at the latest.
+// Check returns the verdict on a stream and, with Continue, the time by which to check it again.
 func Check(now int64, s Stream) (verdict Verdict, checkAgainAt int64) {
 	answerAt := s.CallDeadline - s.AnswerLeadTime
 	if s.CallDeadline > 0 && now >= answerAt {
@@ -74,8 +73,8 @@
 	return Continue, checkAgainAt
 }
 
-// silenceLimit returns how long the decode server may be silent. It is as long as the client tolerates, where that is
-// known, so that a slow server is not taken for a dead one.
+// silenceLimit returns how long the decode server may be silent: as long as the client tolerates, less a margin, if
+// that is known, so that a slow server is not mistaken for a dead one.
 func (s Stream) silenceLimit() int64 {
 	if s.MaxSilence > 0 {
 		return s.MaxSilence - s.MaxSilence/silenceMarginDivisor
--- a/internal/decide/streamwatch/streamwatch_test.go
+++ b/internal/decide/streamwatch/streamwatch_test.go
@@ -26,27 +26,27 @@
 		want       Verdict
 		checkAgain int64
 	}{
-		{"tokens come", 2100 * ms, stream, Continue, 2000*ms + limit},
-		{"slow, not silent", 2000*ms + limit - 1, stream, Continue, 2000*ms + limit},
-		{"silent", 2000*ms + limit, stream, ServerSilent, 0},
-		{"short gaps: one first-token target at least", 2900 * ms, shortGaps, Continue, 3000 * ms},
+		{"recent token", 2100 * ms, stream, Continue, 2000*ms + limit},
+		{"just below the silence limit", 2000*ms + limit - 1, stream, Continue, 2000*ms + limit},
+		{"at the silence limit", 2000*ms + limit, stream, ServerSilent, 0},
+		{"short gaps: at least one first-token target", 2900 * ms, shortGaps, Continue, 3000 * ms},
 		{
-			"client blocked: not the server's fault", 2000*ms + limit, blocked,
+			"client blocked, within its limit", 2000*ms + limit, blocked,
 			Continue, 2000*ms + clientStallFactor*limit,
 		},
-		{"client blocked for long", 2000*ms + clientStallFactor*limit, blocked, ClientNotReading, 0},
+		{"client blocked, at its limit", 2000*ms + clientStallFactor*limit, blocked, ClientNotReading, 0},
 		{"deadline near", 2500 * ms, withDeadline, DeadlineReached, 0},
 		{"checked again before the deadline", 2100 * ms, withDeadline, Continue, 2490 * ms},
-		{"no token but the first", 1100 * ms, oneToken, Continue, 1000*ms + limit},
+		{"first token only", 1100 * ms, oneToken, Continue, 1000*ms + limit},
 	} {
 		if got, checkAgain := Check(c.now, c.stream); got != c.want || checkAgain != c.checkAgain {
-			t.Errorf("%s: %v, again at %d ms, want %v at %d ms", c.name, got, checkAgain/ms, c.want, c.checkAgain/ms)
+			t.Errorf("%s: %v, next check at %d ms, want %v, %d ms", c.name, got, checkAgain/ms, c.want, c.checkAgain/ms)
 		}
 	}
 }
 
-// TestSilentStreamEnds: a caller that checks when told to never waits beyond the client's deadline, and a silent stream
-// ends.
+// TestSilentStreamEnds checks that a silent stream ends, and not later than the client's deadline, if it is checked at
+// the returned times.
 func TestSilentStreamEnds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := Stream{
@@ -63,15 +63,15 @@
 			verdict, checkAgain := Check(now, s)
 			if verdict != Continue {
 				if s.CallDeadline > 0 && now > max(s.CallDeadline-s.AnswerLeadTime, 1) {
-					t.Fatalf("checked at %d, the deadline was %d", now, s.CallDeadline)
+					t.Fatalf("ended at %d, too late for the deadline at %d", now, s.CallDeadline)
 				}
 				return
 			}
 			if checkAgain <= now {
-				t.Fatalf("again at %d, not after %d", checkAgain, now)
+				t.Fatalf("next check at %d, want it after %d", checkAgain, now)
 			}
 			now = checkAgain
 		}
-		t.Fatal("a stream without tokens goes on for ever")
+		t.Fatal("a stream without tokens does not end")
 	})
 }
