--- a/internal/decide/inflight/operation_test.go
+++ b/internal/decide/inflight/operation_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// TestAdvance: states follow in their order.
+// TestAdvance checks that states only change to later ones.
 func TestAdvance(t *testing.T) {
 	operation := NewOperation(StateRelease)
 	for _, to := range []DeliveryState{Connecting, Sending, Sent, Acknowledged, Completed} {
@@ -22,15 +22,15 @@
 	err := operation.Advance(Sent)
 	var transition *TransitionError
 	if !errors.As(err, &transition) || *transition != (TransitionError{StateRelease, Completed, Sent}) {
-		t.Errorf("backward transition: %v, want a *TransitionError from completed to sent", err)
+		t.Errorf("backward transition: error %v, want a *TransitionError from completed to sent", err)
 	}
 	if err == nil || err.Error() != `state release cannot change from state "completed" to "sent"` {
 		t.Error(err)
 	}
 }
 
-// TestCloseMode: the connection of an attempt is kept to see its end where the server may have the attempt and has sent
-// nothing.
+// TestCloseMode checks that the connection of an abandoned attempt is kept open if the server may have received the
+// attempt and has not answered.
 func TestCloseMode(t *testing.T) {
 	at := func(state DeliveryState) *Operation { return &Operation{Kind: PrefillAttempt, state: state} }
 	for name, c := range map[string]struct{ got, want CloseMode }{
@@ -41,7 +41,7 @@
 		"answer streams": {at(Acknowledged).CloseMode(true, true), CloseImmediately},
 	} {
 		if c.got != c.want {
-			t.Errorf("%s: %d, want %d", name, c.got, c.want)
+			t.Errorf("%s: close mode %d, want %d", name, c.got, c.want)
 		}
 	}
 	if at(Completed).MayContinueOnServer(false) || !at(Abandoned).MayContinueOnServer(false) ||
--- a/internal/decide/inflight/permission.go
+++ b/internal/decide/inflight/permission.go
@@ -1,22 +1,22 @@
 package inflight
 
-// ReleasePermission is whether a release of the KV state of a request may be sent.
+// ReleasePermission says whether a release of a request's KV state may be sent.
 type ReleasePermission uint8
 
 // The permissions.
 const (
-	// ReleaseAllowed: no attempt can lose state that it needs.
+	// ReleaseAllowed means that a release takes no state from an attempt that needs it.
 	ReleaseAllowed ReleasePermission = iota
-	// ReleaseIfUrgent: a prefill attempt is outstanding at a server that has sent nothing since. If the attempt arrived
-	// after all, a release would destroy its result; if not, state of earlier attempts may be held for too long.
+	// ReleaseIfUrgent means that a prefill attempt is outstanding and its server has sent nothing since. If the attempt
+	// has arrived, a release destroys its result; if not, waiting may hold the state of earlier attempts for too long.
 	ReleaseIfUrgent
-	// ReleaseForbidden: the next attempt needs the state, or a prefill attempt is probably running.
+	// ReleaseForbidden means that the next attempt needs the state, or that a prefill attempt is probably running.
 	ReleaseForbidden
 )
 
 // ReleasePermission returns whether a release may be sent now. state is the delivery state of the outstanding attempt.
-// serverHeard reports whether its server was heard from since the attempt was sent, on any connection: that does not
-// prove that the attempt arrived, but makes it probable.
+// serverHeard means that data was received from its server, on any connection, since the attempt was sent: the attempt
+// has then probably arrived.
 func (s *RequestState) ReleasePermission(state DeliveryState, serverHeard bool) ReleasePermission {
 	switch {
 	case s.holdStatus == held:
@@ -29,14 +29,13 @@
 	return ReleaseIfUrgent
 }
 
-// CheckSendRelease returns nil if a release may be sent now that its connection is established. besidePrefill reports
-// whether it was begun beside an unacknowledged prefill attempt, where the error is ErrReleaseSuperseded; otherwise it
-// is ErrStateNeeded.
-func CheckSendRelease(permission ReleasePermission, besidePrefill bool) error {
+// CheckSendRelease returns nil if a release may be sent once its connection is established. Otherwise it returns
+// ErrReleaseSuperseded if the release was begun during an unacknowledged prefill attempt, and ErrStateNeeded if not.
+func CheckSendRelease(permission ReleasePermission, duringPrefill bool) error {
 	switch {
 	case permission != ReleaseForbidden:
 		return nil
-	case besidePrefill:
+	case duringPrefill:
 		return ErrReleaseSuperseded
 	}
 	return ErrStateNeeded
--- a/internal/decide/inflight/releasetracker_test.go
+++ b/internal/decide/inflight/releasetracker_test.go
@@ -11,32 +11,32 @@
 	testIdleTimeout = int64(15000)
 )
 
-// newTestTracker returns a tracker with the times of these tests.
+// newTestTracker returns a tracker with testReleaseTime and testIdleTimeout.
 func newTestTracker() ReleaseTracker { return NewReleaseTracker(testReleaseTime, testIdleTimeout) }
 
-// wantAction fails unless NextAction returns the action where a release is allowed and no attempt is outstanding.
-func wantAction(t *testing.T, tracker *ReleaseTracker, now int64, want TrackerAction, why string) {
+// wantAction checks the action of NextAction with a release allowed and no attempt outstanding.
+func wantAction(t *testing.T, tracker *ReleaseTracker, now int64, want TrackerAction, reason string) {
 	t.Helper()
 	if got, at := tracker.NextAction(now, ReleaseAllowed, false); got != want {
-		t.Errorf("at %d: action %d until %d, want action %d: %s", now, got, at, want, why)
+		t.Errorf("at %d: action %d until %d, want action %d: %s", now, got, at, want, reason)
 	}
 }
 
-// wantWait fails unless NextAction returns a wait until that time in the same case.
-func wantWait(t *testing.T, tracker *ReleaseTracker, now, until int64, why string) {
+// wantWait checks that NextAction returns a wait until the given time under the conditions of wantAction.
+func wantWait(t *testing.T, tracker *ReleaseTracker, now, until int64, reason string) {
 	t.Helper()
 	if got, at := tracker.NextAction(now, ReleaseAllowed, false); got != ActionWait || at != until {
-		t.Errorf("at %d: action %d until %d, want a wait until %d: %s", now, got, at, until, why)
+		t.Errorf("at %d: action %d until %d, want a wait until %d: %s", now, got, at, until, reason)
 	}
 }
 
-// abandonedAttempt is an attempt that was abandoned, with what the tracker cannot know: when its server ends it.
+// abandonedAttempt is an abandoned attempt and the time, unknown to the tracker, at which its server ends it.
 type abandonedAttempt struct {
 	abandonedAt, runUntil, endsAt int64
 	watched, confirmed            bool
 }
 
-// drawAbandonedAttempt draws an attempt whose server runs it no longer than it was told, or shows its end.
+// drawAbandonedAttempt draws an attempt whose server ends it by runUntil or, if it is watched, confirms its end.
 func drawAbandonedAttempt(t *rapid.T) *abandonedAttempt {
 	a := &abandonedAttempt{
 		abandonedAt: rapid.Int64Range(0, 3000).Draw(t, "abandoned at"),
@@ -45,13 +45,13 @@
 	a.runUntil = a.abandonedAt + rapid.Int64Range(0, 4000).Draw(t, "may run for")
 	a.endsAt = a.abandonedAt + rapid.Int64Range(0, a.runUntil-a.abandonedAt).Draw(t, "runs for")
 	if a.watched {
-		a.endsAt = a.abandonedAt + rapid.Int64Range(0, testIdleTimeout-2000).Draw(t, "hangs for")
+		a.endsAt = a.abandonedAt + rapid.Int64Range(0, testIdleTimeout-2000).Draw(t, "watched for")
 	}
 	return a
 }
 
-// tell tells the tracker what becomes known of the attempt at this time.
-func (a *abandonedAttempt) tell(tracker *ReleaseTracker, now int64) {
+// report reports to the tracker what becomes known about the attempt at this time.
+func (a *abandonedAttempt) report(tracker *ReleaseTracker, now int64) {
 	if a.abandonedAt == now {
 		if a.watched {
 			tracker.WatchedAttemptAbandoned(now, a.runUntil)
@@ -66,8 +66,8 @@
 	}
 }
 
-// TestTrackerFollowsEveryEnd: whatever servers do with abandoned attempts, as long as they run them no longer than they
-// were told or show the end, a release is begun within the release time after each end, and the tracker ends.
+// TestTrackerFollowsEveryEnd checks that a release is started within the release time after the end of each abandoned
+// attempt on its server, and that the tracker then ends.
 func TestTrackerFollowsEveryEnd(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var attempts []*abandonedAttempt
@@ -76,13 +76,13 @@
 		}
 		latency := rapid.Int64Range(1, 90).Draw(t, "latency")
 		tracker := newTestTracker()
-		var begun []int64
+		var started []int64
 		answerAt, answerOf := never, int64(0)
 		ended := false
 		for now := int64(0); now < 60000 && !ended; now++ {
 			active := false
 			for _, a := range attempts {
-				a.tell(&tracker, now)
+				a.report(&tracker, now)
 				active = active || a.abandonedAt >= now
 			}
 			if now == answerAt {
@@ -94,16 +94,16 @@
 			}
 			switch action, at := tracker.NextAction(now, ReleaseAllowed, false); action {
 			case ActionSend:
-				begun = append(begun, now)
+				started = append(started, now)
 				answerAt, answerOf = now+latency, now
 			case ActionWait:
 				if at <= now {
-					t.Fatalf("at %d it waits until %d", now, at)
+					t.Fatalf("at %d: wait until %d, want a later time", now, at)
 				}
 			case ActionDone:
 				ended = !active
 			case ActionExpire:
-				t.Fatalf("expired at %d", now)
+				t.Fatalf("at %d: the tracker expires", now)
 			}
 		}
 		if !ended {
@@ -111,17 +111,17 @@
 		}
 		for _, a := range attempts {
 			found := false
-			for _, at := range begun {
+			for _, at := range started {
 				found = found || at >= a.endsAt && at <= a.endsAt+testReleaseTime
 			}
 			if !found {
-				t.Fatalf("attempt %+v: releases at %v, want one within %d of its end", *a, begun, testReleaseTime)
+				t.Fatalf("attempt %+v: releases at %v, want one within %d of its end", *a, started, testReleaseTime)
 			}
 		}
 	})
 }
 
-// TestTrackerWithoutServers: a release that no server accepts is tried on, is reported as lost once, and expires.
+// TestTrackerWithoutServers checks that a release that no server accepts is reported as lost once and expires.
 func TestTrackerWithoutServers(t *testing.T) {
 	tracker := newTestTracker()
 	tracker.RequestRelease(0, 0)
@@ -132,7 +132,7 @@
 		}
 		if action, _ := tracker.NextAction(now, ReleaseAllowed, false); action == ActionExpire {
 			if losses != 1 || now < testIdleTimeout {
-				t.Errorf("reported as lost %d times, expired at %d", losses, now)
+				t.Errorf("reported as lost %d times, expired at %d; want once, and not before the idle timeout", losses, now)
 			}
 			return
 		}
@@ -140,40 +140,40 @@
 	t.Error("the tracker does not expire")
 }
 
-// TestTrackerWaitsForConfirmation: a release waits for the end of the attempt that was abandoned just before, not for
-// long. One that was begun before the end was shown does not count.
+// TestTrackerWaitsForConfirmation checks that a release waits a limited time for the end of a watched attempt, and that
+// a release started before that end has to be followed by another.
 func TestTrackerWaitsForConfirmation(t *testing.T) {
 	tracker := newTestTracker()
 	tracker.WatchedAttemptAbandoned(0, 4000)
 	tracker.RequestRelease(0, 0)
-	wantWait(t, &tracker, 0, tracker.ReleaseTimeout(), "the attempt's end may show")
-	wantAction(t, &tracker, tracker.ReleaseTimeout(), ActionSend, "the end has not shown in time")
+	wantWait(t, &tracker, 0, tracker.ReleaseTimeout(), "the end of the attempt may be confirmed")
+	wantAction(t, &tracker, tracker.ReleaseTimeout(), ActionSend, "the end was not confirmed in time")
 	tracker.EndConfirmed(107)
 	tracker.ReleaseAccepted(100)
-	wantAction(t, &tracker, 108, ActionSend, "the accepted release was begun before the end")
+	wantAction(t, &tracker, 108, ActionSend, "the accepted release was started before the end")
 	if !tracker.ReleasePending() {
-		t.Error("the accepted release was begun before the end: one is still pending")
+		t.Error("the accepted release was started before the end, want one still pending")
 	}
 	tracker.ReleaseAccepted(108)
-	wantAction(t, &tracker, 109, ActionDone, "nothing is left")
+	wantAction(t, &tracker, 109, ActionDone, "all state is released")
 }
 
-// TestTrackerForbidden: nothing is sent while an attempt needs the state.
+// TestTrackerForbidden checks that no release is sent while an attempt needs the state.
 func TestTrackerForbidden(t *testing.T) {
 	tracker := newTestTracker()
 	tracker.RequestRelease(0, 0)
 	if action, at := tracker.NextAction(0, ReleaseForbidden, false); action != ActionWait || at <= 0 {
 		t.Errorf("action %d until %d, want a wait", action, at)
 	}
-	wantAction(t, &tracker, 300, ActionSend, "it is allowed now")
+	wantAction(t, &tracker, 300, ActionSend, "a release is allowed now")
 	if held := tracker.HeldFor(300); held != 300 {
 		t.Errorf("held for %d, want 300", held)
 	}
 }
 
-// TestTrackerBesidePrefill: beside a prefill attempt that may be on its way a pending release waits, but not for longer
-// than held state may wait; a repeat, which may be needless, waits for the attempt's end.
-func TestTrackerBesidePrefill(t *testing.T) {
+// TestTrackerDuringPrefill checks that during a prefill attempt that may not have arrived a pending release waits until
+// it is urgent, and that a repeat waits for the end of the attempt.
+func TestTrackerDuringPrefill(t *testing.T) {
 	tracker := newTestTracker()
 	tracker.AttemptAbandoned(0, 6000)
 	tracker.RequestRelease(0, 0)
@@ -183,31 +183,30 @@
 		}
 	}
 	if action, _ := tracker.NextAction(600, ReleaseIfUrgent, true); action != ActionSend {
-		t.Error("state is held for too long: the release must be sent")
+		t.Error("the release is urgent, want it sent")
 	}
 	tracker.ReleaseAccepted(600)
 	if action, at := tracker.NextAction(601, ReleaseIfUrgent, true); action != ActionWait || at != 1400 {
 		t.Errorf("action %d until %d, want a wait until 1400", action, at)
 	}
 	if action, _ := tracker.NextAction(1400, ReleaseIfUrgent, true); action != ActionWait {
-		t.Error("a repeat beside a prefill attempt")
+		t.Error("the release is repeated during a prefill attempt")
 	}
-	wantAction(t, &tracker, 1500, ActionSend, "the prefill attempt is over: a repeat is due")
+	wantAction(t, &tracker, 1500, ActionSend, "the prefill attempt has ended: a repeat is due")
 }
 
-// TestTrackerUnrequested: abandoned attempts are followed also where nothing is to be released yet, and the tracker
-// ends by itself.
+// TestTrackerUnrequested checks that an attempt abandoned before a release is requested is taken into account.
 func TestTrackerUnrequested(t *testing.T) {
 	tracker := newTestTracker()
 	tracker.AttemptAbandoned(0, 3000)
-	wantWait(t, &tracker, 0, 3000, "the server may run it until then")
+	wantWait(t, &tracker, 0, 3000, "the server may run the attempt until 3000")
 	tracker.RequestRelease(100, 0)
 	wantAction(t, &tracker, 100, ActionSend, "a release is requested")
 	tracker.ReleaseAccepted(100)
-	wantWait(t, &tracker, 101, 900, "the server may run it until 3000")
+	wantWait(t, &tracker, 101, 900, "the server may run the attempt until 3000: a repeat is due at 900")
 }
 
-// TestReleaseBounds: rounds follow at a tenth of the release time, later at eight tenths of it, and all is bounded.
+// TestReleaseBounds checks the round timeouts and the bounds of parallel releases and trackers.
 func TestReleaseBounds(t *testing.T) {
 	tracker := newTestTracker()
 	if first, last := tracker.RoundTimeout(0), tracker.RoundTimeout(99); first != 100 || last != 800 {
@@ -223,13 +222,12 @@
 	}
 }
 
-// TestTrackerSentDuringAttempt: a release that was sent while an attempt was outstanding is followed by another when
-// that attempt is over.
+// TestTrackerSentDuringAttempt checks that a release sent during an attempt is followed by another after its end.
 func TestTrackerSentDuringAttempt(t *testing.T) {
 	tracker := newTestTracker()
 	tracker.RequestRelease(0, 0)
 	if action, _ := tracker.NextAction(0, ReleaseAllowed, true); action != ActionSend {
-		t.Error("it may be sent beside the attempt")
+		t.Error("no release is sent during the attempt, want one")
 	}
 	tracker.ReleaseStarted(true)
 	tracker.ReleaseAccepted(0)
@@ -242,10 +240,10 @@
 	wantAction(t, &tracker, 5000, ActionSend, "the attempt may have kept state")
 	tracker.ReleaseStarted(false)
 	tracker.ReleaseAccepted(5000)
-	wantAction(t, &tracker, 5001, ActionDone, "nothing is left")
+	wantAction(t, &tracker, 5001, ActionDone, "all state is released")
 }
 
-// TestConfirmsEnd: a reset shows the end of an attempt only where it follows at once.
+// TestConfirmsEnd checks that a reset confirms the end of an attempt only if it follows at once.
 func TestConfirmsEnd(t *testing.T) {
 	tracker := newTestTracker()
 	for name, c := range map[string]struct {
@@ -258,7 +256,7 @@
 		"reset later":   {101, ConnReset, false},
 	} {
 		if got := tracker.ConfirmsEnd(500+c.after, 500, c.peerClose); got != c.want {
-			t.Errorf("%s: %v, want %v", name, got, c.want)
+			t.Errorf("%s: confirms %v, want %v", name, got, c.want)
 		}
 	}
 }
--- a/internal/decide/inflight/request.go
+++ b/internal/decide/inflight/request.go
@@ -2,37 +2,37 @@
 
 import "docksail/policy"
 
-// holdStatus is what is known about the KV state of a request.
+// holdStatus says whether a server holds the KV state of a request.
 type holdStatus uint8
 
 const (
-	// notHeld: no server is known to hold KV state; a ReleaseTracker covers what attempts may have left.
+	// notHeld means that no server is known to hold KV state. A ReleaseTracker handles what attempts may have left.
 	notHeld holdStatus = iota
-	// held: a prefill server holds KV state.
+	// held means that a prefill server holds KV state.
 	held
-	// releasedDuringDecode: the KV state was released while a decode attempt was outstanding. No attempt may rely on
-	// it any more, but that attempt may have kept it.
+	// releasedDuringDecode means that the KV state was released while a decode attempt was outstanding. No further
+	// attempt may rely on it, but that attempt may have kept it.
 	releasedDuringDecode
 )
 
-// RequestState is the state of one request: whether it has its one final answer, its outstanding attempt, of which
-// there is at most one, and the KV state that a prefill server holds for it.
+// RequestState is the state of one request: whether it has its final answer, which it has once, its outstanding
+// attempt, of which there is at most one, and the KV state that a prefill server holds for it.
 type RequestState struct {
 	ID       policy.RequestID
 	answered bool
 
 	attemptCount  int32
 	current       policy.AttemptNumber // the outstanding attempt, or the last one
-	kind          OperationKind        // of that attempt
+	kind          OperationKind        // of the current attempt
 	outstanding   bool
-	answerStarted bool // the answer of the outstanding attempt has begun: its server has the KV state
+	answerStarted bool // the answer of the current attempt has begun, so its server has the KV state
 
 	holdStatus  holdStatus
 	stateHolder policy.ServerID
-	heldSince   int64 // start of the time for which the state may be held
+	heldSince   int64 // when the time for which the state may be held began
 }
 
-// MarkAnswered records that the client has received the final answer. It returns ErrAlreadyAnswered if it had one.
+// MarkAnswered records that the final answer was given to the client, or returns ErrAlreadyAnswered if it had been.
 func (s *RequestState) MarkAnswered() error {
 	if s.answered {
 		return ErrAlreadyAnswered
@@ -41,11 +41,11 @@
 	return nil
 }
 
-// Answered reports whether the client has received the final answer.
+// Answered reports whether the final answer was given to the client.
 func (s *RequestState) Answered() bool { return s.answered }
 
-// BeginAttempt records that an attempt is sent and returns its number. It returns ErrAttemptOutstanding if another one
-// is outstanding, and ErrAlreadyAnswered after the final answer.
+// BeginAttempt records that an attempt begins and returns its number. It returns ErrAttemptOutstanding if another
+// attempt is outstanding, and ErrAlreadyAnswered after the final answer.
 func (s *RequestState) BeginAttempt(kind OperationKind) (policy.AttemptNumber, error) {
 	switch {
 	case s.outstanding:
@@ -67,12 +67,12 @@
 // AttemptCount returns the number of attempts so far.
 func (s *RequestState) AttemptCount() int32 { return s.attemptCount }
 
-// SendConditions is what is known when the bytes of the outstanding attempt are about to be sent.
+// SendConditions describes the situation in which the bytes of the outstanding attempt are about to be sent.
 type SendConditions struct {
 	Now             int64
 	StartDeadline   int64 // the attempt may be sent only before this time
-	ServerServing   bool  // the endpoint list has the server as serving
-	ReleaseInFlight bool  // a release of the request that was begun before the prefill attempt has no answer yet
+	ServerServing   bool  // the server is serving according to the endpoint list
+	ReleaseInFlight bool  // a release started before the prefill attempt has not been answered
 }
 
 // CheckSend returns nil if the outstanding attempt may be sent now. Otherwise it returns ErrNoSuchAttempt,
@@ -100,25 +100,25 @@
 type AttemptResult struct {
 	Outcome policy.Outcome
 	Server  policy.ServerID
-	State   DeliveryState // at the end, before it was abandoned
+	State   DeliveryState // at the end of the attempt, before it is abandoned
 	// MayHaveBeenReceived reports whether the server may have received the complete message.
 	MayHaveBeenReceived bool
 }
 
-// AttemptEnd is what follows from the end of an attempt.
+// AttemptEnd describes the consequences of the end of an attempt.
 type AttemptEnd struct {
-	// NeedsRelease reports whether the attempt left KV state, or may have, that is to be released.
+	// NeedsRelease means that the attempt left, or may have left, KV state that is to be released.
 	NeedsRelease bool
-	// HoldClockUnchanged reports that the attempt is not known to have reached its server, so that its end does not
-	// restart the time for which the KV state may be held: the state is held since HeldSince or, with StateLost, can no
+	// HoldClockUnchanged means that the attempt is not known to have reached its server, so that its end does not restart
+	// the time for which the KV state may be held. The state has been held since HeldSince or, with StateLost, can no
 	// longer be relied on.
 	HoldClockUnchanged bool
 	HeldSince          int64
 	StateLost          bool
 }
 
-// EndAttempt records the end of the outstanding attempt and returns what follows from it. It returns ErrNoSuchAttempt
-// if no attempt of that number is outstanding.
+// EndAttempt records the end of the outstanding attempt and returns its consequences. It returns ErrNoSuchAttempt if no
+// attempt with that number is outstanding.
 func (s *RequestState) EndAttempt(now int64, number policy.AttemptNumber, result AttemptResult) (AttemptEnd, error) {
 	if !s.outstanding || number != s.current {
 		return AttemptEnd{}, ErrNoSuchAttempt
@@ -143,7 +143,7 @@
 	switch {
 	case s.answerStarted:
 		return AttemptEnd{}
-	case s.holdStatus == releasedDuringDecode: // the attempt may have kept the state: now it can be released for good
+	case s.holdStatus == releasedDuringDecode: // the attempt may have kept the state, which can be released now
 		s.holdStatus = notHeld
 		return AttemptEnd{NeedsRelease: true, HoldClockUnchanged: true, StateLost: true}
 	case s.holdStatus == notHeld:
@@ -155,7 +155,7 @@
 	return AttemptEnd{HoldClockUnchanged: true, HeldSince: s.heldSince}
 }
 
-// isServerAnswer reports whether an outcome is the answer of a server, which proves that it received the attempt.
+// isServerAnswer reports whether the outcome is an answer of the server, which proves that it received the attempt.
 func isServerAnswer(outcome policy.Outcome) bool {
 	switch outcome {
 	case policy.Served, policy.Prefilled, policy.Rejected, policy.StateMissing, policy.Failed:
@@ -168,13 +168,13 @@
 // mayLeaveState reports whether a prefill attempt may have left KV state on its server that is not recorded as held.
 func mayLeaveState(result AttemptResult) bool {
 	switch result.Outcome {
-	case policy.Prefilled: // it has left state, which is recorded as held
+	case policy.Prefilled: // its state is recorded as held
 		return false
-	case policy.Rejected, policy.StateMissing, policy.NotSent, policy.Unreachable: // it never ran
+	case policy.Rejected, policy.StateMissing, policy.NotSent, policy.Unreachable: // it did not run
 		return false
 	case policy.Canceled:
 		return result.MayHaveBeenReceived
-	default: // timed out, connection lost, or an answer without a usable result
+	default: // it timed out, lost its connection or got no usable result
 		return true
 	}
 }
@@ -184,10 +184,10 @@
 	return s.stateHolder, s.holdStatus == held
 }
 
-// HeldSince returns the start of the time for which the KV state may be held.
+// HeldSince returns when the time for which the KV state may be held began.
 func (s *RequestState) HeldSince() int64 { return s.heldSince }
 
-// MarkStateReleased records that the held KV state is to be released, so that no attempt relies on it any more. It
+// MarkStateReleased records that the held KV state is being released, so that no further attempt may rely on it. It
 // returns ErrNoStateHeld if no server holds state for the request.
 func (s *RequestState) MarkStateReleased() error {
 	if s.holdStatus != held {
@@ -200,17 +200,17 @@
 	return nil
 }
 
-// Done reports whether the request has its final answer, no outstanding attempt and no held KV state, so that its entry
-// may be reused.
+// Done reports whether the request has its final answer, no outstanding attempt and no held KV state. Its entry may
+// then be reused.
 func (s *RequestState) Done() bool { return s.answered && !s.outstanding && s.holdStatus != held }
 
 // earlyReleaseFraction is the fraction of the release time for which KV state waits for a decode attempt that is not
-// known to have reached its server. Until the attempt arrives, the holder counts the state as unused. The rest of the
-// release time covers pauses of this process and servers that do not answer.
+// known to have reached its server. Until the attempt arrives, the state counts as held unused. The rest of the release
+// time allows for pauses of this process and servers that do not answer.
 const earlyReleaseFraction = 0.6
 
-// EarlyReleaseTime returns when the held KV state is to be released although a decode attempt that is to take it is
-// outstanding; state is the delivery state of that attempt. ok is false if no early release is needed.
+// EarlyReleaseTime returns when the held KV state is to be released although a decode attempt that needs it is
+// outstanding. state is the delivery state of that attempt. ok is false if no early release is needed.
 func (s *RequestState) EarlyReleaseTime(state DeliveryState, releaseTime int64) (at int64, ok bool) {
 	awaitingArrival := s.outstanding && s.kind == DecodeAttempt && !s.answerStarted && state < Acknowledged
 	if !awaitingArrival || s.holdStatus != held {
--- a/internal/decide/inflight/request_test.go
+++ b/internal/decide/inflight/request_test.go
@@ -9,7 +9,7 @@
 	"docksail/policy"
 )
 
-// begin starts an attempt that must be permitted.
+// begin begins an attempt and fails the test if that is not permitted.
 func begin(t *testing.T, s *RequestState, kind OperationKind) policy.AttemptNumber {
 	t.Helper()
 	number, err := s.BeginAttempt(kind)
@@ -19,7 +19,7 @@
 	return number
 }
 
-// end ends the outstanding attempt, which must be of that number.
+// end ends the outstanding attempt and fails the test if it does not have the given number.
 func end(t *testing.T, s *RequestState, now int64, number policy.AttemptNumber, result AttemptResult) AttemptEnd {
 	t.Helper()
 	attemptEnd, err := s.EndAttempt(now, number, result)
@@ -29,7 +29,7 @@
 	return attemptEnd
 }
 
-// prefill plays a prefill attempt that leaves KV state at server 3.
+// prefill begins and ends a prefill attempt that leaves KV state on server 3.
 func prefill(t *testing.T, s *RequestState, now int64) {
 	t.Helper()
 	end(t, s, now, begin(t, s, PrefillAttempt), prefilled)
@@ -39,30 +39,30 @@
 	Outcome: policy.Prefilled, Server: 3, State: Acknowledged, MayHaveBeenReceived: true,
 }
 
-// TestRequestInvariants calls the methods in any order: there is one final answer, one outstanding attempt, no attempt
-// after the answer, and no held state is forgotten.
+// TestRequestInvariants checks, with methods called in random order, that there is at most one final answer and one
+// outstanding attempt, that no attempt begins after the answer, and that held state is tracked.
 func TestRequestInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := RequestState{ID: 1}
 		answers, outstanding, holds := 0, false, false
 		kind, next := PrefillAttempt, policy.AttemptNumber(0)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			switch rapid.IntRange(0, 4).Draw(t, "what") {
+			switch rapid.IntRange(0, 4).Draw(t, "method") {
 			case 0:
 				if s.MarkAnswered() == nil {
 					answers++
 				}
 			case 1:
-				wanted := rapid.SampledFrom([]OperationKind{PrefillAttempt, DecodeAttempt}).Draw(t, "kind")
-				number, err := s.BeginAttempt(wanted)
+				newKind := rapid.SampledFrom([]OperationKind{PrefillAttempt, DecodeAttempt}).Draw(t, "kind")
+				number, err := s.BeginAttempt(newKind)
 				if (err == nil) != (!outstanding && answers == 0) {
-					t.Fatalf("attempt: %v while outstanding %v, %d answers", err, outstanding, answers)
+					t.Fatalf("BeginAttempt: error %v with outstanding %v, %d answers", err, outstanding, answers)
 				}
 				if err == nil {
 					if number != next {
-						t.Fatalf("attempt is number %d, want %d", number, next)
+						t.Fatalf("attempt has number %d, want %d", number, next)
 					}
-					outstanding, next, kind = true, next+1, wanted
+					outstanding, next, kind = true, next+1, newKind
 				}
 			case 2:
 				number := policy.AttemptNumber(rapid.IntRange(0, int(next)+1).Draw(t, "number"))
@@ -73,13 +73,13 @@
 					Outcome: outcome, Server: 3, State: Sent, MayHaveBeenReceived: true,
 				})
 				if (err == nil) != (outstanding && number == next-1) {
-					t.Fatalf("end of %d: %v while outstanding %v, last %d", number, err, outstanding, next-1)
+					t.Fatalf("EndAttempt of %d: error %v with outstanding %v, latest attempt %d", number, err, outstanding, next-1)
 				}
 				holds = holds || err == nil && kind == PrefillAttempt && outcome == policy.Prefilled
 				outstanding = outstanding && err != nil
 			case 3:
 				if (s.MarkStateReleased() == nil) != holds {
-					t.Fatalf("marked as released though held is %v", holds)
+					t.Fatalf("MarkStateReleased: want success only if state is held, held is %v", holds)
 				}
 				holds = false
 			case 4:
@@ -89,7 +89,7 @@
 				}
 			}
 			if _, ok := s.StateHolder(); ok != holds {
-				t.Fatalf("held %v, want %v", ok, holds)
+				t.Fatalf("state held %v, want %v", ok, holds)
 			}
 			if s.Done() != (answers == 1 && !outstanding && !holds) {
 				t.Fatalf("done %v with %d answers, outstanding %v, held %v", s.Done(), answers, outstanding, holds)
@@ -101,7 +101,7 @@
 	})
 }
 
-// TestPrefillAttemptEnd: whatever a prefill attempt may leave is released unless it cannot have run.
+// TestPrefillAttemptEnd checks that a release is needed if a prefill attempt may have left state that is not held.
 func TestPrefillAttemptEnd(t *testing.T) {
 	endOf := func(outcome policy.Outcome, mayHaveBeenReceived bool) AttemptEnd {
 		s := RequestState{}
@@ -115,22 +115,23 @@
 		policy.Canceled: true, policy.Served: true,
 	} {
 		if got := endOf(outcome, true).NeedsRelease; got != want {
-			t.Errorf("prefill attempt with outcome %d: release %v, want %v", outcome, got, want)
+			t.Errorf("prefill attempt with outcome %d: needs release %v, want %v", outcome, got, want)
 		}
 	}
 	if endOf(policy.Canceled, false).NeedsRelease {
-		t.Error("a prefill attempt that was never sent completely leaves nothing")
+		t.Error("a prefill attempt that was not sent completely needs a release, want none")
 	}
 }
 
-// TestDecodeAttemptEnd: an end that does not prove the attempt's arrival does not restart the hold clock.
+// TestDecodeAttemptEnd checks that the end of a decode attempt that is not known to have arrived does not restart the
+// hold clock.
 func TestDecodeAttemptEnd(t *testing.T) {
 	endOf := func(outcome policy.Outcome, state DeliveryState, released, started bool) AttemptEnd {
 		s := RequestState{}
 		prefill(t, &s, 9)
 		number := begin(t, &s, DecodeAttempt)
 		if released && s.MarkStateReleased() != nil {
-			t.Error("held state may be released beside a decode attempt")
+			t.Error("held state cannot be released during a decode attempt")
 		}
 		if started {
 			s.MarkAnswerStarted()
@@ -147,9 +148,9 @@
 		"unreachable":                   {endOf(policy.Unreachable, Connecting, false, false), unchanged},
 		"rejected":                      {endOf(policy.Rejected, Completed, false, false), AttemptEnd{}},
 		"partial answer":                {endOf(policy.ConnectionLost, Acknowledged, false, false), AttemptEnd{}},
-		"released beside, rejected":     {endOf(policy.Rejected, Completed, true, false), lost},
-		"released beside, timed out":    {endOf(policy.TimedOut, Sent, true, false), lost},
-		"released beside, then started": {endOf(policy.Served, Acknowledged, true, true), AttemptEnd{}},
+		"released during, rejected":     {endOf(policy.Rejected, Completed, true, false), lost},
+		"released during, timed out":    {endOf(policy.TimedOut, Sent, true, false), lost},
+		"released during, then started": {endOf(policy.Served, Acknowledged, true, true), AttemptEnd{}},
 		"started":                       {endOf(policy.ConnectionLost, Acknowledged, false, true), AttemptEnd{}},
 	} {
 		if c.got != c.want {
@@ -158,8 +159,8 @@
 	}
 }
 
-// TestEarlyReleaseTime: the hold clock runs from the end of the prefill attempt, and anew only from an end that proves
-// the attempt's arrival.
+// TestEarlyReleaseTime checks that the hold clock starts at the end of the prefill attempt, and restarts only at the
+// end of an attempt that is known to have arrived.
 func TestEarlyReleaseTime(t *testing.T) {
 	const releaseTime = 1000
 	s := RequestState{}
@@ -172,7 +173,7 @@
 	}
 	prefill(t, &s, 100)
 	if due(Planned) != -1 {
-		t.Error("no attempt is outstanding: the policy decides")
+		t.Error("an early release is due without an outstanding attempt")
 	}
 	number := begin(t, &s, DecodeAttempt)
 	for state, want := range map[DeliveryState]int64{
@@ -195,12 +196,12 @@
 		t.Errorf("after an answer: due at %d, want 1000", got)
 	}
 	if s.MarkStateReleased() != nil || due(Sent) != -1 || s.ReleasePermission(Sent, false) != ReleaseAllowed {
-		t.Error("released beside the attempt: want no further release due, and the release allowed")
+		t.Error("released during the attempt: want no further release due, and the release allowed")
 	}
 }
 
-// TestReleasePermissionAndCheckSend: a release must not destroy what an attempt needs, and a prefill attempt must not
-// be overtaken by a release.
+// TestReleasePermissionAndCheckSend checks that a release is not sent while an attempt needs the state, and that a
+// prefill attempt is not sent while an earlier release may still arrive after it.
 func TestReleasePermissionAndCheckSend(t *testing.T) {
 	s := RequestState{}
 	conditions := SendConditions{Now: 5, StartDeadline: 6, ServerServing: true}
@@ -215,27 +216,27 @@
 	wantSend := func(when string, conditions SendConditions, want error) {
 		t.Helper()
 		if got := s.CheckSend(conditions); !errors.Is(got, want) {
-			t.Errorf("%s: %v, want %v", when, got, want)
+			t.Errorf("%s: error %v, want %v", when, got, want)
 		}
 	}
-	wantPermission("nothing outstanding or held", Planned, false, ReleaseAllowed)
-	wantSend("nothing outstanding", conditions, ErrNoSuchAttempt)
+	wantPermission("no attempt outstanding, no state held", Planned, false, ReleaseAllowed)
+	wantSend("no attempt outstanding", conditions, ErrNoSuchAttempt)
 
 	number := begin(t, &s, PrefillAttempt)
-	wantPermission("prefill attempt waits", Planned, false, ReleaseAllowed)
+	wantPermission("prefill attempt planned", Planned, false, ReleaseAllowed)
 	wantPermission("prefill attempt, silent server", Connecting, false, ReleaseIfUrgent)
 	wantPermission("prefill attempt, server heard", Sent, true, ReleaseForbidden)
-	wantSend("prefill attempt beside a release", releasing, ErrReleaseInFlight)
+	wantSend("prefill attempt during a release", releasing, ErrReleaseInFlight)
 	wantSend("prefill attempt", conditions, nil)
 
 	end(t, &s, 9, number, prefilled)
 	wantPermission("state held", Planned, false, ReleaseForbidden)
 
 	begin(t, &s, DecodeAttempt)
-	wantSend("server drains", draining, ErrServerNotServing)
+	wantSend("server draining", draining, ErrServerNotServing)
 	wantSend("start deadline passed", late, ErrStartDeadlinePassed)
-	wantPermission("a decode attempt takes the state", Sent, false, ReleaseForbidden)
-	wantSend("decode attempt beside a release", releasing, nil)
+	wantPermission("decode attempt outstanding", Sent, false, ReleaseForbidden)
+	wantSend("decode attempt during a release", releasing, nil)
 
 	s.MarkAnswerStarted()
 	wantPermission("answer has begun", Acknowledged, false, ReleaseAllowed)
@@ -245,7 +246,7 @@
 	wantSend("request is answered", conditions, ErrAlreadyAnswered)
 }
 
-// TestCheckSendRelease: a release that a prefill attempt has overtaken is expected, any other forbidden one is a fault.
+// TestCheckSendRelease checks that a forbidden release has its own error if it was begun during a prefill attempt.
 func TestCheckSendRelease(t *testing.T) {
 	for permission, want := range map[ReleasePermission][2]error{
 		ReleaseAllowed: {nil, nil}, ReleaseIfUrgent: {nil, nil},
@@ -253,7 +254,7 @@
 	} {
 		got := [2]error{CheckSendRelease(permission, false), CheckSendRelease(permission, true)}
 		if got != want {
-			t.Errorf("permission %d: %v, want %v", permission, got, want)
+			t.Errorf("permission %d: errors %v, want %v", permission, got, want)
 		}
 	}
 }
@@ -271,6 +272,6 @@
 		_ = s.MarkAnswered()
 	}
 	if n := testing.AllocsPerRun(1000, use); n != 0 {
-		t.Errorf("%v allocations a request, want none", n)
+		t.Errorf("%v allocations per request, want none", n)
 	}
 }
