--- a/internal/decide/decide_test.go
+++ b/internal/decide/decide_test.go
@@ -1,5 +1,5 @@
-// Package decide holds no code. Its tests check what the packages below it may import, and that exported names are
-// documented everywhere.
+// Package decide contains only tests. They check the imports of the packages below it, and that the exported names of
+// the whole repository are documented.
 package decide
 
 import (
@@ -14,17 +14,17 @@
 	"testing"
 )
 
-// forbiddenImports are packages of the standard library that do I/O, read a clock, draw random numbers by themselves or
+// forbiddenImports lists packages of the standard library that do I/O, read a clock, generate random numbers or
 // synchronize goroutines.
 var forbiddenImports = []string{
 	"net", "os", "syscall", "io", "bufio", "log", "log/slog", "sync", "sync/atomic", "math/rand", "math/rand/v2",
 	"crypto/rand", "time",
 }
 
-// TestImports: packages that decide, package policy and the heap that they use do no I/O, read no clock and have no
-// goroutines.
+// TestImports checks that the packages below this one, package policy and package indexedheap, which they use, do not
+// import packages that do I/O, read a clock or synchronize goroutines.
 func TestImports(t *testing.T) {
-	const minFiles = 30 // a lower number would mean that packages are not found
+	const minFiles = 30 // guards against a wrong path
 	files := 0
 	for _, root := range []string{".", "../../policy", "../indexedheap"} {
 		walkSources(t, root, 0, func(_ *token.FileSet, path string, file *ast.File) {
@@ -45,7 +45,7 @@
 	}
 }
 
-// mayImport reports whether a package that decides may import another one.
+// mayImport reports whether the checked packages may import the named package.
 func mayImport(name string) bool {
 	if !strings.HasPrefix(name, "docksail/") {
 		return !slices.Contains(forbiddenImports, name)
@@ -54,7 +54,7 @@
 		strings.HasPrefix(name, "docksail/internal/decide/")
 }
 
-// walkSources parses the Go files below a directory, other than tests, and calls visit with each.
+// walkSources parses the Go files below a directory, except tests, and calls visit with each.
 func walkSources(
 	t *testing.T, root string, mode parser.Mode, visit func(files *token.FileSet, path string, file *ast.File),
 ) {
--- a/internal/decide/exported_test.go
+++ b/internal/decide/exported_test.go
@@ -8,10 +8,10 @@
 	"testing"
 )
 
-// TestExportedNamesAreDocumented: every exported name of the repository has a comment, or stands in a group that has
-// one.
+// TestExportedNamesAreDocumented checks that every exported name of the repository has a comment, or is in a group that
+// has one.
 func TestExportedNamesAreDocumented(t *testing.T) {
-	const minFiles = 50 // a lower number would mean that packages are not found
+	const minFiles = 50 // guards against a wrong path
 	count := 0
 	walkSources(t, "../..", parser.ParseComments, func(files *token.FileSet, path string, file *ast.File) {
 		if strings.HasSuffix(path, ".pb.go") { // generated
@@ -29,7 +29,7 @@
 	}
 }
 
-// undocumented returns the exported names of a declaration that have no comment. Methods may go without, as those that
+// undocumented returns the exported names of a declaration that have no comment. Methods need none, as those that
 // implement an interface are documented there.
 func undocumented(declaration ast.Decl) []*ast.Ident {
 	switch declaration := declaration.(type) {
@@ -47,8 +47,8 @@
 	return nil
 }
 
-// undocumentedInSpec returns the exported names of a part of a declaration that have no comment. Constants and
-// variables of a group may go without.
+// undocumentedInSpec returns the exported names of one specification in a declaration that have no comment. Constants
+// and variables of a group need none.
 func undocumentedInSpec(declaration *ast.GenDecl, spec ast.Spec) (names []*ast.Ident) {
 	switch spec := spec.(type) {
 	case *ast.TypeSpec:
