--- a/internal/decide/batchscheduler/scheduler.go
+++ b/internal/decide/batchscheduler/scheduler.go
@@ -41,6 +41,7 @@
 // completionHistory is the number of recent line completions from which Forecast computes the rate of a batch.
 const completionHistory = 256
 
+// lineRecord is a line with the history of its attempts.
 type lineRecord struct {
 	LineSpec
 	index             LineIndex
@@ -51,6 +52,7 @@
 	heapIndex         int // index in batchRecord.retries
 }
 
+// batchRecord is a batch with the state of its lines.
 type batchRecord struct {
 	Batch
 	lines           []lineRecord
--- a/internal/decide/clientconn/clientconn.go
+++ b/internal/decide/clientconn/clientconn.go
@@ -9,7 +9,7 @@
 
 // The states of a connection.
 const (
-	StateNew            ConnState = iota // no data of its next request has been received
+	StateNew            ConnState = iota // nothing of its next request has been read
 	StateReadingRequest                  // part of a request has been received
 	StateActive                          // a request is in progress
 	StateIdle                            // waiting for the next request
@@ -61,7 +61,7 @@
 }
 
 // MayKeepLingering reports whether a connection that has lingered since lingeringSince stays open beyond its state
-// deadline. The client has not read unreadBytes of its last answer, and read the latest of it at lastReadAt.
+// deadline. The client has unreadBytes of its last answer still to read, and last read some of it at lastReadAt.
 func MayKeepLingering(now, lingeringSince, lastReadAt int64, unreadBytes int) bool {
 	return unreadBytes > 0 && now-lastReadAt < readStallTimeout && now-lingeringSince < maxLingerTime
 }
--- a/internal/decide/clientconn/limits.go
+++ b/internal/decide/clientconn/limits.go
@@ -5,8 +5,8 @@
 	// to baseProcessDescriptors: for the log, the endpoint list and descriptors that are being handed over.
 	processDescriptorFraction = 1.0 / 32
 	baseProcessDescriptors    = 24
-	// serverConnFraction is the fraction of all descriptors for connections to servers. Client connections have at
-	// least as many, as a request has one outstanding attempt at most and not every client sends a request.
+	// serverConnFraction is the fraction of all descriptors for connections to servers. Client connections get the
+	// rest, which is more: a request has one outstanding attempt at most, and not every client sends a request.
 	serverConnFraction = 1.0 / 3
 	// partialRequestFraction is the fraction of the process's memory for partly received requests.
 	partialRequestFraction = 1.0 / 16
