--- a/internal/state/endpointlist/file.go
+++ b/internal/state/endpointlist/file.go
@@ -10,30 +10,31 @@
 	"path/filepath"
 )
 
-// fileFormat is the format of saved lists. A file is a line with the SHA-256 digest of the rest, in hexadecimal, and a
-// savedList in JSON.
+// fileFormat is the version of the file format. A file holds the SHA-256 digest of its body in hexadecimal, a newline,
+// and the body: a savedList in JSON.
 const fileFormat = 1
 
+// digestLength is the number of hexadecimal digits of a digest.
 const digestLength = 2 * sha256.Size
 
-// savedList is the list as a file has it.
+// savedList is the JSON body of a file.
 type savedList struct {
 	Format    int        `json:"format"`
 	Version   uint64     `json:"version"`
 	Endpoints []Endpoint `json:"hosts"`
 }
 
-// Errors of Load, wrapped with the file's name and what was found.
+// Errors returned by Load, wrapped with the file's name and the cause.
 var (
 	ErrCorruptFile   = errors.New("corrupt endpoint list file")
-	ErrUnknownFormat = errors.New("unknown format of the endpoint list file")
+	ErrUnknownFormat = errors.New("unknown endpoint list file format")
 )
 
-// Encode returns the list as Load reads it.
+// Encode returns the list in the file format that Load reads.
 func (l *List) Encode() []byte {
 	body, err := json.Marshal(savedList{Format: fileFormat, Version: l.version, Endpoints: l.Endpoints()})
 	if err != nil {
-		panic(err) // no type in it can fail
+		panic(err) // every field of savedList can be marshaled
 	}
 	return append([]byte(digest(body)+"\n"), body...)
 }
@@ -44,8 +45,8 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// Save writes an encoded list to a file, so that after a crash at any point the file is either the old one or the new
-// one, complete.
+// Save replaces a file by an encoded list. The replacement is atomic: after a crash at any point, the file has either
+// its complete old content or its complete new content.
 func Save(name string, encoded []byte) error {
 	temporary, err := writeTemporary(name, encoded)
 	if err != nil {
@@ -58,7 +59,8 @@
 	return syncDirectory(filepath.Dir(name))
 }
 
-// writeTemporary writes and syncs a new file beside the named one, and returns its name. It leaves none on an error.
+// writeTemporary writes and syncs a temporary file in the directory of the named file and returns its name. It removes
+// the temporary file on an error.
 func writeTemporary(name string, content []byte) (temporary string, err error) {
 	f, err := os.CreateTemp(filepath.Dir(name), filepath.Base(name)+".*")
 	if err != nil {
@@ -88,9 +90,9 @@
 	return dir.Sync()
 }
 
-// Load reads a file that Save wrote into an empty list and returns its endpoints. Updates cannot follow it: a full one
-// is needed first, as updates since the file was saved were missed. On an error, which wraps ErrCorruptFile or
-// ErrUnknownFormat if the file was read, the list stays empty.
+// Load reads a file written by Save into an empty list and returns its endpoints. The next update must be a full one,
+// because updates since the file was saved may have been missed. On an error the list stays empty; if the file could be
+// read, the error wraps ErrCorruptFile, ErrUnknownFormat or an *InvalidEndpointError.
 func (l *List) Load(name string) ([]Endpoint, error) {
 	text, err := os.ReadFile(name)
 	if err != nil {
@@ -108,22 +110,22 @@
 	return endpoints, nil
 }
 
-// decode returns the list that a file holds.
+// decode returns the list in the content of a file.
 func decode(text []byte) (savedList, error) {
 	const headerLength = digestLength + 1
 	if len(text) < headerLength {
-		return savedList{}, fmt.Errorf("%w: %d bytes, want at least %d", ErrCorruptFile, len(text), headerLength)
+		return savedList{}, fmt.Errorf("%w: length is %d bytes, must be at least %d", ErrCorruptFile, len(text), headerLength)
 	}
 	body := text[headerLength:]
-	if want, found := string(text[:digestLength]), digest(body); found != want {
-		return savedList{}, fmt.Errorf("%w: digest %s, want %s", ErrCorruptFile, found, want)
+	if recorded, computed := string(text[:digestLength]), digest(body); computed != recorded {
+		return savedList{}, fmt.Errorf("%w: digest of body is %s, header has %s", ErrCorruptFile, computed, recorded)
 	}
 	var saved savedList
 	if err := json.Unmarshal(body, &saved); err != nil {
 		return savedList{}, fmt.Errorf("%w: %w", ErrCorruptFile, err)
 	}
 	if saved.Format != fileFormat {
-		return savedList{}, fmt.Errorf("%w: %d, want %d", ErrUnknownFormat, saved.Format, fileFormat)
+		return savedList{}, fmt.Errorf("%w: version is %d, must be %d", ErrUnknownFormat, saved.Format, fileFormat)
 	}
 	return saved, nil
 }
--- a/internal/state/endpointlist/file_test.go
+++ b/internal/state/endpointlist/file_test.go
@@ -10,13 +10,13 @@
 	"docksail/policy"
 )
 
-// formatOneFile is a complete file of format 1. A dispatcher must go on reading and writing exactly these bytes.
+// formatOneFile is a complete file of format 1. Load must accept it and Encode must write the same bytes.
 const formatOneFile = "315de4763a56bc726c66e148069c8e9e5cb1464e846660d0054c865efa58b82e\n" +
 	`{"format":1,"version":3,"hosts":[` +
 	`{"id":1,"address":"127.0.0.1:1001","role":1,"zone":"a","cell":"c","health":0,"started_unix_ns":5},` +
 	`{"id":2,"address":"127.0.0.1:1002","role":1,"zone":"a","cell":"c","health":1,"started_unix_ns":0}]}`
 
-// TestFileFormat compares a saved list with the bytes of format 1, and reads those bytes back.
+// TestFileFormat checks that a list is encoded as the bytes of format 1 and that those bytes can be loaded.
 func TestFileFormat(t *testing.T) {
 	list := New()
 	draining := endpoint(2, 0, policy.Draining)
@@ -54,16 +54,16 @@
 		t.Fatalf("loaded %+v, %v", loaded.Endpoints(), err)
 	}
 	if _, err := loaded.Apply(partialUpdate(4)); !errors.Is(err, ErrMissedUpdates) {
-		t.Errorf("changes after a loaded list: %v, want %v: updates since it was saved are unknown", err, ErrMissedUpdates)
+		t.Errorf("partial update after Load: %v, want %v", err, ErrMissedUpdates)
 	}
 	if err := Save(filepath.Join(t.TempDir(), "no", "such", "place"), l.Encode()); err == nil {
 		t.Error("saved into a directory that does not exist")
 	}
 }
 
-// TestLoadFindsDamage: a changed byte is found at every position, and a file that is cut off at every length.
-func TestLoadFindsDamage(t *testing.T) {
-	const newline = 2 * 32 // after the digest; the only byte that is not checked
+// TestLoadDetectsCorruption checks that Load rejects a file with any one byte changed and a file truncated to any length.
+func TestLoadDetectsCorruption(t *testing.T) {
+	const newlineOffset = 2 * 32 // after the digest; the only byte that is not checked
 	name := filepath.Join(t.TempDir(), "list")
 	load := func(content []byte) error {
 		if err := os.WriteFile(name, content, 0o600); err != nil {
@@ -76,16 +76,16 @@
 	for i := range text {
 		changed := append([]byte(nil), text...)
 		changed[i] ^= 4
-		if err := load(changed); !errors.Is(err, ErrCorruptFile) && i != newline {
+		if err := load(changed); !errors.Is(err, ErrCorruptFile) && i != newlineOffset {
 			t.Fatalf("byte %d changed: %v, want %v", i, err, ErrCorruptFile)
 		}
 		if err := load(text[:i]); !errors.Is(err, ErrCorruptFile) {
-			t.Fatalf("cut off after %d bytes: %v, want %v", i, err, ErrCorruptFile)
+			t.Fatalf("truncated to %d bytes: %v, want %v", i, err, ErrCorruptFile)
 		}
 	}
 }
 
-// TestLoadUnknownFormat: a file of another format is rejected.
+// TestLoadUnknownFormat checks that a file of another format is rejected.
 func TestLoadUnknownFormat(t *testing.T) {
 	body := []byte(`{"format":2,"version":3,"hosts":[]}`)
 	name := filepath.Join(t.TempDir(), "list")
--- a/internal/state/endpointlist/list.go
+++ b/internal/state/endpointlist/list.go
@@ -1,6 +1,6 @@
-// Package endpointlist keeps the list of engines as this dispatcher has received it: complete lists, updates by
-// version, and numbers for the names of zones and cells. The list is also saved to a file, from which a dispatcher that
-// was killed starts again.
+// Package endpointlist holds the list of engines that this dispatcher has received. It applies full and partial updates
+// by version and assigns IDs to the names of zones and cells. The list can be saved to a file, which a dispatcher loads
+// after a restart.
 package endpointlist
 
 import (
@@ -21,20 +21,20 @@
 	Zone      string          `json:"zone"`
 	Cell      string          `json:"cell"`
 	Health    policy.Health   `json:"health"`
-	StartedAt int64           `json:"started_unix_ns"` // 0 = long ago, or unknown
+	StartedAt int64           `json:"started_unix_ns"` // Unix time in nanoseconds; 0 = unknown or long ago
 }
 
-// Update is a message of the service that keeps the list.
+// Update is a full or partial update of the list, as the discovery service sends it.
 type Update struct {
 	Version   uint64
-	Full      bool       // the complete list; otherwise only what changed since the version before
-	Endpoints []Endpoint // an endpoint that left is listed as gone
+	Full      bool       // Endpoints is the complete list; otherwise what changed since the previous version
+	Endpoints []Endpoint // a partial update lists a removed endpoint with health Gone
 }
 
-// ErrMissedUpdates is the error of Apply where updates were missed, so that a full one is needed.
-var ErrMissedUpdates = errors.New("updates of the endpoint list were missed: a full list is needed")
+// ErrMissedUpdates is returned by Apply if updates were missed, so that a full one is needed.
+var ErrMissedUpdates = errors.New("endpoint list updates were missed, a full list is required")
 
-// InvalidEndpointError is the error of Apply for an endpoint that cannot be listed.
+// InvalidEndpointError is returned by Apply for an endpoint with an invalid field.
 type InvalidEndpointError struct {
 	ID     policy.ServerID
 	Reason string
@@ -43,16 +43,16 @@
 // Error implements error.
 func (e *InvalidEndpointError) Error() string { return fmt.Sprintf("endpoint %d: %s", e.ID, e.Reason) }
 
-// List is the endpoint list. It is made with New.
+// List is the endpoint list. Use New to create one.
 type List struct {
 	version   uint64
-	hasFull   bool // a full update was received since the start
+	hasFull   bool // a full update was applied, so that partial ones may follow
 	endpoints map[policy.ServerID]Endpoint
 	zones     map[string]policy.ZoneID
 	cells     map[cellName]policy.CellID
 }
 
-// cellName identifies a cell: cells are named within their zone.
+// cellName identifies a cell. The name of a cell is unique only within its zone.
 type cellName struct{ zone, cell string }
 
 // New returns an empty list.
@@ -64,7 +64,7 @@
 	}
 }
 
-// ZoneID returns the number of the zone of that name, which is assigned at its first use.
+// ZoneID returns the ID of a zone, which is assigned when its name is first used.
 func (l *List) ZoneID(zone string) policy.ZoneID {
 	id, ok := l.zones[zone]
 	if !ok {
@@ -74,7 +74,7 @@
 	return id
 }
 
-// CellID returns the number of the cell of that name within its zone, which is assigned at its first use.
+// CellID returns the ID of a cell of a zone, which is assigned when its name is first used.
 func (l *List) CellID(zone, cell string) policy.CellID {
 	name := cellName{zone, cell}
 	id, ok := l.cells[name]
@@ -85,7 +85,7 @@
 	return id
 }
 
-// Find returns the endpoint of that ID as it was last listed, and whether it ever was.
+// Find returns the endpoint with that ID as it was last listed, and false if it never was.
 func (l *List) Find(id policy.ServerID) (endpoint Endpoint, ok bool) {
 	endpoint, ok = l.endpoints[id]
 	return endpoint, ok
@@ -104,12 +104,12 @@
 	return endpoints
 }
 
-// Apply applies an update completely or not at all, and returns the endpoints that it changed; a full update also
-// changes those that it no longer names, to gone. An update whose version is known already changes nothing. An endpoint
-// whose start is before the known one is ignored, as it was listed before a restart that is known already.
+// Apply applies an update completely or not at all and returns the endpoints that it changed. A full update sets the
+// endpoints that it does not list to Gone. A partial update whose version was already applied changes nothing. An
+// endpoint that started before the known one with its ID is ignored, because it describes an earlier incarnation.
 //
-// The error is ErrMissedUpdates if an update before this one was missed or no full one was received, or an
-// *InvalidEndpointError.
+// The error is ErrMissedUpdates if a partial update does not follow the last applied one or no full update was applied,
+// or an *InvalidEndpointError.
 func (l *List) Apply(update Update) ([]Endpoint, error) {
 	if !update.Full {
 		switch {
@@ -124,31 +124,31 @@
 			return nil, err
 		}
 	}
-	changed := l.setListed(update.Endpoints)
+	changed := l.storeListed(update.Endpoints)
 	if update.Full {
-		changed = append(changed, l.setUnlistedGone(update.Endpoints)...)
+		changed = append(changed, l.markUnlistedGone(update.Endpoints)...)
 		l.hasFull = true
 	}
 	l.version = update.Version
 	return changed, nil
 }
 
-// validate returns an *InvalidEndpointError if the endpoint cannot be listed.
+// validate returns an *InvalidEndpointError if a field of the endpoint is invalid.
 func (e Endpoint) validate() error {
 	switch {
 	case !e.Address.IsValid() || e.Address.Port() == 0:
-		return &InvalidEndpointError{e.ID, fmt.Sprintf("address %v is invalid, want an IP address and a port", e.Address)}
+		return &InvalidEndpointError{e.ID, fmt.Sprintf("address %v is invalid, must be an IP address and port", e.Address)}
 	case e.Role > policy.Mixed:
 		return &InvalidEndpointError{e.ID, fmt.Sprintf("role %d is unknown", e.Role)}
 	}
 	return nil
 }
 
-// setListed records the endpoints of an update and returns those that it took.
-func (l *List) setListed(endpoints []Endpoint) (changed []Endpoint) {
+// storeListed stores the endpoints of an update and returns those that it did not ignore.
+func (l *List) storeListed(endpoints []Endpoint) (changed []Endpoint) {
 	for _, endpoint := range endpoints {
 		if known, ok := l.endpoints[endpoint.ID]; ok {
-			if endpoint.StartedAt == 0 { // unknown, as of an endpoint that is gone
+			if endpoint.StartedAt == 0 { // unknown, for example when the endpoint is gone
 				endpoint.StartedAt = known.StartedAt
 			} else if endpoint.StartedAt < known.StartedAt {
 				continue
@@ -160,8 +160,8 @@
 	return changed
 }
 
-// setUnlistedGone records that endpoints are gone which a full update does not name, and returns them.
-func (l *List) setUnlistedGone(listed []Endpoint) (changed []Endpoint) {
+// markUnlistedGone sets the endpoints that a full update does not list to Gone and returns those that were not.
+func (l *List) markUnlistedGone(listed []Endpoint) (changed []Endpoint) {
 	isListed := make(map[policy.ServerID]bool, len(listed))
 	for _, endpoint := range listed {
 		isListed[endpoint.ID] = true
--- a/internal/state/recordstore/compact.go
+++ b/internal/state/recordstore/compact.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	// compactSuffix ends the name of the file that Compact writes.
+	// compactSuffix ends the name of the temporary file that Compact writes.
 	compactSuffix = ".compact"
-	// compactTxBytes is the size of Compact's transactions.
+	// compactTxBytes limits the size of the transactions that Compact writes.
 	compactTxBytes = 1 << 20
 )
 
-// Compact replaces the file of a store that no process has open by a copy without free pages. It returns the sizes of
-// both in bytes. If it is interrupted, the old file stays.
+// Compact replaces the file of a store by a copy without free pages and returns the sizes of both in bytes. No process
+// may have the store open. If Compact is interrupted, the old file stays.
 func Compact(path string) (before, after int64, err error) {
 	defer recoverFault(path, &err)()
 	source, err := Open(path)
--- a/internal/state/recordstore/export_test.go
+++ b/internal/state/recordstore/export_test.go
@@ -6,7 +6,7 @@
 	"go.etcd.io/bbolt"
 )
 
-// Snapshot writes the store's file as it is when Snapshot is called; changes may go on meanwhile. Only tests use it.
+// Snapshot writes a consistent copy of the store's file to w without blocking updates. Only tests use it.
 func (s *Store) Snapshot(w io.Writer) (err error) {
 	defer recoverFault(s.path, &err)()
 	return s.db.View(func(tx *bbolt.Tx) error {
--- a/internal/state/recordstore/record.go
+++ b/internal/state/recordstore/record.go
@@ -15,7 +15,7 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// CorruptRecordError reports a record that is not what was written, or that a later version of the program wrote. The
+// CorruptRecordError reports a record that is too short, has a wrong checksum or has an unknown format version. The
 // batch API returns its text to clients.
 type CorruptRecordError struct {
 	Set     string
@@ -23,11 +23,12 @@
 	Problem string
 }
 
+// Error implements error.
 func (e *CorruptRecordError) Error() string {
-	return fmt.Sprintf("record %q of %s: %s", e.Key, e.Set, e.Problem)
+	return fmt.Sprintf("record %q of set %s: %s", e.Key, e.Set, e.Problem)
 }
 
-// recordChecksum returns the checksum of a record.
+// recordChecksum returns the checksum over the set, key and value of a record.
 func recordChecksum(set string, key, value []byte) uint32 {
 	separator := []byte{0}
 	sum := crc32.Update(0, castagnoli, []byte(set))
@@ -37,7 +38,7 @@
 	return crc32.Update(sum, castagnoli, value)
 }
 
-// encodeRecord returns a record as it is stored.
+// encodeRecord returns the stored form of a record.
 func encodeRecord(set string, key, value []byte) []byte {
 	record := make([]byte, headerBytes, headerBytes+len(value))
 	record[0] = recordVersion
@@ -50,11 +51,11 @@
 	var problem string
 	switch {
 	case len(record) < headerBytes:
-		problem = "shorter than a record can be"
+		problem = "shorter than the record header"
 	case record[0] != recordVersion:
-		problem = fmt.Sprintf("version %d, want %d", record[0], recordVersion)
+		problem = fmt.Sprintf("format version is %d, must be %d", record[0], recordVersion)
 	case binary.BigEndian.Uint32(record[1:]) != recordChecksum(set, key, record[headerBytes:]):
-		problem = "its checksum does not fit"
+		problem = "checksum mismatch"
 	default:
 		return record[headerBytes:], nil
 	}
--- a/internal/state/recordstore/store.go
+++ b/internal/state/recordstore/store.go
@@ -1,6 +1,6 @@
-// Package recordstore stores small records in named sets, in one file that one process has open. Every record carries a
-// version and a checksum over its set, key and value, so that a corrupt record is found and named and does no harm to
-// others. The file is a bbolt database: a change is on disk completely or not at all, whatever ends the process.
+// Package recordstore stores small records in named sets, in one file that a single process has open. Every record
+// carries a version and a checksum over its set, key and value, so that a corrupt record is detected and does not affect
+// others. The file is a bbolt database: a transaction is stored completely or not at all, even if the process crashes.
 package recordstore
 
 import (
@@ -17,11 +17,11 @@
 
 var (
 	// ErrLocked means that another process has the store open.
-	ErrLocked = errors.New("another process has it open")
-	// ErrNotFound means that there is no such record.
-	ErrNotFound = errors.New("no such record")
-	// ErrStopIteration is what a callback of Tx.ForEach returns to end the iteration without an error.
-	ErrStopIteration = errors.New("stop")
+	ErrLocked = errors.New("locked by another process")
+	// ErrNotFound means that a record does not exist.
+	ErrNotFound = errors.New("record not found")
+	// ErrStopIteration is returned by a callback of Tx.ForEach to end the iteration without an error.
+	ErrStopIteration = errors.New("iteration stopped")
 )
 
 const (
@@ -35,16 +35,16 @@
 	path string
 }
 
-// Open opens the store in a file and creates it if there is none. Its error wraps ErrLocked if another process has the
-// store open.
+// Open opens the store in a file, which it creates if it does not exist. Its error wraps ErrLocked if another process
+// has the store open.
 func Open(path string) (s *Store, err error) {
 	defer recoverFault(path, &err)()
 	db, err := bbolt.Open(path, fileMode, &bbolt.Options{Timeout: lockTimeout, FreelistType: bbolt.FreelistMapType})
 	if errors.Is(err, bolterrors.ErrTimeout) {
-		return nil, fmt.Errorf("vault %s: %w", path, ErrLocked)
+		return nil, fmt.Errorf("record store %s: %w", path, ErrLocked)
 	}
 	if err != nil {
-		return nil, fmt.Errorf("vault %s: %w", path, err)
+		return nil, fmt.Errorf("record store %s: %w", path, err)
 	}
 	return &Store{db, path}, nil
 }
@@ -55,14 +55,14 @@
 	return s.db.Close()
 }
 
-// recoverFault returns a function to be deferred, which turns a panic or a memory fault into an error. bbolt panics on
-// pages that are corrupt, and faults where they point beyond the file.
+// recoverFault returns a function to be deferred that turns a panic or a memory fault into an error. bbolt panics on
+// corrupt pages and faults on references beyond the end of the file.
 func recoverFault(path string, err *error) func() {
 	previous := debug.SetPanicOnFault(true)
 	return func() {
 		debug.SetPanicOnFault(previous)
 		if cause := recover(); cause != nil {
-			*err = fmt.Errorf("vault %s is damaged: %v", path, cause)
+			*err = fmt.Errorf("record store %s is corrupt: %v", path, cause)
 		}
 	}
 }
@@ -76,8 +76,8 @@
 	return info.Size(), nil
 }
 
-// Update calls change in a transaction and commits it. The changes are on disk when Update returns; if it returns an
-// error, none is.
+// Update calls change in a read-write transaction and commits it. The changes are on disk when Update returns; if it
+// returns an error, none of them is.
 func (s *Store) Update(change func(tx *Tx) error) (err error) {
 	defer recoverFault(s.path, &err)()
 	return s.db.Update(func(tx *bbolt.Tx) error { return change(&Tx{tx}) })
@@ -96,7 +96,7 @@
 	return s.db.View(func(tx *bbolt.Tx) error { return read(&Tx{tx}) })
 }
 
-// Verify reads every record. It returns how many there are, and an error for each that is corrupt.
+// Verify reads every record. It returns the number of records and an error for each corrupt one.
 func (s *Store) Verify() (records int, corrupt []*CorruptRecordError, err error) {
 	err = s.View(func(tx *Tx) error {
 		names, err := tx.SetNames()
--- a/internal/state/recordstore/store_test.go
+++ b/internal/state/recordstore/store_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestModel compares a store with a map under random updates, some of which fail or are followed by a reopening.
+// TestModel compares a store with a map under random updates, of which some fail, and reopens the store at random.
 func TestModel(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		path := filepath.Join(t.TempDir(), "v")
@@ -26,7 +26,7 @@
 			next := map[string]string{}
 			maps.Copy(next, want)
 			fails := rapid.Bool().Draw(rt, "fails")
-			no := errors.New("no")
+			errAborted := errors.New("update aborted")
 			err := s.Update(func(tx *Tx) error {
 				for range rapid.IntRange(0, 5).Draw(rt, "changes") {
 					set, key := fmt.Sprint("s", rapid.IntRange(0, 2).Draw(rt, "set")), fmt.Sprint(rapid.IntRange(0, 4).Draw(rt, "key"))
@@ -44,11 +44,11 @@
 					}
 				}
 				if fails {
-					return no
+					return errAborted
 				}
 				return nil
 			})
-			if fails != errors.Is(err, no) || !fails && err != nil {
+			if fails != errors.Is(err, errAborted) || !fails && err != nil {
 				rt.Fatal(err)
 			}
 			if !fails {
@@ -86,7 +86,7 @@
 	})
 }
 
-// writeFile writes a file and fails the test if it cannot.
+// writeFile writes a file and fails the test on an error.
 func writeFile(t *testing.T, path string, content []byte) {
 	t.Helper()
 	if err := os.WriteFile(path, content, 0o600); err != nil {
@@ -119,65 +119,65 @@
 	return path
 }
 
-// TestCorruption checks that one changed byte in a value is found and named and does no harm to other records, and that
-// a changed byte anywhere in the file ends in an error or in intact records, never in a wrong one.
+// TestCorruption checks that a changed byte in a value is reported as one corrupt record, and that a changed byte
+// anywhere in the file results in an error or in intact records, never in a wrong record.
 func TestCorruption(t *testing.T) {
 	path := createStore(t)
 	intact, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	at := bytes.Index(intact, bytes.Repeat([]byte{'h'}, 100))
+	valueOffset := bytes.Index(intact, bytes.Repeat([]byte{'h'}, 100))
 	corrupted := bytes.Clone(intact)
-	corrupted[at+50] ^= 4
+	corrupted[valueOffset+50] ^= 4
 	writeFile(t, path, corrupted)
 	s, err := Open(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	all, corrupt, err := s.Verify()
-	if err != nil || all != 200 || len(corrupt) != 1 ||
+	records, corrupt, err := s.Verify()
+	if err != nil || records != 200 || len(corrupt) != 1 ||
 		corrupt[0].Set != "set" || !bytes.HasPrefix(corrupt[0].Key, []byte("key")) {
-		t.Errorf("%d records, %v, %v", all, corrupt, err)
+		t.Errorf("%d records, %v, %v", records, corrupt, err)
 	}
 	s.Close()
-	found := 0
+	detected := 0
 	for i := 0; i < len(intact); i += 97 {
 		corrupted := bytes.Clone(intact)
 		corrupted[i] ^= 1 << (i % 8)
 		writeFile(t, path, corrupted)
 		s, err := Open(path)
 		if err != nil {
-			found++
+			detected++
 			continue
 		}
 		err = s.View(func(tx *Tx) error {
-			return tx.ForEach("set", nil, func(k, x []byte, err error) error {
+			return tx.ForEach("set", nil, func(key, value []byte, err error) error {
 				if err != nil {
 					return err
 				}
 				var n int
-				if _, err := fmt.Sscanf(string(k), "key%03d", &n); err != nil {
-					t.Fatalf("byte %d changed: key %q and nothing says so", i, k)
+				if _, err := fmt.Sscanf(string(key), "key%03d", &n); err != nil {
+					t.Fatalf("byte %d changed: key %q was read without an error", i, key)
 				}
-				if string(k) != fmt.Sprintf("key%03d", n) || !bytes.Equal(x, bytes.Repeat([]byte{byte('a' + n%26)}, 100)) {
-					t.Fatalf("byte %d changed: %q is %q and nothing says so", i, k, x)
+				if string(key) != fmt.Sprintf("key%03d", n) || !bytes.Equal(value, bytes.Repeat([]byte{byte('a' + n%26)}, 100)) {
+					t.Fatalf("byte %d changed: %q was read as %q without an error", i, key, value)
 				}
 				return nil
 			})
 		})
 		if err != nil {
-			found++
+			detected++
 		}
 		s.Close()
 	}
-	if found == 0 {
-		t.Error("no change was found")
+	if detected == 0 {
+		t.Error("no change was detected")
 	}
 }
 
-// TestSnapshotAndCompact checks that a snapshot opens with the records of its time, and that Compact frees space, keeps
-// every record and is not hindered by the file of an interrupted call.
+// TestSnapshotAndCompact checks that a snapshot has the records as of its creation, and that Compact frees space, keeps
+// every record and overwrites the temporary file of an interrupted call.
 func TestSnapshotAndCompact(t *testing.T) {
 	path := createStore(t)
 	s, err := Open(path)
@@ -207,7 +207,7 @@
 		t.Fatal(err)
 	}
 	s.Close()
-	writeFile(t, path+compactSuffix, []byte("half of one"))
+	writeFile(t, path+compactSuffix, []byte("incomplete"))
 	before, after, err := Compact(path)
 	if err != nil || after > before/4 {
 		t.Errorf("from %d to %d bytes: %v", before, after, err)
@@ -217,8 +217,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if all, corrupt, err := s.Verify(); err != nil || all != 200 || len(corrupt) > 0 {
-			t.Errorf("%s: %d records, %v, %v", p, all, corrupt, err)
+		if records, corrupt, err := s.Verify(); err != nil || records != 200 || len(corrupt) > 0 {
+			t.Errorf("%s: %d records, %v, %v", p, records, corrupt, err)
 		}
 		s.Close()
 	}
--- a/internal/state/recordstore/tx.go
+++ b/internal/state/recordstore/tx.go
@@ -10,14 +10,14 @@
 // Tx is a transaction. It is valid until the function that it was passed to returns.
 type Tx struct{ tx *bbolt.Tx }
 
-// Put stores a record and creates its set if there is none.
+// Put stores a record. It creates the set if it does not exist.
 func (t *Tx) Put(set string, key, value []byte) error {
 	bucket, err := t.tx.CreateBucketIfNotExists([]byte(set))
 	if err != nil {
 		return fmt.Errorf("set %s: %w", set, err)
 	}
 	if err := bucket.Put(key, encodeRecord(set, key, value)); err != nil {
-		return fmt.Errorf("record %q of %s: %w", key, set, err)
+		return fmt.Errorf("record %q of set %s: %w", key, set, err)
 	}
 	return nil
 }
@@ -27,16 +27,16 @@
 func (t *Tx) Get(set string, key []byte) ([]byte, error) {
 	bucket := t.tx.Bucket([]byte(set))
 	if bucket == nil {
-		return nil, fmt.Errorf("%q of %s: %w", key, set, ErrNotFound)
+		return nil, fmt.Errorf("record %q of set %s: %w", key, set, ErrNotFound)
 	}
 	record := bucket.Get(key)
 	if record == nil {
-		return nil, fmt.Errorf("%q of %s: %w", key, set, ErrNotFound)
+		return nil, fmt.Errorf("record %q of set %s: %w", key, set, ErrNotFound)
 	}
 	return decodeRecord(set, key, record)
 }
 
-// Delete removes a record if there is one.
+// Delete removes a record if it exists.
 func (t *Tx) Delete(set string, key []byte) error {
 	bucket := t.tx.Bucket([]byte(set))
 	if bucket == nil {
@@ -45,7 +45,7 @@
 	return bucket.Delete(key)
 }
 
-// DropSet removes a set with its records if there is one.
+// DropSet removes a set and its records if it exists.
 func (t *Tx) DropSet(set string) error {
 	if t.tx.Bucket([]byte(set)) == nil {
 		return nil
@@ -53,9 +53,9 @@
 	return t.tx.DeleteBucket([]byte(set))
 }
 
-// ForEach calls visit for the records of a set in the order of their keys, beginning at the key from. A corrupt record
-// comes with a *CorruptRecordError and without a value. ForEach ends at visit's first error and returns it, or nil if
-// it is ErrStopIteration.
+// ForEach calls visit for the records of a set in the order of their keys, starting at the first key that is not less
+// than from. For a corrupt record, corrupt is a *CorruptRecordError and value is nil. ForEach ends at visit's first
+// error and returns it, or nil if it is ErrStopIteration.
 func (t *Tx) ForEach(set string, from []byte, visit func(key, value []byte, corrupt error) error) error {
 	bucket := t.tx.Bucket([]byte(set))
 	if bucket == nil {
--- a/internal/state/requesttable/table.go
+++ b/internal/state/requesttable/table.go
@@ -1,36 +1,36 @@
-// Package requesttable keeps the requests that a dispatcher has in progress, in a slab whose slots are reused. The
-// state of each request is in package inflight.
+// Package requesttable stores the requests that a dispatcher has in progress, in a slab whose slots are reused. Package
+// inflight defines the state of a request.
 package requesttable
 
 import "docksail/policy"
 
-// Table is a slab of requests. A request's ID names a slot and its generation, so that the ID of an earlier request
-// finds nothing. The zero value is an empty table.
+// Table is a slab of requests. A request's ID encodes a slot and its generation, so that the ID of a removed request is
+// not mistaken for that of the slot's next one. The zero value is an empty table.
 type Table[T any] struct {
 	slots []slot[T]
 	free  []uint32 // indices of slots that are not in use
 	count int
 }
 
-// slot is a place for one request at a time.
+// slot holds one request at a time.
 type slot[T any] struct {
-	generation uint32 // how often the slot was used
+	generation uint32 // incremented at each use of the slot
 	used       bool
-	value      *T // reused by the next request, and stays where it is while the slab grows
+	value      *T // reused by the next request; not moved when the slab grows
 }
 
-// makeID returns the ID of the request in a slot.
+// makeID returns the request ID of a slot and generation.
 func makeID(index, generation uint32) policy.RequestID {
 	return policy.RequestID(uint64(generation)<<32 | uint64(index))
 }
 
-// splitID returns the slot and generation that an ID names.
+// splitID returns the slot and generation that a request ID encodes.
 func splitID(id policy.RequestID) (index, generation uint32) {
 	return uint32(id), uint32(id >> 32)
 }
 
-// Add takes a slot for a new request and returns its ID and value. The value is as the slot's last use left it: the
-// caller sets it up.
+// Add allocates a slot for a new request and returns its ID and value. The value may have the content of an earlier
+// request: the caller must initialize it.
 func (t *Table[T]) Add() (policy.RequestID, *T) {
 	var index uint32
 	if n := len(t.free); n > 0 {
@@ -46,7 +46,7 @@
 	return makeID(index, s.generation), s.value
 }
 
-// Find returns the request of that ID, or nil if it was removed.
+// Find returns the request with that ID, or nil if there is none.
 func (t *Table[T]) Find(id policy.RequestID) *T {
 	index, generation := splitID(id)
 	if int(index) < len(t.slots) && t.slots[index].used && t.slots[index].generation == generation {
@@ -55,7 +55,7 @@
 	return nil
 }
 
-// Remove frees the slot of a request. It does nothing if the request was removed before.
+// Remove frees the slot of a request. It does nothing if the request was already removed.
 func (t *Table[T]) Remove(id policy.RequestID) {
 	if t.Find(id) == nil {
 		return
@@ -69,7 +69,7 @@
 // Len returns the number of requests.
 func (t *Table[T]) Len() int { return t.count }
 
-// Each calls visit for every request in the order of their slots. visit may remove the request.
+// Each calls visit for every request in slot order. visit may remove the request that it is called for.
 func (t *Table[T]) Each(visit func(id policy.RequestID, value *T)) {
 	for index := range t.slots {
 		if s := &t.slots[index]; s.used {
--- a/internal/state/requesttable/table_test.go
+++ b/internal/state/requesttable/table_test.go
@@ -8,7 +8,7 @@
 	"docksail/policy"
 )
 
-// TestTable compares random uses with a map.
+// TestTable compares a table with a map under random additions and removals.
 func TestTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var table Table[int]
@@ -18,7 +18,7 @@
 			if len(ids) == 0 || rapid.Bool().Draw(t, "add") {
 				id, value := table.Add()
 				if _, ok := model[id]; ok || id == 0 {
-					t.Fatalf("id %d is in use, or zero", id)
+					t.Fatalf("ID %d is zero or already in use", id)
 				}
 				*value = step
 				model[id] = step
@@ -39,16 +39,16 @@
 			}
 		})
 		if visited != len(model) || table.Len() != len(model) {
-			t.Fatalf("%d requests, length %d, want %d", visited, table.Len(), len(model))
+			t.Fatalf("visited %d requests, length is %d, want %d", visited, table.Len(), len(model))
 		}
 		for _, id := range removed {
 			if table.Find(id) != nil {
-				t.Fatalf("removed id %d finds a request", id)
+				t.Fatalf("found a request by the removed ID %d", id)
 			}
 			table.Remove(id)
 		}
 		if table.Len() != len(model) {
-			t.Fatal("removing an id twice removed another request")
+			t.Fatal("removing an ID twice removed another request")
 		}
 	})
 }
@@ -61,6 +61,6 @@
 	}
 	use()
 	if n := testing.AllocsPerRun(1000, use); n != 0 {
-		t.Errorf("%v allocations a request, want none", n)
+		t.Errorf("%v allocations per request, want 0", n)
 	}
 }
