--- a/internal/state/batchstore/batches.go
+++ b/internal/state/batchstore/batches.go
@@ -10,7 +10,7 @@
 	"docksail/internal/state/recordstore"
 )
 
-// Batch is the record of a tenant's batch. Times are Unix seconds; 0 means not yet.
+// Batch is the record of a tenant's batch. Times are Unix seconds; 0 means not reached yet.
 type Batch struct {
 	ID               string                    `json:"id"`
 	Tenant           string                    `json:"tenant"`
@@ -30,18 +30,19 @@
 	FinalizingUnix   int64                     `json:"finalizing,omitempty"`
 	EndedUnix        int64                     `json:"ended,omitempty"`
 	CancellingUnix   int64                     `json:"cancelling,omitempty"`
-	FinalState       batchscheduler.BatchState `json:"final,omitempty"` // that FinalizeBatch gives it
+	FinalState       batchscheduler.BatchState `json:"final,omitempty"` // that FinalizeBatch moves it to
 	ValidationErrors []ValidationError         `json:"faults,omitempty"`
 }
 
-// ValidationError is a reason for which a batch's input file was not accepted.
+// ValidationError is a reason why a batch's input file was rejected.
 type ValidationError struct {
 	LineNumber int    `json:"line"` // from 1; 0 = the whole file
 	Code       string `json:"code"`
 	Message    string `json:"message"`
 }
 
-// CreateBatch creates a batch over the file b.InputFileID, in StateValidating. It sets the ID, state and times of b.
+// CreateBatch creates a batch in StateValidating for the input file b.InputFileID and returns it with its ID, state and
+// times.
 func (s *Store) CreateBatch(now time.Time, b Batch, window time.Duration) (Batch, error) {
 	if _, err := s.File(b.Tenant, b.InputFileID); err != nil {
 		return Batch{}, err
@@ -54,7 +55,7 @@
 	return b, s.records.Update(func(tx *recordstore.Tx) error { return putJSON(tx, batchesSet, b.ID, b) })
 }
 
-// Batch returns a tenant's batch. Its error wraps ErrNotFound if the tenant has none of that ID.
+// Batch returns a tenant's batch. Its error wraps ErrNotFound if the tenant has none with that ID.
 func (s *Store) Batch(tenant, id string) (b Batch, err error) {
 	err = s.records.View(func(tx *recordstore.Tx) error { return getJSON(tx, batchesSet, id, &b) })
 	if err == nil && b.Tenant != tenant {
@@ -63,19 +64,19 @@
 	return b, err
 }
 
-// Batches returns at most limit batches of a tenant, from the first ID after one.
+// Batches returns at most limit batches of a tenant in the order of their IDs, starting after the ID after.
 func (s *Store) Batches(tenant, after string, limit int) (Page[Batch], error) {
 	return list(s, batchesSet, after, limit, func(b *Batch) bool { return b.Tenant == tenant })
 }
 
-// UnfinishedBatches returns the batches of all tenants that are in no terminal state.
+// UnfinishedBatches returns the batches of all tenants that are not in a terminal state.
 func (s *Store) UnfinishedBatches() ([]Batch, error) {
 	page, err := list(s, batchesSet, "", unlimited, func(b *Batch) bool { return !b.State.IsTerminal() })
 	return page.Items, err
 }
 
-// TransitionBatch moves a batch to a state and applies update to it in the same change; update sees the batch in the
-// new state. The error wraps ErrInvalidState if the state may not follow the present one; the present state itself may.
+// TransitionBatch moves a batch to a state and applies update to it in the same transaction; update gets the batch in
+// the new state. The error wraps ErrInvalidState if the transition is not allowed; keeping the current state is.
 func (s *Store) TransitionBatch(id string, to batchscheduler.BatchState, update func(b *Batch)) (b Batch, err error) {
 	err = s.records.Update(func(tx *recordstore.Tx) error {
 		if err := getJSON(tx, batchesSet, id, &b); err != nil {
@@ -101,12 +102,12 @@
 	return b, err
 }
 
-// dropLines removes the lines and results of a batch.
+// dropLines removes the line and result records of a batch.
 func dropLines(tx *recordstore.Tx, batchID string) error {
 	return errors.Join(tx.DropSet(linesSet(batchID)), tx.DropSet(resultsSet(batchID)))
 }
 
-// isInUse reports whether a batch that is in no terminal state reads a file.
+// isInUse reports whether a file is the input of a batch that is not in a terminal state.
 func isInUse(tx *recordstore.Tx, fileID string) (inUse bool, err error) {
 	err = tx.ForEach(batchesSet, nil, func(_, encoded []byte, corrupt error) error {
 		var b Batch
--- a/internal/state/batchstore/content.go
+++ b/internal/state/batchstore/content.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	// quotaReserveBytes is how much quota a contentWriter reserves at a time.
+	// quotaReserveBytes is the quota that a contentWriter reserves at a time.
 	quotaReserveBytes = 1 << 20
 	// contentBufferBytes is the size of a contentWriter's buffer.
 	contentBufferBytes = 64 << 10
 )
 
-// reserveQuota reserves bytes of a tenant's quota. Its error wraps ErrQuotaExceeded if they do not fit.
+// reserveQuota reserves bytes of a tenant's quota. Its error wraps ErrQuotaExceeded if too few are free.
 func (s *Store) reserveQuota(tenant string, bytes int64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -25,7 +25,7 @@
 	return nil
 }
 
-// releaseQuota returns bytes of a tenant's quota.
+// releaseQuota releases bytes of a tenant's quota.
 func (s *Store) releaseQuota(tenant string, bytes int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -38,11 +38,12 @@
 	tenant   string
 	file     *os.File
 	buffer   *bufio.Writer
-	written  int64
-	reserved int64 // of the tenant's quota
+	written  int64 // bytes
+	reserved int64 // bytes of the tenant's quota
 	maxBytes int64 // 0 = unlimited
 }
 
+// newContentWriter returns a writer of at most maxBytes, or of any number if maxBytes is 0.
 func (s *Store) newContentWriter(tenant string, maxBytes int64) (*contentWriter, error) {
 	file, err := os.CreateTemp(filepath.Join(s.dir, uploadsDirName), "*")
 	if err != nil {
@@ -53,7 +54,7 @@
 	}, nil
 }
 
-// Write implements io.Writer. Its error wraps ErrFileTooLarge or ErrQuotaExceeded if p does not fit.
+// Write implements io.Writer. Its error wraps ErrFileTooLarge or ErrQuotaExceeded if p would exceed the limit.
 func (w *contentWriter) Write(p []byte) (int, error) {
 	if w.maxBytes > 0 && w.written+int64(len(p)) > w.maxBytes {
 		return 0, fmt.Errorf("more than %d bytes: %w", w.maxBytes, ErrFileTooLarge)
@@ -68,11 +69,11 @@
 	return n, err
 }
 
-// reserve reserves quota ahead, or only what is needed if no more fits.
+// reserve reserves quotaReserveBytes, or only the needed bytes if these are more or the rest of the quota is less.
 func (w *contentWriter) reserve(needed int64) error {
-	ahead := max(needed, quotaReserveBytes)
-	if w.store.reserveQuota(w.tenant, ahead) == nil {
-		w.reserved += ahead
+	size := max(needed, quotaReserveBytes)
+	if w.store.reserveQuota(w.tenant, size) == nil {
+		w.reserved += size
 		return nil
 	}
 	if err := w.store.reserveQuota(w.tenant, needed); err != nil {
@@ -82,10 +83,10 @@
 	return nil
 }
 
-// discard removes the temporary file and returns the quota.
+// discard removes the temporary file and releases the quota.
 func (w *contentWriter) discard() {
 	w.file.Close()
-	_ = os.Remove(w.file.Name()) // if it stays, the next start removes it
+	_ = os.Remove(w.file.Name()) // Open removes a file that is left
 	w.store.releaseQuota(w.tenant, w.reserved)
 }
 
@@ -96,9 +97,10 @@
 		return err
 	}
 	w.store.releaseQuota(w.tenant, w.reserved-w.written)
-	return w.store.reach(afterContentInPlace)
+	return w.store.atFailpoint(afterContentInPlace)
 }
 
+// moveInPlace syncs the temporary file and renames it to the path of the content.
 func (w *contentWriter) moveInPlace(fileID string) error {
 	if err := w.buffer.Flush(); err != nil {
 		return err
@@ -109,7 +111,7 @@
 	if err := w.file.Close(); err != nil {
 		return err
 	}
-	if err := w.store.reach(afterContentWritten); err != nil {
+	if err := w.store.atFailpoint(afterContentWritten); err != nil {
 		return err
 	}
 	path := w.store.contentPath(fileID)
--- a/internal/state/batchstore/files.go
+++ b/internal/state/batchstore/files.go
@@ -10,7 +10,7 @@
 	"docksail/internal/state/recordstore"
 )
 
-// Purposes of files, as the API shows them.
+// Purposes of files in the API.
 const (
 	PurposeInput  = "batch"
 	PurposeOutput = "batch_output"
@@ -27,8 +27,8 @@
 	Deleted     bool   `json:"deleted,omitempty"` // hidden from its tenant while a batch still reads it
 }
 
-// UploadFile stores the content that r yields as a new file. Its error wraps ErrFileTooLarge if there are more than
-// maxBytes and ErrQuotaExceeded if they do not fit into the tenant's quota. An upload that fails leaves nothing behind.
+// UploadFile stores the content of r as a new file. Its error wraps ErrFileTooLarge if the content is larger than
+// maxBytes and ErrQuotaExceeded if it exceeds the tenant's quota. Open removes the remains of a failed upload, if any.
 func (s *Store) UploadFile(now time.Time, tenant, name, purpose string, r io.Reader, maxBytes int64) (File, error) {
 	w, err := s.newContentWriter(tenant, maxBytes)
 	if err != nil {
@@ -49,7 +49,7 @@
 	return file, s.records.Update(func(tx *recordstore.Tx) error { return putJSON(tx, filesSet, file.ID, file) })
 }
 
-// File returns a tenant's file. Its error wraps ErrNotFound if the tenant has none of that ID.
+// File returns a tenant's file. Its error wraps ErrNotFound if the tenant has none with that ID.
 func (s *Store) File(tenant, id string) (file File, err error) {
 	err = s.records.View(func(tx *recordstore.Tx) error { return getJSON(tx, filesSet, id, &file) })
 	if err == nil && (file.Tenant != tenant || file.Deleted) {
@@ -58,7 +58,7 @@
 	return file, err
 }
 
-// Files returns at most limit files of a tenant, from the first ID after one.
+// Files returns at most limit files of a tenant in the order of their IDs, starting after the ID after.
 func (s *Store) Files(tenant, after string, limit int) (Page[File], error) {
 	return list(s, filesSet, after, limit, func(f *File) bool { return f.Tenant == tenant && !f.Deleted })
 }
@@ -71,10 +71,10 @@
 	return os.Open(s.contentPath(id))
 }
 
-// OpenInput opens the content of a batch's input file, also after its tenant has deleted the file.
+// OpenInput opens the content of a batch's input file, even if the tenant has deleted the file.
 func (s *Store) OpenInput(id string) (*os.File, error) { return os.Open(s.contentPath(id)) }
 
-// DeleteFile deletes a tenant's file. Its content stays until no batch reads it any more.
+// DeleteFile deletes a tenant's file. Its content is kept until no unfinished batch reads it.
 func (s *Store) DeleteFile(tenant, id string) error {
 	file, err := s.File(tenant, id)
 	if err != nil {
@@ -97,8 +97,8 @@
 	return s.removeContent(file)
 }
 
-// DeleteFilesOlderThan deletes the files that are older than a retention time and that no batch reads. It returns how
-// many it deleted.
+// DeleteFilesOlderThan deletes the files that are older than retention and that no unfinished batch reads. It returns
+// the number of deleted files.
 func (s *Store) DeleteFilesOlderThan(now time.Time, retention time.Duration) (deleted int, err error) {
 	retentionSeconds := int64(retention / time.Second)
 	old, err := list(s, filesSet, "", unlimited, func(f *File) bool {
@@ -127,7 +127,7 @@
 	return deleted, nil
 }
 
-// removeDeletedInput removes a file that was deleted while a batch read it, once no other batch does.
+// removeDeletedInput removes an input file that its tenant has deleted, unless an unfinished batch still reads it.
 func (s *Store) removeDeletedInput(id string) error {
 	var file File
 	remove := false
@@ -152,7 +152,7 @@
 	return s.removeContent(file)
 }
 
-// removeContent removes the content of a file whose record is gone.
+// removeContent removes the content of a file whose record was deleted, and releases its quota.
 func (s *Store) removeContent(file File) error {
 	s.releaseQuota(file.Tenant, file.SizeBytes)
 	return os.Remove(s.contentPath(file.ID))
--- a/internal/state/batchstore/format_test.go
+++ b/internal/state/batchstore/format_test.go
@@ -18,13 +18,13 @@
 	"docksail/internal/decide/batchscheduler"
 )
 
-// formatDir is a store's directory that the program of commit 61b72d4 wrote, by the operations of writeSampleStore.
+// formatDir is a store's directory written by the program of commit 61b72d4 with the operations of writeSampleStore.
 const formatDir = "testdata/format-61b72d4"
 
 // formatRecordCount is the number of records in formatDir: 5 files, 6 batches, 10 lines and 5 results.
 const formatRecordCount = 5 + 6 + 10 + 5
 
-// dumpRecords returns all records of a store's directory as they lie in its database file, by bucket and key in hex.
+// dumpRecords returns the raw records of a store's database file in hexadecimal, by bucket and key.
 func dumpRecords(t *testing.T, dir string) map[string]string {
 	t.Helper()
 	db, err := bbolt.Open(filepath.Join(dir, "vault"), 0o600, &bbolt.Options{Timeout: time.Second})
@@ -82,7 +82,7 @@
 	}
 }
 
-// copyFormatDir copies formatDir, because opening a store changes its directory.
+// copyFormatDir returns a copy of formatDir, because opening a store modifies its directory.
 func copyFormatDir(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -92,8 +92,7 @@
 	return dir
 }
 
-// TestWritesFormat checks that the operations by which commit 61b72d4 wrote formatDir write the same buckets, keys,
-// records and files, byte for byte.
+// TestWritesFormat checks that writeSampleStore writes the same buckets, keys, records and files as commit 61b72d4 did.
 func TestWritesFormat(t *testing.T) {
 	dir := t.TempDir()
 	writeSampleStore(t, dir)
@@ -107,8 +106,7 @@
 	checkSameContents(t, "file", dumpFiles(t, dir), dumpFiles(t, want))
 }
 
-// TestReadsFormat checks that a directory which commit 61b72d4 wrote opens and that its files, batches, lines and
-// results read as they were written.
+// TestReadsFormat checks that the files, batches, lines and results written by commit 61b72d4 are read unchanged.
 func TestReadsFormat(t *testing.T) {
 	s, err := Open(copyFormatDir(t), 1<<20)
 	if err != nil {
@@ -116,8 +114,8 @@
 	}
 	defer s.Close()
 	t.Run("verify", func(t *testing.T) {
-		if all, corrupt, err := s.Verify(); err != nil || len(corrupt) > 0 || all != formatRecordCount {
-			t.Errorf("%d records, want %d; %v, %v", all, formatRecordCount, corrupt, err)
+		if records, corrupt, err := s.Verify(); err != nil || len(corrupt) > 0 || records != formatRecordCount {
+			t.Errorf("%d records, want %d; %v, %v", records, formatRecordCount, corrupt, err)
 		}
 	})
 	t.Run("files", func(t *testing.T) { checkFormatFiles(t, s) })
@@ -156,7 +154,7 @@
 		t.Errorf("files of tenant a: %+v, want %+v", files.Items, want)
 	}
 	if files, err := s.Files("b", "", 10); err != nil || len(files.Items) != 0 {
-		t.Errorf("files of tenant b, which has deleted its only one: %v, %v", files, err)
+		t.Errorf("files of tenant b, whose only file is deleted: %v, %v", files, err)
 	}
 	used := map[string]int64{"a": int64(len(text)) + 39 + 76 + 39, "b": int64(len(text))}
 	if !maps.Equal(s.usedBytes, used) {
@@ -261,7 +259,7 @@
 	}
 }
 
-// checkFormatResults finalizes the batch that 61b72d4 left finalizing and checks the files made of its results.
+// checkFormatResults finalizes the batch in StateFinalizing and checks its result files.
 func checkFormatResults(t *testing.T, s *Store) {
 	t.Helper()
 	b, err := s.Batch("b", cancelledBatchID)
--- a/internal/state/batchstore/linear_test.go
+++ b/internal/state/batchstore/linear_test.go
@@ -14,12 +14,12 @@
 	"docksail/internal/decide/batchscheduler"
 )
 
-// The tests of this file check concurrent histories of one batch, whose lines are ended and whose counts are read by
-// many clients at once, against a sequential model: only the first result of a line counts.
+// TestLinearizable checks histories of concurrent clients that record results and read the counts of one batch against
+// a sequential model in which only the first result of a line counts.
 
-// operation is a call of RecordResult or Batch.
+// operation is a call of RecordResult ("record") or Batch ("read").
 type operation struct {
-	kind      string // end, look
+	kind      string
 	line      int
 	completed bool
 }
@@ -29,6 +29,7 @@
 
 const lineCount = 6
 
+// history returns the operations of concurrent clients on a new store. It makes them with call.
 func history(t *testing.T, call func(s *Store, id string, o operation) (counts, error)) []porcupine.Operation {
 	t.Helper()
 	s := openStore(t, t.TempDir())
@@ -37,24 +38,24 @@
 	var mu sync.Mutex
 	var ops []porcupine.Operation
 	var wg sync.WaitGroup
-	begin := time.Now()
+	startedAt := time.Now()
 	for client := range 6 {
 		wg.Go(func() {
 			rng := rand.New(rand.NewPCG(7, uint64(client)))
 			for range 12 {
-				o := operation{"look", 0, false}
+				o := operation{"read", 0, false}
 				if rng.IntN(2) == 0 {
-					o = operation{"end", rng.IntN(lineCount), rng.IntN(2) == 0}
+					o = operation{"record", rng.IntN(lineCount), rng.IntN(2) == 0}
 				}
-				from := time.Since(begin)
+				callTime := time.Since(startedAt)
 				got, err := call(s, b.ID, o)
-				to := time.Since(begin)
+				returnTime := time.Since(startedAt)
 				if err != nil {
 					t.Error(err)
 				}
 				mu.Lock()
 				ops = append(ops, porcupine.Operation{
-					ClientId: client, Input: o, Call: int64(from), Output: got, Return: int64(to),
+					ClientId: client, Input: o, Call: int64(callTime), Output: got, Return: int64(returnTime),
 				})
 				mu.Unlock()
 			}
@@ -64,37 +65,39 @@
 	return ops
 }
 
-// model has for each line '.', 'd' or 'l'.
+// model is the sequential specification. Its state has one character per line: '.' without a result, 'c' completed,
+// 'f' failed.
 var model = porcupine.Model{
 	Init: func() any { return strings.Repeat(".", lineCount) },
 	Step: func(state, input, output any) (bool, any) {
 		lines, o := state.(string), input.(operation)
-		if o.kind == "end" {
+		if o.kind == "record" {
 			if lines[o.line] == '.' {
-				how := "l"
+				result := "f"
 				if o.completed {
-					how = "d"
+					result = "c"
 				}
-				lines = lines[:o.line] + how + lines[o.line+1:]
+				lines = lines[:o.line] + result + lines[o.line+1:]
 			}
 			return true, lines
 		}
-		return output.(counts) == counts{strings.Count(lines, "d"), strings.Count(lines, "l")}, lines
+		return output.(counts) == counts{strings.Count(lines, "c"), strings.Count(lines, "f")}, lines
 	},
 	Equal:             func(a, b any) bool { return a == b },
 	DescribeOperation: func(in, out any) string { return fmt.Sprint(in, out) },
 }
 
+// callStore makes an operation on a store.
 func callStore(s *Store, id string, o operation) (counts, error) {
-	if o.kind == "end" {
+	if o.kind == "record" {
 		return counts{}, s.RecordResult(id, batchscheduler.LineIndex(o.line), resultKind(o.completed), []byte("{}"))
 	}
 	b, err := s.Batch("a", id)
 	return counts{b.CompletedLines, b.FailedLines}, err
 }
 
-// TestLinearizable checks concurrent histories of the store against the model. It also checks the checker: of a store
-// that counts every result of a line, and of one that returns old counts, it must find that they are not linearizable.
+// TestLinearizable checks that histories of the store are linearizable, and that the checker rejects histories of a
+// store that counts every result of a line and of one that returns stale counts.
 func TestLinearizable(t *testing.T) {
 	for range 5 {
 		if !porcupine.CheckOperations(model, history(t, callStore)) {
@@ -102,33 +105,33 @@
 		}
 	}
 	var mu sync.Mutex
-	results := map[int]int{}
-	old := counts{}
+	resultsByLine := map[int]int{}
+	stale := counts{}
 	for name, call := range map[string]func(s *Store, id string, o operation) (counts, error){
-		"every end counts": func(s *Store, id string, o operation) (counts, error) {
+		"every result counts": func(s *Store, id string, o operation) (counts, error) {
 			got, err := callStore(s, id, o)
 			mu.Lock()
 			defer mu.Unlock()
-			if o.kind == "end" {
-				results[o.line]++
+			if o.kind == "record" {
+				resultsByLine[o.line]++
 			}
-			for _, n := range results {
+			for _, n := range resultsByLine {
 				got.completed += n - 1
 			}
 			return got, err
 		},
-		"looks are old": func(s *Store, id string, o operation) (counts, error) {
+		"reads are stale": func(s *Store, id string, o operation) (counts, error) {
 			got, err := callStore(s, id, o)
 			mu.Lock()
 			defer mu.Unlock()
-			if o.kind == "look" {
-				got, old = old, got
+			if o.kind == "read" {
+				got, stale = stale, got
 			}
 			return got, err
 		},
 	} {
 		if porcupine.CheckOperations(model, history(t, call)) {
-			t.Errorf("%s: the checker takes the history for linearizable", name)
+			t.Errorf("%s: the checker accepts the history as linearizable", name)
 		}
 	}
 }
@@ -150,21 +153,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	full := errors.New("no space left on device")
-	s.reach = func(at failpoint) error {
+	errDiskFull := errors.New("no space left on device")
+	s.atFailpoint = func(at failpoint) error {
 		if at == afterContentWritten {
-			return full
+			return errDiskFull
 		}
 		return nil
 	}
 	used := s.usedBytes["a"]
-	if _, err := s.FinalizeBatch(t0, b); !errors.Is(err, full) {
-		t.Errorf("%v, want that the disk is full", err)
+	if _, err := s.FinalizeBatch(t0, b); !errors.Is(err, errDiskFull) {
+		t.Errorf("finalized with error %v, want the error of a full disk", err)
 	}
 	if again, _ := s.Batch("a", b.ID); again.State != batchscheduler.StateFinalizing || s.usedBytes["a"] != used {
 		t.Errorf("%v, %d bytes used, want finalizing and %d", again.State, s.usedBytes["a"], used)
 	}
-	s.reach = func(failpoint) error { return nil }
+	s.atFailpoint = func(failpoint) error { return nil }
 	b, err = s.FinalizeBatch(t0, b)
 	if err != nil || b.State != batchscheduler.StateExpired || b.OutputFileID == "" || b.ErrorFileID == "" {
 		t.Errorf("%+v, %v", b, err)
--- a/internal/state/batchstore/lines.go
+++ b/internal/state/batchstore/lines.go
@@ -10,15 +10,15 @@
 	"docksail/internal/state/recordstore"
 )
 
-// Line is the record of a batch's line: where its text stands in the input file, and its state.
+// Line is the record of a batch's line: the position of its text in the input file, and its state.
 type Line struct {
 	State       batchscheduler.LineState
 	Offset      int64   // of its text, in bytes
 	Length      int32   // of its text, in bytes
 	Checksum    uint32  // CRC-32 of its text
 	Cost        float32 // stored as a whole number
-	PrefixGroup uint64  // as batchscheduler.LineSpec has it
-	CustomID    string  // the tenant's name for the line
+	PrefixGroup uint64  // see batchscheduler.LineSpec
+	CustomID    string  // chosen by the tenant
 }
 
 // lineHeaderBytes is the size of an encoded line without its custom ID: state, offset, length, checksum, cost, group.
@@ -27,7 +27,7 @@
 // linesSet returns the name of the set that holds a batch's lines.
 func linesSet(batchID string) string { return "lines/" + batchID }
 
-// lineKey returns the key of a line's records.
+// lineKey returns the key of a line's record and result.
 func lineKey(index batchscheduler.LineIndex) []byte {
 	return binary.BigEndian.AppendUint32(nil, uint32(index))
 }
@@ -72,8 +72,8 @@
 	return tx.Put(linesSet(batchID), lineKey(index), line.encode())
 }
 
-// AddLines stores lines of a batch in StateValidating, from index first on. It overwrites lines that an earlier,
-// interrupted validation stored.
+// AddLines stores lines of a batch in StateValidating, starting at index first. It overwrites lines that an interrupted
+// validation stored earlier.
 func (s *Store) AddLines(batchID string, first batchscheduler.LineIndex, lines []Line) error {
 	for len(lines) > 0 {
 		chunk := lines[:min(len(lines), maxLinesPerUpdate)]
@@ -93,8 +93,8 @@
 	return nil
 }
 
-// ForEachLine calls visit for the lines of a batch in their order, and returns visit's first error. A line whose record
-// is corrupt comes with an error and without its content.
+// ForEachLine calls visit for the lines of a batch in their order and returns visit's first error. For a line whose
+// record is corrupt, corrupt is the error and line is empty.
 func (s *Store) ForEachLine(
 	batchID string, visit func(index batchscheduler.LineIndex, line Line, corrupt error) error,
 ) error {
@@ -118,8 +118,8 @@
 	return line, err
 }
 
-// LineText returns the text of a line from its input file. Its error wraps ErrCorrupt if the text is not what was
-// uploaded.
+// LineText returns the text of a line from its input file. Its error wraps ErrCorrupt if the text does not match
+// the line's checksum.
 func (s *Store) LineText(inputFileID string, index batchscheduler.LineIndex, line Line) ([]byte, error) {
 	f, err := os.Open(s.contentPath(inputFileID))
 	if err != nil {
--- a/internal/state/batchstore/recovery.go
+++ b/internal/state/batchstore/recovery.go
@@ -10,10 +10,10 @@
 	"docksail/internal/state/recordstore"
 )
 
-// recoverContents counts the quota that tenants use and removes what an interrupted upload left behind: temporary
-// files, and contents without a record.
+// recoverContents computes the quota that tenants use and removes the remains of interrupted uploads: temporary files
+// and contents without a record.
 func (s *Store) recoverContents() error {
-	known, err := s.countUsedBytes()
+	recorded, err := s.countUsedBytes()
 	if err != nil {
 		return err
 	}
@@ -26,7 +26,7 @@
 		return err
 	}
 	for _, content := range contents {
-		if !known[content.Name()] {
+		if !recorded[content.Name()] {
 			orphans = append(orphans, s.contentPath(content.Name()))
 		}
 	}
@@ -38,13 +38,13 @@
 	return nil
 }
 
-// countUsedBytes counts the quota that tenants use and returns the IDs of all files that have a record. A corrupt
-// record counts too, because a person may still want the content.
-func (s *Store) countUsedBytes() (known map[string]bool, err error) {
-	known = map[string]bool{}
+// countUsedBytes computes the quota that tenants use and returns the IDs of all files that have a record. These include
+// corrupt records, so that their contents are kept for manual recovery.
+func (s *Store) countUsedBytes() (recorded map[string]bool, err error) {
+	recorded = map[string]bool{}
 	err = s.records.View(func(tx *recordstore.Tx) error {
 		return tx.ForEach(filesSet, nil, func(key, encoded []byte, corrupt error) error {
-			known[string(key)] = true
+			recorded[string(key)] = true
 			var file File
 			if corrupt == nil && json.Unmarshal(encoded, &file) == nil {
 				s.usedBytes[file.Tenant] += file.SizeBytes
@@ -52,11 +52,11 @@
 			return nil
 		})
 	})
-	return known, err
+	return recorded, err
 }
 
-// Verify reads every record, and the text of every line of an unfinished batch. It returns how many records there are
-// and, sorted, descriptions of the records and texts that are not what was written.
+// Verify reads every record, and the text of every line of an unfinished batch. It returns the number of records and
+// the sorted descriptions of corrupt records and texts.
 func (s *Store) Verify() (records int, corrupt []string, err error) {
 	records, corruptRecords, err := s.records.Verify()
 	for _, e := range corruptRecords {
--- a/internal/state/batchstore/results.go
+++ b/internal/state/batchstore/results.go
@@ -11,7 +11,7 @@
 	"docksail/internal/state/recordstore"
 )
 
-// ResultKind says how a line ended. Its value begins the stored record of a result.
+// ResultKind says how a line ended. Its value is the first byte of a stored result.
 type ResultKind byte
 
 const (
@@ -21,6 +21,7 @@
 	ResultCompleted ResultKind = 1
 )
 
+// String returns the name of the kind.
 func (k ResultKind) String() string {
 	if k == ResultCompleted {
 		return "completed"
@@ -28,22 +29,22 @@
 	return "failed"
 }
 
-// corruptResult is the format of a line of the error file for a result whose record is corrupt.
+// corruptResult is the format string of an error file line for a result whose record is corrupt.
 const corruptResult = `{"id":null,"custom_id":null,"response":null,"error":{"code":"rotten","message":%q}}`
 
 // resultsSet returns the name of the set that holds a batch's results.
 func resultsSet(batchID string) string { return "results/" + batchID }
 
-// RecordResult stores the result of a line with its text for the output or error file, and counts it. Only the first
-// result of a line is stored; later ones are ignored. The error wraps ErrInvalidState if the batch is in a terminal
-// state.
+// RecordResult stores the result of a line with its text for the output or error file, and updates the counts of the
+// batch. Only the first result of a line is stored; later ones are ignored. The error wraps ErrInvalidState if the batch
+// is in a terminal state.
 func (s *Store) RecordResult(batchID string, index batchscheduler.LineIndex, kind ResultKind, text []byte) error {
 	return s.records.UpdateBatched(func(tx *recordstore.Tx) error {
 		return recordResult(tx, batchID, index, kind, func(Line) []byte { return text })
 	})
 }
 
-// FailLines stores that lines failed, with the text that failureText returns for each.
+// FailLines stores lines as failed, with the text that failureText returns for each. It skips lines that have a result.
 func (s *Store) FailLines(
 	batchID string, indexes []batchscheduler.LineIndex,
 	failureText func(index batchscheduler.LineIndex, line Line) []byte,
@@ -67,7 +68,7 @@
 	return nil
 }
 
-// recordResult stores a line's result, its state and the counts of its batch. A result that is there already stays.
+// recordResult stores a line's result, its state and the counts of its batch. It keeps an existing result.
 func recordResult(
 	tx *recordstore.Tx, batchID string, index batchscheduler.LineIndex, kind ResultKind, text func(line Line) []byte,
 ) error {
@@ -89,7 +90,7 @@
 		b.FailedLines++
 	}
 	line, err := getLine(tx, batchID, index)
-	if err == nil { // a line whose record is corrupt ends all the same
+	if err == nil { // without a readable line record, only the result is stored
 		line.State = state
 		if err := putLine(tx, batchID, index, line); err != nil {
 			return err
@@ -103,7 +104,7 @@
 }
 
 // FinalizeBatch writes the error file and the output file of a batch in StateFinalizing and moves it to its FinalState.
-// If it is interrupted anywhere, it may be called again.
+// It may be called again after an interruption at any point.
 func (s *Store) FinalizeBatch(now time.Time, b Batch) (Batch, error) {
 	errorFile, err := s.writeResultFile(now, b, ResultFailed)
 	if err != nil {
@@ -113,7 +114,7 @@
 	if err != nil {
 		return b, err
 	}
-	if err := s.reach(afterFilesWritten); err != nil {
+	if err := s.atFailpoint(afterFilesWritten); err != nil {
 		return b, err
 	}
 	err = s.records.Update(func(tx *recordstore.Tx) error {
@@ -144,8 +145,8 @@
 	return b, s.removeDeletedInput(b.InputFileID)
 }
 
-// writeResultFile writes the texts of a batch's results of a kind as the content of a file. The file's ID follows from
-// the batch's, so that a repetition overwrites it; it is empty if there is no such result.
+// writeResultFile writes the texts of a batch's results of a kind as the content of a file. The file's ID is derived
+// from the batch's, so that a repeated call overwrites the content; it is empty if there is no such result.
 func (s *Store) writeResultFile(now time.Time, b Batch, kind ResultKind) (File, error) {
 	w, err := s.newContentWriter(b.Tenant, 0)
 	if err != nil {
--- a/internal/state/batchstore/sample_test.go
+++ b/internal/state/batchstore/sample_test.go
@@ -10,7 +10,7 @@
 	"docksail/internal/decide/batchscheduler"
 )
 
-// IDs of the sample store: newID draws them from sequentialBytes.
+// IDs in the sample store, which newID makes from sequentialBytes.
 const (
 	inputFileID       = "file-0102030405060708090a0b0c"
 	deletedFileID     = "file-0d0e0f101112131415161718"
@@ -22,7 +22,7 @@
 	cancelledBatchID  = "batch_6162636465666768696a6b6c"
 )
 
-// sequentialBytes is a source of IDs that yields 1, 2, 3 and so on.
+// sequentialBytes is an ID source that returns the bytes 1, 2, 3 and so on.
 type sequentialBytes byte
 
 func (s *sequentialBytes) Read(p []byte) (int, error) {
@@ -33,7 +33,7 @@
 	return len(p), nil
 }
 
-// sampleTime is a time of the sample store, in seconds after its first upload.
+// sampleTime returns the time that many seconds after the first upload of the sample store.
 func sampleTime(seconds int64) time.Time { return time.Unix(1_700_000_000+seconds, 0) }
 
 // sampleLines returns the text of the input file and its lines.
@@ -75,7 +75,7 @@
 	return f
 }
 
-func (w *sampleWriter) create(tenant, input string, lineCount int) Batch {
+func (w *sampleWriter) createBatch(tenant, input string, lineCount int) Batch {
 	w.t.Helper()
 	b, err := w.store.CreateBatch(sampleTime(10), Batch{
 		Tenant: tenant, InputFileID: input, Endpoint: "/v1/completions", CompletionWindow: "24h", Metadata: sampleMetadata,
@@ -93,13 +93,13 @@
 	return b
 }
 
-func (w *sampleWriter) end(b Batch, n batchscheduler.LineIndex, completed bool) {
+func (w *sampleWriter) recordResult(b Batch, n batchscheduler.LineIndex, completed bool) {
 	w.t.Helper()
 	text := fmt.Appendf(nil, `{"custom_id":"größe-%d","done":%v}`, n, completed)
 	w.check(w.store.RecordResult(b.ID, n, resultKind(completed), text))
 }
 
-func (w *sampleWriter) finalizing(b Batch, final batchscheduler.BatchState) Batch {
+func (w *sampleWriter) beginFinalizing(b Batch, final batchscheduler.BatchState) Batch {
 	w.t.Helper()
 	b, err := w.store.TransitionBatch(b.ID, batchscheduler.StateFinalizing, func(b *Batch) {
 		b.FinalState, b.FinalizingUnix = final, sampleTime(40).Unix()
@@ -108,7 +108,7 @@
 	return b
 }
 
-// writeSampleStore makes the changes by which commit 61b72d4 wrote formatDir.
+// writeSampleStore writes a store with the operations by which commit 61b72d4 wrote formatDir.
 func writeSampleStore(t *testing.T, dir string) {
 	t.Helper()
 	s, err := Open(dir, 1<<20)
@@ -120,36 +120,36 @@
 	input, other, removed := w.upload("a", "lines.jsonl"), w.upload("b", "other.jsonl"), w.upload("a", "removed.jsonl")
 	w.check(s.DeleteFile("a", removed.ID))
 
-	running := w.create("a", input.ID, 6)
+	running := w.createBatch("a", input.ID, 6)
 	w.check(s.SetLineState(running.ID, 1, batchscheduler.LineInFlight))
-	w.end(running, 2, true)
-	w.end(running, 3, false)
+	w.recordResult(running, 2, true)
+	w.recordResult(running, 3, false)
 	w.check(s.SetLineState(running.ID, 4, batchscheduler.LineInFlight))
 	w.check(s.SetLineState(running.ID, 4, batchscheduler.LineWaiting))
 
-	completed := w.create("a", input.ID, 3)
+	completed := w.createBatch("a", input.ID, 3)
 	for n := range batchscheduler.LineIndex(3) {
-		w.end(completed, n, n != 1)
+		w.recordResult(completed, n, n != 1)
 	}
-	_, err = s.FinalizeBatch(sampleTime(50), w.finalizing(completed, batchscheduler.StateCompleted))
+	_, err = s.FinalizeBatch(sampleTime(50), w.beginFinalizing(completed, batchscheduler.StateCompleted))
 	w.check(err)
 
-	expired := w.create("a", input.ID, 1)
-	w.end(expired, 0, false)
-	_, err = s.FinalizeBatch(sampleTime(50), w.finalizing(expired, batchscheduler.StateExpired))
+	expired := w.createBatch("a", input.ID, 1)
+	w.recordResult(expired, 0, false)
+	_, err = s.FinalizeBatch(sampleTime(50), w.beginFinalizing(expired, batchscheduler.StateExpired))
 	w.check(err)
 
-	failed := w.create("a", input.ID, 0)
+	failed := w.createBatch("a", input.ID, 0)
 	_, err = s.TransitionBatch(failed.ID, batchscheduler.StateFailed, func(b *Batch) {
 		b.EndedUnix = sampleTime(30).Unix()
 		b.ValidationErrors = sampleValidationErrors
 	})
 	w.check(err)
 
-	w.create("b", other.ID, 0) // stays validating
+	w.createBatch("b", other.ID, 0) // stays validating
 
-	cancelled := w.create("b", other.ID, 4)
-	w.end(cancelled, 0, true)
+	cancelled := w.createBatch("b", other.ID, 4)
+	w.recordResult(cancelled, 0, true)
 	_, err = s.TransitionBatch(cancelled.ID, batchscheduler.StateCancelling, func(b *Batch) {
 		b.CancellingUnix = sampleTime(35).Unix()
 	})
@@ -157,7 +157,7 @@
 	w.check(s.FailLines(cancelled.ID, []batchscheduler.LineIndex{1, 3}, func(_ batchscheduler.LineIndex, l Line) []byte {
 		return fmt.Appendf(nil, `{"custom_id":%q,"error":{"code":"batch_cancelled"}}`, l.CustomID)
 	}))
-	w.finalizing(cancelled, batchscheduler.StateCancelled)
+	w.beginFinalizing(cancelled, batchscheduler.StateCancelled)
 	w.check(s.DeleteFile("b", other.ID)) // its batches still read it
 	w.check(s.Close())
 }
--- a/internal/state/batchstore/store.go
+++ b/internal/state/batchstore/store.go
@@ -1,5 +1,5 @@
 // Package batchstore stores the files and batches of the batch API: uploaded files, the state of every batch and line,
-// and results. It survives any end of the process: a change is on disk before the call that made it returns.
+// and results. Changes are durable: a change is on disk before the call that made it returns.
 //
 // File contents are plain files; everything else is records in a recordstore.Store beside them. docs/storage.md
 // describes the format.
@@ -19,18 +19,18 @@
 	"docksail/internal/state/recordstore"
 )
 
-// Errors that callers tell apart by errors.Is. The batch API returns their texts to its clients.
+// Errors that callers distinguish with errors.Is. The batch API returns their texts to its clients.
 var (
 	// ErrNotFound means that the tenant has no such file or batch.
 	ErrNotFound = errors.New("no such file or batch")
-	// ErrQuotaExceeded means that a file does not fit into the tenant's quota.
+	// ErrQuotaExceeded means that a file exceeds the tenant's quota.
 	ErrQuotaExceeded = errors.New("over the quota of the tenant")
 	// ErrFileTooLarge means that a file is larger than the caller allows.
 	ErrFileTooLarge = errors.New("larger than a file may be")
 	// ErrInvalidState means that the state of a batch does not allow the change.
 	ErrInvalidState = errors.New("not in its present state")
-	// ErrCorrupt means that stored data is not what was written.
-	ErrCorrupt = errors.New("not what was written")
+	// ErrCorrupt means that stored data is incomplete or does not match its checksum.
+	ErrCorrupt = errors.New("corrupt data")
 )
 
 // Names within a store's directory. They are part of the stored format.
@@ -40,7 +40,7 @@
 	uploadsDirName  = "tmp"
 )
 
-// Record sets and the kinds that begin an ID. They are part of the stored format.
+// Names of record sets and prefixes of IDs. They are part of the stored format.
 const (
 	filesSet      = "files"
 	batchesSet    = "batches"
@@ -52,13 +52,13 @@
 	dirMode = 0o700
 	// idBytes is the number of random bytes in an ID.
 	idBytes = 12
-	// maxLinesPerUpdate bounds the lines of one record store update, so that memory does not grow with the batch.
+	// maxLinesPerUpdate limits the lines of one record store update, so that memory does not grow with the batch.
 	maxLinesPerUpdate = 2000
-	// unlimited is the page size of a list that is to be complete.
+	// unlimited is a page size that no list exceeds.
 	unlimited = 1 << 30
 )
 
-// failpoint is a step after which tests end the process.
+// failpoint is a step after which tests inject an error, as if the process had crashed.
 type failpoint string
 
 const (
@@ -73,14 +73,14 @@
 	dir              string
 	tenantQuotaBytes int64 // 0 = unlimited
 	idSource         io.Reader
-	reach            func(at failpoint) error // returns nil except in tests
+	atFailpoint      func(at failpoint) error // returns nil except in tests
 
 	mu        sync.Mutex
-	usedBytes map[string]int64 // by tenant, with uploads that are under way
+	usedBytes map[string]int64 // by tenant, including uploads in progress
 }
 
-// Open opens the store of a directory and creates it if there is none. tenantQuotaBytes bounds the size of each
-// tenant's files; 0 means unlimited. Open removes what an interrupted upload left behind. Its error wraps
+// Open opens the store in a directory, which it creates if it does not exist. tenantQuotaBytes limits the total size of
+// each tenant's files; 0 means unlimited. Open removes the remains of interrupted uploads. Its error wraps
 // recordstore.ErrLocked if another process has the store open.
 func Open(dir string, tenantQuotaBytes int64) (*Store, error) {
 	for _, name := range []string{contentsDirName, uploadsDirName} {
@@ -97,7 +97,7 @@
 		dir:              dir,
 		tenantQuotaBytes: tenantQuotaBytes,
 		idSource:         rand.Reader,
-		reach:            func(failpoint) error { return nil },
+		atFailpoint:      func(failpoint) error { return nil },
 		usedBytes:        map[string]int64{},
 	}
 	if err := s.recoverContents(); err != nil {
@@ -146,16 +146,16 @@
 // Page is a part of a list, ordered by ID.
 type Page[T any] struct {
 	Items   []T
-	HasMore bool // there are others after the last item
+	HasMore bool // more items follow the last one
 }
 
-// list returns at most limit items of a set that satisfy keep, from the first ID after one. Corrupt records are left
-// out.
-func list[T any](s *Store, set, after string, limit int, keep func(*T) bool) (page Page[T], err error) {
+// list returns at most limit items of a set that satisfy matches, in the order of their IDs, starting after the ID
+// after. It skips corrupt records.
+func list[T any](s *Store, set, after string, limit int, matches func(*T) bool) (page Page[T], err error) {
 	err = s.records.View(func(tx *recordstore.Tx) error {
 		return tx.ForEach(set, []byte(after), func(key, encoded []byte, corrupt error) error {
 			var item T
-			if string(key) == after || corrupt != nil || json.Unmarshal(encoded, &item) != nil || !keep(&item) {
+			if string(key) == after || corrupt != nil || json.Unmarshal(encoded, &item) != nil || !matches(&item) {
 				return nil
 			}
 			if len(page.Items) == limit {
--- a/internal/state/batchstore/store_test.go
+++ b/internal/state/batchstore/store_test.go
@@ -21,10 +21,10 @@
 
 var (
 	t0       = time.Unix(1e9, 0)
-	errCrash = errors.New("the process ends here")
+	errCrash = errors.New("simulated crash")
 )
 
-// TestMain keeps the random tests short: each of their changes waits for the disk.
+// TestMain limits the number of random cases, because every change of a store syncs the disk.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if err := flag.Set("rapid.checks", "12"); err != nil {
@@ -33,7 +33,7 @@
 	os.Exit(m.Run())
 }
 
-// resultKind returns the kind of a line's result by whether the line was completed.
+// resultKind returns the kind of the result of a completed or failed line.
 func resultKind(completed bool) ResultKind {
 	if completed {
 		return ResultCompleted
@@ -80,11 +80,11 @@
 	return b
 }
 
-// TestCrashes ends the process at random points of a batch's life. The store must open after each, and in the end every
-// line must stand once in the result files, with its first result, and no other file or record may be left.
+// TestCrashes reopens the store at random points while a batch runs and is finalized. In the end the result files must
+// have the first result of every line exactly once, and no other file or record may be left.
 func TestCrashes(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		dir := t.TempDir() // a new one at each call
+		dir := t.TempDir() // a new directory at each call
 		s := openStore(t, dir)
 		defer func() { s.Close() }()
 		const n = 12
@@ -93,16 +93,16 @@
 			s.Close()
 			s = openStore(t, dir)
 		}
-		ends := map[batchscheduler.LineIndex]string{}
-		for len(ends) < n {
+		firstResults := map[batchscheduler.LineIndex]string{}
+		for len(firstResults) < n {
 			index := batchscheduler.LineIndex(rapid.IntRange(0, n-1).Draw(rt, "line"))
 			completed := rapid.Bool().Draw(rt, "done")
-			text := fmt.Sprintf(`{"n":%d,"done":%v,"try":%d}`, index, completed, len(ends))
+			text := fmt.Sprintf(`{"n":%d,"done":%v,"try":%d}`, index, completed, len(firstResults))
 			switch rapid.IntRange(0, 5).Draw(rt, "what") {
 			case 0:
 				reopen()
 			case 1:
-				if _, hasEnded := ends[index]; !hasEnded {
+				if _, hasResult := firstResults[index]; !hasResult {
 					if err := s.SetLineState(b.ID, index, batchscheduler.LineInFlight); err != nil {
 						rt.Fatal(err)
 					}
@@ -111,8 +111,8 @@
 				if err := s.RecordResult(b.ID, index, resultKind(completed), []byte(text)); err != nil {
 					rt.Fatal(err)
 				}
-				if _, hasEnded := ends[index]; !hasEnded {
-					ends[index] = text
+				if _, hasResult := firstResults[index]; !hasResult {
+					firstResults[index] = text
 				}
 			}
 		}
@@ -126,7 +126,7 @@
 			failpoints := []failpoint{afterContentWritten, afterContentInPlace, afterFilesWritten}
 			point := rapid.SampledFrom(failpoints).Draw(rt, "where")
 			skip := rapid.IntRange(0, 1).Draw(rt, "which")
-			s.reach = func(at failpoint) error {
+			s.atFailpoint = func(at failpoint) error {
 				if at == point {
 					if skip--; skip < 0 {
 						return errCrash
@@ -141,7 +141,7 @@
 			}
 			reopen()
 		}
-		s.reach = func(failpoint) error { return nil }
+		s.atFailpoint = func(failpoint) error { return nil }
 		if b, err = s.Batch("a", b.ID); err != nil {
 			rt.Fatal(err)
 		}
@@ -165,34 +165,34 @@
 			f.Close()
 			for line := range strings.SplitSeq(strings.TrimSpace(string(text)), "\n") {
 				if got[line] || strings.Contains(line, `"done":true`) != (id == b.OutputFileID) {
-					rt.Fatalf("line %s is in the files twice, or in the wrong file", line)
+					rt.Fatalf("result %s is duplicate or in the wrong file", line)
 				}
 				got[line] = true
 			}
 		}
 		if len(got) != n {
-			rt.Fatalf("%d lines, want %d", len(got), n)
+			rt.Fatalf("%d results in the files, want %d", len(got), n)
 		}
-		for _, text := range ends {
+		for _, text := range firstResults {
 			if !got[text] {
-				rt.Fatalf("line %s is missing", text)
+				rt.Fatalf("result %s is missing", text)
 			}
 		}
 		contents, err := os.ReadDir(filepath.Join(dir, "files"))
 		if err != nil || len(contents) != files {
-			rt.Fatalf("%d contents on the disk, want %d", len(contents), files)
+			rt.Fatalf("%d contents on disk, want %d", len(contents), files)
 		}
 		if b, _ = s.Batch("a", b.ID); b.CompletedLines+b.FailedLines != n || b.State != batchscheduler.StateCompleted {
 			rt.Fatalf("%+v", b)
 		}
-		if all, corrupt, err := s.Verify(); err != nil || len(corrupt) > 0 || all != files+1 {
-			rt.Fatalf("%d records, want %d; %v %v", all, files+1, corrupt, err)
+		if records, corrupt, err := s.Verify(); err != nil || len(corrupt) > 0 || records != files+1 {
+			rt.Fatalf("%d records, want %d; %v %v", records, files+1, corrupt, err)
 		}
 	})
 }
 
-// TestOneOwner checks that a store that is open cannot be opened again, with an error that says why.
-func TestOneOwner(t *testing.T) {
+// TestOpenLocked checks that opening a store that is already open fails with ErrLocked.
+func TestOpenLocked(t *testing.T) {
 	dir := t.TempDir()
 	s := openStore(t, dir)
 	defer s.Close()
@@ -201,8 +201,8 @@
 	}
 }
 
-// TestQuota checks that an upload counts from its first byte, that an interrupted upload or a deleted file does not
-// count, and that a restart keeps both.
+// TestQuota checks that stored files count towards their tenant's quota, also after a restart, and that interrupted
+// uploads and deleted files do not.
 func TestQuota(t *testing.T) {
 	dir := t.TempDir()
 	s := openStore(t, dir)
@@ -218,7 +218,7 @@
 	}
 	interrupted := io.MultiReader(bytes.NewReader(make([]byte, 100<<10)), failingReader{})
 	if _, err := s.UploadFile(t0, "a", "f", "batch", interrupted, 1<<20); err == nil {
-		t.Error("an interrupted upload succeeds")
+		t.Error("interrupted upload succeeded")
 	}
 	if _, err := s.UploadFile(t0, "b", "f", "batch", bytes.NewReader(make([]byte, 600<<10)), 1<<20); err != nil {
 		t.Errorf("another tenant: %v", err)
@@ -239,7 +239,7 @@
 		t.Errorf("%d files deleted, want 2: %v", n, err)
 	}
 	if left, _ := os.ReadDir(filepath.Join(dir, "files")); len(left) != 0 {
-		t.Errorf("%d contents on the disk, want none", len(left))
+		t.Errorf("%d contents on disk, want none", len(left))
 	}
 }
 
@@ -247,7 +247,7 @@
 
 func (failingReader) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
 
-// TestCorruptLine checks that a line whose text is corrupt is named and that the other lines are read.
+// TestCorruptLine checks that a corrupt line text is reported with its line number and that the other lines are read.
 func TestCorruptLine(t *testing.T) {
 	dir := t.TempDir()
 	s := openStore(t, dir)
@@ -258,8 +258,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	at := bytes.Index(text, []byte("c3"))
-	text[at] ^= 2
+	offset := bytes.Index(text, []byte("c3"))
+	text[offset] ^= 2
 	if err := os.WriteFile(name, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -280,8 +280,8 @@
 	}
 }
 
-// TestDeletedWhileRead checks that a file which is deleted while batches read it is hidden from its tenant at once, and
-// removed from the disk when the last of these batches ends.
+// TestDeletedWhileRead checks that a file deleted while batches read it is hidden from its tenant at once and removed
+// from disk when the last of these batches ends.
 func TestDeletedWhileRead(t *testing.T) {
 	s := openStore(t, t.TempDir())
 	defer s.Close()
@@ -298,11 +298,11 @@
 	}
 	_, err = s.CreateBatch(t0, Batch{Tenant: "a", InputFileID: b.InputFileID}, time.Hour)
 	if !errors.Is(err, ErrNotFound) {
-		t.Errorf("a batch on a deleted file: %v", err)
+		t.Errorf("batch created for a deleted file: %v, want ErrNotFound", err)
 	}
 	for i, id := range []string{b.ID, c.ID} {
 		if _, err := os.Stat(s.contentPath(b.InputFileID)); err != nil {
-			t.Errorf("content of the input file before batch %d has ended: %v", i, err)
+			t.Errorf("content of the input file before the end of batch %d: %v", i, err)
 		}
 		if _, err := s.TransitionBatch(id, batchscheduler.StateCancelling, func(*Batch) {}); err != nil {
 			t.Fatal(err)
@@ -316,6 +316,6 @@
 	}
 	_, err = s.TransitionBatch(b.ID, batchscheduler.StateInProgress, func(*Batch) {})
 	if !errors.Is(err, ErrInvalidState) {
-		t.Errorf("a cancelled batch becomes in progress: %v, want ErrInvalidState", err)
+		t.Errorf("transition from cancelled to in progress: %v, want ErrInvalidState", err)
 	}
 }
--- a/internal/state/endpointlist/file.go
+++ b/internal/state/endpointlist/file.go
@@ -114,7 +114,7 @@
 func decode(text []byte) (savedList, error) {
 	const headerLength = digestLength + 1
 	if len(text) < headerLength {
-		return savedList{}, fmt.Errorf("%w: length is %d bytes, must be at least %d", ErrCorruptFile, len(text), headerLength)
+		return savedList{}, fmt.Errorf("%w: size is %d bytes, must be at least %d", ErrCorruptFile, len(text), headerLength)
 	}
 	body := text[headerLength:]
 	if recorded, computed := string(text[:digestLength]), digest(body); computed != recorded {
--- a/internal/state/endpointlist/file_test.go
+++ b/internal/state/endpointlist/file_test.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// TestLoadDetectsCorruption checks that Load rejects a file with any one byte changed and a file truncated to any length.
+// TestLoadDetectsCorruption checks that Load rejects a file with any one byte changed or truncated to any length.
 func TestLoadDetectsCorruption(t *testing.T) {
 	const newlineOffset = 2 * 32 // after the digest; the only byte that is not checked
 	name := filepath.Join(t.TempDir(), "list")
--- a/internal/state/endpointlist/list.go
+++ b/internal/state/endpointlist/list.go
@@ -137,7 +137,7 @@
 func (e Endpoint) validate() error {
 	switch {
 	case !e.Address.IsValid() || e.Address.Port() == 0:
-		return &InvalidEndpointError{e.ID, fmt.Sprintf("address %v is invalid, must be an IP address and port", e.Address)}
+		return &InvalidEndpointError{e.ID, fmt.Sprintf("address %v is invalid, must be IP address and port", e.Address)}
 	case e.Role > policy.Mixed:
 		return &InvalidEndpointError{e.ID, fmt.Sprintf("role %d is unknown", e.Role)}
 	}
--- a/internal/state/recordstore/store.go
+++ b/internal/state/recordstore/store.go
@@ -1,6 +1,6 @@
 // Package recordstore stores small records in named sets, in one file that a single process has open. Every record
-// carries a version and a checksum over its set, key and value, so that a corrupt record is detected and does not affect
-// others. The file is a bbolt database: a transaction is stored completely or not at all, even if the process crashes.
+// carries a version and a checksum over its set, key and value, so that a corrupt record is detected and leaves others
+// intact. The file is a bbolt database: a transaction is stored completely or not at all, even if the process crashes.
 package recordstore
 
 import (
