--- a/internal/batchclient/batch.go
+++ b/internal/batchclient/batch.go
@@ -13,13 +13,13 @@
 	Status       string
 	OutputFileID string        `json:"output_file_id"`
 	ErrorFileID  string        `json:"error_file_id"`
-	ForecastAt   int64         `json:"forecast_at"` // when it is expected to be done, Unix seconds; 0 = not known
+	ForecastAt   int64         `json:"forecast_at"` // expected end, Unix seconds; 0 = unknown
 	ExpiresAt    int64         `json:"expires_at"`  // Unix seconds
 	Counts       RequestCounts `json:"request_counts"`
 	Errors       ErrorList     `json:"errors"`
 }
 
-// RequestCounts are the lines of a batch by state.
+// RequestCounts has the number of lines of a batch, in total and by result.
 type RequestCounts struct{ Total, Completed, Failed int }
 
 // ErrorList holds the validation errors of a batch's input file.
@@ -27,13 +27,13 @@
 	Data []LineError
 }
 
-// LineError is what is wrong with a line of an input file.
+// LineError is a validation error of a line of an input file.
 type LineError struct {
-	Line    int
+	Line    int // from 1; 0 = the whole file
 	Message string
 }
 
-// IsTerminal reports whether the batch has reached a state that it will not leave.
+// IsTerminal reports whether the batch is in a state that it will not leave.
 func (b *Batch) IsTerminal() bool {
 	switch b.Status {
 	case "completed", "failed", "expired", "cancelled":
@@ -42,7 +42,7 @@
 	return false
 }
 
-// progressWidth is the length of the progress bar in characters.
+// progressWidth is the width of the progress bar in characters.
 const progressWidth = 30
 
 // PrintProgress writes the batch's state and progress as one line without a line break.
--- a/internal/batchclient/client.go
+++ b/internal/batchclient/client.go
@@ -33,7 +33,7 @@
 	Method  string
 	Path    string
 	Status  string
-	Message string // the API's own, may be empty
+	Message string // from the API's error response; may be empty
 }
 
 // Error implements error.
@@ -74,6 +74,7 @@
 	return uploaded.ID, err
 }
 
+// writeForm writes the fields of an upload.
 func writeForm(form *multipart.Writer, fileName string, content io.Reader) error {
 	if err := form.WriteField("purpose", "batch"); err != nil {
 		return err
@@ -86,13 +87,13 @@
 	return err
 }
 
-// Batch returns a batch by its ID.
+// Batch returns the batch with that ID.
 func (c *Client) Batch(ctx context.Context, id string) (*Batch, error) {
 	batch := &Batch{}
 	return batch, c.callJSON(ctx, http.MethodGet, batchesPath+"/"+id, "", nil, batch)
 }
 
-// Cancel cancels a batch and returns it as it is then.
+// Cancel requests the cancellation of a batch and returns the updated batch.
 func (c *Client) Cancel(ctx context.Context, id string) (*Batch, error) {
 	batch := &Batch{}
 	return batch, c.callJSON(ctx, http.MethodPost, batchesPath+"/"+id+"/cancel", "", nil, batch)
@@ -109,14 +110,14 @@
 	return err
 }
 
-// callJSON makes a call and decodes the body of its response.
-func (c *Client) callJSON(ctx context.Context, method, path, contentType string, body io.Reader, into any) error {
+// callJSON makes a call and decodes the body of its response into result.
+func (c *Client) callJSON(ctx context.Context, method, path, contentType string, body io.Reader, result any) error {
 	response, err := c.call(ctx, method, path, contentType, body)
 	if err != nil {
 		return err
 	}
 	defer response.Body.Close()
-	return json.NewDecoder(response.Body).Decode(into)
+	return json.NewDecoder(response.Body).Decode(result)
 }
 
 // call makes a call and returns its response, whose body the caller closes. The error is a *ResponseError if the
@@ -141,7 +142,7 @@
 	var failure struct {
 		Error struct{ Message string }
 	}
-	// A body that is not the API's own, such as a proxy's, leaves the message empty: the status says enough.
+	// A body in another format, for example from a proxy, leaves the message empty.
 	_ = json.NewDecoder(response.Body).Decode(&failure)
 	return nil, &ResponseError{Method: method, Path: path, Status: response.Status, Message: failure.Error.Message}
 }
--- a/internal/batchclient/client_test.go
+++ b/internal/batchclient/client_test.go
@@ -12,7 +12,7 @@
 	"testing"
 )
 
-// TestSubmit: the file goes out as a form with its purpose, the batch names the uploaded file, and both carry the key.
+// TestSubmit checks the form of the upload, the body of the batch request and the authorization of both.
 func TestSubmit(t *testing.T) {
 	const content = "{\"custom_id\": \"1\"}\n"
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -55,7 +55,8 @@
 	}
 }
 
-// TestResponseError: a response other than 2xx is an error that names the call, the status and the API's message.
+// TestResponseError checks that a response other than 2xx is returned as an error with the call, the status and the
+// API's message.
 func TestResponseError(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusNotFound)
@@ -82,6 +83,6 @@
 		t.Errorf("%q does not contain %q", out.String(), want)
 	}
 	if !strings.Contains(out.String(), "AFTER its completion window") {
-		t.Errorf("%q does not warn of the window", out.String())
+		t.Errorf("%q has no warning about the completion window", out.String())
 	}
 }
--- a/internal/batchrunner/finalize.go
+++ b/internal/batchrunner/finalize.go
@@ -8,17 +8,17 @@
 	"docksail/internal/state/batchstore"
 )
 
-// finalizeRetryInterval is how long a finalization waits after an error, such as a full disk.
+// finalizeRetryInterval is the wait before a failed finalization is retried.
 const finalizeRetryInterval = 2 * time.Second
 
-// ending says how a batch ends.
+// ending describes how a batch ends.
 type ending struct {
-	state  batchscheduler.BatchState
-	code   errorCode                    // of unsent lines
-	reason batchscheduler.FailureReason // of unsent lines
+	state  batchscheduler.BatchState    // terminal
+	code   errorCode                    // of the unsent lines
+	reason batchscheduler.FailureReason // of the unsent lines
 }
 
-// endingOf returns how a batch ends whose lines have ended except those that were never sent.
+// endingOf returns how a batch ends. All its lines except the unsent ones must have ended.
 func (r *Runner) endingOf(a *activeBatch, unsent []batchscheduler.LineIndex) ending {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -32,8 +32,8 @@
 	}
 }
 
-// finalizeBatch fails the unsent lines of a batch, writes its result files and removes it from the scheduler. It tries
-// until it succeeds or ctx ends.
+// finalizeBatch fails the unsent lines of a batch, writes its result files and removes it from the scheduler. It
+// retries until it succeeds or ctx ends.
 func (r *Runner) finalizeBatch(ctx context.Context, a *activeBatch, unsent []batchscheduler.LineIndex) {
 	end := r.endingOf(a, unsent)
 	if ctx.Err() != nil {
@@ -60,7 +60,7 @@
 	delete(r.byID, a.id)
 }
 
-// tryFinalize fails the unsent lines and writes the result files. It may be repeated after an error.
+// tryFinalize fails the unsent lines and writes the result files. It may be called again after an error.
 func (r *Runner) tryFinalize(a *activeBatch, unsent []batchscheduler.LineIndex, end ending) error {
 	failureText := func(index batchscheduler.LineIndex, line batchstore.Line) []byte {
 		return encodeFailure(a.record.ID, index, line.CustomID, end.code, string(end.reason))
--- a/internal/batchrunner/request.go
+++ b/internal/batchrunner/request.go
@@ -13,7 +13,7 @@
 	"docksail/internal/state/batchstore"
 )
 
-// lineRequest is a line of an input file.
+// lineRequest is a decoded line of an input file.
 type lineRequest struct {
 	CustomID string          `json:"custom_id"`
 	Method   string          `json:"method"`
@@ -22,23 +22,23 @@
 }
 
 type lineRequestBody struct {
-	Model           string `json:"model"` // name of the class
-	Prompt          string `json:"prompt"`
-	MaxTokens       int    `json:"max_tokens"`
-	PromptTokens    int    `json:"prompt_tokens"`    // 0 = estimated from the prompt's length
-	Beginning       string `json:"beginning"`        // name of the prefix that it shares with other prompts
-	BeginningTokens int    `json:"beginning_tokens"` // length of that prefix
-	User            string `json:"user"`
+	Model        string `json:"model"` // name of the class
+	Prompt       string `json:"prompt"`
+	MaxTokens    int    `json:"max_tokens"`
+	PromptTokens int    `json:"prompt_tokens"`    // 0 = estimated from the prompt's length
+	Prefix       string `json:"beginning"`        // name of the prefix that the prompt shares with others
+	PrefixTokens int    `json:"beginning_tokens"` // length of the prefix
+	User         string `json:"user"`
 }
 
 const (
-	// estimatedBytesPerToken gives the length of a prompt whose line does not name it.
+	// estimatedBytesPerToken is used to estimate the length of a prompt if the line does not give it.
 	estimatedBytesPerToken = 4
-	// prefixGroupBytes is how much of a prompt tells its prefix group if the line names no shared prefix.
+	// prefixGroupBytes is the length of a prompt's start that defines its prefix group if the line names no prefix.
 	prefixGroupBytes = 512
-	// maxTokens bounds the lengths of a prompt and of an answer.
+	// maxTokens limits the lengths of a prompt and of an answer.
 	maxTokens = 1 << 20
-	// outputTokenCost is what a token of the answer costs in tokens read, as in the admission queue.
+	// outputTokenCost is the cost of an output token in prompt tokens, the same as in the admission queue.
 	outputTokenCost = 8
 )
 
@@ -58,12 +58,12 @@
 	return request, nil
 }
 
-// newValidationError returns a reason for which a line is not accepted. The batch API shows its code and message.
+// newValidationError returns the error of an invalid line. The batch API returns its code and message to clients.
 func newValidationError(code, format string, args ...any) *batchstore.ValidationError {
 	return &batchstore.ValidationError{Code: code, Message: fmt.Sprintf(format, args...)}
 }
 
-// checkRequest returns why a line is not accepted, or nil.
+// checkRequest returns the first validation error of a line, or nil if the line is valid.
 func (r *Runner) checkRequest(request *lineRequest, endpoint string) *batchstore.ValidationError {
 	body := &request.Body
 	class, ok := r.config.Classes[body.Model]
@@ -81,15 +81,16 @@
 	case body.MaxTokens < 1 || body.MaxTokens > maxTokens:
 		return newValidationError("invalid_value", "max_tokens %d, want 1 to %d", body.MaxTokens, maxTokens)
 	case body.PromptTokens < 1 || body.PromptTokens > maxTokens,
-		body.BeginningTokens < 0 || body.BeginningTokens > body.PromptTokens:
+		body.PrefixTokens < 0 || body.PrefixTokens > body.PromptTokens:
 		return newValidationError("invalid_value", "prompt_tokens or beginning_tokens out of their range")
 	}
 	return nil
 }
 
-// prefixGroup returns the hash of what a prompt shares with others, or 0 if it is short and names no shared prefix.
+// prefixGroup returns the hash of the named prefix or of the prompt's start. It is 0 if no prefix is named and the
+// prompt is short.
 func (b *lineRequestBody) prefixGroup() uint64 {
-	shared := b.Beginning
+	shared := b.Prefix
 	if shared == "" && len(b.Prompt) > prefixGroupBytes {
 		shared = b.Prompt[:prefixGroupBytes]
 	}
@@ -99,7 +100,7 @@
 	return max(xxhash.Sum64String(shared), 1)
 }
 
-// cost returns what a line costs in tokens read. Answers are taken to have half of their maximal length.
+// cost returns the cost of a line in prompt tokens. It assumes an answer of half the maximum length.
 func (b *lineRequestBody) cost() float32 {
 	return float32(b.PromptTokens + outputTokenCost*b.MaxTokens/2)
 }
--- a/internal/batchrunner/result.go
+++ b/internal/batchrunner/result.go
@@ -9,19 +9,19 @@
 	"docksail/internal/decide/batchscheduler"
 )
 
-// errorCode is a code of the error file, which clients read.
+// errorCode is the code of an error in the error file. Clients depend on its values.
 type errorCode string
 
 const (
-	codeAbandoned      errorCode = "abandoned"
-	codeBatchCancelled errorCode = "batch_cancelled"
-	codeBatchExpired   errorCode = "batch_expired"
-	codeCalledBack     errorCode = "called_back"
-	codeConnectionLost errorCode = "connection_lost"
-	codeCorrupt        errorCode = "rotten"
-	codeInvalidRequest errorCode = "invalid_request"
-	codeMayHaveRun     errorCode = "may_have_run"
-	codeResultNotKept  errorCode = "result_not_kept"
+	codeAbandoned       errorCode = "abandoned"
+	codeBatchCancelled  errorCode = "batch_cancelled"
+	codeBatchExpired    errorCode = "batch_expired"
+	codeInterrupted     errorCode = "called_back"
+	codeConnectionLost  errorCode = "connection_lost"
+	codeCorrupt         errorCode = "rotten"
+	codeInvalidRequest  errorCode = "invalid_request"
+	codeMayHaveRun      errorCode = "may_have_run"
+	codeResultNotStored errorCode = "result_not_kept"
 )
 
 // resultLine is a line of an output or error file.
@@ -43,7 +43,7 @@
 	Message string    `json:"message"`
 }
 
-// completion is an answer in the shape of the completions API. The order of its fields is part of the file's format.
+// completion is an answer in the format of the completions API. The order of its fields is part of the file's format.
 type completion struct {
 	Choices []completionChoice `json:"choices"`
 	ID      string             `json:"id"`
@@ -70,7 +70,7 @@
 	return fmt.Sprintf("batch_req_%s_%d", strings.TrimPrefix(batchID, "batch_"), index+1)
 }
 
-// encodeAnswer returns the line of the output file for an answer.
+// encodeAnswer returns the output file line for an answer.
 func encodeAnswer(batchID string, index batchscheduler.LineIndex, request *lineRequest, received answer) []byte {
 	promptTokens := request.Body.PromptTokens
 	return encodeLine(resultLine{
@@ -88,7 +88,7 @@
 	})
 }
 
-// encodeFailure returns the line of the error file for a line that has failed.
+// encodeFailure returns the error file line for a failed line.
 func encodeFailure(
 	batchID string, index batchscheduler.LineIndex, customID string, code errorCode, message string,
 ) []byte {
@@ -97,7 +97,7 @@
 	})
 }
 
-// encodeAttemptFailure returns the line of the error file for a line that has failed after an attempt.
+// encodeAttemptFailure returns the error file line for a line that failed after an attempt.
 func encodeAttemptFailure(
 	batchID string, index batchscheduler.LineIndex, customID string,
 	result attemptResult, reason batchscheduler.FailureReason, isCancelled bool,
@@ -121,7 +121,7 @@
 func encodeLine(line resultLine) []byte {
 	encoded, err := json.Marshal(line)
 	if err != nil {
-		panic(err) // strings and numbers can always be encoded
+		panic(err) // every field of resultLine can be marshaled
 	}
 	return encoded
 }
--- a/internal/batchrunner/resume.go
+++ b/internal/batchrunner/resume.go
@@ -9,10 +9,10 @@
 	"docksail/internal/state/batchstore"
 )
 
-// resume adds a batch of the store to the scheduler, in whatever state it is. A batch in StateValidating is validated
-// first; if it is not accepted, it is not added.
+// resume adds a stored batch to the scheduler, unless the batch is in a terminal state. A batch in StateValidating is
+// validated first and not added if its input file is rejected.
 func (r *Runner) resume(ctx context.Context, b batchstore.Batch) (err error) {
-	// A batch that is submitted as Run begins is also among the unfinished ones that Run reads: it must not run twice.
+	// A batch submitted while Run reads the unfinished batches may be among them; it must not run twice.
 	if !r.beginResume(b.ID) {
 		return nil
 	}
@@ -27,7 +27,7 @@
 	}
 	tenant, ok := r.tenants[b.Tenant]
 	if !ok {
-		return fmt.Errorf("tenant %q: want one of the configured tenants", b.Tenant)
+		return fmt.Errorf("tenant %q is not configured", b.Tenant)
 	}
 	recovered, err := r.recoverLines(b)
 	if err != nil {
@@ -43,7 +43,8 @@
 	return r.activate(ctx, b, tenant, recovered)
 }
 
-// beginResume reserves a batch for one call of resume. It reports false if another call has it or it is active.
+// beginResume reserves a batch for one call of resume. It returns false if another call has reserved the batch or it is
+// active.
 func (r *Runner) beginResume(batchID string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -54,13 +55,14 @@
 	return true
 }
 
+// endResume releases a batch reserved by beginResume.
 func (r *Runner) endResume(batchID string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.resuming, batchID)
 }
 
-// lineFailure is a line that fails while its batch is resumed.
+// lineFailure describes a line that fails while its batch is resumed.
 type lineFailure struct {
 	index    batchscheduler.LineIndex
 	customID string
@@ -68,32 +70,32 @@
 	message  string
 }
 
-// recoveredLines holds the lines of a batch after a restart.
+// recoveredLines holds the lines of a batch that is resumed.
 type recoveredLines struct {
 	class    Class // of all lines
 	lines    []batchscheduler.LineSpec
-	retried  int // lines that were in flight and wait again
+	retried  int // lines that were in flight and are sent again
 	failures []lineFailure
 }
 
-// fail adds a line that has failed.
-func (l *recoveredLines) fail(failure lineFailure) {
+// addFailed adds a failed line.
+func (l *recoveredLines) addFailed(failure lineFailure) {
 	l.failures = append(l.failures, failure)
 	l.lines = append(l.lines, batchscheduler.LineSpec{State: batchscheduler.LineFailed})
 }
 
-// recoverLines reads the lines of a batch. Lines whose records are corrupt or missing fail, and so do lines that may
-// have run and must not run twice.
+// recoverLines reads the lines of a batch. Lines whose records are corrupt or missing fail, as do lines that may have
+// run and must not run twice.
 func (r *Runner) recoverLines(b batchstore.Batch) (recoveredLines, error) {
 	var recovered recoveredLines
 	className := ""
 	err := r.store.ForEachLine(b.ID, func(index batchscheduler.LineIndex, line batchstore.Line, corrupt error) error {
 		for int(index) > len(recovered.lines) {
 			missing := batchscheduler.LineIndex(len(recovered.lines))
-			recovered.fail(lineFailure{index: missing, code: codeCorrupt, message: "its record is missing"})
+			recovered.addFailed(lineFailure{index: missing, code: codeCorrupt, message: "its record is missing"})
 		}
 		if corrupt != nil {
-			recovered.fail(lineFailure{index: index, code: codeCorrupt, message: corrupt.Error()})
+			recovered.addFailed(lineFailure{index: index, code: codeCorrupt, message: corrupt.Error()})
 			return nil
 		}
 		if className == "" {
@@ -116,7 +118,7 @@
 	return recovered, err
 }
 
-// readClassName returns the class that a line asks for, or "" if its text cannot be read.
+// readClassName returns the name of the class that a line requests, or "" if its text cannot be read.
 func (r *Runner) readClassName(b batchstore.Batch, index batchscheduler.LineIndex, line batchstore.Line) string {
 	text, err := r.store.LineText(b.InputFileID, index, line)
 	if err != nil {
@@ -140,7 +142,7 @@
 	return nil
 }
 
-// activate adds a batch to the scheduler. Its deadline is what the wall clock leaves of its completion window.
+// activate adds a batch to the scheduler. Its deadline on the monotonic clock is the end of its completion window.
 func (r *Runner) activate(ctx context.Context, b batchstore.Batch, tenant int, recovered recoveredLines) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/batchrunner/runner.go
+++ b/internal/batchrunner/runner.go
@@ -1,7 +1,7 @@
 // Package batchrunner sends the lines of batches through the dispatcher as background requests and stores their
-// results. It joins the store (internal/state/batchstore) and the scheduler (internal/decide/batchscheduler) with a
-// gRPC client of the dispatcher's own frontend, so that every line passes the admission queue and the policy. It
-// decides nothing.
+// results. It connects the store (internal/state/batchstore) and the scheduler (internal/decide/batchscheduler) to a
+// gRPC client of the dispatcher's own frontend, so that every line passes the admission queue and the policy. The
+// scheduler makes all scheduling decisions.
 package batchrunner
 
 import (
@@ -19,20 +19,20 @@
 	"docksail/internal/state/batchstore"
 )
 
-// CompletionsEndpoint is the only endpoint of a batch and the only URL of its lines.
+// CompletionsEndpoint is the only supported endpoint of batches and URL of their lines.
 const CompletionsEndpoint = "/v1/completions"
 
-// minConnectTimeout is how long a connection attempt to the dispatcher may take.
+// minConnectTimeout is the minimum time that a connection attempt to the dispatcher is given.
 const minConnectTimeout = time.Second
 
-// randomStream is the second half of the seed of the scheduler's random source.
+// randomStream is the second half of the seed of the scheduler's random source, which Config.Seed begins.
 const randomStream = 0x6261746368
 
-// Class holds what the runner needs of a request class.
+// Class holds the settings of a request class that the runner needs.
 type Class struct {
 	Effect              batchscheduler.Effect
 	DeduplicationWindow time.Duration
-	Timeout             time.Duration // of a line's first token; 0 = the class takes no batches
+	Timeout             time.Duration // until a line's first token; 0 = the class does not accept batches
 }
 
 // Tenant is a tenant with its weight in the scheduler.
@@ -43,8 +43,8 @@
 
 // Config configures a runner.
 type Config struct {
-	Tenants           []Tenant         // none: a single tenant without a name
-	Classes           map[string]Class // by name, which is the model that a line asks for
+	Tenants           []Tenant         // empty = a single tenant without a name
+	Classes           map[string]Class // by name, which lines give as their model
 	DispatcherAddress string
 	MaxLinesInFlight  int
 	InitialBackoff    time.Duration // of a line after its first attempt
@@ -62,13 +62,13 @@
 	conn      *grpc.ClientConn
 	tenants   map[string]int // index in the scheduler, by name
 	startedAt time.Time
-	wake      chan struct{} // has an element when Run is to look at the scheduler again
+	wake      chan struct{} // has an element if Run must check the scheduler
 	wg        sync.WaitGroup
 
 	mu          sync.Mutex
 	scheduler   *batchscheduler.Scheduler
 	active      map[string]*activeBatch // by the ID in the store
-	resuming    map[string]bool         // batches that a call of resume works on, by the ID in the store
+	resuming    map[string]bool         // batches that a call of resume has reserved, by the ID in the store
 	byID        map[batchscheduler.BatchID]*activeBatch
 	lastBatchID batchscheduler.BatchID
 }
@@ -76,14 +76,14 @@
 // activeBatch is a batch that the scheduler holds. Runner.mu guards its fields except record.ID, record.Tenant,
 // record.InputFileID, id and the contexts, which do not change.
 type activeBatch struct {
-	id             batchscheduler.BatchID
-	record         batchstore.Batch
-	ctx            context.Context    // of its requests: ends by cancellation and at the deadline
-	cancel         context.CancelFunc // ends ctx
-	runnerCtx      context.Context    // its end leaves the lines to the next runner
-	finalizing     bool
-	expired        bool // its deadline has passed by the monotonic clock
-	unrecordedEnds int  // lines that have ended in the scheduler and not yet in the store
+	id           batchscheduler.BatchID
+	record       batchstore.Batch
+	ctx          context.Context    // of its requests; ends on cancellation and at the deadline
+	cancel       context.CancelFunc // ends ctx
+	runnerCtx    context.Context    // if it ends, unfinished lines are left to the next process
+	finalizing   bool               // finalizeBatch has been started
+	expired      bool               // its deadline has passed on the monotonic clock
+	unstoredEnds int                // attempts whose end was reported to the scheduler but is not stored yet
 }
 
 // New returns a runner over a store. It connects to the dispatcher when the first line is sent.
@@ -128,10 +128,10 @@
 	}, nil
 }
 
-// now returns the scheduler's time, which does not jump with the wall clock.
+// now returns the scheduler's time: the monotonic time since the runner was created.
 func (r *Runner) now() batchscheduler.Nanos { return int64(time.Since(r.startedAt)) }
 
-// wakeLoop makes Run look at the scheduler again.
+// wakeLoop makes Run check the scheduler.
 func (r *Runner) wakeLoop() {
 	select {
 	case r.wake <- struct{}{}:
@@ -139,15 +139,15 @@
 	}
 }
 
-// Run resumes the unfinished batches of the store and runs them and those of Submit until ctx ends. It returns when all
-// lines in flight have ended.
+// Run resumes the unfinished batches of the store, and runs these and the submitted ones until ctx ends. It returns
+// after all lines in flight have ended.
 func (r *Runner) Run(ctx context.Context) error {
 	unfinished, err := r.store.UnfinishedBatches()
 	if err != nil {
 		return err
 	}
 	for _, b := range unfinished {
-		if err := r.resume(ctx, b); err != nil { // a damaged batch does not stop the others
+		if err := r.resume(ctx, b); err != nil { // the other batches can still be resumed
 			r.log.Error("batch resume failed", "batch_id", b.ID, "error", err)
 		}
 	}
@@ -167,7 +167,8 @@
 	}
 }
 
-// runOnce starts all that is due now. It returns how long to wait for the next event, and false if there is none.
+// runOnce expires batches, sends lines and starts finalizations that are due. It returns the time until the next event,
+// and false if there is none.
 func (r *Runner) runOnce(ctx context.Context) (time.Duration, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -193,7 +194,7 @@
 	}
 }
 
-// sendLines sends the lines that may be sent now. r.mu must be held.
+// sendLines sends the lines that the scheduler allows to be sent. r.mu must be held.
 func (r *Runner) sendLines(now batchscheduler.Nanos) {
 	for {
 		id, index, ok := r.scheduler.NextLine(now)
@@ -209,14 +210,14 @@
 func (r *Runner) finalizeEndedBatches(ctx context.Context) {
 	for _, a := range r.byID {
 		unsent, ended := r.scheduler.UnsentLines(a.id)
-		if ended && !a.finalizing && a.unrecordedEnds == 0 {
+		if ended && !a.finalizing && a.unstoredEnds == 0 {
 			a.finalizing = true
 			r.wg.Go(func() { r.finalizeBatch(ctx, a, unsent) })
 		}
 	}
 }
 
-// Submit validates a new batch of the store and runs it. ctx must end with the context of Run.
+// Submit validates a newly stored batch and runs it. ctx must end with the context of Run.
 func (r *Runner) Submit(ctx context.Context, b batchstore.Batch) {
 	r.wg.Go(func() {
 		if err := r.resume(ctx, b); err != nil {
@@ -226,7 +227,7 @@
 }
 
 // Cancel moves a batch to StateCancelling: no more lines are sent, requests in flight are cancelled, and the lines that
-// have not ended fail. It returns the batch; one that was cancelled before is returned as it is.
+// have not ended fail. It returns the batch. A batch that was cancelled before stays unchanged.
 func (r *Runner) Cancel(tenant, batchID string) (batchstore.Batch, error) {
 	b, err := r.store.Batch(tenant, batchID)
 	if err != nil {
@@ -259,7 +260,7 @@
 	a.cancel()
 }
 
-// Forecast returns when a batch will have ended at its present pace, and false if that is not known.
+// Forecast returns the estimated end of a batch at its current rate, and false if the rate is not known.
 func (r *Runner) Forecast(batchID string) (time.Time, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/batchrunner/runner_test.go
+++ b/internal/batchrunner/runner_test.go
@@ -25,8 +25,8 @@
 	"docksail/internal/state/batchstore"
 )
 
-// outcomesFile holds validation errors, requests and results as the program of commit 61b72d4 gave them. With
-// DOCKSAIL_WRITE_OUTCOMES set, TestOutcomes writes the file.
+// outcomesFile has the validation errors, requests and results of commit 61b72d4 for the batches of TestOutcomes, which
+// rewrites the file if DOCKSAIL_WRITE_OUTCOMES is set.
 const outcomesFile = "testdata/outcomes-61b72d4.txt"
 
 // fakeDispatcher answers a request by the first word of its prompt and records what it received.
@@ -108,7 +108,7 @@
 	runner     *Runner
 	dispatcher *fakeDispatcher
 	ctx        context.Context // ends with the runner
-	run        func()          // starts the runner; once
+	run        func()          // starts the runner; may be called once
 	stop       func()
 }
 
@@ -120,7 +120,7 @@
 	return f
 }
 
-// newIdleFixture returns a fixture whose runner does not run yet.
+// newIdleFixture returns a fixture whose runner has not been started.
 func newIdleFixture(t *testing.T, dir string) *fixture {
 	t.Helper()
 	store, err := batchstore.Open(dir, 0)
@@ -169,7 +169,7 @@
 	return &fixture{t, store, runner, dispatcher, ctx, run, stop}
 }
 
-// submit creates a batch over a file of lines and submits it.
+// submit uploads an input file, creates a batch for it and submits the batch.
 func (f *fixture) submit(text string, window time.Duration) batchstore.Batch {
 	f.t.Helper()
 	file, err := f.store.UploadFile(time.Now(), "a", "lines.jsonl", "batch", strings.NewReader(text), 1<<20)
@@ -186,7 +186,7 @@
 	return b
 }
 
-// waitFor returns the batch as soon as it satisfies a condition.
+// waitFor waits until a batch satisfies a condition and returns it.
 func (f *fixture) waitFor(id string, condition func(b batchstore.Batch) bool) batchstore.Batch {
 	f.t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); ; time.Sleep(2 * time.Millisecond) {
@@ -205,7 +205,8 @@
 
 func isTerminal(b batchstore.Batch) bool { return b.State.IsTerminal() }
 
-// describe returns a batch's state, counts, validation errors and files as text, without its ID.
+// describe returns a batch's state, counts, validation errors and files and the received requests as text, with IDs
+// replaced.
 func (f *fixture) describe(b batchstore.Batch) string {
 	f.t.Helper()
 	var text strings.Builder
@@ -236,17 +237,17 @@
 	return regexp.MustCompile(`[0-9a-f]{24}`).ReplaceAllString(text.String(), "ID")
 }
 
-// line returns a line of an input file.
-func line(id, model, prompt, more string) string {
+// line returns a line of an input file. extraFields is appended to the fields of its body.
+func line(id, model, prompt, extraFields string) string {
 	return fmt.Sprintf(`{"custom_id":%q,"method":"POST","url":"/v1/completions",`+
-		`"body":{"model":%q,"prompt":%q,"max_tokens":6%s}}`+"\n", id, model, prompt, more)
+		`"body":{"model":%q,"prompt":%q,"max_tokens":6%s}}`+"\n", id, model, prompt, extraFields)
 }
 
 // TestOutcomes checks validation errors, the requests that the dispatcher receives, and result files against those of
 // commit 61b72d4.
 func TestOutcomes(t *testing.T) {
 	f := newFixture(t, t.TempDir())
-	every := func(model string) string {
+	sixLines := func(model string) string {
 		return line("one", model, "served", "") +
 			line("two", model, "rejected at first", `,"prompt_tokens":60,"user":"u1"`) +
 			line("three", model, "exhausted at first", `,"beginning":"plan","beginning_tokens":2`) +
@@ -259,9 +260,9 @@
 	}
 	var got strings.Builder
 	for _, c := range []struct{ name, text string }{
-		{"idempotent", every("draft")},
-		{"deduplicated", every("labelled")},
-		{"non-idempotent", every("book")},
+		{"idempotent", sixLines("draft")},
+		{"deduplicated", sixLines("labelled")},
+		{"non-idempotent", sixLines("book")},
 		{
 			"blank lines, no newline at the end",
 			"\n" + good + " \r\n" + strings.TrimSuffix(line("two", "draft", "served", ""), "\n"),
@@ -318,9 +319,9 @@
 	}
 }
 
-// TestSubmitAsRunBegins checks that a batch which is submitted before the runner reads the unfinished ones, and so is
-// among them, runs once.
-func TestSubmitAsRunBegins(t *testing.T) {
+// TestSubmitBeforeRun checks that a batch submitted before Run reads the unfinished batches, and so is among them, runs
+// only once.
+func TestSubmitBeforeRun(t *testing.T) {
 	f := newIdleFixture(t, t.TempDir())
 	b := f.submit(line("one", "book", "served", "")+line("two", "book", "served", ""), time.Hour)
 	f.run()
@@ -335,8 +336,8 @@
 	}
 }
 
-// TestResume checks that a batch which was under way when the runner ended is completed by the next one: an idempotent
-// line is sent again, a non-idempotent line that may have run is not.
+// TestResume checks that a batch in progress when its runner stopped is resumed by the next runner: an idempotent line
+// is sent again, and a non-idempotent line that may have run fails.
 func TestResume(t *testing.T) {
 	for _, c := range []struct {
 		model             string
@@ -354,7 +355,7 @@
 			if c.completed == 2 {
 				next.dispatcher.waitForAttempt(t, b.ID+"/two")
 				if next.dispatcher.attemptCount(b.ID+"/one") != 0 {
-					t.Error("a line that was completed is sent again")
+					t.Error("a completed line was sent again")
 				}
 				return
 			}
--- a/internal/batchrunner/send.go
+++ b/internal/batchrunner/send.go
@@ -18,48 +18,48 @@
 	"docksail/internal/state/batchstore"
 )
 
-// Metadata of the dispatcher's gRPC frontend.
+// Metadata keys of the dispatcher's gRPC frontend.
 const (
 	backgroundKey = "docksail-background"
 	requestIDKey  = "docksail-job"
 	pushbackKey   = "grpc-retry-pushback-ms"
 )
 
-// storeRetryInterval is how long a line waits whose state could not be stored.
+// storeRetryInterval is the wait before a line is retried whose state could not be stored.
 const storeRetryInterval = time.Second
 
-// attemptResult says how an attempt of a line ended.
+// attemptResult is the result of an attempt to run a line.
 type attemptResult struct {
 	outcome    batchscheduler.Outcome
-	retryAfter time.Duration // that a rejection asks for
+	retryAfter time.Duration // requested by a rejection
 	code       errorCode     // for the error file, if the line fails
-	message    string        // for the error file, after the reason; may be empty
-	output     []byte        // line of the output file, if the outcome is served
+	message    string        // for the error file, appended to the reason; may be empty
+	output     []byte        // line of the output file, if the outcome is OutcomeServed
 }
 
-// sendLine sends the request of one line and records how it ended.
+// sendLine sends the request of a line and handles its result.
 func (r *Runner) sendLine(a *activeBatch, index batchscheduler.LineIndex) {
 	line, request, err := r.readLine(a, index)
 	if err != nil {
-		r.attemptEnded(a, index, line, attemptResult{
+		r.handleResult(a, index, line, attemptResult{
 			outcome: batchscheduler.OutcomeInvalid, code: codeCorrupt, message: err.Error(),
 		})
 		return
 	}
 	class := r.config.Classes[request.Body.Model]
-	if class.Effect != batchscheduler.Idempotent { // the next process must know that the line may have run
+	if class.Effect != batchscheduler.Idempotent { // after a restart, the line must be known to have possibly run
 		if err := r.store.SetLineState(a.record.ID, index, batchscheduler.LineInFlight); err != nil {
 			r.log.Error("line not sent", "batch_id", a.record.ID, "line", index+1, "error", err)
-			r.attemptEnded(a, index, line, attemptResult{
+			r.handleResult(a, index, line, attemptResult{
 				outcome: batchscheduler.OutcomeRejected, retryAfter: storeRetryInterval,
 			})
 			return
 		}
 	}
-	r.attemptEnded(a, index, line, r.generate(a, index, request, class))
+	r.handleResult(a, index, line, r.generate(a, index, request, class))
 }
 
-// readLine reads a line's record and request. The line is valid also with an error, as far as it could be read.
+// readLine reads a line's record and request. If only the request cannot be read, the line is valid despite the error.
 func (r *Runner) readLine(a *activeBatch, index batchscheduler.LineIndex) (batchstore.Line, *lineRequest, error) {
 	line, err := r.store.Line(a.record.ID, index)
 	if err != nil {
@@ -73,7 +73,7 @@
 	return line, request, err
 }
 
-// generate sends a request to the dispatcher and returns how it ended.
+// generate sends a request to the dispatcher and returns the result of the attempt.
 func (r *Runner) generate(
 	a *activeBatch, index batchscheduler.LineIndex, request *lineRequest, class Class,
 ) attemptResult {
@@ -86,8 +86,8 @@
 		Tenant:          a.record.Tenant,
 		PromptTokens:    uint32(body.PromptTokens),
 		MaxTokens:       uint32(body.MaxTokens),
-		Beginning:       body.Beginning,
-		BeginningTokens: uint32(body.BeginningTokens),
+		Beginning:       body.Prefix,
+		BeginningTokens: uint32(body.PrefixTokens),
 		Client:          body.User,
 		Prompt:          []byte(body.Prompt),
 		Label:           a.record.ID + "/" + request.CustomID,
@@ -105,14 +105,14 @@
 	}
 }
 
-// answer is the answer to a line's request.
+// answer is the complete answer to a line's request.
 type answer struct {
-	requestID string // that the dispatcher gave it
+	requestID string // assigned by the dispatcher
 	text      string
 	tokens    int
 }
 
-// receiveAnswer receives a whole answer.
+// receiveAnswer receives an answer until the end of its stream.
 func receiveAnswer(stream grpc.ServerStreamingClient[pb.Tokens]) (answer, error) {
 	var received answer
 	var text strings.Builder
@@ -134,20 +134,20 @@
 	return received, nil
 }
 
-// failedAttempt returns how an attempt ended whose call returned an error. pushback is the trailer that asks the client
-// to retry later.
+// failedAttempt returns the result of an attempt whose call failed with err. pushback has the values of the trailer
+// that asks the client to retry later.
 func failedAttempt(ctx context.Context, err error, pushback []string) attemptResult {
 	call := status.Convert(err)
 	switch code := call.Code(); {
-	case ctx.Err() != nil && len(pushback) == 0: // by Cancel, the deadline or the runner's end
+	case ctx.Err() != nil && len(pushback) == 0: // Cancel was called, the deadline passed or the runner stopped
 		return attemptResult{
-			outcome: batchscheduler.OutcomeConnectionLost, code: codeCalledBack, message: "called back while it was out",
+			outcome: batchscheduler.OutcomeConnectionLost, code: codeInterrupted, message: "called back while it was out",
 		}
 	case (code == codes.Unavailable || code == codes.ResourceExhausted) && len(pushback) > 0:
-		ms, _ := strconv.ParseInt(pushback[0], 10, 64) // without a number the line waits its backoff
+		pushbackMillis, _ := strconv.ParseInt(pushback[0], 10, 64) // an invalid number leaves the delay to the backoff
 		return attemptResult{
 			outcome:    batchscheduler.OutcomeRejected,
-			retryAfter: time.Duration(max(ms, 0)) * time.Millisecond,
+			retryAfter: time.Duration(max(pushbackMillis, 0)) * time.Millisecond,
 			message:    call.Message(),
 		}
 	case code == codes.Aborted:
@@ -161,29 +161,29 @@
 	}
 }
 
-// attemptEnded reports the end of an attempt to the scheduler and stores it if the line has ended. An answer is on disk
-// before the scheduler counts the line as completed.
-func (r *Runner) attemptEnded(
+// handleResult reports the result of an attempt to the scheduler and stores it if the line has ended. An answer is on
+// disk before the scheduler counts the line as completed.
+func (r *Runner) handleResult(
 	a *activeBatch, index batchscheduler.LineIndex, line batchstore.Line, result attemptResult,
 ) {
 	if result.outcome == batchscheduler.OutcomeServed {
 		err := r.store.RecordResult(a.record.ID, index, batchstore.ResultCompleted, result.output)
-		if err != nil { // an idempotent line is sent again; any other may have run
+		if err != nil { // an idempotent line is retried, any other fails as it may have run
 			r.log.Error("result not stored", "batch_id", a.record.ID, "line", index+1, "error", err)
 			result = attemptResult{
-				outcome: batchscheduler.OutcomeConnectionLost, code: codeResultNotKept, message: err.Error(),
+				outcome: batchscheduler.OutcomeConnectionLost, code: codeResultNotStored, message: err.Error(),
 			}
 		}
 	}
 	r.mu.Lock()
 	verdict, reason := r.scheduler.ReportOutcome(r.now(), a.id, index, result.outcome, int64(result.retryAfter))
-	a.unrecordedEnds++
+	a.unstoredEnds++
 	isCancelled := a.record.State == batchscheduler.StateCancelling
 	isStopping := a.runnerCtx.Err() != nil && !isCancelled && !a.expired
 	r.mu.Unlock()
 
 	switch {
-	case verdict == batchscheduler.VerdictFailed && !isStopping: // when stopping, the next process resumes the line
+	case verdict == batchscheduler.VerdictFailed && !isStopping: // after a stop the next process resumes the line
 		text := encodeAttemptFailure(a.record.ID, index, line.CustomID, result, reason, isCancelled)
 		if err := r.store.RecordResult(a.record.ID, index, batchstore.ResultFailed, text); err != nil {
 			r.log.Error("line failure not stored", "batch_id", a.record.ID, "line", index+1, "error", err)
@@ -195,7 +195,7 @@
 		}
 	}
 	r.mu.Lock()
-	a.unrecordedEnds--
+	a.unstoredEnds--
 	r.mu.Unlock()
 	r.wakeLoop()
 }
--- a/internal/batchrunner/validate.go
+++ b/internal/batchrunner/validate.go
@@ -15,16 +15,16 @@
 )
 
 const (
-	// maxValidationErrors bounds the errors that are stored for an input file.
+	// maxValidationErrors limits the number of errors that are stored for an input file.
 	maxValidationErrors = 50
-	// linesPerWrite is the number of lines that are stored at once.
+	// linesPerWrite is the number of lines that are stored in one call.
 	linesPerWrite = 2000
 	// readBufferBytes is the size of the buffer for reading an input file.
 	readBufferBytes = 64 << 10
 )
 
 // validate reads the input file of a batch and stores its lines. It returns the batch in StateInProgress, or in
-// StateFailed if the file is not accepted.
+// StateFailed if the file is rejected.
 func (r *Runner) validate(b batchstore.Batch) (batchstore.Batch, error) {
 	v := &validator{runner: r, batch: b, customIDs: map[uint64]bool{}}
 	if err := v.readFile(); err != nil {
@@ -47,18 +47,19 @@
 	})
 }
 
-// validator validates the input file of one batch. It holds no text but that of the present line.
+// validator validates the input file of one batch. It has only one line of the file in memory at a time.
 type validator struct {
 	runner    *Runner
 	batch     batchstore.Batch
-	customIDs map[uint64]bool // hashes: of 100,000 IDs two collide in one of some billion files
+	customIDs map[uint64]bool // by 64-bit hash: collisions are too rare to matter
 	model     string          // of the first line
 	pending   []batchstore.Line
-	accepted  int // lines, with those pending
+	accepted  int // number of valid lines, including the pending ones
 	errors    []batchstore.ValidationError
 }
 
-// addError adds an error of a line, or of the whole file if the number is 0. It drops errors beyond the maximal number.
+// addError adds an error of a line, or of the whole file if the number is 0. It drops errors beyond
+// maxValidationErrors.
 func (v *validator) addError(lineNumber int, invalid *batchstore.ValidationError) {
 	if len(v.errors) >= maxValidationErrors {
 		return
@@ -67,7 +68,7 @@
 	v.errors = append(v.errors, *invalid)
 }
 
-// readFile reads all lines and stores those that are accepted. It ends at a line beyond the maximal number.
+// readFile reads all lines and stores the valid ones. It stops at the first line beyond Config.MaxLines.
 func (v *validator) readFile() error {
 	file, err := v.runner.store.OpenInput(v.batch.InputFileID)
 	if err != nil {
@@ -99,7 +100,8 @@
 	}
 }
 
-// addLine adds a line if it is accepted, otherwise an error. It returns an error only if lines cannot be stored.
+// addLine adds a line if it is valid and a validation error otherwise. It returns an error only if lines cannot be
+// stored.
 func (v *validator) addLine(number int, line inputLine) error {
 	request, invalid := v.check(line.text)
 	if invalid != nil {
@@ -121,7 +123,7 @@
 	return v.storePending()
 }
 
-// check parses a line and returns why it is not accepted, or nil.
+// check parses a line. It returns a validation error if the line is invalid.
 func (v *validator) check(text []byte) (*lineRequest, *batchstore.ValidationError) {
 	request, err := parseLine(text)
 	if err != nil {
@@ -154,11 +156,11 @@
 	return err
 }
 
-// inputLine is a line as it stands in the input file.
+// inputLine is a line of the input file.
 type inputLine struct {
 	offset    int64  // of its text in the file
-	text      []byte // without its end; valid until the next line is read
-	isTooLong bool   // text is then incomplete
+	text      []byte // without its line break; valid until the next line is read
+	isTooLong bool   // longer than lineReader.maxBytes; text is incomplete
 }
 
 // lineReader reads an input file line by line.
@@ -169,7 +171,7 @@
 	text     []byte
 }
 
-// next returns the next line. The last line comes with io.EOF, and is empty if the file ends in a newline.
+// next returns the next line. It returns io.EOF with the last line, which is empty if the file ends in a newline.
 func (r *lineReader) next() (inputLine, error) {
 	line := inputLine{offset: r.offset}
 	r.text = r.text[:0]
--- a/internal/batchservice/service.go
+++ b/internal/batchservice/service.go
@@ -21,10 +21,10 @@
 	"docksail/policy"
 )
 
-// cleanupInterval is how often files past their retention are deleted.
+// cleanupInterval is the time between deletions of files past their retention.
 const cleanupInterval = time.Hour
 
-// Service is a running batch API. Make it with Start.
+// Service is a running batch API. Use Start to create one.
 type Service struct {
 	log    *slog.Logger
 	store  *batchstore.Store
@@ -32,8 +32,8 @@
 	tasks  sync.WaitGroup
 }
 
-// Start opens the store and serves the batch API that cfg describes for a dispatcher that listens at an address. It
-// runs until Stop is called or ctx ends; Stop must be called in any case.
+// Start opens the store and serves the batch API configured by cfg for the dispatcher that listens at an address. The
+// service runs until Stop is called or ctx ends. Stop must be called in either case.
 func Start(ctx context.Context, cfg *config.Dispatcher, dispatcher netip.AddrPort, log *slog.Logger) (*Service, error) {
 	store, err := batchstore.Open(cfg.Batch.Directory, cfg.Batch.QuotaBytes)
 	if err != nil {
@@ -49,7 +49,7 @@
 	return s, nil
 }
 
-// start makes the runner and the server and begins the service's tasks.
+// start creates the runner and the server and starts the service's tasks.
 func (s *Service) start(ctx context.Context, cfg *config.Dispatcher, dispatcher netip.AddrPort) error {
 	batch := &cfg.Batch
 	runner, err := batchrunner.New(s.store, runnerConfig(cfg, dispatcher), s.log)
@@ -82,7 +82,7 @@
 	})
 }
 
-// deleteOldFiles deletes files past their retention, at once and then in intervals, until ctx ends.
+// deleteOldFiles deletes files past their retention, immediately and then every cleanupInterval, until ctx ends.
 func (s *Service) deleteOldFiles(ctx context.Context, retention time.Duration) error {
 	ticker := time.NewTicker(cleanupInterval)
 	defer ticker.Stop()
@@ -101,7 +101,7 @@
 	}
 }
 
-// Stop ends the service, waits for its tasks and closes the store.
+// Stop stops the service, waits for its tasks and closes the store.
 func (s *Service) Stop() {
 	s.cancel()
 	s.tasks.Wait()
@@ -143,7 +143,7 @@
 	return runner
 }
 
-// lineEffect returns the scheduler's word for what a repeated run of a request does.
+// lineEffect converts the idempotency of a class to the scheduler's type.
 func lineEffect(idempotency policy.Idempotency) batchscheduler.Effect {
 	switch idempotency {
 	case policy.Deduplicated:
@@ -163,7 +163,7 @@
 	}
 }
 
-// tenantsByKey returns the tenants by the hashes of their keys in lower case.
+// tenantsByKey returns the tenants by the lower-case hexadecimal hashes of their keys.
 func tenantsByKey(keys []config.Key) map[string]string {
 	tenants := make(map[string]string, len(keys))
 	for _, key := range keys {
