--- a/internal/frontend/batch/batches.go
+++ b/internal/frontend/batch/batches.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// maxRequestBytes bounds the body of a call that is no upload.
+	// maxRequestBytes limits the body of calls other than uploads.
 	maxRequestBytes = 64 << 10
 
 	maxMetadataEntries    = 16
@@ -18,7 +18,7 @@
 	maxMetadataValueBytes = 512
 )
 
-// createRequest is the body of a call that creates a batch.
+// createRequest is the body of the call that creates a batch.
 type createRequest struct {
 	InputFileID      string            `json:"input_file_id"`
 	Endpoint         string            `json:"endpoint"`
@@ -26,7 +26,7 @@
 	Metadata         map[string]string `json:"metadata"`
 }
 
-// check returns the completion window, or an error that names the parameter that is invalid.
+// check returns the completion window, or an error that names the invalid parameter.
 func (q *createRequest) check(maxWindow time.Duration) (window time.Duration, err error) {
 	window, err = time.ParseDuration(q.CompletionWindow)
 	switch {
--- a/internal/frontend/batch/errors.go
+++ b/internal/frontend/batch/errors.go
@@ -8,18 +8,18 @@
 	"docksail/internal/state/batchstore"
 )
 
-// Types of errors, as the API shows them.
+// Error types of the API.
 const (
 	typeInvalidRequest    = "invalid_request_error"
 	typeInsufficientQuota = "insufficient_quota"
 	typeServerError       = "server_error"
 )
 
-// apiError is an error as the API shows it.
+// apiError is an error response of the API.
 type apiError struct {
 	status    int    // of the HTTP response
 	errorType string // one of the type constants
-	param     string // name of the parameter that is at fault; may be empty
+	param     string // name of the invalid parameter; may be empty
 	code      string // may be empty
 	message   string
 }
@@ -37,7 +37,7 @@
 	}
 )
 
-// unknownURL returns the error of a call that the API does not have.
+// unknownURL returns the error of a call with a method and path that the API does not have.
 func unknownURL(r *http.Request) *apiError {
 	return &apiError{
 		status: http.StatusNotFound, errorType: typeInvalidRequest, code: "unknown_url",
@@ -53,39 +53,39 @@
 	}
 }
 
-// asAPIError returns an error as the API shows it: an internal error if it is neither an *apiError nor one of the
-// store's errors that are the client's.
+// asAPIError converts an error to an error response: an *apiError stays as it is, a store error that the client caused
+// keeps its text, and any other error becomes errInternal.
 func asAPIError(err error) *apiError {
-	if shown, ok := errors.AsType[*apiError](err); ok {
-		return shown
+	if apiErr, ok := errors.AsType[*apiError](err); ok {
+		return apiErr
 	}
-	shown := &apiError{errorType: typeInvalidRequest, message: err.Error()}
+	apiErr := &apiError{errorType: typeInvalidRequest, message: err.Error()}
 	switch {
 	case errors.Is(err, batchstore.ErrNotFound):
-		shown.status, shown.param, shown.code = http.StatusNotFound, "id", "not_found"
+		apiErr.status, apiErr.param, apiErr.code = http.StatusNotFound, "id", "not_found"
 	case errors.Is(err, batchstore.ErrInvalidState):
-		shown.status, shown.code = http.StatusConflict, "invalid_state"
+		apiErr.status, apiErr.code = http.StatusConflict, "invalid_state"
 	case errors.Is(err, batchstore.ErrFileTooLarge):
-		shown.status, shown.param, shown.code = http.StatusRequestEntityTooLarge, "file", "file_too_large"
+		apiErr.status, apiErr.param, apiErr.code = http.StatusRequestEntityTooLarge, "file", "file_too_large"
 	case errors.Is(err, batchstore.ErrQuotaExceeded):
-		shown.errorType = typeInsufficientQuota
-		shown.status, shown.param, shown.code = http.StatusForbidden, "file", "quota_exceeded"
+		apiErr.errorType = typeInsufficientQuota
+		apiErr.status, apiErr.param, apiErr.code = http.StatusForbidden, "file", "quota_exceeded"
 	default:
 		return errInternal
 	}
-	return shown
+	return apiErr
 }
 
-// writeError writes an error as the response. It logs an error that is not the client's.
+// writeError writes an error as the response. It logs an internal error.
 func (s *Server) writeError(w http.ResponseWriter, err error) {
-	shown := asAPIError(err)
-	if shown == errInternal {
+	apiErr := asAPIError(err)
+	if apiErr == errInternal {
 		s.log.Error("batch api call failed", "error", err)
 	}
 	body := errorResponse{Error: errorBody{
-		Code: nullIfEmpty(shown.code), Message: shown.message, Param: nullIfEmpty(shown.param), Type: shown.errorType,
+		Code: nullIfEmpty(apiErr.code), Message: apiErr.message, Param: nullIfEmpty(apiErr.param), Type: apiErr.errorType,
 	}}
-	if err := writeJSON(w, shown.status, body); err != nil {
+	if err := writeJSON(w, apiErr.status, body); err != nil {
 		s.log.Error("batch API error not written", "error", err)
 	}
 }
--- a/internal/frontend/batch/files.go
+++ b/internal/frontend/batch/files.go
@@ -14,16 +14,16 @@
 )
 
 const (
-	// formOverheadBytes bounds the text of an upload's form beside the file.
+	// formOverheadBytes limits the size of an upload's form without the file.
 	formOverheadBytes = 64 << 10
-	// maxPurposeBytes is how much of a form's purpose is read.
+	// maxPurposeBytes limits how much of a form's purpose is read.
 	maxPurposeBytes = 512
 
 	maxPageSize     = 100
 	defaultPageSize = 20
 )
 
-// uploadFile stores a file that comes as multipart/form-data, without holding it in memory.
+// uploadFile stores a file sent as multipart/form-data without holding it in memory.
 func (s *Server) uploadFile(w http.ResponseWriter, r *http.Request, tenant string) error {
 	r.Body = http.MaxBytesReader(w, r.Body, s.limits.MaxFileBytes+formOverheadBytes)
 	form, err := r.MultipartReader()
@@ -72,7 +72,7 @@
 	return writeJSON(w, http.StatusOK, newFileResponse(file))
 }
 
-// pageParams returns the ID after which a page of a list begins, and its size.
+// pageParams returns the ID after which the requested page of a list begins, and the size of the page.
 func pageParams(r *http.Request) (after string, limit int, err error) {
 	query := r.URL.Query()
 	limit = defaultPageSize
--- a/internal/frontend/batch/responses.go
+++ b/internal/frontend/batch/responses.go
@@ -8,15 +8,15 @@
 	"docksail/internal/state/batchstore"
 )
 
-// Kinds of objects, as the API shows them.
+// Object types of the API.
 const (
 	objectFile  = "file"
 	objectBatch = "batch"
 	objectList  = "list"
 )
 
-// The response types have their fields in the order of their JSON names. A field of a pointer type is null while it is
-// not known.
+// The fields of the response types are in the order of their JSON names. A field of a pointer type is null while its
+// value is not known.
 
 type errorResponse struct {
 	Error errorBody `json:"error"`
@@ -66,7 +66,7 @@
 	ExpiresAt        int64                 `json:"expires_at"`
 	FailedAt         *int64                `json:"failed_at"`
 	FinalizingAt     *int64                `json:"finalizing_at"`
-	ForecastAt       *int64                `json:"forecast_at,omitempty"` // not in the public API: when it will have ended
+	ForecastAt       *int64                `json:"forecast_at,omitempty"` // extension of the API: estimated end
 	ID               string                `json:"id"`
 	InProgressAt     *int64                `json:"in_progress_at"`
 	InputFileID      string                `json:"input_file_id"`
@@ -95,6 +95,7 @@
 	Param   *string `json:"param"` // always null
 }
 
+// nullIfEmpty returns nil for an empty string.
 func nullIfEmpty(s string) *string {
 	if s == "" {
 		return nil
@@ -102,7 +103,7 @@
 	return &s
 }
 
-// nullIfZero returns nil for a time that has not come yet.
+// nullIfZero returns nil for the time 0, which stands for a state not reached yet.
 func nullIfZero(unix int64) *int64 {
 	if unix == 0 {
 		return nil
@@ -118,15 +119,15 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_, _ = w.Write(append(encoded, '\n')) // fails only if the client has gone
+	_, _ = w.Write(append(encoded, '\n')) // fails only if the client has disconnected
 	return nil
 }
 
-// newListResponse returns a page of a list. show returns an item as the API shows it, id its ID.
-func newListResponse[T, R any](page batchstore.Page[T], show func(T) R, id func(T) string) listResponse[R] {
+// newListResponse returns the response for a page of a list. convert returns the response of an item, id the item's ID.
+func newListResponse[T, R any](page batchstore.Page[T], convert func(T) R, id func(T) string) listResponse[R] {
 	list := listResponse[R]{Data: make([]R, 0, len(page.Items)), HasMore: page.HasMore, Object: objectList}
 	for _, item := range page.Items {
-		list.Data = append(list.Data, show(item))
+		list.Data = append(list.Data, convert(item))
 	}
 	if n := len(page.Items); n > 0 {
 		list.FirstID, list.LastID = new(id(page.Items[0])), new(id(page.Items[n-1]))
@@ -176,18 +177,18 @@
 	return response
 }
 
-// newValidationErrorsList returns nil if there are no errors.
+// newValidationErrorsList returns the list of validation errors, or nil if there are none.
 func newValidationErrorsList(errors []batchstore.ValidationError) *validationErrorsList {
 	if len(errors) == 0 {
 		return nil
 	}
 	list := &validationErrorsList{Object: objectList}
 	for _, e := range errors {
-		shown := validationError{Code: e.Code, Message: e.Message}
+		response := validationError{Code: e.Code, Message: e.Message}
 		if e.LineNumber > 0 {
-			shown.Line = &e.LineNumber
+			response.Line = &e.LineNumber
 		}
-		list.Data = append(list.Data, shown)
+		list.Data = append(list.Data, response)
 	}
 	return list
 }
--- a/internal/frontend/batch/server.go
+++ b/internal/frontend/batch/server.go
@@ -1,5 +1,5 @@
 // Package batch serves the batch API over HTTP/1.1 and HTTP/2: clients upload and fetch files, and create, read and
-// cancel batches (docs/batch.md). It authenticates clients by their keys, streams contents, and decides nothing.
+// cancel batches (docs/batch.md). It authenticates clients by their keys and streams file contents.
 package batch
 
 import (
@@ -24,7 +24,7 @@
 	shutdownTimeout = time.Second
 )
 
-// Limits bounds what one call may bring.
+// Limits holds the limits of a call.
 type Limits struct {
 	MaxFileBytes        int64
 	MaxCompletionWindow time.Duration
@@ -36,28 +36,29 @@
 	store    *batchstore.Store
 	runner   *batchrunner.Runner
 	limits   Limits
-	tenants  map[[sha256.Size]byte]string // by the hash of their keys
+	tenants  map[[sha256.Size]byte]string // by the SHA-256 hash of their keys
 	log      *slog.Logger
-	batchCtx context.Context // of the batches that clients create
+	batchCtx context.Context // context of the batches that clients create
 }
 
-// New returns a server. keyTenants maps the hex SHA-256 of each key to the key's tenant. Batches run until ctx ends.
+// New returns a server. tenantsByKeyHash has the tenant of each key by the hexadecimal SHA-256 hash of the key. Batches
+// run until ctx ends.
 func New(
 	ctx context.Context, store *batchstore.Store, runner *batchrunner.Runner,
-	limits Limits, keyTenants map[string]string, log *slog.Logger,
+	limits Limits, tenantsByKeyHash map[string]string, log *slog.Logger,
 ) (*Server, error) {
 	tenants := map[[sha256.Size]byte]string{}
-	for hash, tenant := range keyTenants {
+	for hash, tenant := range tenantsByKeyHash {
 		b, err := hex.DecodeString(hash)
 		if err != nil || len(b) != sha256.Size {
-			return nil, fmt.Errorf("key of tenant %q: %q, want a SHA-256 in hex", tenant, hash)
+			return nil, fmt.Errorf("key hash of tenant %q is %q, must be a SHA-256 hash in hexadecimal", tenant, hash)
 		}
 		tenants[[sha256.Size]byte(b)] = tenant
 	}
 	return &Server{store: store, runner: runner, limits: limits, tenants: tenants, log: log, batchCtx: ctx}, nil
 }
 
-// Serve serves connections of a listener until ctx ends, and then gives calls under way a moment to end.
+// Serve serves connections of a listener until ctx ends, and then waits at most shutdownTimeout for calls in progress.
 func (s *Server) Serve(ctx context.Context, listener net.Listener) error {
 	var protocols http.Protocols
 	protocols.SetHTTP1(true)
@@ -88,7 +89,7 @@
 	return err
 }
 
-// handler handles a call of a tenant. An error that it returns becomes the response.
+// handler handles a call of a tenant. If it returns an error, the error is written as the response.
 type handler func(w http.ResponseWriter, r *http.Request, tenant string) error
 
 // Handler returns the API as an http.Handler.
@@ -120,8 +121,8 @@
 	return mux
 }
 
-// authenticate returns the tenant of a call's key, and false if there is none. It compares hashes, which a client
-// cannot choose, so the time that it takes tells nothing about the keys.
+// authenticate returns the tenant of a call's key, and false if the key is missing or unknown. It compares hashes,
+// which a client cannot choose, so its duration reveals nothing about the keys.
 func (s *Server) authenticate(r *http.Request) (tenant string, ok bool) {
 	key, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok {
--- a/internal/frontend/batch/server_test.go
+++ b/internal/frontend/batch/server_test.go
@@ -20,8 +20,8 @@
 	"docksail/internal/state/batchstore"
 )
 
-// responsesFile holds the API's responses as the program of commit 61b72d4 gave them, with what differs from run to run
-// replaced by normalize. With DOCKSAIL_WRITE_RESPONSES set, the test writes the file.
+// responsesFile has the API's responses as of commit 61b72d4, with new IDs and times replaced by normalize.
+// TestResponses rewrites the file if DOCKSAIL_WRITE_RESPONSES is set.
 const responsesFile = "testdata/responses-61b72d4.txt"
 
 // storeDir is a store's directory with batches in several states.
@@ -32,12 +32,13 @@
 	outputFileID = "file-3132333435363738393a3b3co"
 )
 
+// keyHash returns the SHA-256 hash of a key in hexadecimal.
 func keyHash(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// newTestServer returns a server over a copy of storeDir. Its runner is not started, so batches stay as they are.
+// newTestServer returns a server with a copy of storeDir. Its runner is not started, so batches make no progress.
 func newTestServer(t *testing.T) *Server {
 	t.Helper()
 	dir := t.TempDir()
@@ -69,9 +70,9 @@
 	return s
 }
 
-// uploadForm returns a multipart form with the fields in their order, and its content type. A field named "file" is a
-// file; with cut set the form has no end.
-func uploadForm(t *testing.T, cut bool, fields ...[2]string) (body, contentType string) {
+// uploadForm returns a multipart form with the given fields, and its content type. A field named "file" is sent as a
+// file. A truncated form has no closing boundary.
+func uploadForm(t *testing.T, truncated bool, fields ...[2]string) (body, contentType string) {
 	t.Helper()
 	var b bytes.Buffer
 	form := multipart.NewWriter(&b)
@@ -93,7 +94,7 @@
 			t.Fatal(err)
 		}
 	}
-	if !cut {
+	if !truncated {
 		if err := form.Close(); err != nil {
 			t.Fatal(err)
 		}
@@ -106,7 +107,7 @@
 	newTimes = regexp.MustCompile(`"(created_at|expires_at|cancelling_at)":\d+`)
 )
 
-// normalize replaces IDs that are not those of storeDir, and times after storeDir was written.
+// normalize replaces the IDs and times that are not from storeDir.
 func normalize(response string) string {
 	response = newIDs.ReplaceAllStringFunc(response, func(id string) string {
 		kind, digits := id[:len(id)-24], id[len(id)-24:]
@@ -138,8 +139,8 @@
 	return true
 }
 
-// TestResponses checks the status, content type and body of every call of the API, with its errors, against those of
-// commit 61b72d4.
+// TestResponses compares the status, content type and body of the responses to every call of the API, including errors,
+// with those in responsesFile.
 func TestResponses(t *testing.T) {
 	handler := newTestServer(t).Handler()
 	const running, completed = "batch_25262728292a2b2c2d2e2f30", "batch_3132333435363738393a3b3c"
@@ -188,9 +189,9 @@
 	call(a, http.MethodDelete, "/v1/files/"+outputFileID, "", "")
 	call(a, http.MethodDelete, "/v1/files/"+outputFileID, "", "")
 
-	upload := func(cut bool, fields ...[2]string) {
+	upload := func(truncated bool, fields ...[2]string) {
 		t.Helper()
-		body, contentType := uploadForm(t, cut, fields...)
+		body, contentType := uploadForm(t, truncated, fields...)
 		call(a, http.MethodPost, "/v1/files", contentType, body)
 	}
 	upload(false, [2]string{"purpose", "batch"}, [2]string{"file", "{}\n"})
@@ -252,11 +253,11 @@
 	}
 }
 
-// TestNewRejectsKeys checks that New names a key hash that is no SHA-256.
+// TestNewRejectsKeys checks that New rejects a key hash that is not a SHA-256 hash in hexadecimal.
 func TestNewRejectsKeys(t *testing.T) {
 	for _, hash := range []string{"", "12", strings.Repeat("x", 64)} {
 		if _, err := New(t.Context(), nil, nil, Limits{}, map[string]string{hash: "a"}, nil); err == nil {
-			t.Errorf("key hash %q is taken", hash)
+			t.Errorf("key hash %q was accepted", hash)
 		}
 	}
 }
