--- a/internal/frontend/batch/batches.go
+++ b/internal/frontend/batch/batches.go
@@ -31,17 +31,18 @@
 	window, err = time.ParseDuration(q.CompletionWindow)
 	switch {
 	case q.Endpoint != batchrunner.CompletionsEndpoint:
-		return 0, invalidValue("endpoint", "%q, want %s", q.Endpoint, batchrunner.CompletionsEndpoint)
+		return 0, invalidValue("endpoint", "endpoint is %q, must be %s", q.Endpoint, batchrunner.CompletionsEndpoint)
 	case err != nil || window <= 0 || window > maxWindow:
 		return 0, invalidValue(
-			"completion_window", "%q, want a time of at most %v, as 24h", q.CompletionWindow, maxWindow,
+			"completion_window", "completion_window is %q, must be a positive duration of at most %v, such as 24h",
+			q.CompletionWindow, maxWindow,
 		)
 	case len(q.Metadata) > maxMetadataEntries:
-		return 0, invalidValue("metadata", "%d entries, want %d at most", len(q.Metadata), maxMetadataEntries)
+		return 0, invalidValue("metadata", "metadata has %d entries, must be at most %d", len(q.Metadata), maxMetadataEntries)
 	}
 	for key, value := range q.Metadata {
 		if len(key) > maxMetadataKeyBytes || len(value) > maxMetadataValueBytes {
-			return 0, invalidValue("metadata", "%.64q is longer than %d, or what it says than %d",
+			return 0, invalidValue("metadata", "key %.64q is longer than %d bytes or its value is longer than %d bytes",
 				key, maxMetadataKeyBytes, maxMetadataValueBytes)
 		}
 	}
@@ -52,7 +53,7 @@
 	var request createRequest
 	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBytes))
 	if err := decoder.Decode(&request); err != nil {
-		return invalidValue("", "the body is no batch: %v", err)
+		return invalidValue("", "invalid body: %v", err)
 	}
 	window, err := request.check(s.limits.MaxCompletionWindow)
 	if err != nil {
--- a/internal/frontend/batch/errors.go
+++ b/internal/frontend/batch/errors.go
@@ -29,11 +29,11 @@
 
 var (
 	errInvalidKey = &apiError{
-		status: http.StatusUnauthorized, errorType: typeInvalidRequest, code: "invalid_api_key", message: "no such key",
+		status: http.StatusUnauthorized, errorType: typeInvalidRequest, code: "invalid_api_key", message: "invalid API key",
 	}
 	errInternal = &apiError{
 		status: http.StatusInternalServerError, errorType: typeServerError,
-		message: "the call failed here; its log says why",
+		message: "internal error, see the log of the server",
 	}
 )
 
@@ -41,7 +41,7 @@
 func unknownURL(r *http.Request) *apiError {
 	return &apiError{
 		status: http.StatusNotFound, errorType: typeInvalidRequest, code: "unknown_url",
-		message: "no such call: " + r.Method + " " + r.URL.Path,
+		message: "unknown method or path: " + r.Method + " " + r.URL.Path,
 	}
 }
 
--- a/internal/frontend/batch/files.go
+++ b/internal/frontend/batch/files.go
@@ -28,27 +28,27 @@
 	r.Body = http.MaxBytesReader(w, r.Body, s.limits.MaxFileBytes+formOverheadBytes)
 	form, err := r.MultipartReader()
 	if err != nil {
-		return invalidValue("file", "want multipart/form-data: %v", err)
+		return invalidValue("file", "invalid multipart form: %v", err)
 	}
 	purpose := ""
 	for {
 		part, err := form.NextPart()
 		if errors.Is(err, io.EOF) {
-			return invalidValue("file", "the form has no file")
+			return invalidValue("file", "file is missing in the form")
 		}
 		if err != nil {
-			return invalidValue("file", "form cut off: %v", err)
+			return invalidValue("file", "form could not be read: %v", err)
 		}
 		switch part.FormName() {
 		case "purpose":
 			text, err := io.ReadAll(io.LimitReader(part, maxPurposeBytes))
 			if err != nil {
-				return invalidValue("purpose", "form cut off: %v", err)
+				return invalidValue("purpose", "form could not be read: %v", err)
 			}
 			purpose = string(text)
 		case "file":
 			if purpose != "" && purpose != batchstore.PurposeInput {
-				return invalidValue("purpose", "%q, want %s", purpose, batchstore.PurposeInput)
+				return invalidValue("purpose", "purpose is %q, must be %s", purpose, batchstore.PurposeInput)
 			}
 			return s.storeUpload(w, tenant, part)
 		}
@@ -64,7 +64,7 @@
 		return fmt.Errorf("more than %d bytes: %w", s.limits.MaxFileBytes, batchstore.ErrFileTooLarge)
 	}
 	if errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, context.Canceled) {
-		return invalidValue("file", "the file was cut off: %v", err)
+		return invalidValue("file", "upload interrupted: %v", err)
 	}
 	if err != nil {
 		return err
@@ -79,7 +79,7 @@
 	if text := query.Get("limit"); text != "" {
 		limit, err = strconv.Atoi(text)
 		if err != nil || limit < 1 || limit > maxPageSize {
-			return "", 0, invalidValue("limit", "%q, want 1 to %d", text, maxPageSize)
+			return "", 0, invalidValue("limit", "limit is %q, must be 1 to %d", text, maxPageSize)
 		}
 	}
 	return query.Get("after"), limit, nil
--- a/internal/state/batchstore/content.go
+++ b/internal/state/batchstore/content.go
@@ -19,7 +19,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if used := s.usedBytes[tenant]; bytes > 0 && s.tenantQuotaBytes > 0 && used+bytes > s.tenantQuotaBytes {
-		return fmt.Errorf("%d bytes beside %d of %d: %w", bytes, used, s.tenantQuotaBytes, ErrQuotaExceeded)
+		return fmt.Errorf("%d bytes requested, %d of %d bytes used: %w", bytes, used, s.tenantQuotaBytes, ErrQuotaExceeded)
 	}
 	s.usedBytes[tenant] += bytes
 	return nil
--- a/internal/state/batchstore/store.go
+++ b/internal/state/batchstore/store.go
@@ -24,11 +24,11 @@
 	// ErrNotFound means that the tenant has no such file or batch.
 	ErrNotFound = errors.New("no such file or batch")
 	// ErrQuotaExceeded means that a file exceeds the tenant's quota.
-	ErrQuotaExceeded = errors.New("over the quota of the tenant")
+	ErrQuotaExceeded = errors.New("tenant quota exceeded")
 	// ErrFileTooLarge means that a file is larger than the caller allows.
-	ErrFileTooLarge = errors.New("larger than a file may be")
+	ErrFileTooLarge = errors.New("file too large")
 	// ErrInvalidState means that the state of a batch does not allow the change.
-	ErrInvalidState = errors.New("not in its present state")
+	ErrInvalidState = errors.New("invalid batch state")
 	// ErrCorrupt means that stored data is incomplete or does not match its checksum.
 	ErrCorrupt = errors.New("corrupt data")
 )
