--- a/internal/batchrunner/runner.go
+++ b/internal/batchrunner/runner.go
@@ -53,7 +53,8 @@
 	Seed              uint64 // of the jitter of backoffs
 }
 
-// Runner runs batches while Run does. Its methods may be called concurrently.
+// Runner runs the batches of a store. Batches make progress only during a call of Run. Its methods may be called
+// concurrently.
 type Runner struct {
 	config    Config
 	store     *batchstore.Store
@@ -86,7 +87,7 @@
 	unstoredEnds int                // attempts whose end was reported to the scheduler but is not stored yet
 }
 
-// New returns a runner over a store. It connects to the dispatcher when the first line is sent.
+// New returns a runner for the batches of a store. It connects to the dispatcher when the first line is sent.
 func New(store *batchstore.Store, config Config, log *slog.Logger) (*Runner, error) {
 	if len(config.Tenants) == 0 {
 		config.Tenants = []Tenant{{Weight: 1}}
@@ -217,7 +218,7 @@
 	}
 }
 
-// Submit validates a newly stored batch and runs it. ctx must end with the context of Run.
+// Submit validates a newly stored batch and runs it. ctx must end with the context passed to Run.
 func (r *Runner) Submit(ctx context.Context, b batchstore.Batch) {
 	r.wg.Go(func() {
 		if err := r.resume(ctx, b); err != nil {
--- a/internal/state/batchstore/batches.go
+++ b/internal/state/batchstore/batches.go
@@ -30,7 +30,7 @@
 	FinalizingUnix   int64                     `json:"finalizing,omitempty"`
 	EndedUnix        int64                     `json:"ended,omitempty"`
 	CancellingUnix   int64                     `json:"cancelling,omitempty"`
-	FinalState       batchscheduler.BatchState `json:"final,omitempty"` // that FinalizeBatch moves it to
+	FinalState       batchscheduler.BatchState `json:"final,omitempty"` // terminal state that FinalizeBatch sets
 	ValidationErrors []ValidationError         `json:"faults,omitempty"`
 }
 
@@ -64,7 +64,7 @@
 	return b, err
 }
 
-// Batches returns at most limit batches of a tenant in the order of their IDs, starting after the ID after.
+// Batches returns at most limit batches of a tenant whose IDs are greater than after, sorted by ID.
 func (s *Store) Batches(tenant, after string, limit int) (Page[Batch], error) {
 	return list(s, batchesSet, after, limit, func(b *Batch) bool { return b.Tenant == tenant })
 }
--- a/internal/state/batchstore/content.go
+++ b/internal/state/batchstore/content.go
@@ -86,7 +86,7 @@
 // discard removes the temporary file and releases the quota.
 func (w *contentWriter) discard() {
 	w.file.Close()
-	_ = os.Remove(w.file.Name()) // Open removes a file that is left
+	_ = os.Remove(w.file.Name()) // the next Open removes a leftover file
 	w.store.releaseQuota(w.tenant, w.reserved)
 }
 
--- a/internal/state/batchstore/files.go
+++ b/internal/state/batchstore/files.go
@@ -58,7 +58,7 @@
 	return file, err
 }
 
-// Files returns at most limit files of a tenant in the order of their IDs, starting after the ID after.
+// Files returns at most limit files of a tenant whose IDs are greater than after, sorted by ID.
 func (s *Store) Files(tenant, after string, limit int) (Page[File], error) {
 	return list(s, filesSet, after, limit, func(f *File) bool { return f.Tenant == tenant && !f.Deleted })
 }
--- a/internal/state/batchstore/linear_test.go
+++ b/internal/state/batchstore/linear_test.go
@@ -14,8 +14,8 @@
 	"docksail/internal/decide/batchscheduler"
 )
 
-// TestLinearizable checks histories of concurrent clients that record results and read the counts of one batch against
-// a sequential model in which only the first result of a line counts.
+// The operations of this file are those of concurrent clients that record results of one batch and read its counts. In
+// the sequential model, only the first result of a line counts.
 
 // operation is a call of RecordResult ("record") or Batch ("read").
 type operation struct {
--- a/internal/state/batchstore/results.go
+++ b/internal/state/batchstore/results.go
@@ -36,8 +36,8 @@
 func resultsSet(batchID string) string { return "results/" + batchID }
 
 // RecordResult stores the result of a line with its text for the output or error file, and updates the counts of the
-// batch. Only the first result of a line is stored; later ones are ignored. The error wraps ErrInvalidState if the batch
-// is in a terminal state.
+// batch. Only the first result of a line is stored; later ones are ignored. The error wraps ErrInvalidState if the
+// batch is in a terminal state.
 func (s *Store) RecordResult(batchID string, index batchscheduler.LineIndex, kind ResultKind, text []byte) error {
 	return s.records.UpdateBatched(func(tx *recordstore.Tx) error {
 		return recordResult(tx, batchID, index, kind, func(Line) []byte { return text })
--- a/internal/state/batchstore/store.go
+++ b/internal/state/batchstore/store.go
@@ -149,8 +149,8 @@
 	HasMore bool // more items follow the last one
 }
 
-// list returns at most limit items of a set that satisfy matches, in the order of their IDs, starting after the ID
-// after. It skips corrupt records.
+// list returns at most limit items of a set that satisfy matches and whose IDs are greater than after, sorted by ID. It
+// skips corrupt records.
 func list[T any](s *Store, set, after string, limit int, matches func(*T) bool) (page Page[T], err error) {
 	err = s.records.View(func(tx *recordstore.Tx) error {
 		return tx.ForEach(set, []byte(after), func(key, encoded []byte, corrupt error) error {
