--- a/internal/frontend/batch/batches.go
+++ b/internal/frontend/batch/batches.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// maxRequestBytes bounds the body of a call that is no upload.
+	// maxRequestBytes limits the body of calls other than uploads.
 	maxRequestBytes = 64 << 10
 
 	maxMetadataEntries    = 16
@@ -18,7 +18,7 @@
 	maxMetadataValueBytes = 512
 )
 
-// createRequest is the body of a call that creates a batch.
+// createRequest is the body of the call that creates a batch.
 type createRequest struct {
 	InputFileID      string            `json:"input_file_id"`
 	Endpoint         string            `json:"endpoint"`
@@ -26,22 +26,23 @@
 	Metadata         map[string]string `json:"metadata"`
 }
 
-// check returns the completion window, or an error that names the parameter that is invalid.
+// check returns the completion window, or an error that names the invalid parameter.
 func (q *createRequest) check(maxWindow time.Duration) (window time.Duration, err error) {
 	window, err = time.ParseDuration(q.CompletionWindow)
 	switch {
 	case q.Endpoint != batchrunner.CompletionsEndpoint:
-		return 0, invalidValue("endpoint", "%q, want %s", q.Endpoint, batchrunner.CompletionsEndpoint)
+		return 0, invalidValue("endpoint", "endpoint is %q, must be %s", q.Endpoint, batchrunner.CompletionsEndpoint)
 	case err != nil || window <= 0 || window > maxWindow:
 		return 0, invalidValue(
-			"completion_window", "%q, want a time of at most %v, as 24h", q.CompletionWindow, maxWindow,
+			"completion_window", "completion_window is %q, must be a positive duration of at most %v, such as 24h",
+			q.CompletionWindow, maxWindow,
 		)
 	case len(q.Metadata) > maxMetadataEntries:
-		return 0, invalidValue("metadata", "%d entries, want %d at most", len(q.Metadata), maxMetadataEntries)
+		return 0, invalidValue("metadata", "metadata has %d entries, must be at most %d", len(q.Metadata), maxMetadataEntries)
 	}
 	for key, value := range q.Metadata {
 		if len(key) > maxMetadataKeyBytes || len(value) > maxMetadataValueBytes {
-			return 0, invalidValue("metadata", "%.64q is longer than %d, or what it says than %d",
+			return 0, invalidValue("metadata", "key %.64q is longer than %d bytes or its value is longer than %d bytes",
 				key, maxMetadataKeyBytes, maxMetadataValueBytes)
 		}
 	}
@@ -52,7 +53,7 @@
 	var request createRequest
 	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBytes))
 	if err := decoder.Decode(&request); err != nil {
-		return invalidValue("", "the body is no batch: %v", err)
+		return invalidValue("", "invalid body: %v", err)
 	}
 	window, err := request.check(s.limits.MaxCompletionWindow)
 	if err != nil {
