--- a/internal/backend/platform/stats.go
+++ b/internal/backend/platform/stats.go
@@ -126,8 +126,8 @@
 	return stats
 }
 
-// Conns returns the number of open connections to servers.
-func (b *Backend) Conns() int { return b.openConns }
+// ConnCount returns the number of open connections to servers.
+func (b *Backend) ConnCount() int { return b.openConns }
 
-// Servers returns the number of servers that are known.
-func (b *Backend) Servers() int { return len(b.servers) }
+// ServerCount returns the number of servers that are known.
+func (b *Backend) ServerCount() int { return len(b.servers) }
--- a/internal/node/endpointlist_test.go
+++ b/internal/node/endpointlist_test.go
@@ -54,7 +54,7 @@
 			c.expectServed(n)
 		}
 	}
-	if servers, conns := h.node.backend.Servers(), h.node.backend.Conns(); servers > 2 || conns > 4 {
+	if servers, conns := h.node.backend.ServerCount(), h.node.backend.ConnCount(); servers > 2 || conns > 4 {
 		t.Errorf("%d servers known, %d connections, want 2 and few", servers, conns)
 	}
 }
--- a/internal/node/heldstate_test.go
+++ b/internal/node/heldstate_test.go
@@ -65,7 +65,7 @@
 	h.waitUntil("the decode attempt's connection is up", func() bool { return decode.acceptedCount == 1 })
 	h.advance(transitTime) // until the dispatcher knows; what it sends now does not arrive
 	decode.partition(true)
-	h.waitUntil("the decode attempt is in flight", func() bool { return h.node.backend.Conns() == 2 })
+	h.waitUntil("the decode attempt is in flight", func() bool { return h.node.backend.ConnCount() == 2 })
 	prefilledAt := prefill.firstAttemptAt()
 	h.expectReleaseBetween(requestID(1), prefilledAt, prefilledAt+int64(maxHeldTime), prefill)
 }
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -63,8 +63,8 @@
 	return Status{
 		Requests:       n.dispatcher.InFlight(),
 		Clients:        n.frontend.ConnCount(),
-		Servers:        n.backend.Servers(),
-		ServerConns:    n.backend.Conns(),
+		Servers:        n.backend.ServerCount(),
+		ServerConns:    n.backend.ConnCount(),
 		Dispatch:       n.dispatcher.Counts,
 		Frontend:       n.frontend.Counts,
 		Backend:        n.backend.Counts,
