--- a/internal/dispatch/admission.go
+++ b/internal/dispatch/admission.go
@@ -7,20 +7,20 @@
 	"docksail/policy"
 )
 
-// admissionControl determines when a request that intake has accepted is handed to the module. It is told how admitted
-// requests proceed.
+// admissionControl decides when a request that intake has accepted is handed to the module. The dispatcher reports the
+// progress of admitted requests to it.
 type admissionControl interface {
-	// enqueue takes an arriving request. It returns the request as the admission queue knows it, which is kept with the
-	// request for later calls, or an error that rejects the request.
+	// enqueue adds an arriving request. It returns the admission queue's description of the request, which is stored in
+	// Request.queueRequest, or an error that rejects the request.
 	enqueue(now eventloop.Nanos, arrival arrival) (admission.Request, error)
-	// enqueued follows enqueue when the request's record is complete.
+	// enqueued is called after enqueue, when the request's record is complete.
 	enqueued(now eventloop.Nanos, req *Request)
-	// cancel removes a request that still waits. It reports whether it did wait.
+	// cancel removes a waiting request. It reports whether the request was waiting.
 	cancel(now eventloop.Nanos, req *Request) bool
 
 	// iterationStarted is called at the start of each iteration of the event loop.
 	iterationStarted(now eventloop.Nanos)
-	// advance is called when the module has no decision left. It admits or rejects one waiting request at most, and
+	// advance is called when the module has no decision left. It admits or rejects at most one waiting request, and
 	// reports whether it did.
 	advance(now eventloop.Nanos) bool
 	// iterationEnded is called when neither the module nor advance has anything left to do.
@@ -35,7 +35,7 @@
 	// policyRejection returns the answer for a request that the module rejects, with the delay that the module asks for.
 	policyRejection(now eventloop.Nanos, req *Request, retryAfter int64) frontend.RejectionError
 
-	// addStatus sets the fields about the queue.
+	// addStatus sets the fields of status that describe the queue.
 	addStatus(status *Status)
 	tenantStatuses() []TenantStatus
 	setTenantLimits(tenants []Tenant) error
@@ -43,13 +43,14 @@
 
 // arrival is a request that intake has accepted.
 type arrival struct {
-	request  *frontend.Request
-	id       policy.RequestID
-	tenant   policy.TenantID // -1 = none
-	deadline eventloop.Nanos // the answer has to leave by then
-	target   int64           // latency target, nanoseconds
+	request       *frontend.Request
+	id            policy.RequestID
+	tenant        policy.TenantID // noTenant if it has none
+	deadline      eventloop.Nanos // when the answer must be sent at the latest
+	latencyTarget int64           // nanoseconds
 }
 
+// policyRejectionReason is the reason that clients receive if the module rejects a request.
 const policyRejectionReason = "no engine could take it in time"
 
 // directAdmission hands every request to the module as it arrives.
--- a/internal/dispatch/answers.go
+++ b/internal/dispatch/answers.go
@@ -8,7 +8,7 @@
 	"docksail/policy"
 )
 
-// ClientDisconnected implements frontend.Dispatcher: the client of a request is gone.
+// ClientDisconnected implements frontend.Dispatcher: it ends a request whose client has disconnected.
 func (d *Dispatcher) ClientDisconnected(now eventloop.Nanos, id policy.RequestID) {
 	req := d.requests.Find(id)
 	if req == nil || req.Answered() {
@@ -20,20 +20,20 @@
 			"streaming", req.IsStreaming())
 	}
 	if d.markAnswered(req) {
-		d.answerGiven(req, &d.Counts.ClientDisconnects, false)
+		d.recordAnswer(req, &d.Counts.ClientDisconnects, false)
 	}
 	d.cancelRequest(now, req)
 }
 
-// ClientWritable implements frontend.Dispatcher: the client has taken all of the answer so far, and a server that was
-// held back for it gets its credit.
+// ClientWritable implements frontend.Dispatcher: all of the answer so far was sent to the client, so a server that was
+// paused for it gets flow-control credit again.
 func (d *Dispatcher) ClientWritable(now eventloop.Nanos, id policy.RequestID) {
 	req := d.requests.Find(id)
-	if req == nil || req.heldBackBytes == 0 || req.attempt == nil {
+	if req == nil || req.uncreditedBytes == 0 || req.attempt == nil {
 		return
 	}
-	n := req.heldBackBytes
-	req.heldBackBytes, req.lastTokenAt = 0, now
+	n := req.uncreditedBytes
+	req.uncreditedBytes, req.lastTokenAt = 0, now
 	req.attempt.CreditWindow(n)
 	d.loop.SkipNextWait()
 }
@@ -42,27 +42,27 @@
 func (d *Dispatcher) complete(req *Request) {
 	if d.markAnswered(req) {
 		req.response.Complete(req.ID)
-		d.answerGiven(req, &d.Counts.Served, true)
+		d.recordAnswer(req, &d.Counts.Served, true)
 	}
 }
 
-// reject answers a request that may be tried again.
+// reject answers a request that was not run, so that its client may retry it.
 func (d *Dispatcher) reject(req *Request, rejection frontend.RejectionError) {
 	if d.markAnswered(req) {
 		req.response.Reject(req.ID, rejection)
-		d.answerGiven(req, &d.Counts.Rejected, false)
+		d.recordAnswer(req, &d.Counts.Rejected, false)
 	}
 }
 
-// fail answers a request that may have run.
+// fail answers a request that cannot be served. A server may have run it.
 func (d *Dispatcher) fail(req *Request, reason string) {
 	if d.markAnswered(req) {
 		req.response.Fail(req.ID, reason)
-		d.answerGiven(req, &d.Counts.Failed, false)
+		d.recordAnswer(req, &d.Counts.Failed, false)
 	}
 }
 
-// markAnswered records that a request gets its final answer now. It reports false if it has one already.
+// markAnswered records that a request gets its final answer now. It reports false if the request has one already.
 func (d *Dispatcher) markAnswered(req *Request) bool {
 	if err := req.MarkAnswered(); err != nil {
 		d.Counts.InvalidDecisions++
@@ -73,17 +73,17 @@
 	return true
 }
 
-// answerGiven follows the final answer of a request.
-func (d *Dispatcher) answerGiven(req *Request, count *uint64, served bool) {
+// recordAnswer counts the final answer of a request and reports it to the admission control.
+func (d *Dispatcher) recordAnswer(req *Request, count *uint64, served bool) {
 	req.response = nil
 	*count++
 	d.admission.answered(req, served)
 }
 
-// abort gives a request its final answer without a decision of the module, which is told that the request is canceled.
+// abort gives a request its final answer without a decision of the module, and cancels the request.
 func (d *Dispatcher) abort(now eventloop.Nanos, req *Request, reason string) {
-	isRepeatable := d.classTimes[req.class].idempotent && !req.IsStreaming()
-	if intake.OutcomeAtDrainDeadline(isRepeatable, req.mayHaveRun) == intake.Rejected {
+	isRetryable := d.classSettings[req.class].idempotent && !req.IsStreaming()
+	if intake.OutcomeAtDrainDeadline(isRetryable, req.mayHaveRun) == intake.Rejected {
 		d.reject(req, frontend.RejectionError{Reason: reason})
 	} else {
 		d.fail(req, reason)
@@ -91,8 +91,8 @@
 	d.cancelRequest(now, req)
 }
 
-// cancelRequest follows the end of a request that the module has not decided on: the queue or the module is told, and
-// an attempt ends that nobody reads or that has not been written yet.
+// cancelRequest cancels a request in the admission queue or in the module. It also ends the outstanding attempt if that
+// is streaming, as nobody reads the stream any more, or has not been written yet.
 func (d *Dispatcher) cancelRequest(now eventloop.Nanos, req *Request) {
 	if d.admission.cancel(now, req) {
 		d.removeIfDone(req)
@@ -103,7 +103,7 @@
 	case req.IsStreaming():
 		d.endAttempt(now, req, policy.Canceled, true, policy.NoLoadReport)
 	case req.attempt != nil && req.attempt.DeliveryState() < inflight.Sending:
-		// It is never begun, not even where the module lets attempts that have begun run on.
+		// An unsent attempt is never sent, even if the module lets a sent one complete.
 		d.endAttempt(now, req, policy.NotSent, true, policy.NoLoadReport)
 	}
 	d.removeIfDone(req)
@@ -118,8 +118,8 @@
 	}
 }
 
-// answerDeadlineMissed ends a request that is neither answered nor streaming some time after its deadline. The module
-// answers every request before that, so this only happens through a fault of the program.
+// answerDeadlineMissed ends a request that is neither answered nor streaming intake.OverdueMargin after its deadline.
+// The module decides every request before that, so each call indicates a bug.
 func (req *Request) answerDeadlineMissed(now eventloop.Nanos) {
 	d := req.dispatcher
 	_, outstanding := req.OutstandingAttempt()
@@ -134,4 +134,5 @@
 	}
 }
 
+// deadlineExceededReason is the reason that clients receive if a request is not answered before its deadline.
 const deadlineExceededReason = "its time is up"
--- a/internal/dispatch/attempts.go
+++ b/internal/dispatch/attempts.go
@@ -6,11 +6,11 @@
 	"docksail/policy"
 )
 
-// FindRequest returns the request in flight that has an ID, or nil.
+// FindRequest returns the request in flight with an ID, or nil if there is none.
 func (d *Dispatcher) FindRequest(id policy.RequestID) *Request { return d.requests.Find(id) }
 
-// SetAttemptTimer sets when the outstanding attempt of a request times out if its answer has not begun by then. A
-// backend may move it while the attempt waits for a connection.
+// SetAttemptTimer sets the time at which the outstanding attempt of a request times out unless its answer has begun. A
+// backend may change the time while the attempt waits for a connection.
 func (d *Dispatcher) SetAttemptTimer(req *Request, at eventloop.Nanos) {
 	d.loop.SetTimer(&req.attemptTimer, at, req.onAttemptTimer)
 }
@@ -42,8 +42,8 @@
 	}
 }
 
-// ReplaceAttempt makes attempt the backend's record of the outstanding attempt of a request. nil says that the attempt
-// could not be sent after all and ends it.
+// ReplaceAttempt makes attempt the backend's record of the outstanding attempt of a request. If it is nil, the attempt
+// could not be sent and is ended. The request may be removed by the call.
 func (d *Dispatcher) ReplaceAttempt(now eventloop.Nanos, req *Request, attempt Attempt) {
 	req.attempt = attempt
 	if attempt == nil {
@@ -52,9 +52,9 @@
 	}
 }
 
-// FinishAttempt is called by the backend when the outstanding attempt of a request has ended. If its answer had begun
-// and is not complete, the client is told that the stream broke, followed by detail. The request may be removed by
-// the call.
+// FinishAttempt is called by the backend when the outstanding attempt of a request has ended. If its answer has begun
+// but is not complete, the request fails, and detail is appended to the reason that the client receives. The request
+// may be removed by the call.
 func (d *Dispatcher) FinishAttempt(now eventloop.Nanos, req *Request, outcome policy.Outcome, detail string,
 	load policy.LoadReport,
 ) {
@@ -70,8 +70,9 @@
 	d.removeIfDone(req)
 }
 
-// FailInvalidRequest is called by the backend when a server finds the request itself invalid. That says nothing about
-// the server, and no other server would accept the request. The request may be removed by the call.
+// FailInvalidRequest is called by the backend when a server reports that the request itself is invalid. The request is
+// not retried, as no other server would accept it, and the attempt does not count as a failure of the server. The
+// request may be removed by the call.
 func (d *Dispatcher) FailInvalidRequest(now eventloop.Nanos, req *Request, reason string) {
 	if !req.Answered() {
 		d.fail(req, reason)
@@ -93,7 +94,7 @@
 	d.Counts.TimedOut++
 	outcome := policy.TimedOut
 	switch req.attempt.DeliveryState() {
-	case inflight.Planned: // it waited behind others
+	case inflight.Planned: // no connection was assigned to it
 		outcome = policy.NotSent
 	case inflight.Connecting:
 		outcome = policy.Unreachable
@@ -104,8 +105,8 @@
 }
 
 // endAttempt ends the outstanding attempt of a request, if there is one, and reports it to the module. An attempt
-// that the server has not ended is canceled there first. final says that the module is to send no other attempt. The
-// caller has to call removeIfDone.
+// that the server has not ended is canceled there first. final tells the module not to send another attempt. The
+// caller must call removeIfDone afterwards.
 func (d *Dispatcher) endAttempt(now eventloop.Nanos, req *Request, outcome policy.Outcome, final bool,
 	load policy.LoadReport,
 ) {
@@ -116,7 +117,7 @@
 	d.loop.CancelTimer(&req.attemptTimer)
 	attempt, state := req.attempt, req.deliveryState()
 	mayHaveBeenReceived := attempt != nil && attempt.Finish(now)
-	req.attempt, req.heldBackBytes = nil, 0
+	req.attempt, req.uncreditedBytes = nil, 0
 	end, err := req.EndAttempt(now, number, inflight.AttemptResult{
 		Outcome: outcome, Server: req.Server, State: state, MayHaveBeenReceived: mayHaveBeenReceived,
 	})
@@ -148,7 +149,7 @@
 	}
 }
 
-// recordOutcome records how an attempt has ended.
+// recordOutcome updates the request and the counters by the outcome of an attempt.
 func (d *Dispatcher) recordOutcome(now eventloop.Nanos, req *Request, outcome policy.Outcome) {
 	if outcome == policy.StaleConnection {
 		req.ConsecutiveStaleConns++
--- a/internal/dispatch/backend.go
+++ b/internal/dispatch/backend.go
@@ -8,18 +8,18 @@
 	"docksail/policy"
 )
 
-// Frontend accepts clients. It hands their requests to the dispatcher by Submit and is answered by the
-// frontend.ResponseWriter that it passes.
+// Frontend accepts clients. It passes their requests to Dispatcher.Submit, together with the frontend.ResponseWriter
+// through which the dispatcher answers them.
 type Frontend interface {
-	// Listen starts to accept connections. It returns the address that it listens on.
-	Listen(at netip.AddrPort, sharePort bool) (netip.AddrPort, error)
+	// Listen starts to accept connections. It returns the address that the frontend listens on.
+	Listen(addr netip.AddrPort, sharePort bool) (netip.AddrPort, error)
 	// Flush writes the output of this iteration of the loop to the sockets.
 	Flush()
 	// ConnCount returns the number of open connections.
 	ConnCount() int
 	// IsIdle reports whether no connection has a request in progress or output to be written.
 	IsIdle() bool
-	// Drain stops accepting connections and requests.
+	// Drain begins to close the connections of clients and stops accepting new ones.
 	Drain()
 }
 
@@ -35,15 +35,16 @@
 	IsPrefill(server policy.ServerID) (isPrefill, known bool)
 	// ServerName returns the name by which a server is logged.
 	ServerName(server policy.ServerID) string
-	// StartAttempt sends a request to its Server. It returns nil if the attempt was not and will not be sent.
+	// StartAttempt sends a request to the server that req.Server names. It returns nil if the attempt was not and will
+	// not be sent.
 	StartAttempt(now eventloop.Nanos, req *Request, attempt policy.AttemptNumber) Attempt
-	// Release has the KV state released that an attempt of a request left at a server and that is held since then.
-	// The request may be done after the call.
+	// Release starts to release the KV state that an attempt of a request left at a server, where it has been held since
+	// heldSince. The request may be removed once the call has returned.
 	Release(now eventloop.Nanos, req *Request, server policy.ServerID, attempt policy.AttemptNumber,
 		heldSince eventloop.Nanos)
 	// Flush writes the output of this iteration of the loop to the sockets.
 	Flush()
-	// IsIdle reports whether nothing is left that still has to reach a server.
+	// IsIdle reports whether no message is left that must still reach a server.
 	IsIdle() bool
 	// Close is called when the loop has ended.
 	Close()
@@ -51,27 +52,27 @@
 
 // Attempt is an outstanding attempt as its backend knows it.
 type Attempt interface {
-	// Finish is called once when the attempt has ended, whoever ended it. An attempt that the server has not ended is
-	// canceled there. Finish reports whether the server may have received the complete request.
-	Finish(now eventloop.Nanos) (mayHaveArrived bool)
-	// AfterFinish follows Finish when the end of the attempt has been reported to the module.
+	// Finish is called once when the attempt has ended, for whatever reason. If the server has not ended the attempt,
+	// Finish cancels it there. It reports whether the server may have received the complete request.
+	Finish(now eventloop.Nanos) (mayHaveBeenReceived bool)
+	// AfterFinish is called after Finish, when the end of the attempt has been reported to the module.
 	AfterFinish(now eventloop.Nanos)
-	// CreditWindow says that the client has taken so many bytes for which the server was held back.
+	// CreditWindow gives the server flow-control credit for bytes that the client has taken since the server was paused.
 	CreditWindow(bytes int)
-	// DeliveryState returns how far the attempt is known to have come.
+	// DeliveryState returns how far the delivery of the attempt to its server is known to have progressed.
 	DeliveryState() inflight.DeliveryState
-	// ServerResponsive reports whether the server has been heard since the attempt was sent, on any connection.
+	// ServerResponsive reports whether data has come from the server since the attempt was sent, on any connection.
 	ServerResponsive() bool
 }
 
-// BackendState is what a backend keeps with the record of a request.
+// BackendState is a backend's own data in the record of a request.
 type BackendState interface {
-	// Reset is called when the record is used for a new request.
+	// Reset is called when the record is reused for a new request.
 	Reset()
 }
 
-// EndpointListUpdated reports an update of the endpoint list to the module. full says that the update names all
-// servers, hasServers that it names any. report is called to list the servers.
+// EndpointListUpdated reports an update of the endpoint list to the module. full reports whether the update names all
+// servers, hasServers whether it names any. The call to report passes the servers to the module.
 func (d *Dispatcher) EndpointListUpdated(now eventloop.Nanos, full, hasServers bool, report func(module Module)) {
 	d.module.ListUpdateStarted(full)
 	report(d.module)
@@ -79,10 +80,10 @@
 	d.intake.ListKnown = d.intake.ListKnown || hasServers
 }
 
-// EndpointListFailed reports to the module that the endpoint list is out of reach.
+// EndpointListFailed reports to the module that the endpoint list could not be fetched.
 func (d *Dispatcher) EndpointListFailed(now eventloop.Nanos) {
 	d.module.ListUpdateFailed(d.ModuleTime(now))
 }
 
-// HasEndpointList reports whether a list that names servers has come.
+// HasEndpointList reports whether an endpoint list that names servers has been received.
 func (d *Dispatcher) HasEndpointList() bool { return d.intake.ListKnown }
--- a/internal/dispatch/counts.go
+++ b/internal/dispatch/counts.go
@@ -1,7 +1,7 @@
 package dispatch
 
-// Counts are the counters of a dispatcher since its start. They are written to the status file and to the log: names
-// and order in JSON do not change.
+// Counts are the counters of a dispatcher since its start. They are written to the status file and to the log, so the
+// names and the order of the fields in JSON must not change.
 type Counts struct {
 	Requests          uint64
 	Served            uint64
@@ -18,10 +18,10 @@
 	Messages          uint64 // messages relayed to clients
 	StaleLoadReports  uint64 `json:"LateReports"`
 	LoadReports       uint64 `json:"Reports"`
-	// InvalidDecisions counts decisions that the request's state does not allow. Each is a fault of the program.
+	// InvalidDecisions counts decisions that the request's state does not allow. Each indicates a bug.
 	InvalidDecisions uint64
-	// MissedDeadlines counts requests that were answered only by the dispatcher's own deadline. Each is a fault of the
-	// program.
+	// MissedDeadlines counts requests that the module had not answered intake.OverdueMargin after their deadline. Each
+	// indicates a bug.
 	MissedDeadlines uint64 `json:"Overdue"`
 	Pings           uint64
 	DeadConnections uint64
--- a/internal/dispatch/decisions.go
+++ b/internal/dispatch/decisions.go
@@ -22,7 +22,7 @@
 	}
 }
 
-// logEjection logs that a server gets no new requests for a time.
+// logEjection logs that a server is ejected, from all classes or from one.
 func (d *Dispatcher) logEjection(ejection policy.Ejection) {
 	attributes := []any{
 		"server_id", d.backend.ServerName(ejection.Server), "reason", ejection.Reason.String(),
@@ -34,7 +34,7 @@
 	d.log.Info("endpoint ejected", attributes...)
 }
 
-// executeForRequest carries out a decision about a request. The request may be removed by it.
+// executeForRequest carries out a decision about a request. The request may be removed by the call.
 func (d *Dispatcher) executeForRequest(now eventloop.Nanos, decision policy.Decision) {
 	req := d.requests.Find(decision.Request)
 	if req == nil {
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,6 +1,6 @@
 // Package dispatch is the core of a dispatcher: it connects a frontend, a backend and the decision module on one
-// event loop. Events on the sockets are reported to the module, and the module's decisions are carried out on the
-// sockets. The package itself decides nothing.
+// event loop. It reports events on the sockets to the module, and carries out the module's decisions on the sockets. It
+// makes no decisions of its own.
 //
 // A Dispatcher is made by NewQueued, with an admission queue in front of the module, or by NewDirect, without one.
 // Attach gives it its frontend and backend, Start makes it serve, and RunIteration is called by the event loop from
@@ -37,28 +37,28 @@
 	NextDecision(now policy.Nanos) (policy.Decision, bool)
 }
 
-// Config is what every dispatcher is made from. Durations are in nanoseconds.
+// Config configures a dispatcher. Durations are in nanoseconds.
 type Config struct {
 	Module Module
-	// ClassNames and Classes are the request classes that the module was made with, in its order. There is at least one.
+	// ClassNames and Classes are the module's request classes, in its order. There is at least one.
 	ClassNames []string
 	Classes    []policy.Class
-	// TenantNames are the tenants that the module was made with, in its order; empty if tenants are not told apart.
+	// TenantNames are the module's tenants, in its order; empty if tenants are not distinguished.
 	TenantNames []string
 	Intake      intake.Limits
-	// MaxRetryAfter bounds the delay that a rejected client is told.
+	// MaxRetryAfter limits the delay after which a rejected client is asked to retry.
 	MaxRetryAfter int64
-	// AnswerLeadTime is how long before a client's deadline its answer has to leave.
+	// AnswerLeadTime is how long before a client's deadline its answer must be sent.
 	AnswerLeadTime int64
-	// MaxSilence is how long a client may wait for a token after the last one; 0 = no limit of its own.
+	// MaxSilence is how long clients wait for the next token after the last one; 0 = unknown.
 	MaxSilence int64
-	// KeyHashSeed seeds the hashes that stand for sessions and prefixes. It is the same at all dispatchers.
+	// KeyHashSeed seeds the hashes that identify sessions and prefixes. It is the same at all dispatchers.
 	KeyHashSeed uint64
 	// Incarnation identifies this start of the dispatcher. No two starts have the same.
 	Incarnation uint64
 }
 
-// ShortestLatencyTarget returns the shortest target to the first token among the classes.
+// ShortestLatencyTarget returns the shortest target time to the first token of all classes.
 func (c *Config) ShortestLatencyTarget() int64 {
 	shortest := int64(c.Classes[0].LatencyTarget)
 	for _, class := range c.Classes {
@@ -73,7 +73,7 @@
 
 	loop         *eventloop.Loop
 	log          *slog.Logger
-	debug        bool // records of single requests are logged
+	debug        bool // records about single requests are logged
 	module       Module
 	frontend     Frontend
 	backend      Backend
@@ -85,9 +85,9 @@
 
 	classes         map[string]policy.ClassID
 	classNames      []string
-	classTimes      []classTimes
+	classSettings   []classSettings
 	tenants         map[string]policy.TenantID
-	tenantOptional  bool // a request may name no tenant though there are some
+	tenantOptional  bool // a request may name no tenant although tenants are configured
 	keysAreGlobal   bool // sessions and prefixes are the same whichever tenant names them
 	keyHashSeed     uint64
 	keyHash         xxhash.Digest
@@ -102,10 +102,10 @@
 	onDrained  func()
 }
 
-// classTimes are the times of a class, in nanoseconds, and whether its requests may be repeated.
-type classTimes struct {
-	target, targetPer1k, timeout, tokenGap int64
-	idempotent                             bool
+// classSettings are the times of a class, in nanoseconds, and whether its requests are idempotent.
+type classSettings struct {
+	latencyTarget, latencyTargetPer1k, timeout, interTokenTarget int64
+	idempotent                                                   bool
 }
 
 // NewDirect returns a dispatcher without an admission queue: requests go to the module as they arrive. A request may
@@ -136,9 +136,9 @@
 	}
 	for i, class := range config.Classes {
 		d.classes[config.ClassNames[i]] = policy.ClassID(i)
-		d.classTimes = append(d.classTimes, classTimes{
-			target: int64(class.LatencyTarget), targetPer1k: int64(class.LatencyTargetPer1k),
-			timeout: int64(class.Timeout), tokenGap: int64(class.InterTokenTarget),
+		d.classSettings = append(d.classSettings, classSettings{
+			latencyTarget: int64(class.LatencyTarget), latencyTargetPer1k: int64(class.LatencyTargetPer1k),
+			timeout: int64(class.Timeout), interTokenTarget: int64(class.InterTokenTarget),
 			idempotent: class.Idempotency == policy.Idempotent,
 		})
 	}
@@ -165,12 +165,12 @@
 	return addr, nil
 }
 
-// Close releases what the backend keeps beside the loop. It must be called when the loop has ended.
+// Close closes the backend. It must be called when the loop has ended.
 func (d *Dispatcher) Close() { d.backend.Close() }
 
-// RunIteration is called by the event loop once an iteration, after the sockets were read and timers fired. It carries
-// out the module's decisions until there are none, admits waiting requests as long as the module places them, and then
-// has all output written.
+// RunIteration is called by the event loop once per iteration, after the sockets were read and the timers fired. It
+// carries out the module's decisions until there are none, admits waiting requests as long as the admission queue
+// permits, and then flushes all output.
 func (d *Dispatcher) RunIteration(now eventloop.Nanos) {
 	d.admission.iterationStarted(now)
 	for {
@@ -190,8 +190,8 @@
 	}
 }
 
-// ModuleTime returns the module's time at a time of the loop: Unix nanoseconds, carried on by the loop's monotonic
-// clock, so that they compare with the start times of servers.
+// ModuleTime converts a time of the loop to the module's time: Unix nanoseconds that advance with the loop's monotonic
+// clock, so that they can be compared with the start times of servers.
 func (d *Dispatcher) ModuleTime(now eventloop.Nanos) policy.Nanos {
 	return policy.Nanos(d.originUnixNs + now)
 }
--- a/internal/dispatch/drain.go
+++ b/internal/dispatch/drain.go
@@ -5,8 +5,8 @@
 	"docksail/policy"
 )
 
-// Drain accepts no new clients and requests. Requests in flight have timeout nanoseconds to end; those that are left
-// are answered then. done is called once, when nothing is left or shortly after the timeout.
+// Drain stops accepting clients and requests. Requests in flight have timeout nanoseconds to end; the remaining ones
+// are then answered without being served. done is called once, when all work is done or shortly after the timeout.
 func (d *Dispatcher) Drain(timeout int64, done func()) {
 	if d.draining {
 		return
@@ -22,7 +22,7 @@
 	d.loop.SetTimer(&d.drainTimer, d.loop.Now()+timeout, d.drainTimedOut)
 }
 
-// drainTimedOut answers the requests that are left and gives the answers time to be sent.
+// drainTimedOut answers the remaining requests and allows answerLeadTime for the answers to be sent.
 func (d *Dispatcher) drainTimedOut(now eventloop.Nanos) {
 	d.log.Warn("drain deadline exceeded", "requests", d.requests.Len())
 	d.requests.Each(func(_ policy.RequestID, req *Request) {
@@ -33,8 +33,8 @@
 	d.loop.SetTimer(&d.drainTimer, now+d.answerLeadTime, func(eventloop.Nanos) { d.onDrained() })
 }
 
-// DrainWithoutDeadline has the frontend send its clients away but still accepts requests. done is called once, when no
-// request is in flight and frontend and backend are idle.
+// DrainWithoutDeadline drains the frontend, but accepts the requests that it still submits. done is called once, when
+// no request is in flight and frontend and backend are idle.
 func (d *Dispatcher) DrainWithoutDeadline(done func()) {
 	if d.draining {
 		return
--- a/internal/dispatch/queuedadmission.go
+++ b/internal/dispatch/queuedadmission.go
@@ -25,22 +25,23 @@
 
 // QueueConfig describes the admission queue of a dispatcher.
 type QueueConfig struct {
-	MaxWaiting int // requests that may wait
-	MaxClients int // clients whose recent use is remembered
-	FIFO       bool
-	// IssueTickets gives rejected clients a signed reservation to bring back.
+	MaxWaiting int  // interactive requests that may wait
+	MaxClients int  // clients whose recent use is remembered
+	FIFO       bool // admits interactive requests in order of arrival
+	// IssueTickets gives rejected clients a signed reservation, which they present when they retry.
 	IssueTickets bool
-	// MaxHeapBytes is the size of the heap above which waiting requests are shed; 0 = not bounded.
+	// MaxHeapBytes is the size of the heap above which waiting requests are shed; 0 = not limited.
 	MaxHeapBytes uint64
-	// Tenants are the tenants in the module's order. Where tenants are not told apart there is one without a name.
+	// Tenants are the tenants in the module's order. If tenants are not distinguished, there is one without a name.
 	Tenants []Tenant
-	// Secrets is the source of keys that nobody may guess: crypto/rand.Reader except in simulations.
+	// Secrets is the random source of the secret keys of tickets and hashes: crypto/rand.Reader except in simulations.
 	Secrets io.Reader
 }
 
+// ticketKeyBytes is the length of the key that signs tickets.
 const ticketKeyBytes = 32
 
-// queuedAdmission has requests wait in an admission queue until the module can place them.
+// queuedAdmission keeps requests in an admission queue until the module can place them.
 type queuedAdmission struct {
 	dispatcher *Dispatcher
 	queue      *admission.Queue
@@ -50,36 +51,38 @@
 	hashSeed   uint64 // seeds the hashes of clients' names
 	hash       xxhash.Digest
 
-	unsent   []unsentRequest // admitted requests of which no attempt has begun, in the order of their admission
-	waits    []eventloop.Nanos
-	admitted int // requests admitted in this iteration of the loop
+	unsent      []unsentRequest   // in the order of their admission
+	unsentWaits []eventloop.Nanos // scratch of canAdmit: how long each of unsent has waited since its admission
+	admitted    int               // requests admitted in this iteration of the loop
 
 	wakeupTimer eventloop.Timer
 	onWakeup    func(eventloop.Nanos)
 }
 
-// unsentRequest is a request that was admitted and of which no attempt has begun.
+// unsentRequest is an admitted request for which no attempt was started yet.
 type unsentRequest struct {
 	id         policy.RequestID
 	admittedAt eventloop.Nanos
 }
 
-func newQueuedAdmission(d *Dispatcher, config *QueueConfig, target int64) (*queuedAdmission, error) {
+// newQueuedAdmission returns an admission control with an empty queue. It returns an error if the keys cannot be read
+// or a limit in config is invalid.
+func newQueuedAdmission(d *Dispatcher, config *QueueConfig, latencyObjective int64) (*queuedAdmission, error) {
 	var keys [ticketKeyBytes + 8]byte
 	if _, err := io.ReadFull(config.Secrets, keys[:]); err != nil {
-		return nil, fmt.Errorf("keys of the admission queue: %w", err)
+		return nil, fmt.Errorf("read keys of the admission queue: %w", err)
 	}
 	a := &queuedAdmission{
 		dispatcher: d, tenants: config.Tenants, heap: heapMonitor{maxBytes: config.MaxHeapBytes},
 		hashSeed: binary.LittleEndian.Uint64(keys[ticketKeyBytes:]),
-		onWakeup: func(eventloop.Nanos) {}, // an iteration of the loop is all that is needed
+		onWakeup: func(eventloop.Nanos) {}, // the timer only has to start an iteration of the loop
 	}
 	if config.IssueTickets {
 		a.signer = admission.NewTicketSigner(keys[:ticketKeyBytes])
 	}
 	var err error
 	a.queue, err = admission.New(admission.Config{
-		MaxWaiting: config.MaxWaiting, MaxKnownClients: config.MaxClients, LatencyObjective: target,
+		MaxWaiting: config.MaxWaiting, MaxKnownClients: config.MaxClients, LatencyObjective: latencyObjective,
 		Signer: a.signer, FIFO: config.FIFO,
 	})
 	if err != nil {
@@ -107,14 +110,14 @@
 	return admission.Request{}, a.rejection(verdict.String(), verdict.IsTenantLimit(), advice)
 }
 
-// queueRequest returns a request as the admission queue knows it.
+// queueRequest returns the admission queue's description of a request.
 func (a *queuedAdmission) queueRequest(arrival arrival) admission.Request {
 	r := arrival.request
 	request := admission.Request{
 		ID: admission.RequestID(arrival.id), Tenant: max(int(arrival.tenant), 0),
 		Client: a.hashName(arrival.tenant, r.Client), Source: a.hashName(-1, r.Source[:]),
 		PromptTokens: r.PromptTokens, MaxAnswerTokens: r.MaxTokens, Background: r.Background,
-		LatencyObjective: arrival.target, Deadline: arrival.deadline,
+		LatencyObjective: arrival.latencyTarget, Deadline: arrival.deadline,
 	}
 	if r.Ticket != nil && a.signer != nil {
 		if ticket, err := a.signer.Decode(r.Ticket); err == nil {
@@ -124,8 +127,8 @@
 	return request
 }
 
-// hashName returns a hash of a name that clients choose, under a secret seed, so that none can be chosen to collide
-// with another's. 0 stands for no name.
+// hashName returns a hash of a name that clients choose; 0 = no name. The seed is secret, so that no client can choose
+// a name that collides with another's.
 func (a *queuedAdmission) hashName(owner policy.TenantID, name []byte) uint64 {
 	if len(name) == 0 {
 		return 0
@@ -146,7 +149,7 @@
 	return true
 }
 
-// iterationStarted sheds waiting requests if the loop lags or memory runs short.
+// iterationStarted sheds waiting requests if the loop lags or the heap exceeds its limit.
 func (a *queuedAdmission) iterationStarted(now eventloop.Nanos) {
 	a.admitted = 0
 	lag := a.dispatcher.loop.LastIterationDuration()
@@ -181,20 +184,20 @@
 	return true
 }
 
-// iterationEnded sets a timer for the time at which a waiting request expires or background work may go on.
+// iterationEnded sets a timer for the time at which a waiting request expires or background requests may be admitted.
 func (a *queuedAdmission) iterationEnded(now eventloop.Nanos) {
 	if at, ok := a.queue.NextWakeup(now); ok {
 		a.dispatcher.loop.SetTimer(&a.wakeupTimer, max(at, now+1), a.onWakeup)
 	}
 }
 
-// canAdmit reports whether another request may be admitted beside those that have not been sent yet.
+// canAdmit reports whether another request may be admitted in addition to those that have not been sent yet.
 func (a *queuedAdmission) canAdmit(now eventloop.Nanos) bool {
-	a.waits = a.waits[:0]
+	a.unsentWaits = a.unsentWaits[:0]
 	for _, u := range a.unsent {
-		a.waits = append(a.waits, now-u.admittedAt)
+		a.unsentWaits = append(a.unsentWaits, now-u.admittedAt)
 	}
-	return a.queue.CanAdmit(a.waits)
+	return a.queue.CanAdmit(a.unsentWaits)
 }
 
 // admit hands a waiting request to the module.
@@ -221,7 +224,7 @@
 	d.removeIfDone(req)
 }
 
-// rejection returns the error that tells a client when to come back, with a signed ticket if one was granted.
+// rejection returns the error that tells a client when to retry, with a signed ticket if a place was reserved.
 func (a *queuedAdmission) rejection(reason string, tenantLimit bool, advice admission.RetryAdvice,
 ) frontend.RejectionError {
 	rejection := frontend.RejectionError{
@@ -237,7 +240,7 @@
 	if a.unsentIndex(req.ID) >= 0 {
 		a.queue.RecordNotSent()
 	}
-	if retryAfter > 0 { // the queue reserves a place at that time or later
+	if retryAfter > 0 { // the queue reserves a place after that delay or a longer one
 		advice := a.queue.ReserveRetry(now, req.queueRequest, retryAfter)
 		return a.rejection(policyRejectionReason, false, advice)
 	}
@@ -294,11 +297,11 @@
 
 func (a *queuedAdmission) setTenantLimits(tenants []Tenant) error {
 	if len(tenants) != len(a.tenants) {
-		return fmt.Errorf("%d tenants, want the %d of the start", len(tenants), len(a.tenants))
+		return fmt.Errorf("configuration has %d tenants, the dispatcher was started with %d", len(tenants), len(a.tenants))
 	}
 	for i, tenant := range tenants {
 		if tenant.Name != a.tenants[i].Name {
-			return fmt.Errorf("tenant %q is new or in another place, want the tenants of the start", tenant.Name)
+			return fmt.Errorf("tenant %q was added or moved, which requires a restart", tenant.Name)
 		}
 	}
 	for _, tenant := range tenants {
--- a/internal/dispatch/release.go
+++ b/internal/dispatch/release.go
@@ -6,13 +6,13 @@
 	"docksail/policy"
 )
 
-// ReleaseEarly releases the KV state of a request although an attempt that is to use it is outstanding: the attempt may
-// never reach its server.
+// ReleaseEarly releases the KV state of a request while an attempt that needs it is outstanding, because the attempt
+// may never reach its server.
 func (d *Dispatcher) ReleaseEarly(now eventloop.Nanos, req *Request) {
 	d.releaseState(now, req, "attempt may not arrive")
 }
 
-// releaseState has the KV state that is held for a request released.
+// releaseState starts to release the KV state that is held for a request, if any.
 func (d *Dispatcher) releaseState(now eventloop.Nanos, req *Request, reason string) {
 	holder, _ := req.StateHolder()
 	heldSince := req.HeldSince()
@@ -23,6 +23,7 @@
 	d.backend.Release(now, req, holder, policy.AttemptNumber(req.AttemptCount()-1), heldSince)
 }
 
+// logRelease logs that a release is requested, and why.
 func (d *Dispatcher) logRelease(now eventloop.Nanos, req *Request, reason string, server policy.ServerID) {
 	if !d.debug {
 		return
@@ -32,8 +33,8 @@
 		"since_prefill", now-req.prefilledAt, "answered", req.Answered())
 }
 
-// ReleasePermission returns whether a release may be sent now for a request, which may be done already, and whether an
-// attempt of the request is on its way to a server or there.
+// ReleasePermission returns whether a release may be sent now for a request, and whether an attempt of it may be at a
+// server or on its way there. The request may have been removed already.
 func (d *Dispatcher) ReleasePermission(id policy.RequestID,
 ) (permission inflight.ReleasePermission, attemptInFlight bool) {
 	req := d.requests.Find(id)
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -11,45 +11,45 @@
 )
 
 // Request is a request in flight: from its arrival until it is answered, no attempt is outstanding and no KV state is
-// held for it. Its record is used again for later requests.
+// held for it. Its record is reused for later requests.
 type Request struct {
 	inflight.RequestState
 	Message
 	AttemptInfo
-	// BackendState is what the backend keeps with the record. It is reset, not removed, when the record is used again.
+	// BackendState is the backend's own data. It is reset, not removed, when the record is reused.
 	BackendState BackendState
 
 	dispatcher *Dispatcher
-	attempt    Attempt // the outstanding attempt; nil = the backend has none
+	attempt    Attempt // the backend's record of the outstanding attempt; nil = none
 	clientState
 	admissionState
 	timers
 }
 
-// Message is what of a client's request is forwarded to servers.
+// Message is the part of a client's request that is forwarded to servers.
 type Message struct {
-	Raw              []byte // the client's message as it came
+	Raw              []byte // the client's message as received
 	ClientRequestID  []byte // the client's own name for the request
 	Path             []byte // the path that the client used
 	Header           []byte // header fields, as lines
-	PreviousAttempts uint32 // earlier attempts of the client, as it tells
+	PreviousAttempts uint32 // earlier attempts that the client reports
 	TraceParent      string
 }
 
-// AttemptInfo describes the outstanding attempt, or the last one.
+// AttemptInfo describes the outstanding attempt or, if there is none, the last one.
 type AttemptInfo struct {
 	Server         policy.ServerID
 	IsPrefill      bool
-	SentAt         eventloop.Nanos
+	SentAt         eventloop.Nanos // when the attempt was started, even if its message was not written yet
 	AttemptTimeout int64           // nanoseconds from SentAt
 	StartDeadline  eventloop.Nanos // the attempt must not be written to a connection at this time or later
-	// ConsecutiveStaleConns counts the attempts in a row that were lost because an idle connection had died unseen.
+	// ConsecutiveStaleConns counts the latest consecutive attempts that were lost with stale connections.
 	ConsecutiveStaleConns int
 	// ExpectedCachedTokens is how many prompt tokens the module expects the prefill server to have cached.
 	ExpectedCachedTokens int64
 
-	prefilledAt eventloop.Nanos // the last prefill attempt succeeded
-	mayHaveRun  bool            // a decode attempt was sent
+	prefilledAt eventloop.Nanos // when the last prefill attempt succeeded
+	mayHaveRun  bool            // a decode attempt was started
 }
 
 // clientState is the client's side of a request: its call and the answer so far.
@@ -57,22 +57,22 @@
 	response        frontend.ResponseWriter // nil once the request is answered
 	class           policy.ClassID
 	arrivedAt       eventloop.Nanos
-	callDeadline    eventloop.Nanos // end of the call as the client set it; 0 = none
+	callDeadline    eventloop.Nanos // end of the call that the client set; 0 = none
 	firstTokenAt    eventloop.Nanos // 0 = the answer has not begun
 	lastTokenAt     eventloop.Nanos
-	heldBackBytes   int // bytes of the answer that the client has to take before the server gets credit for them
+	uncreditedBytes int // bytes of the answer that wait for the client, for which the server gets no credit until then
 	relayedMessages int64
 }
 
-// admissionState is the request as the module and the admission queue know it.
+// admissionState describes the request to the module and to the admission queue, and its state in the queue.
 type admissionState struct {
 	policyRequest policy.Request
 	queueRequest  admission.Request
 	isQueued      bool
-	isAdmitted    bool // admitted by the queue, which has not been told of the answer
+	isAdmitted    bool // admitted by the queue, and its answer not yet reported to the queue
 }
 
-// timers are the timers of a record. Their callbacks are made once.
+// timers are the timers of a record. Their callbacks are created once per record.
 type timers struct {
 	attemptTimer     eventloop.Timer // end of the outstanding attempt, or next check of the stream
 	onAttemptTimer   func(eventloop.Nanos)
@@ -80,7 +80,7 @@
 	onAnswerDeadline func(eventloop.Nanos)
 }
 
-// reset makes the record that of a new request. Buffers, timers and the backend's state are used again.
+// reset initializes the record for a new request. It reuses the buffers, the timers and the backend's data.
 func (req *Request) reset(d *Dispatcher, id policy.RequestID, class policy.ClassID, response frontend.ResponseWriter,
 	r *frontend.Request, now eventloop.Nanos,
 ) {
@@ -107,7 +107,7 @@
 	}
 }
 
-// PolicyRequest returns the request as the module knows it.
+// PolicyRequest returns the module's description of the request.
 func (req *Request) PolicyRequest() policy.Request { return req.policyRequest }
 
 // IsStreaming reports whether the answer has begun.
@@ -118,7 +118,7 @@
 	return max(req.SentAt+req.AttemptTimeout-now, 1)
 }
 
-// deliveryState returns how far the outstanding attempt is known to have come.
+// deliveryState returns how far the delivery of the outstanding attempt is known to have progressed.
 func (req *Request) deliveryState() inflight.DeliveryState {
 	if req.attempt == nil {
 		return inflight.Planned
@@ -126,7 +126,7 @@
 	return req.attempt.DeliveryState()
 }
 
-// setStartDeadline sets the deadline of the next attempt; 0 = none.
+// setStartDeadline sets the time before which the next attempt must be sent; 0 = none.
 func (req *Request) setStartDeadline(sendBefore policy.Nanos) {
 	req.StartDeadline = math.MaxInt64
 	if sendBefore > 0 {
@@ -134,7 +134,7 @@
 	}
 }
 
-// logID returns the name of the request in log records: the client's own if it has one.
+// logID returns the name of the request in log records: the client's own name for it, if there is one.
 func (req *Request) logID() string {
 	if len(req.ClientRequestID) > 0 {
 		return string(req.ClientRequestID)
--- a/internal/dispatch/status.go
+++ b/internal/dispatch/status.go
@@ -2,13 +2,13 @@
 
 import "docksail/internal/decide/admission"
 
-// Status is the state of a dispatcher as operators see it. It is written to the status file and to the log: names and
-// order of the fields in JSON do not change.
+// Status is the state of a dispatcher. It is written to the status file and to the log, so the names and the order of
+// the fields in JSON must not change.
 type Status struct {
 	InFlight           int `json:"InHand"`
 	ClientConns        int `json:"Clients"`
 	Waiting            int
-	Flows              int
+	Flows              int     // flows of interactive requests that the admission queue remembers
 	BackgroundWaiting  int     `json:"Background"`
 	BackgroundInFlight int     `json:"BackgroundOut"`
 	BackgroundLimit    float64 `json:"Spare"` // how many background requests may be in flight
@@ -33,12 +33,12 @@
 	return status
 }
 
-// TenantStatuses returns the state of the tenants in the settings' order: one without a name where tenants are not told
-// apart, none without an admission queue.
+// TenantStatuses returns the state of the tenants in the order of the configuration: one without a name if tenants are
+// not distinguished, none without an admission queue.
 func (d *Dispatcher) TenantStatuses() []TenantStatus { return d.admission.tenantStatuses() }
 
-// SetTenantLimits changes the limits of the tenants, for waiting requests too: all of them or, with an error, none. The
-// tenants must be those of the start.
+// SetTenantLimits changes the limits of all tenants or, if it returns an error, of none. The limits apply to waiting
+// requests, too. The tenants must be those that the dispatcher was started with, in the same order.
 func (d *Dispatcher) SetTenantLimits(tenants []Tenant) error {
 	return d.admission.setTenantLimits(tenants)
 }
--- a/internal/dispatch/streaming.go
+++ b/internal/dispatch/streaming.go
@@ -7,7 +7,7 @@
 )
 
 // RelayTokens is called by the backend with a piece of the answer to a request. wireBytes is its size on the
-// connection to the server. It reports whether the server has to be held back until Attempt.CreditWindow is called.
+// connection to the server. It reports whether the server must be paused until Attempt.CreditWindow is called.
 // The request may be removed by the call.
 func (d *Dispatcher) RelayTokens(now eventloop.Nanos, req *Request, piece []byte, wireBytes int) (holdBack bool) {
 	if req.Answered() { // nobody reads it
@@ -24,11 +24,11 @@
 	if !req.response.WriteTokens(req.ID, piece) {
 		return false
 	}
-	req.heldBackBytes += wireBytes
+	req.uncreditedBytes += wireBytes
 	return true
 }
 
-// streamStarted records and reports the first token of an answer.
+// streamStarted records the first token of an answer and reports it to the admission control and the module.
 func (d *Dispatcher) streamStarted(now eventloop.Nanos, req *Request) {
 	attempt, _ := req.OutstandingAttempt()
 	req.firstTokenAt, req.lastTokenAt = now, now
@@ -39,15 +39,15 @@
 	d.checkStream(now, req)
 }
 
-// checkStream ends an answer that has begun and that is not worth waiting for any more, or sets the timer of the next
-// check.
+// checkStream ends a streaming answer if the server or the client has stalled or the deadline is reached. Otherwise it
+// sets the timer of the next check.
 func (d *Dispatcher) checkStream(now eventloop.Nanos, req *Request) {
-	times := &d.classTimes[req.class]
+	settings := &d.classSettings[req.class]
 	verdict, nextCheck := streamwatch.Check(now, streamwatch.Stream{
 		FirstTokenAt: req.firstTokenAt, LastTokenAt: req.lastTokenAt,
-		TargetTokenGap: times.tokenGap, FirstTokenTarget: times.target,
+		TargetTokenGap: settings.interTokenTarget, FirstTokenTarget: settings.latencyTarget,
 		CallDeadline: req.callDeadline, AnswerLeadTime: d.answerLeadTime, MaxSilence: d.maxSilence,
-		ClientBlocked: req.heldBackBytes > 0,
+		ClientBlocked: req.uncreditedBytes > 0,
 	})
 	if verdict == streamwatch.Continue {
 		d.SetAttemptTimer(req, nextCheck)
--- a/internal/dispatch/submit.go
+++ b/internal/dispatch/submit.go
@@ -10,26 +10,27 @@
 	"docksail/policy"
 )
 
+// noTenant is the tenant of requests that have none.
 const noTenant policy.TenantID = -1
 
-// Submit implements frontend.Dispatcher. It accepts a request and returns its ID, or an error that says why not: a
-// frontend.RejectionError if the request may be tried again, else one that wraps frontend.ErrInvalidRequest.
+// Submit implements frontend.Dispatcher. It accepts a request and returns its ID. Otherwise it returns a
+// frontend.RejectionError if the client may retry, or an error that wraps frontend.ErrInvalidRequest.
 func (d *Dispatcher) Submit(now eventloop.Nanos, response frontend.ResponseWriter, r *frontend.Request,
 ) (policy.RequestID, error) {
 	class, tenant, err := d.classAndTenant(r)
 	if err != nil {
 		return 0, err
 	}
-	times := &d.classTimes[class]
-	timeLeft := times.timeLeft(r) - d.answerLeadTime
-	target := times.target + times.targetPer1k*r.PromptTokens/1000
-	if err := d.checkIntake(r, timeLeft, target); err != nil {
+	settings := &d.classSettings[class]
+	timeLeft := settings.timeLeft(r) - d.answerLeadTime
+	latencyTarget := settings.latencyTarget + settings.latencyTargetPer1k*r.PromptTokens/1000
+	if err := d.checkIntake(r, timeLeft, latencyTarget); err != nil {
 		return 0, err
 	}
 	id, req := d.requests.Add()
 	deadline := now + timeLeft
 	queueRequest, err := d.admission.enqueue(now, arrival{
-		request: r, id: id, tenant: tenant, deadline: deadline, target: target,
+		request: r, id: id, tenant: tenant, deadline: deadline, latencyTarget: latencyTarget,
 	})
 	if err != nil {
 		d.requests.Remove(id)
@@ -60,10 +61,10 @@
 	return class, tenant, nil
 }
 
-// timeLeft returns how long the client of an arriving request waits: its class's timeout, or less if the request says
-// so.
-func (t *classTimes) timeLeft(r *frontend.Request) int64 {
-	left := t.timeout
+// timeLeft returns how long the client of an arriving request waits: the timeout of the class, or less if the request
+// sets a shorter one.
+func (s *classSettings) timeLeft(r *frontend.Request) int64 {
+	left := s.timeout
 	if r.FirstTokenTimeout > 0 {
 		left = min(left, r.FirstTokenTimeout)
 	}
@@ -73,9 +74,9 @@
 	return left
 }
 
-// checkIntake returns an error if the request is not accepted at all.
-func (d *Dispatcher) checkIntake(r *frontend.Request, timeLeft, target int64) error {
-	verdict, retryAfter := d.intake.Check(d.requests.Len(), r.PromptTokens, timeLeft, target)
+// checkIntake returns an error if intake does not accept the request.
+func (d *Dispatcher) checkIntake(r *frontend.Request, timeLeft, latencyTarget int64) error {
+	verdict, retryAfter := d.intake.Check(d.requests.Len(), r.PromptTokens, timeLeft, latencyTarget)
 	if verdict == intake.Accepted {
 		return nil
 	}
@@ -87,7 +88,7 @@
 		frontend.ErrInvalidRequest)
 }
 
-// policyRequest returns a request as the decision module knows it.
+// policyRequest returns the module's description of a request.
 func (d *Dispatcher) policyRequest(id policy.RequestID, class policy.ClassID, tenant policy.TenantID,
 	r *frontend.Request, deadline policy.Nanos,
 ) policy.Request {
@@ -104,14 +105,13 @@
 	}
 }
 
-// Kinds of keys, hashed with them so that a session and a prefix of one name differ.
+// Kinds of keys. The kind is part of what is hashed, so that a session and a prefix of the same name differ.
 const (
 	sessionKey byte = 's'
 	prefixKey  byte = 'b'
 )
 
-// hashKey returns the number that stands for a session or prefix of an owner, the same at every dispatcher. 0 stands
-// for no name.
+// hashKey returns the number that identifies a session or prefix of an owner at every dispatcher; 0 = no name.
 func (d *Dispatcher) hashKey(kind byte, owner policy.TenantID, name []byte) uint64 {
 	if len(name) == 0 {
 		return 0
@@ -122,8 +122,8 @@
 	return max(d.keyHash.Sum64(), 1)
 }
 
-// RequestName implements frontend.Dispatcher. The name is made of the dispatcher's incarnation and the request's ID,
-// and is unique over dispatchers and restarts.
+// RequestName implements frontend.Dispatcher. The name consists of the dispatcher's incarnation and the request's ID,
+// so it is unique over dispatchers and restarts.
 func (d *Dispatcher) RequestName(id policy.RequestID) string {
 	var b [33]byte
 	return string(strconv.AppendUint(append(strconv.AppendUint(b[:0], d.incarnation, 16), '.'), uint64(id), 16))
