--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -13,8 +13,8 @@
 	backend "docksail/internal/backend/platform"
 )
 
-// Environment variables of the platform. configVariable names the configuration file; the others apply to what the file
-// leaves out.
+// Environment variables of the platform. configVariable names the configuration file; the others provide values that
+// the file does not have.
 const (
 	configVariable    = "RELAY_CONFIG"
 	nameVariable      = "RELAY_NAME"
@@ -22,14 +22,14 @@
 	discoveryVariable = "RELAY_DISCOVERY"
 )
 
-// Limits that apply if the configuration has none.
+// Limits that apply if the configuration does not set them.
 const (
 	defaultDescriptors = 256
 	defaultMemoryMB    = 32
 )
 
 // errNoConfigFile is returned if the environment names no configuration file.
-var errNoConfigFile = errors.New(configVariable + " names no file")
+var errNoConfigFile = errors.New(configVariable + " is not set")
 
 // Config is the platform's configuration of one dispatcher.
 type Config struct {
@@ -49,8 +49,8 @@
 	Descriptors int     `json:"sockets"`
 }
 
-// LoadConfig reads the file that RELAY_CONFIG names and completes it by the other variables and the defaults. An
-// initial list that cannot be read is no error: it is left empty, and discovery is asked.
+// LoadConfig reads the file that RELAY_CONFIG names and completes it from the other variables and the defaults. An
+// invalid initial endpoint list is no error: the list is empty then, and its InvalidEntries hold the reason.
 func LoadConfig(getenv func(string) string) (*Config, error) {
 	name := getenv(configVariable)
 	if name == "" {
@@ -80,7 +80,7 @@
 	return &config, nil
 }
 
-// complete sets what the file leaves out. It returns an error if an address or the settings are missing.
+// complete sets the values that the file does not have. It returns an error if an address or the settings are missing.
 func (c *Config) complete(getenv func(string) string) error {
 	if c.Name == "" {
 		c.Name = getenv(nameVariable)
@@ -92,7 +92,7 @@
 		return err
 	}
 	if len(c.Settings) == 0 {
-		return errors.New("no settings")
+		return errors.New("settings are missing")
 	}
 	if c.Limits.Descriptors <= 0 {
 		c.Limits.Descriptors = defaultDescriptors
@@ -103,20 +103,20 @@
 	return nil
 }
 
-// completeAddr sets an address that the file leaves out from a variable.
+// completeAddr sets an address from an environment variable if the file does not have it.
 func completeAddr(addr *netip.AddrPort, variable string, getenv func(string) string) error {
 	if addr.IsValid() {
 		return nil
 	}
 	parsed, err := netip.ParseAddrPort(getenv(variable))
 	if err != nil {
-		return fmt.Errorf("no address in the file, and %s: %w", variable, err)
+		return fmt.Errorf("address is missing in the file and invalid in %s: %w", variable, err)
 	}
 	*addr = parsed
 	return nil
 }
 
-// seed returns the seed of the random source: the hexadecimal number that Seed is, else the hash of its text.
+// seed returns the seed of the random source: Seed as a hexadecimal number or, if it is not one, the hash of its text.
 func (c *Config) seed() uint64 {
 	n, err := strconv.ParseUint(c.Seed, 16, 64)
 	if err != nil {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,5 +1,5 @@
-// Package node puts a dispatcher into service on the platform: it loads the platform's configuration, creates the event
-// loop, and connects the frontend, the dispatcher with its policy, and the backend on it.
+// Package node runs a dispatcher on the platform: it loads the platform's configuration, creates the event loop, and
+// connects the frontend, the dispatcher with its policy, and the backend on it.
 package node
 
 import (
@@ -22,21 +22,22 @@
 )
 
 const (
-	// heapFraction of the memory limit is for the heap. The rest is for the program's text, stacks, and what the kernel
-	// counts as the process's.
+	// heapFraction is the fraction of the memory limit that the heap may use. The rest is for code, stacks and kernel
+	// memory of the process.
 	heapFraction = 0.6
-	// requestFraction of the heap is for requests in hand, each of which takes maxRequestBytes at most: most take a
-	// tenth of it.
+	// requestFraction is the fraction of the heap that requests in flight may use.
 	requestFraction = 0.5
+	// maxRequestBytes is the most memory that a request in flight takes.
 	maxRequestBytes = 64 << 10
-	minRequests     = 16
+	// minRequests is the least limit of requests in flight.
+	minRequests = 16
 
 	maxPromptTokens = 1 << 20
-	// silenceLimit is how long a client waits for the next event of a running server before it gives up.
-	silenceLimit = 5 * int64(time.Second)
+	// maxSilence is how long a client waits for the next event of a stream before it gives up.
+	maxSilence = 5 * int64(time.Second)
 )
 
-// Node is one dispatcher in service. Its methods may be called by any goroutine.
+// Node is a dispatcher in service. Its exported methods may be called by any goroutine.
 type Node struct {
 	loop       *eventloop.Loop
 	dispatcher *dispatch.Dispatcher
@@ -49,16 +50,15 @@
 	err        error // set before done is closed
 }
 
-// LimitResources sets how many cores and how much heap the process uses by the limits of the configuration.
+// LimitResources limits the cores and the heap that the process uses to the limits of the configuration.
 func LimitResources(config *Config) {
 	runtime.GOMAXPROCS(max(1, int(config.Limits.Cores+0.5)))
 	debug.SetMemoryLimit(int64(heapFraction * float64(config.Limits.MemoryMB<<20)))
 }
 
-// New returns a dispatcher on a loop, which listens for clients and watches the endpoint list as soon as the loop runs.
-// It must be called by the loop's goroutine, or before the loop runs. incarnation must differ from one start to the
-// next.
-func New(l *eventloop.Loop, config *Config, incarnation uint64, log *slog.Logger) (*Node, error) {
+// New returns a dispatcher on a loop. It listens for clients and watches the endpoint list as soon as the loop runs.
+// New must be called by the loop's goroutine, or before the loop runs. incarnation must be different at each start.
+func New(loop *eventloop.Loop, config *Config, incarnation uint64, log *slog.Logger) (*Node, error) {
 	platformConfig, err := platformconfig.New(config.seed(), config.Settings)
 	if err != nil {
 		return nil, err
@@ -66,13 +66,13 @@
 	clients, servers := clientconn.DescriptorShares(config.Limits.Descriptors)
 	memory := config.Limits.MemoryMB << 20
 	maxRequests := max(int(heapFraction*float64(memory)*requestFraction/maxRequestBytes), minRequests)
-	n := &Node{loop: l, log: log, policy: platformConfig.Policy, done: make(chan struct{})}
-	n.dispatcher = newDispatcher(l, log, platformConfig, maxRequests, incarnation)
+	n := &Node{loop: loop, log: log, policy: platformConfig.Policy, done: make(chan struct{})}
+	n.dispatcher = newDispatcher(loop, log, platformConfig, maxRequests, incarnation)
 	limits := frontend.Limits{Connections: clients, PartialRequestBytes: clientconn.MaxPartialRequestBytes(memory)}
-	n.frontend = frontend.New(l, n.dispatcher, limits, n.dispatcher.HasEndpointList)
-	n.backend = backend.New(l, n.dispatcher, log, platformConfig, servers, config.Discovery)
+	n.frontend = frontend.New(loop, n.dispatcher, limits, n.dispatcher.HasEndpointList)
+	n.backend = backend.New(loop, n.dispatcher, log, platformConfig, servers, config.Discovery)
 	n.dispatcher.Attach(n.frontend, n.backend)
-	n.backend.SetInitialList(l.Now(), config.InitialList)
+	n.backend.SetInitialList(loop.Now(), config.InitialList)
 	if n.addr, err = n.dispatcher.Start(config.Listen, false); err != nil {
 		return nil, fmt.Errorf("node %s: %w", config.Name, err)
 	}
@@ -80,24 +80,25 @@
 	return n, nil
 }
 
-// newDispatcher returns the dispatcher without its frontend and backend.
+// newDispatcher returns a dispatcher without its frontend and backend.
 func newDispatcher(
-	l *eventloop.Loop, log *slog.Logger, config *platformconfig.Config, maxRequests int, incarnation uint64,
+	loop *eventloop.Loop, log *slog.Logger, config *platformconfig.Config, maxRequests int, incarnation uint64,
 ) *dispatch.Dispatcher {
-	return dispatch.NewDirect(l, log, &dispatch.Config{
+	return dispatch.NewDirect(loop, log, &dispatch.Config{
 		Module:        config.Policy,
 		ClassNames:    config.ClassNames,
 		Classes:       config.Classes,
 		TenantNames:   config.Tenants,
 		Intake:        intake.Limits{MaxRequests: maxRequests, MaxPromptTokens: maxPromptTokens},
 		MaxRetryAfter: int64(config.MaxRetryAfter),
-		MaxSilence:    silenceLimit,
+		MaxSilence:    maxSilence,
 		Incarnation:   incarnation,
 	})
 }
 
-// pauseUntilFirstList accepts no clients until discovery has sent a list or its time is up: what discovery knows when
-// the process starts counts as delivered to it, so no request may be sent by an older list.
+// pauseUntilFirstList accepts no clients until discovery has sent a list or discovery.InitialListTimeout has passed.
+// The platform regards what discovery knows when the process starts as delivered to it, so requests must not be routed
+// by an older list.
 func (n *Node) pauseUntilFirstList() {
 	n.frontend.PauseAccepting(true)
 	resume := func() { n.frontend.PauseAccepting(false) }
@@ -106,35 +107,36 @@
 	n.loop.SetTimer(&timer, n.loop.Now()+discovery.InitialListTimeout, func(eventloop.Nanos) { resume() })
 }
 
-// Start returns a dispatcher in service, whose loop runs on a goroutine of its own.
+// Start starts a dispatcher whose loop runs on a goroutine of its own.
 func Start(config *Config, log *slog.Logger) (*Node, error) {
-	l, err := eventloop.New()
+	loop, err := eventloop.New()
 	if err != nil {
 		return nil, err
 	}
-	n, err := New(l, config, uint64(time.Now().UnixNano()), log)
+	n, err := New(loop, config, uint64(time.Now().UnixNano()), log)
 	if err != nil {
-		l.Close()
+		loop.Close()
 		return nil, err
 	}
 	go func() {
 		defer close(n.done)
-		n.err = l.Run(n.dispatcher.RunIteration)
-		l.Close()
+		n.err = loop.Run(n.dispatcher.RunIteration)
+		loop.Close()
 	}()
 	return n, nil
 }
 
-// Reload applies what may change while a dispatcher runs: the address of discovery.
+// Reload applies the only setting that may change while a dispatcher runs, the address of discovery.
 func (n *Node) Reload(config *Config) {
 	n.loop.Post(func() { n.backend.SetDiscoveryAddr(n.loop.Now(), config.Discovery) })
 }
 
-// Drain begins a graceful shutdown: new clients are refused, and the loop ends with the last connection.
+// Drain starts a graceful shutdown: new clients are refused, and the loop ends when no client is connected and no
+// request or release is in progress.
 func (n *Node) Drain() { n.loop.Post(func() { n.dispatcher.DrainWithoutDeadline(n.loop.Stop) }) }
 
 // Done returns a channel that is closed when the loop has ended.
 func (n *Node) Done() <-chan struct{} { return n.done }
 
-// Err returns the error that ended the loop; nil after a drain. It may be called once Done is closed.
+// Err returns the error that ended the loop, or nil after a drain. It may be called only after Done is closed.
 func (n *Node) Err() error { return n.err }
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -9,9 +9,9 @@
 	"docksail/policy"
 )
 
-// Status is the state of a dispatcher. The names of the fields appear in the log record "counts".
+// Status is the state of a dispatcher. The names of the fields are keys of the log record "counts".
 type Status struct {
-	Requests       int // in hand
+	Requests       int // in flight
 	Clients        int // open connections
 	Servers        int
 	ServerConns    int // open connections
@@ -22,13 +22,14 @@
 	ServerStatuses []ServerStatus `json:"-"`
 }
 
-// ServerStatus is what the policy assumes of a server beside what its connections show.
+// ServerStatus combines the policy's estimate of a server with the statistics of its connections.
 type ServerStatus struct {
 	policy.ServerEstimate
 	backend.ServerStats
 }
 
-// HasMismatch reports whether the two differ in the attempts in flight: a fault of the program.
+// HasMismatch reports whether the estimate and the statistics differ in the number of attempts in flight, which
+// indicates a bug.
 func (s *ServerStatus) HasMismatch() bool {
 	if s.Prefill {
 		return int(s.UnansweredAttempts) != s.InFlightAttempts
@@ -36,14 +37,15 @@
 	return int(s.Streams) != s.InFlightAttempts
 }
 
-// InUse reports whether the dispatcher has an attempt or a connection at the server, or keeps requests from it.
+// InUse reports whether the dispatcher has an attempt in flight at the server or an idle connection to it, or has
+// ejected it, or its numbers do not match.
 func (s *ServerStatus) InUse() bool {
 	return s.UnansweredAttempts > 0 || s.Streams > 0 || s.InFlightAttempts > 0 || s.IdleConns > 0 ||
 		s.Ejected || s.HasMismatch()
 }
 
-// Status returns the present state, which it asks the loop for. It reports false if the loop has ended or its queue of
-// calls is full. It may be called by any goroutine but the loop's.
+// Status returns the current state, which it reads on the loop's goroutine. It reports false if the loop has ended or
+// its queue of calls is full. It must not be called by the loop's goroutine.
 func (n *Node) Status() (Status, bool) {
 	result := make(chan Status, 1)
 	if !n.loop.Post(func() { result <- n.status() }) {
@@ -58,7 +60,7 @@
 	}
 }
 
-// status returns the state but for the heap. It belongs to the loop.
+// status returns the state without the heap. It must be called by the loop's goroutine.
 func (n *Node) status() Status {
 	return Status{
 		Requests:       n.dispatcher.InFlight(),
@@ -72,7 +74,7 @@
 	}
 }
 
-// serverStatuses returns the status of every server that the policy knows. It belongs to the loop.
+// serverStatuses returns the status of each server that the policy knows. It must be called by the loop's goroutine.
 func (n *Node) serverStatuses() []ServerStatus {
 	var statuses []ServerStatus
 	now := n.loop.Now()
@@ -84,7 +86,8 @@
 	return statuses
 }
 
-// heapBytes returns the memory that objects take. Other than runtime.ReadMemStats it does not stop the program.
+// heapBytes returns the memory that objects occupy on the heap. Unlike runtime.ReadMemStats, it does not stop the
+// program.
 func heapBytes() uint64 {
 	sample := []metrics.Sample{{Name: "/memory/classes/heap/objects:bytes"}}
 	metrics.Read(sample)
