--- a/internal/backend/platform/attempt.go
+++ b/internal/backend/platform/attempt.go
@@ -13,14 +13,14 @@
 	"docksail/policy"
 )
 
-// StartAttempt implements dispatch.Backend. A prefill attempt waits until no release of the request is pending: a
-// release that followed it would drop its state.
+// StartAttempt implements dispatch.Backend. A prefill attempt waits until no release of the request is pending, since
+// a release that reaches the server after the attempt would also release the attempt's state.
 func (b *Backend) StartAttempt(
 	now eventloop.Nanos, req *dispatch.Request, _ policy.AttemptNumber,
 ) dispatch.Attempt {
 	if tracker := b.releaseTrackers[req.ID]; tracker != nil && req.IsPrefill && tracker.releasePending() {
 		tracker.waiting.request = req
-		tracker.schedule(now) // not at once: the dispatcher does not hold the attempt yet
+		tracker.schedule(now) // deferred: the dispatcher records the attempt after this call
 		return &tracker.waiting
 	}
 	if c := b.sendAttempt(now, req); c != nil {
@@ -56,8 +56,8 @@
 	return c
 }
 
-// armEarlyRelease sets the timer for the release of the state that the attempt is to use, in case there is no sign by
-// then that the attempt has reached its server.
+// armEarlyRelease sets the timer that releases the state which the attempt needs, unless the attempt is acknowledged by
+// then.
 func (c *conn) armEarlyRelease(now eventloop.Nanos) {
 	at, due := c.exchange.request.EarlyReleaseTime(c.exchange.operation.State(), c.backend.releaseTime)
 	if due {
@@ -65,8 +65,8 @@
 	}
 }
 
-// writeAttempt writes the request as its client sent it. If it must not be sent any more, the connection is closed
-// and the reason returned.
+// writeAttempt writes the request as its client sent it. If it must not be sent any more, writeAttempt closes the
+// connection and returns the reason.
 func (c *conn) writeAttempt(now eventloop.Nanos) error {
 	req := c.exchange.request
 	if err := c.checkSend(now); err != nil {
@@ -112,24 +112,24 @@
 		Now:             now,
 		StartDeadline:   req.StartDeadline,
 		ServerServing:   c.server.health == policy.Serving,
-		ReleaseInFlight: tracker != nil && len(tracker.pending) > 0 && !tracker.besidePrefill,
+		ReleaseInFlight: tracker != nil && len(tracker.pending) > 0 && !tracker.concurrentWithPrefill,
 	})
 }
 
-// attemptResult is what a complete response says of an attempt.
+// attemptResult describes the complete response to an attempt.
 type attemptResult struct {
 	statusCode int
-	rejected   bool // the server has not run the request
+	rejected   bool // the server reports that it has not run the request
 	isStream   bool
 	streaming  bool // events of the stream have been relayed
 }
 
-// outcome returns the outcome that the response to an attempt stands for.
+// outcome returns the outcome of the attempt.
 func (r attemptResult) outcome(prefill bool) policy.Outcome {
 	switch {
 	case r.isStream && r.streaming:
 		return policy.Served
-	case r.isStream: // it ended before its first event
+	case r.isStream: // the stream ended before its first event
 		return policy.ConnectionLost
 	case r.statusCode == http.StatusAccepted && prefill:
 		return policy.Prefilled
@@ -141,7 +141,7 @@
 	return policy.Failed
 }
 
-// refusesRequest reports whether the server finds the request itself invalid, as any other server would.
+// refusesRequest reports whether the server found the request itself invalid, as any other server would.
 func (r attemptResult) refusesRequest() bool {
 	return !r.isStream && (r.statusCode == http.StatusBadRequest || r.statusCode == http.StatusNotFound)
 }
@@ -160,8 +160,8 @@
 	c.backend.dispatcher.FinishAttempt(now, req, outcome, "", c.exchange.response.loadReport)
 }
 
-// recordCachedTokens counts how much of a prompt the server had cached, if the response to the prefill attempt
-// says so.
+// recordCachedTokens counts how many tokens of a prompt the server had cached, if the response to the prefill attempt
+// states a valid number.
 func (c *conn) recordCachedTokens(req *dispatch.Request) {
 	var body struct {
 		CachedTokens *int64 `json:"cached_tokens"`
@@ -181,7 +181,7 @@
 	}
 }
 
-// trackLostAttempt follows an attempt that was lost with its connection: its server may still work on it.
+// trackLostAttempt tracks an attempt whose connection was lost, since its server may still run it.
 func (c *conn) trackLostAttempt(now eventloop.Nanos, req *dispatch.Request) {
 	if tracker := c.backend.trackerFor(req); tracker != nil {
 		tracker.decisions.AttemptAbandoned(now, now+c.backend.maxClassTimeout)
@@ -189,8 +189,8 @@
 	}
 }
 
-// Finish implements dispatch.Attempt. A server learns that an attempt is abandoned by the end of what is sent to
-// it, or of the connection.
+// Finish implements dispatch.Attempt. It abandons an attempt that is still in progress and closes the connection or
+// only its output, by which the server learns that the attempt is canceled.
 func (c *conn) Finish(now eventloop.Nanos) (mayHaveBeenReceived bool) {
 	req := c.exchange.request
 	if req == nil {
@@ -219,7 +219,7 @@
 // AfterFinish implements dispatch.Attempt.
 func (c *conn) AfterFinish(eventloop.Nanos) {}
 
-// CreditWindow implements dispatch.Attempt: the client has room again, so the server's output is read on.
+// CreditWindow implements dispatch.Attempt: it resumes reading the server's output.
 func (c *conn) CreditWindow(int) {
 	if !c.removed {
 		c.socket.SetReadPaused(false)
--- a/internal/backend/platform/backend.go
+++ b/internal/backend/platform/backend.go
@@ -3,10 +3,9 @@
 //
 // A Backend belongs to one event loop; all of its methods and callbacks run there. It holds the servers of the
 // endpoint list (server), the pool of connections to them (conn), the request that each connection carries
-// (exchange) and the releases of state that attempts may have left behind (releaseTracker). It reports what
-// becomes of attempts to the dispatcher. What may be sent, repeated or closed is decided in
-// internal/decide/inflight, the use of connections in internal/decide/serverconn, and the timing of discovery in
-// internal/decide/discovery.
+// (exchange) and the releases of state that attempts may have left behind (releaseTracker). It reports the outcomes of
+// attempts to the dispatcher. Package inflight decides what may be sent, repeated or closed, package serverconn how
+// connections are used, and package discovery when discovery is called; all three are in internal/decide.
 package platform
 
 import (
@@ -25,7 +24,7 @@
 	"docksail/policy"
 )
 
-// defaultConnectTimeout applies if the settings name no timeout.
+// defaultConnectTimeout applies if the settings have no connect timeout.
 const defaultConnectTimeout = eventloop.Nanos(250e6)
 
 // Backend sends attempts and releases to the platform's model servers. It implements dispatch.Backend.
@@ -35,12 +34,12 @@
 	loop       *eventloop.Loop
 	dispatcher *dispatch.Dispatcher
 	log        *slog.Logger
-	debug      bool // records of single requests are logged
+	debug      bool // records about single requests are logged
 
-	// Names of the settings, by number.
+	// Names in the settings, indexed by the module's IDs.
 	zones []string
 	kinds []string
-	roles []policy.Role // of the kinds
+	roles []policy.Role // by kind
 
 	servers   []*server // in the order in which they were first listed
 	byName    map[string]*server
@@ -52,26 +51,26 @@
 	maxConns       int
 	openConns      int
 	lastConnNumber uint64
-	idleConns      indexedheap.Heap[*conn] // the one that has been idle for longest first
+	idleConns      indexedheap.Heap[*conn] // the longest idle one is first
 
 	releaseTrackers map[policy.RequestID]*releaseTracker
-	releaseTime     eventloop.Nanos // within which the state of an ended attempt must be released
-	maxClassTimeout eventloop.Nanos // the longest for which a server may work on an abandoned attempt
+	releaseTime     eventloop.Nanos // time within which the state of an ended attempt must be released
+	maxClassTimeout eventloop.Nanos // how long a server may run an abandoned attempt at most
 
 	rng        *rand.Rand
-	scratch    []byte                        // for the message that is being written
-	candidates []serverconn.ReleaseCandidate // scratch of chooseServer
+	scratch    []byte                        // buffer for the message that is being written
+	candidates []serverconn.ReleaseCandidate // scratch buffer of chooseServer
 }
 
-// New returns a backend with at most maxConns connections to servers, which asks for its endpoint list at
-// discoveryAddr.
+// New returns a backend with at most maxConns connections to servers. It fetches the endpoint list from the discovery
+// service at discoveryAddr.
 func New(
-	l *eventloop.Loop, d *dispatch.Dispatcher, log *slog.Logger, config *platformconfig.Config,
+	loop *eventloop.Loop, dispatcher *dispatch.Dispatcher, log *slog.Logger, config *platformconfig.Config,
 	maxConns int, discoveryAddr netip.AddrPort,
 ) *Backend {
 	b := &Backend{
-		loop:            l,
-		dispatcher:      d,
+		loop:            loop,
+		dispatcher:      dispatcher,
 		log:             log,
 		debug:           log.Enabled(context.Background(), slog.LevelDebug),
 		zones:           config.Zones,
@@ -98,18 +97,18 @@
 }
 
 // Start implements dispatch.Backend: it begins to watch the endpoint list.
-func (b *Backend) Start(now eventloop.Nanos) { b.discovery.watch(now) }
+func (b *Backend) Start(now eventloop.Nanos) { b.discovery.openWatch(now) }
 
 // WatchEndpoints implements dispatch.Backend.
-func (b *Backend) WatchEndpoints(now eventloop.Nanos) { b.discovery.watch(now) }
+func (b *Backend) WatchEndpoints(now eventloop.Nanos) { b.discovery.openWatch(now) }
 
-// SetDiscoveryAddr has the endpoint list watched at another address. The watch in force ends when the new one has
-// delivered a list. Versions are those of one discovery service, so the new one is asked for its complete list.
+// SetDiscoveryAddr changes the address of discovery. The current watch ends when the one at the new address is
+// established. Versions of lists are specific to a discovery service, so the new one is asked for a complete list.
 func (b *Backend) SetDiscoveryAddr(now eventloop.Nanos, addr netip.AddrPort) {
 	b.discovery.setAddr(now, addr)
 }
 
-// OnFirstList has f called once, after the first list that discovery sends to this process.
+// OnFirstList sets a function that is called once, after the first list that discovery sends to this process.
 func (b *Backend) OnFirstList(f func()) { b.discovery.onFirstList = f }
 
 // IsPrefill implements dispatch.Backend.
@@ -118,8 +117,8 @@
 	return srv != nil && srv.role == policy.Prefill, srv != nil
 }
 
-// ServerName implements dispatch.Backend. It returns the server's name in the endpoint list, or its ID if the backend
-// does not keep the server any more.
+// ServerName implements dispatch.Backend. It returns the server's name in the endpoint list, or its ID if the server
+// was removed.
 func (b *Backend) ServerName(id policy.ServerID) string {
 	if srv := b.byID[id]; srv != nil {
 		return srv.name
@@ -130,7 +129,7 @@
 // Flush implements dispatch.Backend. It does nothing: connections write at the end of the iteration by themselves.
 func (b *Backend) Flush() {}
 
-// IsIdle implements dispatch.Backend. It reports whether no release is requested; each is pursued for a bounded time.
+// IsIdle implements dispatch.Backend. It reports whether no release is requested. Releases expire after a limited time.
 func (b *Backend) IsIdle() bool {
 	for _, tracker := range b.releaseTrackers {
 		if tracker.decisions.ReleaseRequested() {
@@ -143,13 +142,13 @@
 // Close implements dispatch.Backend. It does nothing: the event loop closes the connections.
 func (b *Backend) Close() {}
 
-// recordViolation counts and logs an action that the rules of inflight forbid: a fault of the program.
+// recordViolation counts and logs an action that the rules of inflight forbid, which indicates a bug.
 func (b *Backend) recordViolation(clientID []byte, srv *server, err error) {
 	b.Counts.Violations++
 	b.log.Error("rule violated", "request_id", string(clientID), "server_id", srv.name, "error", err)
 }
 
-// logDeliveryState logs that an operation of a request has reached another state; c carries or carried it.
+// logDeliveryState logs that an operation has reached another state. c carries or carried the operation.
 func (b *Backend) logDeliveryState(clientID []byte, c *conn, from, to inflight.DeliveryState) {
 	if b.debug {
 		b.log.Debug("delivery state changed", "request_id", string(clientID), "operation", c.exchange.operation.Kind,
--- a/internal/backend/platform/conn.go
+++ b/internal/backend/platform/conn.go
@@ -11,31 +11,31 @@
 
 // conn is one connection to a server: its socket, its place in the pool, and the exchange that it carries.
 //
-// It is connecting, busy with an exchange, idle in the pool, or lingering: the exchange was abandoned, its output
-// has been closed, and the end that the server makes of it is awaited. It implements eventloop.Handler, and
-// dispatch.Attempt for the attempt that it carries.
+// It is connecting, busy with an exchange, idle in the pool, or lingering: the exchange was abandoned, the output is
+// closed, and the connection stays open until the server confirms the end of the exchange. It implements
+// eventloop.Handler, and dispatch.Attempt for the attempt that it carries.
 type conn struct {
 	backend   *Backend
 	server    *server
 	socket    *eventloop.Conn
-	number    uint64 // in the order of their dialing
+	number    uint64 // numbers connections in the order in which they were dialed
 	connected bool
-	removed   bool // closed, and no longer counted
+	removed   bool // closed, and no longer counted in Backend.openConns
 	input     h1.InputBuffer
 
 	// In the pool.
 	idle      bool
-	idleSince eventloop.Nanos // also of the last time it was idle
+	idleSince eventloop.Nanos // start of the current or the last idle time
 	heapIndex int             // in Backend.idleConns
 	useCount  int             // exchanges that it has carried
-	timer     eventloop.Timer // closes it when idle; with an attempt on it, see handleTimer
+	timer     eventloop.Timer // see handleTimer
 	onTimer   func(eventloop.Nanos)
 
 	exchange exchange // in progress, or the last
 
 	// Lingering.
-	lingersFor  *releaseTracker // of the request whose attempt was abandoned on it
-	abandonedAt eventloop.Nanos
+	lingerTracker *releaseTracker // of the request whose attempt was abandoned; nil = not lingering
+	abandonedAt   eventloop.Nanos
 }
 
 // close closes the connection at once.
@@ -44,8 +44,8 @@
 	c.detach()
 }
 
-// detach removes the connection from its server and from the counts at once: Closed follows only in a later
-// iteration.
+// detach removes the connection from its server and from the counts at once, since Closed is called only in a later
+// iteration of the loop.
 func (c *conn) detach() {
 	if c.removed {
 		return
@@ -60,9 +60,8 @@
 	c.backend.removeIfUnused(c.server)
 }
 
-// handleTimer closes the connection if it has been idle for long enough. If it carries an attempt that is to use a
-// held state and is not known to have reached its server, the state is released now: beside the attempt if that
-// may be on its way, else the attempt is given up.
+// handleTimer closes the connection if it is idle. If it carries an unacknowledged attempt that needs held state, the
+// state is released: an attempt that was not written yet ends, one that may be on its way to the server continues.
 func (c *conn) handleTimer(now eventloop.Nanos) {
 	req := c.exchange.request
 	switch {
@@ -109,7 +108,7 @@
 // Received implements eventloop.Handler.
 func (c *conn) Received(now eventloop.Nanos, p []byte) {
 	c.server.lastHeardAt = now
-	if c.lingersFor != nil { // the server has answered the abandoned attempt, so it is done with it
+	if c.lingerTracker != nil { // a response confirms the end of the abandoned attempt
 		c.confirmEnd(now)
 		return
 	}
@@ -125,9 +124,9 @@
 	c.input.Process(p, func(p []byte) int { return c.decodeResponse(now, p) })
 }
 
-// PeerHalfClosed implements eventloop.Handler. A response without a length ends with it.
+// PeerHalfClosed implements eventloop.Handler. It is the end of a response without a length.
 func (c *conn) PeerHalfClosed(now eventloop.Nanos) {
-	if c.lingersFor != nil {
+	if c.lingerTracker != nil {
 		c.confirmEnd(now)
 		return
 	}
@@ -145,7 +144,7 @@
 	if c.removed {
 		return
 	}
-	if c.lingersFor != nil {
+	if c.lingerTracker != nil {
 		c.handleLingeringClosed(now)
 		return
 	}
--- a/internal/backend/platform/discovery.go
+++ b/internal/backend/platform/discovery.go
@@ -8,31 +8,31 @@
 	"docksail/internal/h1"
 )
 
-// noVersion stands for the version of a list while discovery has sent none: the complete list is asked for then.
+// noVersion is the version before discovery has sent a list. The watch asks for a complete list then.
 const noVersion = -1
 
-// discovery keeps a watch on the endpoint list open. While the address changes there are two: the one in force,
-// and the next, which replaces it once it has delivered a list.
+// discovery keeps a watch on the endpoint list open. While the address changes there are two watches: the current one,
+// and the next one, which replaces it once it has delivered a list or white space between lists.
 type discovery struct {
 	backend       *Backend
-	addr          netip.AddrPort // of the configuration
-	listOnRequest bool           // the settings have lists asked for, not pushed
+	addr          netip.AddrPort // from the configuration
+	listOnRequest bool           // by the settings, discovery sends lists on request only
 	current       *watch
 	next          *watch
-	failedWatches int   // in a row
-	rejectedCalls int   // in a row
-	version       int64 // of the last list from addr, or noVersion
+	failedWatches int   // consecutive
+	rejectedCalls int   // consecutive
+	version       int64 // of the latest list from addr, or noVersion
 	timer         eventloop.Timer
 	onTimer       func(eventloop.Nanos)
-	onFirstList   func() // called and cleared with the first list
+	onFirstList   func() // called once, with the first list; nil afterwards
 }
 
 func (d *discovery) init(b *Backend, addr netip.AddrPort, listOnRequest bool) {
-	*d = discovery{backend: b, addr: addr, listOnRequest: listOnRequest, version: noVersion, onTimer: d.watch}
+	*d = discovery{backend: b, addr: addr, listOnRequest: listOnRequest, version: noVersion, onTimer: d.openWatch}
 }
 
-// watch begins a watch, unless one at the address is in force or being opened.
-func (d *discovery) watch(now eventloop.Nanos) {
+// openWatch opens a watch, unless there is a current one at the address or one is being opened.
+func (d *discovery) openWatch(now eventloop.Nanos) {
 	if d.next != nil || d.current != nil && d.current.addr == d.addr {
 		return
 	}
@@ -50,13 +50,13 @@
 	w.socket, d.next = socket, w
 }
 
-// scheduleRetry has watch called after a backoff.
+// scheduleRetry schedules openWatch after a backoff.
 func (d *discovery) scheduleRetry(now eventloop.Nanos) {
 	delay := decide.RetryDelay(d.failedWatches, d.rejectedCalls, d.backend.rng.Float64())
 	d.backend.loop.SetTimer(&d.timer, now+max(delay, 1), d.onTimer)
 }
 
-// setAddr has the list watched at another address.
+// setAddr changes the address of discovery and opens a watch there.
 func (d *discovery) setAddr(now eventloop.Nanos, addr netip.AddrPort) {
 	if addr == d.addr {
 		return
@@ -66,10 +66,10 @@
 		d.next.end()
 		d.next = nil
 	}
-	d.watch(now)
+	d.openWatch(now)
 }
 
-// makeCurrent puts the next watch in force and ends the one that it replaces.
+// makeCurrent makes the next watch the current one and ends the one that it replaces.
 func (d *discovery) makeCurrent(w *watch) {
 	if d.next != w {
 		return
@@ -82,9 +82,8 @@
 	d.backend.log.Info("discovery watch established", "address", w.addr)
 }
 
-// applyList applies a list or a change of it that a watch has delivered. A change that is older than the last one is
-// ignored. Until the watch at a new address has delivered a list, those of the old address are applied whatever their
-// version.
+// applyList applies a complete list or a change that a watch has delivered. A change is ignored if its version is older
+// than the latest. Lists from a former address, whose watch is still current, are applied regardless of their version.
 func (d *discovery) applyList(now eventloop.Nanos, w *watch, list EndpointList) {
 	if w.addr == d.addr {
 		if !list.Full && list.Version < d.version {
@@ -99,14 +98,14 @@
 	}
 }
 
-// handleLost replaces a watch whose connection has ended: at once if it was in force and silent for too long, else
-// after a backoff.
+// handleLost replaces a watch whose connection has ended: at once if it was the current one and timed out, else after a
+// backoff.
 func (d *discovery) handleLost(now eventloop.Nanos, w *watch) {
 	switch w {
 	case d.current:
 		d.current = nil
 		if w.timedOut {
-			d.watch(now)
+			d.openWatch(now)
 			return
 		}
 	case d.next:
@@ -115,7 +114,7 @@
 		switch {
 		case w.rejected:
 			d.rejectedCalls++
-		case !w.timedOut: // it was not reached at all
+		case !w.timedOut: // discovery could not be reached
 			d.rejectedCalls = 0
 		}
 	}
--- a/internal/backend/platform/discoverywatch.go
+++ b/internal/backend/platform/discoverywatch.go
@@ -13,7 +13,7 @@
 	"docksail/internal/h1"
 )
 
-// watch is one call to discovery, whose response is a stream of endpoint lists. It implements eventloop.Handler.
+// watch is a call to discovery whose response is a stream of endpoint lists. It implements eventloop.Handler.
 type watch struct {
 	discovery *discovery
 	addr      netip.AddrPort
@@ -23,27 +23,27 @@
 	objects   objectSplitter
 	timer     eventloop.Timer
 	ended     bool
-	timedOut  bool // it was closed because nothing came in time
+	timedOut  bool // it was closed because no data came in time
 	rejected  bool // the status of the response is not 200
 }
 
-// errResponseEnded is the end of a watch's response, which is to last as long as the process.
-var errResponseEnded = errors.New("end of the response")
+// errResponseEnded is returned if discovery ends the response to a watch, which should have no end.
+var errResponseEnded = errors.New("response ended")
 
-// statusError is the status of a response if it is not 200.
+// statusError is the error of a response whose status is not 200.
 type statusError int
 
 // Error implements error.
 func (e statusError) Error() string { return fmt.Sprintf("response with status %d, want 200", int(e)) }
 
-// end ends a watch that is no longer needed.
+// end closes a watch that is no longer needed.
 func (w *watch) end() {
 	w.ended = true
 	w.discovery.backend.loop.CancelTimer(&w.timer)
 	w.socket.Close()
 }
 
-// Opened implements eventloop.Handler: it sends the call.
+// Opened implements eventloop.Handler: it sends the request.
 func (w *watch) Opened(now eventloop.Nanos) {
 	b := []byte("GET /registry/instances?watch=1")
 	if version := w.discovery.version; version >= 0 {
@@ -57,13 +57,13 @@
 	w.resetTimeout(now, w.responseTimeout())
 }
 
-// responseTimeout returns the time within which the response must begin, and then deliver its first list.
+// responseTimeout returns the time within which the response must begin and, after that, its first list must arrive.
 func (w *watch) responseTimeout() eventloop.Nanos {
 	return decide.ResponseTimeout(w.discovery.listOnRequest, w.discovery.rejectedCalls)
 }
 
-// resetTimeout sets the time within which the next sign of life must come: the head of the response, then a complete
-// list or the blank line between two. Bytes of a list that is not complete are no sign of life.
+// resetTimeout restarts the timeout within which the head of the response or, after it, a complete list or white space
+// between two lists must arrive. Bytes of an incomplete list do not restart it.
 func (w *watch) resetTimeout(now, timeout eventloop.Nanos) {
 	w.discovery.backend.loop.SetTimer(&w.timer, now+timeout, func(eventloop.Nanos) {
 		w.timedOut = true
@@ -76,7 +76,7 @@
 	w.input.Process(p, func(p []byte) int { return w.decode(now, p) })
 }
 
-// decode decodes bytes of the response and returns how many of them it has taken.
+// decode decodes bytes of the response and returns how many it has consumed.
 func (w *watch) decode(now eventloop.Nanos, p []byte) (n int) {
 	for !w.ended {
 		event, data, size, err := w.decoder.Next(p[n:])
@@ -96,7 +96,7 @@
 	return len(p)
 }
 
-// handleEvent takes a part of the response. An error ends the watch.
+// handleEvent handles a part of the response. An error ends the watch.
 func (w *watch) handleEvent(now eventloop.Nanos, event h1.Event, data []byte) error {
 	switch event {
 	case h1.MessageHead:
@@ -113,7 +113,7 @@
 	}
 }
 
-// handleBody takes a piece of the stream of lists.
+// handleBody handles a piece of the stream of lists.
 func (w *watch) handleBody(now eventloop.Nanos, data []byte) error {
 	if err := w.objects.feed(data, func(text []byte) error { return w.handleObject(now, text) }); err != nil {
 		return err
@@ -125,7 +125,7 @@
 	return nil
 }
 
-// handleObject takes one list of the stream.
+// handleObject handles one list of the stream.
 func (w *watch) handleObject(now eventloop.Nanos, text []byte) error {
 	var list EndpointList
 	if err := json.Unmarshal(text, &list); err != nil {
--- a/internal/backend/platform/endpointlist.go
+++ b/internal/backend/platform/endpointlist.go
@@ -6,12 +6,12 @@
 	"fmt"
 )
 
-// EndpointList is the platform's list of servers or, unless it is full, a change of it.
+// EndpointList is the platform's list of servers if it is full, else a change of that list.
 type EndpointList struct {
 	Version        int64      `json:"version"`
 	Full           bool       `json:"full"`
 	Endpoints      []Endpoint `json:"servers"`
-	InvalidEntries []error    `json:"-"` // why entries could not be read; Endpoints has the others
+	InvalidEntries []error    `json:"-"` // errors of the entries that could not be read
 }
 
 // Endpoint is one entry of an endpoint list.
@@ -25,11 +25,12 @@
 	StartedMS float64 `json:"started_ms"` // Unix milliseconds
 }
 
-// errNoReadableEndpoints is returned for a full list that has no servers, or only unreadable ones. A list with an
-// empty array of servers is valid: it says that there are none.
+// errNoReadableEndpoints is returned for a full list that lacks the array of servers, or whose entries are all
+// unreadable. An empty array is valid: there are no servers then.
 var errNoReadableEndpoints = errors.New("full endpoint list without a readable server")
 
-// UnmarshalJSON reads a list entry by entry, so that an invalid entry does not invalidate the others.
+// UnmarshalJSON implements json.Unmarshaler. It decodes each entry separately, so that an invalid entry does not
+// invalidate the others.
 func (l *EndpointList) UnmarshalJSON(text []byte) error {
 	var raw struct {
 		Version int64             `json:"version"`
@@ -52,8 +53,8 @@
 	return nil
 }
 
-// addEntry adds an entry to the list. One that is invalid but names its server is added without a state, by which a
-// server that is known stays as it is.
+// addEntry adds an entry to the list. An invalid entry that names its server is added without a state, so that a known
+// server keeps its listing.
 func (l *EndpointList) addEntry(entry json.RawMessage) {
 	var endpoint Endpoint
 	if err := json.Unmarshal(entry, &endpoint); err != nil {
--- a/internal/backend/platform/exchange.go
+++ b/internal/backend/platform/exchange.go
@@ -11,20 +11,20 @@
 	"docksail/policy"
 )
 
-// exchange is one request to a server, an attempt or a release, and the response to it.
+// exchange is one message to a server, an attempt or a release, and the response to it.
 type exchange struct {
-	request   *dispatch.Request  // of the attempt; nil if there is none in progress
-	release   *releaseTracker    // of the release; nil if there is none in progress
-	operation inflight.Operation // in progress, or the last
-	sentAt    eventloop.Nanos    // when its bytes were queued
-	written   bool               // the system has taken all of them
+	request   *dispatch.Request  // of the attempt in progress, or nil
+	release   *releaseTracker    // of the release in progress, or nil
+	operation inflight.Operation // the current or the last one
+	sentAt    eventloop.Nanos    // when the message was queued
+	written   bool               // the operating system has accepted the whole message
 	response  response
 }
 
 // inProgress reports whether the exchange carries an attempt or a release.
 func (e *exchange) inProgress() bool { return e.request != nil || e.release != nil }
 
-// clientID returns the client's name for the request that the exchange belongs to; nil if there is none.
+// clientID returns the client's name for the request that the exchange belongs to, or nil if none is in progress.
 func (e *exchange) clientID() []byte {
 	switch {
 	case e.request != nil:
@@ -43,7 +43,7 @@
 	}
 }
 
-// beginExchange prepares the connection for the response to a request that is written next.
+// beginExchange prepares the connection for the message that is written next and for its response.
 func (c *conn) beginExchange(now eventloop.Nanos) {
 	c.useCount++
 	if c.useCount > 1 {
@@ -54,7 +54,7 @@
 	c.exchange.response.reset()
 }
 
-// advance records that the operation has reached a state. A transition that cannot be is counted and logged.
+// advance records that the operation has reached a state. An invalid transition is counted and logged.
 func (c *conn) advance(to inflight.DeliveryState) {
 	from := c.exchange.operation.State()
 	clientID := c.exchange.clientID()
@@ -65,8 +65,8 @@
 	c.backend.logDeliveryState(clientID, c, from, to)
 }
 
-// abandon records that the operation ends here. Whether it has ended at the server is known only if it cannot have
-// been received.
+// abandon records that this side ends the operation. The operation is complete if the server cannot have received it;
+// otherwise the server may still work on it.
 func (c *conn) abandon() {
 	operation := &c.exchange.operation
 	switch {
@@ -85,7 +85,7 @@
 	c.close()
 }
 
-// exchangeFailure is why an exchange has failed.
+// exchangeFailure is the cause of a failed exchange.
 type exchangeFailure uint8
 
 const (
@@ -143,15 +143,15 @@
 	return policy.ConnectionLost
 }
 
-// connReuse is whether a connection may carry another exchange after a complete response.
+// connReuse tells whether a connection may carry another exchange after a complete response.
 type connReuse uint8
 
 const (
 	connReusable    connReuse = iota
-	connNotReusable           // input, or the end of the connection, followed the response
+	connNotReusable           // more input or the end of input followed the response
 )
 
-// reuseAfter returns the reuse of a connection by the bytes of input that followed a complete response.
+// reuseAfter returns whether a connection is reusable when so many bytes of input follow a complete response.
 func reuseAfter(remaining int) connReuse {
 	if remaining > 0 {
 		return connNotReusable
@@ -163,7 +163,7 @@
 func (c *conn) finishExchange(now eventloop.Nanos, reuse connReuse) {
 	req, tracker := c.exchange.request, c.exchange.release
 	head := &c.exchange.response.decoder.Head
-	// The connection may be reused before the outcome is reported, so all of the head is read first.
+	// The head is read first, as the connection may be reused before the outcome is reported.
 	result := attemptResult{
 		statusCode: head.StatusCode,
 		rejected:   head.Get("x-turned-away") != nil,
--- a/internal/backend/platform/jsonobjects.go
+++ b/internal/backend/platform/jsonobjects.go
@@ -6,14 +6,14 @@
 	"docksail/internal/h1"
 )
 
-// maxListObjectBytes limits one object of the stream that discovery sends.
+// maxListObjectBytes is the maximum size of an object in the stream that discovery sends.
 const maxListObjectBytes = 8 << 20
 
-// objectSplitter splits a stream of JSON objects and arrays, whatever white space is between them and however the
-// stream is cut into pieces.
+// objectSplitter splits a stream into its JSON objects and arrays, which may be separated by white space. It accepts
+// the stream in pieces of any size.
 type objectSplitter struct {
-	partial []byte // the start of an object whose end has not come yet
-	depth   int    // of open brackets
+	partial []byte // the start of an incomplete object
+	depth   int    // number of open braces and brackets
 	quoted  bool   // within a string
 	escaped bool   // the next byte belongs to an escape sequence
 }
@@ -21,18 +21,18 @@
 // atBoundary reports whether the stream is between two objects.
 func (s *objectSplitter) atBoundary() bool { return s.depth == 0 }
 
-// feed calls handle for each object that is complete with p, and returns the first error that it returns. It also
-// returns an error for anything else than white space between objects, and h1.ErrBodyTooLarge for an object that
-// exceeds maxListObjectBytes.
+// feed takes the next piece of the stream and calls handle for each object that p completes. It returns the first error
+// of handle, an error if anything but white space is between two objects, and h1.ErrBodyTooLarge for an incomplete
+// object longer than maxListObjectBytes.
 func (s *objectSplitter) feed(p []byte, handle func(text []byte) error) error {
-	start := 0 // of the open object in p
+	start := 0 // index in p of the start of the open object
 	for i, c := range p {
 		if s.quoted {
 			s.advanceString(c)
 			continue
 		}
 		if s.depth == 0 && !mayFollowObject(c) {
-			return fmt.Errorf("%q between two objects of the list", c)
+			return fmt.Errorf("unexpected byte %q between two objects", c)
 		}
 		switch c {
 		case '"':
@@ -62,7 +62,7 @@
 	return nil
 }
 
-// advanceString takes the next byte of a string.
+// advanceString processes the next byte of a string.
 func (s *objectSplitter) advanceString(c byte) {
 	if s.escaped {
 		s.escaped = false
@@ -71,7 +71,7 @@
 	s.escaped, s.quoted = c == '\\', c != '"'
 }
 
-// mayFollowObject reports whether c may stand between two objects or begin the next.
+// mayFollowObject reports whether c is white space or may begin the next object.
 func mayFollowObject(c byte) bool {
 	switch c {
 	case '{', '[', ' ', '\t', '\r', '\n':
@@ -80,7 +80,7 @@
 	return false
 }
 
-// complete hands over an object of which end is the last piece.
+// complete passes an object to handle whose last piece is end.
 func (s *objectSplitter) complete(end []byte, handle func(text []byte) error) error {
 	text := end
 	if len(s.partial) > 0 {
@@ -90,6 +90,6 @@
 	if err := handle(text); err != nil {
 		return err
 	}
-	s.partial = nil // not reused: a full list is long, and the changes that follow it are short
+	s.partial = nil // freed: a full list is long, and the changes that follow it are short
 	return nil
 }
--- a/internal/backend/platform/lingering.go
+++ b/internal/backend/platform/lingering.go
@@ -7,11 +7,11 @@
 	"docksail/internal/eventloop"
 )
 
-// linger keeps the connection of an abandoned attempt. Its output is closed, by which the server learns that the
-// attempt is abandoned; what the server then sends, or its end of the connection, confirms that it has ended the
+// linger keeps the connection of an abandoned attempt open, but closes its output, which tells the server that the
+// attempt is abandoned. Data from the server, or its closing of the connection, then confirms that it has ended the
 // attempt.
 func (c *conn) linger(now eventloop.Nanos, tracker *releaseTracker) {
-	c.lingersFor, c.abandonedAt = tracker, now
+	c.lingerTracker, c.abandonedAt = tracker, now
 	c.backend.loop.CancelTimer(&c.timer)
 	c.socket.SetReadPaused(false)
 	c.socket.CloseWriteAfterFlush()
@@ -20,9 +20,9 @@
 	tracker.schedule(now)
 }
 
-// handleLingeringClosed takes the end of a lingering connection that the server did not end in order.
+// handleLingeringClosed handles the loss of a lingering connection that the server did not close in order.
 func (c *conn) handleLingeringClosed(now eventloop.Nanos) {
-	if c.lingersFor.decisions.ConfirmsEnd(now, c.abandonedAt, inflight.ConnReset) {
+	if c.lingerTracker.decisions.ConfirmsEnd(now, c.abandonedAt, inflight.ConnReset) {
 		c.confirmEnd(now)
 		return
 	}
@@ -31,7 +31,7 @@
 
 // confirmEnd records that the server has ended the abandoned attempt, and closes the connection.
 func (c *conn) confirmEnd(now eventloop.Nanos) {
-	tracker := c.lingersFor
+	tracker := c.lingerTracker
 	c.stopLingering()
 	c.backend.Counts.Confirmed++
 	c.backend.logDeliveryState(tracker.clientID, c, inflight.Abandoned, inflight.Completed)
@@ -39,9 +39,9 @@
 	tracker.schedule(now)
 }
 
-// dropLingering closes a lingering connection before the end of the attempt is confirmed.
+// dropLingering closes a lingering connection although the end of the attempt is not confirmed.
 func (c *conn) dropLingering(now eventloop.Nanos, reason string) {
-	tracker := c.lingersFor
+	tracker := c.lingerTracker
 	c.stopLingering()
 	c.backend.Counts.Unconfirmed++
 	if c.backend.debug {
@@ -54,8 +54,8 @@
 
 // stopLingering removes the connection from its tracker and closes it.
 func (c *conn) stopLingering() {
-	tracker := c.lingersFor
-	c.lingersFor = nil
+	tracker := c.lingerTracker
+	c.lingerTracker = nil
 	if i := slices.Index(tracker.lingering, c); i >= 0 {
 		tracker.lingering = slices.Delete(tracker.lingering, i, i+1)
 	}
--- a/internal/backend/platform/listupdate.go
+++ b/internal/backend/platform/listupdate.go
@@ -10,14 +10,14 @@
 	"docksail/policy"
 )
 
-// healthByState has the health that the states of an endpoint list stand for.
+// healthByState maps the states of an endpoint list to the health of a server.
 var healthByState = map[string]policy.Health{
 	"Ready":       policy.Serving,
 	"Terminating": policy.Draining,
 	"Gone":        policy.Gone,
 }
 
-// listing is what a valid entry of the endpoint list says of a server.
+// listing is a valid entry of the endpoint list.
 type listing struct {
 	addr      netip.AddrPort
 	zone      int
@@ -33,7 +33,7 @@
 	b.ApplyList(now, list)
 }
 
-// ApplyList updates the servers by a list or a change of it, and reports the update to the dispatcher. Servers that a
+// ApplyList updates the servers from a full list or a change, and reports the update to the dispatcher. Servers that a
 // full list does not name are gone.
 func (b *Backend) ApplyList(now eventloop.Nanos, list EndpointList) {
 	b.Counts.ListUpdates++
@@ -52,8 +52,8 @@
 	}
 }
 
-// applyEntries applies the entries of a list and returns the servers that it affects: those that it names, and those
-// that a full list leaves out.
+// applyEntries applies the entries of a list and returns the affected servers: those that the list names and, if it is
+// full, those that it does not name.
 func (b *Backend) applyEntries(now eventloop.Nanos, module dispatch.Module, list EndpointList) []*server {
 	affected := make([]*server, 0, len(list.Endpoints))
 	named := make(map[*server]bool, len(list.Endpoints))
@@ -77,8 +77,8 @@
 	return affected
 }
 
-// applyEntry applies one entry. A known server whose entry is invalid stays as it is: if the list is full, what was
-// listed before is reported again.
+// applyEntry applies one entry. A known server whose entry is invalid keeps its previous listing, which is reported
+// again if the list is full.
 func (b *Backend) applyEntry(now eventloop.Nanos, module dispatch.Module, endpoint Endpoint, full bool) {
 	srv := b.byName[endpoint.ID]
 	if healthByState[endpoint.State] == policy.Gone {
@@ -99,26 +99,26 @@
 	b.applyListing(now, module, srv, parsed)
 }
 
-// parseEndpoint returns what an entry says of a server. It returns an error for an entry that names an unknown state,
-// zone or kind, or has no ID or address.
+// parseEndpoint validates an entry. It returns an error if the entry names an unknown state, zone or kind, or lacks an
+// ID or a valid address.
 func (b *Backend) parseEndpoint(e Endpoint) (listing, error) {
 	health, known := healthByState[e.State]
 	zone, kind := slices.Index(b.zones, e.Zone), slices.Index(b.kinds, e.Kind)
 	addr, err := netip.ParseAddrPort(e.Addr)
 	switch {
 	case e.ID == "" || !known:
-		return listing{}, fmt.Errorf("server %q: unknown state %q", e.ID, e.State)
+		return listing{}, fmt.Errorf("server %q: the ID is empty or the state %q is unknown", e.ID, e.State)
 	case err != nil:
 		return listing{}, fmt.Errorf("server %q: %w", e.ID, err)
 	case zone < 0 || kind < 0:
-		return listing{}, fmt.Errorf("server %q: zone %q and kind %q: want ones of the settings", e.ID, e.Zone, e.Kind)
+		return listing{}, fmt.Errorf("server %q: zone %q or kind %q is not in the settings", e.ID, e.Zone, e.Kind)
 	}
 	return listing{
 		addr: addr, zone: zone, kind: kind, cell: e.Cell, health: health, startedAt: int64(e.StartedMS * 1e6),
 	}, nil
 }
 
-// applyListing updates a server by a valid entry.
+// applyListing updates a server from a valid entry.
 func (b *Backend) applyListing(now eventloop.Nanos, module dispatch.Module, srv *server, l listing) {
 	if srv.listing.addr != l.addr || srv.startedAt < l.startedAt {
 		srv.closeIdleConns() // they lead to another process
--- a/internal/backend/platform/loadreport.go
+++ b/internal/backend/platform/loadreport.go
@@ -9,13 +9,13 @@
 	"docksail/policy"
 )
 
-// maxLoadValue is the limit of the values of a load report; larger ones are ignored.
+// maxLoadValue is the upper limit, exclusive, of the values of a load report. Other values are ignored.
 const maxLoadValue = 1e12
 
 // loadReportPrefix begins the comment line of an event stream that carries a load report.
 var loadReportPrefix = []byte(": X-Pressure: ")
 
-// loadReportLine returns the load report that the first such line of a chunk carries, or nil.
+// loadReportLine returns the first load report in a chunk of an event stream, or nil.
 func loadReportLine(chunk []byte) []byte {
 	i := bytes.Index(chunk, loadReportPrefix)
 	if i < 0 || i > 0 && chunk[i-1] != '\n' {
@@ -25,14 +25,14 @@
 	return bytes.TrimSpace(line)
 }
 
-// recordLoadReport records a load report of the server, a JSON object of numbers. One that cannot be read is ignored.
+// recordLoadReport records a load report of the server, a JSON object of numbers. An invalid report is ignored.
 func (c *conn) recordLoadReport(text []byte) {
 	var values map[string]json.RawMessage
 	if len(text) > maxHeadBytes || json.Unmarshal(text, &values) != nil {
 		return
 	}
 	report := policy.NoLoadReport
-	for name, value := range values { // the order has no effect: each sets a field of its own
+	for name, value := range values { // the order has no effect, as each name sets another field
 		if x, err := strconv.ParseFloat(string(value), 64); err == nil && x >= 0 && x < maxLoadValue {
 			platformconfig.SetLoadReportField(&report, name, x)
 		}
--- a/internal/backend/platform/pool.go
+++ b/internal/backend/platform/pool.go
@@ -8,10 +8,10 @@
 	"docksail/policy"
 )
 
-// errConnLimit is returned if a connection is needed and all that are permitted are in use.
+// errConnLimit is returned if a new connection would exceed the limit and none can be evicted.
 var errConnLimit = errors.New("limit of connections to servers reached")
 
-// newIdleHeap returns an empty heap of idle connections in which the one that has been idle for longest is first.
+// newIdleHeap returns an empty heap of idle connections. The longest idle one is first.
 func newIdleHeap() indexedheap.Heap[*conn] {
 	return indexedheap.Heap[*conn]{
 		Index: func(c *conn) *int { return &c.heapIndex },
@@ -21,8 +21,8 @@
 	}
 }
 
-// acquireConn returns a connection to a server that carries nothing: an idle one if mayReuse permits it and one is
-// usable, else a new one. It returns errConnLimit if maxConns are open and none can be evicted.
+// acquireConn returns a connection to a server without an exchange: an idle one if mayReuse is true and one is usable,
+// else a new one. It returns errConnLimit if maxConns are open and none can be evicted.
 func (b *Backend) acquireConn(now eventloop.Nanos, srv *server, maxConns int, mayReuse bool) (*conn, error) {
 	if mayReuse {
 		if c := srv.usableIdleConn(now); c != nil {
@@ -40,7 +40,7 @@
 	return b.dial(srv)
 }
 
-// dial begins a connection to a server; conn.Opened or conn.Closed follows.
+// dial starts to connect to a server. The loop calls conn.Opened or conn.Closed with the result.
 func (b *Backend) dial(srv *server) (*conn, error) {
 	b.lastConnNumber++
 	c := &conn{backend: b, server: srv, number: b.lastConnNumber}
@@ -57,8 +57,8 @@
 	return c, nil
 }
 
-// evictConn closes a connection that carries nothing to make room for another: the one that has been idle for
-// longest, else the oldest that lingers. It reports whether there was one.
+// evictConn closes a connection so that another can be opened: the longest idle one, else the oldest lingering one. It
+// reports whether there was one.
 func (b *Backend) evictConn(now eventloop.Nanos) bool {
 	if b.idleConns.Len() > 0 {
 		b.idleConns.Min().closeIdle()
@@ -80,8 +80,8 @@
 	return true
 }
 
-// latestIdleConn returns the idle connection that was used last, if any may be reused. The server may have closed it
-// unnoticed.
+// latestIdleConn returns the reusable idle connection that was used last, or nil. It does not check whether the server
+// has closed it.
 func (s *server) latestIdleConn(now eventloop.Nanos) (latest *conn) {
 	for _, c := range s.conns {
 		reusable := c.idle && s.backend.connPolicy.IsReusable(now, c.idleSince)
@@ -92,8 +92,8 @@
 	return latest
 }
 
-// usableIdleConn returns the idle connection that was used last and on which nothing has come since, or nil. It
-// closes those on which something has.
+// usableIdleConn returns the reusable idle connection that was used last and has no unread input, or nil. It closes
+// connections with unread input.
 func (s *server) usableIdleConn(now eventloop.Nanos) *conn {
 	for {
 		c := s.latestIdleConn(now)
@@ -111,13 +111,13 @@
 		c.closeIdle()
 		return
 	}
-	c.socket.SetReadPaused(false) // it may be paused for the client of the exchange
+	c.socket.SetReadPaused(false) // reading may be paused for the client of the exchange
 	c.idle, c.idleSince = true, now
 	c.backend.idleConns.PushOrFix(c)
 	c.backend.loop.SetTimer(&c.timer, c.backend.connPolicy.IdleDeadline(now), c.onTimer)
 }
 
-// closeIdle closes a connection that carries nothing.
+// closeIdle closes a connection that has no exchange in progress.
 func (c *conn) closeIdle() {
 	c.backend.Counts.IdleClosed++
 	c.idle = false
--- a/internal/backend/platform/releaseround.go
+++ b/internal/backend/platform/releaseround.go
@@ -11,8 +11,8 @@
 	"docksail/policy"
 )
 
-// sendRound sends the release to as many servers as the round has, first to those that have not been tried. It skips
-// servers to which there can be no connection.
+// sendRound sends the release to as many servers as the round permits, first to those that have not been tried. It
+// skips servers to which no connection can be opened.
 func (t *releaseTracker) sendRound(now eventloop.Nanos) {
 	t.nextRoundAt = now + t.decisions.RoundTimeout(t.round)
 	for sent, restarted := 0, false; sent < inflight.ParallelReleases(t.round); {
@@ -20,7 +20,7 @@
 		if srv == nil {
 			break
 		}
-		if tried { // all have been: the next round begins with any server, this one only if none has the release
+		if tried { // all were tried: start over, in this round only if no release is pending
 			t.triedServers = t.triedServers[:0]
 			if restarted || len(t.pending) > 0 {
 				break
@@ -35,8 +35,7 @@
 	t.round++
 }
 
-// chooseServer returns the server to which the release goes next and whether it has been tried in these rounds, or
-// nil.
+// chooseServer returns the server to which the release is sent next, or nil, and whether it was tried already.
 func (t *releaseTracker) chooseServer(now eventloop.Nanos) (srv *server, tried bool) {
 	b := t.backend
 	for {
@@ -53,14 +52,14 @@
 		if i < 0 {
 			return nil, false
 		}
-		// If its idle connections turn out to be unusable they are closed, and the choice is made again.
+		// If its idle connections turn out to be unusable, they are closed and the selection is repeated.
 		if srv := b.servers[i]; !b.candidates[i].HasIdleConn || srv.usableIdleConn(now) != nil {
 			return srv, b.candidates[i].Tried
 		}
 	}
 }
 
-// sendVia sends the release to a server. It returns an error if there can be no connection to it.
+// sendVia sends the release to a server. It returns an error if no connection to it can be opened.
 func (t *releaseTracker) sendVia(now eventloop.Nanos, srv *server) error {
 	c, err := t.backend.acquireConn(now, srv, t.backend.maxConns, true)
 	if err != nil {
@@ -79,11 +78,11 @@
 	return nil
 }
 
-// writeRelease writes the release that the connection carries, or cancels it if it must not be sent any more.
+// writeRelease writes the release that is assigned to the connection, or cancels it if it must not be sent any more.
 func (c *conn) writeRelease(now eventloop.Nanos) {
 	tracker := c.exchange.release
 	permission, attemptInFlight := c.backend.dispatcher.ReleasePermission(tracker.requestID)
-	if err := inflight.CheckSendRelease(permission, tracker.besidePrefill); err != nil {
+	if err := inflight.CheckSendRelease(permission, tracker.concurrentWithPrefill); err != nil {
 		if !errors.Is(err, inflight.ErrReleaseSuperseded) {
 			c.backend.recordViolation(tracker.clientID, c.server, err)
 		}
@@ -103,7 +102,7 @@
 	c.socket.Write(b)
 }
 
-// handleResponse takes a server's response to a release. Only 2xx says that the state is released.
+// handleResponse handles a server's response to a release. Only a 2xx status confirms that the state is released.
 func (t *releaseTracker) handleResponse(now eventloop.Nanos, c *conn, statusCode int) {
 	b := t.backend
 	t.removePending(c)
@@ -141,8 +140,8 @@
 	}
 }
 
-// handleConnLost takes the loss of a connection that carried a release. Other servers are tried in the next round,
-// which begins at once if no server has the release.
+// handleConnLost handles the loss of a connection that carried a release. Other servers are tried in the next round,
+// which begins at once if no release is pending.
 func (t *releaseTracker) handleConnLost(now eventloop.Nanos, c *conn) {
 	t.removePending(c)
 	if len(t.pending) == 0 && len(t.triedServers) < len(t.backend.servers) {
@@ -151,19 +150,20 @@
 	t.schedule(now)
 }
 
-// cancelPending cancels all releases that have no response.
+// cancelPending cancels all pending releases.
 func (t *releaseTracker) cancelPending() {
 	for len(t.pending) > 0 {
 		t.cancel(t.pending[0])
 	}
 }
 
-// cancel cancels a release that has no response and closes its connection.
+// cancel cancels a pending release and closes its connection.
 func (t *releaseTracker) cancel(c *conn) {
 	t.removePending(c)
 	c.abandonAndClose()
 }
 
+// removePending removes a connection from the pending ones, if it is one of them.
 func (t *releaseTracker) removePending(c *conn) {
 	if i := slices.Index(t.pending, c); i >= 0 {
 		t.pending = slices.Delete(t.pending, i, i+1)
--- a/internal/backend/platform/releasetracker.go
+++ b/internal/backend/platform/releasetracker.go
@@ -10,9 +10,9 @@
 	"docksail/policy"
 )
 
-// releaseTracker releases the state that attempts of one request may have left at servers. It carries out what
-// inflight.ReleaseTracker decides: it sends releases, and keeps the connections of abandoned attempts until their
-// end is confirmed. It outlives the request.
+// releaseTracker releases the state that attempts of one request may have left at servers. It carries out the decisions
+// of inflight.ReleaseTracker: it sends releases, and keeps the connections of abandoned attempts open until the end of
+// the attempts is confirmed. It outlives the request.
 type releaseTracker struct {
 	backend   *Backend
 	decisions inflight.ReleaseTracker
@@ -20,22 +20,22 @@
 	clientID  []byte // the client's name for the request
 	timer     eventloop.Timer
 	onTimer   func(eventloop.Nanos)
-	running   bool // within run
+	running   bool // run is on the call stack
 	ended     bool
 
 	// Releases, which are sent in rounds.
-	pending       []*conn // that carry a release without a response
-	besidePrefill bool    // the pending ones were begun while a prefill attempt was in flight
-	round         int     // since a release was last accepted
-	triedServers  []policy.ServerID
-	nextRoundAt   eventloop.Nanos
+	pending               []*conn // connections that carry a release without a response
+	concurrentWithPrefill bool    // the round was started while a prefill attempt was unacknowledged
+	round                 int     // number of rounds since a release was last accepted
+	triedServers          []policy.ServerID
+	nextRoundAt           eventloop.Nanos
 
-	lingering []*conn // on which the end of an abandoned attempt is awaited
+	lingering []*conn // connections that await the end of an abandoned attempt
 	waiting   waitingAttempt
 }
 
-// trackerFor returns the release tracker of a request, which it adds if there is none. It returns nil if there are as
-// many as are permitted.
+// trackerFor returns the release tracker of a request and creates it if there is none. It returns nil if the limit of
+// trackers is reached.
 func (b *Backend) trackerFor(req *dispatch.Request) *releaseTracker {
 	if tracker := b.releaseTrackers[req.ID]; tracker != nil {
 		return tracker
@@ -55,8 +55,7 @@
 	return tracker
 }
 
-// Release implements dispatch.Backend. Every server that is up takes a release, so the one that holds the state
-// does not matter.
+// Release implements dispatch.Backend. Any server accepts a release, whichever one holds the state.
 func (b *Backend) Release(
 	now eventloop.Nanos, req *dispatch.Request, _ policy.ServerID, _ policy.AttemptNumber, heldSince eventloop.Nanos,
 ) {
@@ -69,18 +68,18 @@
 	tracker.schedule(now)
 }
 
-// releasePending reports whether a release is due or in flight. A prefill attempt that overtook it would lose its
-// state to it.
+// releasePending reports whether a release is due or in flight. It would also release the state of a prefill attempt
+// that reached its server earlier.
 func (t *releaseTracker) releasePending() bool {
 	return t.decisions.ReleasePending() || len(t.pending) > 0
 }
 
-// schedule has run called at the end of the iteration, when it is known what else becomes of the request in it.
+// schedule has the loop call run when it fires its timers, so that other events about the request are applied first.
 func (t *releaseTracker) schedule(now eventloop.Nanos) {
 	t.backend.loop.SetTimer(&t.timer, now, t.onTimer)
 }
 
-// run does what is due now.
+// run carries out the next action that the tracker decides on.
 func (t *releaseTracker) run(now eventloop.Nanos) {
 	if t.running || t.ended {
 		return
@@ -96,7 +95,7 @@
 	switch action {
 	case inflight.ActionSend:
 		if now >= t.nextRoundAt {
-			t.besidePrefill = permission == inflight.ReleaseIfUrgent
+			t.concurrentWithPrefill = permission == inflight.ReleaseIfUrgent
 			t.sendRound(now)
 		}
 		b.loop.SetTimer(&t.timer, max(t.nextRoundAt, now+1), t.onTimer)
@@ -111,7 +110,7 @@
 	}
 }
 
-// end removes the tracker. A prefill attempt that waits is sent.
+// end removes the tracker and sends the waiting prefill attempt, if any.
 func (t *releaseTracker) end(now eventloop.Nanos) {
 	b := t.backend
 	t.ended = true
@@ -120,7 +119,7 @@
 	t.cancelPending()
 	for _, c := range t.lingering {
 		b.Counts.Unconfirmed++
-		c.lingersFor = nil
+		c.lingerTracker = nil
 		c.close()
 	}
 	t.lingering = nil
@@ -128,7 +127,7 @@
 	b.loop.SkipNextWait()
 }
 
-// logExpired logs that state may be left at a server.
+// logExpired logs that the tracker has expired, so that state may be left at a server.
 func (t *releaseTracker) logExpired(now eventloop.Nanos) {
 	if t.decisions.ReleasePending() {
 		t.backend.log.Warn("release given up", "request_id", string(t.clientID), "tries", len(t.triedServers),
@@ -138,15 +137,15 @@
 	t.backend.log.Info("end of attempt not confirmed", "request_id", string(t.clientID), "connections", len(t.lingering))
 }
 
-// recordReleaseLost counts and logs that state is left to the servers' own timeout, or is held for too long. It
-// copies what it logs: the log is written by another goroutine.
+// recordReleaseLost counts and logs that state is left to the servers' own timeout, or is held for too long. It copies
+// clientID, since the log is written by another goroutine.
 func (b *Backend) recordReleaseLost(clientID []byte, reason string, tries int, held eventloop.Nanos) {
 	b.Counts.ReleasesLost++
 	b.log.Warn("release lost", "request_id", string(clientID), "reason", reason, "tries", tries,
 		"held", time.Duration(held))
 }
 
-// sendWaitingPrefill sends the prefill attempt that waits, if no release is pending that could drop its state.
+// sendWaitingPrefill sends the waiting prefill attempt, if any, unless a release is pending.
 func (t *releaseTracker) sendWaitingPrefill(now eventloop.Nanos) {
 	req := t.waiting.request
 	if req == nil || t.releasePending() {
@@ -161,7 +160,8 @@
 	t.backend.loop.SkipNextWait()
 }
 
-// waitingAttempt is a prefill attempt that waits until no release is pending. It implements dispatch.Attempt.
+// waitingAttempt is a prefill attempt that waits until no release of its request is pending. It implements
+// dispatch.Attempt.
 type waitingAttempt struct {
 	request *dispatch.Request // nil if none waits
 }
--- a/internal/backend/platform/response.go
+++ b/internal/backend/platform/response.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	maxHeadBytes        = 16 << 10 // of a response
-	maxChunkBytes       = 64 << 10 // of a stream: events are a few hundred bytes
-	maxPrefillBodyBytes = 256      // of the response to a prefill attempt that are kept
+	maxHeadBytes        = 16 << 10 // of the head of a response
+	maxChunkBytes       = 64 << 10 // of one chunk of a stream, or of its start up to the first event
+	maxPrefillBodyBytes = 256      // of the response to a prefill attempt
 )
 
-// response is what has come of the response to an exchange.
+// response is the part of the response to an exchange that has been received.
 type response struct {
 	decoder      h1.Decoder
-	started      bool // at least one byte has come
+	started      bool // at least one byte was received
 	headReceived bool
 	isStream     bool   // a decode server's stream of events
 	chunkCount   int    // of the stream
@@ -27,7 +27,7 @@
 	loadReport   policy.LoadReport
 }
 
-// reset prepares for the response to another request.
+// reset prepares for the response to another message.
 func (r *response) reset() {
 	*r = response{
 		decoder:    h1.NewResponseDecoder(h1.Limits{HeadBytes: maxHeadBytes, BodyBytes: 0, ChunkBytes: maxChunkBytes}),
@@ -36,7 +36,7 @@
 	}
 }
 
-// decodeResponse decodes bytes of the response and returns how many of them it has taken.
+// decodeResponse decodes bytes of the response and returns how many it has consumed.
 func (c *conn) decodeResponse(now eventloop.Nanos, p []byte) (n int) {
 	response := &c.exchange.response
 	for !c.removed && c.exchange.inProgress() {
@@ -61,7 +61,7 @@
 	return len(p)
 }
 
-// handleHead takes the head of the response.
+// handleHead handles the head of the response.
 func (c *conn) handleHead() {
 	response := &c.exchange.response
 	head := &response.decoder.Head
@@ -73,7 +73,7 @@
 	}
 }
 
-// handleBody takes a piece of the body. Bodies other than a stream's and a prefill attempt's are ignored.
+// handleBody handles a piece of the body. Bodies other than a stream's and a prefill attempt's are ignored.
 func (c *conn) handleBody(now eventloop.Nanos, data []byte) {
 	response, req := &c.exchange.response, c.exchange.request
 	switch {
@@ -84,8 +84,8 @@
 	}
 }
 
-// relayChunk relays one chunk of a stream. The start of a stream is held back until its first event is complete:
-// if it turns out to be invalid before, the attempt has failed and may be repeated.
+// relayChunk relays one chunk of a stream. The start of a stream is buffered until its first event is complete, so that
+// the attempt can be retried if the start is invalid.
 func (c *conn) relayChunk(now eventloop.Nanos, data []byte) {
 	if report := loadReportLine(data); report != nil {
 		c.recordLoadReport(report)
@@ -112,7 +112,7 @@
 	}
 }
 
-// hasCompleteEvent reports whether the start of a stream holds the blank line that ends an event.
+// hasCompleteEvent reports whether the start of a stream contains the blank line that ends an event.
 func hasCompleteEvent(stream []byte) bool {
 	return bytes.Contains(stream, []byte("\n\n")) || bytes.Contains(stream, []byte("\r\n\r\n"))
 }
--- a/internal/backend/platform/server.go
+++ b/internal/backend/platform/server.go
@@ -10,23 +10,23 @@
 	"docksail/policy"
 )
 
-// server is a model server of the endpoint list with the connections to it.
+// server is a model server of the endpoint list and the connections to it.
 type server struct {
 	backend   *Backend
 	id        policy.ServerID
 	name      string
-	listing   listing // by the last valid entry that did not say it was gone
+	listing   listing // the latest valid entry whose state was not Gone
 	role      policy.Role
 	health    policy.Health
-	startedAt int64 // Unix nanoseconds, the latest that was listed
+	startedAt int64 // Unix nanoseconds, the latest of all listings
 	conns     []*conn
 
-	lastHeardAt  eventloop.Nanos // when bytes last came from it, on whatever connection
+	lastHeardAt  eventloop.Nanos // when data last came from it, on any connection
 	loadReport   policy.LoadReport
 	loadReportAt eventloop.Nanos
 }
 
-// addServer adds a server that was listed for the first time.
+// addServer adds a server that is listed for the first time.
 func (b *Backend) addServer(name string) *server {
 	srv := &server{backend: b, id: b.newServerID(name), name: name, loadReport: policy.NoLoadReport}
 	b.servers = append(b.servers, srv)
@@ -34,7 +34,7 @@
 	return srv
 }
 
-// newServerID returns the ID of a server by its name. It is the same in every dispatcher and after a restart,
+// newServerID derives the ID of a server from its name. The ID is the same in every dispatcher and after a restart,
 // except for names whose hashes collide.
 func (b *Backend) newServerID(name string) policy.ServerID {
 	id := policy.ServerID(xxhash.Sum64String(name))
@@ -56,7 +56,7 @@
 	}
 }
 
-// applyHealth ends what the server's health in the list no longer permits.
+// applyHealth ends the attempts and closes the connections that the server's health no longer permits.
 func (s *server) applyHealth(now eventloop.Nanos) {
 	if s.health != policy.Serving {
 		s.failUnsentAttempts(now)
@@ -68,11 +68,11 @@
 	}
 }
 
-// failUnsentAttempts ends the attempts whose connections are not up yet or that wait for a release: the server
-// drains, and would not take them by then.
+// failUnsentAttempts ends the attempts that wait for a connection or a release. The server is draining or gone and
+// would not accept them.
 func (s *server) failUnsentAttempts(now eventloop.Nanos) {
 	trackers := s.backend.releaseTrackers
-	for _, id := range slices.Sorted(maps.Keys(trackers)) { // an order that does not change from run to run
+	for _, id := range slices.Sorted(maps.Keys(trackers)) { // sorted, so that the order is deterministic
 		tracker := trackers[id]
 		if req := tracker.waiting.request; req != nil && req.Server == s.id {
 			tracker.waiting.request = nil
@@ -96,10 +96,10 @@
 	}
 }
 
-// dropLingering closes the lingering connections to a server that is gone, and whatever it held with it.
+// dropLingering closes the lingering connections to a server that is gone.
 func (s *server) dropLingering(now eventloop.Nanos) {
 	for _, c := range slices.Clone(s.conns) {
-		if c.lingersFor != nil {
+		if c.lingerTracker != nil {
 			c.dropLingering(now, "server gone")
 		}
 	}
--- a/internal/backend/platform/stats.go
+++ b/internal/backend/platform/stats.go
@@ -13,17 +13,17 @@
 	// Connections.
 	Dialed           uint64
 	Reused           uint64
-	IdleUnusable     uint64 // idle connections that had ended, or had input, when they were to be reused
-	IdleClosed       uint64 // idle connections that were closed by this side
-	WatchesDropped   uint64 // lingering connections that were closed because their descriptors were needed
-	NoRoom           uint64 // a connection was needed at the limit of connections
-	StaleConnections uint64 // attempts that were lost because a reused connection had died unnoticed
-	IdleBeforeReuse  idleTimes
-	IdleBeforeStale  idleTimes // those of StaleConnections
+	IdleUnusable     uint64 // idle connections that were closed or had unexpected input when they were to be reused
+	IdleClosed       uint64 // idle connections that this side has closed
+	WatchesDropped   uint64 // lingering connections that were evicted
+	NoRoom           uint64 // connections that were not opened because of the limit
+	StaleConnections uint64 // attempts lost because the server had closed the reused connection
+	IdleBeforeReuse  idleTimeHistogram
+	IdleBeforeStale  idleTimeHistogram // those of StaleConnections
 
 	// Responses.
 	InvalidResponses uint64 // responses that could not be decoded
-	ExtraBytes       uint64 // input that belongs to no response
+	ExtraBytes       uint64 // inputs that belong to no response
 	LoadReports      uint64
 	PrefixCache      PrefixCacheStats
 
@@ -31,11 +31,11 @@
 	Releases         uint64
 	ReleaseAttempts  uint64
 	ReleasesLost     uint64
-	ReleasesRepeated uint64 // sent again because state may have been left after the one before
-	ReleasesRefused  uint64 // answered with another status than 2xx
-	ReleasesLate     uint64 // accepted after the time within which the state had to be released
-	ReleaseSlowest   int64  // nanoseconds
-	ReleasedEarly    uint64 // sent beside an attempt that may not have reached its server
+	ReleasesRepeated uint64 // accepted again, as state may have been left after the previous one
+	ReleasesRefused  uint64 // answered with a status other than 2xx
+	ReleasesLate     uint64 // accepted after the release time and its tolerance
+	ReleaseSlowest   int64  // longest time for which state was held, nanoseconds
+	ReleasedEarly    uint64 // requested during an attempt that may not have reached its server
 	Confirmed        uint64 // abandoned attempts whose end the server has confirmed
 	Unconfirmed      uint64 // abandoned attempts whose end was not confirmed
 
@@ -43,19 +43,19 @@
 	ListUpdates      uint64
 	DiscoveryWatches uint64
 
-	Violations uint64 // actions that the rules of inflight forbid: faults of the program
+	Violations uint64 // actions that the rules of inflight forbid; each indicates a bug
 }
 
-// idleTimes is a histogram of how long connections were idle. The first bucket holds times under 2^24 ns (16.8 ms); the
-// limit of each next bucket is twice that of the one before.
-type idleTimes [12]uint64
+// idleTimeHistogram counts connections by how long they were idle. The first bucket counts times under 2^24 ns
+// (16.8 ms); the limit of each further bucket is twice that of the previous one.
+type idleTimeHistogram [12]uint64
 
-// firstIdleBits is the number of bits of a time in nanoseconds that fits the first bucket.
-const firstIdleBits = 24
+// firstBucketBits is the maximum number of bits of a time in nanoseconds that the first bucket counts.
+const firstBucketBits = 24
 
 // add counts an idle time.
-func (h *idleTimes) add(idle eventloop.Nanos) {
-	h[min(bits.Len64(uint64(idle>>firstIdleBits)), len(h)-1)]++
+func (h *idleTimeHistogram) add(idle eventloop.Nanos) {
+	h[min(bits.Len64(uint64(idle>>firstBucketBits)), len(h)-1)]++
 }
 
 // PrefixCacheStats compares the cached tokens that prefill servers reported with those that were expected, over the
@@ -63,7 +63,7 @@
 type PrefixCacheStats struct {
 	Prefills   uint64
 	Prompt     uint64
-	Shared     uint64 // of prefixes that prompts share
+	Shared     uint64 // in prefixes that prompts share
 	Expected   uint64
 	Found      uint64
 	Missed     uint64 // expected and not found
@@ -81,7 +81,7 @@
 	s.Unexpected += uint64(max(found-expected, 0))
 }
 
-// ServerStats is the state of a server as its connections show it.
+// ServerStats describes the use of a server's connections, and its latest load report.
 type ServerStats struct {
 	ID               policy.ServerID
 	Name             string
@@ -92,13 +92,14 @@
 	LoadReportAge    int64 // nanoseconds; -1 = there is no report
 }
 
-// EachServer calls f for every server of the list, in the order in which they were first listed.
+// EachServer calls f for each known server, in the order in which they were first listed.
 func (b *Backend) EachServer(now eventloop.Nanos, f func(ServerStats)) {
 	for _, srv := range b.servers {
 		f(b.statsOf(now, srv))
 	}
 }
 
+// statsOf returns the statistics of a server.
 func (b *Backend) statsOf(now eventloop.Nanos, srv *server) ServerStats {
 	stats := ServerStats{
 		ID:            srv.id,
