--- a/internal/backend/platform/backend.go
+++ b/internal/backend/platform/backend.go
@@ -2,7 +2,7 @@
 // platform's discovery service.
 //
 // A Backend belongs to one event loop; all of its methods and callbacks run there. It holds the servers of the
-// endpoint list (server), the pool of connections to them (conn), the request that each connection carries
+// endpoint list (server), the pool of connections to them (conn), the message that each connection carries
 // (exchange) and the releases of state that attempts may have left behind (releaseTracker). It reports the outcomes of
 // attempts to the dispatcher. Package inflight decides what may be sent, repeated or closed, package serverconn how
 // connections are used, and package discovery when discovery is called; all three are in internal/decide.
--- a/internal/backend/platform/conn.go
+++ b/internal/backend/platform/conn.go
@@ -31,7 +31,7 @@
 	timer     eventloop.Timer // see handleTimer
 	onTimer   func(eventloop.Nanos)
 
-	exchange exchange // in progress, or the last
+	exchange exchange // the current or the last one
 
 	// Lingering.
 	lingerTracker *releaseTracker // of the request whose attempt was abandoned; nil = not lingering
@@ -124,7 +124,7 @@
 	c.input.Process(p, func(p []byte) int { return c.decodeResponse(now, p) })
 }
 
-// PeerHalfClosed implements eventloop.Handler. It is the end of a response without a length.
+// PeerHalfClosed implements eventloop.Handler. The end of input completes a response without a length.
 func (c *conn) PeerHalfClosed(now eventloop.Nanos) {
 	if c.lingerTracker != nil {
 		c.confirmEnd(now)
--- a/internal/backend/platform/lingering.go
+++ b/internal/backend/platform/lingering.go
@@ -20,7 +20,7 @@
 	tracker.schedule(now)
 }
 
-// handleLingeringClosed handles the loss of a lingering connection that the server did not close in order.
+// handleLingeringClosed handles the loss of a lingering connection that the server did not close cleanly.
 func (c *conn) handleLingeringClosed(now eventloop.Nanos) {
 	if c.lingerTracker.decisions.ConfirmsEnd(now, c.abandonedAt, inflight.ConnReset) {
 		c.confirmEnd(now)
--- a/internal/backend/platform/releaseround.go
+++ b/internal/backend/platform/releaseround.go
@@ -141,7 +141,7 @@
 }
 
 // handleConnLost handles the loss of a connection that carried a release. Other servers are tried in the next round,
-// which begins at once if no release is pending.
+// which begins at once if no release is pending and not all servers were tried.
 func (t *releaseTracker) handleConnLost(now eventloop.Nanos, c *conn) {
 	t.removePending(c)
 	if len(t.pending) == 0 && len(t.triedServers) < len(t.backend.servers) {
