--- a/internal/eventloop/buffer_pool.go
+++ b/internal/eventloop/buffer_pool.go
@@ -3,10 +3,10 @@
 const (
 	pooledBufferBytes    = 4 << 10  // initial capacity of a pooled buffer
 	maxPooledBufferBytes = 32 << 10 // larger buffers are left to the garbage collector
-	maxPooledBuffers     = 128      // more are rarely queued in one iteration
+	maxPooledBuffers     = 128      // buffers kept for reuse
 )
 
-// bufferPool keeps output buffers for reuse. Its zero value is ready.
+// bufferPool keeps output buffers for reuse. The zero value is ready for use.
 type bufferPool struct{ free [][]byte }
 
 // get returns an empty buffer.
@@ -19,7 +19,7 @@
 	return make([]byte, 0, pooledBufferBytes)
 }
 
-// put takes a buffer back; the caller must not use it again. It accepts nil.
+// put returns a buffer to the pool. The caller must not use the buffer afterwards. A nil buffer is ignored.
 func (p *bufferPool) put(buffer []byte) {
 	if cap(buffer) > 0 && cap(buffer) <= maxPooledBufferBytes && len(p.free) < maxPooledBuffers {
 		p.free = append(p.free, buffer[:0])
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -6,77 +6,78 @@
 	"golang.org/x/sys/unix"
 )
 
-// ErrOutputLimit is the reason of a connection's end when its peer does not read and the queued output exceeds the
-// limit set by SetOutputLimit.
+// ErrOutputLimit is the error of a connection that was closed because its queued output exceeded the limit set by
+// SetOutputLimit.
 var ErrOutputLimit = errors.New("output queue limit exceeded: the peer does not read")
 
 // Handler receives the events of one connection, on the loop's goroutine.
 type Handler interface {
-	// Opened reports that the connection is made.
+	// Opened reports that the connection is established.
 	Opened(now Nanos)
-	// Received passes bytes from the peer; they are valid during the call only.
+	// Received passes bytes from the peer. They are valid only during the call.
 	Received(now Nanos, p []byte)
-	// PeerHalfClosed reports that the peer sends no more; it may still read.
+	// PeerHalfClosed reports that the peer has closed its sending side. It may still read.
 	PeerHalfClosed(now Nanos)
 	// OutputFlushed reports that all queued output has been written.
 	OutputFlushed(now Nanos)
-	// Closed reports the end of the connection: err is nil after Close and CloseAfterFlush. It is called once, never from
-	// inside a call to the Conn, and nothing is called after it.
+	// Closed reports that the connection has been closed. err is nil after Close and CloseAfterFlush. Closed is called
+	// once, as the last method, and never from inside a method of the Conn.
 	Closed(now Nanos, err error)
 }
 
-// Conn is one connection. Write queues output, which the loop writes at the end of the iteration.
+// Conn is a TCP connection or a simulated one. Output is queued and written at the end of the iteration.
 type Conn struct {
 	loop         *Loop
-	fd           int // -1 once the connection has ended
+	fd           int // -1 once the connection is closed
 	handler      Handler
-	interest     uint32 // events that epoll reports for fd
+	interest     uint32 // epoll events that fd is registered for
 	connecting   bool
 	connectTimer Timer
-	counted      bool  // in the loop's connCount
-	closeErr     error // for Handler.Closed
-
-	output               []byte // queued output; taken from the loop's buffers while there is any
-	written              int    // bytes of output that are written already
-	outputLimit          int    // most bytes that may be queued; 0 = no limit
-	flushQueued          bool   // stands in the loop's flushQueue
-	writeBlocked         bool   // the socket took less than there was
+	counted      bool  // included in the loop's connCount
+	closeErr     error // passed to Handler.Closed
+
+	output               []byte // queued output, in a buffer of the loop's pool; nil if there is none
+	written              int    // bytes of output that have been written
+	outputLimit          int    // maximum of queued bytes; 0 = no limit
+	flushQueued          bool   // is in the loop's flushQueue
+	writeBlocked         bool   // the last write left output queued
 	closeAfterFlush      bool
 	closeWriteAfterFlush bool
 
-	readOpen                   bool // the peer has not ended its half
+	readOpen                   bool // the peer has not closed its sending side
 	readPaused                 bool
 	notifyHalfCloseWhilePaused bool
 
 	sim simulatedConn
 }
 
-// newConn returns a connection on a socket; its events are not registered yet.
+// newConn returns a connection on a socket. The caller registers the socket with epoll.
 func newConn(l *Loop, fd int) *Conn {
-	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1) // only latency depends on it
+	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1) // a failure only costs latency
 	return &Conn{loop: l, fd: fd, interest: unix.EPOLLIN | unix.EPOLLRDHUP, readOpen: true}
 }
 
-// addConn counts a connection until it ends.
-func (l *Loop) addConn(c *Conn) {
+// countConn includes a connection in connCount until it is closed.
+func (l *Loop) countConn(c *Conn) {
 	l.connCount++
 	c.counted = true
 }
 
-// SetOutputLimit sets how many bytes of output may be queued. A Write that exceeds it ends the connection with
-// ErrOutputLimit.
+// SetOutputLimit sets how many bytes of output may be queued; 0 means no limit. A Write that exceeds the limit closes
+// the connection with ErrOutputLimit.
 func (c *Conn) SetOutputLimit(limit int) { c.outputLimit = limit }
 
-// QueuedBytes returns how many bytes of output are not written yet.
+// QueuedBytes returns the number of bytes of output that have not been written yet.
 func (c *Conn) QueuedBytes() int { return len(c.output) - c.written }
 
-// WriteBlocked reports whether the socket did not take all output when it was last written.
+// WriteBlocked reports whether the socket's buffer was full at the last write, so that output is still queued.
 func (c *Conn) WriteBlocked() bool { return c.writeBlocked }
 
-// IsOpen reports whether the connection is made and has not ended.
+// IsOpen reports whether the connection is established and not closed.
 func (c *Conn) IsOpen() bool { return c.fd >= 0 && !c.connecting }
 
-// Write queues a copy of p. It does nothing once the connection has ended or its output is to be closed.
+// Write queues a copy of p. It does nothing after the connection has been closed or after CloseAfterFlush or
+// CloseWriteAfterFlush.
 func (c *Conn) Write(p []byte) {
 	if c.fd < 0 || c.closeAfterFlush || c.closeWriteAfterFlush || len(p) == 0 {
 		return
@@ -92,7 +93,7 @@
 	c.queueFlush()
 }
 
-// queueFlush has the loop flush the connection at the end of the iteration.
+// queueFlush makes the loop flush the connection at the end of the iteration.
 func (c *Conn) queueFlush() {
 	if !c.flushQueued {
 		c.flushQueued = true
@@ -100,10 +101,10 @@
 	}
 }
 
-// Close ends the connection at once; queued output is lost.
+// Close closes the connection at once. Queued output is discarded.
 func (c *Conn) Close() { c.terminate(nil) }
 
-// CloseAfterFlush ends the connection once all queued output is written.
+// CloseAfterFlush closes the connection once all queued output is written.
 func (c *Conn) CloseAfterFlush() {
 	if c.fd >= 0 {
 		c.closeAfterFlush = true
@@ -111,8 +112,8 @@
 	}
 }
 
-// CloseWriteAfterFlush ends this side's half of the connection once all queued output is written. The peer may go on to
-// send: closing a socket with unread input would make the kernel discard output that the peer has not read.
+// CloseWriteAfterFlush closes the sending side of the connection once all queued output is written. Input is still
+// read: closing a socket with unread input would make the kernel discard output that the peer has not read yet.
 func (c *Conn) CloseWriteAfterFlush() {
 	if c.fd >= 0 {
 		c.closeWriteAfterFlush = true
@@ -120,7 +121,7 @@
 	}
 }
 
-// InputEmpty reports whether the connection is open and nothing from the peer waits to be read, its end included.
+// InputEmpty reports whether the connection is open and neither input nor a close by the peer is waiting to be read.
 func (c *Conn) InputEmpty() bool {
 	if !c.IsOpen() {
 		return false
@@ -133,11 +134,11 @@
 	return err == unix.EAGAIN
 }
 
-// NotifyHalfCloseWhilePaused makes the handler learn of the peer's end also while reading is paused, ahead of input
-// that is not read yet: a client that has left need not be read to its end.
+// NotifyHalfCloseWhilePaused makes the loop call PeerHalfClosed even while reading is paused. The input that precedes
+// the half-close is then not read.
 func (c *Conn) NotifyHalfCloseWhilePaused() { c.notifyHalfCloseWhilePaused = true }
 
-// SetReadPaused stops or resumes reading from the peer.
+// SetReadPaused pauses or resumes reading from the peer.
 func (c *Conn) SetReadPaused(paused bool) {
 	c.readPaused = paused
 	if c.IsOpen() {
@@ -145,7 +146,8 @@
 	}
 }
 
-// terminate ends the connection. Its handler is notified at the end of the iteration, never from inside its own call.
+// terminate closes the connection. The handler's Closed is called later in the iteration, never from inside a method of
+// the Conn.
 func (c *Conn) terminate(err error) {
 	if c.fd < 0 {
 		return
@@ -166,10 +168,10 @@
 	c.loop.closedConns = append(c.loop.closedConns, c)
 }
 
-// closeSocket closes the descriptor of a connection that ends with err.
+// closeSocket closes the descriptor of a connection that is closed with err.
 func (c *Conn) closeSocket(err error) {
 	c.loop.unregister(c.fd)
-	if errors.Is(err, ErrOutputLimit) { // output that the peer did not read must not stay in the kernel
+	if errors.Is(err, ErrOutputLimit) { // makes the kernel discard the output that the peer has not read
 		_ = unix.SetsockoptLinger(c.fd, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
 	}
 	unix.Close(c.fd)
--- a/internal/eventloop/conn_io.go
+++ b/internal/eventloop/conn_io.go
@@ -7,37 +7,37 @@
 )
 
 const (
-	// maxReadBytes is how much one read takes from a connection, so that no peer holds up the others.
+	// maxReadBytes bounds the bytes of one read, so that no connection starves the others.
 	maxReadBytes = 64 << 10
 
-	// maxReadsAtHalfClose bounds the reads of one iteration from a peer that has ended its half. Its end is reported in
-	// the iteration of its last bytes.
+	// maxReadsAtHalfClose bounds the reads of one iteration from a peer that has closed its sending side. Several reads
+	// are needed to report the half-close in the same iteration as the last bytes.
 	maxReadsAtHalfClose = 16
 )
 
-// updateInterest sets the events that epoll reports to those that the connection can act on.
+// updateInterest registers the socket for the epoll events that the connection can handle in its present state.
 func (c *Conn) updateInterest() {
 	if c.loop.isSimulated() {
 		c.resumeSimulated()
 		return
 	}
-	want := uint32(0)
+	interest := uint32(0)
 	switch {
 	case c.readOpen && !c.readPaused:
-		want |= unix.EPOLLIN | unix.EPOLLRDHUP
+		interest |= unix.EPOLLIN | unix.EPOLLRDHUP
 	case c.readOpen && c.notifyHalfCloseWhilePaused:
-		want |= unix.EPOLLRDHUP
+		interest |= unix.EPOLLRDHUP
 	}
 	if c.writeBlocked {
-		want |= unix.EPOLLOUT
+		interest |= unix.EPOLLOUT
 	}
-	if want != c.interest {
-		c.interest = want
-		c.loop.setInterest(c.fd, want)
+	if interest != c.interest {
+		c.interest = interest
+		c.loop.setInterest(c.fd, interest)
 	}
 }
 
-// handleEvents acts on the events of the connection's socket.
+// handleEvents handles the epoll events of the connection's socket.
 func (c *Conn) handleEvents(_ *Loop, events uint32) {
 	if c.connecting {
 		c.handleConnectEvents(events)
@@ -59,7 +59,7 @@
 	}
 }
 
-// handleEventsWithoutReading acts on the end of a peer whose input is not read now.
+// handleEventsWithoutReading handles a reset or a half-close by the peer while input is not read.
 func (c *Conn) handleEventsWithoutReading(events uint32) {
 	switch {
 	case events&(unix.EPOLLHUP|unix.EPOLLERR) != 0:
@@ -69,7 +69,8 @@
 	}
 }
 
-// readToHalfClose reads the last bytes of a peer that has ended its half, within a bounded number of reads.
+// readToHalfClose reads the last bytes of a peer that has closed its sending side, in at most maxReadsAtHalfClose
+// reads.
 func (c *Conn) readToHalfClose() {
 	for n := 0; n < maxReadsAtHalfClose && c.fd >= 0 && c.readOpen && !c.readPaused; n++ {
 		if !c.read() {
@@ -78,7 +79,7 @@
 	}
 }
 
-// read passes one buffer of input to the handler. It reports whether there may be more.
+// read passes at most one buffer of input to the handler. It reports whether there may be more input.
 func (c *Conn) read() bool {
 	n, err := unix.Read(c.fd, c.loop.readBuffer)
 	switch {
@@ -95,14 +96,14 @@
 	return true
 }
 
-// peerHalfClosed records the end of the peer's half and notifies the handler.
+// peerHalfClosed records that the peer has closed its sending side and notifies the handler.
 func (c *Conn) peerHalfClosed() {
 	c.readOpen = false
 	c.updateInterest()
 	c.handler.PeerHalfClosed(c.loop.now)
 }
 
-// flush writes the queued output and, once all is written, carries out the close that was asked for.
+// flush writes the queued output. Once all of it is written, flush carries out a requested close.
 func (c *Conn) flush() {
 	if !c.writeOutput() {
 		return
@@ -134,11 +135,11 @@
 	}
 }
 
-// writeOutput writes as much output as the peer takes and reports whether that was all. Otherwise the connection is
-// blocked or has ended.
+// writeOutput writes as much queued output as the socket accepts. It reports whether that was all; if not, the
+// connection is write-blocked or closed.
 func (c *Conn) writeOutput() bool {
 	if c.loop.isSimulated() {
-		return c.writeToPipe()
+		return c.writeSimulated()
 	}
 	for c.written < len(c.output) {
 		n, err := unix.Write(c.fd, c.output[c.written:])
@@ -160,7 +161,7 @@
 	return true
 }
 
-// compactOutput moves unwritten output to the front of the buffer once more than half of it is written.
+// compactOutput moves unwritten output to the front of the buffer if more than half of the buffer has been written.
 func (c *Conn) compactOutput() {
 	if c.written > len(c.output)/2 {
 		c.output = c.output[:copy(c.output, c.output[c.written:])]
@@ -168,5 +169,6 @@
 	}
 }
 
-// shutdownWrite ends this side's half of the socket. An error means that the peer is gone, which reading reports.
+// shutdownWrite closes the sending side of the socket. An error means that the connection is lost, which the next read
+// reports.
 func (c *Conn) shutdownWrite() { _ = unix.Shutdown(c.fd, unix.SHUT_WR) }
--- a/internal/eventloop/conn_test.go
+++ b/internal/eventloop/conn_test.go
@@ -8,10 +8,11 @@
 	"time"
 )
 
+// TestEchoThroughSmallWrites checks that a long input of many small writes is echoed unchanged.
 func TestEchoThroughSmallWrites(t *testing.T) {
-	l, on := startLoop(t)
-	ln := listen(t, l, on, func(c *Conn) Handler {
-		p := &recordingPeer{conn: c}
+	l, onLoop := startLoop(t)
+	ln := listen(t, l, onLoop, func(c *Conn) Handler {
+		p := &connRecorder{conn: c}
 		p.onReceived = func(b []byte) { c.Write(b) }
 		return p
 	})
@@ -25,7 +26,7 @@
 		for p := want; len(p) > 0; {
 			n := min(len(p), 1777)
 			if _, err := c.Write(p[:n]); err != nil {
-				return // the reader below finds out what is missing
+				return // the read below fails
 			}
 			p = p[n:]
 		}
@@ -40,83 +41,84 @@
 		n += m
 	}
 	if !bytes.Equal(got, want) {
-		t.Fatal("what came back is not what was sent")
+		t.Fatal("the echoed bytes differ from those sent")
 	}
 }
 
-// A peer that reads nothing fills its own output queue to the limit and is closed; another peer on the same loop is
-// served meanwhile.
+// TestBlockedPeerDoesNotDelayOthers checks that a connection whose peer does not read is closed at its output limit,
+// and that another connection of the loop is served meanwhile.
 func TestBlockedPeerDoesNotDelayOthers(t *testing.T) {
-	l, on := startLoop(t)
-	var peers []*recordingPeer
-	ln := listen(t, l, on, func(c *Conn) Handler {
-		p := &recordingPeer{conn: c}
+	l, onLoop := startLoop(t)
+	var recorders []*connRecorder
+	ln := listen(t, l, onLoop, func(c *Conn) Handler {
+		p := &connRecorder{conn: c}
 		c.SetOutputLimit(1 << 20)
 		p.onReceived = func(b []byte) { c.Write(b) }
-		peers = append(peers, p)
+		recorders = append(recorders, p)
 		return p
 	})
-	stuck, err := net.Dial("tcp", ln.Addr().String())
+	blocked, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer stuck.Close()
-	must(t, stuck.(*net.TCPConn).SetReadBuffer(4<<10))
-	waitUntil(t, on, "first accepted", func() bool { return len(peers) == 1 })
-	quick, err := net.Dial("tcp", ln.Addr().String())
+	defer blocked.Close()
+	must(t, blocked.(*net.TCPConn).SetReadBuffer(4<<10))
+	waitUntil(t, onLoop, "first accepted", func() bool { return len(recorders) == 1 })
+	other, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer quick.Close()
-	waitUntil(t, on, "second accepted", func() bool { return len(peers) == 2 })
+	defer other.Close()
+	waitUntil(t, onLoop, "second accepted", func() bool { return len(recorders) == 2 })
 	chunk := make([]byte, 64<<10)
 	buf := make([]byte, 4)
-	over := false
-	for i := 0; i < 2000 && !over; i++ {
-		on(func() {
-			peers[0].conn.Write(chunk)
-			if q := peers[0].conn.QueuedBytes(); q > 1<<20+len(chunk) {
+	limitReached := false
+	for i := 0; i < 2000 && !limitReached; i++ {
+		onLoop(func() {
+			recorders[0].conn.Write(chunk)
+			if q := recorders[0].conn.QueuedBytes(); q > 1<<20+len(chunk) {
 				t.Errorf("%d bytes queued, limit is %d", q, 1<<20)
 			}
-			over = peers[0].closed > 0
+			limitReached = recorders[0].closed > 0
 		})
-		must(t, quick.SetDeadline(time.Now().Add(5*time.Second)))
-		if _, err := quick.Write([]byte("ping")); err != nil {
+		must(t, other.SetDeadline(time.Now().Add(5*time.Second)))
+		if _, err := other.Write([]byte("ping")); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := quick.Read(buf); err != nil {
-			t.Fatalf("the quick peer got no answer: %v", err)
+		if _, err := other.Read(buf); err != nil {
+			t.Fatalf("the other peer received no echo: %v", err)
 		}
 	}
-	if !over {
-		t.Fatal("the stuck peer was never closed")
+	if !limitReached {
+		t.Fatal("the blocked connection was not closed at its output limit")
 	}
-	on(func() {
-		if !errors.Is(peers[0].err, ErrOutputLimit) {
-			t.Errorf("closed with %v, want %v", peers[0].err, ErrOutputLimit)
+	onLoop(func() {
+		if !errors.Is(recorders[0].err, ErrOutputLimit) {
+			t.Errorf("closed with %v, want %v", recorders[0].err, ErrOutputLimit)
 		}
-		if peers[1].closed > 0 {
-			t.Error("the quick peer was closed too")
+		if recorders[1].closed > 0 {
+			t.Error("the other connection was closed too")
 		}
 	})
 }
 
+// TestHalfClose checks that output can be written after the peer has closed its sending side.
 func TestHalfClose(t *testing.T) {
-	l, on := startLoop(t)
-	var p *recordingPeer
-	ln := listen(t, l, on, func(c *Conn) Handler { p = &recordingPeer{conn: c}; return p })
+	l, onLoop := startLoop(t)
+	var p *connRecorder
+	ln := listen(t, l, onLoop, func(c *Conn) Handler { p = &connRecorder{conn: c}; return p })
 	c, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	_, err = c.Write([]byte("last words"))
+	_, err = c.Write([]byte("last bytes"))
 	must(t, err)
 	must(t, c.(*net.TCPConn).CloseWrite())
-	waitUntil(t, on, "end of the peer's half", func() bool { return p != nil && p.halfClosed })
-	on(func() {
-		if string(p.received) != "last words" || p.closed > 0 {
-			t.Errorf("got %q, closed %d times: want all bytes and an open half", p.received, p.closed)
+	waitUntil(t, onLoop, "half-close reported", func() bool { return p != nil && p.halfClosed })
+	onLoop(func() {
+		if string(p.received) != "last bytes" || p.closed > 0 {
+			t.Errorf("got %q, closed %d times, want all bytes and an open connection", p.received, p.closed)
 		}
 		p.conn.Write([]byte("answer"))
 		p.conn.CloseAfterFlush()
@@ -127,38 +129,40 @@
 	if string(buf[:n]) != "answer" {
 		t.Fatalf("read %q after half-close, want the answer", buf[:n])
 	}
-	waitUntil(t, on, "closed", func() bool { return p.closed == 1 })
+	waitUntil(t, onLoop, "closed", func() bool { return p.closed == 1 })
 }
 
+// TestReset checks that a reset by the peer is reported with an error.
 func TestReset(t *testing.T) {
-	l, on := startLoop(t)
-	var p *recordingPeer
-	ln := listen(t, l, on, func(c *Conn) Handler { p = &recordingPeer{conn: c}; return p })
+	l, onLoop := startLoop(t)
+	var p *connRecorder
+	ln := listen(t, l, onLoop, func(c *Conn) Handler { p = &connRecorder{conn: c}; return p })
 	c, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(t, on, "accepted", func() bool { return p != nil })
+	waitUntil(t, onLoop, "accepted", func() bool { return p != nil })
 	must(t, c.(*net.TCPConn).SetLinger(0))
 	c.Close()
-	waitUntil(t, on, "reset", func() bool { return p.closed == 1 && p.err != nil })
+	waitUntil(t, onLoop, "reset", func() bool { return p.closed == 1 && p.err != nil })
 }
 
-// The end of a peer that has come with its last bytes is reported in the same iteration, before the iteration function.
+// TestHalfCloseWithLastBytes checks that a half-close that arrives with the peer's last bytes is reported in the same
+// iteration, before the iteration function is called.
 func TestHalfCloseWithLastBytes(t *testing.T) {
-	p := &recordingPeer{}
-	l, ends := acceptPeers(t, p)
-	_, err := ends[0].Write(make([]byte, 1000))
+	p := &connRecorder{}
+	l, clients := acceptConns(t, p)
+	_, err := clients[0].Write(make([]byte, 1000))
 	must(t, err)
-	must(t, ends[0].CloseWrite())
-	// Both are in the socket by now: loopback delivers within the call.
+	must(t, clients[0].CloseWrite())
+	// Bytes and half-close have arrived: the loopback interface delivers them within the calls.
 	runUntil(t, l, func() bool {
 		if len(p.received) > 0 && !p.halfClosed {
-			t.Errorf("the iteration function was called after %d bytes, before the end was reported", len(p.received))
+			t.Errorf("the iteration function was called after %d bytes, before the half-close was reported", len(p.received))
 		}
 		return len(p.received) > 0
 	})
 	if len(p.received) != 1000 {
-		t.Errorf("%d bytes, want all 1000", len(p.received))
+		t.Errorf("received %d bytes, want 1000", len(p.received))
 	}
 }
--- a/internal/eventloop/dial.go
+++ b/internal/eventloop/dial.go
@@ -9,10 +9,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// Dial begins a connection to an address. The handler's Opened reports that it is made. If it is not, Closed reports
-// why: os.ErrDeadlineExceeded if it was not made within the timeout, otherwise the error of the connect call. Dial
-// returns an error if the connection could not even begin because this machine is short of something, such as
-// descriptors or ports.
+// Dial starts a connection to an address. Handler.Opened reports that the connection is established. If that fails,
+// Handler.Closed reports os.ErrDeadlineExceeded after the timeout, or the error of the connect call. Dial itself
+// returns an error only if the attempt cannot start because this machine lacks a resource, such as descriptors or
+// ports.
 func (l *Loop) Dial(address netip.AddrPort, timeout Nanos, handler Handler) (*Conn, error) {
 	if l.isSimulated() {
 		return l.dialSimulated(address, timeout, handler)
@@ -37,12 +37,12 @@
 		unix.Close(fd)
 		return nil, err
 	}
-	l.addConn(c)
+	l.countConn(c)
 	c.startConnectTimer(timeout)
 	return c, nil
 }
 
-// isPeerConnectError reports whether an error of connect says something of the peer or of the way to it, rather than of
+// isPeerConnectError reports whether a connect error is caused by the peer or by the network path to it, rather than by
 // this machine.
 func isPeerConnectError(err error) bool {
 	var errno unix.Errno
@@ -57,12 +57,12 @@
 	}
 }
 
-// startConnectTimer ends the connection if it is not made within the timeout.
+// startConnectTimer closes the connection if it is not established within the timeout.
 func (c *Conn) startConnectTimer(timeout Nanos) {
 	c.loop.SetTimer(&c.connectTimer, c.loop.now+timeout, func(Nanos) { c.terminate(os.ErrDeadlineExceeded) })
 }
 
-// handleConnectEvents finishes a connection under way if it is made or has failed.
+// handleConnectEvents handles the epoll events of a socket that is connecting.
 func (c *Conn) handleConnectEvents(events uint32) {
 	code, err := unix.GetsockoptInt(c.fd, unix.SOL_SOCKET, unix.SO_ERROR)
 	if err == nil && code != 0 {
@@ -81,7 +81,8 @@
 	c.notifyOpened()
 }
 
-// notifyOpened notifies the handler of a dialed connection that it is made, and queues the output written meanwhile.
+// notifyOpened notifies the handler of a dialed connection that it is established, and schedules a flush of the output
+// that was written while connecting.
 func (c *Conn) notifyOpened() {
 	c.handler.Opened(c.loop.now)
 	if c.fd >= 0 {
--- a/internal/eventloop/epoll.go
+++ b/internal/eventloop/epoll.go
@@ -11,9 +11,9 @@
 	handleEvents(l *Loop, events uint32)
 }
 
-// registration is the source of a descriptor. Its generation travels with the events that epoll reports: an event that
-// was reported for a descriptor closed in the same iteration must not reach the connection that was given the
-// descriptor next.
+// registration is the event source of a descriptor. epoll returns its generation with each event, which distinguishes
+// the connections that use one descriptor in succession: an event of a connection closed earlier in the iteration must
+// not reach the next connection on the same descriptor.
 type registration struct {
 	source     eventSource
 	generation int32
@@ -43,7 +43,7 @@
 	_ = unix.EpollCtl(l.epollFD, unix.EPOLL_CTL_DEL, fd, nil) // closing the descriptor removes it as well
 }
 
-// dispatch passes an event to its source, unless the descriptor was closed or used again since epoll reported it.
+// dispatch passes an event to its source, unless the descriptor has been closed or reused since epoll reported it.
 func (l *Loop) dispatch(event unix.EpollEvent) {
 	if r, ok := l.registrations[event.Fd]; ok && r.generation == event.Pad {
 		r.source.handleEvents(l, event.Events)
--- a/internal/eventloop/helpers_test.go
+++ b/internal/eventloop/helpers_test.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// testTimeout is how long a test waits for what must happen.
+// testTimeout is how long a test waits for a condition.
 const testTimeout = 10 * time.Second
 
-// recordingPeer is a Handler that records what happens to its connection; only the loop's goroutine touches it.
-type recordingPeer struct {
+// connRecorder is a Handler that records the events of its connection. Only the loop's goroutine may access it.
+type connRecorder struct {
 	conn       *Conn
 	opened     int
 	received   []byte
@@ -22,8 +22,8 @@
 	onReceived func(p []byte)
 }
 
-func (p *recordingPeer) Opened(Nanos) { p.opened++ }
-func (p *recordingPeer) Received(_ Nanos, b []byte) {
+func (p *connRecorder) Opened(Nanos) { p.opened++ }
+func (p *connRecorder) Received(_ Nanos, b []byte) {
 	if p.onReceived != nil {
 		p.onReceived(b)
 		return
@@ -31,14 +31,14 @@
 	p.received = append(p.received, b...)
 }
 
-func (p *recordingPeer) PeerHalfClosed(Nanos)      { p.halfClosed = true }
-func (p *recordingPeer) OutputFlushed(Nanos)       { p.flushed++ }
-func (p *recordingPeer) Closed(_ Nanos, err error) { p.closed++; p.err = err }
+func (p *connRecorder) PeerHalfClosed(Nanos)      { p.halfClosed = true }
+func (p *connRecorder) OutputFlushed(Nanos)       { p.flushed++ }
+func (p *connRecorder) Closed(_ Nanos, err error) { p.closed++; p.err = err }
 
-// anyPort is a free port of the loopback address.
+// anyPort is the loopback address with port 0, which selects a free port.
 var anyPort = netip.MustParseAddrPort("127.0.0.1:0")
 
-// must fails the test at once if a step of its set-up fails.
+// must fails the test at once if err is not nil.
 func must(t *testing.T, err error) {
 	t.Helper()
 	if err != nil {
@@ -46,8 +46,8 @@
 	}
 }
 
-// startLoop runs a loop on its own goroutine until the end of the test. It returns the loop and a function that runs a
-// call on it and waits for it.
+// startLoop runs a loop on its own goroutine until the end of the test. It returns the loop and a function that makes
+// the loop run a call and waits until the call has returned.
 func startLoop(t *testing.T) (*Loop, func(func())) {
 	t.Helper()
 	l, err := New()
@@ -69,33 +69,33 @@
 	return l, func(call func()) {
 		returned := make(chan struct{})
 		posted := func() bool { return l.Post(func() { call(); close(returned) }) }
-		for end := time.Now().Add(testTimeout); !posted(); time.Sleep(time.Millisecond) { // full for a moment
+		for end := time.Now().Add(testTimeout); !posted(); time.Sleep(time.Millisecond) { // the queue may be full
 			if time.Now().After(end) {
-				t.Fatal("the loop accepts no posted calls")
+				t.Fatal("the loop accepts no posted calls: its queue stays full")
 			}
 		}
 		<-returned
 	}
 }
 
-// waitUntil waits for a condition that is read on the loop.
-func waitUntil(t *testing.T, on func(func()), what string, condition func() bool) {
+// waitUntil waits until a condition holds, which it evaluates on the loop. what names the condition.
+func waitUntil(t *testing.T, onLoop func(func()), what string, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		var ok bool
-		if on(func() { ok = condition() }); ok {
+		if onLoop(func() { ok = condition() }); ok {
 			return
 		}
 	}
-	t.Fatalf("not within %v: %s", testTimeout, what)
+	t.Fatalf("timed out after %v: %s", testTimeout, what)
 }
 
 // listen opens a listener on the running loop.
-func listen(t *testing.T, l *Loop, on func(func()), newHandler func(c *Conn) Handler) *Listener {
+func listen(t *testing.T, l *Loop, onLoop func(func()), newHandler func(c *Conn) Handler) *Listener {
 	t.Helper()
 	var ln *Listener
 	var err error
-	on(func() {
+	onLoop(func() {
 		ln, err = l.Listen(anyPort, false, func(c *Conn, _ netip.AddrPort) Handler { return newHandler(c) })
 	})
 	if err != nil {
@@ -104,9 +104,9 @@
 	return ln
 }
 
-// acceptPeers returns a loop that has accepted one connection for each handler, in order, and the other ends of the
-// connections. The loop does not run afterwards.
-func acceptPeers(t *testing.T, handlers ...*recordingPeer) (*Loop, []*net.TCPConn) {
+// acceptConns returns a loop that has accepted one connection for each handler, in order, and the clients' ends of the
+// connections. The loop is not running when it returns.
+func acceptConns(t *testing.T, handlers ...*connRecorder) (*Loop, []*net.TCPConn) {
 	t.Helper()
 	l, err := New()
 	if err != nil {
@@ -123,25 +123,25 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var ends []*net.TCPConn
+	var clients []*net.TCPConn
 	for range handlers {
 		c, err := net.Dial("tcp", ln.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { c.Close() })
-		ends = append(ends, c.(*net.TCPConn))
-		runUntil(t, l, func() bool { return accepted == len(ends) })
+		clients = append(clients, c.(*net.TCPConn))
+		runUntil(t, l, func() bool { return accepted == len(clients) })
 	}
-	return l, ends
+	return l, clients
 }
 
 // runUntil runs the loop until a condition holds.
 func runUntil(t *testing.T, l *Loop, condition func() bool) {
 	t.Helper()
 	var deadline Timer
-	late := false
-	l.SetTimer(&deadline, l.ReadClock()+int64(testTimeout), func(Nanos) { late = true; l.Stop() })
+	timedOut := false
+	l.SetTimer(&deadline, l.ReadClock()+int64(testTimeout), func(Nanos) { timedOut = true; l.Stop() })
 	must(t, l.Run(func(Nanos) {
 		l.SkipNextWait()
 		if condition() {
@@ -150,7 +150,7 @@
 	}))
 	l.CancelTimer(&deadline)
 	l.stopped.Store(false)
-	if late {
-		t.Fatalf("not within %v", testTimeout)
+	if timedOut {
+		t.Fatalf("the condition did not hold within %v", testTimeout)
 	}
 }
--- a/internal/eventloop/listener.go
+++ b/internal/eventloop/listener.go
@@ -14,14 +14,15 @@
 	// maxAcceptsPerIteration is how many connections a listener accepts in one iteration.
 	maxAcceptsPerIteration = 64
 
-	// listenBacklog is how many connections may wait to be accepted.
+	// listenBacklog is how many connections the kernel may queue until they are accepted.
 	listenBacklog = 4096
 
-	// acceptPause is how long a listener pauses when the process or the machine is short of something.
+	// acceptPause is how long a listener stops accepting after it ran out of descriptors or kernel memory.
 	acceptPause = 50 * time.Millisecond
 )
 
-// AcceptFunc is called for each new connection. It returns the connection's handler, or nil to close it at once.
+// AcceptFunc is called for each accepted connection. It returns the connection's handler, or nil to close the
+// connection at once.
 type AcceptFunc func(c *Conn, from netip.AddrPort) Handler
 
 // Listener accepts connections on one address. Make it with Loop.Listen.
@@ -30,13 +31,13 @@
 	fd          int // -1 once the listener is closed
 	addr        netip.AddrPort
 	onAccept    AcceptFunc
-	accept4     func(fd, flags int) (int, unix.Sockaddr, error) // the system call; tests replace it
+	accept4     func(fd, flags int) (int, unix.Sockaddr, error) // the system call, replaced by tests
 	resumeTimer Timer
 
 	sim simulatedListener
 }
 
-// Listen opens a listener on an address; port 0 takes any free port. With reusePort, several processes may listen on
+// Listen opens a listener on an address. Port 0 selects any free port. With reusePort, several processes may listen on
 // the same port.
 func (l *Loop) Listen(address netip.AddrPort, reusePort bool, onAccept AcceptFunc) (*Listener, error) {
 	if l.isSimulated() {
@@ -59,9 +60,9 @@
 	return ln, nil
 }
 
-// listenOn makes a socket listen on an address and returns the address with the port that the system chose.
+// listenOn makes a socket listen on an address. It returns the bound address, with the port that the system chose.
 func listenOn(fd int, address netip.AddrPort, reusePort bool) (netip.AddrPort, error) {
-	_ = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1) // bind reports an address that is in use
+	_ = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1) // a failure shows up as an error of bind
 	if reusePort {
 		if err := unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEPORT, 1); err != nil {
 			return netip.AddrPort{}, os.NewSyscallError("setsockopt", err)
@@ -80,10 +81,10 @@
 	return addrPort(bound), nil
 }
 
-// Addr returns the address on which the listener accepts.
+// Addr returns the address that the listener is bound to.
 func (ln *Listener) Addr() netip.AddrPort { return ln.addr }
 
-// Close stops listening. Connections that are accepted already stay; those that wait are lost.
+// Close stops listening. Accepted connections stay open; pending ones are lost.
 func (ln *Listener) Close() {
 	if ln.loop.isSimulated() {
 		ln.closeSimulated()
@@ -97,7 +98,7 @@
 	}
 }
 
-// SetAcceptPaused makes new connections wait in the kernel's queue, or accepts them again.
+// SetAcceptPaused pauses or resumes accepting. While it is paused, new connections wait in the kernel's queue.
 func (ln *Listener) SetAcceptPaused(paused bool) {
 	if ln.loop.isSimulated() {
 		ln.setAcceptPausedSimulated(paused)
@@ -113,7 +114,7 @@
 	ln.loop.setInterest(ln.fd, events)
 }
 
-// AcceptPendingAndClose accepts the connections that wait and stops listening.
+// AcceptPendingAndClose accepts the pending connections and stops listening.
 func (ln *Listener) AcceptPendingAndClose() {
 	switch {
 	case ln.loop.isSimulated():
@@ -124,10 +125,10 @@
 	ln.Close()
 }
 
-// handleEvents accepts the connections that epoll reports.
+// handleEvents accepts pending connections.
 func (ln *Listener) handleEvents(*Loop, uint32) { ln.acceptPending(maxAcceptsPerIteration) }
 
-// acceptPending accepts at most limit connections that wait.
+// acceptPending accepts at most limit pending connections.
 func (ln *Listener) acceptPending(limit int) {
 	for range limit {
 		fd, from, err := ln.accept4(ln.fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
@@ -139,10 +140,10 @@
 			ln.rejectOnePending()
 			return
 		case errors.Is(err, unix.ENFILE), errors.Is(err, unix.ENOBUFS), errors.Is(err, unix.ENOMEM):
-			// The whole machine is short, perhaps for a moment only: the clients go on waiting.
+			// The machine lacks descriptors or memory, perhaps only briefly: the connections stay pending.
 			ln.pauseAccepting()
 			return
-		default: // EAGAIN: no connection waits
+		default: // EAGAIN: no connection is pending
 			return
 		}
 		ln.accept(fd, addrPort(from))
@@ -152,7 +153,7 @@
 	}
 }
 
-// accept gives an accepted socket to the handler that onAccept returns.
+// accept sets up an accepted socket with the handler that onAccept returns.
 func (ln *Listener) accept(fd int, from netip.AddrPort) {
 	c := newConn(ln.loop, fd)
 	if c.handler = ln.onAccept(c, from); c.handler == nil {
@@ -163,12 +164,12 @@
 		c.terminate(err)
 		return
 	}
-	ln.loop.addConn(c)
+	ln.loop.countConn(c)
 	c.handler.Opened(ln.loop.now)
 }
 
-// rejectOnePending accepts and closes one connection with the spare descriptor, so that its client learns at once that
-// the process has no descriptor left, and pauses accepting.
+// rejectOnePending pauses accepting because the process has no descriptor left. Before that it frees the spare
+// descriptor to accept and close one connection, so that its client is not left waiting.
 func (ln *Listener) rejectOnePending() {
 	l := ln.loop
 	if l.spareFD >= 0 {
@@ -177,11 +178,12 @@
 	if fd, _, err := ln.accept4(ln.fd, unix.SOCK_CLOEXEC); err == nil {
 		unix.Close(fd)
 	}
-	l.spareFD, _ = openSpare()
+	l.spareFD, _ = openSpareFD()
 	ln.pauseAccepting()
 }
 
-// pauseAccepting stops accepting for a while: epoll would report a listener that cannot accept again and again.
+// pauseAccepting stops accepting for acceptPause. Otherwise the loop would spin, as epoll keeps reporting a listener
+// whose connections cannot be accepted.
 func (ln *Listener) pauseAccepting() {
 	l := ln.loop
 	l.acceptPauseCount++
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -1,10 +1,11 @@
-// Package eventloop runs sockets, timers and calls from other goroutines on one epoll instance. It moves bytes and
-// knows no protocol. All methods belong to the goroutine that runs the loop, except Post, Stop and DroppedPosts.
+// Package eventloop runs sockets, timers and calls from other goroutines on one epoll instance. It transports bytes and
+// implements no protocol. Only the goroutine that runs the loop may call its methods, except for Post, Stop and
+// DroppedPosts.
 //
-// One iteration of the loop reads the clock once, passes what has arrived to the handlers, calls the timers that are
-// due, calls the owner's iteration function and then writes all queued output, with one write for each connection.
+// One iteration of the loop reads the clock once, passes input to the handlers, calls the timers that are due, calls
+// the owner's iteration function and then writes all queued output, with one write for each connection.
 //
-// A SimulatedNetwork runs the same loops in simulated time, with pipes in memory in place of sockets.
+// A SimulatedNetwork runs the same loops in simulated time, with in-memory pipes in place of sockets.
 package eventloop
 
 import (
@@ -17,26 +18,26 @@
 )
 
 const (
-	// maxEventsPerWait is how many epoll events one iteration takes.
+	// maxEventsPerWait bounds the epoll events of one iteration.
 	maxEventsPerWait = 512
 
-	// maxWait is the longest wait for events. Go's runtime stops all goroutines for a moment in each garbage collection;
-	// where that meets this goroutine as it enters the wait, the others stand still until the wait is over (Go 1.26).
+	// maxWait bounds the wait for events. If the garbage collector stops the world just as this goroutine enters
+	// epoll_wait, the other goroutines stay stopped until the wait returns (Go 1.26).
 	maxWait = 100 * time.Millisecond
 
-	// maxFlushPasses bounds how often one iteration writes output that handlers queue while output is written.
+	// maxFlushPasses bounds how often one iteration flushes output that handlers queued during the previous flush.
 	maxFlushPasses = 4
 )
 
-// Nanos is a time on the loop's monotonic clock, in nanoseconds since the loop was made.
+// Nanos is a time on the loop's monotonic clock, in nanoseconds since the loop was created.
 type Nanos = int64
 
-// Loop is one epoll instance with its sockets and timers, or a loop of a SimulatedNetwork. Make it with New or
-// SimulatedNetwork.NewLoop.
+// Loop is an event loop on one epoll instance, or a loop of a SimulatedNetwork. New and SimulatedNetwork.NewLoop create
+// one.
 type Loop struct {
 	epollFD        int
-	wakeFD         int // eventfd by which other goroutines end the wait for events
-	spareFD        int // closed to make room for one accept when the process has no descriptor left
+	wakeFD         int // eventfd with which other goroutines wake the loop
+	spareFD        int // freed to accept one connection when the process has no descriptor left
 	registrations  map[int32]registration
 	lastGeneration int32
 
@@ -46,21 +47,21 @@
 	posts   postQueue
 	stopped atomic.Bool
 
-	flushQueue   []*Conn // connections with output or a close to carry out
-	closedConns  []*Conn // ended connections whose handlers are not notified yet
+	flushQueue   []*Conn // connections with queued output or a requested close
+	closedConns  []*Conn // closed connections whose handlers have not been notified
 	readBuffer   []byte
 	buffers      bufferPool
 	skipNextWait bool
 
 	connCount             int
 	acceptPauseCount      uint64
-	lastIterationDuration Nanos // without the wait for events
+	lastIterationDuration Nanos // excludes the wait for events
 
 	network *SimulatedNetwork // nil for a loop on real sockets
 	sim     simulatedLoop
 }
 
-// New returns a loop on real sockets. It holds three descriptors until Close.
+// New returns a loop on real sockets. The loop holds three descriptors until Close.
 func New() (*Loop, error) {
 	l := &Loop{
 		start:         time.Now(),
@@ -76,7 +77,7 @@
 		unix.Close(l.epollFD)
 		return nil, os.NewSyscallError("eventfd", err)
 	}
-	if l.spareFD, err = openSpare(); err != nil {
+	if l.spareFD, err = openSpareFD(); err != nil {
 		unix.Close(l.epollFD)
 		unix.Close(l.wakeFD)
 		return nil, os.NewSyscallError("open", err)
@@ -88,7 +89,7 @@
 	return l, nil
 }
 
-// Close closes the loop's descriptors and every socket that is still open. Run must have returned.
+// Close closes the loop's descriptors and all sockets that are still open. Run must have returned.
 func (l *Loop) Close() {
 	if l.isSimulated() {
 		return
@@ -126,16 +127,16 @@
 	return l.start.UnixNano()
 }
 
-// LastIterationDuration returns how long the last iteration worked; its wait for events does not count.
+// LastIterationDuration returns the duration of the last iteration, excluding its wait for events.
 func (l *Loop) LastIterationDuration() Nanos { return l.lastIterationDuration }
 
-// SkipNextWait makes the next iteration start without waiting for events: for work that came up too late in this one.
+// SkipNextWait makes the next iteration start without waiting for events, because there is work left for it.
 func (l *Loop) SkipNextWait() { l.skipNextWait = true }
 
-// ConnCount returns how many connections are open or being made.
+// ConnCount returns the number of connections that are open or connecting.
 func (l *Loop) ConnCount() int { return l.connCount }
 
-// AcceptPauseCount returns how often accepting was paused for want of descriptors or kernel memory.
+// AcceptPauseCount returns how often accepting was paused for lack of descriptors or kernel memory.
 func (l *Loop) AcceptPauseCount() uint64 { return l.acceptPauseCount }
 
 // Stop makes Run return after the current iteration. Any goroutine may call it.
@@ -186,7 +187,7 @@
 	return int((wait + nanosPerMilli - 1) / nanosPerMilli)
 }
 
-// mustIterateAgain reports whether work is left that must not wait for events. It resets skipNextWait.
+// mustIterateAgain reports whether the next iteration has work that must not wait for events. It resets skipNextWait.
 func (l *Loop) mustIterateAgain() bool {
 	if l.skipNextWait || len(l.flushQueue) > 0 || len(l.closedConns) > 0 {
 		l.skipNextWait = false
@@ -195,9 +196,9 @@
 	return false
 }
 
-// flushOutput writes the output that was queued in this iteration and notifies the handlers of connections that ended
-// in it. What these calls queue or close is handled too, in a bounded number of passes; the rest is left for the next
-// iteration.
+// flushOutput writes the output that was queued in this iteration and notifies the handlers of closed connections.
+// Handlers may queue more output or close connections meanwhile; flushOutput repeats for at most maxFlushPasses passes
+// and leaves the rest to the next iteration.
 func (l *Loop) flushOutput() {
 	for pass := 0; pass < maxFlushPasses && len(l.flushQueue)+len(l.closedConns) > 0; pass++ {
 		queue := l.flushQueue
@@ -212,13 +213,13 @@
 			l.flushQueue = queue[:0]
 		}
 		if l.notifyClosed() {
-			l.skipNextWait = true // the iteration function has to see what follows from it
+			l.skipNextWait = true // the iteration function must run after the handlers' changes
 		}
 	}
 }
 
-// notifyClosed calls Closed for the connections that have ended and reports whether there were any. It runs before the
-// iteration function, so that no decision is made for a peer that is known to be gone, and after output is written.
+// notifyClosed calls Closed for the closed connections and reports whether there were any. It runs before the iteration
+// function, so that the function makes no decision for a closed connection, and after each flush.
 func (l *Loop) notifyClosed() bool {
 	closed := l.closedConns
 	l.closedConns = nil
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -9,42 +9,43 @@
 	"golang.org/x/sys/unix"
 )
 
-// A connection that ends is reported before the iteration function of the same iteration.
+// TestClosedBeforeIterationFunction checks that a closed connection is reported to its handler before the iteration
+// function of the same iteration is called.
 func TestClosedBeforeIterationFunction(t *testing.T) {
 	l, err := New()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	late, closed := 0, 0
-	here, there := &recordingPeer{}, &recordingPeer{}
+	unreported, closed := 0, 0
+	acceptedSide, dialedSide := &connRecorder{}, &connRecorder{}
 	ln, err := l.Listen(anyPort, false, func(c *Conn, _ netip.AddrPort) Handler {
-		here.conn = c
-		here.onReceived = func([]byte) { c.Close() }
-		return here
+		acceptedSide.conn = c
+		acceptedSide.onReceived = func([]byte) { c.Close() }
+		return acceptedSide
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if there.conn, err = l.Dial(ln.Addr(), int64(time.Second), there); err != nil {
+	if dialedSide.conn, err = l.Dial(ln.Addr(), int64(time.Second), dialedSide); err != nil {
 		t.Fatal(err)
 	}
-	there.conn.Write([]byte("x"))
+	dialedSide.conn.Write([]byte("x"))
 	var deadline Timer
 	l.SetTimer(&deadline, int64(5*time.Second), func(Nanos) { l.Stop() })
 	must(t, l.Run(func(Nanos) {
-		late += len(l.closedConns)
-		if closed += here.closed; closed > 0 {
+		unreported += len(l.closedConns)
+		if closed += acceptedSide.closed; closed > 0 {
 			l.Stop()
 		}
 	}))
-	if closed == 0 || late > 0 {
-		t.Errorf("%d ends were reported, %d had not been when the iteration function was called", closed, late)
+	if closed == 0 || unreported > 0 {
+		t.Errorf("Closed was called %d times, and %d calls were missing when the iteration function ran", closed, unreported)
 	}
 }
 
-// A loop with nothing to do iterates now and then: a garbage collection that stops all goroutines may have to wait for
-// it.
+// TestWaitIsBounded checks that an idle loop waits for at most maxWait, because a garbage collection may have to wait
+// for it.
 func TestWaitIsBounded(t *testing.T) {
 	l, err := New()
 	if err != nil {
@@ -52,23 +53,23 @@
 	}
 	defer l.Close()
 	if got := l.waitMillis(); got != 100 {
-		t.Errorf("without timers it waits %d ms, want 100", got)
+		t.Errorf("wait without timers is %d ms, want 100", got)
 	}
 	var timer Timer
 	l.SetTimer(&timer, l.ReadClock()+3600e9, func(Nanos) {})
 	if got := l.waitMillis(); got != 100 {
-		t.Errorf("with a timer far off it waits %d ms, want 100", got)
+		t.Errorf("wait for a timer in an hour is %d ms, want 100", got)
 	}
 	l.SetTimer(&timer, l.ReadClock(), func(Nanos) {})
 	if got := l.waitMillis(); got != 0 {
-		t.Errorf("with a timer due it waits %d ms, want 0", got)
+		t.Errorf("wait with a timer due is %d ms, want 0", got)
 	}
 }
 
-// An event that epoll reported for a descriptor closed earlier in the iteration does not reach the connection that was
-// given the descriptor next, which would be taken for connected.
+// TestDescriptorReusedWithinIteration checks that an event of a connection closed earlier in the iteration does not
+// reach a new connection on the same descriptor, which would wrongly be reported as established.
 func TestDescriptorReusedWithinIteration(t *testing.T) {
-	// The queue of this listener is filled, so that connections to it are never made.
+	// The queue of this listener is full, so that connections to it are never established.
 	full, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -87,9 +88,9 @@
 	}
 	defer filler.Close()
 
-	first, second, dialed := &recordingPeer{}, &recordingPeer{}, &recordingPeer{}
-	l, ends := acceptPeers(t, first, second)
-	closeAndDial := func(other *recordingPeer) func([]byte) {
+	first, second, dialed := &connRecorder{}, &connRecorder{}, &connRecorder{}
+	l, clients := acceptConns(t, first, second)
+	closeAndDial := func(other *connRecorder) func([]byte) {
 		return func([]byte) {
 			if dialed.conn != nil {
 				return
@@ -100,17 +101,17 @@
 				t.Fatal(err)
 			}
 			if dialed.conn.fd != fd {
-				t.Fatalf("descriptor %d, want %d again", dialed.conn.fd, fd)
+				t.Fatalf("descriptor %d, want %d reused", dialed.conn.fd, fd)
 			}
 		}
 	}
-	// Whichever event comes first closes the other connection.
+	// The handler of the first event closes the other connection.
 	first.onReceived, second.onReceived = closeAndDial(second), closeAndDial(first)
-	for _, p := range []*recordingPeer{first, second} { // both are blocked, so that epoll reports when they may write
+	for _, p := range []*connRecorder{first, second} { // write-blocked, so that epoll reports EPOLLOUT
 		p.conn.Write(make([]byte, 16<<20))
 	}
 	runUntil(t, l, func() bool { return first.conn.WriteBlocked() && second.conn.WriteBlocked() })
-	for _, c := range ends {
+	for _, c := range clients {
 		_, err := c.Write([]byte("x"))
 		must(t, err)
 		go func() {
@@ -122,16 +123,16 @@
 			}
 		}()
 	}
-	for _, p := range []*recordingPeer{first, second} { // both events of both are there when the loop iterates
-		const both = unix.POLLIN | unix.POLLOUT
-		for fds := []unix.PollFd{{Fd: int32(p.conn.fd), Events: both}}; fds[0].Revents&both != both; {
-			_, _ = unix.Poll(fds, 1000) // may be interrupted; only Revents counts
+	for _, p := range []*connRecorder{first, second} { // wait until both sockets are readable and writable
+		const readWrite = unix.POLLIN | unix.POLLOUT
+		for fds := []unix.PollFd{{Fd: int32(p.conn.fd), Events: readWrite}}; fds[0].Revents&readWrite != readWrite; {
+			_, _ = unix.Poll(fds, 1000) // an interrupted call is repeated
 		}
 	}
 	runUntil(t, l, func() bool { return dialed.conn != nil })
 	iterations := 0
 	runUntil(t, l, func() bool { iterations++; return iterations > 3 })
 	if dialed.opened > 0 {
-		t.Error("a connection that is being made was reported as open")
+		t.Error("Opened was called for a connection that is not established")
 	}
 }
--- a/internal/eventloop/post.go
+++ b/internal/eventloop/post.go
@@ -6,11 +6,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// maxPendingPosts is how many posted calls may wait for the loop.
+// maxPendingPosts bounds the posted calls that wait for the loop.
 const maxPendingPosts = 1 << 14
 
-// Post makes the loop call f in its next iteration and reports whether it will: f is dropped if too many calls wait
-// already, which DroppedPosts counts. Any goroutine may call it.
+// Post queues f to be called by the loop in its next iteration. It returns false if the queue is full and f was
+// dropped, which DroppedPosts counts. Any goroutine may call Post.
 func (l *Loop) Post(f func()) bool {
 	if l.isSimulated() { // all loops of a simulated network run on one goroutine
 		l.network.schedule(l.network.now, l, eventCall).callback = f
@@ -23,11 +23,11 @@
 	return accepted
 }
 
-// DroppedPosts returns how many calls Post has dropped. Any goroutine may call it.
+// DroppedPosts returns how many calls Post has dropped. Any goroutine may call DroppedPosts.
 func (l *Loop) DroppedPosts() uint64 { return l.posts.droppedCount() }
 
-// wake ends the loop's wait for events. If the write fails, the eventfd's counter is at its limit and the loop will
-// wake in any case.
+// wake ends the loop's wait for events. The write fails only if the eventfd's counter is at its limit; the loop then
+// wakes up anyway.
 func (l *Loop) wake() {
 	one := [8]byte{1}
 	_, _ = unix.Write(l.wakeFD, one[:])
@@ -37,12 +37,12 @@
 type postQueue struct {
 	mu      sync.Mutex
 	calls   []func()
-	running []func() // calls of the last takeAll, whose memory the next one uses again
+	taken   []func() // returned by the last takeAll; its memory is reused by the next one
 	dropped uint64
 }
 
-// push adds a call if there is room. wasEmpty reports that it was added to an empty queue, so that the loop must be
-// woken.
+// push adds a call unless the queue is full. If wasEmpty is true, the queue was empty and the caller must wake the
+// loop.
 func (q *postQueue) push(call func()) (accepted, wasEmpty bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -54,12 +54,12 @@
 	return true, len(q.calls) == 1
 }
 
-// takeAll removes and returns the calls that wait. The slice is valid until takeAll is called again.
+// takeAll removes and returns all queued calls. The slice is valid until takeAll is called again.
 func (q *postQueue) takeAll() []func() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.calls, q.running = q.running[:0], q.calls
-	return q.running
+	q.calls, q.taken = q.taken[:0], q.calls
+	return q.taken
 }
 
 func (q *postQueue) droppedCount() uint64 {
@@ -71,13 +71,13 @@
 // wakeSource is the event source of the loop's eventfd.
 type wakeSource struct{}
 
-// handleEvents makes the calls that other goroutines have posted.
+// handleEvents runs the calls that other goroutines have posted.
 func (wakeSource) handleEvents(l *Loop, _ uint32) {
 	var counter [8]byte
-	_, _ = unix.Read(l.wakeFD, counter[:]) // resets the eventfd; what it counts does not matter
+	_, _ = unix.Read(l.wakeFD, counter[:]) // resets the eventfd; the counter's value does not matter
 	calls := l.posts.takeAll()
 	for _, call := range calls {
 		call()
 	}
-	clear(calls) // so that the closures do not keep their data alive
+	clear(calls) // lets the garbage collector free the closures
 }
--- a/internal/eventloop/post_test.go
+++ b/internal/eventloop/post_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
+// TestPostFromManyGoroutines checks that each posted call is either run or counted as dropped.
 func TestPostFromManyGoroutines(t *testing.T) {
-	l, on := startLoop(t)
+	l, onLoop := startLoop(t)
 	var ran, accepted atomic.Int64
 	done := make(chan struct{})
 	for range 8 {
@@ -23,33 +24,34 @@
 	for range 8 {
 		<-done
 	}
-	dropped := int64(l.DroppedPosts()) // before what the test itself posts
-	waitUntil(t, on, "all accepted calls have run", func() bool { return ran.Load() == accepted.Load() })
+	dropped := int64(l.DroppedPosts()) // read before waitUntil posts calls
+	waitUntil(t, onLoop, "all accepted calls run", func() bool { return ran.Load() == accepted.Load() })
 	if accepted.Load()+dropped != 40000 {
-		t.Errorf("%d accepted and %d dropped of 40000", accepted.Load(), dropped)
+		t.Errorf("%d calls accepted and %d dropped, want 40000 in all", accepted.Load(), dropped)
 	}
 }
 
-// Calls of many goroutines at once are all accepted while there is room; the next one is dropped and counted.
-func TestPostRefusesOnlyWhenFull(t *testing.T) {
-	l, err := New() // it does not run: no call is taken
+// TestPostDropsOnlyWhenFull checks that concurrent posts are all accepted until the queue is full, and that the next
+// one is dropped and counted.
+func TestPostDropsOnlyWhenFull(t *testing.T) {
+	l, err := New() // not run, so that the queue only fills
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	var group sync.WaitGroup
+	var wg sync.WaitGroup
 	for range 8 {
-		group.Go(func() {
+		wg.Go(func() {
 			for range maxPendingPosts / 8 {
 				l.Post(func() {})
 			}
 		})
 	}
-	group.Wait()
+	wg.Wait()
 	if n := l.DroppedPosts(); n != 0 {
-		t.Errorf("%d calls were dropped while there was room", n)
+		t.Errorf("%d calls were dropped before the queue was full", n)
 	}
 	if l.Post(func() {}) || l.DroppedPosts() != 1 {
-		t.Errorf("with no room left: %d dropped, want 1", l.DroppedPosts())
+		t.Errorf("%d calls dropped when the queue is full, want 1", l.DroppedPosts())
 	}
 }
--- a/internal/eventloop/simulated_conn.go
+++ b/internal/eventloop/simulated_conn.go
@@ -7,24 +7,23 @@
 	"golang.org/x/sys/unix"
 )
 
-// maxInFlightBytes is how many bytes of one side of a connection may be sent and not yet read, as the buffers of a
-// socket bound them.
+// maxInFlightBytes bounds the bytes that one side of a connection has sent and the other has not read, as the buffers
+// of real sockets do.
 const maxInFlightBytes = 256 << 10
 
-// simulatedConn is what a connection of a SimulatedNetwork holds beyond a Conn on a real socket.
+// simulatedConn is the additional state of a Conn on a SimulatedNetwork.
 type simulatedConn struct {
 	peer              *Conn
-	id                uint64 // ascends in the order in which connections are made
-	lastArrival       Nanos  // when what was sent last reaches the peer: nothing overtakes it
+	id                uint64 // ascends in order of creation
+	lastArrival       Nanos  // arrival time of the last event sent to the peer; later events arrive no earlier
 	inFlightBytes     int    // sent and not yet read by the peer
 	unreadInput       []byte // received while reading was paused
-	deliveryScheduled bool   // an event will deliver unreadInput
-	blackholed        bool   // what is sent does not arrive
+	deliveryScheduled bool   // an event that delivers unreadInput is scheduled
+	blackholed        bool   // everything sent is dropped
 	tap               Tap
 }
 
-// SimulatedID returns the identifier of a connection of a SimulatedNetwork. It ascends in the order in which
-// connections are made.
+// SimulatedID returns the identifier of a connection on a SimulatedNetwork. Identifiers ascend in order of creation.
 func (c *Conn) SimulatedID() uint64 { return c.sim.id }
 
 func (l *Loop) newSimulatedConn() *Conn {
@@ -38,7 +37,7 @@
 	sn := l.network
 	c := l.newSimulatedConn()
 	c.handler, c.connecting = handler, true
-	l.addConn(c)
+	l.countConn(c)
 	if sn.NewTap != nil {
 		c.sim.tap = sn.NewTap(l, address)
 	}
@@ -52,7 +51,7 @@
 	return c, nil
 }
 
-// sendToPeer schedules an event of the peer after the latency and after all that was sent before.
+// sendToPeer schedules an event for the peer, after the latency and not before the events sent earlier.
 func (c *Conn) sendToPeer(kind eventKind, p []byte) {
 	peer := c.sim.peer
 	if peer == nil || c.sim.blackholed {
@@ -65,7 +64,7 @@
 	e.data = append(e.data, p...)
 }
 
-// closeSimulated ends the connection on the simulated wire.
+// closeSimulated closes the connection and notifies its tap and its peer.
 func (c *Conn) closeSimulated() {
 	if c.sim.tap != nil {
 		c.sim.tap.Closed()
@@ -103,7 +102,8 @@
 	c.deliver(p)
 }
 
-// handlePeerClosed notifies the handler of the peer's end, or resets a connection with unread input.
+// handlePeerClosed notifies the handler that the peer has closed its sending side, or resets a connection that has
+// unread input.
 func (c *Conn) handlePeerClosed() {
 	if c.fd < 0 || !c.readOpen {
 		return
@@ -122,7 +122,7 @@
 	}
 }
 
-// deliver passes received bytes to the handler and lets a blocked peer write again.
+// deliver passes received bytes to the handler and lets a write-blocked peer continue.
 func (c *Conn) deliver(p []byte) {
 	if c.sim.tap != nil {
 		c.sim.tap.Received(p)
@@ -147,9 +147,9 @@
 	}
 }
 
-// writeToPipe sends as much output as may be in flight and reports whether that was all. Otherwise the connection is
-// blocked until the peer reads.
-func (c *Conn) writeToPipe() bool {
+// writeSimulated sends as much queued output as may be in flight. It reports whether that was all; if not, the
+// connection is write-blocked until the peer reads.
+func (c *Conn) writeSimulated() bool {
 	for c.written < len(c.output) {
 		p := c.output[c.written:]
 		n := min(len(p), max(maxInFlightBytes-c.sim.inFlightBytes, 0))
@@ -168,7 +168,7 @@
 	return true
 }
 
-// resumeSimulated schedules the delivery of what came while reading was paused.
+// resumeSimulated schedules the delivery of input that was received while reading was paused.
 func (c *Conn) resumeSimulated() {
 	if c.readPaused || len(c.sim.unreadInput) == 0 || c.sim.deliveryScheduled {
 		return
--- a/internal/eventloop/simulated_event.go
+++ b/internal/eventloop/simulated_event.go
@@ -2,31 +2,31 @@
 
 import "docksail/internal/indexedheap"
 
-// eventKind says what an event does to its loop.
+// eventKind is the kind of an event.
 type eventKind uint8
 
 const (
-	eventTimersDue    eventKind = iota // a timer is due, or the loop has to iterate again
-	eventCall                          // callback is to be called
+	eventTimersDue    eventKind = iota // a timer is due, or the loop must iterate again
+	eventCall                          // the loop must call callback
 	eventDial                          // conn, of another loop, dials this loop's listener
 	eventDialAccepted                  // conn's dial was accepted
 	eventDialRefused                   // conn's dial was refused
 	eventData                          // data has arrived for conn
-	eventPeerClosed                    // conn's peer has closed its half or the connection
+	eventPeerClosed                    // conn's peer has closed its sending side or the connection
 	eventPeerRead                      // conn's peer has read bytes, so that conn may write again
 )
 
-// noLoop is the fromLoop of an event that comes from no other loop.
+// noLoop is the value of event.fromLoop for an event that no other loop has sent.
 const noLoop = -1
 
-// event is something that happens to a simulated loop at a time.
+// event is a scheduled event of a simulated loop.
 type event struct {
 	at        Nanos
 	sequence  uint64 // order of scheduling, for events at the same time
 	kind      eventKind
 	loop      *Loop
 	conn      *Conn
-	fromLoop  int // id of the loop that it comes from, or noLoop
+	fromLoop  int // id of the loop that sent the event, or noLoop
 	data      []byte
 	callback  func()
 	heapIndex int // index in SimulatedNetwork.events plus 1; 0 = not queued
@@ -39,7 +39,8 @@
 	}
 }
 
-// schedule adds an event of a loop at a time, or now if that is past. The caller sets what its kind needs beyond that.
+// schedule adds an event for a loop at a time, or now if that time is past. The caller sets the other fields that the
+// kind requires.
 func (sn *SimulatedNetwork) schedule(at Nanos, l *Loop, kind eventKind) *event {
 	var e *event
 	if n := len(sn.freeEvents); n > 0 {
@@ -60,15 +61,15 @@
 	return e
 }
 
-// scheduleFrom adds an event of loop to about conn that comes from another loop, so that a partition between the two
-// holds it back.
+// scheduleFrom adds an event about conn that the loop from sends to the loop to. A partition between the two loops
+// delays it.
 func (sn *SimulatedNetwork) scheduleFrom(from *Loop, at Nanos, kind eventKind, to *Loop, conn *Conn) *event {
 	e := sn.schedule(at, to, kind)
 	e.conn, e.fromLoop = conn, from.sim.id
 	return e
 }
 
-// handleSimulatedEvent carries out an event of the loop.
+// handleSimulatedEvent handles an event of the loop.
 func (l *Loop) handleSimulatedEvent(e *event) {
 	if l.sim.terminated {
 		if e.kind == eventDial && e.conn.fd >= 0 {
@@ -77,7 +78,7 @@
 		return
 	}
 	switch e.kind {
-	case eventTimersDue: // the iteration that follows calls the timers
+	case eventTimersDue: // finishIteration calls the timers
 	case eventCall:
 		e.callback()
 	case eventDial:
--- a/internal/eventloop/simulated_listener.go
+++ b/internal/eventloop/simulated_listener.go
@@ -8,13 +8,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// simulatedClientPort is the port from which all simulated connections seem to come.
+// simulatedClientPort is the source port of all simulated connections.
 const simulatedClientPort = 1
 
-// simulatedListener is what a listener of a SimulatedNetwork holds beyond a Listener on a real socket.
+// simulatedListener is the additional state of a Listener on a SimulatedNetwork.
 type simulatedListener struct {
 	acceptPaused bool
-	pendingDials []*Conn // dialers that wait while accepting is paused
+	pendingDials []*Conn // dialers' connections that wait to be accepted while accepting is paused
 }
 
 func (l *Loop) listenSimulated(address netip.AddrPort, onAccept AcceptFunc) (*Listener, error) {
@@ -31,7 +31,7 @@
 	return ln, nil
 }
 
-// closeSimulated removes the listener from its address, unless another has taken that since.
+// closeSimulated removes the listener from its address, unless another listener uses the address by now.
 func (ln *Listener) closeSimulated() {
 	listeners := ln.loop.network.listeners
 	if listeners[ln.addr] == ln {
@@ -39,7 +39,7 @@
 	}
 }
 
-// setAcceptPausedSimulated makes dials wait, or has those that wait accepted.
+// setAcceptPausedSimulated pauses accepting, or resumes it and schedules the pending dials.
 func (ln *Listener) setAcceptPausedSimulated(paused bool) {
 	ln.sim.acceptPaused = paused
 	if paused {
@@ -52,7 +52,7 @@
 	ln.sim.pendingDials = nil
 }
 
-// acceptPendingSimulated accepts the dials that wait.
+// acceptPendingSimulated accepts the pending dials.
 func (ln *Listener) acceptPendingSimulated() {
 	ln.sim.acceptPaused = false
 	pending := ln.sim.pendingDials
@@ -62,7 +62,7 @@
 	}
 }
 
-// acceptSimulated gives a dial to the loop's listener, or refuses it if the loop does not listen any more.
+// acceptSimulated passes a dial to the loop's listener, or refuses it if the loop has no listener any more.
 func (l *Loop) acceptSimulated(dialer *Conn) {
 	ln := l.simulatedListener()
 	if dialer.fd < 0 || ln == nil {
@@ -82,11 +82,11 @@
 		c.closeSimulated()
 		return
 	}
-	l.addConn(c)
+	l.countConn(c)
 	c.handler.Opened(l.now)
 }
 
-// simulatedListener returns the listener of the loop, of which a simulated loop has at most one; nil if it has none.
+// simulatedListener returns the loop's listener, or nil. A simulated loop has at most one.
 func (l *Loop) simulatedListener() *Listener {
 	for _, ln := range l.network.listeners {
 		if ln.loop == l {
@@ -96,7 +96,7 @@
 	return nil
 }
 
-// refuseDial reports to a dialer, after the latency, that its dial was refused.
+// refuseDial notifies a dialer, after the latency, that its dial was refused.
 func (l *Loop) refuseDial(dialer *Conn) {
 	sn := l.network
 	sn.schedule(sn.now+sn.Latency, dialer.loop, eventDialRefused).conn = dialer
--- a/internal/eventloop/simulated_loop.go
+++ b/internal/eventloop/simulated_loop.go
@@ -8,15 +8,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// noWake is the nextWake of a loop that waits for no timer.
+// noWake is the value of nextWake while no eventTimersDue is scheduled.
 const noWake = Nanos(1) << 62
 
-// simulatedLoop is what a loop of a SimulatedNetwork holds beyond a Loop on real sockets.
+// simulatedLoop is the additional state of a Loop on a SimulatedNetwork.
 type simulatedLoop struct {
-	id           int // from 1, in the order of NewLoop
+	id           int // from 1, in order of creation
 	addr         netip.Addr
 	onIteration  func(now Nanos)
-	nextWake     Nanos // time of the earliest eventTimersDue that is scheduled
+	nextWake     Nanos // time of the earliest scheduled eventTimersDue, or noWake
 	conns        map[*Conn]struct{}
 	terminated   bool
 	extraLatency Nanos
@@ -44,7 +44,7 @@
 // SetOnIteration replaces the iteration function of a simulated loop.
 func (l *Loop) SetOnIteration(onIteration func(now Nanos)) { l.sim.onIteration = onIteration }
 
-// finishIteration does what Run does after the events of an iteration.
+// finishIteration does what Run does in an iteration after its events have been handled.
 func (l *Loop) finishIteration() {
 	if l.stopped.Load() {
 		l.terminate()
@@ -66,7 +66,7 @@
 	l.scheduleWake()
 }
 
-// scheduleWake schedules the loop's next iteration without events: for its first timer, or at once if work is left.
+// scheduleWake schedules an iteration for the loop's first timer, or an immediate one if there is work left.
 func (l *Loop) scheduleWake() {
 	at := noWake
 	if due, ok := l.timers.nextDue(); ok {
@@ -81,7 +81,7 @@
 	}
 }
 
-// terminate removes a stopped loop from the network: its listeners close and its connections end.
+// terminate removes a stopped loop from the network and closes its listeners and connections.
 func (l *Loop) terminate() {
 	if l.sim.terminated {
 		return
@@ -97,7 +97,7 @@
 	}
 }
 
-// sortedConns returns the loop's connections in the order in which they were made.
+// sortedConns returns the loop's connections in order of creation.
 func (l *Loop) sortedConns() []*Conn {
 	list := make([]*Conn, 0, len(l.sim.conns))
 	for c := range l.sim.conns {
@@ -107,14 +107,14 @@
 	return list
 }
 
-// Kill ends a simulated loop at once, as the end of its process would: every connection closes and nothing more is
-// sent.
+// Kill ends a simulated loop at once, as a crash of its process would: all connections are closed and no queued output
+// is sent.
 func (l *Loop) Kill() {
 	l.stopped.Store(true)
 	l.terminate()
 }
 
-// ResetConnections ends every connection of a simulated loop with ECONNRESET; its listeners stay.
+// ResetConnections closes all connections of a simulated loop with ECONNRESET. Its listeners stay open.
 func (l *Loop) ResetConnections() {
 	for _, c := range l.sortedConns() {
 		c.terminate(unix.ECONNRESET)
@@ -122,8 +122,8 @@
 	l.network.schedule(l.network.now, l, eventTimersDue)
 }
 
-// BlackholeConnections drops all that is sent from now on over the present connections of a simulated loop, either way,
-// their end included. New connections are not affected.
+// BlackholeConnections drops everything that is sent from now on over the present connections of a simulated loop, in
+// both directions and including their close. New connections are not affected.
 func (l *Loop) BlackholeConnections() {
 	for c := range l.sim.conns {
 		c.sim.blackholed = true
@@ -133,8 +133,8 @@
 	}
 }
 
-// SetSlowdown adds latency to what a simulated loop sends and receives. With byteByByte, handlers receive one byte at a
-// time.
+// SetSlowdown adds latency to everything that a simulated loop sends and receives. With byteByByte, the handlers at
+// both ends of its connections receive one byte at a time.
 func (l *Loop) SetSlowdown(extraLatency Nanos, byteByByte bool) {
 	l.sim.extraLatency, l.sim.byteByByte = extraLatency, byteByByte
 }
--- a/internal/eventloop/simulated_network.go
+++ b/internal/eventloop/simulated_network.go
@@ -6,16 +6,16 @@
 	"docksail/internal/indexedheap"
 )
 
-// firstEphemeralPort is the port below the first one that a listener on port 0 is given.
-const firstEphemeralPort = 1024
+// ephemeralPortBase is one less than the first port that is assigned to a listener on port 0.
+const ephemeralPortBase = 1024
 
-// SimulatedNetwork runs loops in simulated time. Their sockets are pipes in memory with a fixed latency, their clock is
-// the network's, and one goroutine runs them all. Equal calls give equal runs.
+// SimulatedNetwork runs loops in simulated time. Their sockets are in-memory pipes with a fixed latency, their clock is
+// the network's, and one goroutine runs them all. Runs are deterministic.
 type SimulatedNetwork struct {
-	// Latency is how long bytes travel between two loops. It is set before the first loop is made.
+	// Latency is the one-way latency between two loops. It must not change once there is a loop.
 	Latency Nanos
-	// NewTap, if not nil, is called for each connection that is dialed. If it returns a Tap, that sees what passes on
-	// the dialer's side.
+	// NewTap, if not nil, is called for each connection that is dialed. If it returns a Tap, the Tap observes the bytes
+	// on the dialer's side of the connection.
 	NewTap func(from *Loop, address netip.AddrPort) Tap
 	// Iterations counts the iterations of all loops.
 	Iterations uint64
@@ -28,19 +28,19 @@
 
 	events       indexedheap.Heap[*event] // by time, then by sequence
 	freeEvents   []*event
-	lastSequence uint64 // of events and of connections
+	lastSequence uint64 // last number given to an event or a connection
 
 	partitions map[loopPair]bool
-	heldEvents []*event // events that came to a partition, until it heals
+	heldEvents []*event // events delayed until a partition ends
 }
 
 // Tap observes one connection on its dialer's side.
 type Tap interface {
 	// Sent passes bytes that the dialer has sent.
 	Sent(p []byte)
-	// Received passes bytes that have reached the dialer.
+	// Received passes bytes that the dialer has received.
 	Received(p []byte)
-	// Closed reports the end of the connection.
+	// Closed reports that the dialer's side is closed.
 	Closed()
 }
 
@@ -55,7 +55,7 @@
 		Latency:         latency,
 		originUnixNanos: originUnixNanos,
 		listeners:       map[netip.AddrPort]*Listener{},
-		lastPort:        firstEphemeralPort,
+		lastPort:        ephemeralPortBase,
 		events:          newEventHeap(),
 		partitions:      map[loopPair]bool{},
 	}
@@ -77,8 +77,8 @@
 	sn.now = max(sn.now, end)
 }
 
-// runIteration runs one iteration of a loop with all events that are due for it now and come before those of another
-// loop, as epoll would report them.
+// runIteration runs one iteration of a loop. It handles the due events of the loop up to the first event of another
+// loop.
 func (sn *SimulatedNetwork) runIteration(l *Loop) {
 	l.now = sn.now
 	for sn.events.Len() > 0 {
@@ -98,8 +98,8 @@
 	l.finishIteration()
 }
 
-// SetPartitioned begins or ends a network partition between two loops: nothing passes either way. What was sent
-// meanwhile arrives when the partition ends.
+// SetPartitioned starts or ends a network partition between two loops. Everything that is sent between them during the
+// partition, in either direction, arrives when the partition ends.
 func (sn *SimulatedNetwork) SetPartitioned(a, b *Loop, partitioned bool) {
 	pair := newLoopPair(a.sim.id, b.sim.id)
 	if partitioned {
@@ -119,7 +119,7 @@
 	}
 }
 
-// crossesPartition reports whether an event comes from a loop that is partitioned from its own.
+// crossesPartition reports whether an event was sent by a loop that is partitioned from the event's own loop.
 func (sn *SimulatedNetwork) crossesPartition(e *event) bool {
 	return e.fromLoop > 0 && len(sn.partitions) > 0 && sn.partitions[newLoopPair(e.fromLoop, e.loop.sim.id)]
 }
--- a/internal/eventloop/simulated_network_test.go
+++ b/internal/eventloop/simulated_network_test.go
@@ -13,7 +13,7 @@
 	"golang.org/x/sys/unix"
 )
 
-var updateGolden = flag.Bool("update", false, "write the golden files of this package anew")
+var updateGolden = flag.Bool("update", false, "rewrite the golden files of this package")
 
 const testLatency = Nanos(1000)
 
@@ -22,7 +22,7 @@
 	serverAddr = netip.MustParseAddr("10.0.0.2")
 )
 
-// simulation is a simulated network with a client's and a server's loop, whose events it records.
+// simulation is a simulated network with a client's and a server's loop. It records the calls of their handlers.
 type simulation struct {
 	t              *testing.T
 	log            bytes.Buffer
@@ -46,8 +46,8 @@
 	fmt.Fprintf(&h.s.log, "%d %s %s\n", now, h.name, fmt.Sprintf(format, args...))
 }
 
-// short is p if it is short, otherwise its length.
-func short(p []byte) string {
+// quote returns p quoted, or only its length if p is long.
+func quote(p []byte) string {
 	if len(p) <= 16 {
 		return fmt.Sprintf("%q", p)
 	}
@@ -56,7 +56,7 @@
 
 func (h *recordingHandler) Opened(now Nanos) { h.record(now, "opened %d", h.c.SimulatedID()) }
 func (h *recordingHandler) Received(now Nanos, p []byte) {
-	h.record(now, "received %s", short(p))
+	h.record(now, "received %s", quote(p))
 	if h.echo {
 		h.c.Write(p)
 	}
@@ -65,12 +65,12 @@
 func (h *recordingHandler) OutputFlushed(now Nanos)     { h.record(now, "output flushed") }
 func (h *recordingHandler) Closed(now Nanos, err error) { h.record(now, "closed %v", err) }
 
-// recordingTap is a Tap that records what passes.
+// recordingTap is a Tap that records its calls.
 type recordingTap struct{ h *recordingHandler }
 
-func (r recordingTap) Sent(p []byte) { r.h.record(r.h.s.network.Now(), "sent %s", short(p)) }
+func (r recordingTap) Sent(p []byte) { r.h.record(r.h.s.network.Now(), "sent %s", quote(p)) }
 func (r recordingTap) Received(p []byte) {
-	r.h.record(r.h.s.network.Now(), "received %s", short(p))
+	r.h.record(r.h.s.network.Now(), "received %s", quote(p))
 }
 func (r recordingTap) Closed() { r.h.record(r.h.s.network.Now(), "closed") }
 
@@ -110,7 +110,7 @@
 	return h
 }
 
-// connect dials the listener, with what is to be written at once, and runs until both ends are open.
+// connect dials the listener, queues output while connecting, and runs until both ends are open.
 func (s *simulation) connect() (client, server *recordingHandler) {
 	s.t.Helper()
 	n := len(s.accepted)
@@ -123,34 +123,34 @@
 	return h, s.accepted[n]
 }
 
-// run runs the network for so many latencies.
+// run runs the network for a number of latencies and records its counters.
 func (s *simulation) run(latencies Nanos) {
 	s.network.RunUntil(s.network.Now() + latencies*testLatency)
 	fmt.Fprintf(&s.log, "-- %d: %d iterations, %d and %d connections\n",
 		s.network.Now(), s.network.Iterations, s.client.ConnCount(), s.server.ConnCount())
 }
 
-// on runs a call on a loop, with a latency's time to follow.
-func (s *simulation) on(l *Loop, call func()) {
+// runOn runs a call on a loop and then the network for three latencies.
+func (s *simulation) runOn(l *Loop, call func()) {
 	l.Post(call)
 	s.run(3)
 }
 
-// TestSimulatedNetwork compares what handlers and taps see, and when, with recorded files.
+// TestSimulatedNetwork compares the calls of handlers and taps, and their times, with the golden files.
 func TestSimulatedNetwork(t *testing.T) {
-	for name, play := range map[string]func(s *simulation){
+	for name, script := range map[string]func(s *simulation){
 		"echo and close": func(s *simulation) {
 			c, srv := s.connect()
 			srv.echo = true
-			s.on(s.client, func() { c.c.Write([]byte("one")); c.c.Write([]byte("two")) })
-			s.on(s.client, func() { c.c.Write([]byte("last")); c.c.CloseWriteAfterFlush() })
-			s.on(s.server, func() { srv.c.Write([]byte("bye")); srv.c.CloseAfterFlush() })
-			s.on(s.client, func() { c.c.Close() })
+			s.runOn(s.client, func() { c.c.Write([]byte("one")); c.c.Write([]byte("two")) })
+			s.runOn(s.client, func() { c.c.Write([]byte("last")); c.c.CloseWriteAfterFlush() })
+			s.runOn(s.server, func() { srv.c.Write([]byte("bye")); srv.c.CloseAfterFlush() })
+			s.runOn(s.client, func() { c.c.Close() })
 		},
 		"refused": func(s *simulation) {
 			s.dial(netip.AddrPortFrom(serverAddr, 9))
 			s.run(5)
-			s.on(s.server, func() { s.listener.Close() })
+			s.runOn(s.server, func() { s.listener.Close() })
 			s.dial(s.listener.Addr())
 			s.run(5)
 		},
@@ -164,18 +164,18 @@
 			s.dial(s.listener.Addr())
 			s.dial(s.listener.Addr())
 			s.run(5)
-			s.on(s.server, func() { s.listener.SetAcceptPaused(false) })
+			s.runOn(s.server, func() { s.listener.SetAcceptPaused(false) })
 			s.listener.SetAcceptPaused(true)
 			s.dial(s.listener.Addr())
 			s.run(5)
-			s.on(s.server, func() { s.listener.AcceptPendingAndClose() })
+			s.runOn(s.server, func() { s.listener.AcceptPendingAndClose() })
 			s.listener.SetAcceptPaused(true)
 		},
 		"partition": func(s *simulation) {
 			c, srv := s.connect()
 			s.network.SetPartitioned(s.client, s.server, true)
-			s.on(s.client, func() { c.c.Write([]byte("held")) })
-			s.on(s.server, func() { srv.c.Write([]byte("held too")) })
+			s.runOn(s.client, func() { c.c.Write([]byte("held")) })
+			s.runOn(s.server, func() { srv.c.Write([]byte("held too")) })
 			s.dial(s.listener.Addr())
 			s.run(60)
 			s.network.SetPartitioned(s.server, s.client, false)
@@ -183,32 +183,32 @@
 		},
 		"read paused": func(s *simulation) {
 			c, srv := s.connect()
-			s.on(s.server, func() { srv.c.SetReadPaused(true) })
-			s.on(s.client, func() { c.c.Write([]byte("one")) })
-			s.on(s.client, func() { c.c.Write([]byte("two")) })
+			s.runOn(s.server, func() { srv.c.SetReadPaused(true) })
+			s.runOn(s.client, func() { c.c.Write([]byte("one")) })
+			s.runOn(s.client, func() { c.c.Write([]byte("two")) })
 			fmt.Fprintf(&s.log, "input empty %v\n", srv.c.InputEmpty())
-			s.on(s.server, func() { srv.c.SetReadPaused(false) })
+			s.runOn(s.server, func() { srv.c.SetReadPaused(false) })
 			fmt.Fprintf(&s.log, "input empty %v\n", srv.c.InputEmpty())
-			s.on(s.server, func() { srv.c.SetReadPaused(true) })
-			s.on(s.client, func() { c.c.Write([]byte("unread")); c.c.CloseAfterFlush() })
+			s.runOn(s.server, func() { srv.c.SetReadPaused(true) })
+			s.runOn(s.client, func() { c.c.Write([]byte("unread")); c.c.CloseAfterFlush() })
 		},
 		"blocked output": func(s *simulation) {
 			c, srv := s.connect()
-			s.on(s.server, func() { srv.c.SetReadPaused(true) })
-			s.on(s.client, func() { c.c.Write(make([]byte, 700<<10)) })
+			s.runOn(s.server, func() { srv.c.SetReadPaused(true) })
+			s.runOn(s.client, func() { c.c.Write(make([]byte, 700<<10)) })
 			fmt.Fprintf(&s.log, "blocked %v, %d queued\n", c.c.WriteBlocked(), c.c.QueuedBytes())
-			s.on(s.server, func() { srv.c.SetReadPaused(false) })
+			s.runOn(s.server, func() { srv.c.SetReadPaused(false) })
 			s.run(20)
-			s.on(s.server, func() { srv.c.SetReadPaused(true) })
-			s.on(s.client, func() { c.c.SetOutputLimit(1 << 20); c.c.Write(make([]byte, 2<<20)) })
+			s.runOn(s.server, func() { srv.c.SetReadPaused(true) })
+			s.runOn(s.client, func() { c.c.SetOutputLimit(1 << 20); c.c.Write(make([]byte, 2<<20)) })
 		},
 		"faults of the server": func(s *simulation) {
 			one, _ := s.connect()
 			s.server.BlackholeConnections()
 			two, _ := s.connect()
-			s.on(s.client, func() { one.c.Write([]byte("lost")); two.c.Write([]byte("arrives")) })
+			s.runOn(s.client, func() { one.c.Write([]byte("lost")); two.c.Write([]byte("arrives")) })
 			s.server.SetSlowdown(5*testLatency, true)
-			s.on(s.client, func() { two.c.Write([]byte("slow")) })
+			s.runOn(s.client, func() { two.c.Write([]byte("slow")) })
 			s.run(10)
 			s.server.SetSlowdown(0, false)
 			s.server.ResetConnections()
@@ -227,16 +227,16 @@
 			})
 			s.client.SetTimer(&second, 3*testLatency, func(now Nanos) { fmt.Fprintf(&s.log, "%d second\n", now) })
 			s.client.SetOnIteration(func(now Nanos) { fmt.Fprintf(&s.log, "%d iteration\n", now) })
-			s.on(s.client, func() {})
-			s.on(s.client, func() { s.client.SkipNextWait() })
+			s.runOn(s.client, func() {})
+			s.runOn(s.client, func() { s.client.SkipNextWait() })
 			s.connect()
-			s.on(s.client, func() { s.client.Stop() })
-			s.on(s.client, func() {})
+			s.runOn(s.client, func() { s.client.Stop() })
+			s.runOn(s.client, func() {})
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newSimulation(t)
-			play(s)
+			script(s)
 			file := "testdata/simulated-" + strings.NewReplacer(" ", "-", ",", "").Replace(name) + ".golden"
 			if *updateGolden {
 				if err := os.WriteFile(file, s.log.Bytes(), 0o644); err != nil {
@@ -254,11 +254,11 @@
 	}
 }
 
-// TestSimulatedAddressInUse: a second listener on an address of the network is refused as the system would refuse it.
+// TestSimulatedAddressInUse checks that a second listener on an address fails with EADDRINUSE, as on a real system.
 func TestSimulatedAddressInUse(t *testing.T) {
 	s := newSimulation(t)
 	_, err := s.client.Listen(s.listener.Addr(), false, nil)
 	if !errors.Is(err, unix.EADDRINUSE) {
-		t.Errorf("error %v, want EADDRINUSE", err)
+		t.Errorf("got error %v, want EADDRINUSE", err)
 	}
 }
--- a/internal/eventloop/socket.go
+++ b/internal/eventloop/socket.go
@@ -7,7 +7,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// newSocket returns a non-blocking TCP socket of the address's family.
+// newSocket returns a non-blocking TCP socket for the address family of address.
 func newSocket(address netip.AddrPort) (int, error) {
 	family := unix.AF_INET
 	if address.Addr().Is6() && !address.Addr().Is4In6() {
@@ -20,12 +20,12 @@
 	return fd, nil
 }
 
-// openSpare opens the descriptor that a loop holds in reserve.
-func openSpare() (int, error) {
+// openSpareFD opens the descriptor for Loop.spareFD.
+func openSpareFD() (int, error) {
 	return unix.Open("/dev/null", unix.O_RDONLY|unix.O_CLOEXEC, 0)
 }
 
-// sockaddr returns an address as system calls take it.
+// sockaddr converts an address to the form that system calls accept.
 func sockaddr(address netip.AddrPort) unix.Sockaddr {
 	if a := address.Addr().Unmap(); a.Is4() {
 		return &unix.SockaddrInet4{Port: int(address.Port()), Addr: a.As4()}
@@ -33,7 +33,8 @@
 	return &unix.SockaddrInet6{Port: int(address.Port()), Addr: address.Addr().As16()}
 }
 
-// addrPort returns an address that a system call gave, or the zero AddrPort for a family other than IPv4 and IPv6.
+// addrPort converts an address that a system call returned. For a family other than IPv4 and IPv6 it returns the zero
+// AddrPort.
 func addrPort(sa unix.Sockaddr) netip.AddrPort {
 	switch a := sa.(type) {
 	case *unix.SockaddrInet4:
--- a/internal/eventloop/timer.go
+++ b/internal/eventloop/timer.go
@@ -2,7 +2,8 @@
 
 import "docksail/internal/indexedheap"
 
-// Timer calls a function once at a given time. Its zero value is ready; it must not be copied while it is set.
+// Timer calls a function once at a given time. The zero value is ready for use. A Timer must not be copied while it is
+// set.
 type Timer struct {
 	due       Nanos
 	sequence  uint64 // order of SetTimer calls, for timers due at the same time
@@ -10,11 +11,11 @@
 	heapIndex int // index in timerQueue.heap plus 1; 0 = not set
 }
 
-// IsSet reports whether the timer is waiting for its time.
+// IsSet reports whether the timer is set and has not fired.
 func (t *Timer) IsSet() bool { return t.heapIndex > 0 }
 
-// SetTimer makes a timer call callback at the time due. A timer that is set already is moved. Callers on frequent paths
-// should create the callback once, as each closure is an allocation.
+// SetTimer makes a timer call callback at the time due. If the timer is already set, it is rescheduled. Callers on hot
+// paths should create the callback once, because each closure is an allocation.
 func (l *Loop) SetTimer(t *Timer, due Nanos, callback func(now Nanos)) {
 	l.timers.set(t, due, callback)
 }
@@ -43,7 +44,7 @@
 
 func (q *timerQueue) cancel(t *Timer) { q.heap.Remove(t) }
 
-// nextDue returns the time of the first timer; it is false if no timer is set.
+// nextDue returns the due time of the first timer; ok is false if no timer is set.
 func (q *timerQueue) nextDue() (due Nanos, ok bool) {
 	if q.heap.Len() == 0 {
 		return 0, false
@@ -51,8 +52,8 @@
 	return q.heap.Min().due, true
 }
 
-// fireDue calls the timers that are due. A timer that is set meanwhile waits for the next iteration even if its time is
-// past, so that a timer that sets itself again cannot keep the loop busy.
+// fireDue calls the timers that are due. A timer that a callback sets waits for the next iteration even if it is
+// already due, so that a timer that sets itself again cannot keep the loop busy.
 func (q *timerQueue) fireDue(now Nanos) {
 	last := q.lastSequence
 	for q.heap.Len() > 0 {
--- a/internal/eventloop/timer_test.go
+++ b/internal/eventloop/timer_test.go
@@ -2,6 +2,7 @@
 
 import "testing"
 
+// TestTimers checks the order of timers that are set, moved and cancelled.
 func TestTimers(t *testing.T) {
 	q := newTimerQueue()
 	var fired []int
@@ -17,26 +18,26 @@
 	}
 	q.fireDue(10000)
 	if len(fired) != 1000 {
-		t.Fatalf("%d fired at 10000, want the 1000 that were neither moved nor cancelled", len(fired))
+		t.Fatalf("%d timers fired at 10000, want the 1000 that were neither moved nor cancelled", len(fired))
 	}
 	for i := 1; i < len(fired); i++ {
 		if fired[i] > fired[i-1] {
-			t.Fatal("fired out of order")
+			t.Fatal("timers fired out of order")
 		}
 	}
 	fired = nil
 	q.fireDue(1 << 40)
 	if len(fired) != 1000 || fired[0] != 1 {
-		t.Fatalf("%d fired later, first %v, want 1000 from 1 on", len(fired), fired[:1])
+		t.Fatalf("%d moved timers fired, the first was %v, want 1000 starting with 1", len(fired), fired[:1])
 	}
-	// A timer that sets itself for a time already past waits for the next iteration.
-	n := 0
+	// A timer that sets itself again for a past time fires in the next iteration.
+	fireCount := 0
 	var again Timer
 	var callback func(Nanos)
-	callback = func(Nanos) { n++; q.set(&again, 0, callback) }
+	callback = func(Nanos) { fireCount++; q.set(&again, 0, callback) }
 	q.set(&again, 0, callback)
 	q.fireDue(1 << 41)
-	if n != 1 {
-		t.Fatalf("fired %d times in one iteration", n)
+	if fireCount != 1 {
+		t.Fatalf("timer fired %d times in one iteration, want 1", fireCount)
 	}
 }
--- a/internal/indexedheap/heap.go
+++ b/internal/indexedheap/heap.go
@@ -1,11 +1,11 @@
-// Package indexedheap implements a minimum heap from which any item can be removed, and in which any item can be moved
-// after its key has changed, in logarithmic time.
+// Package indexedheap implements a min-heap in which any item can be removed, or moved after its key has changed, in
+// logarithmic time.
 package indexedheap
 
 import "container/heap"
 
-// Heap is a minimum heap of items that record their own position in it. Less and Index must be set before the first
-// item is pushed and must not change afterwards.
+// Heap is a min-heap of items that record their own position in it. Less and Index must be set before the first item is
+// pushed and must not change afterwards.
 type Heap[T any] struct {
 	// Less reports whether a sorts before b.
 	Less func(a, b T) bool
@@ -25,7 +25,7 @@
 // Items returns all items in unspecified order. The slice is valid until the next change and must not be modified.
 func (h *Heap[T]) Items() []T { return h.items }
 
-// PushOrFix adds item, or, if it is in the heap already, restores its position after its key has changed.
+// PushOrFix adds item. If item is already in the heap, PushOrFix moves it to its position after a change of its key.
 func (h *Heap[T]) PushOrFix(item T) {
 	if position := *h.Index(item); position > 0 {
 		heap.Fix(adapter[T]{h}, position-1)
@@ -41,7 +41,7 @@
 	}
 }
 
-// adapter implements container/heap's Interface for a Heap, so that Heap does not export its methods.
+// adapter implements heap.Interface for a Heap, so that Heap need not export those methods.
 type adapter[T any] struct{ heap *Heap[T] }
 
 func (a adapter[T]) Len() int           { return len(a.heap.items) }
@@ -63,7 +63,7 @@
 	last := len(a.heap.items) - 1
 	item := a.heap.items[last]
 	var zero T
-	a.heap.items[last] = zero // the garbage collector must not find the item here
+	a.heap.items[last] = zero // lets the garbage collector free the item
 	a.heap.items = a.heap.items[:last]
 	*a.heap.Index(item) = 0
 	return item
--- a/internal/indexedheap/heap_test.go
+++ b/internal/indexedheap/heap_test.go
@@ -9,7 +9,7 @@
 
 type item struct{ key, index int }
 
-// TestHeap compares the heap with a slice under random pushes, changes of keys and removals.
+// TestHeap compares the heap with a plain slice under random pushes, changes of keys and removals.
 func TestHeap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := Heap[*item]{
