--- a/internal/h1/chunk.go
+++ b/internal/h1/chunk.go
@@ -3,11 +3,11 @@
 import "bytes"
 
 const (
-	maxChunkSizeLine   = 256 // bytes of a chunk's size line, with its extensions
-	maxChunkSizeDigits = 15  // hexadecimal digits, so that a size fits an int64
+	maxChunkSizeLine   = 256 // bytes of a chunk size line, including extensions
+	maxChunkSizeDigits = 15  // hexadecimal digits; larger sizes might not fit an int64
 )
 
-// decodeChunkSize consumes the size line of a chunk, or nothing while the line is incomplete.
+// decodeChunkSize consumes the size line of a chunk. It consumes nothing while the line is incomplete.
 func (d *Decoder) decodeChunkSize(p []byte) (Event, int, error) {
 	end := bytes.IndexByte(p, '\n')
 	if end < 0 && len(p) <= maxChunkSizeLine {
@@ -37,7 +37,8 @@
 	return stateChanged, end + 1, nil
 }
 
-// checkPartialSizeLine returns an error if p cannot begin a size line. Garbage is rejected before its line ends.
+// checkPartialSizeLine returns an error if p is not the beginning of a size line, so that malformed input is rejected
+// before its line is complete.
 func checkPartialSizeLine(p []byte) error {
 	for i, c := range p {
 		if _, ok := hexDigit(c); ok {
@@ -51,7 +52,7 @@
 	return nil
 }
 
-// parseChunkSize returns the size that a size line without its line end states. Extensions are checked and ignored.
+// parseChunkSize parses a size line, which it receives without its line end. Extensions are validated and ignored.
 func parseChunkSize(line []byte) (int64, error) {
 	if i := bytes.IndexByte(line, ';'); i >= 0 {
 		if !isFieldValue(line[i:]) {
@@ -73,7 +74,7 @@
 	return size, nil
 }
 
-// hexDigit returns the value of a hexadecimal digit; ok is false if c is none.
+// hexDigit returns the value of a hexadecimal digit; ok is false if c is not one.
 func hexDigit(c byte) (value int64, ok bool) {
 	switch {
 	case '0' <= c && c <= '9':
@@ -86,7 +87,7 @@
 	return 0, false
 }
 
-// decodeChunkData consumes chunk data as it arrives.
+// decodeChunkData consumes the chunk data that has arrived.
 func (d *Decoder) decodeChunkData(p []byte) (Event, []byte, int) {
 	n := int(min(int64(len(p)), d.remaining))
 	if n == 0 {
@@ -99,8 +100,8 @@
 	return BodyData, p[:n], n
 }
 
-// decodeWholeChunk consumes the data of a chunk with its line end, or nothing while they are incomplete: no data of a
-// chunk that does not fit its size is returned.
+// decodeWholeChunk consumes the data and the line end of a chunk. It consumes nothing while they are incomplete, so
+// that no data is returned of a chunk whose length differs from its stated size.
 func (d *Decoder) decodeWholeChunk(p []byte) (Event, []byte, int, error) {
 	if int64(len(p)) < d.remaining+2 {
 		return NeedData, nil, 0, nil
@@ -113,7 +114,7 @@
 	return BodyData, p[:size], size + 2, nil
 }
 
-// decodeChunkEnd consumes the line end behind chunk data.
+// decodeChunkEnd consumes the line end after chunk data.
 func (d *Decoder) decodeChunkEnd(p []byte) (Event, int, error) {
 	if len(p) > 0 && p[0] != '\r' || len(p) > 1 && p[1] != '\n' {
 		return NeedData, 0, malformed("a chunk does not fit its size")
--- a/internal/h1/decoder.go
+++ b/internal/h1/decoder.go
@@ -2,17 +2,17 @@
 
 import "bytes"
 
-// Event is what a decoder has found.
+// Event is the kind of a message part that a decoder has found.
 type Event uint8
 
-// The events of a message come in this order, BodyData any number of times.
+// The events of a message occur in this order. BodyData may occur any number of times.
 const (
-	NeedData    Event = iota // none: more bytes are needed
-	MessageHead              // a head, which Decoder.Head holds
+	NeedData    Event = iota // no event: more bytes are needed
+	MessageHead              // the head, which is in Decoder.Head
 	BodyData                 // a part of the body
 	MessageEnd               // the end of the message
 
-	stateChanged // none yet: the next state continues with the bytes that are left
+	stateChanged // no event: decoding continues with the remaining bytes in the next state
 )
 
 type decoderState uint8
@@ -21,8 +21,8 @@
 	stateHead decoderState = iota
 	stateFixedBody
 	stateChunkSize
-	stateChunkData  // as it arrives
-	stateWholeChunk // with its line end
+	stateChunkData  // data is returned as it arrives
+	stateWholeChunk // data is returned once the whole chunk has arrived
 	stateChunkEnd
 	stateTrailer
 	stateBodyUntilClose
@@ -31,7 +31,7 @@
 
 const (
 	versionPrefix = "HTTP/1."
-	// maxInformational is how many informational (1xx) responses may come before a final one.
+	// maxInformational bounds the informational (1xx) responses before a final response.
 	maxInformational = 16
 
 	statusContinue           = 100
@@ -41,30 +41,30 @@
 	statusNotModified        = 304
 )
 
-// Decoder decodes the messages of one direction of a connection. NewRequestDecoder and NewResponseDecoder make one.
+// Decoder decodes the messages of one direction of a connection. NewRequestDecoder and NewResponseDecoder return one.
 type Decoder struct {
-	Head Head // of the message that is being decoded
+	Head Head // head of the message that is being decoded
 
 	limits        Limits
 	isRequest     bool
 	state         decoderState
-	remaining     int64 // bytes of the body or of the chunk that are still to come
-	bodyBytes     int64 // bytes of a body without Content-Length so far
-	informational int   // informational responses before the one that is being decoded
+	remaining     int64 // bytes of the body or of the chunk that have not been decoded yet
+	bodyBytes     int64 // decoded bytes of a body without Content-Length
+	informational int   // number of informational responses before the current one
 }
 
-// NewRequestDecoder returns a decoder of requests.
+// NewRequestDecoder returns a decoder for requests.
 func NewRequestDecoder(limits Limits) Decoder { return Decoder{limits: limits, isRequest: true} }
 
-// NewResponseDecoder returns a decoder of responses.
+// NewResponseDecoder returns a decoder for responses.
 func NewResponseDecoder(limits Limits) Decoder { return Decoder{limits: limits} }
 
-// AtMessageStart reports whether no byte of a message has been consumed yet.
+// AtMessageStart reports whether the decoder is between messages: no byte of the next message has been consumed.
 func (d *Decoder) AtMessageStart() bool { return d.state == stateHead }
 
-// Next decodes the next event from the front of p and returns the number n of bytes that it has consumed. The caller
-// passes the bytes that are left, and more once they have arrived, to the next call. data, which comes with BodyData,
-// and the slices in Head point into p. The decoder must not be used again after an error.
+// Next decodes the next event from the front of p and returns the number n of consumed bytes. The caller passes the
+// remaining bytes, followed by those that have arrived since, to the next call. data is set for BodyData. data and the
+// slices in Head point into p. The decoder must not be used again after an error.
 func (d *Decoder) Next(p []byte) (event Event, data []byte, n int, err error) {
 	for {
 		consumed := 0
@@ -96,8 +96,8 @@
 	}
 }
 
-// EndOfInput tells the decoder that no more bytes will arrive. It returns MessageEnd if that ends a message, NeedData
-// between messages, and ErrTruncated inside a message.
+// EndOfInput tells the decoder that no more bytes will arrive. It returns MessageEnd if this ends a message, NeedData
+// if the decoder is between messages, and otherwise ErrTruncated.
 func (d *Decoder) EndOfInput() (Event, error) {
 	switch d.state {
 	case stateBodyUntilClose:
@@ -110,7 +110,7 @@
 	}
 }
 
-// decodeHead consumes a complete head. Informational responses are passed over.
+// decodeHead consumes a complete head. Informational responses are skipped.
 func (d *Decoder) decodeHead(p []byte) (Event, int, error) {
 	if !d.isRequest {
 		prefix := min(len(p), len(versionPrefix))
@@ -138,7 +138,8 @@
 	return MessageHead, end, nil
 }
 
-// headEnd returns the length of the head at the front of p with its empty line; 0 while it is incomplete.
+// headEnd returns the length of the head at the front of p, including the empty line that ends it. It returns 0 while
+// the head is incomplete.
 func headEnd(p []byte, limit int) (int, error) {
 	const emptyLine = "\r\n\r\n"
 	i := bytes.Index(p, []byte(emptyLine))
@@ -151,7 +152,7 @@
 	return 0, nil
 }
 
-// beginBody sets the state in which the body behind Head is decoded.
+// beginBody sets the state for decoding the body that follows Head.
 func (d *Decoder) beginBody() error {
 	head := &d.Head
 	d.bodyBytes = 0
@@ -172,7 +173,7 @@
 	return nil
 }
 
-// decodeFixedBody consumes bytes of a body whose length the head states.
+// decodeFixedBody consumes bytes of a body with a Content-Length.
 func (d *Decoder) decodeFixedBody(p []byte) (Event, []byte, int) {
 	n := int(min(int64(len(p)), d.remaining))
 	if n == 0 {
@@ -185,7 +186,7 @@
 	return BodyData, p[:n], n
 }
 
-// decodeBodyUntilClose consumes bytes of a body that ends with the connection.
+// decodeBodyUntilClose consumes bytes of a body that ends when the connection is closed.
 func (d *Decoder) decodeBodyUntilClose(p []byte) (Event, []byte, int, error) {
 	d.bodyBytes += int64(len(p))
 	if d.limits.BodyBytes > 0 && d.bodyBytes > d.limits.BodyBytes {
--- a/internal/h1/golden_test.go
+++ b/internal/h1/golden_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "rewrite the golden files of this package")
+var updateGolden = flag.Bool("update", false, "rewrite the golden files of this package")
 
 const (
 	goldenPost    = "POST / HTTP/1.1\r\nHost: x\r\n"
@@ -22,7 +22,7 @@
 	goldenChunkLimit = Limits{HeadBytes: 1 << 10, ChunkBytes: 8}
 )
 
-// goldenMessages are inputs of the decoder, well formed and not, in the order of the golden file.
+// goldenMessages are well-formed and malformed inputs of the decoder, in the order of the golden file.
 var goldenMessages = []struct {
 	name     string
 	response bool
@@ -102,7 +102,7 @@
 	{"response status alone", true, testLimits, "HTTP/1.1 200\r\nContent-Length: 0\r\n\r\n"},
 }
 
-// transcript decodes the parts with a new decoder and returns all that it returned.
+// transcript decodes the parts with a new decoder and returns its results as text.
 func transcript(response bool, limits Limits, parts ...[]byte) string {
 	var out strings.Builder
 	decoder := NewRequestDecoder(limits)
@@ -149,26 +149,26 @@
 	}
 }
 
-// TestDecoderGolden compares all that the decoder returns for the messages, uncut, cut in two at every byte and byte by
-// byte, with what it returned when testdata/decoder.golden was recorded.
+// TestDecoderGolden compares the decoder's results with testdata/decoder.golden. Each message is decoded whole, split
+// in two at every byte, and byte by byte.
 func TestDecoderGolden(t *testing.T) {
 	var out strings.Builder
 	for _, message := range goldenMessages {
 		p := []byte(message.text)
 		fmt.Fprintf(&out, "=== %s\n%s", message.name, transcript(message.response, message.limits, p))
-		cuts := sha256.New()
+		splits := sha256.New()
 		for i := range len(p) + 1 {
-			fmt.Fprint(cuts, transcript(message.response, message.limits, p[:i], p[i:]))
+			fmt.Fprint(splits, transcript(message.response, message.limits, p[:i], p[i:]))
 		}
-		var single [][]byte
+		var singleBytes [][]byte
 		for i := range p {
-			single = append(single, p[i:i+1])
+			singleBytes = append(singleBytes, p[i:i+1])
 		}
-		fmt.Fprint(cuts, transcript(message.response, message.limits, single...))
-		fmt.Fprintf(&out, "cuts %x\n", cuts.Sum(nil))
+		fmt.Fprint(splits, transcript(message.response, message.limits, singleBytes...))
+		fmt.Fprintf(&out, "cuts %x\n", splits.Sum(nil))
 	}
 	const file = "testdata/decoder.golden"
-	if *update {
+	if *updateGolden {
 		if err := os.WriteFile(file, []byte(out.String()), 0o644); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/h1/h1_test.go
+++ b/internal/h1/h1_test.go
@@ -18,8 +18,8 @@
 	body   string
 }
 
-// decode decodes p, which arrives in parts of at most partSize bytes. It returns the messages, the number of bytes that
-// are kept and the error that ended decoding.
+// decode decodes p, which arrives in parts of at most partSize bytes. It returns the decoded messages, the number of
+// bytes that the InputBuffer keeps, and the error that ended decoding.
 func decode(decoder Decoder, p []byte, partSize int) (messages []message, kept int, err error) {
 	var input InputBuffer
 	var current message
@@ -52,7 +52,7 @@
 
 var testLimits = Limits{HeadBytes: 1 << 10, BodyBytes: 4 << 10}
 
-// TestSplitAtEveryByte checks that messages are decoded alike however their bytes are split.
+// TestSplitAtEveryByte checks that the decoded messages do not depend on how their bytes are split.
 func TestSplitAtEveryByte(t *testing.T) {
 	requests := "POST /a?b=c HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\nhello" +
 		"GET /b HTTP/1.1\r\nHost: x\r\n\r\n" +
@@ -65,21 +65,21 @@
 		got, kept, err := decode(NewRequestDecoder(testLimits), []byte(requests), partSize)
 		want := []message{{"POST /a?b=c", 0, "hello"}, {"GET /b", 0, ""}, {"POST /c", 0, "abc0123456789"}}
 		if err != nil || kept != 0 || !slices.Equal(got, want) {
-			t.Fatalf("requests in parts of %d bytes: got %v, %d bytes left, error %v", partSize, got, kept, err)
+			t.Fatalf("requests in parts of %d bytes: got %v, %d bytes kept, error %v", partSize, got, kept, err)
 		}
 		wholeChunks := Limits{HeadBytes: 1 << 10, ChunkBytes: 64}
 		for _, limits := range []Limits{testLimits, wholeChunks} {
 			got, kept, err = decode(NewResponseDecoder(limits), []byte(responses), partSize)
 			want := []message{{" ", 200, "data:\n\n"}, {" ", 204, ""}, {" ", 202, "{}"}}
 			if err != nil || kept != 0 || !slices.Equal(got, want) {
-				t.Fatalf("responses in parts of %d bytes: got %v, %d bytes left, error %v", partSize, got, kept, err)
+				t.Fatalf("responses in parts of %d bytes: got %v, %d bytes kept, error %v", partSize, got, kept, err)
 			}
 		}
 	}
 }
 
-// TestMalformed checks that messages which two parsers could understand differently, and those over a limit, are
-// errors, however they are split.
+// TestMalformed checks that messages that two parsers could interpret differently and messages over a limit are
+// rejected, however their bytes are split.
 func TestMalformed(t *testing.T) {
 	post := "POST / HTTP/1.1\r\nHost: x\r\n"
 	requests := map[string]error{
@@ -140,7 +140,7 @@
 	}
 }
 
-// FuzzRequest checks that what decodes as a request is the same request for net/http.
+// FuzzRequest checks that net/http parses each accepted request the same way.
 func FuzzRequest(f *testing.F) {
 	f.Add([]byte("POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\nhello"))
 	f.Add([]byte("POST /c HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n3;q=1\r\nabc\r\n0\r\nT: v\r\n\r\n"))
@@ -150,7 +150,7 @@
 		got, _, err := decode(NewRequestDecoder(testLimits), p, len(p))
 		byBytes, _, bytesErr := decode(NewRequestDecoder(testLimits), p, 1)
 		if (err == nil) != (bytesErr == nil) || len(got) != len(byBytes) {
-			t.Fatalf("at once: %v, error %v; byte by byte: %v, error %v", got, err, byBytes, bytesErr)
+			t.Fatalf("whole: %v, error %v; byte by byte: %v, error %v", got, err, byBytes, bytesErr)
 		}
 		if len(got) == 0 {
 			return
@@ -158,8 +158,8 @@
 		req, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(p)))
 		if err != nil {
 			head := got[0].head
-			plainPath := strings.Contains(head, " /") && !strings.ContainsAny(head, "%#?")
-			if !strings.HasPrefix(head, "CONNECT") && plainPath {
+			comparablePath := strings.Contains(head, " /") && !strings.ContainsAny(head, "%#?")
+			if !strings.HasPrefix(head, "CONNECT") && comparablePath {
 				t.Fatalf("net/http rejects %q: %v", p, err)
 			}
 			return
--- a/internal/h1/head.go
+++ b/internal/h1/head.go
@@ -6,25 +6,25 @@
 	"golang.org/x/net/http/httpguts"
 )
 
-const deleteByte = 0x7f // the last ASCII character, a control character
+const asciiDEL = 0x7f // the only ASCII control character above the space
 
-// Field is a header field. Its slices are valid as long as those of its Head.
+// Field is a header field. Its slices are valid for as long as those of its Head.
 type Field struct{ Name, Value []byte }
 
-// Head is the first part of a message: the request or status line and the header fields. Its slices point into the
-// bytes that were decoded and are valid until the decoder is called again.
+// Head is the first part of a message: the request line or status line and the header fields. Its slices point into the
+// decoded bytes and are valid until the decoder is called again.
 type Head struct {
 	Method, Target []byte // of a request
 	StatusCode     int    // of a response
 	HTTP10         bool   // the version is HTTP/1.0
-	Close          bool   // the connection ends after this message
+	Close          bool   // the connection is closed after this message
 	ExpectContinue bool   // the client waits for 100 Continue before it sends the body
-	ContentLength  int64  // -1 = not stated
+	ContentLength  int64  // -1 = no Content-Length field
 	Chunked        bool
 	Fields         []Field
 }
 
-// Get returns the value of the first field with a name, which is given in lower case; nil if there is none.
+// Get returns the value of the first field with the given name, or nil if there is none. name must be in lower case.
 func (h *Head) Get(name string) []byte {
 	for _, f := range h.Fields {
 		if equalFold(f.Name, name) {
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// equalFold reports whether b is a name, which is given in lower case, in any case. Field names are ASCII.
+// equalFold reports whether b equals lower, ignoring ASCII case. lower must be in lower case.
 func equalFold(b []byte, lower string) bool {
 	if len(b) != len(lower) {
 		return false
@@ -50,7 +50,7 @@
 	return true
 }
 
-// cutLine returns the first line of p without its line end, and what follows. It returns an error unless the line ends
+// cutLine returns the first line of p without its line end, and the rest of p. It returns an error unless the line ends
 // in CR LF.
 func cutLine(p []byte) (line, rest []byte, err error) {
 	end := bytes.IndexByte(p, '\n')
@@ -60,7 +60,7 @@
 	return p[:end-1], p[end+1:], nil
 }
 
-// parse parses a complete head with the empty line at its end.
+// parse parses a complete head, including the empty line that ends it.
 func (h *Head) parse(p []byte, isRequest bool) error {
 	*h = Head{ContentLength: -1, Fields: h.Fields[:0]}
 	line, p, err := cutLine(p)
@@ -93,7 +93,7 @@
 	return nil
 }
 
-// parseRequestLine parses METHOD TARGET VERSION.
+// parseRequestLine parses a line of the form METHOD TARGET VERSION.
 func (h *Head) parseRequestLine(line []byte) error {
 	method, rest, hasTarget := bytes.Cut(line, []byte{' '})
 	target, version, hasVersion := bytes.Cut(rest, []byte{' '})
@@ -101,7 +101,7 @@
 		return malformed("request line %.40q", line)
 	}
 	for _, c := range target {
-		if c <= ' ' || c >= deleteByte {
+		if c <= ' ' || c >= asciiDEL {
 			return malformed("target %.40q", target)
 		}
 	}
@@ -109,7 +109,7 @@
 	return h.parseVersion(version)
 }
 
-// parseStatusLine parses VERSION STATUS REASON; the reason may be missing.
+// parseStatusLine parses a line of the form VERSION STATUS REASON. The reason is optional.
 func (h *Head) parseStatusLine(line []byte) error {
 	const (
 		versionEnd = len("HTTP/1.1")
@@ -140,10 +140,10 @@
 	return len(b) > 0
 }
 
-// isFieldValue reports whether b has no control characters but tabs.
+// isFieldValue reports whether b contains no control characters other than tabs.
 func isFieldValue(b []byte) bool {
 	for _, c := range b {
-		if c < ' ' && c != '\t' || c == deleteByte {
+		if c < ' ' && c != '\t' || c == asciiDEL {
 			return false
 		}
 	}
@@ -173,8 +173,8 @@
 	}
 }
 
-// interpretFields sets the members that the fields imply: how the body is delimited and whether the connection ends. It
-// returns an error if fields contradict each other.
+// interpretFields sets the members of Head that depend on header fields, such as the framing of the body and whether
+// the connection is closed. It returns an error if fields contradict each other.
 func (h *Head) interpretFields(isRequest bool) error {
 	hosts, lengths, codings := 0, 0, 0
 	for _, f := range h.Fields {
@@ -206,9 +206,9 @@
 	return nil
 }
 
-// setContentLength sets the length from a Content-Length field, the occurrence-th of the head.
-func (h *Head) setContentLength(value []byte, occurrence int) error {
-	if occurrence > 1 {
+// setContentLength sets ContentLength from a Content-Length field. count is the number of such fields so far.
+func (h *Head) setContentLength(value []byte, count int) error {
+	if count > 1 {
 		return malformed("several Content-Length")
 	}
 	length, ok := parseLength(value)
@@ -219,9 +219,9 @@
 	return nil
 }
 
-// setTransferEncoding sets Chunked from a Transfer-Encoding field, the occurrence-th of the head.
-func (h *Head) setTransferEncoding(value []byte, occurrence int) error {
-	if occurrence > 1 || !equalFold(value, "chunked") || h.HTTP10 {
+// setTransferEncoding sets Chunked from a Transfer-Encoding field. count is the number of such fields so far.
+func (h *Head) setTransferEncoding(value []byte, count int) error {
+	if count > 1 || !equalFold(value, "chunked") || h.HTTP10 {
 		return malformed("Transfer-Encoding %.20q", value)
 	}
 	h.Chunked = true
@@ -237,7 +237,7 @@
 	}
 }
 
-// setExpect sets ExpectContinue from an Expect field; no other expectation is known.
+// setExpect sets ExpectContinue from an Expect field. Other expectations are not supported.
 func (h *Head) setExpect(value []byte) error {
 	if !equalFold(value, "100-continue") {
 		return malformed("Expect %.20q", value)
@@ -246,10 +246,10 @@
 	return nil
 }
 
-// maxLengthDigits bounds a Content-Length so that it fits an int64.
+// maxLengthDigits is the most digits of a Content-Length; larger values might not fit an int64.
 const maxLengthDigits = 18
 
-// parseLength returns the value of a Content-Length; ok is false unless it is made of digits only.
+// parseLength parses the value of a Content-Length; ok is false unless it consists of 1 to maxLengthDigits digits.
 func parseLength(value []byte) (length int64, ok bool) {
 	if len(value) == 0 || len(value) > maxLengthDigits {
 		return 0, false
--- a/internal/h1/input.go
+++ b/internal/h1/input.go
@@ -1,16 +1,16 @@
 package h1
 
-// maxIdleBufferBytes is the capacity above which the buffer of an InputBuffer is freed when it becomes empty.
+// maxIdleBufferBytes is the largest capacity that an empty InputBuffer keeps.
 const maxIdleBufferBytes = 1 << 10
 
-// InputBuffer keeps the bytes that a decoder has not consumed yet until more arrive. The zero value is ready for use.
+// InputBuffer keeps the bytes that a decoder has not consumed until more arrive. The zero value is ready for use.
 type InputBuffer struct{ pending []byte }
 
-// Len returns the number of bytes kept.
+// Len returns the number of kept bytes.
 func (b *InputBuffer) Len() int { return len(b.pending) }
 
-// Process calls consume with the bytes kept and p behind them. consume returns how many bytes from the front it has
-// consumed; the others are kept for the next call.
+// Process calls consume with the kept bytes followed by p. consume returns how many bytes it has consumed from the
+// front; the rest is kept for the next call.
 func (b *InputBuffer) Process(p []byte, consume func(p []byte) int) {
 	if len(b.pending) > 0 {
 		b.pending = append(b.pending, p...)
@@ -27,7 +27,7 @@
 	}
 }
 
-// clear empties the buffer, and frees it if it has grown large.
+// clear empties the buffer and frees its memory if it exceeds maxIdleBufferBytes.
 func (b *InputBuffer) clear() {
 	if cap(b.pending) > maxIdleBufferBytes {
 		b.pending = nil
