--- a/internal/h2/abuse_test.go
+++ b/internal/h2/abuse_test.go
@@ -7,7 +7,8 @@
 	"golang.org/x/net/http2"
 )
 
-// Each kind of abuse ends the connection with ENHANCE_YOUR_CALM, after a bounded number.
+// TestAbuseEndsConnection checks that each kind of abuse ends the connection with ENHANCE_YOUR_CALM, after a bounded
+// number of events.
 func TestAbuseEndsConnection(t *testing.T) {
 	for name, send := range map[string]func(p *scriptedPeer, i int){
 		"rapid reset": func(p *scriptedPeer, i int) {
@@ -15,8 +16,8 @@
 			p.headers(id, p.request(), false)
 			p.frames.WriteRSTStream(id, http2.ErrCodeCancel)
 		},
-		"pings":             func(p *scriptedPeer, i int) { p.frames.WritePing(false, [8]byte{byte(i)}) },
-		"strange ping acks": func(p *scriptedPeer, i int) { p.frames.WritePing(true, [8]byte{byte(i)}) },
+		"pings":                func(p *scriptedPeer, i int) { p.frames.WritePing(false, [8]byte{byte(i)}) },
+		"unexpected ping acks": func(p *scriptedPeer, i int) { p.frames.WritePing(true, [8]byte{byte(i)}) },
 		"settings": func(p *scriptedPeer, i int) {
 			p.frames.WriteSettings(http2.Setting{ID: http2.SettingInitialWindowSize, Val: uint32(i)})
 		},
@@ -50,23 +51,23 @@
 			n, err := 0, error(nil)
 			for ; n < 20000 && err == nil; n++ {
 				send(p, n)
-				err = p.feed(int64(n) * 1000) // a microsecond each
+				err = p.feed(int64(n) * 1000) // one microsecond apart
 				if len(p.conn.output) > 4<<20 {
-					t.Fatal("output grows without bound")
+					t.Fatal("more than 4 MiB of output are queued")
 				}
 			}
-			code := p.takeAnswers().goAway
+			code := p.takeSentFrames().goAway
 			if err == nil || code != http2.ErrCodeEnhanceYourCalm {
-				t.Fatalf("after %d: %v, GOAWAY %v, want ENHANCE_YOUR_CALM", n, err, code)
+				t.Fatalf("after %d events: error %v, GOAWAY %v, want ENHANCE_YOUR_CALM", n, err, code)
 			}
 			if p.conn.OpenStreamCount() > 100 {
-				t.Fatalf("%d streams open", p.conn.OpenStreamCount())
+				t.Fatalf("%d streams open, want at most 100", p.conn.OpenStreamCount())
 			}
 		})
 	}
 }
 
-// A client that does the same things seldom is left alone.
+// TestModerateUseIsAllowed checks that occasional resets and pings do not end the connection.
 func TestModerateUseIsAllowed(t *testing.T) {
 	p := newScriptedClient(t)
 	for i := range 2000 {
@@ -77,7 +78,7 @@
 			p.frames.WritePing(false, [8]byte{})
 		}
 		if err := p.feed(int64(i) * 20e6); err != nil {
-			t.Fatalf("cancelling fifty times a second: %v after %d", err, i)
+			t.Fatalf("connection ended with %v after %d resets at 50 per second", err, i)
 		}
 		p.conn.TakeOutput()
 	}
--- a/internal/h2/conn.go
+++ b/internal/h2/conn.go
@@ -1,9 +1,10 @@
-// Package h2 speaks HTTP/2 and gRPC's framing for both ends of a connection, without a socket: the owner passes input
-// to Feed and writes what TakeOutput returns. Frames are parsed and written by golang.org/x/net/http2.
+// Package h2 implements HTTP/2 and gRPC's message framing for clients and servers. It does no I/O: the owner of a Conn
+// passes input to Feed and writes the bytes that TakeOutput returns. Frames are parsed and written by
+// golang.org/x/net/http2.
 //
-// A Conn is one end of one connection. It calls its Handler from inside Feed. A Stream is valid until the Handler has
-// learned of its end (StreamFinished or StreamReset) or has ended it itself by Reset or, on a server, EndWithStatus.
-// Then its memory is used for another stream.
+// A Conn is one end of a connection. It calls its Handler from inside Feed. A Stream is valid until the Handler has
+// been notified of its end by StreamFinished or StreamReset, or has ended it by Reset or, on a server, by
+// EndWithStatus. The Stream is then reused for another stream.
 package h2
 
 import (
@@ -19,58 +20,58 @@
 const (
 	clientPreface = http2.ClientPreface
 
-	initialWindow        = 65535 // of streams and connections, before any settings
+	initialWindow        = 65535 // flow-control window of streams and connections before any settings
 	maxWindow            = 1<<31 - 1
 	maxStreamID          = 1<<31 - 1
-	headerTableBytes     = 4096
-	unlimitedPeerStreams = 1 << 30 // of a peer that has set no limit
+	headerTableBytes     = 4096    // size of HPACK's dynamic table
+	unlimitedPeerStreams = 1 << 30 // stream limit of a peer that has not set one
 
 	maxKeptInputBytes  = 64 << 10  // larger input buffers are left to the garbage collector
-	maxKeptOutputBytes = 256 << 10 // larger output buffers as well
+	maxKeptOutputBytes = 256 << 10 // larger output buffers are left to the garbage collector
 )
 
-// http1Response answers a client that speaks another protocol.
+// http1Response is sent to a client that does not use HTTP/2.
 const http1Response = "HTTP/1.1 400 Bad Request\r\nConnection: close\r\nContent-Type: text/plain\r\n" +
 	"\r\nthis port speaks gRPC over HTTP/2\n"
 
-// The data of the pings that this end sends, by which their acknowledgements differ.
+// The data of the pings that this end sends, which distinguishes their acknowledgements.
 var (
 	drainPingData     = [8]byte{'d', 'r', 'a', 'i', 'n'}
 	keepalivePingData = [8]byte{'a', 'l', 'i', 'v', 'e'}
 )
 
-// Conn is one end of a connection. Make it with NewServerConn or NewClientConn.
+// Conn is one end of a connection. NewServerConn and NewClientConn return one.
 type Conn struct {
 	isServer bool
 	limits   Limits
 	handler  Handler
-	err      error // why the connection has to end
+	err      error // why the connection must be closed; nil while it is usable
 	now      int64 // time of the last Feed, in nanoseconds
 
-	input        []byte // incomplete frame of the last Feed
+	input        []byte // incomplete frame, kept from the last Feed
 	output       []byte
 	framer       *http2.Framer
 	frames       frameWriter  // writes with framer
-	frameReader  bytes.Reader // what framer reads: one frame
-	prefaceBytes int          // bytes of the client's preface that have arrived
+	frameReader  bytes.Reader // input of framer: one frame
+	prefaceBytes int          // received bytes of the client preface
 
 	headerDecoder *hpack.Decoder
-	headerBlock   headerBlock // the header list that is being received
+	headerBlock   headerBlock // the header block that is being received
 	headerEncoder *hpack.Encoder
-	headerBuffer  bytes.Buffer // what headerEncoder writes
+	headerBuffer  bytes.Buffer // output of headerEncoder
 
 	streams          map[uint32]*Stream
 	freeStreams      []*Stream // for reuse
-	nextStreamID     uint32    // of the next stream that a client opens
-	lastPeerStreamID uint32    // the highest stream that the peer has opened
-	peerResetCount   uint64
+	nextStreamID     uint32    // ID of the next stream that a client opens
+	lastPeerStreamID uint32    // the highest ID of the streams that the peer has opened
+	peerResetCount   uint64    // open streams that the peer has reset
 
-	sendQueue    []*Stream // streams whose output waits for a window or for the socket, first come first served
+	sendQueue    []*Stream // streams that have output or their end to send, in round-robin order
 	flushing     bool      // flushStreams is running
 	outputPaused bool
 	sendWindow   int64 // bytes that this end may send on all streams together
 	recvWindow   int64 // bytes that the peer may send on all streams together
-	uncredited   int64 // received bytes by which recvWindow has not been raised again
+	uncredited   int64 // received bytes that no WINDOW_UPDATE has returned to the peer yet
 
 	settingsReceived  bool // the peer's first settings have arrived
 	settingsAcked     bool // the peer has acknowledged this end's settings
@@ -78,13 +79,13 @@
 	peerMaxStreams    uint32
 	peerMaxFrameBytes uint32
 
-	draining        bool // the first of two GOAWAYs is sent
+	draining        bool // the first of the two GOAWAY frames of a drain has been sent
 	finalGoAwaySent bool
 	goAwayReceived  bool
 
 	abuseLimiter abuse.Limiter
-	budget       *PartialMessageBudget // nil = no bound
-	partialBytes int64                 // part of the budget that this connection uses
+	budget       *PartialMessageBudget // nil = no limit
+	partialBytes int64                 // bytes of the budget that this connection uses
 }
 
 // NewServerConn returns the server's end of a connection.
@@ -98,7 +99,7 @@
 // NewClientConn returns the client's end of a connection.
 func NewClientConn(limits Limits, handler Handler) *Conn {
 	c := newConn(limits, handler)
-	c.prefaceBytes = len(clientPreface) // a server sends none
+	c.prefaceBytes = len(clientPreface) // a server sends no preface
 	c.output = append(c.output, clientPreface...)
 	c.writeFirstFrames(http2.Setting{ID: http2.SettingEnablePush, Val: 0})
 	return c
@@ -122,13 +123,14 @@
 	c.framer.SetMaxReadFrameSize(maxFrameBytes)
 	c.frames = frameWriter{c.framer}
 	c.headerDecoder = hpack.NewDecoder(headerTableBytes, c.addHeaderField)
-	// A string longer than a header list may be ends its stream; only far longer ones end the connection.
+	// A string longer than MaxHeaderListBytes ends its stream; a far longer one ends the connection.
 	c.headerDecoder.SetMaxStringLength(headerDecodeFactor * int(limits.MaxHeaderListBytes))
 	c.headerEncoder = hpack.NewEncoder(&c.headerBuffer)
 	return c
 }
 
-// writeFirstFrames writes the settings with the one that only this end has, and opens the connection's window.
+// writeFirstFrames writes this end's settings, including the one that only clients or only servers send, and raises the
+// connection's window to its configured size.
 func (c *Conn) writeFirstFrames(ownSetting http2.Setting) {
 	c.frames.writeSettings([]http2.Setting{
 		{ID: http2.SettingInitialWindowSize, Val: c.limits.StreamWindow},
@@ -140,8 +142,8 @@
 	}
 }
 
-// TakeOutput returns the bytes to be written to the socket and removes them. They are valid until the next call of any
-// method of the Conn or its streams.
+// TakeOutput removes and returns the bytes to be written to the socket. They are valid until the next call of a method
+// of the Conn or its streams.
 func (c *Conn) TakeOutput() []byte {
 	p := c.output
 	c.output = c.output[:0]
@@ -154,10 +156,10 @@
 // HasOutput reports whether TakeOutput has bytes to return.
 func (c *Conn) HasOutput() bool { return len(c.output) > 0 }
 
-// Err returns why the connection has to end, or nil. The socket is to be closed once the output is written.
+// Err returns why the connection must be closed, or nil. The caller closes the socket after writing the output.
 func (c *Conn) Err() error { return c.err }
 
-// Feed handles bytes from the socket that arrived at a time in nanoseconds. It returns Err.
+// Feed handles bytes from the socket. now is their time of arrival in nanoseconds. Feed returns the same as Err.
 func (c *Conn) Feed(now int64, p []byte) error {
 	if c.err != nil {
 		return c.err
@@ -180,7 +182,7 @@
 	return nil
 }
 
-// readPreface compares input with what is left of the client's preface, and returns the input that follows it.
+// readPreface consumes the client preface from the input, checks it, and returns the remaining input.
 func (c *Conn) readPreface(p []byte) []byte {
 	if c.prefaceBytes == len(clientPreface) {
 		return p
@@ -197,7 +199,7 @@
 	return p[n:]
 }
 
-// readFrames handles the complete frames of the input, until one ends the connection, and returns the rest.
+// readFrames handles the complete frames of the input, until one ends the connection, and returns the remaining input.
 func (c *Conn) readFrames(p []byte) []byte {
 	for len(p) >= frameHeaderBytes && c.err == nil {
 		length := int(p[0])<<16 + int(p[1])<<8 + int(p[2])
@@ -221,7 +223,7 @@
 	return p
 }
 
-// keepInput keeps an incomplete frame for the next Feed. rest may be a part of c.input.
+// keepInput keeps an incomplete frame for the next Feed. rest may be a slice of c.input.
 func (c *Conn) keepInput(rest []byte) {
 	if len(rest) == 0 && cap(c.input) > maxKeptInputBytes {
 		c.input = nil
@@ -230,7 +232,7 @@
 	c.input = append(c.input[:0], rest...)
 }
 
-// TransportClosed ends the connection because its socket is closed: every open stream is reset.
+// TransportClosed ends the connection because its socket has been closed. All open streams are reset.
 func (c *Conn) TransportClosed() {
 	if c.err == nil {
 		c.err = io.ErrUnexpectedEOF
@@ -250,8 +252,8 @@
 	}
 }
 
-// StartDrain asks the peer to open no more streams. Those whose requests cross with this one are still accepted: only
-// when the peer has acknowledged a ping is the final GOAWAY sent, and later streams are refused.
+// StartDrain asks the peer to open no more streams. Streams that the peer opens before it learns of the drain are still
+// accepted: the final GOAWAY, after which streams are refused, is sent when the peer has acknowledged a ping.
 func (c *Conn) StartDrain() {
 	if c.err == nil && !c.draining {
 		c.draining = true
--- a/internal/h2/errors.go
+++ b/internal/h2/errors.go
@@ -10,10 +10,10 @@
 	"docksail/internal/decide/abuse"
 )
 
-// errNoPreface ends a connection whose client does not speak HTTP/2.
+// errNoPreface ends a connection whose client does not use HTTP/2.
 var errNoPreface = errors.New("peer does not begin with the HTTP/2 preface")
 
-// connectionError ends the connection. The peer receives its code and reason in a GOAWAY frame.
+// connectionError is an error that ends the connection. The peer receives its code and reason in a GOAWAY frame.
 type connectionError struct {
 	code   http2.ErrCode
 	reason string
@@ -21,20 +21,20 @@
 
 func (e connectionError) Error() string { return fmt.Sprintf("%v: %s", e.code, e.reason) }
 
-// Reasons that stand in several places. The peer receives them, so they do not change.
+// Reasons that are used in several places. They are sent to the peer, so their texts must not change.
 const (
 	reasonFrameTooLong   = "frame longer than allowed"
 	reasonWindowTooLarge = "window above its most"
 	reasonEndlessHeaders = "endless headers"
 )
 
-// protocolError returns the error that ends one stream because of a violation of the protocol.
+// protocolError returns the error that ends one stream because of a protocol violation.
 func protocolError(streamID uint32) error {
 	return http2.StreamError{StreamID: streamID, Code: http2.ErrCodeProtocol}
 }
 
-// checkAbuse counts something that costs this end more than the peer. It returns the error that ends the connection if
-// the peer has done it too often.
+// checkAbuse counts an event that costs this end more than the peer. It returns the error that ends the connection if
+// the peer has caused too many such events.
 func (c *Conn) checkAbuse(event abuse.Event) error {
 	if c.abuseLimiter.Allow(c.now, event) {
 		return nil
@@ -42,8 +42,8 @@
 	return connectionError{http2.ErrCodeEnhanceYourCalm, "too many " + event.String()}
 }
 
-// checkNotIdle returns the error that ends the connection if a frame names a stream that was never opened. A stream
-// that is closed is no error: the frame may have crossed with its end.
+// checkNotIdle returns the error that ends the connection if a frame refers to a stream that was never opened. A closed
+// stream is no error: the peer may have sent the frame before it learned of the close.
 func (c *Conn) checkNotIdle(streamID uint32, reason string) error {
 	if c.isIdleStream(streamID) {
 		return connectionError{http2.ErrCodeProtocol, reason}
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// handleError ends a stream or the connection for an error of the framer or of a frame's handling.
+// handleError ends a stream or the connection because of an error from the framer or from the handling of a frame.
 func (c *Conn) handleError(err error) {
 	var streamError http2.StreamError
 	var ownError connectionError
@@ -72,7 +72,7 @@
 	}
 }
 
-// handleStreamError resets a stream, or ends the connection if its peer has caused too many such errors.
+// handleStreamError resets a stream, or ends the connection if the peer has caused too many stream errors.
 func (c *Conn) handleStreamError(err http2.StreamError) {
 	if abuseErr := c.checkAbuse(abuse.StreamError); abuseErr != nil {
 		c.handleError(abuseErr)
--- a/internal/h2/exchange_test.go
+++ b/internal/h2/exchange_test.go
@@ -9,7 +9,8 @@
 	"golang.org/x/net/http2/hpack"
 )
 
-// The same messages arrive however the bytes are cut, with windows smaller than messages.
+// TestInputSplitAnywhere checks that the received messages do not depend on how the bytes are split, and that messages
+// longer than the flow-control windows are received.
 func TestInputSplitAnywhere(t *testing.T) {
 	for seed := range uint64(30) {
 		rng := rand.New(rand.NewPCG(seed, 0))
@@ -19,8 +20,8 @@
 		}
 		client, server := newClientHandler(), &echoHandler{}
 		c, s := NewClientConn(limits, client), NewServerConn(limits, server)
-		piece := func() int { return 1 + rng.IntN(1+rng.IntN(5000)) }
-		carry(t, c, s, piece)
+		pieceBytes := func() int { return 1 + rng.IntN(1+rng.IntN(5000)) }
+		transfer(t, c, s, pieceBytes)
 		want := map[uint32][][]byte{}
 		var open []*Stream
 		for range 1 + rng.IntN(8) {
@@ -31,14 +32,14 @@
 				want[st.ID()] = append(want[st.ID()], m)
 				st.SendMessage(m, false)
 				if rng.IntN(2) == 0 {
-					carry(t, c, s, piece)
+					transfer(t, c, s, pieceBytes)
 				}
 			}
 		}
 		for _, st := range open {
 			st.CloseSend()
 		}
-		carry(t, c, s, piece)
+		transfer(t, c, s, pieceBytes)
 		for _, st := range open {
 			id := st.ID()
 			if client.finished[id] != "OK " {
@@ -54,12 +55,13 @@
 			}
 		}
 		if c.OpenStreamCount() != 0 || s.OpenStreamCount() != 0 {
-			t.Fatalf("seed %d: %d and %d streams left open", seed, c.OpenStreamCount(), s.OpenStreamCount())
+			t.Fatalf("seed %d: %d and %d streams are still open, want none", seed, c.OpenStreamCount(), s.OpenStreamCount())
 		}
 	}
 }
 
-// Messages that the Handler retains shrink their stream's window, and only that one.
+// TestRetainedMessagesUseTheWindow checks that messages that the Handler retains reduce the window of their own stream
+// and of no other.
 func TestRetainedMessagesUseTheWindow(t *testing.T) {
 	limits := Limits{
 		MaxStreams: 100, StreamWindow: 65535, ConnWindow: 1 << 20,
@@ -67,74 +69,75 @@
 	}
 	client, server := newClientHandler(), &echoHandler{retain: true}
 	c, s := NewClientConn(limits, client), NewServerConn(limits, server)
-	carry(t, c, s, inOnePiece)
-	slow := c.OpenStream("/x/Y", "there", 0)
+	transfer(t, c, s, inOnePiece)
+	blocked := c.OpenStream("/x/Y", "there", 0)
 	for range 100 {
-		slow.SendMessage(make([]byte, 2000), false)
+		blocked.SendMessage(make([]byte, 2000), false)
 	}
-	carry(t, c, s, inOnePiece)
+	transfer(t, c, s, inOnePiece)
 	if server.retainedBytes == 0 || server.retainedBytes > 65535 {
-		t.Fatalf("%d bytes came through for a stream whose messages are retained, want up to its window of 65535",
+		t.Fatalf("%d bytes received on a stream whose messages are retained, want 1 to 65535, its window",
 			server.retainedBytes)
 	}
-	if slow.PendingBytes() == 0 {
-		t.Fatal("nothing waits at the sender")
+	if blocked.PendingBytes() == 0 {
+		t.Fatal("the sender has no pending output")
 	}
 	retained, before := server.lastStream, len(server.messages)
 	server.retain = false
-	quick := c.OpenStream("/x/Y", "there", 0)
-	quick.SendMessage([]byte("quick"), true)
-	carry(t, c, s, inOnePiece)
-	if client.finished[quick.ID()] != "OK " || len(server.messages) != before+1 {
-		t.Fatalf("another stream of the connection did not get through: %q", client.finished[quick.ID()])
+	other := c.OpenStream("/x/Y", "there", 0)
+	other.SendMessage([]byte("other"), true)
+	transfer(t, c, s, inOnePiece)
+	if client.finished[other.ID()] != "OK " || len(server.messages) != before+1 {
+		t.Fatalf("another stream of the connection ended as %q, want OK and one message", client.finished[other.ID()])
 	}
 	retained.CreditWindow(server.retainedBytes)
-	slow.CloseSend()
-	carry(t, c, s, inOnePiece)
-	if n := len(server.messages) - 1; n != 100 || client.finished[slow.ID()] != "OK " {
-		t.Fatalf("after credit %d of 100 messages came, ended %q", n, client.finished[slow.ID()])
+	blocked.CloseSend()
+	transfer(t, c, s, inOnePiece)
+	if n := len(server.messages) - 1; n != 100 || client.finished[blocked.ID()] != "OK " {
+		t.Fatalf("after CreditWindow %d of 100 messages were received, status %q", n, client.finished[blocked.ID()])
 	}
 }
 
-// Streams that cross with a GOAWAY are served, later ones are refused, and the client learns which.
+// TestDrain checks that streams opened before the client receives GOAWAY are served, that later ones are refused, and
+// that the client is notified.
 func TestDrain(t *testing.T) {
 	client, server := newClientHandler(), &echoHandler{}
 	c, s := NewClientConn(DefaultLimits, client), NewServerConn(DefaultLimits, server)
-	carry(t, c, s, inOnePiece)
+	transfer(t, c, s, inOnePiece)
 	a := c.OpenStream("/x/Y", "there", 0)
 	s.StartDrain()
-	b := c.OpenStream("/x/Y", "there", 0) // crosses
-	carry(t, c, s, inOnePiece)
+	b := c.OpenStream("/x/Y", "there", 0) // opened before the GOAWAY arrives
+	transfer(t, c, s, inOnePiece)
 	if !client.goAway || !s.finalGoAwaySent || c.CanOpenStream() {
-		t.Fatal("the client does not know that the server drains")
+		t.Fatal("the client was not notified of the drain")
 	}
 	for _, st := range []*Stream{a, b} {
 		st.SendMessage([]byte("x"), true)
 	}
 	ids := []uint32{a.ID(), b.ID()}
-	carry(t, c, s, inOnePiece)
+	transfer(t, c, s, inOnePiece)
 	for _, id := range ids {
 		if client.finished[id] != "OK " {
 			t.Errorf("stream %d ended as %q", id, client.finished[id])
 		}
 	}
-	late := c.OpenStream("/x/Y", "there", 0) // in spite of it
+	late := c.OpenStream("/x/Y", "there", 0) // opened despite the GOAWAY
 	late.SendMessage([]byte("x"), true)
-	carry(t, c, s, inOnePiece)
+	transfer(t, c, s, inOnePiece)
 	if client.refused != 1 {
-		t.Errorf("%d streams refused, want the one opened after GOAWAY", client.refused)
+		t.Errorf("%d streams refused, want 1, the one opened after GOAWAY", client.refused)
 	}
 }
 
-// The ordinary way of a token through a connection allocates nothing.
+// TestRelayAllocates checks that sending and receiving a token allocates nothing.
 func TestRelayAllocates(t *testing.T) {
 	server := &capturingHandler{}
 	c, s := NewClientConn(DefaultLimits, &discardingHandler{}), NewServerConn(DefaultLimits, server)
-	carry(t, c, s, inOnePiece)
+	transfer(t, c, s, inOnePiece)
 	c.OpenStream("/x/Y", "there", 0).SendMessage([]byte("x"), true)
-	carry(t, c, s, inOnePiece)
+	transfer(t, c, s, inOnePiece)
 	token := make([]byte, 24)
-	run := func() {
+	relayToken := func() {
 		server.stream.SendMessage(token, false)
 		if err := c.Feed(1, s.TakeOutput()); err != nil {
 			t.Fatal(err)
@@ -146,24 +149,24 @@
 		}
 	}
 	for range 10000 {
-		run()
+		relayToken()
 	}
-	if n := testing.AllocsPerRun(10000, run); n >= 1 {
-		t.Errorf("%v allocations a token, want none", n)
+	if n := testing.AllocsPerRun(10000, relayToken); n >= 1 {
+		t.Errorf("%v allocations per token, want none", n)
 	}
 }
 
-// capturingHandler is a server's Handler that answers nothing by itself.
+// capturingHandler is a server's Handler that keeps the last stream and sends nothing.
 type capturingHandler struct {
 	echoHandler
-	stream *Stream // the last one
+	stream *Stream // the last stream
 }
 
 func (h *capturingHandler) HeadersReceived(s *Stream, _ *Header) { h.stream = s }
 func (h *capturingHandler) MessageReceived(*Stream, []byte) bool { return false }
 func (h *capturingHandler) RequestEnded(*Stream)                 {}
 
-// discardingHandler is a client's Handler that keeps no message.
+// discardingHandler is a client's Handler that discards messages.
 type discardingHandler struct{ clientHandler }
 
 func (discardingHandler) MessageReceived(*Stream, []byte) bool { return false }
--- a/internal/h2/faults_test.go
+++ b/internal/h2/faults_test.go
@@ -9,15 +9,16 @@
 	"golang.org/x/net/http2"
 )
 
-// A fault of the peer ends its stream or its connection, as the specification of HTTP/2 requires.
+// TestPeerFaults checks that invalid input ends its stream or its connection with the error code that HTTP/2 or gRPC
+// specifies, and that other streams are unaffected.
 func TestPeerFaults(t *testing.T) {
-	const chunk = 0x3f00 // of a message, so that its DATA frame is shorter than the largest one
+	const length = 0x3f00 // of a message that, with its prefix, fits one DATA frame
 	for _, c := range []struct {
 		name   string
 		send   func(p *scriptedPeer)
-		goAway http2.ErrCode // noErrCode: the connection goes on
-		reset  http2.ErrCode // of stream 1; noErrCode: none
-		status string        // of stream 1
+		goAway http2.ErrCode // code of the GOAWAY; noErrCode: the connection stays open
+		reset  http2.ErrCode // code of the reset of stream 1; noErrCode: not reset
+		status string        // status of stream 1
 	}{
 		{"pseudo field twice", func(p *scriptedPeer) {
 			p.headers(1, p.encode(":method", "POST", ":method", "POST", ":scheme", "http", ":path", "/x"), true)
@@ -56,7 +57,7 @@
 			p.handler.retain = true
 			p.headers(1, p.request(), false)
 			for range 5 {
-				p.frames.WriteData(1, false, append([]byte{0, 0, 0, chunk >> 8, chunk & 0xff}, make([]byte, chunk)...))
+				p.frames.WriteData(1, false, append([]byte{0, 0, 0, length >> 8, length & 0xff}, make([]byte, length)...))
 			}
 		}, noErrCode, http2.ErrCodeFlowControl, ""},
 		{"content length exceeded", func(p *scriptedPeer) {
@@ -106,13 +107,13 @@
 			p := newScriptedClient(t)
 			c.send(p)
 			err := p.feed(1)
-			got := p.takeAnswers()
+			got := p.takeSentFrames()
 			if got.goAway != c.goAway {
-				t.Errorf("GOAWAY %v (%v), want %v", got.goAway, err, c.goAway)
+				t.Errorf("GOAWAY %v (error %v), want %v", got.goAway, err, c.goAway)
 			}
 			reset, wasReset := got.resets[1]
 			if wantReset := c.reset != noErrCode; wasReset != wantReset || wantReset && reset != c.reset {
-				t.Errorf("stream 1 reset: %v %v, want %v", wasReset, reset, c.reset)
+				t.Errorf("stream 1 reset %v with %v, want %v", wasReset, reset, c.reset)
 			}
 			if got.statuses[1] != c.status {
 				t.Errorf("stream 1 status %q, want %q", got.statuses[1], c.status)
@@ -120,31 +121,31 @@
 			if c.goAway != noErrCode {
 				return
 			}
-			// Other streams go on.
+			// Other streams are unaffected.
 			p.headers(101, p.request(), false)
 			p.handler.retain = false
 			p.frames.WriteData(101, true, []byte{0, 0, 0, 0, 2, 'o', 'k'})
 			if err := p.feed(2); err != nil {
 				t.Fatal(err)
 			}
-			if status := p.takeAnswers().statuses[101]; status != "0" {
+			if status := p.takeSentFrames().statuses[101]; status != "0" {
 				t.Errorf("another stream of the connection ended with %q, want 0", status)
 			}
 		})
 	}
 }
 
-// A client that speaks HTTP/1 receives an HTTP/1 response that names the fault.
-func TestHTTP1ClientIsAnsweredInHTTP1(t *testing.T) {
+// TestHTTP1ClientReceivesHTTP1Response checks that an HTTP/1 client receives an HTTP/1 response that names HTTP/2.
+func TestHTTP1ClientReceivesHTTP1Response(t *testing.T) {
 	p := newScriptedClient(t)
 	err := p.conn.Feed(1, []byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"))
 	output := string(p.conn.TakeOutput())
 	if err == nil || !strings.HasPrefix(output, "HTTP/1.1 400") || !strings.Contains(output, "HTTP/2") {
-		t.Fatalf("got %v, %q", err, output)
+		t.Fatalf("got error %v, output %q, want an error and an HTTP/1.1 400 that names HTTP/2", err, output)
 	}
 }
 
-// The same bytes in one piece and in several end the same way.
+// FuzzFeed checks that the result of an input does not depend on how its bytes are split.
 func FuzzFeed(f *testing.F) {
 	f.Add([]byte("PRI"), uint8(3))
 	seed := newScriptedClient(f)
@@ -154,7 +155,7 @@
 	limits := Limits{
 		MaxStreams: 10, StreamWindow: 65535, ConnWindow: 65535, MaxHeaderListBytes: 1 << 10, MaxMessageBytes: 1 << 10,
 	}
-	f.Fuzz(func(t *testing.T, input []byte, cut uint8) {
+	f.Fuzz(func(t *testing.T, input []byte, maxPiece uint8) {
 		feed := func(pieceBytes int) string {
 			handler := &echoHandler{}
 			c := NewServerConn(limits, handler)
@@ -165,9 +166,9 @@
 			}
 			return fmt.Sprint(c.Err(), c.OpenStreamCount(), len(handler.messages), handler.resets)
 		}
-		whole, cutUp := feed(len(input)), feed(int(cut)+1)
-		if whole != cutUp {
-			t.Fatalf("in one piece %s, in pieces %s", whole, cutUp)
+		whole, inPieces := feed(len(input)), feed(int(maxPiece)+1)
+		if whole != inPieces {
+			t.Fatalf("in one piece %s, in pieces %s", whole, inPieces)
 		}
 	})
 }
--- a/internal/h2/frame_writer.go
+++ b/internal/h2/frame_writer.go
@@ -4,11 +4,11 @@
 
 const (
 	frameHeaderBytes = 9
-	maxFrameBytes    = 16384 // payload of the frames that this end accepts and of the largest that it sends
+	maxFrameBytes    = 16384 // maximum payload of a frame that this end accepts or sends
 )
 
-// frameWriter writes frames to a connection's output, which accepts all bytes. The framer returns an error only for a
-// frame that is not allowed, such as a window update by 0, and then writes nothing.
+// frameWriter writes frames to a connection's output, which accepts all bytes. The framer returns an error only for an
+// invalid frame, such as a window update by 0, and then writes nothing.
 type frameWriter struct{ framer *http2.Framer }
 
 func (w frameWriter) writeSettings(settings []http2.Setting) { _ = w.framer.WriteSettings(settings...) }
@@ -33,7 +33,7 @@
 	_ = w.framer.WriteData(streamID, endStream, data)
 }
 
-// writeHeaders writes an encoded header block in a HEADERS frame and as many CONTINUATION frames as it needs.
+// writeHeaders writes an encoded header block in a HEADERS frame, followed by as many CONTINUATION frames as needed.
 func (w frameWriter) writeHeaders(streamID uint32, block []byte, maxBytes int, endStream bool) {
 	first := block[:min(len(block), maxBytes)]
 	block = block[len(first):]
@@ -62,7 +62,7 @@
 		byte(streamID>>24), byte(streamID>>16), byte(streamID>>8), byte(streamID))
 }
 
-// outputWriter is the io.Writer through which the framer appends to a connection's output.
+// outputWriter is the io.Writer with which the framer appends to a connection's output.
 type outputWriter struct{ conn *Conn }
 
 func (w outputWriter) Write(p []byte) (int, error) {
--- a/internal/h2/golden_exchange_test.go
+++ b/internal/h2/golden_exchange_test.go
@@ -9,13 +9,13 @@
 	"google.golang.org/grpc/codes"
 )
 
-// recordExchange plays an exchange of both ends: requests, answers, flow control, resets, pings, drain.
+// recordExchange records an exchange with requests, responses, flow control, resets, pings and a drain.
 func recordExchange(tr *transcript) {
-	p := newPair(tr, Limits{
+	p := newConnPair(tr, Limits{
 		MaxStreams: 3, StreamWindow: 20000, ConnWindow: 80000, MaxHeaderListBytes: 40000, MaxMessageBytes: 60000,
 	})
-	p.answer.onMessage = func(s *Stream, m []byte) { s.SendMessage(m, false) }
-	p.answer.onEnd = func(s *Stream) {
+	p.serverCalls.onMessage = func(s *Stream, m []byte) { s.SendMessage(m, false) }
+	p.serverCalls.onEnd = func(s *Stream) {
 		s.EndWithStatus(codes.OK, "", hpack.HeaderField{Name: "docksail-job", Value: "7"})
 	}
 	var one, two *Stream
@@ -31,26 +31,26 @@
 	})
 	p.step("two messages longer than the window, in turn", func() {
 		one, two = p.client.OpenStream("/x/Y", "there", 0), p.client.OpenStream("/x/Z", "there", 0)
-		one.SendMessage(numbered(50000), false)
-		two.SendMessage(numbered(45000), true)
+		one.SendMessage(patternBytes(50000), false)
+		two.SendMessage(patternBytes(45000), true)
 	})
 	p.step("the end alone", func() { one.CloseSend() })
 	p.step("messages retained, then credited", func() {
-		p.answer.retain, p.answer.onMessage = true, nil
+		p.serverCalls.retain, p.serverCalls.onMessage = true, nil
 		one = p.client.OpenStream("/x/Y", "there", 0)
 		for range 30 {
-			one.SendMessage(numbered(1000), false)
+			one.SendMessage(patternBytes(1000), false)
 		}
 	})
-	p.step("credit", func() { p.answer.streams[len(p.answer.streams)-1].CreditWindow(19 * 1005) })
+	p.step("credit", func() { p.serverCalls.streams[len(p.serverCalls.streams)-1].CreditWindow(19 * 1005) })
 	p.step("reset by the client", func() { one.Reset(http2.ErrCodeCancel) })
 	p.step("status before the request's end", func() {
-		p.answer.retain = false
-		p.answer.onHeaders = func(s *Stream) { s.EndWithStatus(codes.Aborted, "100% naïve\n") }
+		p.serverCalls.retain = false
+		p.serverCalls.onHeaders = func(s *Stream) { s.EndWithStatus(codes.Aborted, "100% naïve\n") }
 		p.client.OpenStream("/x/Y", "there", 0).SendMessage([]byte("unread"), false)
 	})
 	p.step("headers first, reset by the server", func() {
-		p.answer.onHeaders = func(s *Stream) {
+		p.serverCalls.onHeaders = func(s *Stream) {
 			s.SendHeaders(hpack.HeaderField{Name: "early", Value: "yes"})
 			s.SendHeaders(hpack.HeaderField{Name: "early", Value: "twice"})
 			s.Reset(http2.ErrCodeInternal)
@@ -58,20 +58,20 @@
 		p.client.OpenStream("/x/Y", "there", 0)
 	})
 	p.step("more streams than allowed", func() {
-		p.answer.onHeaders = nil
+		p.serverCalls.onHeaders = nil
 		for range 5 {
 			p.client.OpenStream("/x/Y", "there", 0).SendMessage([]byte("x"), false)
 		}
 	})
 	p.step("output paused", func() {
 		p.server.SetOutputPaused(true)
-		p.server.ForEachStream(func(s *Stream) { s.SendMessage(numbered(300), false) })
+		p.server.ForEachStream(func(s *Stream) { s.SendMessage(patternBytes(300), false) })
 	})
 	p.step("output goes on", func() { p.server.SetOutputPaused(false) })
 	p.step("too long a message", func() {
 		p.client.ForEachStream(func(s *Stream) {
 			if s.ID()%4 == 1 {
-				s.SendMessage(numbered(60001), false)
+				s.SendMessage(patternBytes(60001), false)
 			}
 		})
 	})
@@ -84,10 +84,10 @@
 	p.step("connection lost", func() { p.client.TransportClosed(); p.server.TransportClosed() })
 }
 
-// recordRandom plays a random exchange of both ends with small windows, in random pieces.
+// recordRandom records a random exchange with small windows. The bytes are transferred in pieces of random size.
 func recordRandom(tr *transcript, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 1))
-	p := newPair(tr, Limits{
+	p := newConnPair(tr, Limits{
 		MaxStreams:         uint32(2 + rng.IntN(8)),
 		StreamWindow:       uint32(1 + rng.IntN(70000)),
 		ConnWindow:         uint32(rng.IntN(200000)),
@@ -96,29 +96,29 @@
 	})
 	budget := &PartialMessageBudget{MaxBytes: 200000}
 	p.server.SetPartialMessageBudget(budget)
-	p.answer.retain = rng.IntN(2) == 0
-	p.answer.onMessage = func(s *Stream, _ []byte) {
+	p.serverCalls.retain = rng.IntN(2) == 0
+	p.serverCalls.onMessage = func(s *Stream, _ []byte) {
 		if rng.IntN(3) == 0 {
-			s.SendMessage(numbered(rng.IntN(20000)), false)
+			s.SendMessage(patternBytes(rng.IntN(20000)), false)
 		}
 	}
-	p.answer.onEnd = func(s *Stream) { s.EndWithStatus(codes.Code(rng.IntN(17)), "done") }
+	p.serverCalls.onEnd = func(s *Stream) { s.EndWithStatus(codes.Code(rng.IntN(17)), "done") }
 	for range 60 {
-		p.randomAct(rng)
+		p.randomAction(rng)
 		if rng.IntN(2) == 0 {
-			p.carry(func() int { return 1 + rng.IntN(1+rng.IntN(5000)) })
+			p.transfer(func() int { return 1 + rng.IntN(1+rng.IntN(5000)) })
 		}
 	}
 	p.server.StartDrain()
-	p.carry(inOnePiece)
+	p.transfer(inOnePiece)
 	p.server.TransportClosed()
 	p.client.TransportClosed()
 	tr.line("budget %d used, %d rejected", budget.usedBytes, budget.RejectedStreams)
 }
 
-// randomAct does one thing at random on one end.
-func (p *pair) randomAct(rng *rand.Rand) {
-	pick := func(c *Conn, do func(s *Stream)) {
+// randomAction performs a random action on a random stream or connection of one end.
+func (p *connPair) randomAction(rng *rand.Rand) {
+	onRandomStream := func(c *Conn, do func(s *Stream)) {
 		if n := c.OpenStreamCount(); n > 0 {
 			chosen, i := rng.IntN(n), 0
 			c.ForEachStream(func(s *Stream) {
@@ -137,17 +137,17 @@
 			p.client.OpenStream("/x/Y", "there", timeout, pad)
 		}
 	case 3, 4, 5:
-		pick(p.client, func(s *Stream) { s.SendMessage(numbered(rng.IntN(50100)), rng.IntN(4) == 0) })
+		onRandomStream(p.client, func(s *Stream) { s.SendMessage(patternBytes(rng.IntN(50100)), rng.IntN(4) == 0) })
 	case 6:
-		pick(p.client, func(s *Stream) { s.CloseSend() })
+		onRandomStream(p.client, func(s *Stream) { s.CloseSend() })
 	case 7:
-		pick(p.client, func(s *Stream) { s.Reset(http2.ErrCodeCancel) })
+		onRandomStream(p.client, func(s *Stream) { s.Reset(http2.ErrCodeCancel) })
 	case 8:
-		pick(p.server, func(s *Stream) { s.CreditWindow(rng.IntN(30000)) })
+		onRandomStream(p.server, func(s *Stream) { s.CreditWindow(rng.IntN(30000)) })
 	case 9:
-		pick(p.server, func(s *Stream) { s.SendMessage(numbered(rng.IntN(30000)), false) })
+		onRandomStream(p.server, func(s *Stream) { s.SendMessage(patternBytes(rng.IntN(30000)), false) })
 	case 10:
-		pick(p.server, func(s *Stream) { s.EndWithStatus(codes.Unavailable, "busy") })
+		onRandomStream(p.server, func(s *Stream) { s.EndWithStatus(codes.Unavailable, "busy") })
 	case 11:
 		p.server.SetOutputPaused(rng.IntN(2) == 0)
 	}
--- a/internal/h2/golden_faults_test.go
+++ b/internal/h2/golden_faults_test.go
@@ -8,42 +8,42 @@
 	"google.golang.org/grpc/codes"
 )
 
-// recordRequestFaults plays what a faulty or hostile client sends to a server.
+// recordRequestFaults records how a server handles invalid or abusive input from a client.
 func recordRequestFaults(t *testing.T, tr *transcript) {
 	t.Helper()
-	ok := []byte{0, 0, 0, 0, 1, 'm'}
+	msg := []byte{0, 0, 0, 0, 1, 'm'}
 	for _, c := range []struct {
 		name string
-		do   func(p *scriptedPeer)
+		send func(p *scriptedPeer)
 	}{
 		{"padded data, settings, window updates", func(p *scriptedPeer) {
 			p.headers(1, p.request(), false)
-			p.frames.WriteDataPadded(1, false, ok, make([]byte, 200))
+			p.frames.WriteDataPadded(1, false, msg, make([]byte, 200))
 			p.frames.WriteSettings(
 				http2.Setting{ID: http2.SettingInitialWindowSize, Val: 3},
 				http2.Setting{ID: http2.SettingMaxFrameSize, Val: 16400},
 				http2.Setting{ID: http2.SettingHeaderTableSize, Val: 100},
 				http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: 5})
 			p.headers(3, p.request(), false)
-			p.frames.WriteData(3, false, ok)
+			p.frames.WriteData(3, false, msg)
 			p.frames.WriteWindowUpdate(3, 2)
 			p.frames.WriteWindowUpdate(3, 200)
-			p.frames.WriteData(3, true, ok)
+			p.frames.WriteData(3, true, msg)
 		}},
 		{"rejected while output waits", func(p *scriptedPeer) {
 			p.headers(1, p.request(), false)
 			p.frames.WriteSettings(http2.Setting{ID: http2.SettingInitialWindowSize, Val: 2})
-			p.frames.WriteData(1, false, ok)
+			p.frames.WriteData(1, false, msg)
 			p.frames.WriteData(1, false, []byte{0, 1, 0, 0, 0, 0, 0, 0, 0, 1, 'x', 0, 0, 0, 0, 1, 'y'})
 			p.frames.WriteData(1, false, []byte{1, 0, 0, 0, 0, 0, 0, 0, 0, 1, 'z'})
-			p.frames.WriteData(1, true, ok)
+			p.frames.WriteData(1, true, msg)
 			p.frames.WriteWindowUpdate(1, 1000)
 		}},
 		{"compressed while output waits", func(p *scriptedPeer) {
 			p.headers(1, p.request(), false)
 			p.frames.WriteSettings(http2.Setting{ID: http2.SettingInitialWindowSize, Val: 2})
-			p.frames.WriteData(1, false, ok)
-			p.frames.WriteData(1, true, append([]byte{1, 0, 0, 0, 0}, ok...))
+			p.frames.WriteData(1, false, msg)
+			p.frames.WriteData(1, true, append([]byte{1, 0, 0, 0, 0}, msg...))
 			p.frames.WriteWindowUpdate(1, 1000)
 		}},
 		{"content length", func(p *scriptedPeer) {
@@ -51,12 +51,12 @@
 				id := uint32(2*i + 1)
 				p.headers(id, p.encode(":method", "POST", ":scheme", "http", ":path", "/",
 					"content-type", "application/grpc", "content-length", length), false)
-				p.frames.WriteData(id, true, ok)
+				p.frames.WriteData(id, true, msg)
 			}
 		}},
 		{"message in pieces", func(p *scriptedPeer) {
 			p.headers(1, p.request(), false)
-			for _, b := range ok {
+			for _, b := range msg {
 				p.frames.WriteData(1, false, []byte{b})
 			}
 			p.frames.WriteData(1, true, nil)
@@ -92,13 +92,13 @@
 		}},
 		{"message cut off", func(p *scriptedPeer) {
 			p.headers(1, p.request(), false)
-			p.frames.WriteData(1, true, ok[:3])
+			p.frames.WriteData(1, true, msg[:3])
 		}},
 		{"message too long", func(p *scriptedPeer) {
 			p.headers(1, p.request(), false)
 			p.frames.WriteData(1, false, []byte{0, 1, 0, 0, 0})
 		}},
-		{"data after the end", func(p *scriptedPeer) { p.headers(1, p.request(), true); p.frames.WriteData(1, false, ok) }},
+		{"data after the end", func(p *scriptedPeer) { p.headers(1, p.request(), true); p.frames.WriteData(1, false, msg) }},
 		{"no settings first", func(p *scriptedPeer) {
 			p.output.Reset()
 			p.output.WriteString(http2.ClientPreface)
@@ -160,11 +160,11 @@
 	} {
 		tr.line("-- %s", c.name)
 		p := newScriptedClient(t)
-		app := &recorder{tr: tr, name: "server"}
-		app.onMessage = func(s *Stream, p []byte) { s.SendMessage(p, false) }
-		app.onEnd = func(s *Stream) { s.EndWithStatus(codes.OK, "") }
-		p.conn = NewServerConn(scriptedServerLimits, app)
-		c.do(p)
+		handler := &recorder{tr: tr, name: "server"}
+		handler.onMessage = func(s *Stream, p []byte) { s.SendMessage(p, false) }
+		handler.onEnd = func(s *Stream) { s.EndWithStatus(codes.OK, "") }
+		p.conn = NewServerConn(scriptedServerLimits, handler)
+		c.send(p)
 		tr.line("error %v", p.feed(1))
 		tr.wire("server", p.conn.TakeOutput())
 		tr.line("open %d", p.conn.OpenStreamCount())
@@ -172,20 +172,20 @@
 	}
 }
 
-// recordResponseFaults plays what a faulty server answers to a client.
+// recordResponseFaults records how a client handles unusual or invalid responses of a server.
 func recordResponseFaults(t *testing.T, tr *transcript) {
 	t.Helper()
-	ok := []byte{0, 0, 0, 0, 1, 'm'}
+	msg := []byte{0, 0, 0, 0, 1, 'm'}
 	for _, c := range []struct {
 		name string
-		do   func(p *scriptedPeer)
+		send func(p *scriptedPeer)
 	}{
 		{"trailers only", func(p *scriptedPeer) {
 			p.headers(1, p.encode(":status", "200", "grpc-status", "14", "grpc-message", "a%20b%zz%"), true)
 		}},
 		{"headers, message, trailers", func(p *scriptedPeer) {
 			p.headers(1, p.encode(":status", "200"), false)
-			p.frames.WriteData(1, false, ok)
+			p.frames.WriteData(1, false, msg)
 			p.headers(1, p.encode("grpc-status", "0"), true)
 		}},
 		{"early hint", func(p *scriptedPeer) {
@@ -198,11 +198,11 @@
 		}},
 		{"end without trailers", func(p *scriptedPeer) {
 			p.headers(1, p.encode(":status", "200"), false)
-			p.frames.WriteData(1, true, ok)
+			p.frames.WriteData(1, true, msg)
 		}},
 		{"message cut off", func(p *scriptedPeer) {
 			p.headers(1, p.encode(":status", "200"), false)
-			p.frames.WriteData(1, false, ok[:4])
+			p.frames.WriteData(1, false, msg[:4])
 			p.headers(1, p.encode("grpc-status", "0"), true)
 		}},
 		{"compressed message", func(p *scriptedPeer) {
@@ -218,7 +218,7 @@
 			p.headers(1, p.encode(":status", "200"), false)
 			p.headers(1, p.encode("x", "y"), false)
 		}},
-		{"data before headers", func(p *scriptedPeer) { p.frames.WriteData(1, false, ok) }},
+		{"data before headers", func(p *scriptedPeer) { p.frames.WriteData(1, false, msg) }},
 		{"upper case", func(p *scriptedPeer) { p.headers(1, p.encode(":status", "200", "Upper", "x"), true) }},
 		{"headers of an idle stream", func(p *scriptedPeer) { p.headers(99, p.encode(":status", "200"), true) }},
 		{"reset", func(p *scriptedPeer) {
@@ -233,14 +233,14 @@
 	} {
 		tr.line("-- %s", c.name)
 		p := newScriptedClient(t)
-		app := &recorder{tr: tr, name: "client"}
-		p.conn = NewClientConn(DefaultLimits, app)
+		handler := &recorder{tr: tr, name: "client"}
+		p.conn = NewClientConn(DefaultLimits, handler)
 		for range 6 {
 			p.conn.OpenStream("/x/Y", "there", 0)
 		}
 		p.output.Reset()
 		p.frames.WriteSettings()
-		c.do(p)
+		c.send(p)
 		tr.line("error %v", p.feed(1))
 		tr.wire("client", p.conn.TakeOutput())
 		tr.line("open %d, may open %v", p.conn.OpenStreamCount(), p.conn.CanOpenStream())
--- a/internal/h2/golden_test.go
+++ b/internal/h2/golden_test.go
@@ -13,12 +13,12 @@
 	"google.golang.org/grpc/codes"
 )
 
-var updateGolden = flag.Bool("update", false, "write the golden files of this package anew")
+var updateGolden = flag.Bool("update", false, "rewrite the golden files of this package")
 
 // transcript records, in order, the bytes that two ends exchange and the calls that their handlers receive.
 type transcript struct{ bytes.Buffer }
 
-// line records one line; a long one is cut, with a digest of all of it.
+// line records one line. A long line is truncated and followed by the digest of the whole line.
 func (tr *transcript) line(format string, args ...any) {
 	text := fmt.Sprintf(format, args...)
 	if len(text) > 500 {
@@ -27,17 +27,17 @@
 	fmt.Fprintln(tr, text)
 }
 
-// wire records output as its length, its first bytes and a digest of all.
+// wire records the length, the first bytes and the digest of output.
 func (tr *transcript) wire(from string, p []byte) {
 	sum := sha256.Sum256(p)
 	tr.line("%s sends %d bytes %x... sha256 %x", from, len(p), p[:min(len(p), 96)], sum[:8])
 }
 
-// recorder is a Handler that records each call and then does what its script says.
+// recorder is a Handler that records each call and then calls the function that the test has set for it.
 type recorder struct {
 	tr        *transcript
 	name      string
-	streams   []*Stream // those whose headers have come, in order
+	streams   []*Stream // streams whose headers have been received, in order
 	retain    bool
 	onHeaders func(s *Stream)
 	onMessage func(s *Stream, p []byte)
@@ -79,44 +79,46 @@
 func (r *recorder) GoAwayReceived()         { r.tr.line("%s: GOAWAY received", r.name) }
 func (r *recorder) PingAcked()              { r.tr.line("%s: ping acknowledged", r.name) }
 
-// pair is a client's and a server's end whose bytes are recorded on their way.
-type pair struct {
-	tr             *transcript
-	client, server *Conn
-	ask, answer    *recorder
-	now            int64
+// connPair is a client's and a server's Conn whose transferred bytes are recorded.
+type connPair struct {
+	tr                       *transcript
+	client, server           *Conn
+	clientCalls, serverCalls *recorder
+	now                      int64
 }
 
-func newPair(tr *transcript, limits Limits) *pair {
-	p := &pair{tr: tr, ask: &recorder{tr: tr, name: "client"}, answer: &recorder{tr: tr, name: "server"}}
-	p.client, p.server = NewClientConn(limits, p.ask), NewServerConn(limits, p.answer)
+func newConnPair(tr *transcript, limits Limits) *connPair {
+	p := &connPair{tr: tr, clientCalls: &recorder{tr: tr, name: "client"}, serverCalls: &recorder{tr: tr, name: "server"}}
+	p.client, p.server = NewClientConn(limits, p.clientCalls), NewServerConn(limits, p.serverCalls)
 	return p
 }
 
-// step records its name, runs it and carries bytes both ways until neither end has any.
-func (p *pair) step(name string, do func()) {
+// step records the name of a step, runs it and transfers output both ways until neither end has any.
+func (p *connPair) step(name string, do func()) {
 	p.tr.line("-- %s", name)
 	do()
-	p.carry(inOnePiece)
+	p.transfer(inOnePiece)
 }
 
-func (p *pair) carry(piece func() int) {
+// transfer moves output in pieces both ways until neither end has any, and records the open and reset streams.
+func (p *connPair) transfer(pieceBytes func() int) {
 	for p.client.HasOutput() || p.server.HasOutput() {
-		p.move("client", p.client, p.server, piece)
-		p.move("server", p.server, p.client, piece)
+		p.transferOneWay("client", p.client, p.server, pieceBytes)
+		p.transferOneWay("server", p.server, p.client, pieceBytes)
 	}
 	p.tr.line("open %d %d, resets %d %d", p.client.OpenStreamCount(), p.server.OpenStreamCount(),
 		p.client.peerResetCount, p.server.peerResetCount)
 }
 
-func (p *pair) move(name string, from, to *Conn, piece func() int) {
+// transferOneWay feeds the output of one end to the other in pieces.
+func (p *connPair) transferOneWay(name string, from, to *Conn, pieceBytes func() int) {
 	data := bytes.Clone(from.TakeOutput())
 	if len(data) > 0 {
 		p.tr.wire(name, data)
 	}
 	p.now += 1e6
 	for len(data) > 0 {
-		n := min(len(data), piece())
+		n := min(len(data), pieceBytes())
 		if err := to.Feed(p.now, data[:n]); err != nil {
 			p.tr.line("the other end of the %s: %v", name, err)
 		}
@@ -124,8 +126,8 @@
 	}
 }
 
-// numbered returns n bytes that differ from place to place.
-func numbered(n int) []byte {
+// patternBytes returns n bytes of a pattern in which neighboring bytes differ.
+func patternBytes(n int) []byte {
 	p := make([]byte, n)
 	for i := range p {
 		p[i] = byte(i * 7)
@@ -133,8 +135,8 @@
 	return p
 }
 
-// TestGoldenExchanges compares the bytes and calls of scripted exchanges with the recorded ones, so that a change of
-// this package that moves a byte on the wire or the order of calls is seen.
+// TestGoldenExchanges compares the bytes and Handler calls of scripted exchanges with the golden files. It detects
+// changes of the bytes on the wire and of the order of calls.
 func TestGoldenExchanges(t *testing.T) {
 	for name, record := range map[string]func(tr *transcript){
 		"exchange":        recordExchange,
@@ -142,9 +144,9 @@
 		"response-faults": func(tr *transcript) { recordResponseFaults(t, tr) },
 		"random": func(tr *transcript) {
 			for seed := range uint64(60) {
-				var one transcript
-				recordRandom(&one, seed)
-				tr.line("seed %d: %d bytes of transcript, sha256 %x", seed, one.Len(), sha256.Sum256(one.Bytes()))
+				var exchange transcript
+				recordRandom(&exchange, seed)
+				tr.line("seed %d: %d bytes of transcript, sha256 %x", seed, exchange.Len(), sha256.Sum256(exchange.Bytes()))
 			}
 		},
 	} {
@@ -166,18 +168,18 @@
 	}
 }
 
-// compareLines reports the first line in which two transcripts differ.
+// compareLines fails the test at the first line in which two transcripts differ.
 func compareLines(t *testing.T, got, want string) {
 	t.Helper()
-	g, w := strings.Split(got, "\n"), strings.Split(want, "\n")
-	for i := range max(len(g), len(w)) {
+	gotLines, wantLines := strings.Split(got, "\n"), strings.Split(want, "\n")
+	for i := range max(len(gotLines), len(wantLines)) {
 		switch {
-		case i >= len(g):
-			t.Fatalf("line %d: got the end, want %s", i+1, w[i])
-		case i >= len(w):
-			t.Fatalf("line %d: got %s, want the end", i+1, g[i])
-		case g[i] != w[i]:
-			t.Fatalf("line %d:\n got %s\nwant %s", i+1, g[i], w[i])
+		case i >= len(gotLines):
+			t.Fatalf("line %d: got end of transcript, want %s", i+1, wantLines[i])
+		case i >= len(wantLines):
+			t.Fatalf("line %d: got %s, want end of transcript", i+1, gotLines[i])
+		case gotLines[i] != wantLines[i]:
+			t.Fatalf("line %d:\n got %s\nwant %s", i+1, gotLines[i], wantLines[i])
 		}
 	}
 }
--- a/internal/h2/grpc.go
+++ b/internal/h2/grpc.go
@@ -12,7 +12,7 @@
 	grpcContentType      = "application/grpc"
 	grpcProtoContentType = "application/grpc+proto"
 
-	// messagePrefixBytes is the size of what stands before each message: a flag for compression and the length.
+	// messagePrefixBytes is the size of the prefix of each message: the compressed flag and the length.
 	messagePrefixBytes = 5
 )
 
@@ -21,12 +21,12 @@
 	return [...]byte{0, byte(length >> 24), byte(length >> 16), byte(length >> 8), byte(length)}
 }
 
-// messageLength returns the length of a message that its prefix announces.
+// messageLength returns the message length that a prefix states.
 func messageLength(prefix []byte) uint32 {
 	return uint32(prefix[1])<<24 | uint32(prefix[2])<<16 | uint32(prefix[3])<<8 | uint32(prefix[4])
 }
 
-// statusFromTrailer returns the status that a server has sent.
+// statusFromTrailer returns the code and message of the status in a response's trailers.
 func statusFromTrailer(trailer *Header) (codes.Code, string) {
 	n, err := strconv.ParseUint(trailer.Get("grpc-status"), 10, 31)
 	if err != nil || n > uint64(codes.Unauthenticated) {
@@ -35,10 +35,10 @@
 	return codes.Code(n), percentDecode(trailer.Get("grpc-message"))
 }
 
-// isInformational reports whether an HTTP status is one of 1xx, which another one follows.
+// isInformational reports whether an HTTP status is 1xx, so that a final response follows.
 func isInformational(status string) bool { return len(status) == 3 && status[0] == '1' }
 
-// codeFromHTTPStatus returns the code that gRPC gives to an HTTP response without a gRPC status.
+// codeFromHTTPStatus returns the code to which gRPC maps the HTTP status of a response without a gRPC status.
 func codeFromHTTPStatus(status string) codes.Code {
 	switch status {
 	case "400":
@@ -55,18 +55,18 @@
 	return codes.Unknown
 }
 
-// timeoutUnits are the units of grpc-timeout, the smallest first.
+// timeoutUnits are the units of grpc-timeout in ascending order.
 var timeoutUnits = [...]struct {
 	suffix byte
 	nanos  int64
 }{{'n', 1}, {'u', 1e3}, {'m', 1e6}, {'S', 1e9}, {'M', 60e9}, {'H', 3600e9}}
 
 const (
-	maxTimeoutValue = 99999999 // the largest value of a grpc-timeout, in any unit
-	maxTimeoutNanos = 1 << 62
+	maxTimeoutValue = 99999999 // largest value of a grpc-timeout in any unit: eight digits
+	maxTimeoutNanos = 1 << 62  // longer timeouts are parsed as this one
 )
 
-// FormatTimeout returns a grpc-timeout of so many nanoseconds: at most eight digits and a unit, rounded up.
+// FormatTimeout formats a timeout in nanoseconds as a grpc-timeout: at most eight digits and a unit, rounded up.
 func FormatTimeout(nanos int64) string {
 	for _, unit := range timeoutUnits {
 		if value := (nanos + unit.nanos - 1) / unit.nanos; value <= maxTimeoutValue {
@@ -76,7 +76,7 @@
 	return strconv.Itoa(maxTimeoutValue) + "H"
 }
 
-// ParseTimeout returns the nanoseconds of a grpc-timeout, at most 1<<62.
+// ParseTimeout parses a grpc-timeout. It returns nanoseconds, at most 1<<62.
 func ParseTimeout(timeout string) (int64, error) {
 	if len(timeout) < 2 || len(timeout) > 9 {
 		return 0, fmt.Errorf("grpc-timeout %q: want one to eight digits and a unit", timeout)
@@ -97,7 +97,7 @@
 	return 0, fmt.Errorf("grpc-timeout %q: want one to eight digits and a unit of H, M, S, m, u, n", timeout)
 }
 
-// percentEncode returns a message as grpc-message has it: printable ASCII, all else as %XX.
+// percentEncode encodes a message for grpc-message: bytes other than printable ASCII, and '%', become %XX.
 func percentEncode(message string) string {
 	var b strings.Builder
 	for i := range len(message) {
@@ -110,7 +110,7 @@
 	return b.String()
 }
 
-// percentDecode returns the message of a grpc-message. What is no valid %XX stands as it is.
+// percentDecode decodes a grpc-message. A '%' that does not begin a valid %XX is kept.
 func percentDecode(encoded string) string {
 	if !strings.Contains(encoded, "%") {
 		return encoded
--- a/internal/h2/helpers_test.go
+++ b/internal/h2/helpers_test.go
@@ -9,12 +9,13 @@
 	"google.golang.org/grpc/codes"
 )
 
-// noErrCode stands for a frame with an error code that did not come.
+// noErrCode means that no frame with an error code was received.
 const noErrCode = http2.ErrCode(999)
 
-// echoHandler is a server's Handler that answers each message with itself and ends the stream when the client has.
+// echoHandler is a server's Handler that echoes each message and ends the stream when the client has closed its sending
+// side.
 type echoHandler struct {
-	retain        bool // messages are retained and not answered
+	retain        bool // messages are retained and not echoed
 	retainedBytes int
 	resets        int
 	messages      [][]byte
@@ -39,10 +40,10 @@
 func (e *echoHandler) GoAwayReceived()                                     {}
 func (e *echoHandler) PingAcked()                                          {}
 
-// clientHandler is a client's Handler that records what comes back, by the stream's identifier.
+// clientHandler is a client's Handler that records messages and statuses by stream ID.
 type clientHandler struct {
 	messages map[uint32][][]byte
-	finished map[uint32]string // code and message of the status
+	finished map[uint32]string // code and message of the status, appended for each call
 	refused  int
 	resets   int
 	goAway   bool
@@ -72,15 +73,15 @@
 func (h *clientHandler) GoAwayReceived()       { h.goAway = true }
 func (h *clientHandler) PingAcked()            {}
 
-// carry moves bytes between two ends until neither has any, in pieces of the sizes that pieceBytes returns.
-func carry(t *testing.T, a, b *Conn, pieceBytes func() int) {
+// transfer feeds the output of each end to the other until neither has any, in pieces of pieceBytes bytes.
+func transfer(t *testing.T, a, b *Conn, pieceBytes func() int) {
 	t.Helper()
 	for a.HasOutput() || b.HasOutput() {
-		for _, way := range [][2]*Conn{{a, b}, {b, a}} {
-			p := bytes.Clone(way[0].TakeOutput())
+		for _, direction := range [][2]*Conn{{a, b}, {b, a}} {
+			p := bytes.Clone(direction[0].TakeOutput())
 			for len(p) > 0 {
 				n := min(len(p), pieceBytes())
-				if err := way[1].Feed(1, p[:n]); err != nil {
+				if err := direction[1].Feed(1, p[:n]); err != nil {
 					t.Fatalf("feed: %v", err)
 				}
 				p = p[n:]
@@ -89,17 +90,17 @@
 	}
 }
 
-// inOnePiece has carry move all bytes at once.
+// inOnePiece makes transfer feed all output at once.
 func inOnePiece() int { return 1 << 30 }
 
-// scriptedPeer is a peer that sends what a test writes, faults included.
+// scriptedPeer is a peer that sends any frames that a test writes, including invalid ones.
 type scriptedPeer struct {
 	conn    *Conn // the end under test
 	handler *echoHandler
 	frames  scriptedFrames
-	output  bytes.Buffer // what is to be sent to conn
+	output  bytes.Buffer // bytes for the next feed
 	encoder *hpack.Encoder
-	block   bytes.Buffer // what encoder writes
+	block   bytes.Buffer // output of encoder
 	decoder *hpack.Decoder
 }
 
@@ -117,7 +118,7 @@
 	return p
 }
 
-// scriptedServerLimits are the limits of the server that a scripted client meets.
+// scriptedServerLimits are the limits of a scripted client's server.
 var scriptedServerLimits = Limits{
 	MaxStreams:         100,
 	StreamWindow:       65535,
@@ -126,22 +127,22 @@
 	MaxMessageBytes:    1 << 16,
 }
 
-// encode returns the header block of fields, which are names and values in turn.
+// encode returns the header block of fields, which alternate between names and values.
 func (p *scriptedPeer) encode(fields ...string) []byte {
 	p.block.Reset()
 	for i := 0; i+1 < len(fields); i += 2 {
-		_ = p.encoder.WriteField(hpack.HeaderField{Name: fields[i], Value: fields[i+1]}) // a bytes.Buffer accepts all
+		_ = p.encoder.WriteField(hpack.HeaderField{Name: fields[i], Value: fields[i+1]}) // cannot fail
 	}
 	return bytes.Clone(p.block.Bytes())
 }
 
-// encodeRequest returns the header block of a gRPC request with extra fields.
+// encodeRequest returns the header block of a gRPC request with additional fields.
 func (p *scriptedPeer) encodeRequest(extra ...string) []byte {
 	fields := []string{":method", "POST", ":scheme", "http", ":path", "/x/Y", "content-type", "application/grpc"}
 	return p.encode(append(fields, extra...)...)
 }
 
-// request returns the header block of an ordinary request.
+// request returns the header block of a valid gRPC request.
 func (p *scriptedPeer) request() []byte { return p.encodeRequest("te", "trailers") }
 
 // headers sends a header block in one frame.
@@ -151,25 +152,25 @@
 	})
 }
 
-// feed passes what the peer has written to the end under test, at a time.
+// feed passes the written bytes to the end under test. now is their time of arrival.
 func (p *scriptedPeer) feed(now int64) error {
 	data := bytes.Clone(p.output.Bytes())
 	p.output.Reset()
 	return p.conn.Feed(now, data)
 }
 
-// answers is what the end under test has sent.
-type answers struct {
-	goAway   http2.ErrCode            // of the last GOAWAY, or noErrCode
-	resets   map[uint32]http2.ErrCode // by stream
+// sentFrames summarizes the frames that the end under test has sent.
+type sentFrames struct {
+	goAway   http2.ErrCode            // code of the last GOAWAY, or noErrCode
+	resets   map[uint32]http2.ErrCode // codes of RST_STREAM frames by stream
 	statuses map[uint32]string        // grpc-status, or an HTTP status other than 200, by stream
 }
 
-// takeAnswers reads the output of the end under test.
-func (p *scriptedPeer) takeAnswers() answers {
+// takeSentFrames takes and parses the output of the end under test.
+func (p *scriptedPeer) takeSentFrames() sentFrames {
 	framer := http2.NewFramer(nil, bytes.NewReader(bytes.Clone(p.conn.TakeOutput())))
 	framer.ReadMetaHeaders = p.decoder
-	a := answers{goAway: noErrCode, resets: map[uint32]http2.ErrCode{}, statuses: map[uint32]string{}}
+	a := sentFrames{goAway: noErrCode, resets: map[uint32]http2.ErrCode{}, statuses: map[uint32]string{}}
 	for {
 		frame, err := framer.ReadFrame()
 		if err != nil {
@@ -190,7 +191,7 @@
 	}
 }
 
-// scriptedFrames writes frames for a scriptedPeer. A frame that cannot be written fails the test.
+// scriptedFrames writes frames for a scriptedPeer. An error fails the test.
 type scriptedFrames struct {
 	tb     testing.TB
 	framer *http2.Framer
--- a/internal/h2/limits.go
+++ b/internal/h2/limits.go
@@ -1,16 +1,16 @@
 package h2
 
-// Limits bound what one connection may hold.
+// Limits bound the streams of one connection and their memory.
 type Limits struct {
-	MaxStreams         uint32 // streams open at once, as a server
+	MaxStreams         uint32 // maximum of concurrent streams, on a server
 	StreamWindow       uint32 // bytes that the peer may send on one stream before they are consumed
 	ConnWindow         uint32 // bytes that the peer may send on all streams together; at least 65,535
-	MaxHeaderListBytes uint32 // size of one header list
-	MaxMessageBytes    uint32 // size of one message
+	MaxHeaderListBytes uint32 // maximum size of a header list
+	MaxMessageBytes    uint32 // maximum size of a received message
 }
 
-// DefaultLimits are the limits of a connection without settings of its own. A stream's window holds a few thousand
-// tokens, a message a prompt of some megabytes.
+// DefaultLimits are the limits of a connection for which none are configured. A stream's window holds a few thousand
+// tokens, and a message holds a prompt of up to 4 MiB.
 var DefaultLimits = Limits{
 	MaxStreams:         10000,
 	StreamWindow:       64 << 10,
@@ -19,26 +19,27 @@
 	MaxMessageBytes:    4 << 20,
 }
 
-// budgetSharePerConn is the part of a PartialMessageBudget that one connection may use: one in so many.
-const budgetSharePerConn = 8
+// budgetShareDivisor divides a PartialMessageBudget into the share that one connection may use.
+const budgetShareDivisor = 8
 
-// PartialMessageBudget bounds the bytes of messages that have arrived in part, over all connections that share it. One
-// connection may use an eighth of it. It belongs to the goroutine that feeds the connections.
+// PartialMessageBudget bounds the bytes of partially received messages over all connections that share it. One
+// connection may use an eighth of it. Only the goroutine that feeds the connections may access it.
 type PartialMessageBudget struct {
 	MaxBytes        int64
-	RejectedStreams uint64 // streams that were ended because the budget was spent
+	RejectedStreams uint64 // streams that were ended because the budget was exhausted
 	usedBytes       int64
 }
 
-// SetPartialMessageBudget makes the connection use a budget that it shares with others.
+// SetPartialMessageBudget sets the budget for partially received messages, which may be shared with other connections.
 func (c *Conn) SetPartialMessageBudget(budget *PartialMessageBudget) { c.budget = budget }
 
-// reservePartialBytes takes n bytes from the budget, or returns -n bytes to it. It reports whether the budget had them.
+// reservePartialBytes reserves n bytes of the budget, or releases -n bytes if n is negative. It returns false and
+// counts a rejected stream if the budget is exhausted.
 func (c *Conn) reservePartialBytes(n int64) bool {
 	if c.budget == nil {
 		return true
 	}
-	maxConnBytes := c.budget.MaxBytes / budgetSharePerConn
+	maxConnBytes := c.budget.MaxBytes / budgetShareDivisor
 	if n > 0 && (c.budget.usedBytes+n > c.budget.MaxBytes || c.partialBytes+n > maxConnBytes) {
 		c.budget.RejectedStreams++
 		return false
--- a/internal/h2/limits_test.go
+++ b/internal/h2/limits_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// A peer that begins many large messages and ends none is rejected at its share of the budget. Another connection with
-// the same budget goes on, and nothing stays in use.
+// TestPartialMessagesAreBounded checks that a connection with many incomplete messages cannot exceed its share of the
+// budget, that another connection with the same budget is unaffected, and that a closed connection releases its share.
 func TestPartialMessagesAreBounded(t *testing.T) {
 	budget := &PartialMessageBudget{MaxBytes: 64 << 10}
 	bad, good := newScriptedClient(t), newScriptedClient(t)
@@ -17,7 +17,7 @@
 			t.Fatal(err)
 		}
 		if budget.usedBytes > budget.MaxBytes/8 {
-			t.Fatalf("one connection holds %d bytes, want at most an eighth of %d", budget.usedBytes, budget.MaxBytes)
+			t.Fatalf("one connection uses %d bytes, want at most an eighth of %d", budget.usedBytes, budget.MaxBytes)
 		}
 	}
 	if budget.RejectedStreams == 0 {
@@ -29,12 +29,12 @@
 	if err := good.feed(1); err != nil {
 		t.Fatal(err)
 	}
-	status := good.takeAnswers().statuses[1]
+	status := good.takeSentFrames().statuses[1]
 	if status != "0" || string(good.handler.messages[0]) != "ok" {
-		t.Errorf("another connection's message in two parts ended with %q", status)
+		t.Errorf("another connection's stream with a message in two parts ended with status %q, want 0", status)
 	}
 	bad.conn.TransportClosed()
 	if budget.usedBytes != 0 {
-		t.Errorf("%d bytes in use when all connections are gone", budget.usedBytes)
+		t.Errorf("%d bytes are used after the connection was closed, want 0", budget.usedBytes)
 	}
 }
--- a/internal/h2/receive_data.go
+++ b/internal/h2/receive_data.go
@@ -9,7 +9,7 @@
 	"docksail/internal/decide/abuse"
 )
 
-// maxKeptMessageBytes is how large a buffer for partial messages may be to be used again.
+// maxKeptMessageBytes is the largest capacity of a buffer for partial messages that is kept for reuse.
 const maxKeptMessageBytes = 64 << 10
 
 func (c *Conn) handleData(f *http2.DataFrame) error {
@@ -49,8 +49,9 @@
 	return nil
 }
 
-// consumeRecvWindow counts received bytes against the connection's window and raises it again at once: a stream whose
-// reader is slow must not stop the others. What streams hold is bounded by their own windows.
+// consumeRecvWindow counts received bytes against the connection's window and returns them to the peer without waiting
+// for their consumption, so that a slow reader of one stream does not block the others. The streams' own windows bound
+// the unconsumed bytes.
 func (c *Conn) consumeRecvWindow(n int64) error {
 	if c.recvWindow -= n; c.recvWindow < 0 {
 		return connectionError{http2.ErrCodeFlowControl, "more than the connection's window"}
@@ -63,22 +64,23 @@
 	return nil
 }
 
-// addReceivedBytes counts the bytes of the stream's content. It reports whether they agree with the content length.
+// addReceivedBytes counts received bytes of the stream. It reports whether the total is consistent with the request's
+// Content-Length.
 func (s *Stream) addReceivedBytes(n int, ended bool) bool {
 	s.receivedBytes += int64(n)
-	if s.contentLength < 0 { // unknown; a negative number in the request counts as none
+	if s.contentLength < 0 { // unknown; a negative Content-Length is ignored
 		return true
 	}
 	return s.receivedBytes < s.contentLength && !ended || s.receivedBytes == s.contentLength
 }
 
-// receiveMessages cuts content of the stream into messages and passes them to the Handler. It returns false if the
-// Handler has ended the stream or a message was rejected.
+// receiveMessages splits received data into messages and passes them to the Handler. It returns false if the Handler
+// has ended the stream or a message was rejected.
 func (s *Stream) receiveMessages(p []byte) bool {
 	for len(p) > 0 {
 		var n int
 		var ok bool
-		if len(s.partialMessage) == 0 && s.hasCompleteMessage(p) { // no copy
+		if len(s.partialMessage) == 0 && s.hasCompleteMessage(p) { // delivered without a copy
 			n = messagePrefixBytes + int(messageLength(p))
 			ok = s.deliverMessage(p[:n], 0)
 		} else {
@@ -101,21 +103,22 @@
 	return length <= s.conn.limits.MaxMessageBytes && int(length) <= len(p)-messagePrefixBytes
 }
 
-// receivePart adds the beginning of p to the partial message, up to the end of the message or of its prefix. A message
-// that is complete is delivered. It returns how many bytes it took; ok is false as in receiveMessages.
+// receivePart appends the beginning of p to the partial message, up to the end of the prefix or of the message, and
+// delivers the message if it is complete. It returns the number of consumed bytes; ok is the same as the result of
+// receiveMessages.
 func (s *Stream) receivePart(p []byte) (n int, ok bool) {
-	want := messagePrefixBytes
+	wantBytes := messagePrefixBytes
 	if len(s.partialMessage) >= messagePrefixBytes {
-		want += int(messageLength(s.partialMessage))
+		wantBytes += int(messageLength(s.partialMessage))
 	}
-	n = min(want-len(s.partialMessage), len(p))
+	n = min(wantBytes-len(s.partialMessage), len(p))
 	if !s.conn.reservePartialBytes(int64(n)) {
 		s.rejectMessage(codes.ResourceExhausted, "too many messages have come in part")
 		return n, false
 	}
 	s.partialMessage = append(s.partialMessage, p[:n]...)
 	if len(s.partialMessage) < messagePrefixBytes {
-		s.creditAhead(n)
+		s.creditEarly(n)
 		return n, true
 	}
 	length := messageLength(s.partialMessage)
@@ -125,29 +128,29 @@
 			strconv.Itoa(int(s.conn.limits.MaxMessageBytes)))
 		return n, false
 	case len(s.partialMessage) < messagePrefixBytes+int(length):
-		s.creditAhead(n)
+		s.creditEarly(n)
 		return n, true
 	default:
 		return n, s.deliverPartialMessage(n)
 	}
 }
 
-// creditAhead gives the peer the window of bytes that are not consumed yet: otherwise a message longer than the window
-// would never arrive.
-func (s *Stream) creditAhead(n int) {
-	s.creditedAhead += int64(n)
+// creditEarly returns window to the peer for bytes of a partial message, before they are consumed. Otherwise a message
+// longer than the window could never be received.
+func (s *Stream) creditEarly(n int) {
+	s.creditedEarly += int64(n)
 	s.creditWindow(int64(n))
 }
 
-// deliverPartialMessage delivers the partial message, which is now complete; its last n bytes are not credited yet. It
-// returns false as receiveMessages does.
+// deliverPartialMessage delivers the partial message, which is now complete. Its last n bytes have not been credited
+// yet. The result is the same as that of receiveMessages.
 func (s *Stream) deliverPartialMessage(n int) bool {
 	message := s.partialMessage
-	ahead := int64(len(message) - n)
-	s.creditedAhead -= ahead
-	s.partialMessage = nil // it does not count as partial any more, whatever becomes of the stream in the call
+	alreadyCredited := int64(len(message) - n)
+	s.creditedEarly -= alreadyCredited
+	s.partialMessage = nil // the Handler may end the stream, which must not release the reserved bytes again
 	s.conn.reservePartialBytes(-int64(len(message)))
-	if !s.deliverMessage(message, ahead) {
+	if !s.deliverMessage(message, alreadyCredited) {
 		return false
 	}
 	if cap(message) <= maxKeptMessageBytes {
@@ -156,8 +159,8 @@
 	return true
 }
 
-// deliverMessage passes a message, with its prefix, to the Handler. credited says how many of its bytes have been
-// credited to the peer already. It returns false as receiveMessages does.
+// deliverMessage passes the message in p, which includes the prefix, to the Handler. credited is the number of its
+// bytes that have been credited to the peer already. The result is the same as that of receiveMessages.
 func (s *Stream) deliverMessage(p []byte, credited int64) bool {
 	if p[0] != 0 {
 		s.rejectMessage(codes.Unimplemented, "compressed message: this end takes none")
@@ -169,23 +172,24 @@
 		return false
 	}
 	if retained {
-		s.creditedAhead += credited
+		s.creditedEarly += credited
 	} else {
 		s.creditWindow(int64(len(p)) - credited)
 	}
 	return true
 }
 
-// CreditWindow gives the peer back n bytes of the stream's window, those of messages that the Handler has retained.
+// CreditWindow returns n bytes of the stream's window to the peer. The Handler calls it once it has consumed messages
+// that it retained.
 func (s *Stream) CreditWindow(n int) {
 	if s.active {
-		alreadyCredited := min(int64(n), s.creditedAhead)
-		s.creditedAhead -= alreadyCredited
+		alreadyCredited := min(int64(n), s.creditedEarly)
+		s.creditedEarly -= alreadyCredited
 		s.creditWindow(int64(n) - alreadyCredited)
 	}
 }
 
-// creditWindow counts consumed bytes and raises the peer's window once they are half of it.
+// creditWindow counts consumed bytes and returns them to the peer once they are half of the stream's window.
 func (s *Stream) creditWindow(n int64) {
 	s.uncredited += n
 	if s.uncredited >= int64(s.conn.limits.StreamWindow)/2 && !s.remoteClosed && s.conn.err == nil {
@@ -195,8 +199,8 @@
 	}
 }
 
-// rejectMessage ends a stream whose message cannot be accepted. On a server the Handler learns of it as a reset, on a
-// client as a status.
+// rejectMessage ends a stream because of an invalid message. The Handler is notified by StreamReset on a server and by
+// StreamFinished on a client.
 func (s *Stream) rejectMessage(code codes.Code, reason string) {
 	c := s.conn
 	if c.isServer {
@@ -208,11 +212,11 @@
 	c.handler.StreamFinished(s, code, reason, &Header{})
 }
 
-// handleStreamEnd handles the end of the peer's half of a stream.
+// handleStreamEnd handles the peer's END_STREAM flag.
 func (c *Conn) handleStreamEnd(s *Stream) {
 	s.remoteClosed = true
 	switch {
-	case !c.isServer: // a response must end in trailers
+	case !c.isServer: // a response must end with trailers
 		c.removeStream(s)
 		c.handler.StreamFinished(s, codes.Internal, "stream ended without a status", &Header{})
 	case len(s.partialMessage) > 0:
--- a/internal/h2/receive_frames.go
+++ b/internal/h2/receive_frames.go
@@ -6,8 +6,8 @@
 	"docksail/internal/decide/abuse"
 )
 
-// handleFrame handles one frame of the peer. It returns an http2.StreamError to reset one stream, and any other error
-// to end the connection.
+// handleFrame handles one frame from the peer. An http2.StreamError resets one stream; any other error ends the
+// connection.
 func (c *Conn) handleFrame(frame http2.Frame) error {
 	if !c.settingsReceived {
 		if settings, ok := frame.(*http2.SettingsFrame); !ok || settings.IsAck() {
@@ -58,7 +58,8 @@
 	return nil
 }
 
-// handleSettingsAck takes back what allocateStream has added to the windows of streams: the peer now knows their size.
+// handleSettingsAck reduces the receive windows of open streams to the configured size, which the peer now uses.
+// allocateStream has set them to initialWindow if that is larger.
 func (c *Conn) handleSettingsAck() {
 	if c.settingsAcked {
 		return
@@ -83,17 +84,17 @@
 		c.peerMaxStreams = setting.Val
 	case http2.SettingHeaderTableSize:
 		c.headerEncoder.SetMaxDynamicTableSizeLimit(min(setting.Val, headerTableBytes))
-	default: // the others do not concern what this end sends
+	default: // other settings do not affect what this end sends
 	}
 	return nil
 }
 
-// setPeerInitialWindow changes the windows of all streams by the difference to the former initial window.
+// setPeerInitialWindow changes the peer's initial window and adjusts the send windows of all streams by the difference.
 func (c *Conn) setPeerInitialWindow(window int64) error {
-	difference := window - c.peerInitialWindow
+	delta := window - c.peerInitialWindow
 	c.peerInitialWindow = window
 	for _, s := range c.streams {
-		if s.sendWindow += difference; s.sendWindow > maxWindow {
+		if s.sendWindow += delta; s.sendWindow > maxWindow {
 			return connectionError{http2.ErrCodeFlowControl, reasonWindowTooLarge}
 		}
 	}
--- a/internal/h2/receive_headers.go
+++ b/internal/h2/receive_headers.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	// headerDecodeFactor is how many times its allowed size a header list may have before it ends the connection. A list
-	// that is too long for its stream is decoded nevertheless, to keep the decoder's table right.
+	// headerDecodeFactor is the multiple of MaxHeaderListBytes above which a header list ends the connection. A list
+	// between the two limits ends only its stream, but is decoded to keep the dynamic table in step with the peer.
 	headerDecodeFactor = 4
 
-	// headerFragmentBytes is what each fragment of a header block counts beside its fields, so that fragments that decode
-	// to little are bounded as well.
+	// headerFragmentBytes is added to the size of a header list for each fragment, to bound the number of fragments that
+	// decode to few bytes.
 	headerFragmentBytes = 32
 )
 
 // Header is a decoded header list.
 type Header struct{ Fields []hpack.HeaderField }
 
-// Get returns the value of the first field of a name, which is in lower case, or "" if there is none.
+// Get returns the value of the first field with the given name, or "" if there is none. name must be in lower case.
 func (h *Header) Get(name string) string {
 	for i := range h.Fields {
 		if h.Fields[i].Name == name {
@@ -34,7 +34,7 @@
 	return ""
 }
 
-// has reports whether there is a field of a name.
+// has reports whether there is a field with the given name.
 func (h *Header) has(name string) bool {
 	for i := range h.Fields {
 		if h.Fields[i].Name == name {
@@ -44,31 +44,31 @@
 	return false
 }
 
-// isPost reports whether the pseudo fields are those of a POST request.
+// isPost reports whether the pseudo-header fields are those of a POST request.
 func (h *Header) isPost() bool {
 	return h.Get(":method") == "POST" && h.Get(":path") != "" && h.Get(":scheme") != ""
 }
 
-// headerFault says why a header list cannot be accepted.
-type headerFault uint8
+// headerValidity is the result of validating a header list.
+type headerValidity uint8
 
 const (
-	headerValid headerFault = iota
+	headerValid headerValidity = iota
 	headerMalformed
 	headerTooLong
 )
 
-// headerBlock is the header list of a HEADERS frame and the CONTINUATION frames after it.
+// headerBlock is the header list of a HEADERS frame and the CONTINUATION frames that follow it.
 type headerBlock struct {
 	streamID         uint32
 	endsStream       bool
 	header           Header
-	listBytes        uint32 // size of the list so far, as HTTP/2 counts it
-	regularFieldSeen bool   // a field that is not a pseudo field has come
-	fault            headerFault
+	listBytes        uint32 // size of the list so far, as defined for SETTINGS_MAX_HEADER_LIST_SIZE
+	regularFieldSeen bool   // the list contains a field that is not a pseudo-header field
+	validity         headerValidity
 }
 
-// begin makes the block ready for the list of a frame. The memory of the last list is used again.
+// begin resets the block for the list of a HEADERS frame. It reuses the memory of the previous list.
 func (b *headerBlock) begin(f *http2.HeadersFrame) {
 	*b = headerBlock{
 		streamID:   f.StreamID,
@@ -77,7 +77,7 @@
 	}
 }
 
-// isWellFormed reports whether a field may follow those before it.
+// isWellFormed reports whether a field is valid after the fields received before it.
 func (b *headerBlock) isWellFormed(f hpack.HeaderField) bool {
 	if f.IsPseudo() {
 		return !b.regularFieldSeen && !b.header.has(f.Name)
@@ -113,16 +113,16 @@
 	return c.handleHeaderFragment(f.HeaderBlockFragment(), f.HeadersEnded())
 }
 
-// addHeaderField takes one field from the decoder.
+// addHeaderField adds a decoded field to the header block. headerDecoder calls it.
 func (c *Conn) addHeaderField(f hpack.HeaderField) {
 	b := &c.headerBlock
 	b.listBytes += f.Size()
 	if b.listBytes > c.limits.MaxHeaderListBytes {
-		b.fault = headerTooLong
+		b.validity = headerTooLong
 		return
 	}
 	if !b.isWellFormed(f) {
-		b.fault = headerMalformed
+		b.validity = headerMalformed
 	}
 	if !f.IsPseudo() {
 		b.regularFieldSeen = true
@@ -130,7 +130,7 @@
 	b.header.Fields = append(b.header.Fields, f)
 }
 
-// handleHeaderFragment decodes a fragment of a header block, and handles the list if it is the last one.
+// handleHeaderFragment decodes a fragment of a header block. After the last fragment it handles the header list.
 func (c *Conn) handleHeaderFragment(fragment []byte, last bool) error {
 	if _, err := c.headerDecoder.Write(fragment); err != nil {
 		return connectionError{http2.ErrCodeCompression, err.Error()}
@@ -153,14 +153,14 @@
 	return c.handleResponseHeaders()
 }
 
-// handleRequestHeaders handles the header list of a new request, or the trailers of one.
+// handleRequestHeaders handles the headers of a new request, or the trailers of an open one.
 func (c *Conn) handleRequestHeaders() error {
 	id := c.headerBlock.streamID
 	if s := c.streams[id]; s != nil {
 		return c.handleRequestTrailers(s)
 	}
 	if id <= c.lastPeerStreamID {
-		return nil // crossed with the end of its stream
+		return nil // sent before the peer learned of the end of the stream
 	}
 	c.lastPeerStreamID = id
 	if c.finalGoAwaySent {
@@ -180,22 +180,22 @@
 }
 
 func (c *Conn) handleRequestTrailers(s *Stream) error {
-	if !c.headerBlock.endsStream || s.remoteClosed || c.headerBlock.fault != headerValid {
+	if !c.headerBlock.endsStream || s.remoteClosed || c.headerBlock.validity != headerValid {
 		return protocolError(s.id)
 	}
 	c.handleStreamEnd(s)
 	return nil
 }
 
-// startRequest checks the headers of a new request and passes it to the Handler.
+// startRequest validates the headers of a new request and passes them to the Handler.
 func (c *Conn) startRequest(s *Stream) error {
 	b, id := &c.headerBlock, s.id
-	if b.fault == headerTooLong {
+	if b.validity == headerTooLong {
 		s.EndWithStatus(codes.ResourceExhausted,
 			"headers longer than "+strconv.Itoa(int(c.limits.MaxHeaderListBytes))+" bytes")
 		return nil
 	}
-	if b.fault != headerValid || !b.header.isPost() || !s.setContentLength(&b.header) {
+	if b.validity != headerValid || !b.header.isPost() || !s.setContentLength(&b.header) {
 		return protocolError(id)
 	}
 	switch b.header.Get("content-type") {
@@ -211,7 +211,7 @@
 	return nil
 }
 
-// setContentLength notes the content length that a request announces. It reports false if that is no number.
+// setContentLength records the Content-Length of a request, if there is one. It returns false if it is not a number.
 func (s *Stream) setContentLength(h *Header) bool {
 	value := h.Get("content-length")
 	if value == "" {
@@ -225,7 +225,7 @@
 	return true
 }
 
-// rejectContentType answers a request that is not gRPC.
+// rejectContentType responds to a request that is not gRPC with HTTP status 415.
 func (c *Conn) rejectContentType(s *Stream) {
 	c.headerBuffer.Reset()
 	c.encodeField(":status", "415")
@@ -240,7 +240,7 @@
 	if s == nil {
 		return c.checkNotIdle(b.streamID, "headers on an idle stream")
 	}
-	if b.fault != headerValid {
+	if b.validity != headerValid {
 		return protocolError(s.id)
 	}
 	if s.headersReceived {
@@ -267,14 +267,14 @@
 	return nil
 }
 
-// finishResponse ends a client's stream with the status in its trailers.
+// finishResponse ends a client's stream with the status in the trailers.
 func (c *Conn) finishResponse(s *Stream, trailer *Header) {
 	code, message := statusFromTrailer(trailer)
 	if code == codes.OK && len(s.partialMessage) > 0 {
 		code, message = codes.Internal, "message cut off"
 	}
 	s.remoteClosed = true
-	if !s.localClosed { // the server does not read what is still to be sent
+	if !s.localClosed { // the server does not read the rest of the request
 		c.frames.writeRSTStream(s.id, http2.ErrCodeNo)
 	}
 	c.removeStream(s)
--- a/internal/h2/send.go
+++ b/internal/h2/send.go
@@ -8,8 +8,8 @@
 	"google.golang.org/grpc/codes"
 )
 
-// OpenStream opens a stream on a client, for the method /service/method in path. A timeout above 0 is sent as
-// grpc-timeout. The names of the extra headers are in lower case. The caller must have checked CanOpenStream.
+// OpenStream opens a stream on a client. path is /service/method. A timeout above 0 is sent as grpc-timeout. The names
+// of the extra headers must be in lower case. The caller must have checked CanOpenStream.
 func (c *Conn) OpenStream(path, authority string, timeoutNanos int64, extra ...hpack.HeaderField) *Stream {
 	s := c.allocateStream(c.nextStreamID)
 	c.nextStreamID += 2
@@ -20,7 +20,7 @@
 	c.encodeField(":authority", authority)
 	c.encodeField("content-type", grpcContentType)
 	c.encodeField("te", "trailers")
-	if timeoutNanos > 0 { // Sensitive keeps it out of the compression table: few timeouts are equal
+	if timeoutNanos > 0 { // Sensitive keeps the value out of the dynamic table, because timeouts rarely repeat
 		timeout := hpack.HeaderField{Name: "grpc-timeout", Value: FormatTimeout(timeoutNanos), Sensitive: true}
 		c.encodeFields(timeout)
 	}
@@ -30,14 +30,14 @@
 	return s
 }
 
-// encodeField adds a field to the header block in headerBuffer.
+// encodeField appends a field to the header block in headerBuffer.
 func (c *Conn) encodeField(name, value string) {
 	c.encodeFields(hpack.HeaderField{Name: name, Value: value})
 }
 
 func (c *Conn) encodeFields(fields ...hpack.HeaderField) {
 	for _, f := range fields {
-		_ = c.headerEncoder.WriteField(f) // a bytes.Buffer accepts all
+		_ = c.headerEncoder.WriteField(f) // writing to a bytes.Buffer cannot fail
 	}
 }
 
@@ -46,13 +46,13 @@
 	c.frames.writeHeaders(s.id, c.headerBuffer.Bytes(), int(c.peerMaxFrameBytes), endStream)
 }
 
-// encodeResponseHeaders adds the headers of a gRPC response to the header block.
+// encodeResponseHeaders appends the headers of a gRPC response to the header block.
 func (c *Conn) encodeResponseHeaders() {
 	c.encodeField(":status", "200")
 	c.encodeField("content-type", grpcContentType)
 }
 
-// SendHeaders sends a server's response headers. It does nothing if they are sent already.
+// SendHeaders sends the response headers on a server. It does nothing if they have been sent already.
 func (s *Stream) SendHeaders(extra ...hpack.HeaderField) {
 	c := s.conn
 	if s.headersSent || !s.active || !c.isServer || c.err != nil {
@@ -65,7 +65,7 @@
 	c.writeHeaders(s, false)
 }
 
-// SendMessage sends a copy of one message. A client that sends no more sets last.
+// SendMessage sends a copy of one message. last is set by a client to close its sending side after the message.
 func (s *Stream) SendMessage(message []byte, last bool) {
 	c := s.conn
 	if !s.active || s.localClosed || s.endAfterOutput || c.err != nil {
@@ -87,7 +87,7 @@
 	c.flushStreams()
 }
 
-// canSendAtOnce reports whether a message may go out now in one frame.
+// canSendAtOnce reports whether a message can be sent now in a single frame.
 func (s *Stream) canSendAtOnce(messageBytes int) bool {
 	c := s.conn
 	n := int64(messagePrefixBytes + messageBytes)
@@ -95,7 +95,7 @@
 		n <= s.sendWindow && n <= c.sendWindow && n <= int64(c.peerMaxFrameBytes)
 }
 
-// writeMessage writes a message in one DATA frame straight to the output, without a copy to pendingOutput.
+// writeMessage writes a message in one DATA frame directly to the output, bypassing pendingOutput.
 func (s *Stream) writeMessage(message []byte, last bool) {
 	c := s.conn
 	n := messagePrefixBytes + len(message)
@@ -110,7 +110,7 @@
 	c.output = append(c.output, message...)
 }
 
-// CloseSend ends a client's half of the stream without a last message.
+// CloseSend closes a client's sending side of the stream without a further message.
 func (s *Stream) CloseSend() {
 	if s.active && !s.localClosed && !s.endAfterOutput {
 		s.endAfterOutput = true
@@ -119,7 +119,7 @@
 	}
 }
 
-// EndWithStatus ends a server's stream with a status, once all its messages are sent. The extra fields are further
+// EndWithStatus ends a stream on a server with a status, after all its messages have been sent. extra are additional
 // trailers. The Handler is not called for the stream again.
 func (s *Stream) EndWithStatus(code codes.Code, message string, extra ...hpack.HeaderField) {
 	c := s.conn
@@ -141,7 +141,7 @@
 	c.flushStreams()
 }
 
-// writeStreamEnd writes a server's trailers, or a client's empty last frame.
+// writeStreamEnd writes the trailers on a server, or an empty DATA frame with END_STREAM on a client.
 func (c *Conn) writeStreamEnd(s *Stream) {
 	s.localClosed = true
 	if !c.isServer {
@@ -154,15 +154,15 @@
 	}
 	c.encodeFields(s.trailer...)
 	c.writeHeaders(s, true)
-	if !s.remoteClosed { // the rest of the request is not wanted
+	if !s.remoteClosed { // the rest of the request is not needed
 		c.frames.writeRSTStream(s.id, http2.ErrCodeNo)
 	}
 	c.abuseLimiter.AddCredit()
 	c.removeStream(s)
 }
 
-// SetOutputPaused stops or resumes the sending of messages, for a socket that takes no more. What is sent meanwhile
-// waits in its stream.
+// SetOutputPaused pauses or resumes the sending of messages, for example while the socket is blocked. Meanwhile,
+// messages are queued in their streams.
 func (c *Conn) SetOutputPaused(paused bool) {
 	c.outputPaused = paused
 	if !paused {
@@ -170,7 +170,8 @@
 	}
 }
 
-// enqueue adds a stream to the sendQueue, unless it has to wait for its own window: a window update enqueues it.
+// enqueue adds a stream to the sendQueue. A stream whose own window is exhausted is enqueued by the next window update
+// instead.
 func (c *Conn) enqueue(s *Stream) {
 	if !s.queued && (s.sendWindow > 0 || len(s.pendingOutput) == 0) {
 		s.queued = true
@@ -178,9 +179,9 @@
 	}
 }
 
-// flushStreams sends waiting output as far as the windows and the socket allow, one frame a stream, round-robin.
+// flushStreams sends pending output as far as the windows and the socket allow, round-robin with one frame per stream.
 func (c *Conn) flushStreams() {
-	if c.flushing { // called by the Handler from inside the loop below, which goes on
+	if c.flushing { // called by the Handler from inside the loop below, which sends the new output too
 		return
 	}
 	c.flushing = true
@@ -201,8 +202,8 @@
 	}
 }
 
-// flushStream sends one frame of a stream's output. What follows is enqueued, the end of the stream is written, or the
-// Handler learns that all is sent.
+// flushStream sends one frame of a stream's output. If output remains, the stream is enqueued again. Otherwise the end
+// of the stream is written if it is pending, or else the Handler is notified.
 func (c *Conn) flushStream(s *Stream) {
 	n := min(int64(len(s.pendingOutput)), s.sendWindow, c.sendWindow, int64(c.peerMaxFrameBytes))
 	if n > 0 {
--- a/internal/h2/stream.go
+++ b/internal/h2/stream.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	maxFreeStreams       = 256      // streams that a connection keeps for reuse
+	maxFreeStreams       = 256      // ended streams that a connection keeps for reuse
 	maxFreeStreamBytes   = 16 << 10 // larger buffers of free streams are left to the garbage collector
 	unknownContentLength = -1
 )
 
-// Stream is one call.
+// Stream is one HTTP/2 stream, which carries one gRPC call.
 type Stream struct {
-	UserID   uint64 // for the Handler's own use
-	UserData any    // for the Handler's own use
+	UserID   uint64 // for use by the Handler
+	UserData any    // for use by the Handler
 
 	conn   *Conn
 	id     uint32
@@ -25,37 +25,37 @@
 
 	headersSent     bool
 	headersReceived bool
-	localClosed     bool // this end has sent the end of its half
-	remoteClosed    bool // the peer has sent the end of its half
+	localClosed     bool // this end has sent END_STREAM
+	remoteClosed    bool // the peer has sent END_STREAM
 
 	sendWindow     int64 // bytes that this end may send
 	pendingOutput  []byte
-	queued         bool // stands in the connection's sendQueue
-	endAfterOutput bool // the end of the stream follows pendingOutput
+	queued         bool // is in the connection's sendQueue
+	endAfterOutput bool // END_STREAM is to be sent after pendingOutput
 	trailer        []hpack.HeaderField
 
 	recvWindow     int64 // bytes that the peer may send
-	uncredited     int64 // consumed bytes by which recvWindow has not been raised again
-	creditedAhead  int64 // bytes by which recvWindow was raised before they are consumed
+	uncredited     int64 // consumed bytes that no WINDOW_UPDATE has returned to the peer yet
+	creditedEarly  int64 // unconsumed bytes that have already been credited to the peer
 	partialMessage []byte
-	contentLength  int64 // announced by the request, or unknownContentLength
+	contentLength  int64 // Content-Length of the request, or unknownContentLength
 	receivedBytes  int64
 }
 
 // ID returns the stream's identifier, which is unique on its connection.
 func (s *Stream) ID() uint32 { return s.id }
 
-// PendingBytes returns how many bytes wait to be sent on the stream.
+// PendingBytes returns the number of bytes that are queued on the stream.
 func (s *Stream) PendingBytes() int { return len(s.pendingOutput) }
 
-// HeadersSent reports whether this end has sent its headers.
+// HeadersSent reports whether this end has sent its headers on the stream.
 func (s *Stream) HeadersSent() bool { return s.headersSent }
 
-// isActiveAs reports whether the stream is still the one with this id. Handlers may end a stream, and its memory may
-// then already be used for another one.
+// isActiveAs reports whether the Stream is still the active stream with this id. A Handler may have ended that stream,
+// and the Stream may have been reused since.
 func (s *Stream) isActiveAs(id uint32) bool { return s.active && s.id == id }
 
-// isEnding reports whether a server has ended the stream and its output is still being sent.
+// isEnding reports whether EndWithStatus was called on a server and output of the stream is still pending.
 func (s *Stream) isEnding() bool { return s.endAfterOutput && s.conn.isServer }
 
 // Reset ends the stream at once. The Handler is not called for it again.
@@ -69,7 +69,7 @@
 	s.conn.removeStream(s)
 }
 
-// OpenStreamCount returns how many streams are open.
+// OpenStreamCount returns the number of open streams.
 func (c *Conn) OpenStreamCount() int { return len(c.streams) }
 
 // CanOpenStream reports whether a client may open another stream.
@@ -77,7 +77,7 @@
 	return c.err == nil && !c.goAwayReceived && uint32(len(c.streams)) < c.peerMaxStreams && c.nextStreamID < maxStreamID
 }
 
-// ForEachStream calls f for every open stream, in the order of their identifiers.
+// ForEachStream calls f for each open stream, in order of identifiers.
 func (c *Conn) ForEachStream(f func(s *Stream)) {
 	for _, s := range c.sortedStreams() {
 		if s.active {
@@ -86,7 +86,7 @@
 	}
 }
 
-// sortedStreams returns the open streams in the order of their identifiers.
+// sortedStreams returns the open streams in order of identifiers.
 func (c *Conn) sortedStreams() []*Stream {
 	list := make([]*Stream, 0, len(c.streams))
 	for _, s := range c.streams {
@@ -96,7 +96,7 @@
 	return list
 }
 
-// isIdleStream reports whether no stream with this id was opened yet.
+// isIdleStream reports whether no stream with this id has been opened yet.
 func (c *Conn) isIdleStream(id uint32) bool {
 	openedByPeer := c.isServer == (id%2 == 1)
 	if openedByPeer {
@@ -105,7 +105,7 @@
 	return id >= c.nextStreamID
 }
 
-// allocateStream returns a new open stream, in the memory of an ended one if there is any.
+// allocateStream returns a new open stream. It reuses an ended Stream if there is one.
 func (c *Conn) allocateStream(id uint32) *Stream {
 	var s *Stream
 	if n := len(c.freeStreams); n > 0 {
@@ -122,14 +122,14 @@
 	s.sendWindow = c.peerInitialWindow
 	s.recvWindow = int64(c.limits.StreamWindow)
 	s.contentLength = unknownContentLength
-	if !c.settingsAcked { // the peer may still use the window that holds before any settings
+	if !c.settingsAcked { // the peer may still use the initial window of the protocol
 		s.recvWindow = max(s.recvWindow, initialWindow)
 	}
 	c.streams[id] = s
 	return s
 }
 
-// removeStream ends a stream. Its memory is used again once it has left the sendQueue.
+// removeStream ends a stream. Its memory is reused once the stream has left the sendQueue.
 func (c *Conn) removeStream(s *Stream) {
 	if !s.active {
 		return
@@ -143,7 +143,7 @@
 	}
 }
 
-// recycleStream keeps the memory of an ended stream for another one.
+// recycleStream keeps an ended Stream for reuse, unless enough of them are kept.
 func (c *Conn) recycleStream(s *Stream) {
 	if len(c.freeStreams) >= maxFreeStreams {
 		return
