--- a/internal/h2/faults_test.go
+++ b/internal/h2/faults_test.go
@@ -20,19 +20,19 @@
 		reset  http2.ErrCode // code of the reset of stream 1; noErrCode: not reset
 		status string        // status of stream 1
 	}{
-		{"pseudo field twice", func(p *scriptedPeer) {
+		{"pseudo-header field twice", func(p *scriptedPeer) {
 			p.headers(1, p.encode(":method", "POST", ":method", "POST", ":scheme", "http", ":path", "/x"), true)
 		}, noErrCode, http2.ErrCodeProtocol, ""},
-		{"pseudo field late", func(p *scriptedPeer) {
+		{"pseudo-header field after a regular field", func(p *scriptedPeer) {
 			p.headers(1, p.encode("a", "b", ":method", "POST", ":scheme", "http", ":path", "/x"), true)
 		}, noErrCode, http2.ErrCodeProtocol, ""},
 		{"timeout twice", func(p *scriptedPeer) {
 			p.headers(1, p.encodeRequest("grpc-timeout", "1S", "grpc-timeout", "2S"), true)
 		}, noErrCode, http2.ErrCodeProtocol, ""},
-		{"connection field", func(p *scriptedPeer) {
+		{"connection-specific field", func(p *scriptedPeer) {
 			p.headers(1, p.encode(":method", "POST", ":scheme", "http", ":path", "/x", "connection", "close"), true)
 		}, noErrCode, http2.ErrCodeProtocol, ""},
-		{"upper case", func(p *scriptedPeer) {
+		{"upper-case field name", func(p *scriptedPeer) {
 			p.headers(1, p.encode(":method", "POST", ":scheme", "http", ":path", "/x", "Upper", "case"), true)
 		}, noErrCode, http2.ErrCodeProtocol, ""},
 		{"headers too long", func(p *scriptedPeer) {
@@ -49,11 +49,11 @@
 			p.headers(1, p.request(), false)
 			p.frames.WriteData(1, false, []byte{1, 0, 0, 0, 1, 1})
 		}, noErrCode, http2.ErrCodeNo, "12"},
-		{"message cut off", func(p *scriptedPeer) {
+		{"truncated message", func(p *scriptedPeer) {
 			p.headers(1, p.request(), false)
 			p.frames.WriteData(1, true, []byte{0, 0, 0, 0, 9, 1})
 		}, noErrCode, noErrCode, "13"},
-		{"data past the stream's window", func(p *scriptedPeer) {
+		{"data beyond the stream's window", func(p *scriptedPeer) {
 			p.handler.retain = true
 			p.headers(1, p.request(), false)
 			for range 5 {
@@ -77,22 +77,22 @@
 		{"reset of an idle stream", func(p *scriptedPeer) {
 			p.frames.WriteRSTStream(9, http2.ErrCodeCancel)
 		}, http2.ErrCodeProtocol, noErrCode, ""},
-		{"even stream", func(p *scriptedPeer) {
+		{"even stream ID", func(p *scriptedPeer) {
 			p.headers(2, p.request(), true)
 		}, http2.ErrCodeProtocol, noErrCode, ""},
-		{"push", func(p *scriptedPeer) {
+		{"PUSH_PROMISE frame", func(p *scriptedPeer) {
 			p.frames.WriteRawFrame(http2.FramePushPromise, http2.FlagPushPromiseEndHeaders, 1, []byte{0, 0, 0, 2})
 		}, http2.ErrCodeProtocol, noErrCode, ""},
-		{"bad compression", func(p *scriptedPeer) {
+		{"invalid header compression", func(p *scriptedPeer) {
 			p.headers(1, []byte{0xff, 0xff, 0xff, 0xff, 0xff}, true)
 		}, http2.ErrCodeCompression, noErrCode, ""},
 		{"window overflow", func(p *scriptedPeer) {
 			p.frames.WriteWindowUpdate(0, 1<<31-1)
 		}, http2.ErrCodeFlowControl, noErrCode, ""},
-		{"window update of nothing", func(p *scriptedPeer) {
+		{"window update by zero", func(p *scriptedPeer) {
 			p.frames.WriteRawFrame(http2.FrameWindowUpdate, 0, 0, []byte{0, 0, 0, 0})
 		}, http2.ErrCodeProtocol, noErrCode, ""},
-		{"ping of a wrong length", func(p *scriptedPeer) {
+		{"ping of invalid length", func(p *scriptedPeer) {
 			p.frames.WriteRawFrame(http2.FramePing, 0, 0, []byte{1})
 		}, http2.ErrCodeFrameSize, noErrCode, ""},
 		{"frame between headers", func(p *scriptedPeer) {
