--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -1,5 +1,5 @@
-// Package frontend holds what all frontends have in common: the requests that they submit, how a response is given, and
-// what they expect of the dispatcher. Each frontend is a package below this one.
+// Package frontend defines what all frontends share: the requests that they submit, the interface for writing a
+// response, and the interface of the dispatcher. Each frontend is a package below this one.
 package frontend
 
 import (
@@ -9,71 +9,72 @@
 	"docksail/policy"
 )
 
-// ErrInvalidRequest is wrapped by errors of Dispatcher.Submit about a request that can never be served as it is.
+// ErrInvalidRequest is wrapped by the errors of Dispatcher.Submit for requests that cannot be served unless the client
+// changes them.
 var ErrInvalidRequest = errors.New("request cannot be taken")
 
-// Dispatcher is what a frontend submits requests to. Its methods are called on the event loop.
+// Dispatcher serves the requests that a frontend submits. Its methods are called on the event loop.
 type Dispatcher interface {
-	// Submit submits a request and returns its id. The slices of r are valid during the call only; w must stay valid
-	// until the request has its response. A RejectionError rejects the request; any other error, which wraps
-	// ErrInvalidRequest, is the client's. w must not be called before Submit has returned, nor after an error.
+	// Submit submits a request and returns its ID. The slices of r are valid only during the call; w must stay valid
+	// until the request has its response. The error is a RejectionError if the request is rejected, or wraps
+	// ErrInvalidRequest if it is invalid. The dispatcher must not call w before Submit has returned, nor after an error.
 	Submit(now eventloop.Nanos, w ResponseWriter, r *Request) (policy.RequestID, error)
-	// ClientDisconnected reports that the client of a request has left.
+	// ClientDisconnected reports that the client of a request has disconnected.
 	ClientDisconnected(now eventloop.Nanos, id policy.RequestID)
-	// ClientWritable reports that all output for the client of a request was sent.
+	// ClientWritable reports that all output queued for the client of a request was sent.
 	ClientWritable(now eventloop.Nanos, id policy.RequestID)
-	// RequestName returns the name of a request in messages and logs, unique over dispatchers and restarts.
+	// RequestName returns the name of a request for messages and logs, unique across dispatchers and restarts.
 	RequestName(id policy.RequestID) string
 }
 
-// ResponseWriter gives the response to one request. Exactly one of Complete, Fail and Reject ends it, unless the client
-// has disconnected.
+// ResponseWriter writes the response to one request. Exactly one call of Complete, Fail or Reject ends it, unless the
+// client has disconnected.
 type ResponseWriter interface {
-	// WriteTokens relays a piece of the response. If blocked is true, output waits for the client, and the server must
-	// be held back until Dispatcher.ClientWritable.
+	// WriteTokens writes a piece of the response. If blocked is true, output waits for the client, and the server must
+	// be held back until Dispatcher.ClientWritable is called.
 	WriteTokens(id policy.RequestID, p []byte) (blocked bool)
-	// Complete ends a response that is complete.
+	// Complete ends a response that was written in full.
 	Complete(id policy.RequestID)
-	// Fail ends a response, begun or not. The request may have been executed.
+	// Fail ends a response with an error, whether or not it has begun. The request may have been executed.
 	Fail(id policy.RequestID, reason string)
-	// Reject refuses a request for which WriteTokens was not called. The client may retry.
+	// Reject rejects a request for which WriteTokens was not called. The client may retry.
 	Reject(id policy.RequestID, rejection RejectionError)
 }
 
-// RejectionError refuses a request that was not executed and states when to retry.
+// RejectionError rejects a request that was not executed and says when to retry it.
 type RejectionError struct {
 	Reason              string
-	RetryAfter          eventloop.Nanos // 0 = at once, elsewhere
-	TenantLimitExceeded bool            // the tenant's own limit was exceeded
-	Ticket              []byte          // reserves a place for the retry that brings it back; nil = none
+	RetryAfter          eventloop.Nanos // 0 = at once, at another dispatcher
+	TenantLimitExceeded bool            // a limit of the request's own tenant was exceeded
+	Ticket              []byte          // reservation for the retry, which presents it; nil = none
 }
 
 func (e RejectionError) Error() string { return e.Reason }
 
-// Request is a request as it stands in a message. Its slices point into that message. Nil slices and zeros stand for
-// what the message does not state.
+// Request is a decoded request. Its slices point into the message that it was decoded from. A nil slice or a zero
+// means that the message does not set the field.
 type Request struct {
-	Raw      []byte // the message, which servers are sent unchanged
-	ClientID []byte // the client's own id of the request, for servers
-	Path     []byte // the path to which the request was sent, for servers
-	Header   []byte // header fields for servers, as lines
+	Raw      []byte // the message, which is forwarded to servers unchanged
+	ClientID []byte // the client's ID of the request, forwarded to servers
+	Path     []byte // the path of the request, forwarded to servers
+	Header   []byte // header fields forwarded to servers, as lines
 
 	Class          []byte
 	Tenant         []byte
 	Session        []byte
-	Prefix         []byte // name of a prefix that the prompt shares with others
+	Prefix         []byte // name of the prefix that the prompt shares with other prompts
 	IdempotencyKey []byte
 	Client         []byte   // name of the client within its tenant
 	Source         [16]byte // address of the client
-	Ticket         []byte   // of an earlier RejectionError
+	Ticket         []byte   // ticket of an earlier RejectionError
 
 	Background        bool // the request uses idle capacity only
 	PromptTokens      int64
-	PrefixTokens      int64 // of the prompt, the length of the shared prefix
-	MaxTokens         int64 // of the response
+	PrefixTokens      int64 // tokens of the prompt that belong to the shared prefix
+	MaxTokens         int64 // maximum length of the response
 	FirstTokenTimeout int64 // nanoseconds
 	LengthHint        int64 // estimated duration of the response, nanoseconds
-	CallTimeout       int64 // of the whole call, nanoseconds
-	PreviousAttempts  int64 // of the client
+	CallTimeout       int64 // timeout of the whole call, nanoseconds
+	PreviousAttempts  int64 // earlier attempts by the client
 	TraceParent       string
 }
--- a/internal/frontend/grpc/call.go
+++ b/internal/frontend/grpc/call.go
@@ -19,11 +19,11 @@
 	pathGenerate = "/docksail.v1.Generation/Generate"
 
 	headerTicket     = "docksail-ticket-bin" // see frontend.RejectionError
-	headerBackground = "docksail-background" // any value marks a background request
+	headerBackground = "docksail-background" // any non-empty value marks a background request
 )
 
-// pendingCall is a call of Generate whose message has not arrived yet. It is its stream's UserData until then; after
-// that the stream's UserID is the request's.
+// pendingCall is a call of Generate whose message has not arrived yet. It is the UserData of its stream until then;
+// afterwards the stream's UserID is the ID of the request.
 type pendingCall struct {
 	writer           responseWriter
 	arrivedAt        eventloop.Nanos
@@ -34,7 +34,7 @@
 	traceParent      string
 }
 
-// callError is the status of a call that cannot be submitted.
+// callError is the status that ends a call which cannot be submitted.
 type callError struct {
 	code   codes.Code
 	reason string
@@ -42,10 +42,10 @@
 
 func (e *callError) Error() string { return e.reason }
 
-// invalidCall returns the status of a call that is the client's error.
+// invalidCall returns the status of a call that the client has made incorrectly.
 func invalidCall(reason string) *callError { return &callError{codes.InvalidArgument, reason} }
 
-// endWithError ends a call that cannot be submitted, or that turns out to be invalid.
+// endWithError ends a call that cannot be submitted or, after it was submitted, turns out to be invalid.
 func (c *conn) endWithError(stream *h2.Stream, err *callError) {
 	if err.code == codes.InvalidArgument {
 		c.server.counts.InvalidCalls++
@@ -68,7 +68,7 @@
 	stream.UserData = call
 }
 
-// parseMetadata returns the call that a header list states.
+// parseMetadata returns the call that a header list describes.
 func parseMetadata(header *h2.Header) (*pendingCall, *callError) {
 	call := &pendingCall{}
 	if value := header.Get("grpc-timeout"); value != "" {
@@ -98,7 +98,8 @@
 	return call, nil
 }
 
-// decodeTicket returns the ticket in a header field, with or without padding; nil if there is none or it is malformed.
+// decodeTicket decodes the value of headerTicket, with or without padding. It returns nil if the value is empty or
+// malformed.
 func decodeTicket(value string) []byte {
 	if value == "" {
 		return nil
@@ -110,8 +111,8 @@
 	return ticket
 }
 
-// MessageReceived implements h2.Handler. No message is held.
-func (c *conn) MessageReceived(stream *h2.Stream, p []byte) (held bool) {
+// MessageReceived implements h2.Handler. It retains no message.
+func (c *conn) MessageReceived(stream *h2.Stream, p []byte) (retained bool) {
 	switch call := stream.UserData.(type) {
 	case *serviceCall:
 		c.handleServiceMessage(stream, call, p)
@@ -126,14 +127,14 @@
 	return false
 }
 
-// submit hands a call with its message to the dispatcher.
+// submit decodes the message of a call and submits the request to the dispatcher.
 func (c *conn) submit(stream *h2.Stream, call *pendingCall, message []byte) {
 	request := &c.server.request
 	if err := decodeRequest(request, message); err != nil {
 		c.endWithError(stream, invalidCall(err.Error()))
 		return
 	}
-	call.complete(request, c.now)
+	call.applyMetadata(request, c.now)
 	request.Source = c.source
 	stream.UserData = nil
 	c.server.counts.Calls++
@@ -150,8 +151,9 @@
 	}
 }
 
-// complete sets what the metadata states. The call's time has run since its header list arrived.
-func (call *pendingCall) complete(request *frontend.Request, now eventloop.Nanos) {
+// applyMetadata sets the fields of request that the call's metadata determines. The call's timeout runs from the
+// arrival of its header list.
+func (call *pendingCall) applyMetadata(request *frontend.Request, now eventloop.Nanos) {
 	request.PreviousAttempts = call.previousAttempts
 	request.TraceParent = call.traceParent
 	request.Ticket = call.ticket
@@ -188,7 +190,7 @@
 	}
 }
 
-// StreamFinished implements h2.Handler. Only clients are told.
+// StreamFinished implements h2.Handler. It is called on client connections only.
 func (c *conn) StreamFinished(*h2.Stream, codes.Code, string, *h2.Header) {}
 
 // GoAwayReceived implements h2.Handler. A server opens no streams.
--- a/internal/frontend/grpc/conn.go
+++ b/internal/frontend/grpc/conn.go
@@ -12,7 +12,7 @@
 type conn struct {
 	server         *Server
 	transport      *eventloop.Conn
-	protocol       *h2.Conn
+	http2          *h2.Conn
 	now            eventloop.Nanos // time of the event that is being handled
 	source         connlimit.Source
 	flushScheduled bool
@@ -20,7 +20,7 @@
 	firstByteTimer eventloop.Timer
 }
 
-// scheduleFlush has Server.Flush queue the connection's output on its socket.
+// scheduleFlush makes the next Server.Flush queue the connection's output on its socket.
 func (c *conn) scheduleFlush() {
 	if !c.flushScheduled {
 		c.flushScheduled = true
@@ -28,15 +28,15 @@
 	}
 }
 
-// flush queues output on the socket, and closes the connection once it is sent if HTTP/2 has ended.
+// flush queues output on the socket. After an HTTP/2 error it closes the connection once the output is sent.
 func (c *conn) flush() {
-	if c.protocol.HasOutput() {
-		c.transport.Write(c.protocol.TakeOutput())
+	if c.http2.HasOutput() {
+		c.transport.Write(c.http2.TakeOutput())
 	}
-	if c.protocol.Err() != nil {
+	if c.http2.Err() != nil {
 		c.transport.CloseAfterFlush()
 	} else if c.transport.QueuedBytes() > backpressureBytes {
-		c.protocol.SetOutputPaused(true)
+		c.http2.SetOutputPaused(true)
 	}
 }
 
@@ -53,17 +53,17 @@
 		c.receivedAny = true
 		c.server.loop.CancelTimer(&c.firstByteTimer)
 	}
-	_ = c.protocol.Feed(now, p) // flush closes the connection after an error
+	_ = c.http2.Feed(now, p) // flush closes the connection after an error
 	c.scheduleFlush()
 }
 
-// PeerHalfClosed implements eventloop.Handler. HTTP/2 needs both directions.
+// PeerHalfClosed implements eventloop.Handler. It closes the connection, as HTTP/2 needs both directions.
 func (c *conn) PeerHalfClosed(eventloop.Nanos) { c.transport.Close() }
 
 // OutputFlushed implements eventloop.Handler.
 func (c *conn) OutputFlushed(now eventloop.Nanos) {
 	c.now = now
-	c.protocol.SetOutputPaused(false)
+	c.http2.SetOutputPaused(false)
 	c.flush()
 	if c.server.draining { // this may be the last output that the drain waits for
 		c.server.loop.SkipNextWait()
@@ -77,7 +77,7 @@
 		c.server.counts.OutputOverflows++
 	}
 	c.server.loop.CancelTimer(&c.firstByteTimer)
-	c.protocol.TransportClosed()
+	c.http2.TransportClosed()
 	delete(c.server.conns, c)
 	c.server.connLimiter.Closed(c.source)
 }
--- a/internal/frontend/grpc/decode.go
+++ b/internal/frontend/grpc/decode.go
@@ -9,7 +9,7 @@
 	"docksail/internal/frontend"
 )
 
-// Field numbers of docksail.v1.GenerateRequest. The prompt itself is not read.
+// Field numbers of docksail.v1.GenerateRequest. The prompt itself is not decoded.
 const (
 	fieldClass             protowire.Number = 1
 	fieldTenant            protowire.Number = 2
@@ -29,8 +29,8 @@
 	maxNanos  = 1 << 62
 )
 
-// decodeRequest decodes a GenerateRequest without copying: the slices of request point into message. Unknown fields are
-// ignored.
+// decodeRequest decodes a GenerateRequest without copying: the slices of request point into message. It ignores
+// unknown fields.
 func decodeRequest(request *frontend.Request, message []byte) error {
 	*request = frontend.Request{Raw: message}
 	for p := message; len(p) > 0; {
@@ -52,18 +52,18 @@
 	return nil
 }
 
-// decodeField decodes the value of a field at the front of p and returns its length.
+// decodeField decodes the value of a field at the front of p and returns the length of its encoding.
 func decodeField(
 	request *frontend.Request, field protowire.Number, wireType protowire.Type, p []byte,
 ) (n int, err error) {
-	text := textField(request, field)
-	number, limit := numberField(request, field)
+	stringMember := stringField(request, field)
+	numberMember, limit := numberField(request, field)
 	switch {
-	case text != nil && wireType == protowire.BytesType:
-		return decodeText(text, field, p)
-	case number != nil && wireType == protowire.VarintType:
-		return decodeNumber(number, limit, field, p)
-	case text != nil || number != nil:
+	case stringMember != nil && wireType == protowire.BytesType:
+		return decodeString(stringMember, field, p)
+	case numberMember != nil && wireType == protowire.VarintType:
+		return decodeNumber(numberMember, limit, field, p)
+	case stringMember != nil || numberMember != nil:
 		return 0, fmt.Errorf("malformed message: field %d has wire type %d", field, wireType)
 	}
 	if n = protowire.ConsumeFieldValue(field, wireType, p); n < 0 {
@@ -72,8 +72,8 @@
 	return n, nil
 }
 
-// textField returns the member that a field of text sets; nil if the field is none.
-func textField(request *frontend.Request, field protowire.Number) *[]byte {
+// stringField returns the member of request that a string field sets, or nil if there is none.
+func stringField(request *frontend.Request, field protowire.Number) *[]byte {
 	switch field {
 	case fieldClass:
 		return &request.Class
@@ -92,9 +92,9 @@
 	}
 }
 
-// numberField returns the member that a numeric field sets, and the largest value that it may have; nil if the field is
-// none.
-func numberField(request *frontend.Request, field protowire.Number) (number *int64, limit uint64) {
+// numberField returns the member of request that a numeric field sets and the largest value allowed in it; the member
+// is nil if there is none.
+func numberField(request *frontend.Request, field protowire.Number) (member *int64, limit uint64) {
 	switch field {
 	case fieldPromptTokens:
 		return &request.PromptTokens, maxTokens
@@ -111,7 +111,7 @@
 	}
 }
 
-func decodeText(text *[]byte, field protowire.Number, p []byte) (n int, err error) {
+func decodeString(member *[]byte, field protowire.Number, p []byte) (n int, err error) {
 	value, n := protowire.ConsumeBytes(p)
 	if n < 0 {
 		return 0, malformedField(field, n)
@@ -119,11 +119,11 @@
 	if !utf8.Valid(value) {
 		return 0, fmt.Errorf("malformed message: field %d is no UTF-8", field)
 	}
-	*text = value
+	*member = value
 	return n, nil
 }
 
-func decodeNumber(number *int64, limit uint64, field protowire.Number, p []byte) (n int, err error) {
+func decodeNumber(member *int64, limit uint64, field protowire.Number, p []byte) (n int, err error) {
 	value, n := protowire.ConsumeVarint(p)
 	if n < 0 {
 		return 0, malformedField(field, n)
@@ -131,11 +131,11 @@
 	if value > limit {
 		return 0, fmt.Errorf("field %d is %d, want at most %d", field, value, limit)
 	}
-	*number = int64(value)
+	*member = int64(value)
 	return n, nil
 }
 
-// malformedField returns the error for a negative length of protowire.
+// malformedField returns the error for a negative length n, which protowire returns for malformed input.
 func malformedField(field protowire.Number, n int) error {
 	return fmt.Errorf("malformed message: field %d: %w", field, protowire.ParseError(n))
 }
--- a/internal/frontend/grpc/golden_test.go
+++ b/internal/frontend/grpc/golden_test.go
@@ -23,15 +23,15 @@
 	reflectionPath = "/grpc.reflection.v1.ServerReflection/ServerReflectionInfo"
 )
 
-// TestResponses compares what calls get and what the dispatcher is given with the golden file.
+// TestResponses compares the responses to calls and the requests that the dispatcher receives with the golden file.
 func TestResponses(t *testing.T) {
 	generate := func(fieldsAndValues ...any) [][]byte { return [][]byte{encode(fieldsAndValues...)} }
 	health := func(service string) [][]byte {
 		return [][]byte{marshal(t, &grpc_health_v1.HealthCheckRequest{Service: service})}
 	}
 	reflection := func(r *grpc_reflection_v1.ServerReflectionRequest) [][]byte { return [][]byte{marshal(t, r)} }
-	full := generate(1, "chat", 2, "payer", 3, "served", 4, "prefix", 5, 100, 6, 40, 7, 20, 8, "key", 9, 5_000_000_000,
-		10, 7, 11, "prompt", 12, "client", 13, "unknown")
+	allFields := generate(1, "chat", 2, "payer", 3, "served", 4, "prefix", 5, 100, 6, 40, 7, 20, 8, "key",
+		9, 5_000_000_000, 10, 7, 11, "prompt", 12, "client", 13, "unknown")
 	unknownSymbol := &grpc_reflection_v1.ServerReflectionRequest{
 		MessageRequest: &grpc_reflection_v1.ServerReflectionRequest_FileContainingSymbol{FileContainingSymbol: ".x"},
 	}
@@ -43,7 +43,7 @@
 		fields   []string
 	}{
 		{"served", generatePath, generate(1, "chat"), nil},
-		{"served with all fields", generatePath, full, []string{
+		{"served with all fields", generatePath, allFields, []string{
 			"grpc-timeout: 10S", "grpc-previous-rpc-attempts: 2", "docksail-ticket-bin: " + ticket + "=",
 			"docksail-background: 1", "traceparent: 00-ab-cd-01", "grpc-encoding: identity",
 		}},
@@ -90,7 +90,7 @@
 	for _, c := range cases {
 		s := startServer(t)
 		fmt.Fprintf(&out, "=== %s\n%s\n", c.name, s.call(t, c.path, c.messages, c.fields...))
-		s.do(func() {
+		s.runOnLoop(func() {
 			counts := s.server.Counts()
 			fmt.Fprintf(&out, "%s\ndisconnects %d calls %d invalid %d overflows %d partial %d connections %d\n",
 				strings.Join(s.dispatcher.requests, "\n"), s.dispatcher.disconnects, counts.Calls, counts.InvalidCalls,
@@ -100,7 +100,7 @@
 	compareGolden(t, "testdata/responses.golden", out.String())
 }
 
-// TestReflectionFiles checks that reflection returns the file of the service and those that it imports.
+// TestReflectionFiles checks that reflection returns the descriptor file of the service.
 func TestReflectionFiles(t *testing.T) {
 	s := startServer(t)
 	request := &grpc_reflection_v1.ServerReflectionRequest{
@@ -114,34 +114,34 @@
 	}
 }
 
-// TestDrain checks what a health watch and new connections get in a graceful shutdown.
+// TestDrain checks that a graceful shutdown ends a health watch and refuses new connections.
 func TestDrain(t *testing.T) {
 	s := startServer(t)
 	watch := make(chan string, 1)
 	go func() {
 		watch <- s.call(t, watchPath, [][]byte{marshal(t, &grpc_health_v1.HealthCheckRequest{})})
 	}()
-	for open := 0; open == 0; time.Sleep(time.Millisecond) {
-		s.do(func() {
+	for openStreams := 0; openStreams == 0; time.Sleep(time.Millisecond) {
+		s.runOnLoop(func() {
 			for c := range s.server.conns {
-				open += c.protocol.OpenStreamCount()
+				openStreams += c.http2.OpenStreamCount()
 			}
 		})
 	}
-	time.Sleep(20 * time.Millisecond) // the watch's first message
-	s.do(func() { s.server.Drain() })
+	time.Sleep(20 * time.Millisecond) // until the watch has sent its first message
+	s.runOnLoop(func() { s.server.Drain() })
 	var out strings.Builder
 	fmt.Fprintln(&out, <-watch)
 	_, err := net.Dial("tcp", s.addr.String())
 	idle := false
-	for end := time.Now().Add(5 * time.Second); !idle && time.Now().Before(end); {
-		s.do(func() { idle = s.server.IsIdle() })
+	for deadline := time.Now().Add(5 * time.Second); !idle && time.Now().Before(deadline); {
+		s.runOnLoop(func() { idle = s.server.IsIdle() })
 	}
 	fmt.Fprintf(&out, "refused=%v idle=%v\n", err != nil, idle)
 	compareGolden(t, "testdata/drain.golden", out.String())
 }
 
-// compareGolden compares text with a golden file, or writes the file.
+// compareGolden compares got with a golden file, or writes the file if -update is set.
 func compareGolden(t *testing.T, file, got string) {
 	t.Helper()
 	if *update {
--- a/internal/frontend/grpc/harness_test.go
+++ b/internal/frontend/grpc/harness_test.go
@@ -22,7 +22,8 @@
 	"docksail/policy"
 )
 
-// scriptedDispatcher answers each request as its session says, and records it. It belongs to the loop.
+// scriptedDispatcher records each request and answers it by the script that its session names. It must be used on the
+// loop's goroutine only.
 type scriptedDispatcher struct {
 	loop        *eventloop.Loop
 	requests    []string
@@ -58,7 +59,7 @@
 	}
 }
 
-// respondAs answers a request that was submitted.
+// respondAs answers a submitted request by a script.
 func respondAs(script string, id policy.RequestID, w frontend.ResponseWriter) {
 	switch script {
 	case "late-rejected":
@@ -84,7 +85,7 @@
 // RequestName implements frontend.Dispatcher.
 func (*scriptedDispatcher) RequestName(id policy.RequestID) string { return fmt.Sprintf("life.%d", id) }
 
-// testServer is a Server on a loop of its own.
+// testServer is a Server on its own loop.
 type testServer struct {
 	loop       *eventloop.Loop
 	server     *Server
@@ -123,14 +124,14 @@
 	return s
 }
 
-// do runs a call on the loop and waits for it.
-func (s *testServer) do(f func()) {
+// runOnLoop calls f on the loop's goroutine and waits until it has returned.
+func (s *testServer) runOnLoop(f func()) {
 	done := make(chan struct{})
 	s.loop.Post(func() { f(); close(done) })
 	<-done
 }
 
-// call makes a call with messages and header fields, which are NAME: VALUE, and returns the response as text.
+// call makes a call with messages and header fields of the form "NAME: VALUE", and returns the response as text.
 func (s *testServer) call(t *testing.T, path string, messages [][]byte, fields ...string) string {
 	t.Helper()
 	var body bytes.Buffer
@@ -158,8 +159,8 @@
 		describe(response.Trailer), err)
 }
 
-// describe returns header fields as text, in the order of their names. Some builds of the protobuf module write a
-// no-break space into their errors, which is taken for a space.
+// describe returns header fields as text, sorted by name. It replaces the no-break space that some builds of the
+// protobuf module write into their errors by a space.
 func describe(header http.Header) string {
 	var out strings.Builder
 	for _, name := range slices.Sorted(maps.Keys(header)) {
@@ -168,7 +169,8 @@
 	return strings.ReplaceAll(out.String(), "%C2%A0", " ")
 }
 
-// encode returns a message of fields and values, which alternate. A value is a string or an int.
+// encode returns a protobuf message. Its arguments are field numbers and values in turn. A value is a string or an
+// int.
 func encode(fieldsAndValues ...any) []byte {
 	var b []byte
 	for i := 0; i < len(fieldsAndValues); i += 2 {
--- a/internal/frontend/grpc/health.go
+++ b/internal/frontend/grpc/health.go
@@ -18,10 +18,11 @@
 
 const generationService = "docksail.v1.Generation"
 
-// serviceCall is a call of health or reflection. It is its stream's UserData.
+// serviceCall is a call of the health or reflection service. It is the UserData of its stream.
 type serviceCall struct{ path string }
 
-// openServiceCall begins a call of health or reflection, or ends one of an unknown method.
+// openServiceCall begins a call of the health or reflection service, or ends a call of an unknown method with an
+// error.
 func (c *conn) openServiceCall(stream *h2.Stream, path string) {
 	switch path {
 	case pathHealthCheck, pathHealthWatch, pathReflection, pathReflectionAlpha:
@@ -31,7 +32,7 @@
 	}
 }
 
-// handleServiceMessage answers a message of a health or reflection call.
+// handleServiceMessage answers a message of a call of the health or reflection service.
 func (c *conn) handleServiceMessage(stream *h2.Stream, call *serviceCall, message []byte) {
 	switch call.path {
 	case pathReflection, pathReflectionAlpha:
@@ -51,7 +52,8 @@
 	}
 }
 
-// sendHealth sends the health of a service; "" stands for the whole server. A check ends with that, a watch stays open.
+// sendHealth sends the health of a service, or of the whole server if service is empty. This ends a check, while a
+// watch stays open.
 func (c *conn) sendHealth(stream *h2.Stream, call *serviceCall, service string) {
 	isCheck := call.path == pathHealthCheck
 	health := grpc_health_v1.HealthCheckResponse_SERVING
@@ -71,7 +73,7 @@
 	}
 }
 
-// sendMessage sends a message, and ends the call if it cannot be encoded.
+// sendMessage sends a message, or ends the call with an error if the message cannot be encoded.
 func sendMessage(stream *h2.Stream, message proto.Message) {
 	b, err := proto.Marshal(message)
 	if err != nil {
--- a/internal/frontend/grpc/reflection.go
+++ b/internal/frontend/grpc/reflection.go
@@ -16,24 +16,24 @@
 // reflectedServices are the services that reflection lists.
 var reflectedServices = []string{generationService, "grpc.health.v1.Health", "grpc.reflection.v1.ServerReflection"}
 
-// reflectionResponse returns the response to a request of server reflection.
+// reflectionResponse returns the response to a server reflection request.
 func reflectionResponse(request *reflectionpb.ServerReflectionRequest) *reflectionpb.ServerReflectionResponse {
 	response := &reflectionpb.ServerReflectionResponse{ValidHost: request.Host, OriginalRequest: request}
-	switch q := request.MessageRequest.(type) {
+	switch query := request.MessageRequest.(type) {
 	case *reflectionpb.ServerReflectionRequest_ListServices:
 		setServices(response)
 	case *reflectionpb.ServerReflectionRequest_FileByFilename:
-		file, err := protoregistry.GlobalFiles.FindFileByPath(q.FileByFilename)
+		file, err := protoregistry.GlobalFiles.FindFileByPath(query.FileByFilename)
 		if err != nil {
-			setNotFound(response, q.FileByFilename)
+			setNotFound(response, query.FileByFilename)
 			break
 		}
 		setFiles(response, file)
 	case *reflectionpb.ServerReflectionRequest_FileContainingSymbol:
-		name := protoreflect.FullName(strings.TrimPrefix(q.FileContainingSymbol, "."))
+		name := protoreflect.FullName(strings.TrimPrefix(query.FileContainingSymbol, "."))
 		descriptor, err := protoregistry.GlobalFiles.FindDescriptorByName(name)
 		if err != nil {
-			setNotFound(response, q.FileContainingSymbol)
+			setNotFound(response, query.FileContainingSymbol)
 			break
 		}
 		setFiles(response, descriptor.ParentFile())
@@ -43,7 +43,7 @@
 	return response
 }
 
-// setServices makes a response the list of services.
+// setServices sets the content of a response to the list of services.
 func setServices(response *reflectionpb.ServerReflectionResponse) {
 	list := &reflectionpb.ListServiceResponse{}
 	for _, name := range reflectedServices {
@@ -52,17 +52,17 @@
 	response.MessageResponse = &reflectionpb.ServerReflectionResponse_ListServicesResponse{ListServicesResponse: list}
 }
 
-// setNotFound makes a response the error that what was asked for is unknown.
-func setNotFound(response *reflectionpb.ServerReflectionResponse, what string) {
+// setNotFound sets the content of a response to the error that name was not found.
+func setNotFound(response *reflectionpb.ServerReflectionResponse, name string) {
 	response.MessageResponse = &reflectionpb.ServerReflectionResponse_ErrorResponse{
 		ErrorResponse: &reflectionpb.ErrorResponse{
 			ErrorCode:    int32(codes.NotFound),
-			ErrorMessage: what + " is not known",
+			ErrorMessage: name + " is not known",
 		},
 	}
 }
 
-// setFiles makes a response a file with all that it imports.
+// setFiles sets the content of a response to a file and all files that it imports, directly or not.
 func setFiles(response *reflectionpb.ServerReflectionResponse, file protoreflect.FileDescriptor) {
 	encoded := appendFiles(nil, file, map[string]bool{})
 	response.MessageResponse = &reflectionpb.ServerReflectionResponse_FileDescriptorResponse{
@@ -70,7 +70,7 @@
 	}
 }
 
-// appendFiles appends the encoded file and its imports, but those whose paths were seen.
+// appendFiles appends the encoded file and the files that it imports, except those whose paths are in seen.
 func appendFiles(encoded [][]byte, file protoreflect.FileDescriptor, seen map[string]bool) [][]byte {
 	if seen[file.Path()] {
 		return encoded
--- a/internal/frontend/grpc/response.go
+++ b/internal/frontend/grpc/response.go
@@ -24,11 +24,11 @@
 	headerRetryPushback = "grpc-retry-pushback-ms"
 	headerStatusDetails = "grpc-status-details-bin"
 
-	noRetryPushback = "-1" // tells clients not to retry
+	noRetryPushback = "-1" // tells the client not to retry
 
-	// Clients know a rejected and a failed call by these prefixes of the status message.
-	messageRejected = "nacked: "
-	messageFailed   = "abandoned: "
+	// Clients tell a rejected call from a failed one by these prefixes of the status message.
+	rejectedMessagePrefix = "nacked: "
+	failedMessagePrefix   = "abandoned: "
 )
 
 // responseWriter is the frontend.ResponseWriter of a call.
@@ -52,13 +52,14 @@
 
 // Fail implements frontend.ResponseWriter. The status is ABORTED.
 func (w *responseWriter) Fail(id policy.RequestID, reason string) {
-	w.end(id, codes.Aborted, messageFailed+reason, hpack.HeaderField{Name: headerRetryPushback, Value: noRetryPushback})
+	w.end(id, codes.Aborted, failedMessagePrefix+reason,
+		hpack.HeaderField{Name: headerRetryPushback, Value: noRetryPushback})
 }
 
-// Reject implements frontend.ResponseWriter. The status is UNAVAILABLE, or RESOURCE_EXHAUSTED where the tenant's own
-// limit was exceeded, with the time after which to retry.
+// Reject implements frontend.ResponseWriter. The status is UNAVAILABLE, or RESOURCE_EXHAUSTED if the tenant's own
+// limit was exceeded. The trailer says after which time to retry.
 func (w *responseWriter) Reject(id policy.RequestID, rejection frontend.RejectionError) {
-	code, message := codes.Unavailable, messageRejected+rejection.Reason
+	code, message := codes.Unavailable, rejectedMessagePrefix+rejection.Reason
 	if rejection.TenantLimitExceeded {
 		code = codes.ResourceExhausted
 	}
@@ -74,7 +75,8 @@
 	w.end(id, code, message, trailer...)
 }
 
-// end ends the call with a status and more trailer fields, among them the request's name if no header list told it.
+// end ends the call with a status and further trailer fields. If no headers were sent, it adds the request's name to
+// them.
 func (w *responseWriter) end(id policy.RequestID, code codes.Code, message string, trailer ...hpack.HeaderField) {
 	if id != 0 && !w.stream.HeadersSent() {
 		trailer = append(trailer, w.requestName(id))
@@ -83,12 +85,12 @@
 	w.conn.scheduleFlush()
 }
 
-// requestName returns the header field that names a request.
+// requestName returns the header field with the name of a request.
 func (w *responseWriter) requestName(id policy.RequestID) hpack.HeaderField {
 	return hpack.HeaderField{Name: headerRequestName, Value: w.conn.server.dispatcher.RequestName(id)}
 }
 
-// statusDetails returns a google.rpc.Status with a RetryInfo as grpc-status-details-bin carries it.
+// statusDetails returns the value of grpc-status-details-bin: an encoded google.rpc.Status with a RetryInfo.
 func statusDetails(code codes.Code, message string, retryAfter eventloop.Nanos) string {
 	info, err := anypb.New(&errdetails.RetryInfo{RetryDelay: durationpb.New(time.Duration(retryAfter))})
 	if err != nil {
--- a/internal/frontend/grpc/server.go
+++ b/internal/frontend/grpc/server.go
@@ -1,5 +1,5 @@
-// Package grpc is the frontend for clients that speak gRPC: it decodes a call, submits it to the dispatcher and relays
-// the response. It reaches no server and decides nothing.
+// Package grpc is the frontend for gRPC clients: it decodes a call, submits the request to the dispatcher and relays
+// the response. It does not connect to servers and makes no routing decisions.
 package grpc
 
 import (
@@ -16,9 +16,9 @@
 )
 
 const (
-	// backpressureBytes is the output queued for a socket above which messages wait in their streams.
+	// backpressureBytes is the number of bytes queued for a socket above which messages wait in their streams.
 	backpressureBytes = 256 << 10
-	// firstByteTimeout is how long a new connection may be silent.
+	// firstByteTimeout is how long a new connection may send nothing, in nanoseconds.
 	firstByteTimeout = int64(10 * time.Second)
 )
 
@@ -26,53 +26,54 @@
 type Limits struct {
 	HTTP2               h2.Limits // of one connection
 	Connections         int
-	OutputBytes         int // queued for one connection
-	PartialMessageBytes int // of incomplete messages, over all connections
+	OutputBytes         int // queued output of one connection
+	PartialMessageBytes int // incomplete messages of all connections together
 }
 
-// Counts are the events counted since the start. The JSON names are those of the status file.
+// Counts counts events since the start. Its JSON names are keys of the status file.
 type Counts struct {
-	Calls                  uint64 // submitted to the dispatcher
+	Calls                  uint64 // calls submitted to the dispatcher
 	InvalidCalls           uint64 `json:"Bad"`
-	OutputOverflows        uint64 `json:"Overflows"` // connections closed because their client did not read
+	OutputOverflows        uint64 `json:"Overflows"` // connections closed because the client did not read its output
 	Connections            connlimit.Counts
-	PartialMessagesRefused uint64 `json:"PartialRefused"` // for want of memory for incomplete messages
+	PartialMessagesRefused uint64 `json:"PartialRefused"` // calls ended to stay within Limits.PartialMessageBytes
 }
 
-// Server accepts clients on an event loop, to which all of its state belongs.
+// Server accepts clients on an event loop. It must be used on the loop's goroutine only.
 type Server struct {
-	loop        *eventloop.Loop
-	dispatcher  frontend.Dispatcher
-	limits      Limits
-	connLimiter *connlimit.Limiter
-	budget      *h2.PartialMessageBudget
-	listener    *eventloop.Listener
-	draining    bool
-	conns       map[*conn]struct{}
-	unflushed   []*conn          // connections with output to be queued on their sockets
-	request     frontend.Request // the one that is being submitted
-	counts      Counts
+	loop                 *eventloop.Loop
+	dispatcher           frontend.Dispatcher
+	limits               Limits
+	connLimiter          *connlimit.Limiter
+	partialMessageBudget *h2.PartialMessageBudget
+	listener             *eventloop.Listener
+	draining             bool
+	conns                map[*conn]struct{}
+	unflushed            []*conn          // connections with output to be queued on their sockets
+	request              frontend.Request // the request that is being submitted
+	counts               Counts
 }
 
-// New returns a frontend that opens with Listen. It returns an error if the limit of connections is out of range.
+// New returns a frontend, which accepts clients from the call of Listen on. It returns an error if limits.Connections
+// is out of range.
 func New(loop *eventloop.Loop, dispatcher frontend.Dispatcher, limits Limits) (*Server, error) {
 	limiter, err := connlimit.New(limits.Connections)
 	if err != nil {
 		return nil, err
 	}
 	return &Server{
-		loop:        loop,
-		dispatcher:  dispatcher,
-		limits:      limits,
-		connLimiter: limiter,
-		budget:      &h2.PartialMessageBudget{MaxBytes: int64(limits.PartialMessageBytes)},
-		conns:       make(map[*conn]struct{}),
+		loop:                 loop,
+		dispatcher:           dispatcher,
+		limits:               limits,
+		connLimiter:          limiter,
+		partialMessageBudget: &h2.PartialMessageBudget{MaxBytes: int64(limits.PartialMessageBytes)},
+		conns:                make(map[*conn]struct{}),
 	}, nil
 }
 
 // Listen implements dispatch.Frontend.
-func (s *Server) Listen(at netip.AddrPort, sharePort bool) (netip.AddrPort, error) {
-	listener, err := s.loop.Listen(at, sharePort, s.accept)
+func (s *Server) Listen(addr netip.AddrPort, sharePort bool) (netip.AddrPort, error) {
+	listener, err := s.loop.Listen(addr, sharePort, s.accept)
 	if err != nil {
 		return netip.AddrPort{}, err
 	}
@@ -80,29 +81,29 @@
 	return listener.Addr(), nil
 }
 
-// Counts returns what was counted so far.
+// Counts returns the current counts.
 func (s *Server) Counts() Counts {
 	counts := s.counts
-	counts.Connections, counts.PartialMessagesRefused = s.connLimiter.Counts, s.budget.RejectedStreams
+	counts.Connections, counts.PartialMessagesRefused = s.connLimiter.Counts, s.partialMessageBudget.RejectedStreams
 	return counts
 }
 
 // ConnCount implements dispatch.Frontend.
 func (s *Server) ConnCount() int { return len(s.conns) }
 
-// Drain implements dispatch.Frontend. It closes the listener, lets no new streams in on open connections and ends the
-// calls of health and reflection, as a health watch would never end by itself.
+// Drain implements dispatch.Frontend. It closes the listener, accepts no new streams on open connections and ends the
+// calls of the health and reflection services, as a health watch would never end by itself.
 func (s *Server) Drain() {
 	s.draining = true
 	s.listener.Close()
 	for c := range s.conns {
-		c.protocol.ForEachStream(endServiceCall)
-		c.protocol.StartDrain()
+		c.http2.ForEachStream(endServiceCall)
+		c.http2.StartDrain()
 		c.scheduleFlush()
 	}
 }
 
-// endServiceCall ends a stream that is a call of health or reflection.
+// endServiceCall ends a stream if it is a call of the health or reflection service.
 func endServiceCall(stream *h2.Stream) {
 	call, ok := stream.UserData.(*serviceCall)
 	if !ok {
@@ -127,22 +128,22 @@
 // IsIdle implements dispatch.Frontend.
 func (s *Server) IsIdle() bool {
 	for c := range s.conns {
-		if c.protocol.OpenStreamCount() > 0 || c.transport.QueuedBytes() > 0 {
+		if c.http2.OpenStreamCount() > 0 || c.transport.QueuedBytes() > 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// accept returns the handler of a new connection; nil closes it.
-func (s *Server) accept(transport *eventloop.Conn, from netip.AddrPort) eventloop.Handler {
-	source := connlimit.SourceOf(from.Addr().As16())
+// accept returns the handler of a new connection, or nil to close it.
+func (s *Server) accept(transport *eventloop.Conn, remoteAddr netip.AddrPort) eventloop.Handler {
+	source := connlimit.SourceOf(remoteAddr.Addr().As16())
 	if s.connLimiter.Accept(s.loop.Now(), source) != connlimit.Accepted {
 		return nil
 	}
 	c := &conn{server: s, transport: transport, source: source}
-	c.protocol = h2.NewServerConn(s.limits.HTTP2, c)
-	c.protocol.SetPartialMessageBudget(s.budget)
+	c.http2 = h2.NewServerConn(s.limits.HTTP2, c)
+	c.http2.SetPartialMessageBudget(s.partialMessageBudget)
 	transport.SetOutputLimit(s.limits.OutputBytes)
 	s.conns[c] = struct{}{}
 	return c
--- a/internal/frontend/platform/body.go
+++ b/internal/frontend/platform/body.go
@@ -6,8 +6,8 @@
 	"fmt"
 )
 
-// body is the shape that the body of a request must have; its content is the server's concern. The names of this type
-// and of message are part of the errors of encoding/json that clients are sent.
+// body is the structure that the body of a request must have; servers check its content. Clients see the names body
+// and message in errors of encoding/json.
 type body struct {
 	Model     *jsonString `json:"model"`
 	Messages  []message   `json:"messages"`
@@ -31,7 +31,7 @@
 	return nil
 }
 
-// checkBody returns an error unless the body of a request has the shape of type body.
+// checkBody returns an error if the body of a request does not have the structure of type body.
 func checkBody(raw []byte) error {
 	var b body
 	if err := json.Unmarshal(raw, &b); err != nil {
--- a/internal/frontend/platform/conn.go
+++ b/internal/frontend/platform/conn.go
@@ -9,11 +9,11 @@
 	"docksail/policy"
 )
 
-// conn is one client's connection. It is the frontend.ResponseWriter of the request that is in flight on it.
+// conn is one client's connection. It is the frontend.ResponseWriter of the request in flight on it.
 type conn struct {
 	server    *Server
 	transport *eventloop.Conn
-	sequence  uint64          // number of the connection in the order of arrival
+	sequence  uint64          // number of the connection in the order of acceptance
 	now       eventloop.Nanos // time of the event that is being handled
 	closed    bool            // the transport has ended
 
@@ -22,26 +22,26 @@
 	response  response
 }
 
-// incomingRequest is the input of a connection, and what is known of the request that is being read.
+// incomingRequest is the input of a connection and the state of the request that is being read.
 type incomingRequest struct {
 	decoder h1.Decoder
 	buffer  h1.InputBuffer
-	// firstByteAt is when the first byte of the request arrived, or of what waits behind the request in flight.
+	// firstByteAt is when the first byte of the request arrived, or of the input pipelined behind the request in flight.
 	firstByteAt eventloop.Nanos
-	// decoding is set while decodeRequests runs; pipelinedBytes then tells how many bytes stand behind the request that
-	// is being handled.
+	// decoding is set while decodeRequests runs. Meanwhile pipelinedBytes is the number of bytes that follow the request
+	// being handled.
 	decoding       bool
 	pipelinedBytes int
 	head           requestHead
-	healthPath     string // path of a health check, which is no request to the dispatcher; "" = none
+	healthPath     string // path of a health check, which is not submitted to the dispatcher; "" = no health check
 	body           []byte
 }
 
 // response is the state of the response that is being written.
 type response struct {
-	requestID  policy.RequestID // of the request in flight; 0 = none
-	headSent   bool             // the head of a stream was sent
-	closeAfter bool             // the connection ends with this response
+	requestID  policy.RequestID // request in flight; 0 = none
+	headSent   bool             // the head of a streamed response was sent
+	closeAfter bool             // the connection closes after this response
 }
 
 // Opened implements eventloop.Handler.
@@ -67,7 +67,7 @@
 	c.decode(p)
 }
 
-// PeerHalfClosed implements eventloop.Handler. A client that ends its half is taken to have left.
+// PeerHalfClosed implements eventloop.Handler. A client that closes its half counts as disconnected.
 func (c *conn) PeerHalfClosed(now eventloop.Nanos) {
 	c.now = now
 	c.transport.Close()
@@ -97,7 +97,7 @@
 		c.clearRequest()
 		c.server.dispatcher.ClientDisconnected(now, id)
 	}
-	if c.server.phase >= phaseDraining { // this may be the last connection that the drain waits for
+	if c.server.phase >= phaseDraining { // the drain may wait for this connection only
 		c.server.loop.SkipNextWait()
 	}
 }
--- a/internal/frontend/platform/drain.go
+++ b/internal/frontend/platform/drain.go
@@ -5,24 +5,25 @@
 	"docksail/internal/eventloop"
 )
 
-// phase is how far the graceful shutdown has come. Phases follow each other in this order; clientconn decides when.
+// phase is the phase of the graceful shutdown. The phases follow each other in this order, at times that package
+// clientconn decides.
 type phase uint8
 
 const (
 	phaseServing        phase = iota
 	phaseDraining             // responses tell clients to close; new connections are still accepted
 	phaseListenerClosed       // requests on open connections are still served
-	phaseRejecting            // requests are rejected: the process may be killed before it could answer them
+	phaseRejecting            // requests are rejected, as the process may be killed before it has served them
 )
 
-// Drain implements dispatch.Frontend: responses tell clients to close, and the listener is closed after the time in
-// which new clients still arrive. It must be called at most once.
+// Drain implements dispatch.Frontend: responses tell clients to close, and the listener is closed once new clients are
+// no longer expected. It must be called at most once.
 func (s *Server) Drain() {
 	s.phase = phaseDraining
 	s.loop.SetTimer(&s.phaseTimer, clientconn.ListenerCloseTime(s.loop.Now()), s.closeListener)
 }
 
-// closeListener accepts the connections that wait, closes the listener and ends idle connections.
+// closeListener accepts the pending connections, closes the listener and ends idle connections.
 func (s *Server) closeListener(now eventloop.Nanos) {
 	s.listener.AcceptPendingAndClose()
 	s.phase = phaseListenerClosed
@@ -31,7 +32,7 @@
 	s.loop.SkipNextWait()
 }
 
-// endIdleConns ends the connections between requests. One whose next request has arrived already gets a response first.
+// endIdleConns ends the idle connections. One whose next request has already arrived gets a response first.
 func (s *Server) endIdleConns(now eventloop.Nanos) {
 	for n := s.idle.Len(); n > 0; n-- {
 		c := s.idle.Min()
@@ -42,5 +43,5 @@
 
 func (s *Server) startRejecting(eventloop.Nanos) { s.phase = phaseRejecting }
 
-// IsIdle implements dispatch.Frontend. It reports whether no client is connected and none can connect.
+// IsIdle implements dispatch.Frontend. It reports whether no client is connected and no client can connect.
 func (s *Server) IsIdle() bool { return s.phase >= phaseListenerClosed && s.connCount == 0 }
--- a/internal/frontend/platform/evict.go
+++ b/internal/frontend/platform/evict.go
@@ -6,7 +6,7 @@
 	"docksail/internal/indexedheap"
 )
 
-// newConnHeap returns a heap of connections, that which has been longest in its state first.
+// newConnHeap returns a heap of connections, ordered by the time since which they have been in their state.
 func newConnHeap() indexedheap.Heap[*conn] {
 	return indexedheap.Heap[*conn]{
 		Index: func(c *conn) *int { return &c.lifecycle.heapIndex },
@@ -19,7 +19,7 @@
 	}
 }
 
-// heapOf returns the heap that holds the connections in a state; nil = none.
+// heapOf returns the heap that holds the connections in a state, or nil if there is none.
 func (s *Server) heapOf(state clientconn.ConnState) *indexedheap.Heap[*conn] {
 	switch state {
 	case clientconn.StateNew, clientconn.StateReadingRequest:
@@ -31,7 +31,7 @@
 	}
 }
 
-// evict closes a connection to make room for a new one. It reports whether there was one to close.
+// evict closes a connection to make room for a new one. It reports whether it found one to close.
 func (s *Server) evict() bool {
 	s.Counts.ConnectionLimitHits++
 	incomplete, idle := oldestClosable(&s.incomplete), oldestClosable(&s.idle)
@@ -49,11 +49,11 @@
 	return true
 }
 
-// oldestClosable returns the connection of a heap that has been longest in its state, or nil. It passes over
-// connections with input that is not read or output that is not sent, which closing would reset, and gives up after
-// a few.
+// oldestClosable returns the connection of a heap that has been longest in its state, or nil. It skips connections
+// with unread input or unsent output, as closing would reset them, and examines at most
+// clientconn.MaxEvictionCandidates.
 func oldestClosable(heap *indexedheap.Heap[*conn]) (found *conn) {
-	var passed [clientconn.MaxEvictionCandidates]*conn
+	var skipped [clientconn.MaxEvictionCandidates]*conn
 	n := 0
 	for ; n < clientconn.MaxEvictionCandidates && heap.Len() > 0 && found == nil; n++ {
 		c := heap.Min()
@@ -62,15 +62,15 @@
 			break
 		}
 		heap.Remove(c)
-		passed[n] = c
+		skipped[n] = c
 	}
-	for _, c := range passed[:n] {
+	for _, c := range skipped[:n] {
 		heap.PushOrFix(c)
 	}
 	return found
 }
 
-// stateSinceOrZero returns since when a connection has been in its state; 0 = there is no connection.
+// stateSinceOrZero returns since when a connection has been in its state, or 0 if c is nil.
 func stateSinceOrZero(c *conn) eventloop.Nanos {
 	if c == nil {
 		return 0
--- a/internal/frontend/platform/golden_test.go
+++ b/internal/frontend/platform/golden_test.go
@@ -15,7 +15,7 @@
 
 var update = flag.Bool("update", false, "rewrite the golden files of this package")
 
-// goldenServer is a server whose dispatcher answers each request as the session of the request says, and records it.
+// goldenServer is a server whose dispatcher records each request and answers it by the script that its session names.
 type goldenServer struct {
 	*testServer
 	requests []string
@@ -24,13 +24,13 @@
 func startGolden(t *testing.T, maxConns int) *goldenServer {
 	t.Helper()
 	g := &goldenServer{testServer: startServer(t, maxConns)}
-	g.do(func() { g.dispatcher.onSubmission = g.onSubmission })
+	g.runOnLoop(func() { g.dispatcher.onSubmit = g.onSubmit })
 	return g
 }
 
-// onSubmission answers a request, once the event that brought it has been handled.
-func (g *goldenServer) onSubmission(id policy.RequestID, w frontend.ResponseWriter, r *frontend.Request) error {
-	g.requests = append(g.requests, describe(r))
+// onSubmit records a request. It answers it at once by an error, or after the current event by a response.
+func (g *goldenServer) onSubmit(id policy.RequestID, w frontend.ResponseWriter, r *frontend.Request) error {
+	g.requests = append(g.requests, formatRequest(r))
 	switch script := string(r.Session); script {
 	case "rejected":
 		return frontend.RejectionError{Reason: "try later", RetryAfter: 1234567890}
@@ -47,8 +47,8 @@
 	return nil
 }
 
-// describe returns a request as text. What is left of the usual 5 s is rounded, as it depends on when bytes arrived.
-func describe(r *frontend.Request) string {
+// formatRequest returns a request as text. It rounds timeouts up to 5 s, which depend on when the bytes arrived.
+func formatRequest(r *frontend.Request) string {
 	timeout := fmt.Sprint(r.FirstTokenTimeout)
 	if r.FirstTokenTimeout > 4e9 && r.FirstTokenTimeout <= 5e9 {
 		timeout = "5s"
@@ -58,7 +58,7 @@
 		r.PromptTokens, r.PrefixTokens, r.MaxTokens, r.LengthHint, r.PreviousAttempts, timeout, len(r.Raw))
 }
 
-// respondAs answers a request that was submitted.
+// respondAs answers a submitted request by a script.
 func respondAs(script string, id policy.RequestID, w frontend.ResponseWriter) {
 	switch script {
 	case "late-rejected":
@@ -75,13 +75,13 @@
 	}
 }
 
-// counts returns what the server has counted.
+// counts returns the counts of the server.
 func (g *goldenServer) counts() (counts Counts) {
-	g.do(func() { counts = g.server.Counts })
+	g.runOnLoop(func() { counts = g.server.Counts })
 	return counts
 }
 
-// conns returns the connections whose requests were submitted, in that order.
+// conns returns the connections of the submitted requests, in the order of submission.
 func (g *goldenServer) conns() (list []*conn) {
 	for _, w := range g.dispatcher.writers {
 		list = append(list, w.(*conn))
@@ -89,29 +89,29 @@
 	return list
 }
 
-// served is a request that is served.
-var served = completionRequest("served", validBody)
+// servedRequest is a request that the dispatcher serves.
+var servedRequest = completionRequest("served", validBody)
 
-// servedWith returns served with more header lines, servedBody with another body, replaced with one text replaced.
-func servedWith(lines ...string) string        { return completionRequest("served", validBody, lines...) }
-func servedBody(body string) string            { return completionRequest("served", body) }
-func replaced(text, replacement string) string { return strings.Replace(served, text, replacement, 1) }
+// These functions return servedRequest with more header lines, with another body, and with one text replaced.
+func servedWith(lines ...string) string      { return completionRequest("served", validBody, lines...) }
+func servedWithBody(body string) string      { return completionRequest("served", body) }
+func servedReplacing(from, to string) string { return strings.Replace(servedRequest, from, to, 1) }
 
-// chunked returns served with its body in chunks.
-func chunked() string {
-	head, _, _ := strings.Cut(served, "Content-Length")
+// servedChunked returns servedRequest with its body in chunks.
+func servedChunked() string {
+	head, _, _ := strings.Cut(servedRequest, "Content-Length")
 	return fmt.Sprintf("%sTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", head, len(validBody), validBody)
 }
 
-// goldenExchanges are what clients send on one connection each, in the order of the golden file.
+// goldenExchanges is the input of one connection each, in the order of the golden file.
 var goldenExchanges = []struct{ name, input string }{
-	{"served", served},
+	{"served", servedRequest},
 	{"served and closed", servedWith("Connection: close")},
-	{"served two in a row", served + servedWith("X-Resent: 1")},
+	{"served two in a row", servedRequest + servedWith("X-Resent: 1")},
 	{"served with all fields", servedWith("X-Org: payer", "X-Estimate: 250",
 		"X-Labels: prefix=p, prompt_len=10,prefix_len=4, max_out=7,other=1", "X-Other: kept",
 		"Connection: X-Hop, keep-alive", "X-Hop: dropped", "Idempotency-Key: k")},
-	{"served chunked body", chunked()},
+	{"served chunked body", servedChunked()},
 	{"expects 100", servedWith("Expect: 100-continue")},
 	{"rejected at once", completionRequest("rejected", validBody)},
 	{"rejected elsewhere", completionRequest("rejected-elsewhere", validBody)},
@@ -120,7 +120,7 @@
 	{"other error", completionRequest("other-error", validBody)},
 	{"failed", completionRequest("failed", validBody)},
 	{"failed after its beginning", completionRequest("failed-after-begin", validBody)},
-	{"served after failure", completionRequest("failed", validBody) + served},
+	{"served after failure", completionRequest("failed", validBody) + servedRequest},
 	{"ready", getRequest("/health/ready")},
 	{"live", getRequest("/health/live?x")},
 	{"live http/1.0", "GET /health/live HTTP/1.0\r\n\r\n"},
@@ -130,22 +130,22 @@
 	{"method", getRequest("/v1/chat/completions")},
 	{"old version", "POST /v1/chat/completions HTTP/1.0\r\nHost: h\r\nContent-Length: 2\r\n\r\n{}"},
 	{"no length", "POST /v1/chat/completions HTTP/1.1\r\nHost: h\r\n\r\n"},
-	{"no id", replaced("X-Txn", "X-Txx")},
-	{"no class", replaced("X-Lane", "X-Lxx")},
-	{"no remaining time", replaced("X-Remaining", "X-Rxx")},
-	{"id", replaced("aa\r\n", "ag\r\n")},
-	{"id length", replaced("aa\r\n", "aaa\r\n")},
+	{"no id", servedReplacing("X-Txn", "X-Txx")},
+	{"no class", servedReplacing("X-Lane", "X-Lxx")},
+	{"no remaining time", servedReplacing("X-Remaining", "X-Rxx")},
+	{"id", servedReplacing("aa\r\n", "ag\r\n")},
+	{"id length", servedReplacing("aa\r\n", "aaa\r\n")},
 	{"id twice", servedWith("x-txn: 00000000000000ab")},
-	{"class empty", replaced("chat\r\n", "\r\n")},
-	{"class long", replaced("chat\r\n", strings.Repeat("c", 65)+"\r\n")},
+	{"class empty", servedReplacing("chat\r\n", "\r\n")},
+	{"class long", servedReplacing("chat\r\n", strings.Repeat("c", 65)+"\r\n")},
 	{"session long", completionRequest(strings.Repeat("s", 65), validBody)},
 	{"tenant empty", servedWith("X-Org:")},
 	{"tenant long", servedWith("X-Org: " + strings.Repeat("s", 65))},
-	{"remaining zero", replaced("Remaining: 5", "Remaining: 0.0")},
-	{"remaining text", replaced("Remaining: 5", "Remaining: 1e3")},
-	{"remaining points", replaced("Remaining: 5", "Remaining: 1.2.3")},
-	{"remaining tiny", replaced("Remaining: 5", "Remaining: .0000000001")},
-	{"remaining days", replaced("Remaining: 5", "Remaining: 99999999")},
+	{"remaining zero", servedReplacing("Remaining: 5", "Remaining: 0.0")},
+	{"remaining text", servedReplacing("Remaining: 5", "Remaining: 1e3")},
+	{"remaining points", servedReplacing("Remaining: 5", "Remaining: 1.2.3")},
+	{"remaining tiny", servedReplacing("Remaining: 5", "Remaining: .0000000001")},
+	{"remaining days", servedReplacing("Remaining: 5", "Remaining: 99999999")},
 	{"estimate", servedWith("X-Estimate: -1")},
 	{"estimate large", servedWith("X-Estimate: 86400000001")},
 	{"label without value", servedWith("X-Labels: prompt_len")},
@@ -153,26 +153,26 @@
 	{"label number", servedWith("X-Labels: max_out=x")},
 	{"label too large", servedWith("X-Labels: prompt_len=262145")},
 	{"label prefix over prompt", servedWith("X-Labels: prompt_len=3,prefix_len=4")},
-	{"body no json", servedBody(`{"model"`)},
-	{"body no model", servedBody(`{"messages":[{"role":"user","content":"x"}]}`)},
-	{"body no messages", servedBody(`{"model":"m","messages":[]}`)},
-	{"body message without content", servedBody(`{"model":"m","messages":[{"role":"user"}]}`)},
-	{"body role no text", servedBody(`{"model":"m","messages":[{"role":7,"content":"x"}]}`)},
-	{"body max tokens", servedBody(`{"model":"m","max_tokens":-1,"messages":[{"role":"user","content":"x"}]}`)},
-	{"body stream no bool", servedBody(`{"model":"m","stream":1,"messages":[{"role":"user","content":"x"}]}`)},
+	{"body no json", servedWithBody(`{"model"`)},
+	{"body no model", servedWithBody(`{"messages":[{"role":"user","content":"x"}]}`)},
+	{"body no messages", servedWithBody(`{"model":"m","messages":[]}`)},
+	{"body message without content", servedWithBody(`{"model":"m","messages":[{"role":"user"}]}`)},
+	{"body role no text", servedWithBody(`{"model":"m","messages":[{"role":7,"content":"x"}]}`)},
+	{"body max tokens", servedWithBody(`{"model":"m","max_tokens":-1,"messages":[{"role":"user","content":"x"}]}`)},
+	{"body stream no bool", servedWithBody(`{"model":"m","stream":1,"messages":[{"role":"user","content":"x"}]}`)},
 	{"body too large", completionRequest("served", strings.Repeat(" ", 256<<10+1))},
 	{"head too long", getRequest("/" + strings.Repeat("a", 16<<10))},
 	{"malformed", "GET /\r\n\r\n"},
-	{"malformed after served", served + "rubbish\r\n\r\n"},
-	{"rest after a refusal is dropped", getRequest("/other") + served},
-	{"body messages no list", servedBody(`{"model":"m","messages":5}`)},
-	{"body message no object", servedBody(`{"model":"m","messages":[5]}`)},
+	{"malformed after served", servedRequest + "rubbish\r\n\r\n"},
+	{"rest after a refusal is dropped", getRequest("/other") + servedRequest},
+	{"body messages no list", servedWithBody(`{"model":"m","messages":5}`)},
+	{"body message no object", servedWithBody(`{"model":"m","messages":[5]}`)},
 }
 
-// lineOf returns a line, or the last if there are fewer.
+// lineOf returns line i, or the last one if there are fewer lines.
 func lineOf(lines []string, i int) string { return lines[min(i, len(lines)-1)] }
 
-// compareGolden compares text with a golden file, or writes the file.
+// compareGolden compares text with a golden file, or writes the file if -update is set.
 func compareGolden(t *testing.T, file, text string) {
 	t.Helper()
 	if *update {
@@ -193,41 +193,42 @@
 	}
 }
 
-// played is what an exchange led to.
-type played struct{ received, submitted, counts string }
+// exchangeResult is the outcome of an exchange: the bytes that the client received, the requests that the dispatcher
+// received, and the server's counts.
+type exchangeResult struct{ received, submitted, counts string }
 
-// play sends input to a new server in parts of at most partSize bytes.
-func play(t *testing.T, input string, partSize int) (p played) {
+// runExchange sends input to a new server in parts of at most partSize bytes and returns the outcome.
+func runExchange(t *testing.T, input string, partSize int) (result exchangeResult) {
 	t.Helper()
 	g := startGolden(t, 10)
 	c := g.dial()
 	for len(input) > partSize {
 		if _, err := io.WriteString(c, input[:partSize]); err != nil {
-			break // the server has closed the connection before it had all
+			break // the server closed the connection before it had received all input
 		}
 		input = input[partSize:]
-		g.do(func() {}) // so that parts are seldom read together
+		g.runOnLoop(func() {}) // lets the server read this part, in most cases, before the next one is sent
 	}
-	p.received = exchange(t, c, input)
-	p.counts = fmt.Sprint(g.counts())
-	g.do(func() { p.submitted = strings.Join(g.requests, "\n") })
-	return p
+	result.received = exchange(t, c, input)
+	result.counts = fmt.Sprint(g.counts())
+	g.runOnLoop(func() { result.submitted = strings.Join(g.requests, "\n") })
+	return result
 }
 
-// TestResponseBytes compares the bytes that each exchange gets, what the dispatcher is given and what is counted with
-// the golden file. Short exchanges are also sent in small parts, which must not matter.
+// TestResponseBytes compares the outcome of each exchange with the golden file. It checks that short exchanges have
+// the same responses and counts if they arrive in small parts.
 func TestResponseBytes(t *testing.T) {
-	results := make([]played, len(goldenExchanges))
+	results := make([]exchangeResult, len(goldenExchanges))
 	t.Run("exchanges", func(t *testing.T) {
 		for i, e := range goldenExchanges {
 			t.Run(e.name, func(t *testing.T) {
 				t.Parallel()
-				want := play(t, e.input, len(e.input))
+				want := runExchange(t, e.input, len(e.input))
 				results[i] = want
 				if len(e.input) > 4<<10 {
 					return
 				}
-				got := play(t, e.input, 7)
+				got := runExchange(t, e.input, 7)
 				if got.received != want.received || got.counts != want.counts {
 					t.Errorf("in parts of 7 bytes: received %q, counts %s; at once: received %q, counts %s",
 						got.received, got.counts, want.received, want.counts)
--- a/internal/frontend/platform/harness_test.go
+++ b/internal/frontend/platform/harness_test.go
@@ -16,11 +16,12 @@
 	"docksail/policy"
 )
 
-// fakeDispatcher takes every request. The test, or the play of a request, answers it. It belongs to the loop.
+// fakeDispatcher accepts every request unless onSubmit returns an error. The test or onSubmit answers the requests. It
+// must be used on the loop's goroutine only.
 type fakeDispatcher struct {
-	writers      []frontend.ResponseWriter // of the requests that were submitted
-	disconnects  int                       // clients that left a request in flight
-	onSubmission func(id policy.RequestID, w frontend.ResponseWriter, r *frontend.Request) error
+	writers     []frontend.ResponseWriter // of the submitted requests, in that order
+	disconnects int                       // clients that disconnected with a request in flight
+	onSubmit    func(id policy.RequestID, w frontend.ResponseWriter, r *frontend.Request) error
 }
 
 // Submit implements frontend.Dispatcher.
@@ -29,8 +30,8 @@
 ) (policy.RequestID, error) {
 	d.writers = append(d.writers, w)
 	id := policy.RequestID(len(d.writers))
-	if d.onSubmission != nil {
-		if err := d.onSubmission(id, w, r); err != nil {
+	if d.onSubmit != nil {
+		if err := d.onSubmit(id, w, r); err != nil {
 			return 0, err
 		}
 	}
@@ -46,7 +47,7 @@
 // RequestName implements frontend.Dispatcher.
 func (*fakeDispatcher) RequestName(policy.RequestID) string { return "" }
 
-// testServer is a Server on a loop of its own, with a dispatcher that the test plays.
+// testServer is a Server on its own loop, with a fake dispatcher.
 type testServer struct {
 	t          *testing.T
 	loop       *eventloop.Loop
@@ -55,7 +56,7 @@
 	addr       netip.AddrPort
 }
 
-// startServer starts a server for at most maxConns connections.
+// startServer starts a server that accepts at most maxConns connections.
 func startServer(t *testing.T, maxConns int) *testServer {
 	t.Helper()
 	loop, err := eventloop.New()
@@ -80,28 +81,28 @@
 	return s
 }
 
-// do runs a call on the loop and waits for it.
-func (s *testServer) do(f func()) {
+// runOnLoop calls f on the loop's goroutine and waits until it has returned.
+func (s *testServer) runOnLoop(f func()) {
 	done := make(chan struct{})
 	s.loop.Post(func() { f(); close(done) })
 	<-done
 }
 
-// until waits until a condition, which is evaluated on the loop, holds.
-func (s *testServer) until(what string, condition func() bool) {
+// waitUntil waits until a condition holds, which it evaluates on the loop. It fails the test after 10 s.
+func (s *testServer) waitUntil(what string, condition func() bool) {
 	s.t.Helper()
-	for end := time.Now().Add(10 * time.Second); ; {
+	for deadline := time.Now().Add(10 * time.Second); ; {
 		var ok bool
-		if s.do(func() { ok = condition() }); ok {
+		if s.runOnLoop(func() { ok = condition() }); ok {
 			return
 		}
-		if time.Now().After(end) {
-			s.t.Fatalf("%s: not within 10 s", what)
+		if time.Now().After(deadline) {
+			s.t.Fatalf("timed out after 10 s waiting until %s", what)
 		}
 	}
 }
 
-// dial connects a client.
+// dial returns a new client connection to the server.
 func (s *testServer) dial() *net.TCPConn {
 	s.t.Helper()
 	c, err := net.Dial("tcp", s.addr.String())
@@ -123,21 +124,21 @@
 	}
 }
 
-// exchange sends input and returns what comes back until the server ends the connection or says nothing for a while.
+// exchange sends input and returns what receive returns then.
 func exchange(t *testing.T, c net.Conn, input string) string {
 	t.Helper()
 	send(t, c, input)
 	return receive(t, c, 500*time.Millisecond)
 }
 
-// receive returns what comes until the connection ends, or until nothing has come for so long. How it ended stands
-// behind that.
-func receive(t *testing.T, c net.Conn, quiet time.Duration) string {
+// receive returns the text that arrives until the connection ends or nothing arrives for silenceTimeout. It appends
+// <end>, <reset> or, if the connection is still open, <open>.
+func receive(t *testing.T, c net.Conn, silenceTimeout time.Duration) string {
 	t.Helper()
 	var out strings.Builder
 	p := make([]byte, 64<<10)
 	for {
-		if err := c.SetReadDeadline(time.Now().Add(quiet)); err != nil {
+		if err := c.SetReadDeadline(time.Now().Add(silenceTimeout)); err != nil {
 			t.Fatal(err)
 		}
 		n, err := c.Read(p)
@@ -155,7 +156,7 @@
 
 const validBody = `{"model":"m","messages":[{"role":"user","content":"x"}]}`
 
-// completionRequest returns a request of a session with a body and more header lines.
+// completionRequest returns a completion request of a session with a body and further header lines.
 func completionRequest(session, body string, lines ...string) string {
 	head := "POST /v1/chat/completions?a=b HTTP/1.1\r\nHost: h\r\nX-Txn: 00000000000000aa\r\nX-Lane: chat\r\n" +
 		"X-Remaining: 5\r\nX-Entity: " + session + "\r\n"
@@ -165,7 +166,7 @@
 	return fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", head, len(body), body)
 }
 
-// getRequest returns a GET request with more header lines.
+// getRequest returns a GET request with further header lines.
 func getRequest(path string, lines ...string) string {
 	return "GET " + path + " HTTP/1.1\r\nHost: h\r\n" + strings.Join(append(lines, ""), "\r\n") + "\r\n"
 }
--- a/internal/frontend/platform/head.go
+++ b/internal/frontend/platform/head.go
@@ -12,23 +12,23 @@
 const (
 	maxNameBytes      = 64 // of a session, prefix or tenant
 	maxClassNameBytes = 64
-	maxTokens         = maxBodyBytes // of a prompt: each takes a byte at least
+	maxTokens         = maxBodyBytes // of a prompt, as each token takes at least one byte
 	nanosPerDay       = 86400e9
 	nanosPerMicro     = 1000
-	// bytesPerToken estimates the length of a prompt for which the client tells none.
+	// bytesPerToken estimates the length of a prompt if the client does not state it.
 	bytesPerToken = 4
 )
 
-// requestHead is what the head of a request states, kept until the body has arrived. Its buffers are reused.
+// requestHead is the parsed head of a request, kept until the body has arrived. Its buffers are reused.
 type requestHead struct {
 	id, path, class, session, prefix, tenant []byte
-	forwardedFields                          []byte // header fields that servers are to see as well, as lines
+	forwardedFields                          []byte // header fields forwarded to servers, as lines
 	remainingTime, lengthHint                int64  // nanoseconds
 	promptTokens, prefixTokens, maxTokens    int64
 	resent                                   bool
 }
 
-// requestField is a header field that the dispatcher reads itself. Others are forwarded.
+// requestField is a header field that the frontend parses. Others are forwarded to servers.
 type requestField uint8
 
 const (
@@ -44,7 +44,7 @@
 
 const requestFieldCount = int(fieldTenant) + 1
 
-// requestFieldsByName has the names in lower case.
+// requestFieldsByName maps names in lower case to fields.
 var requestFieldsByName = map[string]requestField{
 	"x-txn":       fieldID,
 	"x-lane":      fieldClass,
@@ -56,13 +56,14 @@
 	"x-org":       fieldTenant,
 }
 
-// hopByHopFields concern one connection only, or are written anew for the server. The names are in lower case.
+// hopByHopFields holds the names, in lower case, of fields that are not forwarded: they concern the client's
+// connection only, or the backend writes them itself.
 var hopByHopFields = map[string]bool{
 	"host": true, "content-length": true, "content-type": true, "transfer-encoding": true, "connection": true,
 	"keep-alive": true, "proxy-connection": true, "te": true, "trailer": true, "upgrade": true, "expect": true,
 }
 
-// parse reads the fields of a head.
+// parse sets r from a head. It returns an error if a field is invalid, repeated or missing.
 func (r *requestHead) parse(head *h1.Head) error {
 	r.reset(head.Target)
 	var seen [requestFieldCount]bool
@@ -104,7 +105,7 @@
 	}
 }
 
-// set sets what a field states.
+// set parses the value of a field and sets the member for it.
 func (r *requestHead) set(field requestField, value []byte) (err error) {
 	switch field {
 	case fieldID:
@@ -141,8 +142,8 @@
 	return err
 }
 
-// setLabels sets what the client states about the prompt: pairs KEY=VALUE, with commas between them. Unknown keys are
-// ignored.
+// setLabels parses what the client states about the prompt: pairs KEY=VALUE, separated by commas. It ignores unknown
+// keys.
 func (r *requestHead) setLabels(labels []byte) error {
 	for len(labels) > 0 {
 		var pair []byte
@@ -178,7 +179,7 @@
 	return err
 }
 
-// forwardEndToEnd adds a field to those that go to the server, unless it concerns the client's connection only.
+// forwardEndToEnd adds a field to forwardedFields if it is end-to-end.
 func (r *requestHead) forwardEndToEnd(head *h1.Head, field h1.Field) {
 	if !isEndToEnd(head, field.Name) {
 		return
@@ -189,8 +190,8 @@
 	r.forwardedFields = append(r.forwardedFields, "\r\n"...)
 }
 
-// isEndToEnd reports whether a field is none of the connection's own, be it by its name or because the Connection field
-// lists it.
+// isEndToEnd reports whether a field is to be forwarded: it is not one of hopByHopFields, and the Connection field
+// does not list it.
 func isEndToEnd(head *h1.Head, name []byte) bool {
 	if hopByHopFields[string(lowerCase(name))] {
 		return false
@@ -208,8 +209,9 @@
 	return true
 }
 
-// buildRequest fills request from the head and the complete body. The slices in it are the head's and body. age is how
-// long ago the first byte of the request arrived, maybe while another was in flight: the client's time has run since.
+// buildRequest sets request from the head and the complete body, whose bytes it does not copy. age is the time since
+// the first byte of the request arrived, possibly while another request was in flight: it is subtracted from the
+// client's timeout.
 func (r *requestHead) buildRequest(request *frontend.Request, body []byte, age int64) error {
 	if err := checkBody(body); err != nil {
 		return fmt.Errorf("body: %w", err)
--- a/internal/frontend/platform/lifecycle.go
+++ b/internal/frontend/platform/lifecycle.go
@@ -7,7 +7,7 @@
 	"docksail/internal/eventloop"
 )
 
-// lifecycle is the state of a connection, and the time that it has in it.
+// lifecycle is the state of a connection and the timer that bounds the time in that state.
 type lifecycle struct {
 	state      clientconn.ConnState
 	stateSince eventloop.Nanos
@@ -15,22 +15,22 @@
 	timer      eventloop.Timer
 	onTimer    func(eventloop.Nanos)
 
-	// While the connection lingers: output that was queued when it was looked at last, when the client was last seen to
-	// have read some, and input that was discarded.
+	// While the connection lingers: the output queued at the last check, the time of the last check at which the client
+	// had read some of it, and the input discarded so far.
 	unsentBytes    int
 	lastReadAt     eventloop.Nanos
 	discardedBytes int64
 }
 
-// setState records the transition to a state and starts its timer. The time is the loop's, as an event of a server may
-// have brought the transition about.
+// setState enters a state and starts its timer. It takes the time from the loop, as c.now is out of date if the event
+// of a server caused the transition.
 func (c *conn) setState(state clientconn.ConnState) {
 	c.now = c.server.loop.Now()
 	life := &c.lifecycle
 	if heap := c.server.heapOf(life.state); heap != nil {
 		heap.Remove(c)
 	}
-	// The time of a first request runs from when its client connected.
+	// The timeout of a connection's first request runs from the time of connecting.
 	if life.state != clientconn.StateNew || state != clientconn.StateReadingRequest {
 		life.stateSince = c.now
 	}
@@ -66,7 +66,7 @@
 	}
 }
 
-// enterNextState moves the connection to the state that follows when no request of it is in flight.
+// enterNextState enters the state that follows when no request is in flight on the connection.
 func (c *conn) enterNextState() {
 	listenerClosed := c.server.phase >= phaseListenerClosed
 	unread := listenerClosed && (c.pipelinedBytes() > 0 || !c.transport.InputEmpty())
@@ -80,7 +80,7 @@
 	}
 }
 
-// mayKeepLingering reports whether the client still reads its last response.
+// mayKeepLingering reports whether the connection stays open because the client still reads its last response.
 func (c *conn) mayKeepLingering() bool {
 	life := &c.lifecycle
 	queued := c.transport.QueuedBytes()
@@ -90,7 +90,7 @@
 	return clientconn.MayKeepLingering(c.now, life.stateSince, life.lastReadAt, queued)
 }
 
-// discard counts input of a lingering connection, which nobody reads, and closes the connection if it is too much.
+// discard counts n bytes of discarded input of a lingering connection. It closes the connection if there are too many.
 func (c *conn) discard(n int) {
 	c.lifecycle.discardedBytes += int64(n)
 	if c.lifecycle.discardedBytes > clientconn.MaxDiscardBytes {
--- a/internal/frontend/platform/limits_test.go
+++ b/internal/frontend/platform/limits_test.go
@@ -12,17 +12,17 @@
 	"docksail/policy"
 )
 
-// TestResponseBytesAtLimits compares what clients get where a limit or a timeout is met, and in a graceful shutdown,
+// TestResponseBytesAtLimits compares the bytes that clients receive at limits, at timeouts and in a graceful shutdown
 // with the golden file.
 func TestResponseBytesAtLimits(t *testing.T) {
 	cases := []struct {
 		name     string
 		maxConns int
-		play     func(g *goldenServer) string
+		run      func(g *goldenServer) string
 	}{
 		{"id in flight twice", 10, func(g *goldenServer) string {
 			first, second := g.dial(), g.dial()
-			return exchange(g.t, first, completionRequest("held", validBody)) + exchange(g.t, second, served)
+			return exchange(g.t, first, completionRequest("held", validBody)) + exchange(g.t, second, servedRequest)
 		}},
 		{"client leaves", 10, func(g *goldenServer) string {
 			c := g.dial()
@@ -31,13 +31,13 @@
 				g.t.Fatal(err)
 			}
 			got += receive(g.t, c, time.Second)
-			g.until("the dispatcher is told", func() bool { return g.dispatcher.disconnects > 0 })
+			g.waitUntil("the dispatcher is told", func() bool { return g.dispatcher.disconnects > 0 })
 			disconnects := 0
-			g.do(func() { disconnects = g.dispatcher.disconnects })
+			g.runOnLoop(func() { disconnects = g.dispatcher.disconnects })
 			return got + fmt.Sprint(disconnects)
 		}},
 		{"too many partial bytes", 10, func(g *goldenServer) string {
-			g.do(func() { g.server.limits.PartialRequestBytes = 100 })
+			g.runOnLoop(func() { g.server.limits.PartialRequestBytes = 100 })
 			return exchange(g.t, g.dial(), completionRequest("served", validBody+strings.Repeat(" ", 100)))
 		}},
 		{"request incomplete", 10, func(g *goldenServer) string {
@@ -56,7 +56,7 @@
 			c := g.dial()
 			got := exchange(g.t, c, getRequest("/other"))
 			began := time.Now()
-			g.until("the connection is closed", func() bool { return g.server.ConnCount() == 0 })
+			g.waitUntil("the connection is closed", func() bool { return g.server.ConnCount() == 0 })
 			return fmt.Sprint(got, time.Since(began).Round(time.Second))
 		}},
 		{"idle connection evicted", 1, func(g *goldenServer) string {
@@ -78,7 +78,7 @@
 		for i, c := range cases {
 			t.Run(c.name, func(t *testing.T) {
 				t.Parallel()
-				results[i] = c.play(startGolden(t, c.maxConns))
+				results[i] = c.run(startGolden(t, c.maxConns))
 			})
 		}
 	})
@@ -89,23 +89,23 @@
 	compareGolden(t, "testdata/limits.golden", out.String())
 }
 
-// drainBytes drains a server and returns what its clients get before the listener closes, after that, and once requests
-// are refused.
+// drainBytes drains a server and returns what its clients receive before the listener closes, after that, and once
+// requests are rejected.
 func drainBytes(g *goldenServer) string {
 	idle, silent, pipelined, held := g.dial(), g.dial(), g.dial(), g.dial()
 	got := exchange(g.t, idle, getRequest("/health/ready"))
-	send(g.t, pipelined, completionRequest("held", validBody)+replaced("00aa", "00bb"))
+	send(g.t, pipelined, completionRequest("held", validBody)+servedReplacing("00aa", "00bb"))
 	send(g.t, held, strings.Replace(completionRequest("held", validBody), "00aa", "00cc", 1))
-	g.until("both are submitted", func() bool { return len(g.dispatcher.writers) == 2 })
+	g.waitUntil("both are submitted", func() bool { return len(g.dispatcher.writers) == 2 })
 	var began time.Time
-	g.do(func() { g.server.Drain(); began = time.Now() })
+	g.runOnLoop(func() { g.server.Drain(); began = time.Now() })
 	got += "\nready " + exchange(g.t, g.dial(), getRequest("/health/ready"))
-	got += "\nserved " + exchange(g.t, g.dial(), replaced("00aa", "00dd"))
+	got += "\nserved " + exchange(g.t, g.dial(), servedReplacing("00aa", "00dd"))
 	time.Sleep(time.Until(began.Add(520 * time.Millisecond)))
 	got += "\nidle " + receive(g.t, idle, time.Second)
 	time.Sleep(time.Until(began.Add(700 * time.Millisecond)))
-	got += "\nlate " + exchange(g.t, silent, replaced("00aa", "00ee"))
-	g.do(func() {
+	got += "\nlate " + exchange(g.t, silent, servedReplacing("00aa", "00ee"))
+	g.runOnLoop(func() {
 		for i, c := range g.conns()[:2] {
 			c.Reject(policy.RequestID(i+1), frontend.RejectionError{Reason: "gone"})
 		}
@@ -115,19 +115,19 @@
 	for _, c := range []net.Conn{idle, silent, pipelined, held} {
 		c.Close()
 	}
-	g.until("the server is drained", g.server.IsIdle)
+	g.waitUntil("the server is drained", g.server.IsIdle)
 	_, err := net.Dial("tcp", g.addr.String())
 	return got + fmt.Sprintf("\ndial fails: %v\n%v", err != nil, g.counts())
 }
 
-// drainUnderStreamBytes drains a server while it streams a response, and returns what the client gets.
+// drainUnderStreamBytes drains a server while it streams a response, and returns what the client receives.
 func drainUnderStreamBytes(g *goldenServer) string {
 	c := g.dial()
 	got := exchange(g.t, c, completionRequest("held", validBody))
-	g.do(func() { g.conns()[0].WriteTokens(1, []byte("data: 1\n\n")) })
+	g.runOnLoop(func() { g.conns()[0].WriteTokens(1, []byte("data: 1\n\n")) })
 	got += receive(g.t, c, 100*time.Millisecond)
-	g.do(func() { g.server.Drain() })
-	g.do(func() {
+	g.runOnLoop(func() { g.server.Drain() })
+	g.runOnLoop(func() {
 		writer := g.conns()[0]
 		writer.WriteTokens(1, []byte("data: 2\n\n"))
 		writer.Complete(1)
--- a/internal/frontend/platform/receive.go
+++ b/internal/frontend/platform/receive.go
@@ -21,14 +21,14 @@
 	maxPooledBodies    = 16
 )
 
-// decode decodes p and the input that was kept before it.
+// decode decodes the buffered input followed by p.
 func (c *conn) decode(p []byte) {
 	c.incoming.decoding = true
 	c.incoming.buffer.Process(p, c.decodeRequests)
 	c.incoming.decoding = false
 }
 
-// decodeRequests decodes requests from the front of p until one is in flight, and returns how many bytes it consumed.
+// decodeRequests decodes requests from the front of p until one is in flight. It returns how many bytes it consumed.
 func (c *conn) decodeRequests(p []byte) (consumed int) {
 	for !c.closed && c.lifecycle.state != clientconn.StateActive {
 		if c.lifecycle.state == clientconn.StateLingering {
@@ -59,7 +59,7 @@
 	return consumed
 }
 
-// statusOf returns the status that answers an error of the decoder.
+// statusOf returns the HTTP status for an error of the decoder.
 func statusOf(err error) int {
 	switch {
 	case errors.Is(err, h1.ErrHeadTooLarge):
@@ -71,7 +71,7 @@
 	}
 }
 
-// pipelinedBytes returns how many bytes have arrived behind the request that is or was in flight.
+// pipelinedBytes returns how many bytes have arrived after the request that is in flight or was the last one.
 func (c *conn) pipelinedBytes() int {
 	if c.incoming.decoding {
 		return c.incoming.pipelinedBytes
@@ -79,7 +79,8 @@
 	return c.incoming.buffer.Len()
 }
 
-// appendBody adds data to the body of the request that is being read.
+// appendBody appends data to the body of the request that is being read. It answers with an error status if the bodies
+// of incomplete requests exceed Limits.PartialRequestBytes.
 func (c *conn) appendBody(data []byte) {
 	s := c.server
 	s.partialBytes += int64(len(data))
@@ -94,8 +95,8 @@
 	c.incoming.body = append(c.incoming.body, data...)
 }
 
-// releaseBody drops the body of the request that is being read. Its buffer goes to the pool, as most connections are
-// idle and hold none.
+// releaseBody drops the body of the request that is being read. It returns the buffer to the pool, so that idle
+// connections hold none.
 func (c *conn) releaseBody() {
 	s, body := c.server, c.incoming.body
 	s.partialBytes -= int64(len(body))
@@ -105,7 +106,7 @@
 	c.incoming.body = nil
 }
 
-// handleHead checks the head of a request, and lets a client that asks send its body.
+// handleHead checks the head of a request and answers Expect: 100-continue.
 func (c *conn) handleHead() {
 	head := &c.incoming.decoder.Head
 	c.response.closeAfter = head.Close
@@ -118,7 +119,7 @@
 	}
 }
 
-// invalidRequestError is a request that is answered with an error status.
+// invalidRequestError describes why a request is answered with an error status.
 type invalidRequestError struct {
 	status int
 	reason string
@@ -126,7 +127,7 @@
 
 func (e *invalidRequestError) Error() string { return e.reason }
 
-// checkHead sets the members that the head determines. It returns nil if the request can be served.
+// checkHead sets the members that the head determines. It returns an error if the request cannot be served.
 func (r *incomingRequest) checkHead(head *h1.Head) *invalidRequestError {
 	r.healthPath = ""
 	path, _, _ := bytes.Cut(head.Target, []byte{'?'})
@@ -150,7 +151,7 @@
 	return nil
 }
 
-// checkHealthHead checks the head of a health check.
+// checkHealthHead checks the head of a health check and sets healthPath.
 func (r *incomingRequest) checkHealthHead(head *h1.Head, path string) *invalidRequestError {
 	if string(head.Method) != http.MethodGet || head.ContentLength > 0 || head.Chunked {
 		return &invalidRequestError{http.StatusMethodNotAllowed, "want GET without a body"}
@@ -159,7 +160,7 @@
 	return nil
 }
 
-// handleMessageEnd answers a health check, or submits a complete request to the dispatcher.
+// handleMessageEnd answers a health check, or submits the complete request to the dispatcher if it is valid.
 func (c *conn) handleMessageEnd() {
 	if c.incoming.healthPath != "" {
 		c.respond(c.healthStatus(), 0, "")
@@ -185,7 +186,7 @@
 	c.submit()
 }
 
-// healthStatus returns the status that answers a health check.
+// healthStatus returns the HTTP status for a health check.
 func (c *conn) healthStatus() int {
 	notReady := c.server.phase >= phaseDraining || !c.server.isReady()
 	if c.incoming.healthPath == pathReady && notReady {
@@ -194,7 +195,7 @@
 	return http.StatusOK
 }
 
-// submit hands the request in Server.request to the dispatcher.
+// submit submits Server.request to the dispatcher.
 func (c *conn) submit() {
 	id, err := c.server.dispatcher.Submit(c.now, c, &c.server.request)
 	c.releaseBody()
--- a/internal/frontend/platform/respond.go
+++ b/internal/frontend/platform/respond.go
@@ -11,16 +11,17 @@
 	"docksail/policy"
 )
 
-const statusClassOK = 2 // of statuses 2xx
+const statusClassOK = 2 // index of 2xx in Counts.ResponsesByStatusClass
 
-// rejectInvalid answers a request that cannot be taken, whether or not it is complete, and ends the connection.
+// rejectInvalid answers a request, complete or not, with an error status and ends the connection.
 func (c *conn) rejectInvalid(status int, reason string) {
 	c.server.Counts.InvalidRequests++
 	c.response.closeAfter = true
 	c.respond(status, 0, reason)
 }
 
-// respond writes a response that is no stream. retryAfter is when the client may try again; 0 = not told.
+// respond writes a complete response that is not streamed. retryAfter is the time after which the client may retry; if
+// it is 0, the response does not state one.
 func (c *conn) respond(status int, retryAfter eventloop.Nanos, reason string) {
 	c.server.Counts.ResponsesByStatusClass[status/100]++
 	c.response.closeAfter = c.response.closeAfter || c.isLastResponse()
@@ -48,7 +49,7 @@
 	c.finishResponse()
 }
 
-// responseBody returns the JSON body of a response that is no stream; reason is the error's message, "" = no error.
+// responseBody returns the JSON body of a response that is not streamed. reason is the error message; "" = no error.
 func responseBody(reason string) []byte {
 	if reason == "" {
 		return []byte("{}")
@@ -61,7 +62,8 @@
 	return append(body, "}}"...)
 }
 
-// isLastResponse reports whether a drain ends the connection with this response, as no request stands behind it.
+// isLastResponse reports whether the server drains and no further request has arrived, so that the connection ends
+// with this response.
 func (c *conn) isLastResponse() bool {
 	return c.server.phase >= phaseDraining && c.pipelinedBytes() == 0
 }
@@ -73,7 +75,7 @@
 	return append(b, '.', byte('0'+ms/100%10), byte('0'+ms/10%10), byte('0'+ms%10))
 }
 
-// finishResponse moves the connection to its next state after a response, and decodes input that has arrived meanwhile.
+// finishResponse ends a response, enters the connection's next state and decodes the input that has arrived meanwhile.
 func (c *conn) finishResponse() {
 	if c.response.requestID != 0 {
 		c.clearRequest()
@@ -88,7 +90,7 @@
 	c.decode(nil)
 }
 
-// WriteTokens implements frontend.ResponseWriter. The first piece begins the stream.
+// WriteTokens implements frontend.ResponseWriter. It writes the head of the response before the first piece.
 func (c *conn) WriteTokens(_ policy.RequestID, p []byte) (blocked bool) {
 	if c.closed {
 		return false
@@ -105,7 +107,7 @@
 	return c.transport.QueuedBytes() > backpressureBytes
 }
 
-// writeStreamHead begins a response that is a stream.
+// writeStreamHead writes the head of a streamed response.
 func (c *conn) writeStreamHead() {
 	c.response.headSent = true
 	c.server.Counts.ResponsesByStatusClass[statusClassOK]++
@@ -127,7 +129,8 @@
 	c.finishResponse()
 }
 
-// Fail implements frontend.ResponseWriter. A stream that has begun ends without its last chunk.
+// Fail implements frontend.ResponseWriter. A stream that has begun ends without its last chunk, which tells the client
+// that it is truncated.
 func (c *conn) Fail(_ policy.RequestID, reason string) {
 	switch {
 	case c.closed:
--- a/internal/frontend/platform/server.go
+++ b/internal/frontend/platform/server.go
@@ -1,5 +1,5 @@
 // Package platform is the frontend for clients that speak the platform's protocol over HTTP/1.1: it checks a request,
-// submits it to the dispatcher and writes the response. It reaches no server and decides nothing.
+// submits it to the dispatcher and writes the response. It does not connect to servers and makes no routing decisions.
 package platform
 
 import (
@@ -14,32 +14,32 @@
 const (
 	maxHeadBytes   = 16 << 10
 	maxBodyBytes   = 256 << 10
-	maxOutputBytes = 1 << 20 // queued for one client; above it the connection is closed
-	// backpressureBytes is the output queued for one client above which its server is held back.
+	maxOutputBytes = 1 << 20 // queued output of one connection above which it is closed
+	// backpressureBytes is the queued output of one connection above which the server is held back.
 	backpressureBytes = 128 << 10
-	// maxPipelinedBytes is the input behind a request in flight above which reading stops.
+	// maxPipelinedBytes is the input after a request in flight above which reading pauses.
 	maxPipelinedBytes = 64 << 10
 )
 
 // Limits bound what clients may use.
 type Limits struct {
 	Connections         int
-	PartialRequestBytes int64 // of the bodies of incomplete requests, over all connections
+	PartialRequestBytes int64 // bodies of incomplete requests of all connections together
 }
 
-// Counts are the events counted since the start.
+// Counts counts events since the start.
 type Counts struct {
-	Requests               uint64 // complete and valid
-	InvalidRequests        uint64 // answered with an error of the client's, or not taken for want of memory
-	DuplicateIDs           uint64 // requests with the id of one in flight
-	ConnectionLimitHits    uint64 // new connections that met the limit
-	ConnectionsRefused     uint64 // those for which no other connection was closed
-	OutputOverflows        uint64 // connections closed because their client did not read
+	Requests               uint64 // complete and valid requests
+	InvalidRequests        uint64 // invalid requests, and those beyond Limits.PartialRequestBytes
+	DuplicateIDs           uint64 // requests with the ID of one in flight
+	ConnectionLimitHits    uint64 // new connections beyond Limits.Connections
+	ConnectionsRefused     uint64 // those of them for which no other connection was closed
+	OutputOverflows        uint64 // connections closed because the client did not read its output
 	StreamsTruncated       uint64 // responses that ended without their last chunk
 	ResponsesByStatusClass [6]uint64
 }
 
-// Server accepts clients on an event loop, to which all of its state belongs.
+// Server accepts clients on an event loop. It must be used on the loop's goroutine only.
 type Server struct {
 	Counts Counts
 
@@ -52,17 +52,18 @@
 	phaseTimer eventloop.Timer
 
 	connCount    int
-	lastSequence uint64                  // of the last connection
+	lastSequence uint64                  // conn.sequence of the connection accepted last
 	incomplete   indexedheap.Heap[*conn] // connections without a complete request yet, by stateSince
 	idle         indexedheap.Heap[*conn] // connections between requests, by stateSince
-	requestIDs   map[string]struct{}     // of the requests in flight
-	request      frontend.Request        // the one that is being submitted
-	partialBytes int64                   // of the bodies of incomplete requests
-	bodyPool     [][]byte                // buffers for bodies
-	scratch      []byte                  // for the response that is being written
+	requestIDs   map[string]struct{}     // clients' IDs of the requests in flight
+	request      frontend.Request        // the request that is being submitted
+	partialBytes int64                   // total size of the bodies of incomplete requests
+	bodyPool     [][]byte                // unused buffers for bodies
+	scratch      []byte                  // buffer for the response that is being written
 }
 
-// New returns a frontend that opens with Listen. isReady reports whether the dispatcher can take requests.
+// New returns a frontend, which accepts clients from the call of Listen on. isReady reports whether the dispatcher can
+// serve requests.
 func New(loop *eventloop.Loop, dispatcher frontend.Dispatcher, limits Limits, isReady func() bool) *Server {
 	return &Server{
 		loop:       loop,
@@ -76,8 +77,8 @@
 }
 
 // Listen opens the listener and returns its address.
-func (s *Server) Listen(at netip.AddrPort, share bool) (netip.AddrPort, error) {
-	listener, err := s.loop.Listen(at, share, s.accept)
+func (s *Server) Listen(addr netip.AddrPort, sharePort bool) (netip.AddrPort, error) {
+	listener, err := s.loop.Listen(addr, sharePort, s.accept)
 	if err != nil {
 		return netip.AddrPort{}, err
 	}
@@ -85,16 +86,16 @@
 	return listener.Addr(), nil
 }
 
-// PauseAccepting sets whether new connections wait in the system's queue instead of being accepted.
+// PauseAccepting sets whether new connections wait in the kernel's accept queue instead of being accepted.
 func (s *Server) PauseAccepting(paused bool) { s.listener.SetAcceptPaused(paused) }
 
-// Flush implements dispatch.Frontend. Output is queued as it is written.
+// Flush implements dispatch.Frontend. It does nothing, as responses are queued on their sockets when they are written.
 func (s *Server) Flush() {}
 
 // ConnCount returns the number of open connections.
 func (s *Server) ConnCount() int { return s.connCount }
 
-// accept returns the handler of a new connection; nil closes it.
+// accept returns the handler of a new connection, or nil to close it.
 func (s *Server) accept(transport *eventloop.Conn, _ netip.AddrPort) eventloop.Handler {
 	if s.connCount >= s.limits.Connections && !s.evict() {
 		s.Counts.ConnectionsRefused++
--- a/internal/frontend/platform/values.go
+++ b/internal/frontend/platform/values.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	requestIDDigits  = 16
-	maxSecondsBytes  = 24
-	nanosPerSecond   = 1e9
-	longestFieldName = 32 // of those in requestFieldsByName and hopByHopFields, and some more
+	requestIDDigits        = 16
+	maxSecondsLength       = 24
+	nanosPerSecond         = 1e9
+	maxKnownFieldNameBytes = 32 // no name in requestFieldsByName or hopByHopFields is longer
 )
 
-// lowerCase returns an ASCII name in lower case; nil if it is longer than any known name.
+// lowerCase returns an ASCII name in lower case, or nil if it is longer than maxKnownFieldNameBytes.
 func lowerCase(name []byte) []byte {
-	var buf [longestFieldName]byte
+	var buf [maxKnownFieldNameBytes]byte
 	if len(name) > len(buf) {
 		return nil
 	}
@@ -28,7 +28,7 @@
 	return buf[:len(name)]
 }
 
-// isRequestID reports whether value is the id of a request: hexadecimal digits of either case.
+// isRequestID reports whether value is a valid request ID: 16 hexadecimal digits in upper or lower case.
 func isRequestID(value []byte) bool {
 	for _, c := range value {
 		if (c < '0' || c > '9') && (c < 'a' || c > 'f') && (c < 'A' || c > 'F') {
@@ -38,30 +38,30 @@
 	return len(value) == requestIDDigits
 }
 
-// parseSeconds parses a duration above 0 in seconds, digits with at most one point, and returns nanoseconds: a day at
-// most.
+// parseSeconds parses a duration above 0 in seconds, written as digits with at most one decimal point, and returns it
+// in nanoseconds. It reduces durations of more than a day to a day.
 func parseSeconds(value []byte) (int64, error) {
-	x, err := strconv.ParseFloat(string(value), 64)
-	if !isDecimal(value) || err != nil || len(value) > maxSecondsBytes || x <= 0 {
+	seconds, err := strconv.ParseFloat(string(value), 64)
+	if !isDecimal(value) || err != nil || len(value) > maxSecondsLength || seconds <= 0 {
 		return 0, errors.New("want seconds above 0")
 	}
-	return max(int64(min(x*nanosPerSecond, nanosPerDay)), 1), nil
+	return max(int64(min(seconds*nanosPerSecond, nanosPerDay)), 1), nil
 }
 
-// isDecimal reports whether value is made of digits and at most one point.
+// isDecimal reports whether value consists of digits and at most one decimal point.
 func isDecimal(value []byte) bool {
-	points, digits := 0, 0
+	decimalPoints, digits := 0, 0
 	for _, c := range value {
 		switch {
 		case c == '.':
-			points++
+			decimalPoints++
 		case '0' <= c && c <= '9':
 			digits++
 		default:
 			return false
 		}
 	}
-	return points <= 1 && digits > 0
+	return decimalPoints <= 1 && digits > 0
 }
 
 // parseNumber parses a decimal number from 0 to limit.
