--- a/internal/backend/grpc/attempt.go
+++ b/internal/backend/grpc/attempt.go
@@ -9,18 +9,18 @@
 	"docksail/internal/h2"
 )
 
-// attempt is the attempt of a request at an engine. It is kept with the request's record and used again, for the
-// request's further attempts and for later requests.
+// attempt holds the state of a request's outstanding attempt at an engine. It is the BackendState of the request's
+// record, and is reused for the request's further attempts and for later requests.
 type attempt struct {
 	request      *dispatch.Request
-	conn         *conn      // nil = none is outstanding
-	lastConn     *conn      // connection of the last attempt
-	stream       *h2.Stream // nil while the attempt waits
+	conn         *conn      // nil = no attempt is outstanding
+	lastConn     *conn      // connection of the last finished attempt
+	stream       *h2.Stream // nil while the attempt waits and once the engine has ended the stream
 	sent         bool
 	wasThrottled bool // an attempt of the request has waited for an engine's restart throttle
 }
 
-// attemptOf returns what the backend keeps with a request.
+// attemptOf returns the attempt in the BackendState of a request, which it creates if necessary.
 func attemptOf(req *dispatch.Request) *attempt {
 	if a, ok := req.BackendState.(*attempt); ok {
 		return a
@@ -33,15 +33,16 @@
 // Reset implements dispatch.BackendState.
 func (a *attempt) Reset() { *a = attempt{request: a.request} }
 
-// limitWait has the attempt wait for its engine's throttle, for a short time only: KV state may be held for it
-// meanwhile.
-func (a *attempt) limitWait(now eventloop.Nanos) {
+// limitThrottleWait bounds the time for which the attempt waits for its engine's throttle. It is short, as KV state
+// may be held for the attempt meanwhile.
+func (a *attempt) limitThrottleWait(now eventloop.Nanos) {
 	a.wasThrottled = true
 	b, req := a.conn.backend, a.request
 	b.dispatcher.SetAttemptTimer(req, min(req.SentAt+req.AttemptTimeout, now+b.keepalive.MaxHoldTime()))
 }
 
-// Finish implements dispatch.Attempt. It resets the stream if the engine has not ended it.
+// Finish implements dispatch.Attempt. It resets the stream if the engine has not ended it, and reports whether it did
+// so.
 func (a *attempt) Finish(now eventloop.Nanos) bool {
 	c, canceled := a.conn, a.stream != nil
 	if canceled {
@@ -58,7 +59,7 @@
 	return canceled
 }
 
-// AfterFinish implements dispatch.Attempt. The end of this attempt may let others be sent.
+// AfterFinish implements dispatch.Attempt. It sends waiting attempts that the end of this one allows.
 func (a *attempt) AfterFinish(now eventloop.Nanos) {
 	if c := a.lastConn; c != nil && len(c.waiting) > 0 {
 		c.server.sendWaiting(now)
@@ -73,8 +74,8 @@
 	}
 }
 
-// DeliveryState implements dispatch.Attempt. What was written on a connection with keepalive counts as received: an
-// engine that is cut off is noticed, and drops what it holds by itself.
+// DeliveryState implements dispatch.Attempt. An attempt that was written counts as received: keepalive detects an
+// engine that cannot be reached, and such an engine drops its held state after its own timeout.
 func (a *attempt) DeliveryState() inflight.DeliveryState {
 	switch {
 	case a.stream != nil:
@@ -85,5 +86,6 @@
 	return inflight.Connecting
 }
 
-// ServerResponsive implements dispatch.Attempt. Keepalive closes the connections of an engine that is not.
+// ServerResponsive implements dispatch.Attempt. An engine with an open connection counts as responsive, as keepalive
+// closes the connections of one that is not.
 func (a *attempt) ServerResponsive() bool { return a.conn != nil && a.conn.connected }
--- a/internal/backend/grpc/backend.go
+++ b/internal/backend/grpc/backend.go
@@ -1,8 +1,8 @@
 // Package grpc is the backend for engines that speak gRPC (docksail.v1.Engine) and for their endpoint list, which
 // comes from a discovery server (docksail.v1.Fleet) or from a file. It implements dispatch.Backend.
 //
-// An engine has a few connections, and each of them carries many attempts as HTTP/2 streams. How many there are, when
-// they are pinged and when they are closed is decided by decide/keepalive.
+// An engine has a few connections, each of which carries many attempts as HTTP/2 streams. Package decide/keepalive
+// decides how many connections there are, when they are pinged and when they are closed.
 package grpc
 
 import (
@@ -23,24 +23,25 @@
 	pathRelease = "/docksail.v1.Engine/Release"
 	pathWatch   = "/docksail.v1.Fleet/Watch"
 
-	// pauseOutputBytes queued for a socket make further messages wait in their streams.
+	// pauseOutputBytes is the number of bytes queued for a socket above which messages wait in their streams.
 	pauseOutputBytes = 256 << 10
-	// maxOutputBytes queued for a socket close the connection: the engine takes nothing.
+	// maxOutputBytes is the number of bytes queued for a socket above which the connection is closed, as the engine does
+	// not read.
 	maxOutputBytes = 32 << 20
 )
 
-// Config describes a backend. Durations are in nanoseconds.
+// Config configures a backend. Durations are in nanoseconds.
 type Config struct {
 	// LatencyTarget is the shortest of the classes' latency targets. Keepalive times are derived from it.
 	LatencyTarget  int64
 	ConnectTimeout int64
 	Limits         h2.Limits
-	// List is the endpoint list. Its zones and cells are those that the module knows.
+	// List is the endpoint list. The module uses its IDs of zones and cells.
 	List      *endpointlist.List
 	Discovery DiscoveryConfig
 }
 
-// Backend reaches engines by gRPC. All of it belongs to the goroutine of the event loop.
+// Backend sends attempts and releases to engines over gRPC. It must be used on the event loop's goroutine only.
 type Backend struct {
 	loop           *eventloop.Loop
 	log            *slog.Logger
@@ -52,12 +53,12 @@
 	connectTimeout int64
 	limits         h2.Limits
 
-	unflushed []*conn // connections with output of this iteration of the loop
-	statuses  []keepalive.ConnStatus
-	scratch   []byte
+	unflushed    []*conn                // connections with output to be queued on their sockets
+	connStatuses []keepalive.ConnStatus // buffer of connForAttempt
+	scratch      []byte                 // buffer for the message that is being encoded
 }
 
-// New returns the backend of a dispatcher on its loop.
+// New returns the backend of a dispatcher. Both use the same loop.
 func New(loop *eventloop.Loop, dispatcher *dispatch.Dispatcher, log *slog.Logger, config *Config) *Backend {
 	b := &Backend{
 		loop: loop, log: log, dispatcher: dispatcher, list: config.List,
@@ -78,8 +79,8 @@
 // Close implements dispatch.Backend.
 func (b *Backend) Close() { b.watcher.close() }
 
-// IsIdle implements dispatch.Backend. It is always true: releases that wait for a connection are left to the engines,
-// which drop state after a time of their own.
+// IsIdle implements dispatch.Backend. It always returns true: releases that wait for a connection are abandoned, as
+// engines drop held state after their own timeout.
 func (b *Backend) IsIdle() bool { return true }
 
 // IsPrefill implements dispatch.Backend.
@@ -88,21 +89,21 @@
 	return s != nil && s.role == policy.Prefill, s != nil
 }
 
-// ServerName implements dispatch.Backend. Servers are named by their number in the endpoint list.
+// ServerName implements dispatch.Backend. The name of a server is its ID in the endpoint list.
 func (b *Backend) ServerName(id policy.ServerID) string { return strconv.FormatUint(uint64(id), 10) }
 
 // Flush implements dispatch.Backend.
 func (b *Backend) Flush() {
 	for _, c := range b.unflushed {
-		c.flushPending = false
+		c.flushScheduled = false
 		c.flush()
 	}
 	b.unflushed = b.unflushed[:0]
 }
 
-// StartAttempt implements dispatch.Backend. An attempt waits while its connection is being made and while the
-// server's restart throttle allows no more. A request waits for a throttle once only: a second wait would use up the
-// client's time.
+// StartAttempt implements dispatch.Backend. An attempt waits while its connection is being established and while the
+// server's restart throttle allows no further attempt. A request waits for a throttle only once, as a second wait
+// could use up the time until the client's deadline.
 func (b *Backend) StartAttempt(now eventloop.Nanos, req *dispatch.Request, number policy.AttemptNumber,
 ) dispatch.Attempt {
 	s := b.servers[req.Server]
@@ -126,13 +127,13 @@
 	}
 	c.waiting = append(c.waiting, req.ID)
 	if c.connected {
-		a.limitWait(now)
+		a.limitThrottleWait(now)
 	}
 	return a
 }
 
-// Release implements dispatch.Backend. The release goes on the connection of the attempt if it can, so that the engine
-// receives them in order.
+// Release implements dispatch.Backend. It sends the release on the connection of the attempt if possible, so that the
+// engine receives them in order.
 func (b *Backend) Release(now eventloop.Nanos, req *dispatch.Request, id policy.ServerID, number policy.AttemptNumber,
 	_ eventloop.Nanos,
 ) {
@@ -148,7 +149,7 @@
 	s.sendRelease(now, c, pendingRelease{request: req.ID, attempt: number})
 }
 
-// findWaiting returns the attempt of a request that waits on a connection, or nil if it does not wait there any more.
+// findWaiting returns the attempt of a request if it still waits on connection c, or nil.
 func (b *Backend) findWaiting(c *conn, id policy.RequestID) *attempt {
 	req := b.dispatcher.FindRequest(id)
 	if req == nil {
--- a/internal/backend/grpc/conn.go
+++ b/internal/backend/grpc/conn.go
@@ -9,17 +9,17 @@
 
 // conn is one connection to an engine. It implements eventloop.Handler here and h2.Handler in stream.go.
 type conn struct {
-	backend *Backend
-	server  *server
-	conn    *eventloop.Conn
-	http2   *h2.Conn
-	now     eventloop.Nanos // time of the event that is being handled
+	backend   *Backend
+	server    *server
+	transport *eventloop.Conn
+	http2     *h2.Conn
+	now       eventloop.Nanos // time of the event that is being handled
 
-	connected    bool
-	closed       bool
-	closedUnused bool // keepalive closed it because nothing used it
-	retired      bool // the engine has another address now: no more attempts
-	flushPending bool
+	connected      bool
+	closed         bool
+	closedUnused   bool // keepalive closed it because it was unused
+	retired        bool // takes no further attempts, as the engine's address has changed
+	flushScheduled bool
 
 	sentAttempts int                // outstanding attempts that have been sent
 	waiting      []policy.RequestID // attempts that wait for the connection or for the engine's throttle
@@ -28,7 +28,7 @@
 	onKeepalive  func(eventloop.Nanos)
 }
 
-// status returns what keepalive decides by.
+// status returns the status by which package keepalive decides.
 func (c *conn) status() keepalive.ConnStatus {
 	status := c.activity
 	status.Ready = c.connected && !c.retired && c.http2.CanOpenStream()
@@ -36,10 +36,10 @@
 	return status
 }
 
-// scheduleFlush has the output of the connection written at the end of this iteration of the loop.
+// scheduleFlush makes the next Backend.Flush queue the connection's output on its socket.
 func (c *conn) scheduleFlush() {
-	if !c.flushPending && !c.closed {
-		c.flushPending = true
+	if !c.flushScheduled && !c.closed {
+		c.flushScheduled = true
 		c.backend.unflushed = append(c.backend.unflushed, c)
 	}
 }
@@ -49,16 +49,16 @@
 		return
 	}
 	if c.connected && c.http2.HasOutput() {
-		c.conn.Write(c.http2.TakeOutput())
+		c.transport.Write(c.http2.TakeOutput())
 	}
 	if c.http2.Err() != nil {
-		c.conn.CloseAfterFlush()
-	} else if c.conn.QueuedBytes() > pauseOutputBytes {
+		c.transport.CloseAfterFlush()
+	} else if c.transport.QueuedBytes() > pauseOutputBytes {
 		c.http2.SetOutputPaused(true)
 	}
 }
 
-// checkKeepalive pings or closes the connection if keepalive says so, and sets the timer of the next check.
+// checkKeepalive pings or closes the connection if package keepalive decides so, and sets the timer of the next check.
 func (c *conn) checkKeepalive(now eventloop.Nanos) {
 	if c.closed {
 		return
@@ -76,17 +76,17 @@
 	case keepalive.CloseDead:
 		b.dispatcher.Counts.DeadConnections++
 		b.log.Warn("keepalive failed", "server_id", c.server.id, "attempts", c.activity.StreamCount)
-		c.conn.Close()
+		c.transport.Close()
 		return
 	case keepalive.CloseUnused:
 		c.closedUnused = true
-		c.conn.Close()
+		c.transport.Close()
 		return
 	}
 	b.loop.SetTimer(&c.timer, nextCheck, c.onKeepalive)
 }
 
-// finishWaiting ends the attempts that wait on the connection. None of them was sent.
+// finishWaiting finishes the attempts that wait on the connection with an outcome. None of them was sent.
 func (c *conn) finishWaiting(now eventloop.Nanos, outcome policy.Outcome) {
 	waiting := c.waiting
 	c.waiting = nil
@@ -97,13 +97,13 @@
 	}
 }
 
-// Opened implements eventloop.Handler: the connection is up.
+// Opened implements eventloop.Handler. It sends the attempts and releases that waited for the connection.
 func (c *conn) Opened(now eventloop.Nanos) {
 	c.now, c.connected, c.activity.LastReceivedAt = now, true, now
 	c.server.sendWaiting(now)
-	for _, id := range c.waiting { // the throttle holds these back
+	for _, id := range c.waiting { // these wait for the throttle
 		if a := c.backend.findWaiting(c, id); a != nil {
-			a.limitWait(now)
+			a.limitThrottleWait(now)
 		}
 	}
 	c.server.sendPendingReleases(c)
@@ -114,12 +114,12 @@
 // Received implements eventloop.Handler.
 func (c *conn) Received(now eventloop.Nanos, p []byte) {
 	c.now, c.activity.LastReceivedAt = now, now
-	_ = c.http2.Feed(now, p) // flush looks at the error
+	_ = c.http2.Feed(now, p) // flush closes the connection after an error
 	c.scheduleFlush()
 }
 
 // PeerHalfClosed implements eventloop.Handler.
-func (c *conn) PeerHalfClosed(eventloop.Nanos) { c.conn.Close() }
+func (c *conn) PeerHalfClosed(eventloop.Nanos) { c.transport.Close() }
 
 // OutputFlushed implements eventloop.Handler.
 func (c *conn) OutputFlushed(now eventloop.Nanos) {
@@ -128,7 +128,7 @@
 	c.flush()
 }
 
-// Closed implements eventloop.Handler: the connection is gone or could not be made.
+// Closed implements eventloop.Handler. The connection has ended or could not be established.
 func (c *conn) Closed(now eventloop.Nanos, err error) {
 	c.now, c.closed = now, true
 	c.backend.loop.CancelTimer(&c.timer)
--- a/internal/backend/grpc/discovery.go
+++ b/internal/backend/grpc/discovery.go
@@ -14,19 +14,20 @@
 	"docksail/policy"
 )
 
-// checksPerRetryInterval is how often in a retry interval the file is checked or a silent discovery server is.
+// checksPerRetryInterval is how many times in a retry interval the endpoint list file or a silent discovery server is
+// checked.
 const checksPerRetryInterval = 8
 
-// DiscoveryConfig says where the endpoint list comes from: a discovery server or a file.
+// DiscoveryConfig configures the source of the endpoint list: a discovery server or a file.
 type DiscoveryConfig struct {
-	Addr          netip.AddrPort // of the discovery server; not used if there is a File
+	Addr          netip.AddrPort // address of the discovery server; not used if File is set
 	File          string
-	CacheFile     string // keeps the list for the next start; empty = none
+	CacheFile     string // file that keeps the list for the next start; empty = none
 	RetryInterval int64  // nanoseconds
 }
 
-// endpointWatcher follows the endpoint list and applies its updates to the backend's servers and to the module. The
-// watch on a discovery server is in watch.go, the file is read in listfile.go.
+// endpointWatcher watches the endpoint list, applies updates to the backend's servers and reports them to the module.
+// The watch on a discovery server is in watch.go; listfile.go reads the file.
 type endpointWatcher struct {
 	backend       *Backend
 	addr          netip.AddrPort
@@ -36,11 +37,11 @@
 	timer         eventloop.Timer
 
 	fileModTime time.Time
-	saves       chan []byte // lists for saveLists to write; nil = the list is not kept
+	listsToSave chan []byte // encoded lists for saveLists; nil = the list is not saved
 
 	conn             *eventloop.Conn // nil = there is no connection
 	http2            *h2.Conn
-	isOpen           bool
+	isOpen           bool            // the connection is established
 	now              eventloop.Nanos // time of the event that is being handled
 	lastReceivedAt   eventloop.Nanos
 	lastPingAt       eventloop.Nanos
@@ -54,13 +55,13 @@
 	}
 }
 
-// start applies the list that was kept by the last start, if there is one, and asks for the current one.
+// start applies the cached list, if there is one, and requests the current list.
 func (w *endpointWatcher) start() {
 	now := w.backend.loop.Now()
 	if w.cacheFile != "" {
 		w.loadCache(now)
-		w.saves = make(chan []byte, 1)
-		go saveLists(w.cacheFile, w.saves, w.backend.log)
+		w.listsToSave = make(chan []byte, 1)
+		go saveLists(w.cacheFile, w.listsToSave, w.backend.log)
 	}
 	if w.file != "" {
 		w.pollFile(w.backend.loop.Now())
@@ -69,7 +70,7 @@
 	w.connect(w.backend.loop.Now())
 }
 
-// loadCache applies the list that was kept by the last start.
+// loadCache applies the list that the previous run of the dispatcher saved.
 func (w *endpointWatcher) loadCache(now eventloop.Nanos) {
 	b := w.backend
 	endpoints, err := b.list.Load(w.cacheFile)
@@ -82,7 +83,7 @@
 	}
 }
 
-// apply applies an update of the list and reports what it changes.
+// apply applies an update of the list, reports what it changes to the module and saves the new list.
 func (w *endpointWatcher) apply(now eventloop.Nanos, version uint64, full bool, endpoints []endpointlist.Endpoint,
 ) error {
 	changed, err := w.backend.list.Apply(endpointlist.Update{Version: version, Full: full, Endpoints: endpoints})
@@ -96,8 +97,8 @@
 	return nil
 }
 
-// report updates the servers and reports them to the module. A full update names all servers, as the module forgets the
-// others.
+// report updates the servers of endpoints and reports them to the module. After a full update it reports all servers,
+// as the module forgets the others.
 func (w *endpointWatcher) report(now eventloop.Nanos, full bool, endpoints []endpointlist.Endpoint) {
 	b := w.backend
 	if full {
@@ -110,7 +111,8 @@
 	})
 }
 
-// updateServer applies an entry of the list to its server, which may be new, and reports it to the module.
+// updateServer applies an entry of the list to its server, which it creates if necessary, and reports it to the
+// module.
 func (b *Backend) updateServer(now eventloop.Nanos, module dispatch.Module, endpoint *endpointlist.Endpoint) {
 	s := b.servers[endpoint.ID]
 	if s == nil {
@@ -119,7 +121,7 @@
 	}
 	s.update(now, endpoint)
 	startedAt := policy.Nanos(0)
-	if endpoint.StartedAt > 0 { // the engine's clock may be ahead of ours
+	if endpoint.StartedAt > 0 { // the engine's clock may be ahead of the dispatcher's
 		startedAt = min(policy.Nanos(endpoint.StartedAt), b.dispatcher.ModuleTime(now))
 	}
 	module.ServerListed(endpoint.ID, b.list.ZoneID(endpoint.Zone), policy.KindID(endpoint.Role),
@@ -128,31 +130,31 @@
 		"health", int(endpoint.Health))
 }
 
-// isOutOfDate reports whether there is no watch on the list: servers may have restarted unseen.
-func (w *endpointWatcher) isOutOfDate() bool { return w.file == "" && !w.isOpen }
+// mayBeStale reports whether no watch is established, so that servers may have restarted since the last update.
+func (w *endpointWatcher) mayBeStale() bool { return w.file == "" && !w.isOpen }
 
-// save has the list kept for the next start. If the writer is behind, an older list need not be written any more.
+// save passes the list to saveLists. It replaces an older list that saveLists has not taken yet.
 func (w *endpointWatcher) save() {
-	if w.saves == nil {
+	if w.listsToSave == nil {
 		return
 	}
 	encoded := w.backend.list.Encode()
 	select {
-	case w.saves <- encoded:
+	case w.listsToSave <- encoded:
 		return
 	default:
 	}
 	select {
-	case <-w.saves:
+	case <-w.listsToSave:
 	default:
 	}
 	select {
-	case w.saves <- encoded:
+	case w.listsToSave <- encoded:
 	default:
 	}
 }
 
-// saveLists writes lists to a file until the channel is closed. It runs on a goroutine of its own.
+// saveLists writes lists to a file until the channel is closed. It runs on its own goroutine.
 func saveLists(name string, lists <-chan []byte, log *slog.Logger) {
 	for encoded := range lists {
 		if err := endpointlist.Save(name, encoded); err != nil {
@@ -161,9 +163,9 @@
 	}
 }
 
-// close ends saveLists. The loop must have ended.
+// close ends saveLists. It must be called after the loop has ended.
 func (w *endpointWatcher) close() {
-	if w.saves != nil {
-		close(w.saves)
+	if w.listsToSave != nil {
+		close(w.listsToSave)
 	}
 }
--- a/internal/backend/grpc/encode.go
+++ b/internal/backend/grpc/encode.go
@@ -11,7 +11,7 @@
 	"docksail/policy"
 )
 
-// Field numbers of docksail.v1.Launch. Those of the attempt's identity are the same in docksail.v1.ReleaseRequest.
+// Field numbers of docksail.v1.Launch. Those that identify the attempt are the same in docksail.v1.ReleaseRequest.
 const (
 	fieldIncarnation      protowire.Number = 1
 	fieldRequest          protowire.Number = 2
@@ -22,7 +22,7 @@
 	fieldPreviousAttempts protowire.Number = 7
 )
 
-// attemptHeader returns the header fields that name an attempt, and how many they are.
+// attemptHeader returns the header fields that identify an attempt in fields[:n].
 func attemptHeader(requestName string, number policy.AttemptNumber, traceParent string,
 ) (fields [3]hpack.HeaderField, n int) {
 	fields[0] = hpack.HeaderField{Name: "docksail-job", Value: requestName, Sensitive: true}
@@ -34,7 +34,7 @@
 	return fields, 3
 }
 
-// appendAttempt appends the message that sends an attempt to an engine.
+// appendAttempt appends the encoded docksail.v1.Launch of an attempt.
 func (b *Backend) appendAttempt(p []byte, now eventloop.Nanos, req *dispatch.Request, number policy.AttemptNumber,
 ) []byte {
 	p = appendAttemptID(p, b.dispatcher.Incarnation(), req.ID, number)
@@ -53,7 +53,7 @@
 	return p
 }
 
-// appendAttemptID appends the fields that identify an attempt. They are all of the message that releases its state.
+// appendAttemptID appends the fields that identify an attempt. A docksail.v1.ReleaseRequest consists of these only.
 func appendAttemptID(p []byte, incarnation uint64, id policy.RequestID, number policy.AttemptNumber) []byte {
 	p = appendVarint(p, fieldIncarnation, incarnation)
 	p = appendVarint(p, fieldRequest, uint64(id))
--- a/internal/backend/grpc/encode_test.go
+++ b/internal/backend/grpc/encode_test.go
@@ -12,7 +12,7 @@
 	"docksail/policy"
 )
 
-// The messages that are put together field by field are those that protobuf marshals.
+// TestAppendAttempt checks that package protobuf decodes an encoded attempt to the expected message.
 func TestAppendAttempt(t *testing.T) {
 	message := &pb.GenerateRequest{Track: "chat", PromptTokens: 100, MaxTokens: 7}
 	raw, err := proto.Marshal(message)
@@ -65,6 +65,7 @@
 	}
 }
 
+// TestAppendAttemptID checks that a release is encoded as package protobuf encodes it.
 func TestAppendAttemptID(t *testing.T) {
 	want, err := proto.Marshal(&pb.ReleaseRequest{Dispatcher: 7, Job: 1 << 32, Shot: 5})
 	if err != nil {
--- a/internal/backend/grpc/listfile.go
+++ b/internal/backend/grpc/listfile.go
@@ -9,14 +9,14 @@
 	"docksail/internal/state/endpointlist"
 )
 
-// listFile is what was read from the file with the endpoint list.
+// listFile is the content of the endpoint list file.
 type listFile struct {
 	endpoints []endpointlist.Endpoint
 	warnings  []string
 	modTime   time.Time
 }
 
-// pollFile reads the file if it has changed, on another goroutine, and sets the timer of the next check.
+// pollFile reads the file on another goroutine if it has changed, and sets the timer of the next check.
 func (w *endpointWatcher) pollFile(now eventloop.Nanos) {
 	b, name, modTime := w.backend, w.file, w.fileModTime
 	go func() {
@@ -26,7 +26,7 @@
 	b.loop.SetTimer(&w.timer, now+w.checkInterval, w.pollFile)
 }
 
-// fileRead applies what was read from the file.
+// fileRead applies the result of reading the file. It runs on the loop.
 func (w *endpointWatcher) fileRead(file listFile, err error) {
 	b := w.backend
 	if err != nil {
@@ -45,7 +45,7 @@
 	}
 }
 
-// readListFile reads the file unless it was last modified at modTime.
+// readListFile reads the file unless its modification time is still modTime.
 func readListFile(name string, modTime time.Time) (listFile, error) {
 	unchanged := listFile{modTime: modTime}
 	info, err := os.Stat(name)
--- a/internal/backend/grpc/load.go
+++ b/internal/backend/grpc/load.go
@@ -11,16 +11,16 @@
 	"docksail/policy"
 )
 
-// Names of the load report in trailers and of the metrics in it.
+// Names of the trailer field with the load report and of the metrics in the report.
 const (
-	loadReportTrailer  = "endpoint-load-metrics-bin"
-	metricRequests     = "requests"
-	metricUnreadTokens = "unread_tokens"
-	metricAge          = "age_ms"
+	loadReportTrailer        = "endpoint-load-metrics-bin"
+	metricRequests           = "requests"
+	metricQueuedPromptTokens = "unread_tokens"
+	metricAge                = "age_ms"
 )
 
-// loadReport returns the ORCA load report of a trailer, or policy.NoLoadReport if there is none that is valid and
-// recent.
+// loadReport returns the ORCA load report in a trailer, or policy.NoLoadReport if there is none or it is malformed or
+// stale.
 func (b *Backend) loadReport(trailer *h2.Header) policy.LoadReport {
 	text := trailer.Get(loadReportTrailer)
 	if text == "" {
@@ -42,7 +42,7 @@
 	if v, ok := report.NamedMetrics[metricRequests]; ok {
 		load.Requests = v
 	}
-	if v, ok := report.NamedMetrics[metricUnreadTokens]; ok {
+	if v, ok := report.NamedMetrics[metricQueuedPromptTokens]; ok {
 		load.QueuedPromptTokens = v
 	}
 	if ms, ok := report.NamedMetrics[metricAge]; ok && !b.keepalive.IsLoadReportFresh(int64(ms*1e6)) {
--- a/internal/backend/grpc/release.go
+++ b/internal/backend/grpc/release.go
@@ -8,14 +8,14 @@
 	"docksail/policy"
 )
 
-// pendingRelease is a release of the KV state that an attempt left at a server.
+// pendingRelease identifies the attempt whose KV state a server is to release.
 type pendingRelease struct {
 	request policy.RequestID
 	attempt policy.AttemptNumber
 }
 
-// sendRelease sends a release on a connection, which may be nil, or on another one. Without a usable connection the
-// release waits for the next one.
+// sendRelease sends a release on connection c if it is usable, else on another one. c may be nil. If no connection is
+// usable, the release waits for the next one.
 func (s *server) sendRelease(now eventloop.Nanos, c *conn, release pendingRelease) {
 	if c == nil || c.closed || c.retired || !c.http2.CanOpenStream() {
 		c = s.usableConn()
@@ -25,13 +25,13 @@
 		return
 	}
 	if !keepalive.MayQueueRelease(len(s.releases)) || s.connForAttempt(now) == nil {
-		s.releaseLost(release, "no connection")
+		s.recordReleaseLost(release, "no connection")
 		return
 	}
 	s.releases = append(s.releases, release)
 }
 
-// sendPendingReleases sends the releases that waited on a connection that is up now.
+// sendPendingReleases sends the waiting releases on a connection that has just been established.
 func (s *server) sendPendingReleases(c *conn) {
 	for _, release := range s.releases {
 		if c.http2.CanOpenStream() {
@@ -41,24 +41,24 @@
 	s.releases = s.releases[:0]
 }
 
-// dropPendingReleases gives up the releases that waited: the engine is out of reach. Either it has ended or it drops
-// the state after a time of its own.
+// dropPendingReleases abandons the waiting releases, as the engine cannot be reached: it has ended, or it drops the
+// state after its own timeout.
 func (s *server) dropPendingReleases() {
 	for _, release := range s.releases {
-		s.releaseLost(release, "not reached")
+		s.recordReleaseLost(release, "not reached")
 	}
 	s.releases = s.releases[:0]
 }
 
-// releaseAnswered records the engine's answer to a release.
-func (s *server) releaseAnswered(release pendingRelease, code codes.Code) {
+// handleReleaseStatus records a release as lost if the engine has answered it with an error.
+func (s *server) handleReleaseStatus(release pendingRelease, code codes.Code) {
 	if code != codes.OK {
-		s.releaseLost(release, code.String())
+		s.recordReleaseLost(release, code.String())
 	}
 }
 
-// releaseLost records a release that had no effect: the engine drops the state after a time of its own.
-func (s *server) releaseLost(release pendingRelease, reason string) {
+// recordReleaseLost counts and logs a release that had no effect. The engine drops the state after its own timeout.
+func (s *server) recordReleaseLost(release pendingRelease, reason string) {
 	d := s.backend.dispatcher
 	d.Counts.ReleasesLost++
 	s.backend.log.Warn("release lost", "request_id", d.RequestName(release.request), "attempt", release.attempt,
--- a/internal/backend/grpc/release_test.go
+++ b/internal/backend/grpc/release_test.go
@@ -10,7 +10,7 @@
 	"docksail/internal/h2"
 )
 
-// A release that an engine answers with an error is counted as lost, one that it takes is not.
+// TestReleaseAnsweredByEngine checks that a release counts as lost if and only if the engine answers it with an error.
 func TestReleaseAnsweredByEngine(t *testing.T) {
 	for code, want := range map[codes.Code]uint64{codes.OK: 0, codes.Unavailable: 1, codes.Internal: 1} {
 		d := &dispatch.Dispatcher{}
--- a/internal/backend/grpc/server.go
+++ b/internal/backend/grpc/server.go
@@ -16,25 +16,25 @@
 	backend  *Backend
 	id       policy.ServerID
 	addr     netip.AddrPort
-	name     string // addr, as :authority has it
+	name     string // addr as text, also the :authority of calls
 	role     policy.Role
 	conns    []*conn
 	releases []pendingRelease // releases that wait for a connection
-	// throttle holds attempts back after a connection was lost: the engine may have restarted.
+	// throttle limits attempts after a connection was lost, as the engine may have restarted.
 	throttle     keepalive.RestartThrottle
-	lostLastConn bool // the last connection was lost or could not be made
+	lostLastConn bool // the connection that ended last was lost or could not be established
 }
 
-// update applies the entry of the server in the endpoint list.
+// update applies an update of the server's entry in the endpoint list.
 func (s *server) update(now eventloop.Nanos, endpoint *endpointlist.Endpoint) {
 	s.role = endpoint.Role
 	if s.addr != endpoint.Address {
 		s.addr, s.name = endpoint.Address, endpoint.Address.String()
-		for _, c := range s.conns { // attempts at the former address run to their end
+		for _, c := range s.conns { // outstanding attempts at the former address continue
 			c.retired = true
 		}
 	}
-	if endpoint.Health != policy.Serving || s.throttle.IsActive() { // the module decides again, by what it knows now
+	if endpoint.Health != policy.Serving || s.throttle.IsActive() { // the module decides again with the update
 		s.dropWaiting(now)
 	}
 	s.throttle.ListUpdated()
@@ -49,14 +49,15 @@
 	return n
 }
 
-// connForAttempt returns the connection for an attempt, which may still have to be made; nil if there can be none.
+// connForAttempt returns the connection for an attempt, which may still be connecting, or nil if there is none and
+// none can be dialed.
 func (s *server) connForAttempt(now eventloop.Nanos) *conn {
 	b := s.backend
-	b.statuses = b.statuses[:0]
+	b.connStatuses = b.connStatuses[:0]
 	for _, c := range s.conns {
-		b.statuses = append(b.statuses, c.status())
+		b.connStatuses = append(b.connStatuses, c.status())
 	}
-	choice, index := keepalive.SelectConn(b.statuses)
+	choice, index := keepalive.SelectConn(b.connStatuses)
 	switch choice {
 	case keepalive.UseConn:
 		return s.conns[index]
@@ -67,19 +68,19 @@
 	return nil
 }
 
-// dial begins to connect to the server. It returns nil if no socket can be had.
+// dial starts to connect to the server. It returns nil if the loop reports an error, such as a lack of descriptors.
 func (s *server) dial(now eventloop.Nanos) *conn {
 	b := s.backend
 	c := &conn{backend: b, server: s, activity: keepalive.ConnStatus{LastReceivedAt: now, LastUsedAt: now}}
 	c.onKeepalive = c.checkKeepalive
 	c.http2 = h2.NewClientConn(b.limits, c)
 	var err error
-	if c.conn, err = b.loop.Dial(s.addr, b.connectTimeout, c); err != nil {
+	if c.transport, err = b.loop.Dial(s.addr, b.connectTimeout, c); err != nil {
 		b.log.Warn("connect failed", "server_id", s.id, "error", err)
 		return nil
 	}
-	c.conn.SetOutputLimit(maxOutputBytes)
-	if len(s.conns) == 0 && (s.lostLastConn || b.watcher.isOutOfDate()) {
+	c.transport.SetOutputLimit(maxOutputBytes)
+	if len(s.conns) == 0 && (s.lostLastConn || b.watcher.mayBeStale()) {
 		s.throttle.ConnLost()
 	}
 	s.conns = append(s.conns, c)
@@ -94,7 +95,7 @@
 	s.lostLastConn = !c.closedUnused && !c.retired
 }
 
-// usableConn returns a connection that takes another stream, or nil.
+// usableConn returns a connection on which another stream can be opened, or nil.
 func (s *server) usableConn() *conn {
 	for _, c := range s.conns {
 		if c.connected && !c.retired && c.http2.CanOpenStream() {
@@ -104,7 +105,7 @@
 	return nil
 }
 
-// sendWaiting sends waiting attempts as far as the server's throttle allows.
+// sendWaiting sends as many waiting attempts as the server's throttle allows.
 func (s *server) sendWaiting(now eventloop.Nanos) {
 	for _, c := range s.conns {
 		for c.connected && !c.closed && len(c.waiting) > 0 && s.throttle.Allows(s.sentAttempts()) {
@@ -117,7 +118,7 @@
 	}
 }
 
-// dropWaiting ends the attempts that wait. By the time they could be sent it may be too late for them.
+// dropWaiting finishes the waiting attempts as not sent, so that the module can place their requests elsewhere.
 func (s *server) dropWaiting(now eventloop.Nanos) {
 	for _, c := range s.conns {
 		c.finishWaiting(now, policy.NotSent)
--- a/internal/backend/grpc/stream.go
+++ b/internal/backend/grpc/stream.go
@@ -10,11 +10,11 @@
 	"docksail/policy"
 )
 
-// messageHeaderBytes precede each message on a gRPC stream.
+// messageHeaderBytes is the length of the header that precedes each message on a gRPC stream.
 const messageHeaderBytes = 5
 
-// sendWaitingAttempt sends an attempt that has waited, unless it is too late for it or the connection takes no more
-// streams.
+// sendWaitingAttempt sends an attempt that has waited. It finishes the attempt as not sent if its start deadline has
+// passed or no further stream can be opened on the connection.
 func (c *conn) sendWaitingAttempt(now eventloop.Nanos, a *attempt) {
 	number, outstanding := a.request.OutstandingAttempt()
 	switch {
@@ -44,8 +44,8 @@
 	c.scheduleFlush()
 }
 
-// sendRelease sends a release. If it is lost with the connection it is sent again on another one, as long as the
-// engine can be reached.
+// sendRelease sends a release. If the connection closes before the engine has answered, StreamReset sends the release
+// again on another connection.
 func (c *conn) sendRelease(release pendingRelease) {
 	b := c.backend
 	s := c.http2.OpenStream(pathRelease, c.server.name, b.keepalive.LatencyTarget)
@@ -55,7 +55,7 @@
 	c.scheduleFlush()
 }
 
-// requestOf returns the request whose outstanding attempt a stream is, or nil.
+// requestOf returns the request whose outstanding attempt uses a stream, or nil.
 func (c *conn) requestOf(s *h2.Stream) *dispatch.Request {
 	if s.UserID == 0 {
 		return nil
@@ -67,8 +67,8 @@
 	return req
 }
 
-// detach ends the relation of a stream that the engine has ended and its attempt.
-func detach(s *h2.Stream, req *dispatch.Request) {
+// detachStream dissociates a stream that has ended from its attempt.
+func detachStream(s *h2.Stream, req *dispatch.Request) {
 	s.UserID = 0
 	attemptOf(req).stream = nil
 }
@@ -76,7 +76,7 @@
 // HeadersReceived implements h2.Handler.
 func (c *conn) HeadersReceived(*h2.Stream, *h2.Header) { c.activity.PingsWithoutData = 0 }
 
-// MessageReceived implements h2.Handler: a piece of an answer has come.
+// MessageReceived implements h2.Handler. It relays a piece of an answer to the client.
 func (c *conn) MessageReceived(s *h2.Stream, p []byte) bool {
 	c.activity.PingsWithoutData = 0
 	req := c.requestOf(s)
@@ -93,19 +93,19 @@
 // RequestEnded implements h2.Handler.
 func (c *conn) RequestEnded(*h2.Stream) {}
 
-// StreamFinished implements h2.Handler: the engine has ended a stream with a status.
+// StreamFinished implements h2.Handler. The engine has ended the stream with a status.
 func (c *conn) StreamFinished(s *h2.Stream, code codes.Code, _ string, trailer *h2.Header) {
 	c.activity.PingsWithoutData = 0
 	if release, ok := s.UserData.(pendingRelease); ok {
 		s.UserData = nil
-		c.server.releaseAnswered(release, code)
+		c.server.handleReleaseStatus(release, code)
 		return
 	}
 	req := c.requestOf(s)
 	if req == nil {
 		return
 	}
-	detach(s, req)
+	detachStream(s, req)
 	outcome := outcomeOf(req, code)
 	if outcome == policy.Prefilled {
 		c.server.throttle.AnswerReceived()
@@ -114,7 +114,7 @@
 	c.scheduleFlush()
 }
 
-// outcomeOf returns the outcome of an attempt that the engine has ended with a status.
+// outcomeOf returns the outcome of an attempt that the engine has ended with a status code.
 func outcomeOf(req *dispatch.Request, code codes.Code) policy.Outcome {
 	_, stateHeld := req.StateHolder()
 	switch {
@@ -134,8 +134,8 @@
 	return policy.Failed
 }
 
-// StreamReset implements h2.Handler: a stream was reset, or lost with the connection. refused says that the engine
-// has not processed it.
+// StreamReset implements h2.Handler. The stream was reset, or its connection is lost. If refused is true, the engine
+// has not processed the stream.
 func (c *conn) StreamReset(s *h2.Stream, _ http2.ErrCode, refused bool) {
 	if release, ok := s.UserData.(pendingRelease); ok && c.closed {
 		s.UserData = nil
@@ -146,7 +146,7 @@
 	if req == nil {
 		return
 	}
-	detach(s, req)
+	detachStream(s, req)
 	outcome := policy.ConnectionLost
 	if refused {
 		outcome = policy.Rejected
@@ -157,7 +157,7 @@
 // StreamFlushed implements h2.Handler.
 func (c *conn) StreamFlushed(*h2.Stream) {}
 
-// GoAwayReceived implements h2.Handler: the engine takes no more streams here. Those that are open run to their end.
+// GoAwayReceived implements h2.Handler. The engine accepts no new streams on the connection; open streams continue.
 func (c *conn) GoAwayReceived() { c.scheduleFlush() }
 
 // PingAcked implements h2.Handler.
--- a/internal/backend/grpc/watch.go
+++ b/internal/backend/grpc/watch.go
@@ -16,8 +16,8 @@
 	"docksail/policy"
 )
 
-// connect opens the watch on the discovery server, unless there is one. The loss of the watch is reported to the
-// module, which asks for another.
+// connect connects to the discovery server to open a watch, unless there is a connection or the list comes from a
+// file. Failures are reported to the module, which requests another watch by Backend.WatchEndpoints.
 func (w *endpointWatcher) connect(now eventloop.Nanos) {
 	if w.file != "" || w.conn != nil {
 		return
@@ -33,8 +33,8 @@
 	w.conn = conn
 }
 
-// checkKeepalive pings a discovery server that is silent, or closes its connection: on one that is half open no
-// update would ever come.
+// checkKeepalive pings a discovery server that is silent and closes its connection if the ping is not answered: on a
+// half-open connection no update would ever arrive.
 func (w *endpointWatcher) checkKeepalive(now eventloop.Nanos) {
 	if w.conn == nil {
 		return
@@ -58,7 +58,7 @@
 	w.backend.loop.SetTimer(&w.timer, nextCheck, w.checkKeepalive)
 }
 
-// Opened implements eventloop.Handler: the connection is up, and the watch begins.
+// Opened implements eventloop.Handler. It opens the watch on the new connection.
 func (w *endpointWatcher) Opened(now eventloop.Nanos) {
 	w.now, w.lastReceivedAt, w.lastPingAt, w.pingsWithoutData, w.isOpen = now, now, 0, 0, true
 	s := w.http2.OpenStream(pathWatch, w.addr.String(), 0)
@@ -74,7 +74,7 @@
 // Received implements eventloop.Handler.
 func (w *endpointWatcher) Received(now eventloop.Nanos, p []byte) {
 	w.now, w.lastReceivedAt = now, now
-	_ = w.http2.Feed(now, p) // Err returns the error
+	_ = w.http2.Feed(now, p) // the error is checked by Err below
 	w.conn.Write(w.http2.TakeOutput())
 	if w.http2.Err() != nil {
 		w.conn.CloseAfterFlush()
@@ -87,7 +87,7 @@
 // OutputFlushed implements eventloop.Handler.
 func (w *endpointWatcher) OutputFlushed(eventloop.Nanos) {}
 
-// Closed implements eventloop.Handler: the watch is lost or could not be opened.
+// Closed implements eventloop.Handler. The watch is lost or could not be opened.
 func (w *endpointWatcher) Closed(now eventloop.Nanos, err error) {
 	b := w.backend
 	b.loop.CancelTimer(&w.timer)
@@ -101,8 +101,8 @@
 // HeadersReceived implements h2.Handler.
 func (w *endpointWatcher) HeadersReceived(*h2.Stream, *h2.Header) {}
 
-// MessageReceived implements h2.Handler: an update of the list has come. After an invalid one the watch is opened
-// anew, and begins with the whole list.
+// MessageReceived implements h2.Handler. It applies an update of the list. After an invalid one it closes the
+// connection: the next watch begins with the whole list.
 func (w *endpointWatcher) MessageReceived(_ *h2.Stream, p []byte) bool {
 	w.pingsWithoutData = 0
 	var update pb.FleetNews
@@ -123,7 +123,7 @@
 // RequestEnded implements h2.Handler.
 func (w *endpointWatcher) RequestEnded(*h2.Stream) {}
 
-// StreamFinished implements h2.Handler: the discovery server has ended the watch.
+// StreamFinished implements h2.Handler. The discovery server has ended the watch.
 func (w *endpointWatcher) StreamFinished(_ *h2.Stream, code codes.Code, message string, _ *h2.Header) {
 	w.backend.log.Warn("discovery watch ended", "code", code.String(), "message", message)
 	w.conn.Close()
@@ -145,19 +145,19 @@
 // PingAcked implements h2.Handler.
 func (w *endpointWatcher) PingAcked() {}
 
-var healths = map[pb.Health]policy.Health{
+var healthFromProto = map[pb.Health]policy.Health{
 	pb.Health_HEALTH_SERVING:  policy.Serving,
 	pb.Health_HEALTH_DRAINING: policy.Draining,
 	pb.Health_HEALTH_GONE:     policy.Gone,
 }
 
-var roles = map[pb.Role]policy.Role{
+var roleFromProto = map[pb.Role]policy.Role{
 	pb.Role_ROLE_READER: policy.Prefill,
 	pb.Role_ROLE_WRITER: policy.Decode,
 	pb.Role_ROLE_MIXED:  policy.Mixed,
 }
 
-// InvalidEndpointError is an endpoint in an update of the list that cannot be used.
+// InvalidEndpointError reports an invalid endpoint in an update of the list.
 type InvalidEndpointError struct {
 	Address string
 	Reason  string
@@ -168,15 +168,15 @@
 	return fmt.Sprintf("endpoint %q is invalid: %s", e.Address, e.Reason)
 }
 
-// endpointsOf returns the endpoints of an update.
+// endpointsOf converts the endpoints of an update.
 func endpointsOf(update *pb.FleetNews) ([]endpointlist.Endpoint, error) {
 	var endpoints []endpointlist.Endpoint
 	for _, host := range update.Hosts {
-		role, ok := roles[host.Role]
+		role, ok := roleFromProto[host.Role]
 		if !ok {
 			return nil, &InvalidEndpointError{host.Address, fmt.Sprintf("role %v is unknown", host.Role)}
 		}
-		health, ok := healths[host.Health]
+		health, ok := healthFromProto[host.Health]
 		if !ok {
 			return nil, &InvalidEndpointError{host.Address, fmt.Sprintf("health %v is unknown", host.Health)}
 		}
