--- a/internal/grpcnode/build.go
+++ b/internal/grpcnode/build.go
@@ -1,5 +1,5 @@
-// Package grpcnode puts a dispatcher together whose clients and engines speak gRPC: settings, decision module, core,
-// frontend and backend. Package node does the same for the platform's protocol.
+// Package grpcnode assembles a dispatcher whose clients and engines speak gRPC from its settings: decision module,
+// package dispatch, frontend and backend. Package node does the same for the platform's protocol.
 package grpcnode
 
 import (
@@ -19,18 +19,18 @@
 
 // Identity identifies one start of a dispatcher.
 type Identity struct {
-	// Seed seeds the module's random numbers.
+	// Seed seeds the module's random number generator.
 	Seed uint64
 	// Incarnation differs from one start of the dispatcher to the next.
 	Incarnation uint64
-	// Secrets is the source of keys that nobody may guess: crypto/rand.Reader except in simulations.
+	// Secrets is the source of secret keys: crypto/rand.Reader except in simulations.
 	Secrets io.Reader
 }
 
-// WrapModule returns what stands between a dispatcher and its module, for tests.
+// WrapModule wraps or replaces the module of a dispatcher. Tests and experiments use it.
 type WrapModule func(dispatch.Module) dispatch.Module
 
-// NewDispatcher returns a dispatcher on a loop, as its settings describe it. It is started by Dispatcher.Start. wrap
+// NewDispatcher returns a dispatcher on a loop, configured by settings. The caller starts it by Dispatcher.Start. wrap
 // may be nil.
 func NewDispatcher(loop *eventloop.Loop, settings *config.Dispatcher, log *slog.Logger, identity Identity,
 	wrap WrapModule,
@@ -46,35 +46,35 @@
 	if err != nil {
 		return nil, nil, fmt.Errorf("decision module: %w", err)
 	}
-	core := coreConfig(settings, router, identity.Incarnation)
+	dispatchConfig := newDispatchConfig(settings, router, identity.Incarnation)
 	if wrap != nil {
-		core.Module = wrap(router)
+		dispatchConfig.Module = wrap(router)
 	}
-	dispatcher, err := dispatch.NewQueued(loop, log, core, queueConfig(settings, identity.Secrets))
+	dispatcher, err := dispatch.NewQueued(loop, log, dispatchConfig, newQueueConfig(settings, identity.Secrets))
 	if err != nil {
 		return nil, nil, err
 	}
 	limits := h2Limits(settings)
-	clients, err := frontend.New(loop, dispatcher, frontend.Limits{
+	server, err := frontend.New(loop, dispatcher, frontend.Limits{
 		HTTP2: limits, Connections: settings.Limits.MaxConnections, OutputBytes: settings.Limits.MaxOutputBytes,
 		PartialMessageBytes: settings.Limits.MaxPartialBytes,
 	})
 	if err != nil {
 		return nil, nil, err
 	}
-	dispatcher.Attach(clients, backend.New(loop, dispatcher, log, &backend.Config{
-		LatencyTarget: core.ShortestLatencyTarget(), ConnectTimeout: int64(settings.Attempts.ConnectTimeout),
+	dispatcher.Attach(server, backend.New(loop, dispatcher, log, &backend.Config{
+		LatencyTarget: dispatchConfig.ShortestLatencyTarget(), ConnectTimeout: int64(settings.Attempts.ConnectTimeout),
 		Limits: limits, List: list,
 		Discovery: backend.DiscoveryConfig{
 			Addr: settings.Discovery.Watch, File: settings.Discovery.File, CacheFile: settings.Discovery.CacheFile,
 			RetryInterval: int64(settings.Discovery.RetryInterval),
 		},
 	}))
-	return dispatcher, clients, nil
+	return dispatcher, server, nil
 }
 
-func coreConfig(settings *config.Dispatcher, module dispatch.Module, incarnation uint64) *dispatch.Config {
-	core := &dispatch.Config{
+func newDispatchConfig(settings *config.Dispatcher, module dispatch.Module, incarnation uint64) *dispatch.Config {
+	dispatchConfig := &dispatch.Config{
 		Module: module, Classes: settings.PolicyClasses(),
 		Intake: intake.Limits{
 			MaxRequests: settings.Limits.MaxRequests, MaxPromptTokens: int64(settings.Limits.MaxPromptTokens),
@@ -83,15 +83,15 @@
 		KeyHashSeed: settings.HashKey, Incarnation: incarnation,
 	}
 	for _, class := range settings.Classes {
-		core.ClassNames = append(core.ClassNames, class.Name)
+		dispatchConfig.ClassNames = append(dispatchConfig.ClassNames, class.Name)
 	}
 	for _, tenant := range settings.Tenants {
-		core.TenantNames = append(core.TenantNames, tenant.Name)
+		dispatchConfig.TenantNames = append(dispatchConfig.TenantNames, tenant.Name)
 	}
-	return core
+	return dispatchConfig
 }
 
-func queueConfig(settings *config.Dispatcher, secrets io.Reader) *dispatch.QueueConfig {
+func newQueueConfig(settings *config.Dispatcher, secrets io.Reader) *dispatch.QueueConfig {
 	return &dispatch.QueueConfig{
 		MaxWaiting: settings.Limits.MaxWaiting, MaxClients: settings.Limits.MaxClients, FIFO: settings.FIFO,
 		IssueTickets: settings.Responses.SendRetryAfter, MaxHeapBytes: uint64(settings.Limits.MaxMemoryBytes),
@@ -99,7 +99,8 @@
 	}
 }
 
-// Tenants returns the tenants of the admission queue. Where the settings name none, all requests are one tenant's.
+// Tenants returns the tenants of the admission queue. If the settings name none, it returns one tenant without a name,
+// to which all requests belong.
 func Tenants(settings *config.Dispatcher) []dispatch.Tenant {
 	var tenants []dispatch.Tenant
 	for i, limits := range settings.TenantLimits() {
--- a/internal/grpcnode/node.go
+++ b/internal/grpcnode/node.go
@@ -14,10 +14,10 @@
 	frontend "docksail/internal/frontend/grpc"
 )
 
-// ErrEnded is returned by calls to a node whose loop has ended.
+// ErrEnded is returned by methods of a Node whose loop has ended.
 var ErrEnded = errors.New("dispatcher has ended")
 
-// Node is a dispatcher that runs on a loop of its own goroutine. Its methods may be called from any goroutine.
+// Node is a dispatcher that runs its loop on its own goroutine. Its methods may be called from any goroutine.
 type Node struct {
 	// Addr is the address that the dispatcher listens on.
 	Addr netip.AddrPort
@@ -29,15 +29,15 @@
 	err        error
 }
 
-// Status is the state of a node. It is written to the status file and to the log: names and order of the fields in
-// JSON do not change.
+// Status is the state of a node. It is written to the status file and to the log, so the JSON names and the order of
+// its fields must not change.
 type Status struct {
 	dispatch.Status
 	Frontend frontend.Counts         `json:"Front"`
-	Tenants  []dispatch.TenantStatus // in the settings' order; one without a name where they name none
+	Tenants  []dispatch.TenantStatus // in the order of the settings; one without a name if the settings name none
 }
 
-// Start starts a dispatcher as its settings describe it. wrap may be nil.
+// Start starts a dispatcher configured by settings. wrap may be nil.
 func Start(settings *config.Dispatcher, log *slog.Logger, wrap WrapModule) (*Node, error) {
 	loop, err := eventloop.New()
 	if err != nil {
@@ -74,12 +74,13 @@
 	n.dispatcher.Close()
 }
 
-// Drain has the dispatcher end within a time, without new clients and requests. Done is closed when it has ended.
+// Drain makes the dispatcher accept no new clients and requests, and end once the others are answered, at the latest
+// shortly after the timeout. It does not wait: Done is closed when the dispatcher has ended.
 func (n *Node) Drain(timeout time.Duration) {
 	n.loop.Post(func() { n.dispatcher.Drain(int64(timeout), n.loop.Stop) })
 }
 
-// Kill ends the dispatcher at once: no request is answered, and all sockets close.
+// Kill ends the dispatcher at once, without answering requests, and waits until it has ended.
 func (n *Node) Kill() {
 	n.loop.Stop()
 	<-n.done
@@ -91,11 +92,11 @@
 	return n.err
 }
 
-// Done is closed when the dispatcher has ended.
+// Done returns a channel that is closed when the dispatcher has ended.
 func (n *Node) Done() <-chan struct{} { return n.done }
 
-// RunOnLoop calls f on the loop's goroutine and waits for it. It reports false, and may not have called f, if the
-// loop has ended.
+// RunOnLoop calls f on the loop's goroutine and waits until it has returned. It returns false if the loop has ended,
+// in which case f may or may not have been called.
 func (n *Node) RunOnLoop(f func(d *dispatch.Dispatcher)) bool {
 	called := make(chan struct{})
 	if !n.loop.Post(func() { f(n.dispatcher); close(called) }) {
@@ -109,7 +110,7 @@
 	}
 }
 
-// Status returns the current state, or ErrEnded.
+// Status returns the current state. It returns ErrEnded if the loop has ended.
 func (n *Node) Status() (Status, error) {
 	var status Status
 	if !n.RunOnLoop(func(d *dispatch.Dispatcher) {
@@ -120,7 +121,7 @@
 	return status, nil
 }
 
-// SetTenantLimits takes over the limits of the tenants from changed settings: all of them or, with an error, none.
+// SetTenantLimits applies the tenants' limits of changed settings. If it returns an error, no limit has changed.
 func (n *Node) SetTenantLimits(settings *config.Dispatcher) error {
 	err := ErrEnded
 	n.RunOnLoop(func(d *dispatch.Dispatcher) { err = d.SetTenantLimits(Tenants(settings)) })
--- a/internal/grpcnode/status_test.go
+++ b/internal/grpcnode/status_test.go
@@ -7,8 +7,8 @@
 	"docksail/internal/dispatch"
 )
 
-// The status file and the log record of the counts are read by other programs: names and order of their fields do not
-// change.
+// TestStatusFields checks the JSON names and the order of the fields of Status, which other programs read from the
+// status file and the log.
 func TestStatusFields(t *testing.T) {
 	const want = `{"InHand":0,"Clients":0,"Waiting":0,"Flows":0,"Background":0,"BackgroundOut":0,"Spare":0,` +
 		`"Counts":{"Requests":0,"Served":0,"Rejected":0,"Failed":0,"ClientsLeft":0,"Refused":0,"Attempts":0,"Cancels":0,` +
