--- a/internal/grpcnode/build.go
+++ b/internal/grpcnode/build.go
@@ -27,19 +27,19 @@
 	Secrets io.Reader
 }
 
-// WrapModule wraps or replaces the module of a dispatcher. Tests and experiments use it.
-type WrapModule func(dispatch.Module) dispatch.Module
+// ModuleWrapper wraps or replaces the module of a dispatcher. Tests and experiments use it.
+type ModuleWrapper func(dispatch.Module) dispatch.Module
 
 // NewDispatcher returns a dispatcher on a loop, configured by settings. The caller starts it by Dispatcher.Start. wrap
 // may be nil.
 func NewDispatcher(loop *eventloop.Loop, settings *config.Dispatcher, log *slog.Logger, identity Identity,
-	wrap WrapModule,
+	wrap ModuleWrapper,
 ) (*dispatch.Dispatcher, error) {
 	dispatcher, _, err := build(loop, settings, log, identity, wrap)
 	return dispatcher, err
 }
 
-func build(loop *eventloop.Loop, settings *config.Dispatcher, log *slog.Logger, identity Identity, wrap WrapModule,
+func build(loop *eventloop.Loop, settings *config.Dispatcher, log *slog.Logger, identity Identity, wrap ModuleWrapper,
 ) (*dispatch.Dispatcher, *frontend.Server, error) {
 	list := endpointlist.New()
 	router, err := settings.NewPolicy(identity.Seed, list.ZoneID(settings.Zone))
--- a/internal/grpcnode/node.go
+++ b/internal/grpcnode/node.go
@@ -38,7 +38,7 @@
 }
 
 // Start starts a dispatcher configured by settings. wrap may be nil.
-func Start(settings *config.Dispatcher, log *slog.Logger, wrap WrapModule) (*Node, error) {
+func Start(settings *config.Dispatcher, log *slog.Logger, wrap ModuleWrapper) (*Node, error) {
 	loop, err := eventloop.New()
 	if err != nil {
 		return nil, err
@@ -52,7 +52,7 @@
 	return n, nil
 }
 
-func (n *Node) start(settings *config.Dispatcher, log *slog.Logger, wrap WrapModule) error {
+func (n *Node) start(settings *config.Dispatcher, log *slog.Logger, wrap ModuleWrapper) error {
 	identity := Identity{Seed: settings.Seed, Incarnation: uint64(time.Now().UnixNano()), Secrets: rand.Reader}
 	if identity.Seed == 0 {
 		identity.Seed = identity.Incarnation
