--- a/internal/frontend/platform/head.go
+++ b/internal/frontend/platform/head.go
@@ -115,17 +115,17 @@
 		r.id = append(r.id, value...)
 	case fieldClass:
 		if len(value) == 0 || len(value) > maxClassNameBytes {
-			return errors.New("want the name of a class")
+			return errors.New("class name is empty or too long")
 		}
 		r.class = append(r.class, value...)
 	case fieldSession:
 		if len(value) > maxNameBytes {
-			return errors.New("too long")
+			return errors.New("session name is too long")
 		}
 		r.session = append(r.session, value...)
 	case fieldTenant:
 		if len(value) == 0 || len(value) > maxNameBytes {
-			return errors.New("want the name of a tenant")
+			return errors.New("tenant name is empty or too long")
 		}
 		r.tenant = append(r.tenant, value...)
 	case fieldRemaining:
@@ -166,7 +166,7 @@
 	switch string(key) {
 	case "prefix":
 		if len(value) == 0 || len(value) > maxNameBytes {
-			return errors.New("want a name")
+			return errors.New("name is empty or too long")
 		}
 		r.prefix = append(r.prefix[:0], value...)
 	case "prompt_len":
--- a/internal/frontend/platform/receive.go
+++ b/internal/frontend/platform/receive.go
@@ -86,7 +86,7 @@
 	s.partialBytes += int64(len(data))
 	if s.partialBytes > s.limits.PartialRequestBytes {
 		s.partialBytes -= int64(len(data))
-		c.rejectInvalid(http.StatusServiceUnavailable, "too much has come in part")
+		c.rejectInvalid(http.StatusServiceUnavailable, "too many bytes of incomplete requests")
 		return
 	}
 	if last := len(s.bodyPool) - 1; c.incoming.body == nil && last >= 0 {
@@ -141,9 +141,9 @@
 	case string(head.Method) != http.MethodPost:
 		return &invalidRequestError{http.StatusMethodNotAllowed, "want POST"}
 	case head.HTTP10:
-		return &invalidRequestError{http.StatusHTTPVersionNotSupported, "want HTTP/1.1"}
+		return &invalidRequestError{http.StatusHTTPVersionNotSupported, "HTTP version must be 1.1"}
 	case head.ContentLength < 0 && !head.Chunked:
-		return &invalidRequestError{http.StatusLengthRequired, "want Content-Length"}
+		return &invalidRequestError{http.StatusLengthRequired, "Content-Length is missing"}
 	}
 	if err := r.head.parse(head); err != nil {
 		return &invalidRequestError{http.StatusBadRequest, err.Error()}
@@ -154,7 +154,7 @@
 // checkHealthHead checks the head of a health check and sets healthPath.
 func (r *incomingRequest) checkHealthHead(head *h1.Head, path string) *invalidRequestError {
 	if string(head.Method) != http.MethodGet || head.ContentLength > 0 || head.Chunked {
-		return &invalidRequestError{http.StatusMethodNotAllowed, "want GET without a body"}
+		return &invalidRequestError{http.StatusMethodNotAllowed, "health checks must be GET requests without a body"}
 	}
 	r.healthPath = path
 	return nil
