--- a/internal/backend/grpc/conn.go
+++ b/internal/backend/grpc/conn.go
@@ -25,7 +25,7 @@
 	waiting      []policy.RequestID // attempts that wait for the connection or for the engine's throttle
 	activity     keepalive.ConnStatus
 	timer        eventloop.Timer
-	onKeepalive  func(eventloop.Nanos)
+	onKeepalive  func(eventloop.Nanos) // checkKeepalive
 }
 
 // status returns the status by which package keepalive decides.
--- a/internal/frontend/grpc/response.go
+++ b/internal/frontend/grpc/response.go
@@ -40,7 +40,7 @@
 // WriteTokens implements frontend.ResponseWriter.
 func (w *responseWriter) WriteTokens(id policy.RequestID, p []byte) (blocked bool) {
 	if !w.stream.HeadersSent() {
-		w.stream.SendHeaders(w.requestName(id))
+		w.stream.SendHeaders(w.requestNameField(id))
 	}
 	w.stream.SendMessage(p, false)
 	w.conn.scheduleFlush()
@@ -79,14 +79,14 @@
 // them.
 func (w *responseWriter) end(id policy.RequestID, code codes.Code, message string, trailer ...hpack.HeaderField) {
 	if id != 0 && !w.stream.HeadersSent() {
-		trailer = append(trailer, w.requestName(id))
+		trailer = append(trailer, w.requestNameField(id))
 	}
 	w.stream.EndWithStatus(code, message, trailer...)
 	w.conn.scheduleFlush()
 }
 
-// requestName returns the header field with the name of a request.
-func (w *responseWriter) requestName(id policy.RequestID) hpack.HeaderField {
+// requestNameField returns the header field that names a request.
+func (w *responseWriter) requestNameField(id policy.RequestID) hpack.HeaderField {
 	return hpack.HeaderField{Name: headerRequestName, Value: w.conn.server.dispatcher.RequestName(id)}
 }
 
--- a/internal/frontend/grpc/server.go
+++ b/internal/frontend/grpc/server.go
@@ -22,7 +22,7 @@
 	firstByteTimeout = int64(10 * time.Second)
 )
 
-// Limits bound what clients may use.
+// Limits bounds the resources that clients may use.
 type Limits struct {
 	HTTP2               h2.Limits // of one connection
 	Connections         int
--- a/internal/frontend/platform/conn.go
+++ b/internal/frontend/platform/conn.go
@@ -57,11 +57,11 @@
 		c.discard(len(p))
 		return
 	}
-	waiting := c.incoming.buffer.Len()
-	if c.lifecycle.state != clientconn.StateReadingRequest && waiting == 0 {
+	buffered := c.incoming.buffer.Len()
+	if c.lifecycle.state != clientconn.StateReadingRequest && buffered == 0 {
 		c.incoming.firstByteAt = now
 	}
-	if c.lifecycle.state == clientconn.StateActive && waiting+len(p) > maxPipelinedBytes {
+	if c.lifecycle.state == clientconn.StateActive && buffered+len(p) > maxPipelinedBytes {
 		c.transport.SetReadPaused(true)
 	}
 	c.decode(p)
--- a/internal/frontend/platform/drain.go
+++ b/internal/frontend/platform/drain.go
@@ -5,8 +5,8 @@
 	"docksail/internal/eventloop"
 )
 
-// phase is the phase of the graceful shutdown. The phases follow each other in this order, at times that package
-// clientconn decides.
+// phase is how far the graceful shutdown has progressed. The phases follow each other in this order, at times that
+// package clientconn decides.
 type phase uint8
 
 const (
--- a/internal/frontend/platform/evict.go
+++ b/internal/frontend/platform/evict.go
@@ -6,7 +6,7 @@
 	"docksail/internal/indexedheap"
 )
 
-// newConnHeap returns a heap of connections, ordered by the time since which they have been in their state.
+// newConnHeap returns a heap of connections. Its minimum is the one that has been in its state for longest.
 func newConnHeap() indexedheap.Heap[*conn] {
 	return indexedheap.Heap[*conn]{
 		Index: func(c *conn) *int { return &c.lifecycle.heapIndex },
--- a/internal/frontend/platform/lifecycle.go
+++ b/internal/frontend/platform/lifecycle.go
@@ -13,7 +13,7 @@
 	stateSince eventloop.Nanos
 	heapIndex  int // in the heap of its state
 	timer      eventloop.Timer
-	onTimer    func(eventloop.Nanos)
+	onTimer    func(eventloop.Nanos) // conn.stateTimedOut
 
 	// While the connection lingers: the output queued at the last check, the time of the last check at which the client
 	// had read some of it, and the input discarded so far.
@@ -46,7 +46,8 @@
 	}
 }
 
-// stateTimedOut ends a connection that has been in its state for too long.
+// stateTimedOut ends a connection whose time in its state is over, unless its input has arrived but is not read yet or
+// its client still reads the last response.
 func (c *conn) stateTimedOut(now eventloop.Nanos) {
 	c.now = now
 	state, timer := c.lifecycle.state, &c.lifecycle.timer
--- a/internal/frontend/platform/limits_test.go
+++ b/internal/frontend/platform/limits_test.go
@@ -31,7 +31,7 @@
 				g.t.Fatal(err)
 			}
 			got += receive(g.t, c, time.Second)
-			g.waitUntil("the dispatcher is told", func() bool { return g.dispatcher.disconnects > 0 })
+			g.waitUntil("the dispatcher is notified of the disconnect", func() bool { return g.dispatcher.disconnects > 0 })
 			disconnects := 0
 			g.runOnLoop(func() { disconnects = g.dispatcher.disconnects })
 			return got + fmt.Sprint(disconnects)
@@ -70,8 +70,8 @@
 			got := exchange(g.t, g.dial(), completionRequest("held", validBody))
 			return got + receive(g.t, g.dial(), time.Second) + fmt.Sprint(g.counts())
 		}},
-		{"drain", 20, drainBytes},
-		{"drain under a stream", 20, drainUnderStreamBytes},
+		{"drain", 20, drainTranscript},
+		{"drain under a stream", 20, drainUnderStreamTranscript},
 	}
 	results := make([]string, len(cases))
 	t.Run("cases", func(t *testing.T) {
@@ -89,14 +89,14 @@
 	compareGolden(t, "testdata/limits.golden", out.String())
 }
 
-// drainBytes drains a server and returns what its clients receive before the listener closes, after that, and once
-// requests are rejected.
-func drainBytes(g *goldenServer) string {
+// drainTranscript drains a server and returns what its clients receive before the listener closes, after that, and
+// once requests are rejected.
+func drainTranscript(g *goldenServer) string {
 	idle, silent, pipelined, held := g.dial(), g.dial(), g.dial(), g.dial()
 	got := exchange(g.t, idle, getRequest("/health/ready"))
 	send(g.t, pipelined, completionRequest("held", validBody)+servedReplacing("00aa", "00bb"))
 	send(g.t, held, strings.Replace(completionRequest("held", validBody), "00aa", "00cc", 1))
-	g.waitUntil("both are submitted", func() bool { return len(g.dispatcher.writers) == 2 })
+	g.waitUntil("both requests are submitted", func() bool { return len(g.dispatcher.writers) == 2 })
 	var began time.Time
 	g.runOnLoop(func() { g.server.Drain(); began = time.Now() })
 	got += "\nready " + exchange(g.t, g.dial(), getRequest("/health/ready"))
@@ -120,8 +120,8 @@
 	return got + fmt.Sprintf("\ndial fails: %v\n%v", err != nil, g.counts())
 }
 
-// drainUnderStreamBytes drains a server while it streams a response, and returns what the client receives.
-func drainUnderStreamBytes(g *goldenServer) string {
+// drainUnderStreamTranscript drains a server while it streams a response, and returns what the client receives.
+func drainUnderStreamTranscript(g *goldenServer) string {
 	c := g.dial()
 	got := exchange(g.t, c, completionRequest("held", validBody))
 	g.runOnLoop(func() { g.conns()[0].WriteTokens(1, []byte("data: 1\n\n")) })
--- a/internal/frontend/platform/server.go
+++ b/internal/frontend/platform/server.go
@@ -21,7 +21,7 @@
 	maxPipelinedBytes = 64 << 10
 )
 
-// Limits bound what clients may use.
+// Limits bounds the resources that clients may use.
 type Limits struct {
 	Connections         int
 	PartialRequestBytes int64 // bodies of incomplete requests of all connections together
@@ -30,7 +30,7 @@
 // Counts counts events since the start.
 type Counts struct {
 	Requests               uint64 // complete and valid requests
-	InvalidRequests        uint64 // invalid requests, and those beyond Limits.PartialRequestBytes
+	InvalidRequests        uint64 // requests with an error of the client, and those beyond Limits.PartialRequestBytes
 	DuplicateIDs           uint64 // requests with the ID of one in flight
 	ConnectionLimitHits    uint64 // new connections beyond Limits.Connections
 	ConnectionsRefused     uint64 // those of them for which no other connection was closed
--- a/internal/frontend/platform/server_test.go
+++ b/internal/frontend/platform/server_test.go
@@ -82,7 +82,7 @@
 func TestRequestAsFirstByteTimeoutExpires(t *testing.T) {
 	s := startServer(t, 10)
 	c := s.dial()
-	s.waitUntil("it is connected", func() bool { return s.server.ConnCount() == 1 })
+	s.waitUntil("the connection is accepted", func() bool { return s.server.ConnCount() == 1 })
 	s.runOnLoop(func() {
 		var timer eventloop.Timer // fires in the same iteration as the connection's own timer, before it
 		silent := s.server.incomplete.Min()
@@ -108,15 +108,15 @@
 	s := startServer(t, 10)
 	c := s.dial()
 	send(t, c, completionRequest("", validBody))
-	s.waitUntil("the first is submitted", func() bool { return len(s.dispatcher.writers) == 1 })
+	s.waitUntil("the first request is submitted", func() bool { return len(s.dispatcher.writers) == 1 })
 	send(t, c, strings.Replace(completionRequest("", validBody), "00aa", "00bb", 1))
 	first := s.dispatcher.writers[0].(*conn)
-	s.waitUntil("the second is read", func() bool { return first.pipelinedBytes() > 0 })
+	s.waitUntil("the second request is read", func() bool { return first.pipelinedBytes() > 0 })
 	var arrival, now eventloop.Nanos
 	s.runOnLoop(func() { arrival = s.loop.Now() })
 	s.waitUntil("50 ms have passed", func() bool { now = s.loop.Now(); return now > arrival+50e6 })
 	s.runOnLoop(func() { first.Reject(1, frontend.RejectionError{}) })
-	s.waitUntil("the second is submitted", func() bool { return len(s.dispatcher.writers) == 2 })
+	s.waitUntil("the second request is submitted", func() bool { return len(s.dispatcher.writers) == 2 })
 	if left := s.server.request.FirstTokenTimeout; left > int64(5e9)-50e6 {
 		t.Errorf("got %d ms left of 5 s after waiting for 50 ms, want at most 4950 ms", left/1e6)
 	}
