--- a/internal/dispatch/deadline_test.go
+++ b/internal/dispatch/deadline_test.go
@@ -10,9 +10,9 @@
 	"docksail/policy"
 )
 
-// A request that the module forgets has its final answer by the dispatcher's own deadline, within half a second of its
-// client's. An outstanding attempt ends with it.
-func TestForgottenRequestIsAnswered(t *testing.T) {
+// TestUndecidedRequestIsAnswered checks that the dispatcher answers a request that the module never decides, at most
+// half a second after the client's deadline, and ends its outstanding attempt.
+func TestUndecidedRequestIsAnswered(t *testing.T) {
 	for name, c := range map[string]struct {
 		sent, idempotent bool
 		want             answerCounts
@@ -23,23 +23,23 @@
 		"non-idempotent, never sent": {want: answerCounts{rejected: 1}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			l, err := eventloop.New()
+			loop, err := eventloop.New()
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer l.Close()
+			defer loop.Close()
 			class := policy.Class{LatencyTarget: 1e9, Timeout: 5e9}
 			if !c.idempotent {
 				class.Idempotency = policy.NonIdempotent
 			}
 			module, backend, answers := &scriptedModule{}, &silentBackend{}, &answerCounts{}
-			d := NewDirect(l, slog.New(slog.DiscardHandler), &Config{
+			dispatcher := NewDirect(loop, slog.New(slog.DiscardHandler), &Config{
 				Module: module, ClassNames: []string{"a"}, Classes: []policy.Class{class},
 				Intake: intake.Limits{MaxRequests: 10, MaxPromptTokens: 1000, ListKnown: true}, Incarnation: 1,
 			})
-			d.Attach(idleFrontend{}, backend)
-			const timeout = 200e6
-			id, err := d.Submit(l.Now(), answers,
+			dispatcher.Attach(idleFrontend{}, backend)
+			const timeout = 200e6 // nanoseconds
+			id, err := dispatcher.Submit(loop.Now(), answers,
 				&frontend.Request{Class: []byte("a"), PromptTokens: 10, FirstTokenTimeout: timeout})
 			if err != nil {
 				t.Fatal(err)
@@ -49,24 +49,24 @@
 					{Action: policy.SendAttempt, Request: id, Server: 1, Duration: 1e12},
 				}
 			}
-			d.RunIteration(l.Now())
+			dispatcher.RunIteration(loop.Now())
 			var answeredAt eventloop.Nanos
-			var end eventloop.Timer
-			l.SetTimer(&end, 5e9, func(eventloop.Nanos) { l.Stop() })
-			if err := l.Run(func(now eventloop.Nanos) {
-				if d.RunIteration(now); answers.rejected+answers.failed > 0 {
+			var testTimeout eventloop.Timer
+			loop.SetTimer(&testTimeout, 5e9, func(eventloop.Nanos) { loop.Stop() })
+			if err := loop.Run(func(now eventloop.Nanos) {
+				if dispatcher.RunIteration(now); answers.rejected+answers.failed > 0 {
 					answeredAt = now
-					l.Stop()
+					loop.Stop()
 				}
 			}); err != nil {
 				t.Fatal(err)
 			}
 			if *answers != c.want || answeredAt < timeout || answeredAt > timeout+500e6 {
-				t.Errorf("%+v after %d ms, want %+v after 200 to 700 ms", *answers, answeredAt/1e6, c.want)
+				t.Errorf("got %+v after %d ms, want %+v after 200 to 700 ms", *answers, answeredAt/1e6, c.want)
 			}
-			if d.Counts.MissedDeadlines != 1 || module.canceled != 1 || d.requests.Len() != 0 {
-				t.Errorf("%d missed deadlines, module told %d times, %d requests in flight; want 1, 1, 0",
-					d.Counts.MissedDeadlines, module.canceled, d.requests.Len())
+			if dispatcher.Counts.MissedDeadlines != 1 || module.canceled != 1 || dispatcher.requests.Len() != 0 {
+				t.Errorf("%d missed deadlines, %d requests canceled in the module, %d requests in flight; want 1, 1, 0",
+					dispatcher.Counts.MissedDeadlines, module.canceled, dispatcher.requests.Len())
 			}
 			if c.sent && (backend.finished != 1 || len(module.outcomes) != 1) {
 				t.Errorf("attempt finished %d times, its end reported %d times; want 1, 1",
--- a/internal/dispatch/decisions_test.go
+++ b/internal/dispatch/decisions_test.go
@@ -10,13 +10,13 @@
 	"docksail/policy"
 )
 
-// TestEjectionRecord: an ejection is logged by the names of the server and the class, not by their numbers.
+// TestEjectionRecord checks that an ejection is logged with the names of the server and the class, not their numbers.
 func TestEjectionRecord(t *testing.T) {
-	l, err := eventloop.New()
+	loop, err := eventloop.New()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
+	defer loop.Close()
 	module := &scriptedModule{}
 	for _, class := range []policy.ClassID{policy.NoClass, 1} {
 		module.decisions = append(module.decisions, policy.Decision{
@@ -25,18 +25,18 @@
 		})
 	}
 	var log bytes.Buffer
-	d := NewDirect(l, slog.New(slog.NewTextHandler(&log, nil)), &Config{
+	dispatcher := NewDirect(loop, slog.New(slog.NewTextHandler(&log, nil)), &Config{
 		Module: module, ClassNames: []string{"chat", "draft"}, Classes: make([]policy.Class, 2),
 	})
-	d.Attach(idleFrontend{}, &silentBackend{})
-	d.RunIteration(l.Now())
+	dispatcher.Attach(idleFrontend{}, &silentBackend{})
+	dispatcher.RunIteration(loop.Now())
 	records := strings.Split(strings.TrimSpace(log.String()), "\n")
 	wants := []string{
 		`msg="endpoint ejected" server_id=s reason=silent duration=2s`,
 		`msg="endpoint ejected" server_id=s reason=silent duration=2s class=draft`,
 	}
 	if len(records) != len(wants) {
-		t.Fatalf("%d records, want %d: %q", len(records), len(wants), records)
+		t.Fatalf("got %d records, want %d: %q", len(records), len(wants), records)
 	}
 	for i, want := range wants {
 		if !strings.HasSuffix(records[i], want) {
--- a/internal/dispatch/fakes_test.go
+++ b/internal/dispatch/fakes_test.go
@@ -9,13 +9,14 @@
 	"docksail/policy"
 )
 
-// scriptedModule returns the decisions that it is given and no others: it forgets every request.
+// scriptedModule is a Module that returns only the decisions that a test has set. It records the requests and outcomes
+// reported to it.
 type scriptedModule struct {
 	Module
 	decisions []policy.Decision
 	arrived   []policy.Request
 	outcomes  []policy.Outcome
-	canceled  int
+	canceled  int // calls to RequestCanceled
 }
 
 func (m *scriptedModule) RequestArrived(_ policy.Nanos, request policy.Request) {
@@ -46,13 +47,14 @@
 // idleFrontend is a frontend without clients.
 type idleFrontend struct{}
 
-func (idleFrontend) Listen(at netip.AddrPort, _ bool) (netip.AddrPort, error) { return at, nil }
-func (idleFrontend) Flush()                                                   {}
-func (idleFrontend) ConnCount() int                                           { return 0 }
-func (idleFrontend) IsIdle() bool                                             { return true }
-func (idleFrontend) Drain()                                                   {}
+func (idleFrontend) Listen(addr netip.AddrPort, _ bool) (netip.AddrPort, error) { return addr, nil }
+func (idleFrontend) Flush()                                                     {}
+func (idleFrontend) ConnCount() int                                             { return 0 }
+func (idleFrontend) IsIdle() bool                                               { return true }
+func (idleFrontend) Drain()                                                     {}
 
-// silentBackend is a backend whose servers never answer. It is its own attempts.
+// silentBackend is a Backend whose servers never respond. It is also the Attempt that StartAttempt returns, and counts
+// the calls to Finish.
 type silentBackend struct{ finished int }
 
 func (*silentBackend) Start(eventloop.Nanos)          {}
@@ -80,7 +82,7 @@
 func (*silentBackend) ServerResponsive() bool                { return true }
 func (*silentBackend) DeliveryState() inflight.DeliveryState { return inflight.Acknowledged }
 
-// answerCounts counts the answers that a client gets.
+// answerCounts is a frontend.ResponseWriter that counts rejections and failures.
 type answerCounts struct{ rejected, failed int }
 
 func (*answerCounts) WriteTokens(policy.RequestID, []byte) bool          { return false }
