--- a/internal/backend/platform/attempt_test.go
+++ b/internal/backend/platform/attempt_test.go
@@ -6,8 +6,8 @@
 	"docksail/policy"
 )
 
-// TestAttemptOutcome: a complete response stands for one outcome by its status, the mark of a server that has not run
-// the request, and the role of the server.
+// TestAttemptOutcome checks that the outcome of an attempt with a complete response depends on the status, on whether
+// the server reports that it has not run the request, and on the role of the server.
 func TestAttemptOutcome(t *testing.T) {
 	for name, c := range map[string]struct {
 		result  attemptResult
@@ -29,12 +29,12 @@
 		"error":                     {attemptResult{statusCode: 500}, false, policy.Failed},
 	} {
 		if got := c.result.outcome(c.prefill); got != c.want {
-			t.Errorf("%s: %v, want %v", name, got, c.want)
+			t.Errorf("%s: got %v, want %v", name, got, c.want)
 		}
 	}
 	for status, want := range map[int]bool{400: true, 404: true, 410: false, 500: false} {
 		if got := (attemptResult{statusCode: status}).refusesRequest(); got != want {
-			t.Errorf("%d refuses the request: %v, want %v", status, got, want)
+			t.Errorf("status %d refuses the request: got %v, want %v", status, got, want)
 		}
 	}
 }
--- a/internal/backend/platform/conn_test.go
+++ b/internal/backend/platform/conn_test.go
@@ -14,40 +14,40 @@
 	"docksail/policy"
 )
 
-// waitTimeout limits the wait for what a test expects of a running loop.
+// waitTimeout limits the wait for a condition on a running loop.
 const waitTimeout = 5 * time.Second
 
-// TestPausedConnIsReadForNextRequest: a connection whose reading was paused for a slow client when its response ended
-// is read again when it carries the next request.
+// TestPausedConnIsReadForNextRequest checks that a connection whose reading was paused for a slow client when the
+// response ended is read again for the next request.
 func TestPausedConnIsReadForNextRequest(t *testing.T) {
-	l := newLoop(t)
+	loop := newLoop(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer listener.Close()
 	module, client := &scriptedModule{}, &slowClient{}
-	b := newBackend(t, l, module, platformconfig.Config{IdleTimeout: 15e9, ConnectTimeout: 250e6})
+	backend := newBackend(t, loop, module, platformconfig.Config{IdleTimeout: 15e9, ConnectTimeout: 250e6})
 	endpoints := []Endpoint{readyServer("w1", listener.Addr().String())}
-	b.SetInitialList(0, EndpointList{Full: true, Endpoints: endpoints})
+	backend.SetInitialList(0, EndpointList{Full: true, Endpoints: endpoints})
 	done := make(chan error)
-	go func() { done <- l.Run(b.dispatcher.RunIteration) }()
+	go func() { done <- loop.Run(backend.dispatcher.RunIteration) }()
 	defer func() {
-		l.Stop()
+		loop.Stop()
 		if err := <-done; err != nil {
 			t.Error(err)
 		}
 	}()
 	submit := func() {
-		onLoop(l, func() {
-			id, err := b.dispatcher.Submit(l.Now(), client, &frontend.Request{
+		onLoop(loop, func() {
+			id, err := backend.dispatcher.Submit(loop.Now(), client, &frontend.Request{
 				Class: []byte("a"), ClientID: []byte("n"), Path: []byte("/"), Raw: []byte("x"), PromptTokens: 1,
 			})
 			if err != nil {
 				t.Error(err)
 			}
 			module.decisions = append(module.decisions, policy.Decision{
-				Action: policy.SendAttempt, Request: id, Server: b.byName["w1"].id, Duration: 9e9,
+				Action: policy.SendAttempt, Request: id, Server: backend.byName["w1"].id, Duration: 9e9,
 			})
 		})
 	}
@@ -60,23 +60,23 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	in := bufio.NewReader(conn)
+	reader := bufio.NewReader(conn)
 	for n := range 2 {
-		answerNext(t, conn, in, response) // its end comes with the bytes that wait for the client
-		waitOnLoop(t, l, "the response is relayed", func() bool { return client.completed == n+1 })
+		respondToNextRequest(t, conn, reader, response) // the end is received with the data that pauses reading
+		waitOnLoop(t, loop, "the response to be relayed", func() bool { return client.completed == n+1 })
 		if n == 0 {
-			waitOnLoop(t, l, "the connection is reusable", func() bool {
-				return b.byName["w1"].usableIdleConn(l.Now()) != nil
+			waitOnLoop(t, loop, "the connection to become reusable", func() bool {
+				return backend.byName["w1"].usableIdleConn(loop.Now()) != nil
 			})
 			submit()
 		}
 	}
 }
 
-// answerNext reads the next request of a connection and writes the response to it.
-func answerNext(t *testing.T, conn net.Conn, in *bufio.Reader, response string) {
+// respondToNextRequest reads the next request on a connection and writes the response to it.
+func respondToNextRequest(t *testing.T, conn net.Conn, reader *bufio.Reader, response string) {
 	t.Helper()
-	r, err := http.ReadRequest(in)
+	r, err := http.ReadRequest(reader)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -88,24 +88,24 @@
 	}
 }
 
-// onLoop runs f on a running loop.
-func onLoop(l *eventloop.Loop, f func()) {
+// onLoop runs f on the goroutine of a running loop and returns when f has returned.
+func onLoop(loop *eventloop.Loop, f func()) {
 	done := make(chan struct{})
-	l.Post(func() { f(); close(done) })
+	loop.Post(func() { f(); close(done) })
 	<-done
 }
 
-// waitOnLoop waits until a condition holds, which it evaluates on a running loop.
-func waitOnLoop(t *testing.T, l *eventloop.Loop, what string, condition func() bool) {
+// waitOnLoop waits until a condition holds, which it evaluates on the goroutine of a running loop.
+func waitOnLoop(t *testing.T, loop *eventloop.Loop, awaited string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(waitTimeout); ; {
+	for deadline := time.Now().Add(waitTimeout); ; {
 		holds := false
-		onLoop(l, func() { holds = condition() })
+		onLoop(loop, func() { holds = condition() })
 		if holds {
 			return
 		}
-		if time.Now().After(end) {
-			t.Fatalf("%s: not within %v", what, waitTimeout)
+		if time.Now().After(deadline) {
+			t.Fatalf("waiting for %s: timed out after %v", awaited, waitTimeout)
 		}
 	}
 }
--- a/internal/backend/platform/harness_test.go
+++ b/internal/backend/platform/harness_test.go
@@ -13,39 +13,39 @@
 	"docksail/policy"
 )
 
-// newLoop returns an event loop that the test closes at its end.
+// newLoop returns an event loop that is closed at the end of the test.
 func newLoop(tb testing.TB) *eventloop.Loop {
 	tb.Helper()
-	l, err := eventloop.New()
+	loop, err := eventloop.New()
 	if err != nil {
 		tb.Fatal(err)
 	}
-	tb.Cleanup(l.Close)
-	return l
+	tb.Cleanup(loop.Close)
+	return loop
 }
 
-// newBackend returns a backend of a dispatcher without clients, with zone "z" and servers of the kind "decode".
-func newBackend(tb testing.TB, l *eventloop.Loop, module dispatch.Module, config platformconfig.Config) *Backend {
+// newBackend returns a backend for servers of kind "decode" in zone "z", attached to a dispatcher without clients.
+func newBackend(tb testing.TB, loop *eventloop.Loop, module dispatch.Module, config platformconfig.Config) *Backend {
 	tb.Helper()
 	log := slog.New(slog.DiscardHandler)
 	classes := []policy.Class{{LatencyTarget: 1e9, Timeout: 9e9}}
-	d := dispatch.NewDirect(l, log, &dispatch.Config{
+	dispatcher := dispatch.NewDirect(loop, log, &dispatch.Config{
 		Module: module, ClassNames: []string{"a"}, Classes: classes,
 		Intake: intake.Limits{MaxRequests: 10, MaxPromptTokens: 1000}, Incarnation: 1,
 	})
 	config.Zones, config.Kinds, config.Roles = []string{"z"}, []string{"decode"}, []policy.Role{policy.Decode}
 	config.ReleaseTime = 1e9
-	b := New(l, d, log, &config, 10, netip.AddrPort{})
-	d.Attach(noClients{}, b)
-	return b
+	backend := New(loop, dispatcher, log, &config, 10, netip.AddrPort{})
+	dispatcher.Attach(idleFrontend{}, backend)
+	return backend
 }
 
-// readyServer returns the entry of a server that takes requests.
+// readyServer returns the endpoint list entry of a server that accepts requests.
 func readyServer(id, addr string) Endpoint {
 	return Endpoint{ID: id, Addr: addr, Zone: "z", Kind: "decode", State: "Ready"}
 }
 
-// scriptedModule returns the decisions that a test gives it.
+// scriptedModule is a dispatch.Module that returns only the decisions that a test has set.
 type scriptedModule struct{ decisions []policy.Decision }
 
 func (*scriptedModule) ListUpdateStarted(bool) {}
@@ -80,16 +80,16 @@
 	return next, true
 }
 
-// noClients is a frontend without clients.
-type noClients struct{}
+// idleFrontend is a frontend without clients.
+type idleFrontend struct{}
 
-func (noClients) Listen(at netip.AddrPort, _ bool) (netip.AddrPort, error) { return at, nil }
-func (noClients) Flush()                                                   {}
-func (noClients) ConnCount() int                                           { return 0 }
-func (noClients) IsIdle() bool                                             { return true }
-func (noClients) Drain()                                                   {}
+func (idleFrontend) Listen(addr netip.AddrPort, _ bool) (netip.AddrPort, error) { return addr, nil }
+func (idleFrontend) Flush()                                                     {}
+func (idleFrontend) ConnCount() int                                             { return 0 }
+func (idleFrontend) IsIdle() bool                                               { return true }
+func (idleFrontend) Drain()                                                     {}
 
-// slowClient is a client whose connection takes nothing: what is relayed to it waits.
+// slowClient is the frontend.ResponseWriter of a client that reads nothing, so that reading from the server is paused.
 type slowClient struct{ completed int }
 
 func (*slowClient) WriteTokens(policy.RequestID, []byte) bool        { return true }
--- a/internal/backend/platform/jsonobjects_test.go
+++ b/internal/backend/platform/jsonobjects_test.go
@@ -9,36 +9,37 @@
 	"docksail/internal/h1"
 )
 
-// TestObjectSplitter: wherever a stream of objects is cut, they come out as they were.
+// TestObjectSplitter checks that a stream is split into its objects wherever it is cut in two, and that an unexpected
+// byte between objects and an object that is too long are rejected.
 func TestObjectSplitter(t *testing.T) {
 	want := []string{`{"a":"}{\"[","b":[{"c":1},[]]}`, "{\n\t\"x\": \"\\\\\"\n}", "[1]"}
 	text := "\n" + want[0] + want[1] + "\r\n\n " + want[2] + "\n"
 	for cut := range len(text) {
-		var s objectSplitter
+		var splitter objectSplitter
 		var got []string
-		for _, p := range []string{text[:cut], text[cut:]} {
-			err := s.feed([]byte(p), func(text []byte) error { got = append(got, string(text)); return nil })
+		for _, piece := range []string{text[:cut], text[cut:]} {
+			err := splitter.feed([]byte(piece), func(object []byte) error { got = append(got, string(object)); return nil })
 			if err != nil {
 				t.Fatalf("cut at %d: %v", cut, err)
 			}
 		}
 		if !slices.Equal(got, want) {
-			t.Fatalf("cut at %d: %q", cut, got)
+			t.Fatalf("cut at %d: got %q", cut, got)
 		}
 	}
 	ignore := func([]byte) error { return nil }
-	var s objectSplitter
-	if s.feed([]byte("{} x"), ignore) == nil {
-		t.Error("no error for other bytes between objects")
+	var splitter objectSplitter
+	if splitter.feed([]byte("{} x"), ignore) == nil {
+		t.Error("no error for an unexpected byte between objects")
 	}
-	open := bytes.Repeat([]byte{'['}, 1<<20)
+	opening := bytes.Repeat([]byte{'['}, 1<<20)
 	err := error(nil)
 	for range 20 {
 		if err == nil {
-			err = s.feed(open, ignore)
+			err = splitter.feed(opening, ignore)
 		}
 	}
 	if !errors.Is(err, h1.ErrBodyTooLarge) {
-		t.Errorf("%v for an object without an end, want %v", err, h1.ErrBodyTooLarge)
+		t.Errorf("object without an end: got error %v, want %v", err, h1.ErrBodyTooLarge)
 	}
 }
