--- a/internal/backend/platform/listupdate_test.go
+++ b/internal/backend/platform/listupdate_test.go
@@ -19,8 +19,8 @@
 	return backend, endpoints
 }
 
-// TestListChangeAllocationsDoNotGrow checks that the allocations for a change of the endpoint list do not grow with the
-// number of servers that the change does not name.
+// TestListChangeAllocationsDoNotGrow checks that the allocations for a change of the endpoint list do not grow with
+// the number of servers that the change does not name.
 func TestListChangeAllocationsDoNotGrow(t *testing.T) {
 	allocations := func(servers int) float64 {
 		backend, endpoints := newLargeBackend(t, servers)
--- a/internal/backend/platform/releasetracker_test.go
+++ b/internal/backend/platform/releasetracker_test.go
@@ -8,8 +8,8 @@
 	"docksail/internal/platformconfig"
 )
 
-// TestReleaseSkipsServerThatCannotBeDialed checks that a release goes to another server in the same round if one cannot
-// be dialed.
+// TestReleaseSkipsServerThatCannotBeDialed checks that a release goes to another server in the same round if one
+// cannot be dialed.
 func TestReleaseSkipsServerThatCannotBeDialed(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
