--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// TestLoadConfig: the error of a configuration that cannot be read names its file. An initial list or a seed that
-// cannot be read is no error.
+// TestLoadConfig checks that an invalid configuration causes an error that names its file, but an invalid initial list
+// or seed does not.
 func TestLoadConfig(t *testing.T) {
 	const list = `{"version":41,"full":true,"servers":[
 		{"id":"a","addr":"127.0.0.1:1","zone":"z","kind":"prefill","cell":"x","state":"Ready"},
@@ -23,13 +23,13 @@
 		endpoints, invalid int
 	}{
 		{"complete", withList(`{"version":1,"full":true,"servers":[]}`), false, 0, 0},
-		{"one entry invalid", withList(list), false, 2, 1},
-		{"no list", withList(`"none"`), false, 0, 1},
-		{"null", withList(`null`), false, 0, 0},
-		{"seed that is no number", strings.Replace(withList(`{}`), "8c1f", "north", 1), false, 0, 0},
-		{"half", template[:40], true, 0, 0},
-		{"no settings", strings.Replace(withList(`{}`), `,"settings":{}`, "", 1), true, 0, 0},
-		{"no discovery", strings.Replace(withList(`{}`), "127.0.0.1:9", "nowhere", 1), true, 0, 0},
+		{"one list entry invalid", withList(list), false, 2, 1},
+		{"list is a string", withList(`"none"`), false, 0, 1},
+		{"list is null", withList(`null`), false, 0, 0},
+		{"seed is not a number", strings.Replace(withList(`{}`), "8c1f", "north", 1), false, 0, 0},
+		{"truncated", template[:40], true, 0, 0},
+		{"settings missing", strings.Replace(withList(`{}`), `,"settings":{}`, "", 1), true, 0, 0},
+		{"discovery address invalid", strings.Replace(withList(`{}`), "127.0.0.1:9", "nowhere", 1), true, 0, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			name := filepath.Join(t.TempDir(), "config.json")
@@ -50,7 +50,7 @@
 			}
 			got := config.InitialList
 			if len(got.Endpoints) != c.endpoints || len(got.InvalidEntries) != c.invalid || config.seed() == 0 {
-				t.Errorf("%+v, seed %d", got, config.seed())
+				t.Errorf("got initial list %+v, seed %d", got, config.seed())
 			}
 		})
 	}
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// Tests of graceful shutdown; TestDrain has it on real sockets.
+// Tests of graceful shutdown on the simulated network. TestDrain covers it on real sockets.
 
-// TestDrainReleases: a dispatcher that drains does not end with its last client before held state is released, by a
-// server that responds if the one that holds the state does not.
+// TestDrainReleases checks that a draining dispatcher without clients does not end before held state is released, by
+// another server if the one that holds the state does not respond.
 func TestDrainReleases(t *testing.T) {
 	h := newHarness(t, simulated)
 	prefill, decode := h.addServer("r1", "prefill"), h.addServer("w1", "decode")
@@ -18,27 +18,28 @@
 	client.send(request(requestID(1)))
 	prefill.accept().readRequest()
 	h.node.Drain()
-	h.advance(600 * time.Millisecond) // the listener is closed
+	h.advance(600 * time.Millisecond) // the listener is closed by now
 	client.close()
 	release := decode.accept()
 	if line := release.readRequest(); line != "DELETE /state/"+requestID(1)+" HTTP/1.1" {
-		t.Errorf("%q, want a release", line)
+		t.Errorf("got %q, want a release", line)
 	}
 	if !watch.isOpen() {
-		t.Fatal("the process has ended before its release was accepted")
+		t.Fatal("the dispatcher ended before its release was accepted")
 	}
 	release.send(releaseResponse)
-	watch.waitForClose() // the process has ended
+	watch.waitForClose() // the dispatcher has ended
 }
 
-// TestDrainWithStreams: a stream that had begun before the drain is relayed completely, and its connection closed. A
-// request that comes late is rejected at once, as the process may be killed before a response.
+// TestDrainWithStreams checks that a stream that began before the drain is relayed completely before its connection is
+// closed, and that a request received late in the drain is rejected at once, as the process may be killed before a
+// response.
 func TestDrainWithStreams(t *testing.T) {
 	h := newHarness(t, simulated)
 	prefill, decode := h.addServer("r1", "prefill"), h.addServer("w1", "decode")
 	prefill.response = prefillResponse
 	watch := h.startInService()
-	client, slow := h.connectClient(), h.connectClient()
+	client, lateClient := h.connectClient(), h.connectClient()
 	client.send(request(requestID(1)))
 	decodeConn := decode.accept()
 	decodeConn.readRequest()
@@ -47,27 +48,28 @@
 		t.Fatalf("the client got %q", got)
 	}
 	text := request(requestID(2))
-	slow.send(text[:20])
+	lateClient.send(text[:20])
 	h.node.Drain()
-	h.advance(700 * time.Millisecond) // past the time in which requests are still accepted
-	slow.send(text[20:])
-	if got := slow.expect("\r\n\r\n"); !strings.Contains(got, " 503 ") || !strings.Contains(got, "Connection: close") {
-		t.Errorf("a request that came late got %q", got)
+	h.advance(700 * time.Millisecond) // requests are rejected from now on
+	lateClient.send(text[20:])
+	if got := lateClient.expect("\r\n\r\n"); !strings.Contains(got, " 503 ") ||
+		!strings.Contains(got, "Connection: close") {
+		t.Errorf("late request: got %q, want status 503 and Connection: close", got)
 	}
-	slow.waitForClose()
+	lateClient.waitForClose()
 	decodeConn.send(chunk(event2) + "0\r\n\r\n")
 	client.expect("0\r\n\r\n")
 	client.send(request(requestID(3)))
 	client.waitForClose()
 	client.expectNoInput()
-	watch.waitForClose() // the process has ended
+	watch.waitForClose() // the dispatcher has ended
 	if len(prefill.newConns) != 1 {
-		t.Errorf("%d connections to the prefill server, want the one of the first request", len(prefill.newConns))
+		t.Errorf("got %d connections to the prefill server, want only that of the first request", len(prefill.newConns))
 	}
 }
 
-// TestDrainBeforeFirstList: a dispatcher that drains before discovery has sent a list serves the clients that wait by
-// its initial list. A second drain has no effect.
+// TestDrainBeforeFirstList checks that a dispatcher that drains before discovery has sent a list serves the waiting
+// clients by its initial list, and that a second drain has no effect.
 func TestDrainBeforeFirstList(t *testing.T) {
 	h := newHarness(t, simulated)
 	h.addServer("r1", "prefill").response = prefillResponse
@@ -75,7 +77,7 @@
 	watch := h.start()
 	client := h.dialClient()
 	client.send(request(requestID(1)))
-	h.advance(transitTime)
+	h.advance(networkLatency)
 	h.node.Drain()
 	h.node.Drain()
 	got := client.expect("0\r\n\r\n")
@@ -83,5 +85,5 @@
 		t.Errorf("the client got %q", got)
 	}
 	client.close()
-	watch.waitForClose() // the process has ended
+	watch.waitForClose() // the dispatcher has ended
 }
--- a/internal/node/endpointlist_test.go
+++ b/internal/node/endpointlist_test.go
@@ -9,37 +9,37 @@
 	backend "docksail/internal/backend/platform"
 )
 
-// Tests of endpoint lists and changes of them.
+// Tests of full endpoint lists and of changes.
 
-// TestListAndReload: a server that drains gets no new requests. After a change of the configuration the list is
-// watched at another address, and the old watch closed.
+// TestListAndReload checks that a draining server gets no new requests, and that after a reload with another discovery
+// address the list is watched there and the old watch is closed.
 func TestListAndReload(t *testing.T) {
 	onEachNetwork(t, func(h *harness) {
 		h.addServer("r1", "prefill").response = prefillResponse
 		w1, w2 := h.addServer("w1", "decode"), h.addServer("w2", "decode")
 		w1.response, w2.response = decodeResponse, decodeResponse
-		old := h.startInService()
+		oldWatch := h.startInService()
 		h.connectClient().expectServed(1)
-		h.sendChange(old, 43, h.drainingEndpoint("w1"))
-		before := w1.attempts()
+		h.sendChange(oldWatch, 43, h.drainingEndpoint("w1"))
+		attemptsBefore := w1.attempts()
 		for n := 2; n < 8; n++ {
 			h.connectClient().expectServed(n)
 		}
-		if w1.attempts() != before {
+		if w1.attempts() != attemptsBefore {
 			h.t.Error("a draining server got a request")
 		}
 		watch := h.moveDiscovery()
 		h.sendList(watch, backend.EndpointList{Version: 44, Full: true, Endpoints: h.endpoints})
-		old.waitForClose()
+		oldWatch.waitForClose()
 	})
 }
 
-// TestReplacedServers: servers that are replaced under new names leave nothing behind.
+// TestReplacedServers checks that servers and connections do not accumulate when servers are replaced under new names.
 func TestReplacedServers(t *testing.T) {
 	h := newHarness(t, simulated)
 	h.addRespondingServers()
 	watch := h.startInService()
-	c := h.connectClient()
+	client := h.connectClient()
 	for n := range 200 {
 		list := backend.EndpointList{Version: int64(43 + n)}
 		for i, server := range h.endpoints {
@@ -51,15 +51,16 @@
 		}
 		h.sendList(watch, list)
 		if n%20 == 0 {
-			c.expectServed(n)
+			client.expectServed(n)
 		}
 	}
 	if servers, conns := h.node.backend.ServerCount(), h.node.backend.ConnCount(); servers > 2 || conns > 4 {
-		t.Errorf("%d servers known, %d connections, want 2 and few", servers, conns)
+		t.Errorf("got %d servers and %d connections, want at most 2 and 4", servers, conns)
 	}
 }
 
-// TestListForms: lists may come in any form of JSON and in pieces. One that cannot be read changes nothing.
+// TestListForms checks that a list may have any JSON formatting and arrive in pieces, and that an invalid list changes
+// nothing.
 func TestListForms(t *testing.T) {
 	onEachNetwork(t, func(h *harness) {
 		h.addServer("r1", "prefill")
@@ -77,40 +78,41 @@
 		h.waitForListUpdate(2)
 		watch.send(chunk("{\"version\": 45, \"servers\": [}]}"))
 		if line := h.discovery.accept().readRequest(); !strings.Contains(line, "from=44") {
-			h.t.Errorf("%q, want what came after version 44", line)
+			h.t.Errorf("got %q, want a call for the changes after version 44", line)
 		}
 		h.expectRejected()
 	})
 }
 
-// TestUnreadableEntry: an entry that cannot be read does not invalidate the others, and its server stays as it was.
+// TestUnreadableEntry checks that an invalid entry does not invalidate the others, and that its server keeps its
+// previous listing.
 func TestUnreadableEntry(t *testing.T) {
 	onEachNetwork(t, func(h *harness) {
 		h.addServer("r1", "prefill").response = prefillResponse
 		h.addServer("w1", "decode").response = decodeResponse
-		leftOut := h.addServer("w2", "decode")
+		unlisted := h.addServer("w2", "decode")
 		watch := h.startInService()
-		before := h.listUpdates()
+		updatesBefore := h.listUpdates()
 		list := listText(backend.EndpointList{Version: 43, Full: true, Endpoints: h.endpoints[:2]})
-		watch.send(chunk(strings.Replace(list, `"cell":0`, `"cell":"x"`, 1))) // of r1
-		h.waitForListUpdate(before)
+		watch.send(chunk(strings.Replace(list, `"cell":0`, `"cell":"x"`, 1))) // the entry of r1 is invalid
+		h.waitForListUpdate(updatesBefore)
 		for n := range 4 {
 			client := h.connectClient()
 			client.send(request(requestID(n)))
 			client.expect("[DONE]")
 		}
-		if !leftOut.hasNoNewConns() {
-			h.t.Error("a server that the list leaves out got a request")
+		if !unlisted.hasNoNewConns() {
+			h.t.Error("a server that the list does not name got a request")
 		}
 	})
 }
 
-// TestUnreadableWholeList: a full list of which nothing can be read leaves the servers as they are, and is asked for
-// again. One that says that there are no servers is applied.
+// TestUnreadableWholeList checks that a full list without a valid entry leaves the servers unchanged and is requested
+// again, and that a full list with an empty array of servers is applied.
 func TestUnreadableWholeList(t *testing.T) {
 	for name, c := range map[string]struct {
-		list string
-		kept bool
+		list         string
+		keepsServers bool
 	}{
 		"no servers named":  {`{"version":43,"full":true}`, true},
 		"null":              {`{"version":43,"full":true,"servers":null}`, true},
@@ -123,16 +125,16 @@
 				h.addServer("r1", "prefill").response = prefillResponse
 				h.addServer("w1", "decode").response = decodeResponse
 				watch := h.startInService()
-				before := h.listUpdates()
+				updatesBefore := h.listUpdates()
 				watch.send(chunk(c.list))
-				if !c.kept {
-					h.waitForListUpdate(before)
+				if !c.keepsServers {
+					h.waitForListUpdate(updatesBefore)
 					h.expectRejected()
 					return
 				}
 				if strings.Contains(c.list, "true") {
 					if line := h.discovery.accept().readRequest(); !strings.Contains(line, "from=42") {
-						h.t.Errorf("%q, want what came after version 42", line)
+						h.t.Errorf("got %q, want a call for the changes after version 42", line)
 					}
 				}
 				client := h.connectClient()
@@ -143,14 +145,14 @@
 	}
 }
 
-// TestServerRestarted: a server that has restarted under its address is sent nothing on connections to its former
-// process.
+// TestServerRestarted checks that a server that has restarted at the same address gets no requests on connections to
+// its former process.
 func TestServerRestarted(t *testing.T) {
 	onEachNetwork(t, func(h *harness) {
 		h.addServer("r1", "prefill").response = prefillResponse
 		decode := h.addServer("w1", "decode")
 		watch := h.startInService()
-		for n, started := range []float64{1, 2} {
+		for n, startedMS := range []float64{1, 2} {
 			client := h.connectClient()
 			client.send(request(requestID(n)))
 			conn := decode.accept()
@@ -158,7 +160,7 @@
 			conn.send(decodeResponse)
 			client.expect("0\r\n\r\n")
 			restarted := h.endpoints[1]
-			restarted.StartedMS = started
+			restarted.StartedMS = startedMS
 			h.sendChange(watch, 43+int64(n), restarted)
 			conn.waitForClose()
 		}
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -13,23 +13,23 @@
 	"docksail/internal/eventloop"
 )
 
-// harness is a dispatcher between scripted servers, a scripted discovery and scripted clients, which do only what the
-// test has them do. On the simulated network time passes only when the test waits, and results do not depend on the
-// machine; on the loopback network the same test runs over real connections.
+// harness runs a dispatcher with scripted servers, discovery and clients, which act only as the test directs. On the
+// simulated network time passes only while the test waits, so that results do not depend on the machine; on the
+// loopback network the same test runs over real connections.
 type harness struct {
 	t            *testing.T
 	network      *eventloop.SimulatedNetwork // nil for loopback
-	loop         *eventloop.Loop             // the dispatcher's; on loopback, that of all
-	onIteration  func(eventloop.Nanos)       // on loopback, the dispatcher's part of an iteration
-	startedAt    time.Time
+	loop         *eventloop.Loop             // the dispatcher's; on loopback, that of all peers too
+	onIteration  func(eventloop.Nanos)       // on loopback, called in each iteration of the loop
+	startedAt    time.Time                   // on loopback, the origin of now
 	node         *Node
 	config       *Config
 	discovery    *scriptedServer
 	endpoints    []backend.Endpoint
-	replaced     []string // pieces of the settings and their replacements, pairwise
-	addressCount byte     // of addresses on the simulated network
-	descriptors  int      // the dispatcher's limit
-	trace        *trace   // on the simulated network, what the scripted peers saw
+	replacements []string // old and new texts in the settings, in pairs
+	addressCount byte     // number of addresses in use on the simulated network
+	descriptors  int      // limit of the dispatcher's file descriptors
+	trace        *trace   // what the scripted peers received; nil for loopback
 }
 
 // networkKind is what the connections of a harness run over.
@@ -42,30 +42,30 @@
 
 const (
 	simulationStart = 1_700_000_000_000_000_000 // Unix nanoseconds
-	simulationPort  = 80                        // of every server
-	transitTime     = 100 * time.Microsecond    // of bytes on the simulated network
-	// scriptTimeout ends a wait for what does not come.
+	simulationPort  = 80                        // of every simulated address
+	networkLatency  = 100 * time.Microsecond    // one way, on the simulated network
+	// scriptTimeout limits the wait for a condition.
 	scriptTimeout = 20 * time.Second
-	// unexpectedWait is how long a test on the simulated network looks for what must not come.
-	unexpectedWait = 2 * time.Second
+	// noRequestWait is how long a test on the simulated network waits for a request that must not be sent.
+	noRequestWait = 2 * time.Second
 )
 
-// onEachNetwork runs a test on the simulated network and over real connections. The pieces of the settings in replaced
-// are replaced, pairwise.
-func onEachNetwork(t *testing.T, test func(h *harness), replaced ...string) {
+// onEachNetwork runs a test on the simulated network and over real connections. replacements are pairs of old and new
+// texts in the settings.
+func onEachNetwork(t *testing.T, test func(h *harness), replacements ...string) {
 	t.Helper()
-	t.Run("simulated", func(t *testing.T) { test(newHarness(t, simulated, replaced...)) })
-	t.Run("loopback", func(t *testing.T) { test(newHarness(t, loopback, replaced...)) })
+	t.Run("simulated", func(t *testing.T) { test(newHarness(t, simulated, replacements...)) })
+	t.Run("loopback", func(t *testing.T) { test(newHarness(t, loopback, replacements...)) })
 }
 
 // newHarness returns a harness whose dispatcher is not started yet.
-func newHarness(t *testing.T, kind networkKind, replaced ...string) *harness {
+func newHarness(t *testing.T, kind networkKind, replacements ...string) *harness {
 	t.Helper()
-	h := &harness{t: t, startedAt: time.Now(), replaced: replaced, descriptors: 1024}
+	h := &harness{t: t, startedAt: time.Now(), replacements: replacements, descriptors: 1024}
 	if kind == simulated {
 		h.trace = &trace{conns: map[*scriptedConn]int{}}
 		t.Cleanup(func() { h.trace.check(t) })
-		h.network = eventloop.NewSimulatedNetwork(simulationStart, int64(transitTime))
+		h.network = eventloop.NewSimulatedNetwork(simulationStart, int64(networkLatency))
 	} else {
 		h.runLoop()
 	}
@@ -97,7 +97,8 @@
 	})
 }
 
-// onLoop runs f where it may access the state of loops.
+// onLoop runs f where it may access the state of loops: on the loop's goroutine or, on the simulated network, on the
+// test's.
 func (h *harness) onLoop(f func()) {
 	h.t.Helper()
 	if h.network != nil {
@@ -113,8 +114,9 @@
 	}
 }
 
-// newEndpoint returns a loop and an address to listen on: one of its own on the simulated network, else any free port.
-func (h *harness) newEndpoint() (*eventloop.Loop, netip.AddrPort) {
+// newLoopAndAddr returns a loop and an address to listen on. On the simulated network both are new; on loopback the
+// loop is shared and the port is any free one.
+func (h *harness) newLoopAndAddr() (*eventloop.Loop, netip.AddrPort) {
 	if h.network == nil {
 		return h.loop, netip.MustParseAddrPort("127.0.0.1:0")
 	}
@@ -126,33 +128,33 @@
 // newServer starts a scripted server.
 func (h *harness) newServer() *scriptedServer {
 	h.t.Helper()
-	s := &scriptedServer{h: h}
+	server := &scriptedServer{h: h}
 	var addr netip.AddrPort
-	s.loop, addr = h.newEndpoint()
+	server.loop, addr = h.newLoopAndAddr()
 	h.onLoop(func() {
-		listener, err := s.loop.Listen(addr, false, func(socket *eventloop.Conn, _ netip.AddrPort) eventloop.Handler {
-			c := &scriptedConn{h: h, server: s, loop: s.loop, socket: socket}
-			s.newConns = append(s.newConns, c)
-			s.acceptedCount++
-			return c
+		listener, err := server.loop.Listen(addr, false, func(socket *eventloop.Conn, _ netip.AddrPort) eventloop.Handler {
+			conn := &scriptedConn{h: h, server: server, loop: server.loop, socket: socket}
+			server.newConns = append(server.newConns, conn)
+			server.connCount++
+			return conn
 		})
 		if err != nil {
 			h.t.Error(err)
 			return
 		}
-		s.listener, s.addr = listener, listener.Addr()
+		server.listener, server.addr = listener, listener.Addr()
 	})
-	return s
+	return server
 }
 
-// addServer starts a scripted model server and adds it to the list.
+// addServer starts a scripted model server and adds it to the endpoint list.
 func (h *harness) addServer(name, kind string) *scriptedServer {
 	h.t.Helper()
-	s := h.newServer()
+	server := h.newServer()
 	h.endpoints = append(h.endpoints, backend.Endpoint{
-		ID: name, Addr: s.addr.String(), Zone: "z", Kind: kind, State: "Ready",
+		ID: name, Addr: server.addr.String(), Zone: "z", Kind: kind, State: "Ready",
 	})
-	return s
+	return server
 }
 
 // start starts the dispatcher and returns its watch, on which discovery has sent nothing yet.
@@ -164,9 +166,9 @@
 		Seed:        "8c1f30d27a5be964",
 		Limits:      Limits{Descriptors: h.descriptors, MemoryMB: 96},
 		InitialList: backend.EndpointList{Version: 41, Full: true, Endpoints: h.endpoints},
-		Settings:    json.RawMessage(strings.NewReplacer(h.replaced...).Replace(testSettings)),
+		Settings:    json.RawMessage(strings.NewReplacer(h.replacements...).Replace(testSettings)),
 	}
-	h.loop, h.config.Listen = h.newEndpoint()
+	h.loop, h.config.Listen = h.newLoopAndAddr()
 	h.onLoop(func() {
 		var err error
 		if h.node, err = New(h.loop, h.config, 1, slog.New(slog.DiscardHandler)); err != nil {
@@ -184,7 +186,7 @@
 	return watch
 }
 
-// startInService is start and the first list of discovery, after which the dispatcher accepts clients.
+// startInService starts the dispatcher and sends it the first list of discovery, after which it accepts clients.
 func (h *harness) startInService() (watch *scriptedConn) {
 	h.t.Helper()
 	watch = h.start()
@@ -193,7 +195,7 @@
 	return watch
 }
 
-// now returns the time as it passes for the dispatcher, in nanoseconds.
+// now returns the time in nanoseconds, simulated or real. Its origin is arbitrary.
 func (h *harness) now() int64 {
 	if h.network != nil {
 		return h.network.Now()
@@ -201,8 +203,8 @@
 	return int64(time.Since(h.startedAt))
 }
 
-// elapsedSince returns the time since a result of now.
-func (h *harness) elapsedSince(at int64) time.Duration { return time.Duration(h.now() - at) }
+// elapsedSince returns the time since start, which now returned.
+func (h *harness) elapsedSince(start int64) time.Duration { return time.Duration(h.now() - start) }
 
 // advance lets time pass.
 func (h *harness) advance(d time.Duration) {
@@ -214,21 +216,21 @@
 }
 
 // waitUntil lets time pass until a condition holds, which may access the state of loops.
-func (h *harness) waitUntil(what string, condition func() bool) {
+func (h *harness) waitUntil(awaited string, condition func() bool) {
 	h.t.Helper()
-	for began := h.now(); ; h.advance(transitTime) {
+	for start := h.now(); ; h.advance(networkLatency) {
 		holds := false
 		h.onLoop(func() { holds = condition() })
 		if holds {
 			return
 		}
-		if h.elapsedSince(began) > scriptTimeout {
-			h.t.Fatalf("%s: not within %v", what, scriptTimeout)
+		if h.elapsedSince(start) > scriptTimeout {
+			h.t.Fatalf("waiting for %s: timed out after %v", awaited, scriptTimeout)
 		}
 	}
 }
 
-// waitUntilReusable lets the time pass after which an idle connection to a server may be reused.
+// waitUntilReusable waits until an idle connection to a server may be reused.
 func (h *harness) waitUntilReusable() { h.advance(15 * time.Millisecond) }
 
 // listUpdates returns how many lists and changes the dispatcher has applied.
@@ -237,10 +239,10 @@
 	return count
 }
 
-// waitForListUpdate waits until the dispatcher has applied more than so many lists and changes.
+// waitForListUpdate waits until the dispatcher has applied more lists and changes than before.
 func (h *harness) waitForListUpdate(before uint64) {
 	h.t.Helper()
-	h.waitUntil("the list is applied", func() bool { return h.node.backend.Counts.ListUpdates > before })
+	h.waitUntil("the list to be applied", func() bool { return h.node.backend.Counts.ListUpdates > before })
 }
 
 // sendList sends a list over a watch and waits until the dispatcher has applied it.
@@ -251,59 +253,59 @@
 	h.waitForListUpdate(before)
 }
 
-// sendChange is sendList for a change of the list.
+// sendChange sends a change of the list over a watch and waits until the dispatcher has applied it.
 func (h *harness) sendChange(watch *scriptedConn, version int64, endpoints ...backend.Endpoint) {
 	h.t.Helper()
 	h.sendList(watch, backend.EndpointList{Version: version, Endpoints: endpoints})
 }
 
-// setDiscovery reloads the configuration with another address of discovery.
-func (h *harness) setDiscovery(s *scriptedServer) {
+// reloadWithDiscovery reloads the configuration with the address of another discovery.
+func (h *harness) reloadWithDiscovery(discovery *scriptedServer) {
 	changed := *h.config
-	changed.Discovery = s.addr
+	changed.Discovery = discovery.addr
 	h.node.Reload(&changed)
 }
 
-// moveDiscovery reloads the configuration with another discovery and returns the watch on it, on which the response has
-// begun. The watch must ask for the complete list.
+// moveDiscovery starts another discovery, reloads the configuration with its address, and returns the watch on it. The
+// watch must ask for the full list; its response has begun.
 func (h *harness) moveDiscovery() (watch *scriptedConn) {
 	h.t.Helper()
-	moved := h.newServer()
-	h.setDiscovery(moved)
-	watch = moved.accept()
+	newDiscovery := h.newServer()
+	h.reloadWithDiscovery(newDiscovery)
+	watch = newDiscovery.accept()
 	if line := watch.readRequest(); strings.Contains(line, "from=") {
-		h.t.Errorf("%q, want a call for the complete list", line)
+		h.t.Errorf("got %q, want a call for the full list", line)
 	}
 	watch.send(watchHead)
 	return watch
 }
 
-// dialClient begins the connection of a client to the dispatcher. The client may send before it is accepted.
+// dialClient starts to connect a client to the dispatcher. The client may send before it is accepted.
 func (h *harness) dialClient() *scriptedConn {
 	h.t.Helper()
-	c := &scriptedConn{h: h}
-	c.loop, _ = h.newEndpoint()
-	c.loop.Post(func() {
+	client := &scriptedConn{h: h}
+	client.loop, _ = h.newLoopAndAddr()
+	client.loop.Post(func() {
 		var err error
-		if c.socket, err = c.loop.Dial(h.node.addr, int64(scriptTimeout), c); err != nil {
+		if client.socket, err = client.loop.Dial(h.node.addr, int64(scriptTimeout), client); err != nil {
 			h.t.Error(err)
 		}
 	})
-	return c
+	return client
 }
 
 // connectClient returns a client that is connected to the dispatcher.
 func (h *harness) connectClient() *scriptedConn {
 	h.t.Helper()
-	c := h.dialClient()
-	h.waitUntil("the client is connected", func() bool { return c.opened })
-	return c
+	client := h.dialClient()
+	h.waitUntil("the client to be connected", func() bool { return client.opened })
+	return client
 }
 
 // waitForAttempt waits until one attempt is in flight to a server.
 func (h *harness) waitForAttempt(server string) {
 	h.t.Helper()
-	h.waitUntil("an attempt is in flight to "+server, func() bool {
+	h.waitUntil("an attempt to be in flight to "+server, func() bool {
 		inFlight := 0
 		h.node.backend.EachServer(h.loop.Now(), func(stats backend.ServerStats) {
 			if stats.Name == server {
@@ -314,7 +316,7 @@
 	})
 }
 
-// drainingEndpoint returns the entry of a server with the state in which it takes no new requests.
+// drainingEndpoint returns the endpoint list entry of a server, with the state in which it accepts no new requests.
 func (h *harness) drainingEndpoint(server string) backend.Endpoint {
 	h.t.Helper()
 	for _, endpoint := range h.endpoints {
@@ -323,7 +325,7 @@
 			return endpoint
 		}
 	}
-	h.t.Fatalf("no server %q", server)
+	h.t.Fatalf("server %q is not in the endpoint list", server)
 	return backend.Endpoint{}
 }
 
--- a/internal/node/netharness_test.go
+++ b/internal/node/netharness_test.go
@@ -16,21 +16,21 @@
 	backend "docksail/internal/backend/platform"
 )
 
-// netHarness is a dispatcher in service between servers, a discovery and clients on real sockets, with goroutines of
-// their own. It is for tests of what the system's sockets do; other tests have harness.
+// netHarness runs a dispatcher with servers, discovery and clients on real sockets, each with goroutines of its own.
+// It is for tests that depend on the operating system's sockets; other tests use harness.
 type netHarness struct {
 	t         *testing.T
 	node      *Node
 	config    *Config
 	endpoints []backend.Endpoint
 	mu        sync.Mutex
-	attempts  map[string]int // that have come to the servers
+	attempts  map[string]int // received, by server name
 }
 
 const (
-	// netTimeout ends a wait for what does not come.
+	// netTimeout limits the wait for a condition.
 	netTimeout = 5 * time.Second
-	// clientTimeout ends what a client does.
+	// clientTimeout limits the reads and writes of a client.
 	clientTimeout = 10 * time.Second
 	// heartbeatInterval is how often discovery sends a blank line.
 	heartbeatInterval = 500 * time.Millisecond
@@ -42,17 +42,18 @@
 }
 
 // responder responds to an attempt. The connection is closed if it returns an error.
-type responder func(c net.Conn) error
+type responder func(conn net.Conn) error
 
 // respondWith returns a responder that writes a response.
 func respondWith(response string) responder {
-	return func(c net.Conn) error {
-		_, err := io.WriteString(c, response)
+	return func(conn net.Conn) error {
+		_, err := io.WriteString(conn, response)
 		return err
 	}
 }
 
-// addServer starts a server that has attempts responded to and accepts every release, and adds it to the list.
+// addServer starts a server, which responds to attempts with respond and accepts every release, and adds it to the
+// endpoint list.
 func (h *netHarness) addServer(name, kind string, respond responder) {
 	h.t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -65,21 +66,21 @@
 	})
 	go func() {
 		for {
-			c, err := listener.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go h.serve(c, name, respond)
+			go h.serve(conn, name, respond)
 		}
 	}()
 }
 
-// serve serves one connection of a server until it ends.
-func (h *netHarness) serve(c net.Conn, name string, respond responder) {
-	defer c.Close()
-	in := bufio.NewReader(c)
+// serve responds to the requests on one connection of a server until it ends.
+func (h *netHarness) serve(conn net.Conn, name string, respond responder) {
+	defer conn.Close()
+	reader := bufio.NewReader(conn)
 	for {
-		r, err := http.ReadRequest(in)
+		r, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
@@ -87,12 +88,12 @@
 			return
 		}
 		if r.Method == http.MethodDelete {
-			err = respondWith(releaseResponse)(c)
+			err = respondWith(releaseResponse)(conn)
 		} else {
 			h.mu.Lock()
 			h.attempts[name]++
 			h.mu.Unlock()
-			err = respond(c)
+			err = respond(conn)
 		}
 		if err != nil {
 			return
@@ -100,7 +101,7 @@
 	}
 }
 
-// attemptsAt returns how many attempts have come to a server.
+// attemptsAt returns how many attempts a server has received.
 func (h *netHarness) attemptsAt(name string) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -141,7 +142,7 @@
 	}
 }
 
-// start starts the dispatcher with so many descriptors and returns once it takes clients.
+// start starts the dispatcher with a limit of file descriptors and returns when it accepts clients.
 func (h *netHarness) start(descriptors int) {
 	h.t.Helper()
 	h.config = &Config{
@@ -153,12 +154,12 @@
 		InitialList: backend.EndpointList{Version: 41, Full: true, Endpoints: h.endpoints},
 		Settings:    json.RawMessage(testSettings),
 	}
-	n, err := Start(h.config, slog.New(slog.DiscardHandler))
+	node, err := Start(h.config, slog.New(slog.DiscardHandler))
 	if err != nil {
 		h.t.Fatal(err)
 	}
-	h.node = n
-	h.t.Cleanup(func() { n.loop.Stop(); <-n.done })
+	h.node = node
+	h.t.Cleanup(func() { node.loop.Stop(); <-node.done })
 	if got := roundTrip(h.dial(), readyRequest); got.err != nil {
 		h.t.Fatal(got.err)
 	}
@@ -167,38 +168,38 @@
 // dial connects a client to the dispatcher.
 func (h *netHarness) dial() net.Conn {
 	h.t.Helper()
-	c, err := net.Dial("tcp", h.node.addr.String())
+	conn, err := net.Dial("tcp", h.node.addr.String())
 	if err != nil {
 		h.t.Fatal(err)
 	}
-	h.t.Cleanup(func() { c.Close() })
-	if err := c.SetDeadline(time.Now().Add(clientTimeout)); err != nil {
+	h.t.Cleanup(func() { conn.Close() })
+	if err := conn.SetDeadline(time.Now().Add(clientTimeout)); err != nil {
 		h.t.Fatal(err)
 	}
-	return c
+	return conn
 }
 
-// write writes what a client or a server sends.
-func (h *netHarness) write(c net.Conn, text string) {
+// write writes a text to a connection.
+func (h *netHarness) write(conn net.Conn, text string) {
 	h.t.Helper()
-	if _, err := io.WriteString(c, text); err != nil {
+	if _, err := io.WriteString(conn, text); err != nil {
 		h.t.Fatal(err)
 	}
 }
 
-// netResponse is what a client has received.
+// netResponse is the response that a client has received.
 type netResponse struct {
 	status int
 	body   string
-	err    error // with which it ended
+	err    error // that ended the response early
 }
 
 // roundTrip sends a client's request and returns the response.
-func roundTrip(c net.Conn, text string) netResponse {
-	if _, err := io.WriteString(c, text); err != nil {
+func roundTrip(conn net.Conn, text string) netResponse {
+	if _, err := io.WriteString(conn, text); err != nil {
 		return netResponse{err: err}
 	}
-	r, err := http.ReadResponse(bufio.NewReader(c), nil)
+	r, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
 		return netResponse{err: err}
 	}
@@ -207,20 +208,20 @@
 }
 
 // expectServed sends the n-th request on a client's connection, which must be served.
-func (h *netHarness) expectServed(c net.Conn, n int) {
+func (h *netHarness) expectServed(conn net.Conn, n int) {
 	h.t.Helper()
-	got := roundTrip(c, request(requestID(n)))
+	got := roundTrip(conn, request(requestID(n)))
 	if got.status != http.StatusOK || got.body != streamBody || got.err != nil {
-		h.t.Fatalf("request %d: %d %q, %v", n, got.status, got.body, got.err)
+		h.t.Fatalf("request %d: got status %d, body %q, error %v; want it served", n, got.status, got.body, got.err)
 	}
 }
 
 // waitUntil waits until a condition holds.
-func waitUntil(t *testing.T, what string, condition func() bool) {
+func waitUntil(t *testing.T, awaited string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(netTimeout); !condition(); time.Sleep(2 * time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatalf("%s: not within %v", what, netTimeout)
+	for deadline := time.Now().Add(netTimeout); !condition(); time.Sleep(2 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("waiting for %s: timed out after %v", awaited, netTimeout)
 		}
 	}
 }
--- a/internal/node/outcome_test.go
+++ b/internal/node/outcome_test.go
@@ -8,19 +8,19 @@
 	"time"
 )
 
-// Tests of what servers respond, or fail to, and the outcomes of attempts.
+// Tests of valid, invalid and missing responses of servers, and of the outcomes of attempts.
 
-// TestInvalidStreams: an attempt whose stream is invalid before its first event has failed and is retried. A stream
-// that is invalid later closes the client's connection without the last chunk. One with extra bytes is served, and
-// its connection not reused.
+// TestInvalidStreams checks that an attempt whose stream is invalid before its first event is retried, and that the
+// client's connection is closed without the last chunk if the stream is invalid later. A stream with extra bytes is
+// served, and its connection not reused.
 func TestInvalidStreams(t *testing.T) {
 	const last = "0\r\n\r\n"
 	complete := streamHead + chunk(event1) + chunk(event2)
 	begun := streamHead + chunk(event1)
 	for name, c := range map[string]struct {
-		response string // of the first decode attempt
-		broken   bool   // after the first event
-		extra    bool   // served, with something more
+		response string // of the first decode attempt; a final "RESET" closes the connection
+		broken   bool   // invalid after the first event
+		extra    bool   // complete, with additional bytes
 	}{
 		"noise":           {response: "\xb5\r7\xd6\b\x9b\x0f\r\n\r\n"},
 		"odd status":      {response: "HTTP/1.1 2x0 OK\r\n\r\n"},
@@ -53,21 +53,21 @@
 				}
 				w1.respond, w2.respond = invalidFirst, invalidFirst
 				h.startInService()
-				began := h.now()
+				start := h.now()
 				got := h.connectClient().exchange(request(requestID(1)))
 				attempts := w1.attempts() + w2.attempts()
 				var expected bool
 				switch {
 				case c.broken:
-					expected = got.body == event1 && got.err != nil && attempts == 1 && h.elapsedSince(began) <= time.Second
+					expected = got.body == event1 && got.err != nil && attempts == 1 && h.elapsedSince(start) <= time.Second
 				case c.extra:
 					expected = strings.HasPrefix(got.body, streamBody) && got.err == nil && attempts == 1
 				default:
 					expected = got.body == streamBody && got.err == nil && attempts == 2
 				}
 				if !expected || got.StatusCode != http.StatusOK {
-					h.t.Errorf("%d %q, %v after %v, %d attempts",
-						got.StatusCode, got.body, got.err, h.elapsedSince(began), attempts)
+					h.t.Errorf("got status %d, body %q, error %v after %v and %d attempts",
+						got.StatusCode, got.body, got.err, h.elapsedSince(start), attempts)
 				}
 				if c.extra {
 					for n := 2; n < 6; n++ {
@@ -80,35 +80,35 @@
 	}
 }
 
-// TestStaleAndUnreachable: an idle connection that its server has closed is not used, and a server that cannot be
-// reached costs a request no more than another attempt.
+// TestStaleAndUnreachable checks that an idle connection that its server has closed is not reused, and that a server
+// that cannot be reached costs a request no more than another attempt.
 func TestStaleAndUnreachable(t *testing.T) {
 	onEachNetwork(t, func(h *harness) {
-		once := func(text string) func(*scriptedRequest) {
+		respondAndClose := func(text string) func(*scriptedRequest) {
 			return func(r *scriptedRequest) { r.write(text); r.closeAfterFlush() }
 		}
 		prefill, decode := h.addServer("r1", "prefill"), h.addServer("w1", "decode")
-		prefill.respond, decode.respond = once(prefillResponse), once(decodeResponse)
+		prefill.respond, decode.respond = respondAndClose(prefillResponse), respondAndClose(decodeResponse)
 		h.addServer("r2", "prefill").stopListening()
 		h.addServer("w2", "decode").stopListening()
 		h.startInService()
-		c := h.connectClient()
+		client := h.connectClient()
 		for n := range 8 {
-			c.expectServed(n)
+			client.expectServed(n)
 			h.waitUntilReusable()
 		}
 		if prefill.attempts() != 8 || decode.attempts() != 8 {
-			h.t.Errorf("%d prefill and %d decode attempts, want 8 each", prefill.attempts(), decode.attempts())
+			h.t.Errorf("got %d prefill and %d decode attempts, want 8 each", prefill.attempts(), decode.attempts())
 		}
 	})
 }
 
-// TestIdleConnsThatDied: a server that drops idle connections unnoticed costs a request an attempt, but is not
-// avoided for it: a session stays at its prefill server. The connect timeout is so long that a lost connection counts
-// as lost at once, which is within a fiftieth of it.
+// TestIdleConnsThatDied checks that a server is not avoided because attempts are lost on its stale connections: a
+// session stays at its prefill server. A connection counts as stale if it is lost within a fiftieth of the connect
+// timeout, which is long here so that a slow machine does not matter.
 func TestIdleConnsThatDied(t *testing.T) {
 	onEachNetwork(t, func(h *harness) {
-		dies := func(text string) func(*scriptedRequest) { // closes a connection with its second request
+		closeOnSecondRequest := func(text string) func(*scriptedRequest) {
 			answered := map[*scriptedConn]bool{}
 			return func(r *scriptedRequest) {
 				if answered[r.conn] {
@@ -122,36 +122,36 @@
 		var prefills []*scriptedServer
 		for _, name := range []string{"r1", "r2", "r3"} {
 			prefill := h.addServer(name, "prefill")
-			prefill.respond = dies(prefillResponse)
+			prefill.respond = closeOnSecondRequest(prefillResponse)
 			prefills = append(prefills, prefill)
 		}
-		h.addServer("w1", "decode").respond = dies(decodeResponse)
-		h.addServer("w2", "decode").respond = dies(decodeResponse)
+		h.addServer("w1", "decode").respond = closeOnSecondRequest(decodeResponse)
+		h.addServer("w2", "decode").respond = closeOnSecondRequest(decodeResponse)
 		h.startInService()
-		c := h.connectClient()
+		client := h.connectClient()
 		for n := range 20 {
-			c.expectServed(n)
+			client.expectServed(n)
 			h.waitUntilReusable()
 		}
 		h.onLoop(func() {
 			if h.node.backend.Counts.StaleConnections == 0 {
-				h.t.Error("no idle connection died")
+				h.t.Error("no attempt was lost on a stale connection")
 			}
 		})
-		used := 0
+		usedServers := 0
 		for _, prefill := range prefills {
 			if prefill.attempts() > 0 {
-				used++
+				usedServers++
 			}
 		}
-		if used != 1 {
-			h.t.Errorf("the session was sent to %d prefill servers, want one", used)
+		if usedServers != 1 {
+			h.t.Errorf("the session was sent to %d prefill servers, want one", usedServers)
 		}
 	}, `"connect_timeout_ns":250000000`, `"connect_timeout_ns":10000000000`)
 }
 
-// TestOutcomes: an attempt that may have run is retried if that is harmless. A request that a server finds invalid is
-// not.
+// TestOutcomes checks that an attempt of an idempotent request is retried even if it may have run, unless the server
+// finds the request invalid.
 func TestOutcomes(t *testing.T) {
 	respond := func(text string) func(*scriptedRequest) { return func(r *scriptedRequest) { r.write(text) } }
 	for name, c := range map[string]struct {
@@ -170,19 +170,19 @@
 				r1, r2 := h.addServer("r1", "prefill"), h.addServer("r2", "prefill")
 				r1.response, r2.response = prefillResponse, prefillResponse
 				w1, w2 := h.addServer("w1", "decode"), h.addServer("w2", "decode")
-				first := func(r *scriptedRequest) {
+				respondFirst := func(r *scriptedRequest) {
 					if w1.attemptCount()+w2.attemptCount() > 1 {
 						r.write(decodeResponse)
 						return
 					}
 					c.respond(r)
 				}
-				w1.respond, w2.respond = first, first
+				w1.respond, w2.respond = respondFirst, respondFirst
 				h.startInService()
 				got := h.connectClient().exchange(request(requestID(1)))
 				attempts := w1.attempts() + w2.attempts()
 				if got.StatusCode != c.status || attempts != c.attempts || got.err != nil {
-					h.t.Errorf("%d after %d attempts, %v, want %d after %d",
+					h.t.Errorf("got status %d after %d attempts, error %v, want %d after %d",
 						got.StatusCode, attempts, got.err, c.status, c.attempts)
 				}
 				if name == "state gone" {
@@ -193,43 +193,43 @@
 	}
 }
 
-// expectReleaseBetweenPrefills fails the test unless there were two prefill attempts and, between them, one release
-// at any server.
-func expectReleaseBetweenPrefills(t *testing.T, prefill, decode []*scriptedServer) {
+// expectReleaseBetweenPrefills fails the test unless the servers have received two prefill attempts and, between them,
+// one release.
+func expectReleaseBetweenPrefills(t *testing.T, prefillServers, decodeServers []*scriptedServer) {
 	t.Helper()
 	var prefills, releases []int64
-	for _, s := range append(slices.Clone(prefill), decode...) {
-		s.h.onLoop(func() {
-			for _, r := range s.requests {
+	for _, server := range append(slices.Clone(prefillServers), decodeServers...) {
+		server.h.onLoop(func() {
+			for _, r := range server.requests {
 				switch {
 				case r.isRelease():
-					releases = append(releases, r.at)
-				case slices.Contains(prefill, s):
-					prefills = append(prefills, r.at)
+					releases = append(releases, r.receivedAt)
+				case slices.Contains(prefillServers, server):
+					prefills = append(prefills, r.receivedAt)
 				}
 			}
 		})
 	}
 	slices.Sort(prefills)
 	if len(prefills) != 2 || len(releases) != 1 || releases[0] < prefills[0] || releases[0] > prefills[1] {
-		t.Errorf("prefill attempts at %v, releases at %v: want a release between two attempts", prefills, releases)
+		t.Errorf("got prefill attempts at %v and releases at %v, want one release between two attempts", prefills, releases)
 	}
 }
 
-// TestReleaseByAnotherServer: when a client disconnects, the attempt is abandoned and the state that it may leave is
-// released, by a server that responds if the one that holds it does not.
+// TestReleaseByAnotherServer checks that an attempt is abandoned when its client disconnects, and that the state that
+// it may leave is released by another server if the one that holds it does not respond.
 func TestReleaseByAnotherServer(t *testing.T) {
 	onEachNetwork(t, func(h *harness) {
 		silent, decode := h.addServer("r1", "prefill"), h.addServer("writer", "decode")
 		decode.response = decodeResponse
 		h.startInService()
-		c := h.connectClient()
-		c.send(request(requestID(1)))
+		client := h.connectClient()
+		client.send(request(requestID(1)))
 		silent.accept().readRequest()
-		c.close()
+		client.close()
 		h.waitUntil("a release", func() bool { return len(decode.requests) > 0 })
 		if line := decode.releases()[0].line; line != "DELETE /state/"+requestID(1)+" HTTP/1.1" {
-			h.t.Errorf("%q", line)
+			h.t.Errorf("got %q, want a release", line)
 		}
 	})
 }
--- a/internal/node/race_test.go
+++ b/internal/node/race_test.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// Tests of races: each forces the order of two events in which one could spoil the other.
+// Tests of race conditions. Each test forces the order of two events that could cause a fault.
 
-// TestDrainWhilePrefillWaitsForRelease: a prefill attempt that waits for a release is not sent to a server that has
-// begun to drain meanwhile.
+// TestDrainWhilePrefillWaitsForRelease checks that a prefill attempt that waits for a release is not sent if its
+// server begins to drain in the meantime.
 func TestDrainWhilePrefillWaitsForRelease(t *testing.T) {
 	onEachNetwork(t, func(h *harness) {
 		prefill := h.addServer("r1", "prefill")
@@ -22,20 +22,20 @@
 		first.close() // it may have succeeded: the state that it may have left must be released
 		release := prefill.accept()
 		if line := release.readRequest(); !strings.HasPrefix(line, "DELETE ") {
-			h.t.Fatalf("%q, want a release", line)
+			h.t.Fatalf("got %q, want a release", line)
 		}
 		h.waitForAttempt("r1")
 		h.sendChange(watch, 43, h.drainingEndpoint("r1"))
 		release.send(releaseResponse)
 		client.expectStatus(http.StatusServiceUnavailable)
-		// Releases are repeated, as the server that closed the first attempt's connection may still work on it.
+		// Releases are repeated, as the server that closed the first attempt's connection may still run it.
 		release.expectNoAttempt()
 		prefill.expectNoAttempt()
 	})
 }
 
-// TestRetryAfterDedupWindow: a retry is not sent if its connection comes up when the servers may no longer remember the
-// first attempt.
+// TestRetryAfterDedupWindow checks that a retry is not sent if its connection is established after the dedup window,
+// as the servers may no longer remember the first attempt.
 func TestRetryAfterDedupWindow(t *testing.T) {
 	h := newHarness(t, simulated, `"effect":"idempotent"`, `"effect":"deduplicated"`,
 		`"window_ns":5000000000`, `"window_ns":700000000`,
@@ -58,8 +58,8 @@
 	second.expectNoRequest()
 }
 
-// TestDisconnectWhileConnecting: an attempt whose connection is not up yet when its client disconnects is not sent,
-// even if attempts may not be canceled.
+// TestDisconnectWhileConnecting checks that an attempt whose connection is not established yet when its client
+// disconnects is not sent, even if attempts may not be canceled.
 func TestDisconnectWhileConnecting(t *testing.T) {
 	h := newHarness(t, simulated, `"cancel":true`, `"cancel":false`,
 		`"connect_timeout_ns":250000000`, `"connect_timeout_ns":4000000000`,
@@ -71,12 +71,13 @@
 	client.send(request(requestID(1)))
 	h.waitForAttempt("r1")
 	client.close()
-	h.waitUntil("its client is gone", func() bool { return h.node.dispatcher.Counts.ClientDisconnects == 1 })
+	h.waitUntil("the disconnect to be noticed", func() bool { return h.node.dispatcher.Counts.ClientDisconnects == 1 })
 	prefill.partition(false)
 	prefill.expectNoRequest()
 }
 
-// TestDrainWhileConnecting: an attempt whose connection comes up after its server has begun to drain is not sent.
+// TestDrainWhileConnecting checks that an attempt is not sent if its server begins to drain before its connection is
+// established.
 func TestDrainWhileConnecting(t *testing.T) {
 	h := newHarness(t, simulated, `"connect_timeout_ns":250000000`, `"connect_timeout_ns":4000000000`)
 	prefill := h.addServer("r1", "prefill")
@@ -91,8 +92,8 @@
 	prefill.expectNoRequest()
 }
 
-// TestPartialLineOnIdleConn: part of a line that a server sends on an idle connection is not taken for the start of the
-// next response: the connection is closed.
+// TestPartialLineOnIdleConn checks that an idle connection is closed if the server sends part of a line on it, which
+// would otherwise be taken for the start of the next response.
 func TestPartialLineOnIdleConn(t *testing.T) {
 	onEachNetwork(t, func(h *harness) {
 		h.addServer("r1", "prefill").response = prefillResponse
@@ -113,7 +114,7 @@
 	})
 }
 
-// TestEventsAreRelayedAtOnce: an event is relayed when it is complete, whatever is still to come.
+// TestEventsAreRelayedAtOnce checks that a complete event is relayed at once, without waiting for more input.
 func TestEventsAreRelayedAtOnce(t *testing.T) {
 	onEachNetwork(t, func(h *harness) {
 		h.addServer("r1", "prefill").response = prefillResponse
@@ -126,7 +127,7 @@
 		first := chunk(event1)
 		conn.send(streamHead + first[:len(first)-1])
 		conn.send(first[len(first)-1:])
-		client.expectSoon("oqvh") // nothing more was sent
+		client.expectSoon("oqvh") // nothing was sent after the event
 		for range 3 {
 			conn.send(chunk(event1) + chunk(event2)[:9])
 			client.expectSoon("oqvh")
--- a/internal/node/scriptedconn_test.go
+++ b/internal/node/scriptedconn_test.go
@@ -18,9 +18,9 @@
 	server     *scriptedServer // nil for a client
 	loop       *eventloop.Loop
 	socket     *eventloop.Conn
-	input      []byte // that the test has not read yet
+	input      []byte // received and not read by the test yet
 	opened     bool
-	peerClosed bool // the dispatcher sends no more
+	peerClosed bool // the dispatcher has closed the connection or its sending side
 }
 
 // Opened implements eventloop.Handler.
@@ -64,7 +64,7 @@
 	}
 }
 
-// respond has the server respond to the complete requests of the input.
+// respond responds to the complete requests in the input, as the server is scripted.
 func (c *scriptedConn) respond() {
 	for {
 		head, rest, complete := bytes.Cut(c.input, []byte("\r\n\r\n"))
@@ -85,7 +85,7 @@
 	c.loop.Post(func() { c.socket.Write([]byte(text)) })
 }
 
-// sendSlowly sends one piece each interval for as long as the connection is open.
+// sendSlowly sends the pieces one by one at an interval for as long as the connection is open.
 func (c *scriptedConn) sendSlowly(pieces []string, interval time.Duration) {
 	for _, piece := range pieces {
 		if !c.isOpen() {
@@ -108,15 +108,15 @@
 // waitForClose waits until the dispatcher has closed the connection.
 func (c *scriptedConn) waitForClose() {
 	c.h.t.Helper()
-	c.h.waitUntil("the connection ends", func() bool { return c.peerClosed })
+	c.h.waitUntil("the connection to be closed", func() bool { return c.peerClosed })
 }
 
-// expect waits for a text and returns the input up to its end, which it removes. The test fails if the connection ends
-// before.
+// expect waits for a text in the input, and removes and returns the input up to the end of the text. The test fails if
+// the connection ends before that.
 func (c *scriptedConn) expect(text string) (got string) {
 	c.h.t.Helper()
 	closed := false
-	c.h.waitUntil("want "+text, func() bool {
+	c.h.waitUntil("the text "+text, func() bool {
 		before, after, found := bytes.Cut(c.input, []byte(text))
 		if found {
 			got, c.input = string(before)+text, after
@@ -125,18 +125,19 @@
 		return found || closed
 	})
 	if !strings.HasSuffix(got, text) {
-		c.h.t.Fatalf("the connection ended, want %q", text)
+		c.h.t.Fatalf("the connection ended before %q was received", text)
 	}
 	return got
 }
 
-// expectSoon is expect for what was sent before: on the simulated network it may take no longer than the transit.
+// expectSoon is expect for a text that has been sent already. On the simulated network the test fails if the text
+// takes longer than the latency explains.
 func (c *scriptedConn) expectSoon(text string) {
 	c.h.t.Helper()
-	began := c.h.now()
+	start := c.h.now()
 	c.expect(text)
-	if took := c.h.elapsedSince(began); c.h.network != nil && took > 4*transitTime {
-		c.h.t.Errorf("%q came after %v", text, took)
+	if took := c.h.elapsedSince(start); c.h.network != nil && took > 4*networkLatency {
+		c.h.t.Errorf("received %q after %v", text, took)
 	}
 }
 
@@ -144,26 +145,26 @@
 func (c *scriptedConn) expectStatus(status int) {
 	c.h.t.Helper()
 	if line := c.expect("\r\n"); !strings.Contains(line, fmt.Sprintf(" %d ", status)) {
-		c.h.t.Errorf("the client got %q, want %d", line, status)
+		c.h.t.Errorf("the client got %q, want status %d", line, status)
 	}
 }
 
-// expectNoAttempt fails the test if an attempt has come on the connection.
+// expectNoAttempt fails the test if an attempt was received on the connection.
 func (c *scriptedConn) expectNoAttempt() {
 	c.h.t.Helper()
 	c.h.onLoop(func() {
 		if bytes.Contains(c.input, []byte("POST ")) {
-			c.h.t.Errorf("there came %q", c.input)
+			c.h.t.Errorf("received %q, want no attempt", c.input)
 		}
 	})
 }
 
-// expectNoInput fails the test if anything has come that it has not read.
+// expectNoInput fails the test if there is input that it has not read.
 func (c *scriptedConn) expectNoInput() {
 	c.h.t.Helper()
 	c.h.onLoop(func() {
 		if len(c.input) > 0 {
-			c.h.t.Errorf("there came %q", c.input)
+			c.h.t.Errorf("received %q, want nothing", c.input)
 		}
 	})
 }
@@ -179,7 +180,7 @@
 	return line
 }
 
-// clientResponse is what a client has received: a response with its body as far as it came, and how it ended.
+// clientResponse is the response that a client has received. If err is set, it is incomplete or invalid.
 type clientResponse struct {
 	*http.Response
 	body string
@@ -197,18 +198,18 @@
 func (c *scriptedConn) readResponse() (got clientResponse) {
 	c.h.t.Helper()
 	c.h.waitUntil("a response", func() bool {
-		in := bytes.NewReader(c.input)
-		buffered := bufio.NewReader(in)
+		input := bytes.NewReader(c.input)
+		buffered := bufio.NewReader(input)
 		got = clientResponse{}
 		if got.Response, got.err = http.ReadResponse(buffered, nil); got.err == nil {
-			var b []byte
-			b, got.err = io.ReadAll(got.Body)
-			got.body = string(b)
+			var body []byte
+			body, got.err = io.ReadAll(got.Body)
+			got.body = string(body)
 		}
 		if got.err != nil {
 			return c.peerClosed
 		}
-		c.input = c.input[len(c.input)-in.Len()-buffered.Buffered():]
+		c.input = c.input[len(c.input)-input.Len()-buffered.Buffered():]
 		return true
 	})
 	if got.Response == nil {
@@ -222,6 +223,6 @@
 	c.h.t.Helper()
 	got := c.exchange(request(requestID(n)))
 	if got.StatusCode != http.StatusOK || got.body != streamBody || got.err != nil {
-		c.h.t.Fatalf("request %d: %d %q, %v", n, got.StatusCode, got.body, got.err)
+		c.h.t.Fatalf("request %d: got status %d, body %q, error %v; want it served", n, got.StatusCode, got.body, got.err)
 	}
 }
--- a/internal/node/serve_test.go
+++ b/internal/node/serve_test.go
@@ -9,29 +9,29 @@
 	"testing"
 )
 
-// Tests of requests from client to servers and back.
+// Tests of requests from clients to servers, and of the responses.
 
-// addRespondingServers adds a server of each kind that responds to every request.
+// addRespondingServers adds a prefill server and a decode server that respond to every request.
 func (h *harness) addRespondingServers() (prefill, decode *scriptedServer) {
 	prefill, decode = h.addServer("reader", "prefill"), h.addServer("writer", "decode")
 	prefill.response, decode.response = prefillResponse, decodeResponse
 	return prefill, decode
 }
 
-// TestServes: a request is sent to a prefill server and to a decode server as its client sent it, and the events of the
-// response are relayed unchanged. Connections are reused.
+// TestServes checks that a request is sent to a prefill server and to a decode server as its client sent it, that the
+// events of the response are relayed unchanged, and that connections are reused.
 func TestServes(t *testing.T) {
 	onEachNetwork(t, func(h *harness) {
 		prefill, decode := h.addRespondingServers()
 		h.startInService()
-		c := h.connectClient()
+		client := h.connectClient()
 		for n := range 5 {
-			c.expectServed(n)
+			client.expectServed(n)
 			h.waitUntilReusable()
 		}
-		conns := prefill.acceptedCount + decode.acceptedCount
+		conns := prefill.connCount + decode.connCount
 		if prefill.attempts() != 5 || decode.attempts() != 5 || conns != 2 {
-			h.t.Errorf("%d prefill and %d decode attempts on %d connections, want 5 and 5 on 2",
+			h.t.Errorf("got %d prefill and %d decode attempts on %d connections, want 5 and 5 on 2",
 				prefill.attempts(), decode.attempts(), conns)
 		}
 		for _, r := range prefill.requests {
@@ -42,7 +42,7 @@
 	})
 }
 
-// TestBadRequests: an invalid request is answered with an error and sent to no server.
+// TestBadRequests checks that an invalid request is answered with an error and sent to no server.
 func TestBadRequests(t *testing.T) {
 	onEachNetwork(t, func(h *harness) {
 		prefill, decode := h.addRespondingServers()
@@ -74,17 +74,17 @@
 		for _, name := range slices.Sorted(maps.Keys(requests)) {
 			got := h.connectClient().exchange(requests[name])
 			if got.StatusCode < 400 || got.StatusCode > 505 || got.StatusCode == http.StatusServiceUnavailable {
-				h.t.Errorf("%s: %d, %v", name, got.StatusCode, got.err)
+				h.t.Errorf("%s: got status %d, error %v, want an error status other than 503", name, got.StatusCode, got.err)
 			}
 		}
 		if n := len(prefill.requests) + len(decode.requests); n > 0 {
-			h.t.Errorf("servers got %d requests", n)
+			h.t.Errorf("servers got %d requests, want 0", n)
 		}
 		h.connectClient().expectServed(1)
 	})
 }
 
-// TestSameID: a request with the ID of one in hand is refused, and the one in hand goes on.
+// TestSameID checks that a request with the ID of a request in flight is refused, and the one in flight is served.
 func TestSameID(t *testing.T) {
 	onEachNetwork(t, func(h *harness) {
 		h.addServer("reader", "prefill").response = prefillResponse
@@ -95,31 +95,31 @@
 		decodeConn := decode.accept()
 		decodeConn.readRequest()
 		if got := h.connectClient().exchange(request(requestID(1))); got.StatusCode != http.StatusConflict {
-			h.t.Errorf("the same ID: %d, want 409", got.StatusCode)
+			h.t.Errorf("request with the same ID: got status %d, want 409", got.StatusCode)
 		}
 		decodeConn.send(decodeResponse)
 		if got := first.readResponse(); got.body != streamBody {
-			h.t.Errorf("the request in hand: %q", got.body)
+			h.t.Errorf("request in flight: got body %q", got.body)
 		}
 	})
 }
 
-// TestPipelined: a request that follows another on the same connection waits for the end of the first.
+// TestPipelined checks that requests sent together on one connection are served one after the other.
 func TestPipelined(t *testing.T) {
 	onEachNetwork(t, func(h *harness) {
 		h.addRespondingServers()
 		h.startInService()
-		c := h.connectClient()
-		c.send(request(requestID(1)) + request(requestID(2)))
+		client := h.connectClient()
+		client.send(request(requestID(1)) + request(requestID(2)))
 		for n := range 2 {
-			if got := c.readResponse(); got.body != streamBody || got.err != nil {
-				h.t.Errorf("response %d: %q, %v", n, got.body, got.err)
+			if got := client.readResponse(); got.body != streamBody || got.err != nil {
+				h.t.Errorf("response %d: got body %q, error %v", n, got.body, got.err)
 			}
 		}
 	})
 }
 
-// TestReject: a request for which there is no server is rejected at once, with Retry-After.
+// TestReject checks that a request for which there is no server is rejected at once, with Retry-After.
 func TestReject(t *testing.T) {
 	onEachNetwork(t, func(h *harness) {
 		h.addServer("reader", "prefill").stopListening()
@@ -127,13 +127,13 @@
 		got := h.connectClient().exchange(request(requestID(1)))
 		retryAfter := got.Header.Get("Retry-After")
 		if got.StatusCode != http.StatusServiceUnavailable || retryAfter != "0.750" {
-			h.t.Errorf("%d, Retry-After %q, want 503 and 0.750", got.StatusCode, retryAfter)
+			h.t.Errorf("got status %d, Retry-After %q, want 503 and 0.750", got.StatusCode, retryAfter)
 		}
 	})
 }
 
-// TestHeaderFieldsAreForwarded: end-to-end header fields are forwarded to servers unchanged, such as the key by which
-// they recognize retries.
+// TestHeaderFieldsAreForwarded checks that end-to-end header fields, such as the key by which servers recognize
+// retries, are forwarded unchanged, and that hop-by-hop fields are removed.
 func TestHeaderFieldsAreForwarded(t *testing.T) {
 	onEachNetwork(t, func(h *harness) {
 		prefill, decode := h.addRespondingServers()
@@ -142,37 +142,37 @@
 			"X-Lane: chat\r\nIdempotency-Key: k-17\r\nx-trace: a\r\nX-Trace: b\r\n"+
 				"X-Hop: h\r\nConnection: keep-alive, x-hop\r\nTE: trailers\r\n"))
 		if got.body != streamBody || got.err != nil {
-			h.t.Fatalf("%q, %v", got.body, got.err)
+			h.t.Fatalf("got body %q, error %v", got.body, got.err)
 		}
-		for _, p := range []*scriptedServer{prefill, decode} {
-			r, err := http.ReadRequest(bufio.NewReader(strings.NewReader(p.requests[0].head + "\r\n\r\n")))
+		for _, server := range []*scriptedServer{prefill, decode} {
+			r, err := http.ReadRequest(bufio.NewReader(strings.NewReader(server.requests[0].head + "\r\n\r\n")))
 			if err != nil {
 				h.t.Fatal(err)
 			}
-			f := r.Header
-			forwarded := f.Get("Idempotency-Key") == "k-17" && slices.Equal(f["X-Trace"], []string{"a", "b"})
-			removed := f["X-Hop"] == nil && f["Te"] == nil && len(f["Connection"]) == 0
-			if !forwarded || !removed || len(f["X-Remaining"]) != 1 || len(f["X-Txn"]) != 1 {
-				h.t.Errorf("the server got %v", f)
+			header := r.Header
+			forwarded := header.Get("Idempotency-Key") == "k-17" && slices.Equal(header["X-Trace"], []string{"a", "b"})
+			removed := header["X-Hop"] == nil && header["Te"] == nil && len(header["Connection"]) == 0
+			if !forwarded || !removed || len(header["X-Remaining"]) != 1 || len(header["X-Txn"]) != 1 {
+				h.t.Errorf("the server got %v", header)
 			}
 		}
 	})
 }
 
-// TestTenants: a request may name a tenant of the settings; one that names another is refused.
+// TestTenants checks that a request may name a tenant of the settings, and is refused if it names another.
 func TestTenants(t *testing.T) {
 	onEachNetwork(t, func(h *harness) {
 		h.addRespondingServers()
 		h.startInService()
-		statuses := map[string]int{"north": 200, "south": 200, "": 200, "west": 400}
-		for _, name := range slices.Sorted(maps.Keys(statuses)) {
-			want, field := statuses[name], ""
+		wantStatuses := map[string]int{"north": 200, "south": 200, "": 200, "west": 400}
+		for _, name := range slices.Sorted(maps.Keys(wantStatuses)) {
+			want, field := wantStatuses[name], ""
 			if name != "" {
 				field = "X-Org: " + name + "\r\n"
 			}
 			got := h.connectClient().exchange(request(requestID(1), "X-Lane", field+"X-Lane"))
 			if got.StatusCode != want || got.err != nil {
-				h.t.Errorf("tenant %q: %d, %v, want %d", name, got.StatusCode, got.err, want)
+				h.t.Errorf("tenant %q: got status %d, error %v, want %d", name, got.StatusCode, got.err, want)
 			}
 		}
 	}, `"tenants":[]`, `"tenants":[{"name":"north","allowance_per_s":5},{"name":"south","allowance_per_s":1}]`)
--- a/internal/node/trace_test.go
+++ b/internal/node/trace_test.go
@@ -11,8 +11,9 @@
 	"testing"
 )
 
-// The traces of the simulated tests: what the dispatcher did on its connections to servers, discovery and clients, in
-// what order and when. A simulated test is deterministic, so a trace changes only if the program's behavior changes.
+// Traces of the simulated tests record what the dispatcher sent on its connections to servers, discovery and clients,
+// in what order and when. A simulated test is deterministic, so a trace changes only if the program's behavior
+// changes.
 
 const traceDigestsFile = "testdata/traces.golden"
 
@@ -24,6 +25,7 @@
 // traceDigests maps the name of a test to the digests of its harnesses' traces in their order.
 var traceDigests = map[string][]string{}
 
+// TestMain rewrites the golden file if -update-traces is set and all tests have passed.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	code := m.Run()
@@ -36,6 +38,7 @@
 	os.Exit(code)
 }
 
+// writeTraceDigests writes the digests of this run to the golden file.
 func writeTraceDigests() error {
 	var lines []string
 	for name, digests := range traceDigests {
@@ -48,8 +51,8 @@
 	return os.WriteFile(traceDigestsFile, []byte(strings.Join(lines, "")), 0o644)
 }
 
-// wantedTraceDigests returns the digests that the golden file has for a test.
-func wantedTraceDigests(t *testing.T) []string {
+// goldenTraceDigests returns the digests that the golden file has for a test.
+func goldenTraceDigests(t *testing.T) []string {
 	t.Helper()
 	text, err := os.ReadFile(traceDigestsFile)
 	if err != nil {
@@ -63,10 +66,10 @@
 	return nil
 }
 
-// trace records what the scripted peers of one harness saw.
+// trace records what the scripted peers of one harness received.
 type trace struct {
 	lines []string
-	conns map[*scriptedConn]int // numbers of connections by their first event
+	conns map[*scriptedConn]int // connection numbers, in the order of their first events
 }
 
 // add records one event of a connection.
@@ -102,9 +105,9 @@
 	if *updateTraces {
 		return
 	}
-	if want := wantedTraceDigests(t); index >= len(want) || want[index] != digest {
-		t.Errorf("the trace of %d events has digest %s, want %v at %d: the order, the time or the bytes of what the "+
-			"dispatcher sends have changed; compare the traces that -trace-dir writes before and after",
+	if want := goldenTraceDigests(t); index >= len(want) || want[index] != digest {
+		t.Errorf("the trace of %d events has digest %s, want %v at index %d: the order, times or bytes of what the "+
+			"dispatcher sends have changed; compare the traces that -trace-dir writes before and after the change",
 			len(tr.lines), digest, want, index)
 	}
 }
--- a/internal/node/watch_test.go
+++ b/internal/node/watch_test.go
@@ -10,9 +10,9 @@
 
 // Tests of the watch on the endpoint list.
 
-// maxSilentWatch is the time within which a silent watch must be replaced: a change counts as delivered six seconds
-// after discovery had it, and one more call may fail in that time.
-const maxSilentWatch = 4500 * time.Millisecond
+// maxReplacementTime is the time within which a silent watch must be replaced: a change counts as delivered six
+// seconds after discovery had it, and one more call may fail in that time.
+const maxReplacementTime = 4500 * time.Millisecond
 
 // chunksOfOneByte returns a text in chunks of one byte.
 func chunksOfOneByte(text string) []string {
@@ -23,8 +23,8 @@
 	return pieces
 }
 
-// TestSilentWatch: a watch that falls silent, stops in the middle of a change, or sends one that never becomes
-// complete, is replaced in time by one that asks for the changes since.
+// TestSilentWatch checks that a watch that sends nothing, stops in the middle of a change, or sends a change that
+// never becomes complete is replaced in time by one that asks for the changes since.
 func TestSilentWatch(t *testing.T) {
 	unfinished := `{"version":43,"full":false,"servers":[` + strings.Repeat(" ", 60)
 	for name, pieces := range map[string][]string{
@@ -36,19 +36,19 @@
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, simulated)
 			watch := h.startInService()
-			began := h.now()
+			start := h.now()
 			watch.sendSlowly(pieces, 100*time.Millisecond)
 			if line := h.discovery.accept().readRequest(); !strings.Contains(line, "from=42") {
-				t.Errorf("%q, want what came after version 42", line)
+				t.Errorf("got %q, want a call for the changes after version 42", line)
 			}
-			if took := h.elapsedSince(began); took > maxSilentWatch {
-				t.Errorf("replaced after %v, want %v at most", took, maxSilentWatch)
+			if took := h.elapsedSince(start); took > maxReplacementTime {
+				t.Errorf("replaced after %v, want at most %v", took, maxReplacementTime)
 			}
 		})
 	}
 }
 
-// TestIdleWatchStaysOpen: a watch on which nothing changes is kept open by blank lines.
+// TestIdleWatchStaysOpen checks that a watch without changes stays open as long as it sends blank lines.
 func TestIdleWatchStaysOpen(t *testing.T) {
 	h := newHarness(t, simulated)
 	watch := h.startInService()
@@ -62,23 +62,24 @@
 	}
 }
 
-// TestWatchWithoutNews: a watch whose response does not begin, or begins and delivers nothing, is closed early.
+// TestWatchWithoutNews checks that a watch whose response does not begin or delivers no list is replaced early.
 func TestWatchWithoutNews(t *testing.T) {
 	for name, head := range map[string]string{"no response": "", "no list": watchHead} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, simulated)
 			watch := h.start()
-			began := h.now()
+			start := h.now()
 			watch.send(head)
 			h.discovery.accept().readRequest()
-			if took := h.elapsedSince(began); took > 1500*time.Millisecond {
-				t.Errorf("replaced after %v", took)
+			if took := h.elapsedSince(start); took > 1500*time.Millisecond {
+				t.Errorf("replaced after %v, want at most 1.5 s", took)
 			}
 		})
 	}
 }
 
-// TestListOnRequestMayTakeLong: with lists on request, a call is not closed while discovery takes its time to answer.
+// TestListOnRequestMayTakeLong checks that, with lists on request, a call is not closed while discovery delays its
+// response.
 func TestListOnRequestMayTakeLong(t *testing.T) {
 	h := newHarness(t, simulated, `"membership_mode":"pushed"`, `"membership_mode":"on_request"`)
 	call := h.start()
@@ -86,11 +87,11 @@
 	call.send(watchHead)
 	h.sendList(call, backend.EndpointList{Version: 42, Full: true})
 	if !call.isOpen() || !h.discovery.hasNoNewConns() {
-		t.Error("the call was closed, or another one made")
+		t.Error("the call was closed or repeated")
 	}
 }
 
-// TestRejectedCallsBackOff: a discovery that rejects calls is called at growing intervals.
+// TestRejectedCallsBackOff checks that discovery is called at growing intervals while it rejects calls.
 func TestRejectedCallsBackOff(t *testing.T) {
 	h := newHarness(t, simulated)
 	call := h.start()
@@ -101,25 +102,25 @@
 		call.readRequest()
 		want := time.Duration(min(1<<n, 8)) * 100 * time.Millisecond
 		if gap := h.elapsedSince(rejectedAt); gap < want {
-			t.Errorf("call %d came %v after a rejection, want %v at least", n+1, gap, want)
+			t.Errorf("call %d was made %v after a rejection, want at least %v", n+1, gap, want)
 		}
 	}
 }
 
-// TestReloadKeepsOldWatchUntilNews: after a change of the address, the watch at the old one stays open until the new
-// one has delivered a list. What it delivers meanwhile is applied.
+// TestReloadKeepsOldWatchUntilNews checks that, after a change of the address, the watch at the old address stays open
+// until the new one has delivered a list, and that what it delivers until then is applied.
 func TestReloadKeepsOldWatchUntilNews(t *testing.T) {
 	onEachNetwork(t, func(h *harness) {
-		old := h.startInService()
+		oldWatch := h.startInService()
 		watch := h.moveDiscovery()
-		h.sendList(old, backend.EndpointList{Version: 43, Full: true, Endpoints: h.endpoints})
+		h.sendList(oldWatch, backend.EndpointList{Version: 43, Full: true, Endpoints: h.endpoints})
 		h.sendList(watch, backend.EndpointList{Version: 3, Full: true, Endpoints: h.endpoints})
-		old.waitForClose()
+		oldWatch.waitForClose()
 	})
 }
 
-// TestReloadToLowerVersions: a discovery at a new address has versions of its own. It is asked for the complete list,
-// and its changes are applied however low their versions are.
+// TestReloadToLowerVersions checks that discovery at a new address, which has versions of its own, is asked for the
+// full list, and that its changes are applied even if their versions are lower.
 func TestReloadToLowerVersions(t *testing.T) {
 	onEachNetwork(t, func(h *harness) {
 		h.addServer("r1", "prefill")
@@ -131,7 +132,8 @@
 	})
 }
 
-// TestWatchResetBeforeItsNews: a change that a watch had not delivered when it was closed is asked for by the next.
+// TestWatchResetBeforeItsNews checks that a change that was incomplete when its watch was closed is requested by the
+// next watch.
 func TestWatchResetBeforeItsNews(t *testing.T) {
 	onEachNetwork(t, func(h *harness) {
 		h.addServer("r1", "prefill")
@@ -139,11 +141,11 @@
 		endpoints := []backend.Endpoint{h.drainingEndpoint("r1")}
 		change := chunk(listText(backend.EndpointList{Version: 43, Endpoints: endpoints}))
 		watch.send(change[:40])
-		h.advance(transitTime)
+		h.advance(networkLatency)
 		watch.close()
 		next := h.discovery.accept()
 		if line := next.readRequest(); !strings.Contains(line, "from=42") {
-			h.t.Errorf("%q, want what came after version 42", line)
+			h.t.Errorf("got %q, want a call for the changes after version 42", line)
 		}
 		next.send(watchHead + change)
 		h.waitForListUpdate(1)
@@ -151,38 +153,38 @@
 	})
 }
 
-// TestListBeforeRequests: what discovery knows when a process starts counts as delivered to it, so no request is sent
-// before its list has come.
+// TestListBeforeRequests checks that no request is sent before the first list is received, since what discovery knows
+// when a process starts counts as delivered to it.
 func TestListBeforeRequests(t *testing.T) {
 	h := newHarness(t, simulated)
 	prefill := h.addServer("r1", "prefill")
-	stale := h.addServer("r2", "prefill")
+	draining := h.addServer("r2", "prefill")
 	watch := h.start()
 	client := h.dialClient()
 	client.send(request(requestID(1)))
 	h.advance(100 * time.Millisecond)
-	if !prefill.hasNoNewConns() || !stale.hasNoNewConns() {
-		t.Fatal("a request was sent before the list was known")
+	if !prefill.hasNoNewConns() || !draining.hasNoNewConns() {
+		t.Fatal("a request was sent before the list was received")
 	}
 	watch.send(watchHead)
 	endpoints := []backend.Endpoint{h.endpoints[0], h.drainingEndpoint("r2")}
 	h.sendList(watch, backend.EndpointList{Version: 50, Full: true, Endpoints: endpoints})
 	prefill.accept().readRequest()
-	if !stale.hasNoNewConns() {
+	if !draining.hasNoNewConns() {
 		t.Error("a draining server got a request")
 	}
 }
 
-// TestRequestsWithoutDiscovery: if discovery does not respond, clients are soon served by the initial list.
+// TestRequestsWithoutDiscovery checks that clients are soon served by the initial list if discovery does not respond.
 func TestRequestsWithoutDiscovery(t *testing.T) {
 	h := newHarness(t, simulated)
 	prefill := h.addServer("r1", "prefill")
 	h.start()
-	began := h.now()
+	start := h.now()
 	client := h.dialClient()
 	client.send(request(requestID(1)))
 	prefill.accept().readRequest()
-	if took := h.elapsedSince(began); took > 300*time.Millisecond {
-		t.Errorf("served after %v", took)
+	if took := h.elapsedSince(start); took > 300*time.Millisecond {
+		t.Errorf("request sent after %v, want at most 300 ms", took)
 	}
 }
