--- a/cmd/docksail/serve_test.go
+++ b/cmd/docksail/serve_test.go
@@ -216,14 +216,14 @@
 	t.Errorf("%s: status shows %s, want %q", when, output, want)
 }
 
-// TestStatusFormat checks that a status file of another format is an error, by the former name of the command too.
+// TestStatusFormat checks that status and its former name reject a status file of another format version.
 func TestStatusFormat(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "other")
 	writeFile(t, file, `{"format": 9}`)
 	for _, command := range []string{"status", "view"} {
 		output, err := program(command, file).CombinedOutput()
-		if err == nil || !bytes.Contains(output, []byte("format 9, want 1")) {
-			t.Errorf("%s of another format: %v, %s", command, err, output)
+		if err == nil || !bytes.Contains(output, []byte("file format version is 9, must be 1")) {
+			t.Errorf("%s of another format version: %v, %s", command, err, output)
 		}
 	}
 }
--- a/internal/asynclog/asynclog.go
+++ b/internal/asynclog/asynclog.go
@@ -1,4 +1,4 @@
-// Package asynclog has log records written on a goroutine of their own, so that a slow writer holds up nobody who logs.
+// Package asynclog writes log records on a separate goroutine, so that a slow writer does not block the callers.
 package asynclog
 
 import (
@@ -7,7 +7,7 @@
 	"sync/atomic"
 )
 
-// queueLength is how many records may wait for the writer. Further ones are dropped.
+// queueLength is the maximum number of queued records. Further records are dropped.
 const queueLength = 4096
 
 // Handler is a slog.Handler that queues records for another handler.
@@ -16,7 +16,7 @@
 	queue *queue
 }
 
-// queue is what the handlers derived from one have in common.
+// queue holds the records of a handler and of all handlers derived from it by WithAttrs and WithGroup.
 type queue struct {
 	records chan queuedRecord
 	dropped atomic.Uint64
@@ -27,28 +27,28 @@
 	record slog.Record
 }
 
-// NewHandler returns a handler that has records written by next until the context ends. The records that wait then are
-// still written.
+// NewHandler returns a handler whose records are written by next until the context ends. Records that are still queued
+// then are written, too.
 func NewHandler(ctx context.Context, next slog.Handler) *Handler {
 	q := &queue{records: make(chan queuedRecord, queueLength)}
 	go q.write(ctx)
 	return &Handler{next: next, queue: q}
 }
 
-// write hands on the records until the context ends, and then those that are left.
+// write passes records to their handlers until the context ends, and then the records that are still queued.
 func (q *queue) write(ctx context.Context) {
 	for {
 		select {
 		case r := <-q.records:
-			_ = r.next.Handle(ctx, r.record) // there is nowhere to report an error of the log
+			_ = r.next.Handle(ctx, r.record) // a failure to log cannot be logged
 		case <-ctx.Done():
-			q.writeRest()
+			q.writeRemaining()
 			return
 		}
 	}
 }
 
-func (q *queue) writeRest() {
+func (q *queue) writeRemaining() {
 	for {
 		select {
 		case r := <-q.records:
@@ -59,7 +59,7 @@
 	}
 }
 
-// Dropped returns how many records were dropped because too many waited.
+// Dropped returns how many records were dropped because the queue was full.
 func (h *Handler) Dropped() uint64 { return h.queue.dropped.Load() }
 
 // Enabled implements slog.Handler.
@@ -67,7 +67,7 @@
 	return h.next.Enabled(ctx, level)
 }
 
-// Handle implements slog.Handler. It never waits and never fails.
+// Handle implements slog.Handler. It never blocks, and its error is always nil.
 func (h *Handler) Handle(_ context.Context, record slog.Record) error {
 	select {
 	case h.queue.records <- queuedRecord{h.next, record.Clone()}:
--- a/internal/asynclog/asynclog_test.go
+++ b/internal/asynclog/asynclog_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// blockingHandler writes no record until it is opened.
+// blockingHandler blocks every record until opened is closed.
 type blockingHandler struct {
 	slog.Handler
 	opened  chan struct{}
@@ -21,8 +21,8 @@
 	return nil
 }
 
-// A writer that hangs holds up nobody who logs: records beyond the queue are dropped and counted, the others are
-// written.
+// TestSlowWriterDropsRecords checks that a blocked writer does not block the callers: records that do not fit in the
+// queue are dropped and counted, all others are written.
 func TestSlowWriterDropsRecords(t *testing.T) {
 	next := &blockingHandler{Handler: slog.DiscardHandler, opened: make(chan struct{})}
 	h := NewHandler(t.Context(), next)
--- a/internal/statusfile/print.go
+++ b/internal/statusfile/print.go
@@ -11,13 +11,14 @@
 	"docksail/internal/dispatch"
 )
 
-// staleAfter is the age at which a file, which is written every second, is said to be old.
+// staleAfter is the age above which a file is marked as stale. A running dispatcher writes the file every second.
 const staleAfter = 5 * time.Second
 
-// allTenants stands for the name of the only tenant of a dispatcher without tenants in its configuration.
+// allTenants is printed as the tenant's name if the configuration has no tenants and all requests belong to one.
 const allTenants = "(all)"
 
-// Print writes the status as a table of tenants between lines of totals. now tells how old the file is.
+// Print writes a summary, a table of the tenants, their rejections and the totals. now is the time from which the age
+// of the file is computed.
 func (f *File) Print(w io.Writer, now time.Time) {
 	f.printSummary(w, now)
 	printTenants(w, f.Status.Tenants)
--- a/internal/statusfile/statusfile.go
+++ b/internal/statusfile/statusfile.go
@@ -1,4 +1,4 @@
-// Package statusfile writes the state of a dispatcher to a file, reads it back and prints it for people.
+// Package statusfile writes the state of a dispatcher to a file, reads the file and prints it as a table.
 package statusfile
 
 import (
@@ -10,10 +10,10 @@
 	"docksail/internal/grpcnode"
 )
 
-// Format is the version of the file's format, which stands in the file.
+// Format is the version of the file format. Each file contains the version in which it was written.
 const Format = 1
 
-const permissions = 0o600
+const filePermissions = 0o600
 
 // File is the content of a status file.
 type File struct {
@@ -22,31 +22,31 @@
 	Status    grpcnode.Status `json:"View"`
 }
 
-// FormatError says that a file has a format which this program does not read.
+// FormatError reports a file whose format version is not supported.
 type FormatError struct {
-	Name   string // of the file
+	Name   string // name of the file
 	Format int
 }
 
-// Error returns the formats found and expected.
+// Error returns the name of the file with the found and the supported version.
 func (e *FormatError) Error() string {
-	return fmt.Sprintf("%s: format %d, want %d", e.Name, e.Format, Format)
+	return fmt.Sprintf("%s: file format version is %d, must be %d", e.Name, e.Format, Format)
 }
 
-// Write replaces a file by one with a status. Readers see either the former content or the new one.
+// Write writes a status to a file, which it replaces atomically: readers see either the former content or the new one.
 func Write(name string, status grpcnode.Status, now time.Time) error {
 	text, err := json.Marshal(File{Format: Format, WrittenAt: now, Status: status})
 	if err != nil {
 		return err
 	}
 	temporary := name + ".next"
-	if err := os.WriteFile(temporary, text, permissions); err != nil {
+	if err := os.WriteFile(temporary, text, filePermissions); err != nil {
 		return err
 	}
 	return os.Rename(temporary, name)
 }
 
-// Read reads a file. The error is a *FormatError if the file has another format.
+// Read reads a status file. The error is a *FormatError if the file has another format version.
 func Read(name string) (*File, error) {
 	text, err := os.ReadFile(name)
 	if err != nil {
--- a/internal/statusfile/statusfile_test.go
+++ b/internal/statusfile/statusfile_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// wantTable is the text of exampleStatus after the line of the time.
+// wantTable is the printed exampleStatus without its first line, which shows the time.
 const wantTable = `7 requests in hand, 3 waiting in 2 flows, 5 connections
   tenant  weight  waiting  running  came  let in  share  mean wait  longest  booked  back  kept
     ours      50        3        2    12       4  75.0%        5ms     12ms       3     2     1
@@ -46,6 +46,7 @@
 4 served, 5 rejected, 6 failed, 7 left; 8 attempts, 9 late, 10 broken
 `
 
+// TestPrint checks the printed table and that a file is marked as stale only above the age limit.
 func TestPrint(t *testing.T) {
 	for _, test := range []struct {
 		name      string
@@ -67,6 +68,7 @@
 	}
 }
 
+// TestWriteAndRead checks that Read returns what Write has written, and that the keys of the file are unchanged.
 func TestWriteAndRead(t *testing.T) {
 	name := filepath.Join(t.TempDir(), "status")
 	want := File{Format: Format, WrittenAt: writtenAt, Status: exampleStatus()}
@@ -90,23 +92,24 @@
 	}
 }
 
+// TestReadErrors checks the errors for a missing file, invalid JSON and another format version.
 func TestReadErrors(t *testing.T) {
 	name := filepath.Join(t.TempDir(), "status")
 	if _, err := Read(name); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("no file: %v, want %v", err, os.ErrNotExist)
+		t.Errorf("missing file: %v, want %v", err, os.ErrNotExist)
 	}
-	if err := os.WriteFile(name, []byte("{"), permissions); err != nil {
+	if err := os.WriteFile(name, []byte("{"), filePermissions); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Read(name); err == nil || !strings.HasPrefix(err.Error(), name) {
-		t.Errorf("no JSON: %v, want an error that begins with the file's name", err)
+		t.Errorf("invalid JSON: %v, want an error that begins with the file's name", err)
 	}
-	if err := os.WriteFile(name, []byte(`{"format": 9}`), permissions); err != nil {
+	if err := os.WriteFile(name, []byte(`{"format": 9}`), filePermissions); err != nil {
 		t.Fatal(err)
 	}
 	_, err := Read(name)
 	formatErr, ok := errors.AsType[*FormatError](err)
-	if !ok || formatErr.Format != 9 || err.Error() != name+": format 9, want 1" {
-		t.Errorf("another format: %v", err)
+	if !ok || formatErr.Format != 9 || err.Error() != name+": file format version is 9, must be 1" {
+		t.Errorf("another format version: %v", err)
 	}
 }
--- a/internal/statuslog/statuslog.go
+++ b/internal/statuslog/statuslog.go
@@ -8,8 +8,8 @@
 	"docksail/internal/node"
 )
 
-// Write logs the counts of a dispatcher and, in a record for each, its servers. Servers of which the dispatcher has
-// nothing are logged for debugging only: a large fleet has thousands of them.
+// Write logs the counts of a dispatcher and one record for each of its servers. Servers that are not in use are logged
+// at debug level, as a large fleet has thousands of them.
 func Write(log *slog.Logger, status node.Status) {
 	servers := status.ServerStatuses
 	status.ServerStatuses = nil
@@ -19,7 +19,8 @@
 	}
 }
 
-// writeServer logs what the policy assumes of a server beside what the server reported and its connections show.
+// writeServer logs the policy's estimate of a server's load, the server's last load report and the state of its
+// connections.
 func writeServer(log *slog.Logger, server *node.ServerStatus) {
 	log.LogAttrs(context.Background(), serverLevel(server), "server estimate",
 		slog.String("server_id", server.Name),
@@ -35,6 +36,7 @@
 		slog.Bool("mismatch", server.HasMismatch()))
 }
 
+// serverLevel returns the level of the record of a server.
 func serverLevel(server *node.ServerStatus) slog.Level {
 	if server.InUse() {
 		return slog.LevelInfo
--- a/internal/statuslog/statuslog_test.go
+++ b/internal/statuslog/statuslog_test.go
@@ -11,13 +11,13 @@
 	"docksail/policy"
 )
 
-// TestServerLevel checks that only servers of which the dispatcher has something are logged at the default level.
+// TestServerLevel checks that only servers in use are logged at the default level.
 func TestServerLevel(t *testing.T) {
 	for name, test := range map[string]struct {
 		server node.ServerStatus
 		want   slog.Level
 	}{
-		"nothing": {node.ServerStatus{}, slog.LevelDebug},
+		"unused": {node.ServerStatus{}, slog.LevelDebug},
 		"an attempt in flight": {node.ServerStatus{
 			ServerStats:    backend.ServerStats{InFlightAttempts: 1},
 			ServerEstimate: policy.ServerEstimate{Streams: 1},
@@ -27,7 +27,7 @@
 		},
 		"ejected":  {node.ServerStatus{ServerEstimate: policy.ServerEstimate{Ejected: true}}, slog.LevelInfo},
 		"mismatch": {node.ServerStatus{ServerEstimate: policy.ServerEstimate{Streams: 1}}, slog.LevelInfo},
-		"a report alone": {
+		"only a load report": {
 			node.ServerStatus{ServerStats: backend.ServerStats{LoadReportAge: 5}}, slog.LevelDebug,
 		},
 	} {
@@ -39,7 +39,7 @@
 	}
 }
 
-// TestWrite checks the records: the counts without servers, then one record for each server.
+// TestWrite checks that the counts are logged without the servers, followed by one record for each server in use.
 func TestWrite(t *testing.T) {
 	var output bytes.Buffer
 	log := slog.New(slog.NewTextHandler(&output, nil))
