--- a/cmd/docksail/batch.go
+++ b/cmd/docksail/batch.go
@@ -15,15 +15,15 @@
 	"docksail/internal/state/recordstore"
 )
 
-// pollInterval is how often a batch that is followed is asked for.
+// pollInterval is the time between two requests for the state of a batch whose progress is shown.
 const pollInterval = time.Second
 
-// batchCommand returns the commands for the batch API and its store.
+// batchCommand returns the command batch, whose subcommands use the batch API or its store.
 func batchCommand() *cobra.Command {
 	client := &batchclient.Client{}
-	c := &cobra.Command{Use: "batch", Short: "Submit files of requests, show their batches, fetch the results"}
+	c := &cobra.Command{Use: "batch", Short: "Submit files of requests as batches, show their progress, fetch results"}
 	c.PersistentFlags().StringVar(&client.Address, "at", "http://127.0.0.1:7610", "address of the batch API")
-	c.PersistentFlags().StringVar(&client.Key, "key", os.Getenv("DOCKSAIL_KEY"), "key; usually from DOCKSAIL_KEY")
+	c.PersistentFlags().StringVar(&client.Key, "key", os.Getenv("DOCKSAIL_KEY"), "API key, by default DOCKSAIL_KEY")
 	c.AddCommand(submitCommand(client), batchStatusCommand(client), fetchCommand(client), cancelCommand(client))
 	c.AddCommand(verifyCommand(), compactCommand())
 	return c
@@ -34,7 +34,7 @@
 	var wait bool
 	c := &cobra.Command{
 		Use:   "submit FILE",
-		Short: "Upload a file of lines and create its batch",
+		Short: "Upload a file with one request per line and create a batch from it",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			batch, err := client.Submit(c.Context(), args[0], window)
@@ -48,8 +48,8 @@
 			return followBatch(c.Context(), client, batch.ID, os.Stderr)
 		},
 	}
-	c.Flags().StringVar(&window, "window", "24h", "completion window")
-	c.Flags().BoolVar(&wait, "wait", false, "show progress until it has ended")
+	c.Flags().StringVar(&window, "window", "24h", "completion window of the batch")
+	c.Flags().BoolVar(&wait, "wait", false, "show progress until the batch has ended")
 	return c
 }
 
@@ -76,7 +76,7 @@
 			return nil
 		},
 	}
-	c.Flags().BoolVar(&follow, "follow", false, "show progress until it has ended")
+	c.Flags().BoolVar(&follow, "follow", false, "show progress until the batch has ended")
 	return c
 }
 
@@ -96,12 +96,12 @@
 				fileID = batch.ErrorFileID
 			}
 			if fileID == "" {
-				return fmt.Errorf("batch %s is %s and has no such file", batch.ID, batch.Status)
+				return fmt.Errorf("batch %s with status %s does not have the requested file", batch.ID, batch.Status)
 			}
 			return client.Content(c.Context(), fileID, c.OutOrStdout())
 		},
 	}
-	c.Flags().BoolVar(&failed, "errors", false, "the lines that failed, and why, in place of the results")
+	c.Flags().BoolVar(&failed, "errors", false, "write the failed lines and their errors in place of the results")
 	return c
 }
 
@@ -121,8 +121,8 @@
 	}
 }
 
-// followBatch shows the progress of a batch on one line until it has ended. It returns an error unless it was
-// completed.
+// followBatch shows the progress of a batch on one line until the batch has ended. It returns an error unless the
+// status is then completed.
 func followBatch(ctx context.Context, client *batchclient.Client, id string, w io.Writer) error {
 	for {
 		batch, err := client.Batch(ctx, id)
@@ -134,7 +134,7 @@
 		if batch.IsTerminal() {
 			fmt.Fprintln(w)
 			if batch.Status != "completed" {
-				return fmt.Errorf("batch %s", batch.Status)
+				return fmt.Errorf("batch ended with status %s", batch.Status)
 			}
 			return nil
 		}
@@ -166,7 +166,7 @@
 			}
 			fmt.Fprintf(c.OutOrStdout(), "%d records, %d corrupt\n", records, len(corrupt))
 			if len(corrupt) > 0 {
-				return fmt.Errorf("%s is damaged", args[0])
+				return fmt.Errorf("%s has corrupt records", args[0])
 			}
 			return nil
 		},
@@ -176,7 +176,7 @@
 func compactCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "compact DIR",
-		Short: "Free the space of ended batches in a store that no dispatcher has open",
+		Short: "Reclaim the space of ended batches in a store that no dispatcher has open",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			before, after, err := recordstore.Compact(filepath.Join(args[0], "vault"))
--- a/cmd/docksail/check.go
+++ b/cmd/docksail/check.go
@@ -8,11 +8,11 @@
 	"docksail/internal/config"
 )
 
-// checkCommand reports what is wrong with a configuration.
+// checkCommand returns the command check, which validates a configuration file.
 func checkCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "check FILE",
-		Short: "Report what is wrong with a configuration, or print what is in force",
+		Short: "Validate a configuration and print it with all defaults",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			settings, err := config.Load(args[0])
--- a/cmd/docksail/command.go
+++ b/cmd/docksail/command.go
@@ -12,7 +12,7 @@
 
 const defaultCountsInterval = 10 * time.Second
 
-// logFlushTime is how long a dispatcher's process waits at its end for the log's writer.
+// logFlushTime is how long a process waits before it exits, so that queued log records are written.
 const logFlushTime = 10 * time.Millisecond
 
 // addRenamed adds a command to parent, and once more under its former name as a hidden, deprecated alias.
@@ -24,19 +24,19 @@
 	parent.AddCommand(current, alias)
 }
 
-// logFlag adds the flag for the least level of log records and returns where its value is kept.
-func logFlag(c *cobra.Command, level slog.Level) *slog.Level {
+// addLogLevelFlag adds the flag for the minimum level of log records and returns a pointer to its value.
+func addLogLevelFlag(c *cobra.Command, level slog.Level) *slog.Level {
 	value := new(slog.Level)
-	c.Flags().TextVar(value, "log", level, "least level of log lines: debug, info, warn, error")
+	c.Flags().TextVar(value, "log", level, "minimum level of log records: debug, info, warn, error")
 	return value
 }
 
-// countsFlag adds the flag for the interval of the log record with the counts and returns where its value is kept.
-func countsFlag(c *cobra.Command) *time.Duration {
-	return c.Flags().Duration("counts-every", defaultCountsInterval, "how often counts are logged")
+// addCountsIntervalFlag adds the flag for the interval at which counts are logged and returns a pointer to its value.
+func addCountsIntervalFlag(c *cobra.Command) *time.Duration {
+	return c.Flags().Duration("counts-every", defaultCountsInterval, "interval at which counts are logged")
 }
 
-// newTextLogger returns a logger that writes records of a level and above to standard error.
+// newTextLogger returns a logger that writes records of at least a level to standard error as text.
 func newTextLogger(level slog.Level) *slog.Logger {
 	return slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
 }
--- a/cmd/docksail/heldstate_test.go
+++ b/cmd/docksail/heldstate_test.go
@@ -10,7 +10,7 @@
 	"docksail/internal/lab/soak"
 )
 
-// soakSettings is the settings object of the dispatchers of a soak: release time one second.
+// soakSettings is the platform's settings object for the dispatchers of a soak. The release time is one second.
 const soakSettings = `{
   "family_info": {
     "release_ns": 1000000000, "role_by_kind": ["read", "write"],
@@ -38,7 +38,7 @@
   "tenants": []
 }`
 
-// heldStateTest is a dispatcher's process before one prefill server and one decode server, with proxies between them.
+// heldStateTest runs a dispatcher process in front of one prefill server and one decode server, each behind a proxy.
 type heldStateTest struct {
 	*testing.T
 	fleet      *soak.Fleet
@@ -69,12 +69,12 @@
 }
 
 const (
-	heldRequest   = "00000000000000aa" // the ID of the request that a test is about
+	heldRequest   = "00000000000000aa" // ID of the request whose KV state is checked
 	clientTimeout = 4800 * time.Millisecond
 )
 
-// send sends a request whose client waits for nearly five seconds. Its class is never retried, so that a silent attempt
-// stays in flight for as long as possible.
+// send sends a request whose client waits for clientTimeout. Requests of its class are never retried, so that an
+// attempt without a response stays in flight for as long as possible.
 func (h *heldStateTest) send(id string) soak.Request {
 	h.Helper()
 	request := soak.Request{ID: id, Session: "7f3a9c21e0b4d655", Remaining: clientTimeout, Effect: "at_most_once"}
@@ -84,33 +84,33 @@
 	return request
 }
 
-// serveRequest has a request served, so that there are idle connections.
+// serveRequest sends a request and waits until it is served, which leaves idle connections to the servers.
 func (h *heldStateTest) serveRequest(id string) {
 	h.Helper()
 	if outcome := h.client.ReceiveAnswer(h.send(id)); outcome.Status != http.StatusOK || outcome.Err != nil {
-		h.Fatalf("%d, %v", outcome.Status, outcome.Err)
+		h.Fatalf("status %d, error %v", outcome.Status, outcome.Err)
 	}
-	time.Sleep(50 * time.Millisecond) // connections are not reused for some milliseconds
+	time.Sleep(50 * time.Millisecond) // a connection is reused only some milliseconds later
 }
 
-// waitForTrace waits for a line with a text in the trace of the held request.
+// waitForTrace waits until the trace of heldRequest contains text.
 func (h *heldStateTest) waitForTrace(text string) {
 	h.Helper()
 	end := time.Now().Add(10 * time.Second)
 	for !strings.Contains(h.fleet.Oracle.Trace(heldRequest), text) {
 		if time.Now().After(end) {
-			h.Fatalf("no %q within 10 s:\n%s", text, h.fleet.Oracle.Trace(heldRequest))
+			h.Fatalf("the trace does not contain %q after 10 s:\n%s", text, h.fleet.Oracle.Trace(heldRequest))
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-// planAttempts has servers execute attempts by a plan for each: prefill reports whether an attempt is a prefill.
+// planAttempts makes the servers execute each attempt as planned. The plan is given whether it is a prefill attempt.
 func (h *heldStateTest) planAttempts(plan func(prefill bool) soak.AttemptPlan) {
 	h.fleet.AttemptPlan = func(_ string, prefill bool, _ string) soak.AttemptPlan { return plan(prefill) }
 }
 
-// wantReleased waits for longer than a state may be held. Then there must be none left, and no violation.
+// wantReleased waits for longer than KV state may be held and checks that none is held and no invariant was violated.
 func (h *heldStateTest) wantReleased() {
 	h.Helper()
 	time.Sleep(1500 * time.Millisecond)
@@ -118,14 +118,14 @@
 		h.Errorf("%s\n%s", violation, h.dispatcherLog())
 	}
 	if held := h.fleet.Oracle.HeldRequests(); len(held) > 0 {
-		h.Errorf("held for %v:\n%s\n%s", held, h.fleet.Oracle.Trace(heldRequest), h.dispatcherLog())
+		h.Errorf("KV state is still held for %v:\n%s\n%s", held, h.fleet.Oracle.Trace(heldRequest), h.dispatcherLog())
 	}
-	if faults, err := h.dispatcher.ProgramErrors(); err != nil || len(faults) > 0 {
-		h.Errorf("%v: %v", err, faults)
+	if programErrors, err := h.dispatcher.ProgramErrors(); err != nil || len(programErrors) > 0 {
+		h.Errorf("the dispatcher's log: %v, program errors: %v", err, programErrors)
 	}
 }
 
-// dispatcherLog returns the lines of the dispatcher's log about the request.
+// dispatcherLog returns the lines of the dispatcher's log about heldRequest.
 func (h *heldStateTest) dispatcherLog() string {
 	h.Helper()
 	lines, err := h.dispatcher.LogLines(heldRequest)
@@ -135,8 +135,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// TestHeldStateOnLoopback checks that a state is released in time whatever happens to the attempts and releases of its
-// request, with real processes on loopback.
+// TestHeldStateOnLoopback checks with real processes on loopback that KV state is released in time when attempts and
+// releases of its request fail or are delayed.
 func TestHeldStateOnLoopback(t *testing.T) {
 	for name, script := range map[string]func(h *heldStateTest){
 		"a decode attempt on a new connection does not arrive": func(h *heldStateTest) {
@@ -158,13 +158,13 @@
 				h.Fatal(err)
 			}
 		},
-		"the decode server hangs and its system accepts connections": func(h *heldStateTest) {
+		"the decode server is suspended while its kernel accepts connections": func(h *heldStateTest) {
 			h.decode.Suspend()
 			h.Cleanup(h.decode.Resume)
 			h.send(heldRequest)
 			h.waitForTrace("begun to w1")
 		},
-		"a prefill ends after the release that followed its client's cancel": func(h *heldStateTest) {
+		"a prefill ends after the release that follows its cancellation": func(h *heldStateTest) {
 			h.planAttempts(func(bool) soak.AttemptPlan { return soak.AttemptPlan{Work: 700 * time.Millisecond} })
 			h.prefill.Proxy.SetClosesBlocked(true)
 			h.send(heldRequest)
@@ -174,7 +174,7 @@
 			time.Sleep(1500 * time.Millisecond)
 			h.prefill.Proxy.SetClosesBlocked(false)
 		},
-		"a prefill server is cut off as its client leaves": func(h *heldStateTest) {
+		"a prefill server becomes unreachable when the client cancels": func(h *heldStateTest) {
 			h.planAttempts(func(bool) soak.AttemptPlan { return soak.AttemptPlan{Work: 700 * time.Millisecond} })
 			h.send(heldRequest)
 			h.waitForTrace("arrived at r1")
@@ -203,7 +203,7 @@
 			h.client.CancelRequest(heldRequest)
 			h.waitForTrace("release refused")
 		},
-		"a prefill that left its state is answered as failed": func(h *heldStateTest) {
+		"a prefill stores KV state and responds with an error": func(h *heldStateTest) {
 			h.planAttempts(func(prefill bool) soak.AttemptPlan {
 				if prefill {
 					return soak.AttemptPlan{Status: http.StatusInternalServerError}
@@ -214,7 +214,7 @@
 			h.waitForTrace("read at r1")
 			h.client.CancelRequest(heldRequest)
 		},
-		"a decode attempt waits past a release beside it and is refused": func(h *heldStateTest) {
+		"a decode attempt outlasts a concurrent release and is refused": func(h *heldStateTest) {
 			h.serveRequest("0000000000000001")
 			h.planAttempts(func(prefill bool) soak.AttemptPlan {
 				if prefill {
@@ -237,10 +237,10 @@
 	}
 }
 
-// connID returns the name of a connection.
+// connID returns the ID of a connection to a server.
 func connID(server string, port int) soak.ConnID { return soak.ConnID{Server: server, Port: port} }
 
-// TestOracle checks the violations that the oracle finds in events that are known to be right or wrong.
+// TestOracle checks that the oracle reports a violation exactly for those sequences of events that contain one.
 func TestOracle(t *testing.T) {
 	for name, test := range map[string]struct {
 		events         func(o *soak.Oracle, start soak.Instant, after func(ms int) soak.Instant)
@@ -262,7 +262,7 @@
 			o.PrefillFinished(start, "a", connID("r1", 1))
 			o.AttemptReceived(after(1500), "a", false, connID("w1", 2))
 		}, 1},
-		"its server died": {func(o *soak.Oracle, start soak.Instant, after func(int) soak.Instant) {
+		"the prefill server stops": {func(o *soak.Oracle, start soak.Instant, after func(int) soak.Instant) {
 			o.PrefillFinished(start, "a", connID("r1", 1))
 			o.ServerStopped(after(500), "r1")
 		}, 0},
@@ -283,12 +283,12 @@
 			o.AttemptStarted(after(3010), "a", connID("w1", 2))
 			o.ConnClosed(after(3010), connID("w1", 2))
 		}, 1},
-		"a prefill's answer is delayed": {func(o *soak.Oracle, start soak.Instant, after func(int) soak.Instant) {
+		"a prefill's response is delayed": {func(o *soak.Oracle, start soak.Instant, after func(int) soak.Instant) {
 			o.AttemptReceived(start, "a", true, connID("r1", 1))
 			o.PrefillFinished(after(100), "a", connID("r1", 1))
 			o.AttemptReceived(after(2000), "a", false, connID("w1", 2))
 		}, 0},
-		"its dispatcher was killed": {func(o *soak.Oracle, start soak.Instant, after func(int) soak.Instant) {
+		"the dispatcher is killed": {func(o *soak.Oracle, start soak.Instant, after func(int) soak.Instant) {
 			o.RequestSent(start, "a", "d1")
 			o.PrefillFinished(start, "a", connID("r1", 1))
 			o.DispatcherKilled(after(10), "d1")
--- a/cmd/docksail/lab.go
+++ b/cmd/docksail/lab.go
@@ -8,7 +8,7 @@
 	"docksail/internal/lab/demo"
 )
 
-// labCommand returns the commands that run docksail among stand-ins.
+// labCommand returns the command lab, whose subcommands run dispatchers among stand-in engines, clients and discovery.
 func labCommand() *cobra.Command {
 	lab := &cobra.Command{Use: "lab", Short: "Run dispatchers among stand-in engines, clients and discovery"}
 	lab.AddCommand(demoCommand(), importCommand(), reportCommand(), loadCommand(), soakCommand())
--- a/cmd/docksail/lab_scenario.go
+++ b/cmd/docksail/lab_scenario.go
@@ -23,20 +23,20 @@
 	"docksail/internal/lab/simulation"
 )
 
-const entriesUsage = "write what passed on the sockets to this file"
+const entriesUsage = "file for the entries, the recorded events of all connections"
 
-// scenarioCommand plays a scenario on the machine's clock.
+// scenarioCommand returns the command scenario, which runs a scenario in real time.
 func scenarioCommand() *cobra.Command {
 	var entries string
 	c := &cobra.Command{
 		Use:   "scenario SCRIPT",
-		Short: "Play a scenario in real time and check the invariants against what passed on the sockets",
+		Short: "Run a scenario in real time and check the invariants on the recorded events of its connections",
 		Args:  cobra.ExactArgs(1),
 	}
-	level := logFlag(c, slog.LevelWarn)
+	level := addLogLevelFlag(c, slog.LevelWarn)
 	c.Flags().StringVar(&entries, "entries", "", entriesUsage)
 	c.RunE = func(c *cobra.Command, args []string) error {
-		report, err := playScenario(c.Context(), args[0], newTextLogger(*level))
+		report, err := runScenario(c.Context(), args[0], newTextLogger(*level))
 		if err != nil {
 			return err
 		}
@@ -49,7 +49,8 @@
 	return c
 }
 
-func playScenario(ctx context.Context, file string, log *slog.Logger) (*scenario.Report, error) {
+// runScenario runs the scenario in a file until it ends or the context does.
+func runScenario(ctx context.Context, file string, log *slog.Logger) (*scenario.Report, error) {
 	script, err := scenario.Load(file)
 	if err != nil {
 		return nil, err
@@ -62,15 +63,15 @@
 	return deployment.Run(ctx)
 }
 
-// simulateCommand plays a scenario in simulated time.
+// simulateCommand returns the command simulate, which runs a scenario in simulated time.
 func simulateCommand() *cobra.Command {
 	var entries, policyName string
 	var sampleInterval time.Duration
 	var seed int64
-	var sums bool
+	var asJSON bool
 	c := &cobra.Command{
 		Use:   "simulate SCRIPT",
-		Short: "Play a scenario in simulated time, with real dispatchers, and check the invariants",
+		Short: "Run a scenario in simulated time with real dispatchers and check the invariants",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			script, err := scenario.Load(args[0])
@@ -87,23 +88,23 @@
 			if err := writeEntries(entries, report.Entries); err != nil {
 				return err
 			}
-			if err := printSimulation(c.OutOrStdout(), report, script.Seed, sums); err != nil {
+			if err := printSimulation(c.OutOrStdout(), report, script.Seed, asJSON); err != nil {
 				return err
 			}
 			return violationError(report.Violations)
 		},
 	}
 	c.Flags().StringVar(&entries, "entries", "", entriesUsage)
-	c.Flags().Int64Var(&seed, "seed", 0, "in place of the script's")
+	c.Flags().Int64Var(&seed, "seed", 0, "seed in place of the script's")
 	c.Flags().StringVar(&policyName, "policy", "",
-		"a textbook policy in place of docksail's: "+strings.Join(baselinepolicy.Names, ", "))
+		"baseline policy in place of docksail's: "+strings.Join(baselinepolicy.Names, ", "))
 	c.Flags().DurationVar(&sampleInterval, "sample", 0,
-		"write the servers' load into the entries at this interval; 0 = never")
-	c.Flags().BoolVar(&sums, "sums", false, "print the summary as JSON")
+		"interval at which the servers' load is added to the entries; 0 = never")
+	c.Flags().BoolVar(&asJSON, "sums", false, "print the summary as JSON")
 	return c
 }
 
-// printSimulation writes a report for people, or its summary as JSON.
+// printSimulation prints a report as text or, if asJSON is set, its summary as JSON.
 func printSimulation(w io.Writer, report *simulation.Report, seed int64, asJSON bool) error {
 	if asJSON {
 		return json.NewEncoder(w).Encode(experiment.Summarize(&report.Report))
@@ -114,7 +115,7 @@
 	return err
 }
 
-// experimentCommand compares variants of a scenario.
+// experimentCommand returns the command experiment, which compares variants of a scenario.
 func experimentCommand() *cobra.Command {
 	var plot string
 	c := &cobra.Command{
@@ -140,11 +141,11 @@
 			return experiment.PlotResults(results, plot)
 		},
 	}
-	c.Flags().StringVar(&plot, "plot", "", "draw the share of the offered value that each variant earned into this PNG")
+	c.Flags().StringVar(&plot, "plot", "", "PNG file for a plot of each variant's share of the offered value")
 	return c
 }
 
-// searchCommand looks for scenarios that break an invariant.
+// searchCommand returns the command search, which searches for scenarios that violate an invariant.
 func searchCommand() *cobra.Command {
 	var firstSeed uint64
 	var seeds int
@@ -152,7 +153,7 @@
 	var directory string
 	c := &cobra.Command{
 		Use:   "search SCRIPT",
-		Short: "Play random faults against a script's servers in simulated time and minimize what breaks an invariant",
+		Short: "Run a script with random faults in simulated time and minimize the scenarios that violate an invariant",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			script, err := scenario.Load(args[0])
@@ -163,26 +164,26 @@
 			defer cancel()
 			findings := findingWriter{out: c.OutOrStdout(), directory: directory}
 			searcher := faultsearch.Searcher{Base: script}
-			played, err := searcher.Search(ctx, firstSeed, seeds, findings.write)
+			runs, err := searcher.Search(ctx, firstSeed, seeds, findings.write)
 			if err = errors.Join(err, findings.err); err != nil {
 				return err
 			}
-			fmt.Fprintf(c.OutOrStdout(), "%d scenarios played, from seed %d; %d break an invariant\n",
-				played, firstSeed, findings.count)
+			fmt.Fprintf(c.OutOrStdout(), "%d scenarios run, from seed %d; %d violate an invariant\n",
+				runs, firstSeed, findings.count)
 			if findings.count > 0 {
-				return fmt.Errorf("%d scenarios break an invariant", findings.count)
+				return fmt.Errorf("%d scenarios violate an invariant", findings.count)
 			}
 			return nil
 		},
 	}
 	c.Flags().Uint64Var(&firstSeed, "first", 1, "first seed")
-	c.Flags().IntVar(&seeds, "seeds", 1000, "how many seeds")
-	c.Flags().DurationVar(&timeout, "within", 10*time.Minute, "longest time to search")
-	c.Flags().StringVar(&directory, "into", ".", "directory for the scripts that break an invariant")
+	c.Flags().IntVar(&seeds, "seeds", 1000, "number of seeds")
+	c.Flags().DurationVar(&timeout, "within", 10*time.Minute, "time limit of the search")
+	c.Flags().StringVar(&directory, "into", ".", "directory for the scripts that violate an invariant")
 	return c
 }
 
-// findingWriter writes findings as scripts into a directory.
+// findingWriter writes each finding as a script to a directory and prints a line about it.
 type findingWriter struct {
 	out       io.Writer
 	directory string
@@ -202,7 +203,7 @@
 		f.Seed, f.Violations, f.Panic, len(f.Script.Faults), f.Script.Duration, f.Plays, name)
 }
 
-// importCommand turns a day of the bench into a scenario.
+// importCommand returns the command import, which converts a day of the bench into a scenario.
 func importCommand() *cobra.Command {
 	var servers, dispatchers int
 	c := &cobra.Command{
@@ -218,8 +219,8 @@
 			if err != nil {
 				return fmt.Errorf("%s: %w", args[0], err)
 			}
-			for _, what := range unsupported {
-				fmt.Fprintf(c.ErrOrStderr(), "cannot be played: %s\n", what)
+			for _, feature := range unsupported {
+				fmt.Fprintf(c.ErrOrStderr(), "not supported by scenarios: %s\n", feature)
 			}
 			encoded, err := script.Encode()
 			if err != nil {
@@ -229,8 +230,8 @@
 			return err
 		},
 	}
-	c.Flags().IntVar(&servers, "hosts", 12, "about how many servers")
-	c.Flags().IntVar(&dispatchers, "dispatchers", 3, "how many dispatchers at most")
+	c.Flags().IntVar(&servers, "hosts", 12, "approximate number of servers")
+	c.Flags().IntVar(&dispatchers, "dispatchers", 3, "maximum number of dispatchers")
 	return c
 }
 
@@ -239,10 +240,10 @@
 	if len(violations) == 0 {
 		return nil
 	}
-	return fmt.Errorf("%d broken rules", len(violations))
+	return fmt.Errorf("%d invariant violations", len(violations))
 }
 
-// writeEntries writes entries to a file; an empty name writes none.
+// writeEntries writes entries to a file. It does nothing if the name is empty.
 func writeEntries(name string, entries []eventlog.Entry) error {
 	if name == "" {
 		return nil
--- a/cmd/docksail/lab_soak.go
+++ b/cmd/docksail/lab_soak.go
@@ -14,7 +14,7 @@
 	"docksail/internal/lab/soak"
 )
 
-// modelServerCommand runs one stand-in model server of a soak.
+// modelServerCommand returns the command model-server, which runs one stand-in model server of a soak.
 func modelServerCommand() *cobra.Command {
 	var name, role, oracle string
 	c := &cobra.Command{
@@ -24,15 +24,15 @@
 		Hidden: true,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if role != "prefill" && role != "decode" {
-				return fmt.Errorf("role %q: want prefill or decode", role)
+				return fmt.Errorf("role is %q, must be prefill or decode", role)
 			}
 			server := soak.ModelServer{Name: name, IsPrefill: role == "prefill"}
 			return server.Serve(oracle, c.OutOrStdout())
 		},
 	}
-	c.Flags().StringVar(&name, "name", "", "its name on the endpoint list")
-	c.Flags().StringVar(&role, "role", "prefill", "prefill or decode")
-	c.Flags().StringVar(&oracle, "ledger", "", "address of the soak's oracle, to which it reports")
+	c.Flags().StringVar(&name, "name", "", "name of the server on the endpoint list")
+	c.Flags().StringVar(&role, "role", "prefill", "role of the server: prefill or decode")
+	c.Flags().StringVar(&oracle, "ledger", "", "address of the soak's oracle, to which the server reports")
 	return c
 }
 
@@ -42,34 +42,34 @@
 	seeds        int
 	maxProcesses int
 	length       time.Duration
-	dispatcher   string // program of the dispatchers; empty = this one
-	logs         string // directory
+	dispatcher   string // program of the dispatchers; empty = this program
+	logs         string // directory of the dispatchers' logs
 }
 
-// soakCommand runs soaks of real processes under random faults.
+// soakCommand returns the command soak, which runs soaks of real processes under random faults.
 func soakCommand() *cobra.Command {
 	options := soakOptions{}
 	c := &cobra.Command{
 		Use:   "soak",
-		Short: "Run real dispatchers before stand-in servers under random faults and check the invariants",
+		Short: "Run real dispatchers and stand-in servers under random faults and check the invariants",
 		Long: `Each seed starts 10 to 40 processes on loopback: dispatchers as in service on the platform, stand-in model
-servers, and between them proxies that hold, delay and cut connections. The same seed plays the same schedule of
-faults. A broken rule is reported with the trace of its request.`,
+servers, and proxies between them that block, delay and close connections. The same seed has the same schedule of
+faults. Each violation of an invariant is reported with the trace of its request.`,
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error { return runSoaks(c.OutOrStdout(), options) },
 	}
-	c.Flags().Uint64Var(&options.firstSeed, "seed", 1, "the first seed")
-	c.Flags().IntVar(&options.seeds, "seeds", 1, "how many seeds, one after another")
-	c.Flags().IntVar(&options.maxProcesses, "processes", 0, "processes at most; 0 = what the seed gives, 10 to 40")
-	c.Flags().DurationVar(&options.length, "length", 10*time.Second, "of traffic and faults")
+	c.Flags().Uint64Var(&options.firstSeed, "seed", 1, "first seed")
+	c.Flags().IntVar(&options.seeds, "seeds", 1, "number of seeds, run one after another")
+	c.Flags().IntVar(&options.maxProcesses, "processes", 0, "maximum number of processes; 0 = 10 to 40, by the seed")
+	c.Flags().DurationVar(&options.length, "length", 10*time.Second, "duration of traffic and faults")
 	c.Flags().StringVar(&options.dispatcher, "dispatcher", "",
-		"program of the dispatchers, to try another build; empty = this one")
+		"program of the dispatchers, to test another build; empty = this program")
 	c.Flags().StringVar(&options.logs, "logs", filepath.Join(os.TempDir(), "docksail-soak"),
 		"directory for the dispatchers' logs")
 	return c
 }
 
-// runSoaks plays one soak a seed and writes their verdicts. It returns an error if a seed broke a rule.
+// runSoaks runs one soak for each seed and prints the verdicts. It returns an error if a soak violated an invariant.
 func runSoaks(w io.Writer, options soakOptions) error {
 	self, err := os.Executable()
 	if err != nil {
@@ -85,7 +85,7 @@
 		run := soak.Soak{
 			Seed: seed, Duration: options.length, MaxProcesses: options.maxProcesses,
 			LogDirectory: filepath.Join(options.logs, strconv.FormatUint(seed, 10)),
-			Program:      commandsOf(self), DispatcherProgram: commandsOf(dispatcher),
+			Program:      commandFunc(self), DispatcherProgram: commandFunc(dispatcher),
 		}
 		verdict, err := run.Run()
 		if err != nil {
@@ -97,13 +97,13 @@
 		}
 	}
 	if failed > 0 {
-		return fmt.Errorf("%d of %d seeds broke a rule", failed, options.seeds)
+		return fmt.Errorf("%d of %d seeds violated an invariant", failed, options.seeds)
 	}
 	return nil
 }
 
-// commandsOf returns a function that makes commands of a program with arguments.
-func commandsOf(program string) soak.CommandFunc {
+// commandFunc returns a function that creates commands that run a program with the given arguments.
+func commandFunc(program string) soak.CommandFunc {
 	return func(args ...string) *exec.Cmd {
 		c := exec.Command(program, args...)
 		c.Env = os.Environ()
--- a/cmd/docksail/lab_soak_test.go
+++ b/cmd/docksail/lab_soak_test.go
@@ -10,14 +10,14 @@
 	"docksail/internal/lab/soak"
 )
 
-// soakSeeds is the environment variable with the number of seeds that TestFaultSoak plays, a few seconds each.
-const soakSeeds = "DOCKSAIL_SOAK_SEEDS"
+// soakSeedsVariable names the environment variable that sets the number of seeds of TestFaultSoak.
+const soakSeedsVariable = "DOCKSAIL_SOAK_SEEDS"
 
-// TestFaultSoak checks that real dispatchers before stand-in servers keep the invariants under random faults. A failing
-// seed is printed with its schedule; docksail lab soak --seed plays it again.
+// TestFaultSoak checks that real dispatchers do not violate the invariants while stand-in servers have random faults.
+// A failing seed is printed with its schedule; docksail lab soak --seed runs it again.
 func TestFaultSoak(t *testing.T) {
 	seeds := 2
-	if text := os.Getenv(soakSeeds); text != "" {
+	if text := os.Getenv(soakSeedsVariable); text != "" {
 		var err error
 		if seeds, err = strconv.Atoi(text); err != nil {
 			t.Fatal(err)
@@ -41,8 +41,8 @@
 	}
 }
 
-// TestSoakSchedule checks that the same seed draws the same schedule, and that at any time at least half of each role's
-// servers have no fault.
+// TestSoakSchedule checks that a seed always has the same schedule, and that at most half of the servers of each role
+// have a fault at any time.
 func TestSoakSchedule(t *testing.T) {
 	for seed := range uint64(20) {
 		first, second := soak.NewPlan(seed, 0, 20*time.Second), soak.NewPlan(seed, 0, 20*time.Second)
--- a/cmd/docksail/lab_test.go
+++ b/cmd/docksail/lab_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// TestFormerCommandNames checks that renamed commands still run under their former names, hidden and with a note.
+// TestFormerCommandNames checks that each renamed command has a hidden, deprecated alias with its former name.
 func TestFormerCommandNames(t *testing.T) {
 	current := map[string]string{
 		"drill": "scenario", "sim": "simulate", "run": "experiment", "explore": "search",
@@ -25,7 +25,8 @@
 	}
 }
 
-// TestFormerCommandRuns checks that a former name has the same standard output: the note goes to standard error.
+// TestFormerCommandRuns checks that a command has the same standard output under its former name: the deprecation
+// notice goes to standard error.
 func TestFormerCommandRuns(t *testing.T) {
 	args := []string{"../../internal/lab/scenario/testdata/mended/read-after-its-release.json", "--sums"}
 	var outputs [2][]byte
--- a/cmd/docksail/main.go
+++ b/cmd/docksail/main.go
@@ -1,5 +1,6 @@
-// Command docksail is a router for language-model serving: serve and node run a dispatcher, check reads its
-// configuration, status shows its state, batch submits files of requests, lab runs dispatchers among stand-ins.
+// Command docksail is a router for language-model serving. Its commands serve and node run a dispatcher, check
+// validates a configuration, status shows a dispatcher's state, batch submits files of requests, and lab runs
+// dispatchers among stand-in engines, clients and discovery.
 package main
 
 import (
--- a/cmd/docksail/main_test.go
+++ b/cmd/docksail/main_test.go
@@ -8,24 +8,25 @@
 	"testing"
 )
 
-// runMain is the environment variable with which the test binary runs the program in place of the tests.
-const runMain = "DOCKSAIL_MAIN"
+// runMainVariable names the environment variable that makes the test binary run the program in place of the tests.
+const runMainVariable = "DOCKSAIL_MAIN"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(runMain) == "1" {
+	if os.Getenv(runMainVariable) == "1" {
 		main()
 		os.Exit(0)
 	}
 	os.Exit(m.Run())
 }
 
-// program returns a command that runs the program in a process of its own.
+// program returns a command that runs the program in a separate process.
 func program(args ...string) *exec.Cmd {
 	c := exec.Command(os.Args[0], args...)
-	c.Env = append(os.Environ(), runMain+"=1")
+	c.Env = append(os.Environ(), runMainVariable+"=1")
 	return c
 }
 
+// TestCheck checks that check prints a valid configuration and reports the error of an invalid one.
 func TestCheck(t *testing.T) {
 	output, err := program("check", "../../deploy/docksail.json").CombinedOutput()
 	if err != nil || !bytes.Contains(output, []byte(`"question"`)) {
@@ -39,7 +40,7 @@
 	}
 }
 
-// TestFormerStatusName checks that status still runs under its former name, hidden, with a note.
+// TestFormerStatusName checks that status has a hidden, deprecated alias with its former name.
 func TestFormerStatusName(t *testing.T) {
 	alias, _, err := rootCommand().Find([]string{"view"})
 	if err != nil || alias.Name() != "view" || !alias.Hidden {
@@ -49,7 +50,7 @@
 		t.Errorf("deprecated %q, want %q", alias.Deprecated, want)
 	}
 	if alias.Flags().Lookup("every") == nil {
-		t.Error("the former command has lost its flag --every")
+		t.Error("the alias does not have the flag --every")
 	}
 	file := filepath.Join(t.TempDir(), "status")
 	writeFile(t, file, `{"format": 1, "at": "2026-12-02T10:00:00Z", "View": {"InHand": 7}}`)
--- a/cmd/docksail/node.go
+++ b/cmd/docksail/node.go
@@ -15,28 +15,28 @@
 	"docksail/internal/statuslog"
 )
 
-// maxPendingSignals is how many signals are kept while the dispatcher starts.
+// maxPendingSignals is the number of signals that are buffered while the dispatcher starts.
 const maxPendingSignals = 4
 
-// nodeCommand runs a dispatcher in service on the platform.
+// nodeCommand returns the command node, which runs a dispatcher in service on the platform.
 func nodeCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "node",
 		Short: "Run a dispatcher in service on the platform",
 		Long: `Run a dispatcher in service on the platform, with the configuration in the file that RELAY_CONFIG names.
 
-SIGTERM and SIGINT drain it: clients go elsewhere, and it ends when none is left. SIGHUP reads the file again and takes
-over the addresses of discovery.`,
+SIGTERM and SIGINT drain the dispatcher: it refuses new clients and exits when the last connection has closed. SIGHUP
+reads the file again and applies its address of discovery.`,
 		Args: cobra.NoArgs,
 	}
-	level, countsInterval := logFlag(c, slog.LevelInfo), countsFlag(c)
+	level, countsInterval := addLogLevelFlag(c, slog.LevelInfo), addCountsIntervalFlag(c)
 	c.RunE = func(*cobra.Command, []string) error { return runNode(*level, *countsInterval) }
 	return c
 }
 
 // runNode starts a dispatcher and runs until it has ended.
 func runNode(level slog.Level, countsInterval time.Duration) error {
-	signals := make(chan os.Signal, maxPendingSignals) // before all else: a signal during the start is kept
+	signals := make(chan os.Signal, maxPendingSignals) // first, so that no signal during the start is lost
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	config, err := node.LoadConfig(os.Getenv)
 	if err != nil {
@@ -71,7 +71,7 @@
 	}
 }
 
-// handleNodeSignal drains a dispatcher or, after SIGHUP, has it take over the changed configuration.
+// handleNodeSignal reloads the configuration of a dispatcher on SIGHUP and drains the dispatcher on any other signal.
 func handleNodeSignal(dispatcher *node.Node, s os.Signal, log *slog.Logger) {
 	if s != syscall.SIGHUP {
 		log.Info("signal received", "signal", s.String())
--- a/cmd/docksail/serve.go
+++ b/cmd/docksail/serve.go
@@ -20,21 +20,21 @@
 
 const statusFileInterval = time.Second
 
-var errSecondSignal = errors.New("ended at once by a second signal")
+var errSecondSignal = errors.New("second signal received before the drain ended")
 
-// serveCommand runs a dispatcher for gRPC clients.
+// serveCommand returns the command serve, which runs a dispatcher for gRPC clients.
 func serveCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "serve FILE",
 		Short: "Run a dispatcher with the configuration in a file",
 		Long: `Run a dispatcher with the configuration in a file.
 
-SIGTERM and SIGINT drain it: requests in flight are finished within drain_within of the configuration, then it exits. A
-second signal ends it at once. SIGHUP reads the file again and takes over the weights and limits of tenants; all else
-stays as it was at the start.`,
+SIGTERM and SIGINT drain the dispatcher: requests in flight have the time drain_within of the configuration to finish,
+then it exits. A second signal ends it immediately. SIGHUP reads the file again and applies the weights and limits of
+tenants; all other settings apply only at the start.`,
 		Args: cobra.ExactArgs(1),
 	}
-	level, countsInterval := logFlag(c, slog.LevelInfo), countsFlag(c)
+	level, countsInterval := addLogLevelFlag(c, slog.LevelInfo), addCountsIntervalFlag(c)
 	c.RunE = func(_ *cobra.Command, args []string) error { return runServe(args[0], *level, *countsInterval) }
 	return c
 }
@@ -70,12 +70,12 @@
 	return p.run(countsInterval)
 }
 
-// serveProcess is the process of a dispatcher that runs.
+// serveProcess is a running dispatcher with its configuration and log.
 type serveProcess struct {
-	file     string // of the configuration
+	file     string // name of the configuration file
 	settings *config.Dispatcher
 	node     *grpcnode.Node
-	handler  *asynclog.Handler // of log
+	handler  *asynclog.Handler // handler of log
 	log      *slog.Logger
 }
 
@@ -119,7 +119,7 @@
 }
 
 func (p *serveProcess) logCounts() {
-	if status, err := p.node.Status(); err == nil { // an error says that the dispatcher has ended
+	if status, err := p.node.Status(); err == nil { // fails only if the dispatcher has ended
 		p.log.Info("counts", "view", status, "log_lost", p.handler.Dropped())
 	}
 }
@@ -134,7 +134,8 @@
 	}
 }
 
-// reloadTenantLimits takes over the weights and limits of tenants from the file, or none if the file is wrong.
+// reloadTenantLimits reads the configuration file again and applies the weights and limits of tenants, or none of them
+// if the file is invalid.
 func (p *serveProcess) reloadTenantLimits() {
 	changed, err := config.Load(p.file)
 	if err == nil {
--- a/cmd/docksail/serve_test.go
+++ b/cmd/docksail/serve_test.go
@@ -24,21 +24,21 @@
 
 const startTimeout = 10 * time.Second
 
-// serveTest is the program as a dispatcher before stand-in engines.
+// serveTest runs the command serve in front of stand-in engines.
 type serveTest struct {
-	command   *exec.Cmd
-	client    pb.GenerationClient
-	log       bytes.Buffer // read it after command has ended
-	directory string
-	settings  string // file
+	command      *exec.Cmd
+	client       pb.GenerationClient
+	log          bytes.Buffer // complete after command has ended
+	directory    string
+	settingsFile string // name of the configuration file
 }
 
-// startServe starts two stand-in engines and the program before them, with a file of servers. It returns when the
-// program answers a request.
+// startServe starts two stand-in engines and a dispatcher that reads them from a file of servers. It returns when the
+// dispatcher has served a request.
 func startServe(t *testing.T) *serveTest {
 	t.Helper()
 	directory := t.TempDir()
-	s := &serveTest{directory: directory, settings: filepath.Join(directory, "settings.json")}
+	s := &serveTest{directory: directory, settingsFile: filepath.Join(directory, "settings.json")}
 	servers := []string{
 		startEngine(t, 1, pb.Role_ROLE_READER, "prefill"),
 		startEngine(t, 2, pb.Role_ROLE_WRITER, "decode"),
@@ -46,20 +46,20 @@
 	address := freeAddress(t)
 	serverFile := filepath.Join(directory, "fleet.json")
 	writeFile(t, serverFile, `{"servers": [`+servers[0]+`]}`)
-	writeFile(t, s.settings, fmt.Sprintf(`{
+	writeFile(t, s.settingsFile, fmt.Sprintf(`{
 		"listen": "%s", "fleet": {"file": "%s", "ask_within": "400ms"}, "drain_within": "5s",
 		"status_file": "%s/status", "tenants": [{"name": "ours", "requests_per_second": 50}],
 		"classes": [
 			{"name": "question", "target": "1s", "timeout": "5s", "token_gap": "50ms", "effect": "idempotent"}],
 		"cold_start": {"from": 1, "warm_after": "1s", "overload_factor": 2, "overload_window": "1s"},
 		"rules": {"release_within": "500ms"}}`, address, serverFile, directory))
-	s.command = program("serve", s.settings)
+	s.command = program("serve", s.settingsFile)
 	s.command.Stderr = &s.log
 	if err := s.command.Start(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = s.command.Process.Kill() }) // an error says that it has ended
-	// The decode server is listed only by a later change of the file.
+	t.Cleanup(func() { _ = s.command.Process.Kill() }) // fails if it has ended
+	// The decode server is added to the file later, to check that the dispatcher reads the changed file.
 	time.Sleep(200 * time.Millisecond)
 	writeFile(t, serverFile, `{"servers": [`+strings.Join(servers, ", ")+`]}`)
 	s.client = connect(t, address)
@@ -110,12 +110,12 @@
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatalf("no answer in %v: %v", startTimeout, err)
+			t.Fatalf("no answer within %v: %v", startTimeout, err)
 		}
 	}
 }
 
-// generate sends a request for so many tokens and returns how many came.
+// generate sends a request for at most maxTokens tokens and returns the number of messages received.
 func (s *serveTest) generate(maxTokens uint32) (int, error) {
 	stream, err := s.client.Generate(context.Background(), &pb.GenerateRequest{
 		Track: "question", Tenant: "ours", PromptTokens: 100, MaxTokens: maxTokens,
@@ -140,7 +140,7 @@
 }
 
 // TestServeAndDrain checks that a changed file of servers is read, that a signal starts the drain, and that the stream
-// in flight is finished.
+// in flight is completed.
 func TestServeAndDrain(t *testing.T) {
 	s := startServe(t)
 	result := make(chan error, 1)
@@ -164,7 +164,7 @@
 	}
 }
 
-// TestSecondSignal checks that a second signal ends the program at once.
+// TestSecondSignal checks that a second signal ends the program immediately and with an error.
 func TestSecondSignal(t *testing.T) {
 	s := startServe(t)
 	go func() { _, _ = s.generate(1000) }() // ends with the program
@@ -178,17 +178,17 @@
 	}
 }
 
-// TestTenantLimitsAndStatus checks that SIGHUP takes changed limits over, or rejects wrong ones whole, and that status
-// shows them.
+// TestTenantLimitsAndStatus checks that SIGHUP applies changed limits, that invalid limits change nothing, and that
+// status shows the limits in force.
 func TestTenantLimitsAndStatus(t *testing.T) {
 	s := startServe(t)
-	settings, err := os.ReadFile(s.settings)
+	settings, err := os.ReadFile(s.settingsFile)
 	if err != nil {
 		t.Fatal(err)
 	}
 	reload := func(limits string) {
 		t.Helper()
-		writeFile(t, s.settings, strings.Replace(string(settings), `"requests_per_second": 50`, limits, 1))
+		writeFile(t, s.settingsFile, strings.Replace(string(settings), `"requests_per_second": 50`, limits, 1))
 		s.signal(t, syscall.SIGHUP)
 	}
 	s.wantStatus(t, "at the start", "ours 50 0 0")
@@ -200,10 +200,10 @@
 	s.wantStatus(t, "after a rejection", "refused ours: 1, prompt longer")
 	reload(`"requests_per_second": 50, "weight": -1`)
 	time.Sleep(1500 * time.Millisecond)
-	s.wantStatus(t, "after wrong limits", "ours 7 0 0")
+	s.wantStatus(t, "after invalid limits", "ours 7 0 0")
 }
 
-// wantStatus waits until the status, with one space between words, has a text.
+// wantStatus waits until the output of status, with runs of white space replaced by one space, contains want.
 func (s *serveTest) wantStatus(t *testing.T, when, want string) {
 	t.Helper()
 	var output []byte
--- a/cmd/docksail/status.go
+++ b/cmd/docksail/status.go
@@ -8,7 +8,7 @@
 	"docksail/internal/statusfile"
 )
 
-// statusCommand shows what a dispatcher writes to its status file.
+// statusCommand returns the command status, which prints the status file of a dispatcher.
 func statusCommand() *cobra.Command {
 	var interval time.Duration
 	c := &cobra.Command{
@@ -33,6 +33,6 @@
 			}
 		},
 	}
-	c.Flags().DurationVar(&interval, "every", 0, "show it again at this interval; 0 = once")
+	c.Flags().DurationVar(&interval, "every", 0, "interval at which the status is shown again; 0 = once")
 	return c
 }
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,5 @@
-// Command simadapter runs dispatchers on the simulator's wire: standard input to standard output.
+// Command simadapter runs dispatchers for the simulator: it reads events from standard input and writes decisions to
+// standard output.
 package main
 
 import (
