--- a/cmd/docksail/lab_measure.go
+++ b/cmd/docksail/lab_measure.go
@@ -40,8 +40,8 @@
 	return c
 }
 
-// readRun reads the entries of a run. If the file ends in an incomplete entry, as after a crash of its writer, it prints
-// a warning and returns the complete entries.
+// readRun reads the entries of a run. If the file ends in an incomplete entry, as after a crash of its writer, it
+// prints a warning and returns the complete entries.
 func readRun(name string) (report.RunEntries, error) {
 	file, err := os.Open(name)
 	if err != nil {
@@ -127,7 +127,7 @@
 			return benchmark.Measure(c.Context(), cfg)
 		},
 	}
-	c.Flags().IntSliceVar(&cfg.Streams, "streams", []int{100, 1000, 5000}, "concurrent streams, with one pass for each number")
+	c.Flags().IntSliceVar(&cfg.Streams, "streams", []int{100, 1000, 5000}, "concurrent streams; one pass for each number")
 	c.Flags().DurationVar(&cfg.TokenInterval, "gap", 50*time.Millisecond, "time between the tokens of a stream")
 	c.Flags().IntVar(&cfg.Tokens, "tokens", 60, "length of the longest answer, in tokens")
 	c.Flags().DurationVar(&cfg.Duration, "for", 15*time.Second, "duration of a pass")
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -27,6 +27,7 @@
   "rules": {"release_within": "500ms"},
 }`
 
+// TestParse checks decoded values, the defaults of fields that are not set, and that the policy accepts the result.
 func TestParse(t *testing.T) {
 	config, err := Parse("x", []byte(validText))
 	if err != nil {
@@ -35,7 +36,7 @@
 	class := config.Classes[1]
 	if class.Idempotency != Idempotency(policy.Deduplicated) ||
 		class.DedupScope != DedupScope(policy.DedupScopeZone) || class.DedupWindow != 3*time.Second {
-		t.Errorf("class read as %+v", class)
+		t.Errorf("class decoded as %+v", class)
 	}
 	defaults := Default()
 	if config.Limits.MaxRequests != defaults.Limits.MaxRequests ||
@@ -43,43 +44,43 @@
 		t.Error("fields that the file does not set differ from the defaults")
 	}
 	if _, err := config.NewPolicy(1, 0); err != nil {
-		t.Errorf("the policy does not start: %v", err)
+		t.Errorf("the policy rejects the configuration: %v", err)
 	}
 }
 
-// TestParseErrors checks that each error names the file, the line, the field and what was expected.
+// TestParseErrors checks that each error names the file, the line, the field and what is permitted.
 func TestParseErrors(t *testing.T) {
 	for _, test := range []struct{ from, to, want string }{
-		{`"zone": "a"`, `"zoen": "a"`, `x:4: zoen: no such field, want one of listen,`},
+		{`"zone": "a"`, `"zoen": "a"`, `x:4: zoen: no such field, must be one of listen,`},
 		{`"zone": "a"`, `"zone": 7`, `x:4: zone: want a text, not 7`},
-		{`"zone": "a"`, `"zone": "a", "zone": "b"`, `x:4: zone: stands twice`},
+		{`"zone": "a"`, `"zone": "a", "zone": "b"`, `x:4: zone: is set twice`},
 		{
 			`"target": "1s", "timeout": "5s", "token_gap": "50ms", "effect": "idempotent"`,
 			`"timeout": "5s", "token_gap": "50ms", "effect": "idempotent"`,
-			`x:7: classes[0].target: is missing, want the time in which`,
+			`x:7: classes[0].target: is missing: the time in which`,
 		},
 		{
 			`"effect": "idempotent"`, `"effect": "safe"`,
-			`x:7: classes[0].effect: "safe", want one of idempotent, deduplicated, non_idempotent`,
+			`x:7: classes[0].effect: "safe" is not one of idempotent, deduplicated, non_idempotent`,
 		},
 		{
 			`"timeout": "5s", "token_gap": "50ms", "effect": "deduplicated"`,
 			`"timeout": "5", "token_gap": "50ms", "effect": "deduplicated"`,
-			`x:8: classes[1].timeout: "5" is no length of time`,
+			`x:8: classes[1].timeout: "5" is not a duration`,
 		},
-		{`"window": "3s"`, `"window": "0s"`, `x:8: classes[1].window: is 0, want more than 0`},
-		{`"name": "notice"`, `"name": "question"`, `x:8: classes[1].name: "question" is empty or stands twice`},
-		{`"from": 0.3`, `"from": 30`, `x:10: cold_start.from: is 30, want more than 0 and at most 1`},
+		{`"window": "3s"`, `"window": "0s"`, `x:8: classes[1].window: is 0, must be greater than 0`},
+		{`"name": "notice"`, `"name": "question"`, `x:8: classes[1].name: "question" is empty or a duplicate`},
+		{`"from": 0.3`, `"from": 30`, `x:10: cold_start.from: is 30, must be greater than 0 and at most 1`},
 		{`"from": 0.3`, `"from": true`, `x:10: cold_start.from: want a number, not true`},
 		{`"127.0.0.1:7600"`, `"here"`, `x:3: listen:`},
-		{`{"watch": "127.0.0.1:7700"}`, `{}`, `x:5: fleet: want either watch or file`},
-		{`"zone": "a"`, `"zone": "a", "number": 2, "count": 2`, `x:4: number: is 2, want 0 to 1`},
+		{`{"watch": "127.0.0.1:7700"}`, `{}`, `x:5: fleet: must have either watch or file`},
+		{`"zone": "a"`, `"zone": "a", "number": 2, "count": 2`, `x:4: number: is 2, must be 0 to 1`},
 		{
 			`"zone": "a"`, `"zone": "a", "limits": {"requests": 1.5}`,
 			`x:4: limits.requests: want a whole number, not 1.5`,
 		},
 		{`"zone": "a"`, `"zone": "a", "limits": []`, `x:4: limits: want an object, not a list`},
-		{`"rules": {"release_within": "500ms"},`, ``, `x:1: rules: is missing, want the times of the rules`},
+		{`"rules": {"release_within": "500ms"},`, ``, `x:1: rules: is missing: the times of the rules`},
 		{`"zone": "a",`, `"zone": "a"`, `x: hujson: line 5`},
 	} {
 		t.Run(test.want, func(t *testing.T) {
@@ -94,7 +95,7 @@
 	}
 }
 
-// TestPrint checks that what is printed is read back as the same.
+// TestPrint checks that a printed configuration is parsed as the same configuration.
 func TestPrint(t *testing.T) {
 	example, err := os.ReadFile(exampleFile)
 	if err != nil {
@@ -118,20 +119,22 @@
 				config.Tenants, reread.Tenants = nil, nil
 			}
 			if !reflect.DeepEqual(config, reread) {
-				t.Errorf("printed as %s", printed)
+				t.Errorf("the printed configuration is parsed differently: %s", printed)
 			}
 		})
 	}
 }
 
+// TestAllErrorsAtOnce checks that a file with two errors has both in the returned error.
 func TestAllErrorsAtOnce(t *testing.T) {
 	text := strings.NewReplacer(`"from": 0.3`, `"from": "x"`, `"zone": "a"`, `"nonsense": 1`).Replace(validText)
 	_, err := Parse("x", []byte(text))
 	if err == nil || strings.Count(err.Error(), "\n") != 1 {
-		t.Errorf("want two lines: %v", err)
+		t.Errorf("got error %v, want two lines", err)
 	}
 }
 
+// TestExampleFiles checks that the files in deploy are valid and have no former names.
 func TestExampleFiles(t *testing.T) {
 	if _, err := Load(exampleFile); err != nil {
 		t.Error(err)
@@ -146,16 +149,17 @@
 	}
 }
 
+// TestParseServersErrors checks the errors of duplicate IDs, unknown roles and missing fields in a list of engines.
 func TestParseServersErrors(t *testing.T) {
 	for _, test := range []struct{ text, want string }{
 		{
 			`{"servers": [{"id": 1, "address": "127.0.0.1:1", "role": "prefill"},` +
 				` {"id": 1, "address": "127.0.0.1:2", "role": "decode"}]}`,
-			"servers[1].id: 1 is out of range or stands twice",
+			"servers[1].id: 1 is out of range or a duplicate",
 		},
 		{
 			`{"servers": [{"id": 1, "address": "127.0.0.1:1", "role": "cook"}]}`,
-			`"cook", want one of prefill, decode, mixed`,
+			`"cook" is not one of prefill, decode, mixed`,
 		},
 		{`{}`, "servers: is missing"},
 	} {
@@ -167,7 +171,7 @@
 	}
 }
 
-// TestFormerNames checks that a configuration written for the previous release is read, with a warning for each name.
+// TestFormerNames checks that a configuration of the previous release is read, with a warning for each former name.
 func TestFormerNames(t *testing.T) {
 	formerText := strings.NewReplacer(
 		`"classes"`, `"tracks"`, `"target"`, `"expected"`, `"timeout"`, `"patience"`,
@@ -185,7 +189,7 @@
 	if got, want := len(former.Warnings), 9; got != want {
 		t.Errorf("%d warnings, want %d: %q", got, want, former.Warnings)
 	}
-	want := `x:7: classes[0].effect: "redoable" is called "idempotent" now; the next release will not read it`
+	want := `x:7: classes[0].effect: "redoable" is deprecated, use "idempotent"; the next release will reject it`
 	if !slices.Contains(former.Warnings, want) {
 		t.Errorf("warnings %q, want %q", former.Warnings, want)
 	}
@@ -194,16 +198,17 @@
 	}
 	former.Warnings = nil
 	if !reflect.DeepEqual(former, current) {
-		t.Errorf("read as %+v, want %+v", former, current)
+		t.Errorf("decoded as %+v, want %+v", former, current)
 	}
 	both := strings.Replace(validText, `"target": "1s"`, `"expected": "1s", "target": "2s"`, 1)
 	_, err = Parse("x", []byte(both))
-	if err == nil || !strings.Contains(err.Error(), "classes[0].target: stands twice") {
-		t.Errorf("a field by both names: %v", err)
+	if err == nil || !strings.Contains(err.Error(), "classes[0].target: is set twice") {
+		t.Errorf("a field with its current and its former name: %v", err)
 	}
 }
 
-// TestFormerNamesOfServers checks that a list of engines written for the previous release is read, with its warnings.
+// TestFormerNamesOfServers checks that a list of engines of the previous release is read, with a warning for each
+// former name.
 func TestFormerNamesOfServers(t *testing.T) {
 	list, warnings, err := ParseServers("f", []byte(
 		`{"hosts": [{"id": 1, "address": "127.0.0.1:1", "role": "reader"},`+
@@ -211,7 +216,7 @@
 	if err != nil || len(list) != 2 || list[0].Role != policy.Prefill || list[1].Role != policy.Decode {
 		t.Fatalf("%+v, %v", list, err)
 	}
-	want := `f:1: servers[1].role: "writer" is called "decode" now; the next release will not read it`
+	want := `f:1: servers[1].role: "writer" is deprecated, use "decode"; the next release will reject it`
 	if len(warnings) != 3 || !slices.Contains(warnings, want) {
 		t.Errorf("warnings %q, want three and %q", warnings, want)
 	}
--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -1,5 +1,5 @@
-// Package config reads the configuration of a dispatcher: JSON with comments, checked strictly. An error names the
-// file, the line, the field and what was expected; one error lists everything that is wrong with a file.
+// Package config reads the configuration of a dispatcher: JSON with comments, checked strictly. Each error names the
+// file, the line, the field and what is permitted. All errors of a file are returned together.
 package config
 
 import (
@@ -16,42 +16,43 @@
 
 // Tags of the fields that are decoded and printed.
 const (
-	nameTag       = "json" // the field's name; fields without one are left alone
-	formerNameTag = "was"  // its name in the previous release, which is read with a warning
-	requiredTag   = "need" // what the field is: it must be present
+	nameTag       = "json" // name of the field; fields without a name are ignored
+	formerNameTag = "was"  // name of the field in the previous release, which is read with a warning
+	requiredTag   = "need" // description of a field that must be present
 )
 
-// Raw is a field whose text is kept as it is, to be decoded elsewhere.
+// Raw is the unparsed text of a field, which the caller decodes.
 type Raw []byte
 
-// Decode reads any other text of this kind into the struct that v points to. Fields are named by the tag json, and
-// those with the tag need must be present; deprecated names are read without a warning. check may be nil, and is
-// called if all fields have the right types: it calls bad for each invalid value with the path of its field.
+// Decode decodes JSON with comments into the struct that v points to; name stands for the file in errors. Fields are
+// named by the tag json, and those with the tag need must be present; former names are read without a warning. If all
+// fields have the right types and check is not nil, check is called; it calls report for each invalid value with the
+// path of its field.
 func Decode(
-	name string, text []byte, v any, check func(bad func(path, format string, args ...any)),
+	name string, text []byte, v any, check func(report func(path, format string, args ...any)),
 ) error {
 	d := newDecoder(name, text)
 	d.decode(v)
 	if len(d.errs) == 0 && check != nil {
-		check(d.invalid)
+		check(d.addError)
 	}
 	return d.err()
 }
 
-// decoder fills a value from a text and remembers on which line each field is.
+// decoder decodes a text and records the line of each field.
 type decoder struct {
-	name     string // of the file
+	name     string // name of the file
 	text     []byte
 	lines    map[string]int // by path
 	errs     []error
-	warnings []string // of deprecated names
+	warnings []string // one for each former name that was read
 }
 
 func newDecoder(name string, text []byte) *decoder {
 	return &decoder{name: name, text: text, lines: map[string]int{}}
 }
 
-// renamer is a type some of whose texts had other names in the previous release.
+// renamer is implemented by a type some of whose values had other names in the previous release.
 type renamer interface {
 	encoding.TextUnmarshaler
 	FormerNames() map[string]string
@@ -60,8 +61,8 @@
 // err returns all errors as one, or nil.
 func (d *decoder) err() error { return errors.Join(d.errs...) }
 
-// invalid records an error about the field at a path.
-func (d *decoder) invalid(path, format string, args ...any) {
+// addError records an error about the field at a path.
+func (d *decoder) addError(path, format string, args ...any) {
 	d.errs = append(d.errs, fmt.Errorf("%s:%d: %s: %s",
 		d.name, max(d.nearestLine(path), 1), path, fmt.Sprintf(format, args...)))
 }
@@ -78,12 +79,13 @@
 	return 0
 }
 
-// warnRenamed records that a deprecated name was read.
+// warnRenamed records that a former name was read.
 func (d *decoder) warnRenamed(path, former, name string) {
-	d.warnings = append(d.warnings, fmt.Sprintf("%s:%d: %s: %q is called %q now; the next release will not read it",
+	d.warnings = append(d.warnings, fmt.Sprintf("%s:%d: %s: %q is deprecated, use %q; the next release will reject it",
 		d.name, max(d.lines[path], 1), path, former, name))
 }
 
+// lineOf returns the number of the line at an offset of the text.
 func (d *decoder) lineOf(offset int) int {
 	return 1 + bytes.Count(d.text[:min(offset, len(d.text))], []byte{'\n'})
 }
@@ -95,72 +97,72 @@
 		d.errs = append(d.errs, fmt.Errorf("%s: %w", d.name, err))
 		return
 	}
-	d.value(root, reflect.ValueOf(v).Elem(), "")
+	d.decodeValue(root, reflect.ValueOf(v).Elem(), "")
 }
 
-// value decodes v into to. Types that decode themselves come first, then the kinds.
-func (d *decoder) value(v hujson.Value, to reflect.Value, path string) {
+// decodeValue decodes v into target, which decodes itself if its type implements encoding.TextUnmarshaler.
+func (d *decoder) decodeValue(v hujson.Value, target reflect.Value, path string) {
 	if _, ok := d.lines[path]; !ok {
 		d.lines[path] = d.lineOf(v.StartOffset)
 	}
-	if to.Type() == reflect.TypeFor[Raw]() {
-		to.SetBytes(v.Pack())
+	if target.Type() == reflect.TypeFor[Raw]() {
+		target.SetBytes(v.Pack())
 		return
 	}
-	if to.CanAddr() {
-		if u, ok := reflect.TypeAssert[encoding.TextUnmarshaler](to.Addr()); ok {
-			d.unmarshaler(v, u, path)
+	if target.CanAddr() {
+		if u, ok := reflect.TypeAssert[encoding.TextUnmarshaler](target.Addr()); ok {
+			d.decodeText(v, u, path)
 			return
 		}
 	}
-	if to.Type() == reflect.TypeFor[time.Duration]() {
-		d.duration(v, to, path)
+	if target.Type() == reflect.TypeFor[time.Duration]() {
+		d.decodeDuration(v, target, path)
 		return
 	}
-	d.kind(v, to, path)
+	d.decodeKind(v, target, path)
 }
 
-// kind decodes a value of a basic kind, a struct or a slice.
-func (d *decoder) kind(v hujson.Value, to reflect.Value, path string) {
-	switch to.Kind() {
+// decodeKind decodes v into a target of a basic kind, a struct or a slice.
+func (d *decoder) decodeKind(v hujson.Value, target reflect.Value, path string) {
+	switch target.Kind() {
 	case reflect.Struct:
-		d.object(v, to, path)
+		d.decodeObject(v, target, path)
 	case reflect.Slice:
-		d.list(v, to, path)
+		d.decodeList(v, target, path)
 	case reflect.String:
 		if text, ok := d.textLiteral(v, path); ok {
-			to.SetString(text)
+			target.SetString(text)
 		}
 	case reflect.Bool:
-		d.bool(v, to, path)
+		d.decodeBool(v, target, path)
 	case reflect.Int, reflect.Int32, reflect.Int64, reflect.Uint64:
-		d.integer(v, to, path)
+		d.decodeInteger(v, target, path)
 	case reflect.Float64:
-		d.float(v, to, path)
+		d.decodeFloat(v, target, path)
 	default:
-		panic("config: no decoding for " + to.Type().String())
+		panic("config: type not supported: " + target.Type().String())
 	}
 }
 
-func (d *decoder) list(v hujson.Value, to reflect.Value, path string) {
+func (d *decoder) decodeList(v hujson.Value, target reflect.Value, path string) {
 	list, ok := v.Value.(*hujson.Array)
 	if !ok {
-		d.invalid(path, "want a list, not %s", describe(v))
+		d.addError(path, "want a list, not %s", describe(v))
 		return
 	}
 	for i, element := range list.Elements {
-		to.Set(reflect.Append(to, reflect.Zero(to.Type().Elem())))
-		d.value(element, to.Index(i), fmt.Sprintf("%s[%d]", path, i))
+		target.Set(reflect.Append(target, reflect.Zero(target.Type().Elem())))
+		d.decodeValue(element, target.Index(i), fmt.Sprintf("%s[%d]", path, i))
 	}
 }
 
-func (d *decoder) object(v hujson.Value, to reflect.Value, path string) {
+func (d *decoder) decodeObject(v hujson.Value, target reflect.Value, path string) {
 	object, ok := v.Value.(*hujson.Object)
 	if !ok {
-		d.invalid(path, "want an object, not %s", describe(v))
+		d.addError(path, "want an object, not %s", describe(v))
 		return
 	}
-	fields := fieldsOf(to.Type())
+	fields := fieldsOf(target.Type())
 	seen := map[string]bool{}
 	for _, member := range object.Members {
 		name := member.Name.Value.(hujson.Literal).String()
@@ -174,26 +176,26 @@
 		index, ok := fields.index[name]
 		switch {
 		case !ok:
-			d.invalid(memberPath, "no such field, want one of %s", strings.Join(fields.names, ", "))
+			d.addError(memberPath, "no such field, must be one of %s", strings.Join(fields.names, ", "))
 		case seen[name]:
-			d.invalid(memberPath, "stands twice")
+			d.addError(memberPath, "is set twice")
 		default:
-			d.value(member.Value, to.Field(index), memberPath)
+			d.decodeValue(member.Value, target.Field(index), memberPath)
 		}
 		seen[name] = true
 	}
 	for _, name := range fields.names {
-		if what := to.Type().Field(fields.index[name]).Tag.Get(requiredTag); !seen[name] && what != "" {
-			d.invalid(joinPath(path, name), "is missing, want %s", what)
+		if description := target.Type().Field(fields.index[name]).Tag.Get(requiredTag); !seen[name] && description != "" {
+			d.addError(joinPath(path, name), "is missing: %s", description)
 		}
 	}
 }
 
 // structFields describes the fields of a struct that are decoded.
 type structFields struct {
-	names   []string          // in their order
-	index   map[string]int    // of the field with a name
-	renamed map[string]string // current names by former names
+	names   []string          // in the order of the fields
+	index   map[string]int    // index in the struct by name
+	renamed map[string]string // current name by former name
 }
 
 func fieldsOf(t reflect.Type) structFields {
@@ -220,7 +222,7 @@
 	return path + "." + name
 }
 
-// describe returns how errors name a value that has the wrong type.
+// describe returns a description of a value of the wrong type for an error.
 func describe(v hujson.Value) string {
 	switch value := v.Value.(type) {
 	case *hujson.Object:
--- a/internal/config/enums.go
+++ b/internal/config/enums.go
@@ -19,37 +19,38 @@
 	healthNames = []string{policy.Serving: "serving", policy.Draining: "draining", policy.Gone: "gone"}
 )
 
-// Idempotency is a policy.Idempotency that is written by its name.
+// Idempotency is a policy.Idempotency that is represented by its name in a configuration.
 type Idempotency policy.Idempotency
 
-// UnmarshalText reads a name.
+// UnmarshalText sets the value from its name.
 func (i *Idempotency) UnmarshalText(text []byte) error {
 	value, err := indexOfName(string(text), idempotencyNames)
 	*i = Idempotency(value)
 	return err
 }
 
-// MarshalText returns the name.
+// MarshalText returns the name of the value.
 func (i Idempotency) MarshalText() ([]byte, error) { return []byte(idempotencyNames[i]), nil }
 
-// FormerNames returns the names of the previous release and those that replace them.
+// FormerNames returns the current names by the names of the previous release.
 func (*Idempotency) FormerNames() map[string]string {
 	return map[string]string{"redoable": "idempotent", "labelled": "deduplicated", "irreversible": "non_idempotent"}
 }
 
-// DedupScope is a policy.DedupScope that is written by its name.
+// DedupScope is a policy.DedupScope that is represented by its name in a configuration.
 type DedupScope policy.DedupScope
 
-// UnmarshalText reads a name.
+// UnmarshalText sets the value from its name.
 func (s *DedupScope) UnmarshalText(text []byte) error {
 	value, err := indexOfName(string(text), dedupScopeNames)
 	*s = DedupScope(value)
 	return err
 }
 
-// MarshalText returns the name.
+// MarshalText returns the name of the value.
 func (s DedupScope) MarshalText() ([]byte, error) { return []byte(dedupScopeNames[s]), nil }
 
+// role is a policy.Role that is represented by its name in a list of engines.
 type role policy.Role
 
 func (r *role) UnmarshalText(text []byte) error {
@@ -58,11 +59,12 @@
 	return err
 }
 
-// FormerNames returns the names of the previous release and those that replace them.
+// FormerNames returns the current names by the names of the previous release.
 func (*role) FormerNames() map[string]string {
 	return map[string]string{"reader": "prefill", "writer": "decode"}
 }
 
+// health is a policy.Health that is represented by its name in a list of engines.
 type health policy.Health
 
 func (h *health) UnmarshalText(text []byte) error {
@@ -76,5 +78,5 @@
 	if i := slices.Index(names, name); i >= 0 {
 		return i, nil
 	}
-	return 0, fmt.Errorf("%q, want one of %s", name, strings.Join(names, ", "))
+	return 0, fmt.Errorf("%q is not one of %s", name, strings.Join(names, ", "))
 }
--- a/internal/config/literal.go
+++ b/internal/config/literal.go
@@ -10,7 +10,7 @@
 	"github.com/tailscale/hujson"
 )
 
-// Kinds of a hujson.Literal.
+// Results of hujson.Literal.Kind.
 const (
 	textKind   = '"'
 	numberKind = '0'
@@ -18,29 +18,29 @@
 	falseKind  = 'f'
 )
 
-// textLiteral returns the value of a text, or records that v is none and returns false.
+// textLiteral returns the value of a string, or records an error and returns false if v is not a string.
 func (d *decoder) textLiteral(v hujson.Value, path string) (string, bool) {
 	literal, ok := v.Value.(hujson.Literal)
 	if !ok || literal.Kind() != textKind {
-		d.invalid(path, "want a text, not %s", describe(v))
+		d.addError(path, "want a text, not %s", describe(v))
 		return "", false
 	}
 	return literal.String(), true
 }
 
-// numberLiteral returns the text of a number, or records that v is none and returns false. what names the number in
-// the error.
-func (d *decoder) numberLiteral(v hujson.Value, path, what string) (string, bool) {
+// numberLiteral returns the text of a number, or records an error and returns false if v is not a number. expected
+// describes the number in the error.
+func (d *decoder) numberLiteral(v hujson.Value, path, expected string) (string, bool) {
 	literal, ok := v.Value.(hujson.Literal)
 	if !ok || literal.Kind() != numberKind {
-		d.invalid(path, "want %s, not %s", what, describe(v))
+		d.addError(path, "want %s, not %s", expected, describe(v))
 		return "", false
 	}
 	return string(literal), true
 }
 
-// unmarshaler has u read its text, by its current or its former name.
-func (d *decoder) unmarshaler(v hujson.Value, u encoding.TextUnmarshaler, path string) {
+// decodeText decodes v with u, after it has replaced a former name by the current one.
+func (d *decoder) decodeText(v hujson.Value, u encoding.TextUnmarshaler, path string) {
 	text, ok := d.textLiteral(v, path)
 	if !ok {
 		return
@@ -52,58 +52,58 @@
 		}
 	}
 	if err := u.UnmarshalText([]byte(text)); err != nil {
-		d.invalid(path, "%v", err)
+		d.addError(path, "%v", err)
 	}
 }
 
-func (d *decoder) duration(v hujson.Value, to reflect.Value, path string) {
+func (d *decoder) decodeDuration(v hujson.Value, target reflect.Value, path string) {
 	text, ok := d.textLiteral(v, path)
 	if !ok {
 		return
 	}
 	value, err := time.ParseDuration(text)
 	if err != nil {
-		d.invalid(path, "%q is no length of time, want one as \"250ms\" or \"2s\"", text)
+		d.addError(path, "%q is not a duration such as \"250ms\" or \"2s\"", text)
 	}
-	to.SetInt(int64(value))
+	target.SetInt(int64(value))
 }
 
-func (d *decoder) bool(v hujson.Value, to reflect.Value, path string) {
+func (d *decoder) decodeBool(v hujson.Value, target reflect.Value, path string) {
 	literal, ok := v.Value.(hujson.Literal)
 	if !ok || literal.Kind() != trueKind && literal.Kind() != falseKind {
-		d.invalid(path, "want true or false, not %s", describe(v))
+		d.addError(path, "want true or false, not %s", describe(v))
 		return
 	}
-	to.SetBool(literal.Bool())
+	target.SetBool(literal.Bool())
 }
 
-func (d *decoder) integer(v hujson.Value, to reflect.Value, path string) {
-	const what = "a whole number"
-	text, ok := d.numberLiteral(v, path, what)
+func (d *decoder) decodeInteger(v hujson.Value, target reflect.Value, path string) {
+	const expected = "a whole number"
+	text, ok := d.numberLiteral(v, path, expected)
 	if !ok {
 		return
 	}
 	value, err := strconv.ParseInt(text, 10, 64)
-	unsigned := to.Kind() == reflect.Uint64
+	unsigned := target.Kind() == reflect.Uint64
 	switch {
-	case err != nil || unsigned && value < 0 || to.CanInt() && to.OverflowInt(value):
-		d.invalid(path, "want %s, not %s", what, text)
+	case err != nil || unsigned && value < 0 || target.CanInt() && target.OverflowInt(value):
+		d.addError(path, "want %s, not %s", expected, text)
 	case unsigned:
-		to.SetUint(uint64(value))
+		target.SetUint(uint64(value))
 	default:
-		to.SetInt(value)
+		target.SetInt(value)
 	}
 }
 
-func (d *decoder) float(v hujson.Value, to reflect.Value, path string) {
-	const what = "a number"
-	text, ok := d.numberLiteral(v, path, what)
+func (d *decoder) decodeFloat(v hujson.Value, target reflect.Value, path string) {
+	const expected = "a number"
+	text, ok := d.numberLiteral(v, path, expected)
 	if !ok {
 		return
 	}
 	value, err := strconv.ParseFloat(text, 64)
 	if err != nil || math.IsInf(value, 0) {
-		d.invalid(path, "want %s, not %s", what, text)
+		d.addError(path, "want %s, not %s", expected, text)
 	}
-	to.SetFloat(value)
+	target.SetFloat(value)
 }
--- a/internal/config/policy.go
+++ b/internal/config/policy.go
@@ -5,8 +5,8 @@
 	"docksail/policy"
 )
 
-// NewPolicy returns a router with this configuration. zone is the ID of the dispatcher's own zone; the IDs of server
-// kinds are the roles: policy.Prefill, policy.Decode, policy.Mixed.
+// NewPolicy returns a router with this configuration. zone is the ID of the dispatcher's own zone. The ID of a server
+// kind is its role: policy.Prefill, policy.Decode or policy.Mixed.
 func (d *Dispatcher) NewPolicy(seed uint64, zone policy.ZoneID) (*policy.Router, error) {
 	var tenants []policy.Tenant
 	for _, tenant := range d.Tenants {
@@ -40,7 +40,7 @@
 	})
 }
 
-// PolicyClasses returns the classes of requests as the policy takes them.
+// PolicyClasses returns the classes of requests in the form of the policy.
 func (d *Dispatcher) PolicyClasses() []policy.Class {
 	var classes []policy.Class
 	for _, class := range d.Classes {
@@ -59,8 +59,8 @@
 	return classes
 }
 
-// TenantLimits returns the limits of tenants in the admission queue. Without tenants in the configuration, all
-// requests belong to one.
+// TenantLimits returns the limits of tenants in the admission queue. If the configuration has no tenants, all requests
+// belong to a single one without limits.
 func (d *Dispatcher) TenantLimits() []admission.TenantLimits {
 	if len(d.Tenants) == 0 {
 		return []admission.TenantLimits{{Weight: 1}}
--- a/internal/config/print.go
+++ b/internal/config/print.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Print returns the configuration in the form that Parse reads: every field, durations as texts.
+// Print returns the configuration in the form that Parse reads. It contains every field; durations are strings.
 func (d *Dispatcher) Print() ([]byte, error) { return Print(*d) }
 
 // Print returns a struct in the form that Decode reads, with its fields in their order.
@@ -38,7 +38,7 @@
 	return err
 }
 
-// hasNamedFields reports whether a struct is printed field by field and not by its own method.
+// hasNamedFields reports whether a struct is printed field by field and not by its MarshalJSON method.
 func hasNamedFields(v reflect.Value) bool {
 	if _, ok := reflect.TypeAssert[json.Marshaler](v); ok {
 		return false
@@ -46,6 +46,7 @@
 	return v.NumField() > 0 && v.Type().Field(0).Tag.Get(nameTag) != ""
 }
 
+// printObject prints the fields of a struct that have a name. The first field must have one.
 func printObject(b *bytes.Buffer, v reflect.Value) error {
 	b.WriteByte('{')
 	for i := range v.NumField() {
--- a/internal/config/servers.go
+++ b/internal/config/servers.go
@@ -8,11 +8,12 @@
 	"docksail/policy"
 )
 
-// serverList is a list of engines as a file has it.
+// serverList is the content of a file with a list of engines.
 type serverList struct {
 	Servers []serverEntry `json:"servers" was:"hosts" need:"a list of servers"`
 }
 
+// serverEntry is one engine in a serverList.
 type serverEntry struct {
 	ID      int64          `json:"id" need:"a number above 0"`
 	Address netip.AddrPort `json:"address" need:"an address and port"`
@@ -25,8 +26,8 @@
 
 const maxServerID = 1<<32 - 1
 
-// ParseServers reads a list of engines; name stands for the file in errors. It returns one warning for each
-// deprecated name that was read.
+// ParseServers decodes and checks a list of engines; name stands for the file in errors. It returns one warning for
+// each former name that was read.
 func ParseServers(name string, text []byte) (list []endpointlist.Endpoint, warnings []string, err error) {
 	var file serverList
 	decoder := newDecoder(name, text)
@@ -34,8 +35,8 @@
 	seen := map[int64]bool{}
 	for i, server := range file.Servers {
 		if server.ID < 1 || server.ID > maxServerID || seen[server.ID] {
-			decoder.invalid(fmt.Sprintf("servers[%d].id", i),
-				"%d is out of range or stands twice, want a number of its own above 0", server.ID)
+			decoder.addError(fmt.Sprintf("servers[%d].id", i),
+				"%d is out of range or a duplicate, must be unique and at least 1", server.ID)
 		}
 		seen[server.ID] = true
 		list = append(list, endpointlist.Endpoint{
