--- a/internal/platformconfig/platformconfig.go
+++ b/internal/platformconfig/platformconfig.go
@@ -1,5 +1,5 @@
-// Package platformconfig makes a policy from the settings object that the platform gives a dispatcher: in the
-// simulator's first message and in the configuration of a dispatcher in service alike.
+// Package platformconfig creates a policy from the platform's settings object. The simulator sends this object in its
+// first message to a dispatcher, and the configuration file of a dispatcher in service contains it.
 package platformconfig
 
 import (
@@ -9,8 +9,8 @@
 	"docksail/policy"
 )
 
-// Config is a policy and what the dispatcher that runs it has to know besides. Names of zones, kinds, classes and
-// tenants stand at the indexes that are their IDs in the policy.
+// Config holds a policy and the settings that the dispatcher itself needs. The index of the name of a zone, kind,
+// class or tenant is its ID in the policy.
 type Config struct {
 	Policy     *policy.Router
 	Zones      []string
@@ -20,15 +20,15 @@
 	Classes    []policy.Class
 	Tenants    []string
 
-	Seed           uint64       // of the random source
-	ReleaseTime    policy.Nanos // KV state of a request that has ended is held no longer
+	Seed           uint64       // seed of the random source
+	ReleaseTime    policy.Nanos // longest time for which KV state of an ended request may be held
 	MaxRetryAfter  policy.Nanos
 	IdleTimeout    policy.Nanos // after which a server closes an idle connection; 0 = unknown
 	ConnectTimeout policy.Nanos // after which a connection is given up; 0 = not configured
-	ListOnRequest  bool         // lists of servers are requested, not pushed
+	ListOnRequest  bool         // the endpoint list is sent only on request
 }
 
-// New returns a policy with the settings in a JSON object.
+// New decodes a JSON object with settings and creates the policy that they describe.
 func New(seed uint64, text []byte) (*Config, error) {
 	config, err := newConfig(seed, text)
 	if err != nil {
@@ -46,7 +46,7 @@
 		return nil, fmt.Errorf("role_by_kind has %d entries for %d machine_types", len(s.Family.RoleNames), len(s.Kinds))
 	}
 	if s.Family.ReleaseTime == nil {
-		return nil, errNoReleaseTime
+		return nil, errReleaseTimeMissing
 	}
 	roles, err := s.roles()
 	if err != nil {
@@ -82,7 +82,7 @@
 	return config, nil
 }
 
-// SetLoadReportField sets one figure of a server's load report by its name on the wire; other names are ignored.
+// SetLoadReportField sets one field of a server's load report by its name on the wire. Unknown names are ignored.
 func SetLoadReportField(load *policy.LoadReport, name string, value float64) {
 	switch name {
 	case "inflight":
--- a/internal/platformconfig/platformconfig_test.go
+++ b/internal/platformconfig/platformconfig_test.go
@@ -22,6 +22,7 @@
   "rules": {"answer_slack_ns": 16000000}
 }`
 
+// TestNew checks the values that are decoded from valid settings.
 func TestNew(t *testing.T) {
 	config, err := New(7, []byte(validText))
 	if err != nil {
@@ -52,6 +53,7 @@
 	}
 }
 
+// TestNewErrors checks that each error names the setting that is invalid.
 func TestNewErrors(t *testing.T) {
 	for _, test := range []struct{ from, to, want string }{
 		{`"localities"`, `localities`, "settings: invalid character"},
@@ -73,6 +75,7 @@
 	}
 }
 
+// TestSetLoadReportField checks the known fields with their units, and that an unknown field is ignored.
 func TestSetLoadReportField(t *testing.T) {
 	var report policy.LoadReport
 	for name, value := range map[string]float64{"inflight": 3, "x0": 0.5, "x1": 2, "x9": 7} {
--- a/internal/platformconfig/settings.go
+++ b/internal/platformconfig/settings.go
@@ -8,11 +8,11 @@
 	"docksail/policy"
 )
 
-// modeOnRequest is the membership mode in which lists of servers are requested and not pushed.
+// modeOnRequest is the membership mode in which the endpoint list is sent only on request.
 const modeOnRequest = "on_request"
 
-// settings is the part of the platform's settings object that a dispatcher needs; unknown keys are ignored. Times are
-// in nanoseconds unless the key says otherwise.
+// settings is the part of the platform's settings object that a dispatcher uses; other keys are ignored. Times are in
+// nanoseconds unless the key names another unit.
 type settings struct {
 	Family struct {
 		LatencyTargetPer1k []float64 `json:"aim_us_per_1000_prompt_tokens"` // by class
@@ -31,7 +31,7 @@
 	} `json:"limits"`
 	Zones         []string        `json:"localities"`
 	Kinds         []string        `json:"machine_types"`
-	Index         int32           `json:"me"` // of this dispatcher
+	Index         int32           `json:"me"` // index of this dispatcher
 	Mode          string          `json:"membership_mode"`
 	Classes       []classSettings `json:"request_classes"`
 	RoundInterval int64           `json:"round_ns"`
@@ -43,7 +43,7 @@
 		OverloadFactor  float64 `json:"fall_multiple"`
 		OverloadWindow  int64   `json:"fall_ns"`
 	} `json:"rules"`
-	Dispatchers int32 `json:"siblings"`
+	Dispatchers int32 `json:"siblings"` // number of all dispatchers
 	Tenants     []struct {
 		Name              string  `json:"name"`
 		RequestsPerSecond float64 `json:"allowance_per_s"`
@@ -51,6 +51,7 @@
 	Zone string `json:"zone"`
 }
 
+// classSettings describes one class of requests.
 type classSettings struct {
 	Name          string  `json:"name"`
 	DedupScope    string  `json:"dedup_scope"`
@@ -75,11 +76,12 @@
 	}
 )
 
-var errNoReleaseTime = errors.New("family_info.release_ns is missing")
+var errReleaseTimeMissing = errors.New("family_info.release_ns is missing")
 
+// listOnRequest reports whether the endpoint list is sent only on request.
 func (s *settings) listOnRequest() bool { return s.Mode == modeOnRequest }
 
-// roles returns the role of each kind.
+// roles returns the role of each kind of server.
 func (s *settings) roles() ([]policy.Role, error) {
 	var roles []policy.Role
 	for _, name := range s.Family.RoleNames {
@@ -92,6 +94,7 @@
 	return roles, nil
 }
 
+// classes returns the classes in the form of the policy.
 func (s *settings) classes() ([]policy.Class, error) {
 	var classes []policy.Class
 	for i := range s.Classes {
@@ -100,7 +103,7 @@
 			return nil, err
 		}
 		if targets := s.Family.LatencyTargetPer1k; i < len(targets) {
-			class.LatencyTargetPer1k = policy.Nanos(targets[i] * 1000) // microseconds
+			class.LatencyTargetPer1k = policy.Nanos(targets[i] * 1000) // microseconds to nanoseconds
 		}
 		if targets := s.Family.InterTokenTarget; i < len(targets) {
 			class.InterTokenTarget = policy.Nanos(targets[i])
--- a/internal/simulatorwire/adapter.go
+++ b/internal/simulatorwire/adapter.go
@@ -1,5 +1,5 @@
-// Package simulatorwire runs dispatchers on the simulator's wire. It decodes lines of text into events of the policy
-// and encodes the policy's decisions as lines. It decides nothing.
+// Package simulatorwire connects dispatchers to the simulator. It decodes the simulator's lines of text into events
+// for the policy and encodes the policy's decisions as lines. It makes no decisions itself.
 package simulatorwire
 
 import (
@@ -14,10 +14,11 @@
 
 const (
 	initialBufferBytes = 1 << 16
-	maxLineBytes       = 64 << 20 // batches reach megabytes, a line never comes near this
+	maxLineBytes       = 64 << 20 // far above the size of whole batches, which reach megabytes
 )
 
-// Serve answers batches of events until the input ends. An error names the line of the input.
+// Serve reads batches of events from r and writes the reply to each to w until the input ends. An error names the line
+// of the input.
 func Serve(r io.Reader, w io.Writer) error {
 	a := newAdapter(r, w)
 	for {
@@ -36,9 +37,9 @@
 	in         *bufio.Scanner
 	out        *decisionWriter
 	lineNumber int
-	now        policy.Nanos // clock of the batch
+	now        policy.Nanos // time of the batch
 	instances  map[int64]*instance
-	touched    []int64 // instances that had an event in this batch, in order of their first
+	touched    []int64 // IDs of the instances with an event in this batch, in the order of their first events
 }
 
 func newAdapter(r io.Reader, w io.Writer) *adapter {
@@ -47,14 +48,14 @@
 	return a
 }
 
-// instance is one dispatcher. Its configuration has the names on the wire by their IDs.
+// instance is one dispatcher. Its configuration maps IDs of the policy to the names on the wire.
 type instance struct {
 	*platformconfig.Config
-	touched bool   // is in adapter.touched
-	failure string // of the policy, by a panic; empty = none
+	touched bool   // the instance is in adapter.touched
+	failure string // value of a panic in the policy; empty = none
 }
 
-// call calls the policy unless it has failed. A panic in the call becomes the instance's failure.
+// call calls f unless the policy has panicked before. A panic in f becomes the instance's failure.
 func (i *instance) call(f func()) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -66,7 +67,7 @@
 	}
 }
 
-// nextMessage reads a line. It returns false at the end of the input and if reading failed, which a.in.Err tells apart.
+// nextMessage reads a line. It returns false at the end of the input or after an error, which a.in.Err returns.
 func (a *adapter) nextMessage() (message, bool) {
 	if !a.in.Scan() {
 		return message{}, false
@@ -75,14 +76,14 @@
 	return newMessage(a.in.Bytes()), true
 }
 
-// serveBatch reads one batch and answers it. It returns false at the end of the input.
+// serveBatch reads one batch and writes the reply. It returns false at the end of the input.
 func (a *adapter) serveBatch() (bool, error) {
 	start, ok := a.nextMessage()
 	if !ok {
 		return false, a.in.Err()
 	}
 	if start.name != messageSync {
-		return false, fmt.Errorf("a batch starts with %s, not %q", messageSync, start.name)
+		return false, fmt.Errorf("a batch must start with %s, not %q", messageSync, start.name)
 	}
 	a.now = policy.Nanos(start.integer("clock"))
 	if start.err != nil {
@@ -92,16 +93,16 @@
 		return false, err
 	}
 	for _, id := range a.touched {
-		if i := a.instances[id]; i != nil {
-			i.touched = false
-			a.writeDecisions(id, i)
+		if dispatcher := a.instances[id]; dispatcher != nil {
+			dispatcher.touched = false
+			a.writeDecisions(id, dispatcher)
 		}
 	}
 	a.out.write(messageEndOfReply)
 	return true, a.out.Flush()
 }
 
-// readEvents reads and handles events to the end of the batch.
+// readEvents reads and handles events up to the end of the batch.
 func (a *adapter) readEvents() error {
 	a.touched = a.touched[:0]
 	for {
@@ -110,7 +111,7 @@
 			if err := a.in.Err(); err != nil {
 				return err
 			}
-			return errors.New("the input ends inside a batch, before " + messageEndOfBatch)
+			return errors.New("the input ended inside a batch, before " + messageEndOfBatch)
 		}
 		if event.name == messageEndOfBatch {
 			return nil
@@ -121,26 +122,26 @@
 	}
 }
 
-// touch has the decisions of an instance written at the end of the batch.
-func (a *adapter) touch(id int64, i *instance) {
-	if !i.touched {
-		i.touched = true
+// touch marks an instance, whose decisions are then written at the end of the batch.
+func (a *adapter) touch(id int64, dispatcher *instance) {
+	if !dispatcher.touched {
+		dispatcher.touched = true
 		a.touched = append(a.touched, id)
 	}
 }
 
-// writeDecisions writes all decisions that an instance has now, and its failure if it has failed.
-func (a *adapter) writeDecisions(id int64, i *instance) {
-	i.call(func() {
+// writeDecisions writes all pending decisions of an instance, and its failure if it has one.
+func (a *adapter) writeDecisions(id int64, dispatcher *instance) {
+	dispatcher.call(func() {
 		for {
-			decision, ok := i.Policy.NextDecision(a.now)
+			decision, ok := dispatcher.Policy.NextDecision(a.now)
 			if !ok {
 				return
 			}
 			a.out.writeDecision(id, &decision)
 		}
 	})
-	if i.failure != "" {
-		a.out.writeFailure(id, i.failure)
+	if dispatcher.failure != "" {
+		a.out.writeFailure(id, dispatcher.failure)
 	}
 }
--- a/internal/simulatorwire/adapter_test.go
+++ b/internal/simulatorwire/adapter_test.go
@@ -17,6 +17,7 @@
 
 const requestLine = "JOB_IN 3 9 256 - - 6000000000 0 91f03b7c55d20a64 0 0 - 1200 ask\n"
 
+// TestReplies checks that each batch has its reply, and which batches cause an attempt.
 func TestReplies(t *testing.T) {
 	input := "SYNC 1000000000\nEOB\n" + startBatch +
 		"SYNC 1004000000\n" + requestLine + "EOB\n" +
@@ -37,18 +38,19 @@
 	}
 }
 
+// TestInvalidInput checks that each error names the line and the field, and that no decisions follow it.
 func TestInvalidInput(t *testing.T) {
 	for input, want := range map[string]string{
-		"HELLO\n":                         `line 1: a batch starts with SYNC, not "HELLO"`,
-		"SYNC soon\nEOB\n":                `line 1: SYNC: clock cannot be "soon"`,
+		"HELLO\n":                         `line 1: a batch must start with SYNC, not "HELLO"`,
+		"SYNC soon\nEOB\n":                `line 1: SYNC: invalid clock "soon"`,
 		"SYNC 1\nWHAT 3\nEOB\n":           `line 2: unknown message "WHAT"`,
 		"SYNC 1\nVANISHED 3\nEOB\n":       "line 2: VANISHED: txn is missing",
-		"SYNC 1\nDEADLINE_HIT 3 x\nEOB\n": `line 2: DEADLINE_HIT: label cannot be "x"`,
-		"SYNC 1\n":                        "line 1: the input ends inside a batch, before EOB",
+		"SYNC 1\nDEADLINE_HIT 3 x\nEOB\n": `line 2: DEADLINE_HIT: invalid label "x"`,
+		"SYNC 1\n":                        "line 1: the input ended inside a batch, before EOB",
 
-		startBatch + "SYNC 2\n" + strings.Replace(requestLine, "ask", "beg", 1) + "EOB\n": `tier_class cannot be "beg"`,
-		startBatch + "SYNC 2\nVERDICT 3 9 0 11 Fine 1 0 0 -\nEOB\n":                       `rc cannot be "Fine"`,
-		startBatch + "SYNC 2\nFLEET 3 update 2 1\nENTRY 11 b r 0 IN 1 -\nEOB\n":           `site cannot be "b"`,
+		startBatch + "SYNC 2\n" + strings.Replace(requestLine, "ask", "beg", 1) + "EOB\n": `invalid tier_class "beg"`,
+		startBatch + "SYNC 2\nVERDICT 3 9 0 11 Fine 1 0 0 -\nEOB\n":                       `invalid rc "Fine"`,
+		startBatch + "SYNC 2\nFLEET 3 update 2 1\nENTRY 11 b r 0 IN 1 -\nEOB\n":           `invalid site "b"`,
 
 		strings.Replace(startBatch, `"release_ns":500000000,`, "", 1):                          "release_ns is missing",
 		strings.Replace(startBatch, `"on_time_ns":1000000000`, `"on_time_ns":0`, 1):            "target 0",
@@ -62,18 +64,19 @@
 			}
 			decisions := strings.ReplaceAll(output.String(), "EOR\n", "")
 			if decisions != "" && !strings.HasPrefix(decisions, "NOTIFY_ME") {
-				t.Errorf("output %q beside replies", decisions)
+				t.Errorf("decisions %q, want none but NOTIFY_ME", decisions)
 			}
 		})
 	}
 }
 
+// TestPanicIsReported checks that a panic in the policy is written as one line.
 func TestPanicIsReported(t *testing.T) {
-	i := &instance{}
-	i.call(func() { panic("out of\nreach") })
+	dispatcher := &instance{}
+	dispatcher.call(func() { panic("out of\nreach") })
 	var output strings.Builder
 	a := newAdapter(strings.NewReader(""), &output)
-	a.writeDecisions(4, i)
+	a.writeDecisions(4, dispatcher)
 	if err := a.out.Flush(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/simulatorwire/decisions.go
+++ b/internal/simulatorwire/decisions.go
@@ -25,11 +25,11 @@
 )
 
 const (
-	timerLabel   = 0 // which of an instance's timers to set: there is only one
-	watchEnabled = 1
+	timerLabel   = 0 // label of an instance's only timer
+	watchEnabled = 1 // state of the watch of the endpoint list
 )
 
-// decisionWriter writes messages. Flush returns the first error of any write.
+// decisionWriter encodes decisions as messages. Flush returns the first error of any write.
 type decisionWriter struct {
 	*bufio.Writer
 	line []byte
@@ -39,7 +39,7 @@
 	return &decisionWriter{Writer: bufio.NewWriterSize(w, initialBufferBytes)}
 }
 
-// writeDecision writes a decision of an instance.
+// writeDecision writes a decision of the instance with an ID.
 func (w *decisionWriter) writeDecision(id int64, decision *policy.Decision) {
 	request, duration := int64(decision.Request), int64(decision.Duration)
 	switch decision.Action {
@@ -64,11 +64,12 @@
 	}
 }
 
-// writeFailure writes why an instance has failed, on one line.
+// writeFailure writes the failure of an instance as one line.
 func (w *decisionWriter) writeFailure(id int64, failure string) {
 	w.writeText(messageFailure, id, strings.ReplaceAll(failure, "\n", " "))
 }
 
+// write writes a message with integer fields.
 func (w *decisionWriter) write(name string, values ...int64) {
 	w.line = append(w.line[:0], name...)
 	for _, value := range values {
@@ -78,6 +79,7 @@
 	w.endLine()
 }
 
+// writeText writes a message whose last field is a text, which may contain spaces.
 func (w *decisionWriter) writeText(name string, id int64, text string) {
 	w.line = append(w.line[:0], name...)
 	w.line = append(w.line, ' ')
--- a/internal/simulatorwire/events.go
+++ b/internal/simulatorwire/events.go
@@ -28,38 +28,40 @@
 	messageMail            = "MAIL"
 )
 
-// Scopes of a list of servers.
+// Scopes of an update of the endpoint list.
 const (
-	scopeUpdate      = "update"      // changes of the list before
+	scopeUpdate      = "update"      // changes to the current list
 	scopeReplace     = "replace"     // the whole list
-	scopeRestored    = "restored"    // the whole list, as an instance kept it
-	scopeUnavailable = "unavailable" // the list could not be had
+	scopeRestored    = "restored"    // the whole list, as an instance saved it
+	scopeUnavailable = "unavailable" // the list could not be obtained
 )
 
-// remarkStateMissing is the remark of a server that rejected an attempt as it no longer has the request's KV state.
+// remarkStateMissing is the remark of a server that rejects an attempt because it no longer has the request's KV
+// state.
 const remarkStateMissing = 1
 
-// noTenant are the values of a request's tenant field that name none.
-var noTenant = []string{absent, "0"}
+// noTenantValues are the values of a request's tenant field that do not name a tenant.
+var noTenantValues = []string{absent, "0"}
 
+// outcomes maps names on the wire to outcomes of attempts.
 var outcomes = map[string]policy.Outcome{
 	"Ok": policy.Served, "Failed": policy.Failed, "QueueFull": policy.Rejected,
 	"TimedOut": policy.TimedOut, "ConnectError": policy.Unreachable, "ResetByPeer": policy.ConnectionLost,
 	"Canceled": policy.Canceled, "Ignored": policy.NotSent, "handover": policy.Prefilled,
 }
 
+// healths maps names on the wire to the health of servers.
 var healths = map[string]policy.Health{"IN": policy.Serving, "LAME": policy.Draining, "OUT": policy.Gone}
 
-// handle decodes an event and calls the policy of its instance. Events of instances that do not run are decoded and
-// dropped.
+// handle decodes an event and calls the policy of its instance. Events of unknown instances are decoded and ignored.
 func (a *adapter) handle(m *message) error {
 	id := m.integer("dispatcher")
 	if m.err != nil {
 		return m.err
 	}
-	i := a.instances[id]
-	if i != nil {
-		a.touch(id, i)
+	dispatcher := a.instances[id]
+	if dispatcher != nil {
+		a.touch(id, dispatcher)
 	}
 	switch m.name {
 	case messageStart:
@@ -68,24 +70,24 @@
 		a.stop(id)
 		return nil
 	case messageServerList:
-		return a.serverList(m, i)
+		return a.serverList(m, dispatcher)
 	case messageRequest:
-		return a.requestArrived(m, i)
+		return a.requestArrived(m, dispatcher)
 	case messageStreamStarted:
-		return a.streamStarted(m, i)
+		return a.streamStarted(m, dispatcher)
 	case messageAttemptEnded:
-		return a.attemptEnded(m, i)
+		return a.attemptEnded(m, dispatcher)
 	case messageRequestCanceled:
-		return a.requestCanceled(m, i)
+		return a.requestCanceled(m, dispatcher)
 	case messageTimerFired:
-		return a.timerFired(m, i)
-	case messageHoldResult, messageHealth, messageMail: // answers to what the policy never asks for
+		return a.timerFired(m, dispatcher)
+	case messageHoldResult, messageHealth, messageMail: // replies to requests that the policy never makes
 		return nil
 	}
 	return fmt.Errorf("unknown message %q", m.name)
 }
 
-// start starts an instance, in place of the one with its ID.
+// start creates an instance, which replaces the one with the same ID if there is one.
 func (a *adapter) start(m *message, id int64) error {
 	seed, err := strconv.ParseUint(string(m.field()), 10, 64)
 	if err != nil {
@@ -95,19 +97,20 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", m.name, err)
 	}
-	replaced := a.instances[id]
-	i := &instance{Config: config, touched: replaced != nil}
-	a.touch(id, i)
-	a.instances[id] = i
+	previous := a.instances[id]
+	dispatcher := &instance{Config: config, touched: previous != nil}
+	a.touch(id, dispatcher)
+	a.instances[id] = dispatcher
 	return nil
 }
 
+// stop removes an instance, of which no more decisions are written.
 func (a *adapter) stop(id int64) {
 	delete(a.instances, id)
 	a.touched = slices.DeleteFunc(a.touched, func(other int64) bool { return other == id })
 }
 
-func (a *adapter) requestArrived(m *message, i *instance) error {
+func (a *adapter) requestArrived(m *message, dispatcher *instance) error {
 	request := policy.Request{
 		ID:              policy.RequestID(m.integer("txn")),
 		MaxOutputTokens: m.optionalInteger("output_cap"),
@@ -124,34 +127,34 @@
 	if request.PromptTokens < 0 || request.PrefixTokens < 0 {
 		m.invalid("n_prompt or n_prefix", []byte("below 0"))
 	}
-	if i == nil {
+	if dispatcher == nil {
 		return m.err
 	}
-	request.Class = policy.ClassID(m.indexOf("tier_class", i.ClassNames, m.rest)) // a class name may have spaces
+	request.Class = policy.ClassID(m.indexOf("tier_class", dispatcher.ClassNames, m.rest)) // a class name may have spaces
 	request.Tenant = -1
-	if !slices.Contains(noTenant, string(tenant)) && len(i.Tenants) > 0 {
-		request.Tenant = policy.TenantID(m.indexOf("project", i.Tenants, tenant))
+	if !slices.Contains(noTenantValues, string(tenant)) && len(dispatcher.Tenants) > 0 {
+		request.Tenant = policy.TenantID(m.indexOf("project", dispatcher.Tenants, tenant))
 	}
 	if m.err == nil {
-		i.call(func() { i.Policy.RequestArrived(a.now, request) })
+		dispatcher.call(func() { dispatcher.Policy.RequestArrived(a.now, request) })
 	}
 	return m.err
 }
 
-func (a *adapter) streamStarted(m *message, i *instance) error {
+func (a *adapter) streamStarted(m *message, dispatcher *instance) error {
 	request, attempt := m.integer("txn"), m.integer("shot")
 	m.integer("host")
 	elapsed := m.integer("elapsed_ns")
-	if m.err == nil && i != nil {
-		i.call(func() {
-			i.Policy.StreamStarted(a.now, policy.RequestID(request), policy.AttemptNumber(attempt),
+	if m.err == nil && dispatcher != nil {
+		dispatcher.call(func() {
+			dispatcher.Policy.StreamStarted(a.now, policy.RequestID(request), policy.AttemptNumber(attempt),
 				policy.Nanos(elapsed))
 		})
 	}
 	return m.err
 }
 
-func (a *adapter) attemptEnded(m *message, i *instance) error {
+func (a *adapter) attemptEnded(m *message, dispatcher *instance) error {
 	request, attempt := m.integer("txn"), m.integer("shot")
 	m.integer("host")
 	outcomeName := m.field()
@@ -164,33 +167,33 @@
 	if outcome == policy.Rejected && remark == remarkStateMissing {
 		outcome = policy.StateMissing
 	}
-	if m.err == nil && i != nil {
-		i.call(func() {
-			i.Policy.AttemptEnded(a.now, policy.RequestID(request), policy.AttemptNumber(attempt), outcome,
+	if m.err == nil && dispatcher != nil {
+		dispatcher.call(func() {
+			dispatcher.Policy.AttemptEnded(a.now, policy.RequestID(request), policy.AttemptNumber(attempt), outcome,
 				policy.Nanos(elapsed), complete, load)
 		})
 	}
 	return m.err
 }
 
-func (a *adapter) requestCanceled(m *message, i *instance) error {
+func (a *adapter) requestCanceled(m *message, dispatcher *instance) error {
 	request := m.integer("txn")
-	if m.err == nil && i != nil {
-		i.call(func() { i.Policy.RequestCanceled(a.now, policy.RequestID(request)) })
+	if m.err == nil && dispatcher != nil {
+		dispatcher.call(func() { dispatcher.Policy.RequestCanceled(a.now, policy.RequestID(request)) })
 	}
 	return m.err
 }
 
-func (a *adapter) timerFired(m *message, i *instance) error {
+func (a *adapter) timerFired(m *message, dispatcher *instance) error {
 	m.integer("label")
-	if m.err == nil && i != nil {
-		i.call(func() { i.Policy.TimerFired(a.now) })
+	if m.err == nil && dispatcher != nil {
+		dispatcher.call(func() { dispatcher.Policy.TimerFired(a.now) })
 	}
 	return m.err
 }
 
-// serverList reads the message of a list and the lines of its servers.
-func (a *adapter) serverList(m *message, i *instance) error {
+// serverList handles an update of the endpoint list: its message and the lines of its servers.
+func (a *adapter) serverList(m *message, dispatcher *instance) error {
 	scope := string(m.field())
 	m.optionalInteger("version")
 	count := m.optionalInteger("lines")
@@ -200,38 +203,38 @@
 	switch scope {
 	case scopeUpdate, scopeReplace, scopeRestored, scopeUnavailable:
 	default:
-		return fmt.Errorf("%s: scope cannot be %q", m.name, scope)
+		return fmt.Errorf("%s: invalid scope %q", m.name, scope)
 	}
-	if i != nil {
-		i.call(func() {
+	if dispatcher != nil {
+		dispatcher.call(func() {
 			if scope == scopeUnavailable {
-				i.Policy.ListUpdateFailed(a.now)
+				dispatcher.Policy.ListUpdateFailed(a.now)
 			} else {
-				i.Policy.ListUpdateStarted(scope != scopeUpdate)
+				dispatcher.Policy.ListUpdateStarted(scope != scopeUpdate)
 			}
 		})
 	}
 	for ; count > 0; count-- {
 		server, ok := a.nextMessage()
 		if !ok {
-			return fmt.Errorf("%s: %w", m.name, errListEnds)
+			return fmt.Errorf("%s: %w", m.name, errListTruncated)
 		}
-		if err := serverListed(&server, i); err != nil {
+		if err := serverListed(&server, dispatcher); err != nil {
 			return err
 		}
 	}
-	if i != nil && scope != scopeUnavailable {
-		i.call(func() { i.Policy.ListUpdateEnded(a.now) })
+	if dispatcher != nil && scope != scopeUnavailable {
+		dispatcher.call(func() { dispatcher.Policy.ListUpdateEnded(a.now) })
 	}
 	return nil
 }
 
-var errListEnds = errors.New("the input ends inside the list")
+var errListTruncated = errors.New("the input ended inside the list")
 
-// serverListed reads the line of one server in a list.
-func serverListed(m *message, i *instance) error {
+// serverListed handles the line of one server in an update of the endpoint list.
+func serverListed(m *message, dispatcher *instance) error {
 	if m.name != messageServer {
-		return fmt.Errorf("%s: an entry starts with %s, not %q", messageServerList, messageServer, m.name)
+		return fmt.Errorf("%s: an entry must start with %s, not %q", messageServerList, messageServer, m.name)
 	}
 	id := m.integer("host")
 	zoneName, kindName := m.field(), m.field()
@@ -243,15 +246,15 @@
 	}
 	m.optionalInteger("units")
 	started := m.optionalInteger("launched_ns")
-	if i == nil {
+	if dispatcher == nil {
 		return nil
 	}
-	zone, kind := m.indexOf("site", i.Zones, zoneName), m.indexOf("hw", i.Kinds, kindName)
+	zone, kind := m.indexOf("site", dispatcher.Zones, zoneName), m.indexOf("hw", dispatcher.Kinds, kindName)
 	if m.err != nil {
 		return m.err
 	}
-	i.call(func() {
-		i.Policy.ServerListed(policy.ServerID(id), policy.ZoneID(zone), policy.KindID(kind), policy.CellID(cell),
+	dispatcher.call(func() {
+		dispatcher.Policy.ServerListed(policy.ServerID(id), policy.ZoneID(zone), policy.KindID(kind), policy.CellID(cell),
 			health, policy.Nanos(started))
 	})
 	return nil
--- a/internal/simulatorwire/golden_test.go
+++ b/internal/simulatorwire/golden_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestTranscript checks the bytes of a recorded run: every event in, every decision out.
+// TestTranscript checks that the events of a recorded run cause exactly the recorded decisions.
 func TestTranscript(t *testing.T) {
 	input, err := os.ReadFile("testdata/transcript.in")
 	if err != nil {
--- a/internal/simulatorwire/message.go
+++ b/internal/simulatorwire/message.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	absent          = "-"  // stands for a field without a value
-	maxOptionalReal = 1e18 // of a real number that is read as an integer
+	absent          = "-"  // a field without a value
+	maxOptionalReal = 1e18 // largest magnitude of a real number that is read as an integer
 )
 
-// message reads the fields of a line in order and keeps the first error. The line is valid until the next is read.
+// message decodes the fields of a line in order and keeps the first error. It is valid until the next line is read.
 type message struct {
 	name string
 	rest []byte // fields not read yet
@@ -39,17 +39,18 @@
 	return field
 }
 
-// invalid records that a field has a value that it cannot have.
+// invalid records an error about a missing or invalid value of a field.
 func (m *message) invalid(fieldName string, value []byte) {
 	switch {
 	case m.err != nil:
 	case len(value) == 0:
 		m.err = fmt.Errorf("%s: %s is missing", m.name, fieldName)
 	default:
-		m.err = fmt.Errorf("%s: %s cannot be %q", m.name, fieldName, value)
+		m.err = fmt.Errorf("%s: invalid %s %q", m.name, fieldName, value)
 	}
 }
 
+// integer reads an integer.
 func (m *message) integer(fieldName string) int64 {
 	value := m.field()
 	n, err := strconv.ParseInt(string(value), 10, 64)
@@ -59,7 +60,7 @@
 	return n
 }
 
-// optionalInteger reads a number, of which it drops the fraction; 0 if it is absent.
+// optionalInteger reads a number and truncates it to an integer. An absent number is 0.
 func (m *message) optionalInteger(fieldName string) int64 {
 	value := m.field()
 	if string(value) == absent {
@@ -86,7 +87,7 @@
 	return string(value) == "1"
 }
 
-// hexKey reads a hexadecimal number; 0 if it is absent.
+// hexKey reads a hexadecimal number. An absent number is 0.
 func (m *message) hexKey(fieldName string) uint64 {
 	value := m.field()
 	if string(value) == absent {
@@ -99,7 +100,8 @@
 	return key
 }
 
-// indexOf returns the index of a value among names. A value that is not there is invalid, and its index -1.
+// indexOf returns the index of a value in names. If names does not contain the value, it records an error and returns
+// -1.
 func (m *message) indexOf(fieldName string, names []string, value []byte) int32 {
 	index := slices.IndexFunc(names, func(name string) bool { return name == string(value) })
 	if index < 0 {
@@ -108,7 +110,7 @@
 	return int32(index)
 }
 
-// loadReport reads the gauges of a server, as "name:value,name:value".
+// loadReport reads the gauges of a server in the form "name:value,name:value".
 func (m *message) loadReport() policy.LoadReport {
 	report := policy.NoLoadReport
 	gauges := m.field()
