--- a/internal/statusfile/print.go
+++ b/internal/statusfile/print.go
@@ -24,7 +24,7 @@
 	printTenants(w, f.Status.Tenants)
 	printRejections(w, f.Status.Tenants)
 	counts := &f.Status.Counts
-	fmt.Fprintf(w, "%d served, %d rejected, %d failed, %d left; %d attempts, %d late, %d broken\n",
+	fmt.Fprintf(w, "%d served, %d rejected, %d failed, %d client disconnects; %d attempts, %d timed out, %d broken\n",
 		counts.Served, counts.Rejected, counts.Failed, counts.ClientDisconnects,
 		counts.Attempts, counts.TimedOut, counts.Broken)
 }
@@ -34,7 +34,7 @@
 	if age := now.Sub(f.WrittenAt).Round(time.Second); age > staleAfter {
 		staleNote = fmt.Sprintf("  (%v old: the dispatcher may have ended)", age)
 	}
-	fmt.Fprintf(w, "%s%s\n%d requests in hand, %d waiting in %d flows, %d connections\n",
+	fmt.Fprintf(w, "%s%s\n%d requests in flight, %d waiting in %d flows, %d connections\n",
 		f.WrittenAt.Format(time.TimeOnly), staleNote,
 		f.Status.InFlight, f.Status.Waiting, f.Status.Flows, f.Status.ClientConns)
 }
@@ -46,7 +46,7 @@
 	}
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(table,
-		"tenant\tweight\twaiting\trunning\tcame\tlet in\tshare\tmean wait\tlongest\tbooked\tback\tkept\t")
+		"tenant\tweight\twaiting\trunning\tarrived\tadmitted\tshare\tmean wait\tmax wait\treserved\tredeemed\thonored\t")
 	for i := range tenants {
 		tenant, counts := &tenants[i], &tenants[i].Counts
 		meanWait := time.Duration(counts.TotalWait / int64(max(counts.Admitted, 1)))
@@ -64,7 +64,7 @@
 	for i := range tenants {
 		for verdict, count := range tenants[i].Counts.Rejected {
 			if count > 0 {
-				fmt.Fprintf(w, "refused %s: %d, %v\n", tenantName(&tenants[i]), count, admission.Verdict(verdict))
+				fmt.Fprintf(w, "rejected %s: %d, %v\n", tenantName(&tenants[i]), count, admission.Verdict(verdict))
 			}
 		}
 	}
