--- a/cmd/docksail/batch.go
+++ b/cmd/docksail/batch.go
@@ -23,7 +23,7 @@
 	client := &batchclient.Client{}
 	c := &cobra.Command{Use: "batch", Short: "Submit files of requests as batches, show their progress, fetch results"}
 	c.PersistentFlags().StringVar(&client.Address, "at", "http://127.0.0.1:7610", "address of the batch API")
-	c.PersistentFlags().StringVar(&client.Key, "key", os.Getenv("DOCKSAIL_KEY"), "API key, by default DOCKSAIL_KEY")
+	c.PersistentFlags().StringVar(&client.Key, "key", os.Getenv("DOCKSAIL_KEY"), "API key, by default $DOCKSAIL_KEY")
 	c.AddCommand(submitCommand(client), batchStatusCommand(client), fetchCommand(client), cancelCommand(client))
 	c.AddCommand(verifyCommand(), compactCommand())
 	return c
--- a/cmd/docksail/lab_measure.go
+++ b/cmd/docksail/lab_measure.go
@@ -89,7 +89,7 @@
 	c.Flags().StringVar(&cfg.Pattern, "pattern", "poisson",
 		"arrival pattern of sessions: "+strings.Join(loadgen.Patterns, ", "))
 	c.Flags().StringVar(&cfg.RecordFile, "record", "",
-		"file of entries whose session arrivals the pattern recorded replays")
+		"file of entries whose session arrivals are replayed by the pattern recorded")
 	c.Flags().DurationVar(&cfg.Duration, "for", 0, "duration of the load; 0 = the script's duration")
 	c.Flags().IntVar(&cfg.ConnsPerDispatcher, "connections", 2, "connections to each dispatcher")
 	return c
--- a/cmd/docksail/lab_scenario.go
+++ b/cmd/docksail/lab_scenario.go
@@ -23,7 +23,7 @@
 	"docksail/internal/lab/simulation"
 )
 
-const entriesUsage = "file for the entries, the recorded events of all connections"
+const entriesUsage = "file to which the recorded events of all connections are written"
 
 // scenarioCommand returns the command scenario, which runs a scenario in real time.
 func scenarioCommand() *cobra.Command {
--- a/cmd/docksail/serve.go
+++ b/cmd/docksail/serve.go
@@ -134,8 +134,8 @@
 	}
 }
 
-// reloadTenantLimits reads the configuration file again and applies the weights and limits of tenants, or none of them
-// if the file is invalid.
+// reloadTenantLimits reads the configuration file again and applies the weights and limits of tenants. An error, which
+// is logged, leaves all of them unchanged.
 func (p *serveProcess) reloadTenantLimits() {
 	changed, err := config.Load(p.file)
 	if err == nil {
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -10,7 +10,7 @@
 
 const (
 	minAttempts    = 2       // one for prefill, one for decode
-	maxLimit       = 1 << 30 // for every field of Limits with a minimum
+	maxLimit       = 1 << 30 // maximum of every field of Limits but MaxMemoryBytes
 	minBufferBytes = 1 << 10
 	minOutputBytes = 64 << 10
 )
