--- a/internal/e2e/flood_test.go
+++ b/internal/e2e/flood_test.go
@@ -197,7 +197,7 @@
 	}
 }
 
-// generateWithRetries sends a request and, while it is rejected, retries it at the advised time, up to maxRetries times.
+// generateWithRetries sends a request and retries it at the advised time while it is rejected, up to maxRetries times.
 func generateWithRetries(t *testing.T, client pb.GenerationClient, label string) {
 	t.Helper()
 	const maxRetries = 5
--- a/internal/e2e/grpc_test.go
+++ b/internal/e2e/grpc_test.go
@@ -43,7 +43,7 @@
 			t.Errorf("%s: %v, want INVALID_ARGUMENT with %q", test.name, got.status, test.want)
 		}
 	}
-	testInvalidCalls(t, deployment.Addresses()[0])
+	checkInvalidCalls(t, deployment.Addresses()[0])
 	ctx, cancel := context.WithTimeout(context.Background(), time.Nanosecond)
 	defer cancel()
 	got := generate(ctx, client, newRequest("no time"))
@@ -57,8 +57,8 @@
 	checkInvariants(t, deployment)
 }
 
-// testInvalidCalls checks the status of a malformed message, a message that is too large and an unknown method.
-func testInvalidCalls(t *testing.T, address string) {
+// checkInvalidCalls checks the status of a malformed message, a message that is too large and an unknown method.
+func checkInvalidCalls(t *testing.T, address string) {
 	t.Helper()
 	conn := dialConn(t, address, grpc.WithDefaultCallOptions(grpc.ForceCodec(bytesCodec{})))
 	defer conn.Close()
--- a/internal/e2e/slowclient_test.go
+++ b/internal/e2e/slowclient_test.go
@@ -106,7 +106,7 @@
 func TestClientStopsReading(t *testing.T) {
 	deployment, client := startDeployment(t, func(s *scenario.Script) { s.Servers[1].TokenGap = 200 * time.Microsecond })
 	slow := startSlowClient(t, deployment.Addresses()[0])
-	elapsedOf := func(label string) time.Duration {
+	measureRequest := func(label string) time.Duration {
 		start := time.Now()
 		got := generate(context.Background(), client, newRequest(label))
 		if got.status.Code() != codes.OK || got.tokens == 0 {
@@ -114,10 +114,10 @@
 		}
 		return time.Since(start)
 	}
-	elapsedOf("first")
-	before := heapBytes()
+	measureRequest("first")
+	heapBefore := heapBytes()
 	for i := range 10 {
-		if elapsed := elapsedOf(fmt.Sprint("other", i)); elapsed > time.Second {
+		if elapsed := measureRequest(fmt.Sprint("other", i)); elapsed > time.Second {
 			t.Errorf("another client's request took %v, want at most 1 s", elapsed)
 		}
 	}
@@ -126,17 +126,18 @@
 		t.Errorf("the slow client received %d bytes, want some and at most its window of %d",
 			received, slowClientWindow)
 	}
-	if !relayStops(deployment, 15*time.Second) {
+	if !waitUntilRelayStops(deployment, 15*time.Second) {
 		t.Error("messages were still relayed after 15 s, want flow control to stop them")
 	}
-	if growth := int64(heapBytes()) - int64(before); growth > maxHeapGrowth {
+	if growth := int64(heapBytes()) - int64(heapBefore); growth > maxHeapGrowth {
 		t.Errorf("heap grew by %d bytes", growth)
 	}
 }
 
-// relayStops waits until the dispatcher relays no messages for a while, because all windows are full.
-func relayStops(deployment *scenario.Deployment, timeout time.Duration) bool {
-	for end := time.Now().Add(timeout); time.Now().Before(end); {
+// waitUntilRelayStops waits until the dispatcher relays no messages for a while, because all windows are full. It
+// reports false after the timeout.
+func waitUntilRelayStops(deployment *scenario.Deployment, timeout time.Duration) bool {
+	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); {
 		relayed := deployment.Counts().Messages
 		time.Sleep(300 * time.Millisecond)
 		if deployment.Counts().Messages == relayed {
