--- a/internal/lab/scenario/configs.go
+++ b/internal/lab/scenario/configs.go
@@ -135,7 +135,7 @@
 		Idle:                c.IdleTime,
 		ClientCount:         c.ClientCount,
 		IgnoresRetryAfter:   c.IgnoresRetryAfter,
-		NewClientPerRequest: c.NewClientPerRequest,
+		NewClientPerRequest: c.NewClientPerSession,
 		ConnsPerDispatcher:  c.ConnsPerDispatcher,
 		Background:          c.Background,
 		NonIdempotent:       policy.Idempotency(c.Idempotency) != policy.Idempotent,
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -88,7 +88,7 @@
 	IdleTime             Duration           `json:"idle"`
 	ClientCount          int                `json:"clients"`         // with a name of their own; 0 = unnamed
 	IgnoresRetryAfter    bool               `json:"no_advice"`       // clients retry at once
-	NewClientPerRequest  bool               `json:"made_up"`         // clients use a new name for each session
+	NewClientPerSession  bool               `json:"made_up"`         // clients use a new name for each session
 	Background           bool               `json:"background"`      // requests use what others leave
 	ConnsPerDispatcher   int                `json:"connections"`     // of clients to each dispatcher; 0 = default
 	Weight               float64            `json:"weight"`          // of the tenant
--- a/internal/lab/soak/oracle.go
+++ b/internal/lab/soak/oracle.go
@@ -43,11 +43,11 @@
 	started    map[ConnID]startedAttempt // the last one of each connection
 	violations []violation
 
-	// ReleasesAlwaysTakeState makes a release remove a state even while an attempt waits for it. The platform's pages
-	// leave open which of the two servers do.
-	ReleasesAlwaysTakeState bool
-	PrefillsCompleted       int // prefills that left a state
-	ReleasesReceived        int // releases that reached a server
+	// ReleasesRemoveAwaitedStates makes a release remove a state even while a decode attempt waits for it. The platform
+	// does not specify whether servers do so.
+	ReleasesRemoveAwaitedStates bool
+	PrefillsCompleted           int // prefills that left a state
+	ReleasesReceived            int // releases that reached a server
 }
 
 // violation is a broken rule.
@@ -225,7 +225,7 @@
 	r := o.request(id)
 	o.ReleasesReceived++
 	r.addTrace(o.began, at, "release at %s", server)
-	if r.hasWaitingDecode() && !o.ReleasesAlwaysTakeState {
+	if r.hasWaitingDecode() && !o.ReleasesRemoveAwaitedStates {
 		return
 	}
 	o.judgeHeldStates(at, id, "a release")
--- a/internal/lab/soak/oracle_test.go
+++ b/internal/lab/soak/oracle_test.go
@@ -88,7 +88,7 @@
 		},
 		"a release takes the state of a waiting decode attempt": {
 			events: func(o *Oracle) {
-				o.ReleasesAlwaysTakeState = true
+				o.ReleasesRemoveAwaitedStates = true
 				o.PrefillFinished(after(o, 0), testRequest, prefillConn)
 				o.AttemptReceived(after(o, 10), testRequest, false, decodeConn)
 				o.ReleaseReceived(after(o, 20), testRequest, "r1")
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -61,7 +61,7 @@
 		return nil, err
 	}
 	fleet.MaxDescriptors = plan.maxDescriptors
-	fleet.Oracle.ReleasesAlwaysTakeState = plan.releasesAlwaysTakeState
+	fleet.Oracle.ReleasesRemoveAwaitedStates = plan.releasesAlwaysTakeState
 	if s.DispatcherProgram != nil {
 		fleet.dispatcherProgram = s.DispatcherProgram
 	}
