--- a/internal/lab/soak/client.go
+++ b/internal/lab/soak/client.go
@@ -13,15 +13,16 @@
 )
 
 const (
-	// answerTolerance is how much later than its deadline a client may get its answer: half a second, and 50 ms as
-	// for all durations.
+	// answerTolerance is how long after its deadline a request may still be answered: half a second, plus the 50 ms
+	// of tolerance of all durations.
 	answerTolerance = 550 * time.Millisecond
-	// streamTimeout is how long after the answer has started it may end: servers are suspended for less.
+	// streamTimeout is the longest time from the start of an answer to its end. It exceeds every suspension of a
+	// server.
 	streamTimeout = 12 * time.Second
 	dialTimeout   = time.Second
 
-	cancelInterval = 5 // one request of so many has a client that leaves
-	maxCancelDelay = 1200 * time.Millisecond
+	requestsPerCancel = 5 // clients cancel one of this many requests on average
+	maxCancelDelay    = 1200 * time.Millisecond
 
 	sessionCount = 40
 	minDeadline  = 600 * time.Millisecond
@@ -30,19 +31,19 @@
 
 const requestBody = `{"model":"chat","stream":true,"max_tokens":80,"messages":[{"role":"user","content":"abcd"}]}`
 
-// errStreamCut is the error of an answer that has started and not ended.
-var errStreamCut = errors.New("the stream ended before its end")
+// errStreamTruncated reports that an answer started and was not received completely.
+var errStreamTruncated = errors.New("answer stream ended early")
 
-// Request is what a client asks for.
+// Request describes a request of a client.
 type Request struct {
 	ID          string
 	Session     string
 	Remaining   time.Duration // how long the client waits for the first token
-	CancelAfter time.Duration // how long until the client leaves; 0 = it stays
-	Effect      string        // of its class, in lower case, which is the class's name too
+	CancelAfter time.Duration // time until the client cancels the request; 0 = it does not
+	Effect      string        // effect of its class in lower case, which is also the name of the class
 }
 
-// text returns the request as it goes on the wire.
+// text returns the request in wire format.
 func (r *Request) text() string {
 	return fmt.Sprintf("POST /v1/chat/completions HTTP/1.1\r\nHost: api.internal\r\n"+
 		"X-Txn: %s\r\nX-Lane: %s\r\nX-Entity: %s\r\nX-Remaining: %.3f\r\n"+
@@ -50,14 +51,14 @@
 		r.ID, r.Effect, r.Session, r.Remaining.Seconds(), len(requestBody), requestBody)
 }
 
-// Outcome is how a request ended for its client.
+// Outcome is the result of a request as its client observed it.
 type Outcome struct {
 	Status  int
-	Err     error // no answer came, or not all of it
-	Started bool  // an answer began
+	Err     error // no answer was received, or only a part of it
+	Started bool  // the head of an answer was received
 }
 
-// Client sends one request at a time to a dispatcher, on a connection that it keeps.
+// Client sends one request at a time to a dispatcher and reuses its connection.
 type Client struct {
 	fleet       *Fleet
 	conn        net.Conn // nil = none
@@ -66,7 +67,7 @@
 	isReused    bool // the connection has carried a request before
 }
 
-// NewClient returns a client of a fleet's dispatchers.
+// NewClient returns a client for the dispatchers of a fleet.
 func NewClient(f *Fleet) *Client { return &Client{fleet: f} }
 
 // Close closes the client's connection.
@@ -77,7 +78,7 @@
 	}
 }
 
-// Send sends a request to a dispatcher, on the kept connection if that leads to the same process.
+// Send sends a request to a dispatcher. It reuses the open connection if that leads to the same process.
 func (c *Client) Send(d *Dispatcher, r Request) error {
 	if c.dispatcher != d || c.incarnation != d.Incarnation() {
 		c.Close()
@@ -101,9 +102,9 @@
 	c.fleet.Oracle.ClientCanceled(Now(), id)
 }
 
-// ReceiveAnswer waits for the answer to the request that was sent last.
+// ReceiveAnswer waits for the answer to the last request that was sent.
 func (c *Client) ReceiveAnswer(r Request) Outcome {
-	// If the connection is closed the read fails, too, and says so.
+	// On a closed connection the read fails as well and returns the error.
 	_ = c.conn.SetReadDeadline(time.Now().Add(r.Remaining + answerTolerance))
 	response, err := http.ReadResponse(bufio.NewReader(c.conn), nil)
 	if err != nil {
@@ -113,7 +114,7 @@
 	_ = c.conn.SetReadDeadline(time.Now().Add(streamTimeout))
 	outcome := Outcome{Status: response.StatusCode, Started: true}
 	if _, err := io.Copy(io.Discard, response.Body); err != nil {
-		outcome.Err = fmt.Errorf("%w: %w", errStreamCut, err)
+		outcome.Err = fmt.Errorf("%w: %w", errStreamTruncated, err)
 	}
 	if outcome.Err != nil || response.Close {
 		c.Close()
@@ -121,7 +122,7 @@
 	return outcome
 }
 
-// clientOutcome is how a request counts in the verdict.
+// clientOutcome is the category of a request in the counts of the verdict.
 type clientOutcome int
 
 const (
@@ -130,10 +131,10 @@
 	outcomeCanceled
 )
 
-// sendRandomRequest sends one request to a dispatcher and judges its answer.
+// sendRandomRequest sends one random request to a dispatcher and checks its answer.
 func (c *Client) sendRandomRequest(rng *rand.Rand, id string) clientOutcome {
 	dispatcher := c.fleet.Dispatchers[rng.IntN(len(c.fleet.Dispatchers))]
-	if rng.IntN(3) > 0 && c.dispatcher != nil { // the client keeps its connection
+	if rng.IntN(3) > 0 && c.dispatcher != nil { // stay with the dispatcher of the open connection
 		dispatcher = c.dispatcher
 	}
 	request := randomRequest(rng, id)
@@ -146,32 +147,32 @@
 		c.CancelRequest(id)
 		return outcomeCanceled
 	}
-	return c.judgeAnswer(id, c.ReceiveAnswer(request))
+	return c.checkAnswer(id, c.ReceiveAnswer(request))
 }
 
-// randomRequest draws a request. The order of the draws decides what a seed plays.
+// randomRequest draws a request. The order of the draws determines the requests of a seed.
 func randomRequest(rng *rand.Rand, id string) Request {
 	r := Request{
 		ID: id, Session: fmt.Sprintf("%x", rng.IntN(sessionCount)),
 		Remaining: randomDuration(rng, minDeadline, maxDeadline),
 		Effect:    effects[rng.IntN(len(effects))],
 	}
-	if rng.IntN(cancelInterval) == 0 {
+	if rng.IntN(requestsPerCancel) == 0 {
 		r.CancelAfter = randomDuration(rng, time.Millisecond, maxCancelDelay)
 	}
 	return r
 }
 
-// judgeAnswer adds the outcome to the request's trace and reports a missing answer to the oracle.
-func (c *Client) judgeAnswer(id string, outcome Outcome) clientOutcome {
+// checkAnswer adds an outcome to the trace of its request and reports a missing answer to the oracle.
+func (c *Client) checkAnswer(id string, outcome Outcome) clientOutcome {
 	oracle := c.fleet.Oracle
 	oracle.Note(Now(), id, fmt.Sprintf("client got %d, %v", outcome.Status, outcome.Err))
 	switch {
 	case outcome.Status == http.StatusOK && outcome.Err == nil:
 		return outcomeServed
-	case outcome.Started, outcome.Err == nil: // rejected or failed, or a stream that was cut
+	case outcome.Started, outcome.Err == nil: // rejected or failed, or the stream was truncated
 	case c.isReused && !errors.Is(outcome.Err, os.ErrDeadlineExceeded):
-		// The dispatcher closed the idle connection while the request was on its way.
+		// The dispatcher closed the idle connection while the request was in transit.
 	default:
 		oracle.AnswerMissing(id, outcome.Err.Error())
 	}
--- a/internal/lab/soak/clock.go
+++ b/internal/lab/soak/clock.go
@@ -19,5 +19,5 @@
 	return Instant(t.Nano())
 }
 
-// Sub returns the time from o to i.
-func (i Instant) Sub(o Instant) time.Duration { return time.Duration(i - o) }
+// Sub returns the time from earlier to i.
+func (i Instant) Sub(earlier Instant) time.Duration { return time.Duration(i - earlier) }
--- a/internal/lab/soak/discovery.go
+++ b/internal/lab/soak/discovery.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// watchHeartbeat is how long a watch is silent at most while discovery is healthy.
-const watchHeartbeat = time.Second
+// heartbeatInterval is the longest time between two messages on a watch while discovery is healthy.
+const heartbeatInterval = time.Second
 
-// listedServer is a server on the endpoint list.
+// listedServer is the entry of a server in the endpoint list.
 type listedServer struct {
 	ID        string `json:"id"`
 	Addr      string `json:"addr"`
@@ -21,17 +21,17 @@
 	StartedMS int64  `json:"started_ms"`
 }
 
-// endpointList is a watch event: the whole list.
+// endpointList is a watch event that holds the complete endpoint list.
 type endpointList struct {
 	Version int            `json:"version"`
 	IsFull  bool           `json:"full"`
 	Servers []listedServer `json:"servers"`
 }
 
-// SetDiscoverySilent makes discovery stop sending on its watches, or continue.
+// SetDiscoverySilent stops or resumes all sending on the watches of discovery.
 func (f *Fleet) SetDiscoverySilent(silent bool) { f.changeList(func() { f.discoverySilent = silent }) }
 
-// changeList applies a change to the list or to discovery and wakes the watches.
+// changeList applies a change to the endpoint list or to discovery and wakes the watches.
 func (f *Fleet) changeList(change func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -45,7 +45,7 @@
 	}
 }
 
-// endpointList returns the whole list. The fleet is locked.
+// endpointList returns the complete list. The caller must hold f.mu.
 func (f *Fleet) endpointList() endpointList {
 	list := endpointList{Version: f.listVersion, IsFull: true, Servers: []listedServer{}}
 	for _, s := range f.Servers {
@@ -56,8 +56,8 @@
 	return list
 }
 
-// serveWatch serves one watch of the endpoint list: the list at once and after each change, and an empty line as a
-// heartbeat.
+// serveWatch serves one watch of the endpoint list. It sends the list at once and after each change, and an empty line
+// as a heartbeat.
 func (f *Fleet) serveWatch(w http.ResponseWriter, r *http.Request) {
 	changes := make(chan struct{}, 1)
 	f.mu.Lock()
@@ -73,7 +73,7 @@
 		isHeartbeat := false
 		select {
 		case <-changes:
-		case <-time.After(watchHeartbeat):
+		case <-time.After(heartbeatInterval):
 			isHeartbeat = true
 		case <-r.Context().Done():
 			return
@@ -81,7 +81,7 @@
 		f.mu.Lock()
 		silent, list := f.discoverySilent, f.endpointList()
 		f.mu.Unlock()
-		// Errors of writing are those of a watch that has ended: its context is done.
+		// Write errors are ignored: they mean that the watch has ended, and then its context is done.
 		switch {
 		case silent:
 			continue
--- a/internal/lab/soak/dispatcher.go
+++ b/internal/lab/soak/dispatcher.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	readyTimeout      = 20 * time.Second // from the start of a dispatcher until it is ready
+	readyTimeout      = 20 * time.Second // longest time from the start of a dispatcher until it is ready
 	readyPollInterval = 20 * time.Millisecond
 )
 
-// Dispatcher is a dispatcher's process, or the last one of several.
+// Dispatcher runs a dispatcher as a process, and restarts it after a fault.
 type Dispatcher struct {
 	Name string
 	Addr string
@@ -27,10 +27,10 @@
 	configFile string
 	logFile    *os.File
 
-	mu          sync.Mutex // clients look at the process while a fault ends it
+	mu          sync.Mutex // guards the fields below, which clients read while a fault replaces the process
 	process     *exec.Cmd  // nil before the first start
 	incarnation int
-	exited      chan error // holds the process's end once it has ended
+	exited      chan error // holds the result of Wait once the process has ended
 }
 
 // AddDispatcher starts a dispatcher and waits until it is ready.
@@ -47,21 +47,21 @@
 	return d, d.Start()
 }
 
-// Incarnation returns how many processes the dispatcher has had so far.
+// Incarnation returns how many processes have been started for the dispatcher.
 func (d *Dispatcher) Incarnation() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.incarnation
 }
 
-// lastProcess returns the process that was started last, and the channel that holds its end once it has ended.
+// lastProcess returns the last process that was started, and the channel that holds the result of its Wait.
 func (d *Dispatcher) lastProcess() (*exec.Cmd, chan error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.process, d.exited
 }
 
-// Start starts the dispatcher's process and waits until it is ready.
+// Start starts a process of the dispatcher and waits until it is ready.
 func (d *Dispatcher) Start() error {
 	if err := d.writeConfig(); err != nil {
 		return err
@@ -96,7 +96,7 @@
 	return fmt.Errorf("dispatcher %s is not ready after %v", d.Name, readyTimeout)
 }
 
-// nodeConfig is the configuration file of a dispatcher.
+// nodeConfig is the content of a dispatcher's configuration file.
 type nodeConfig struct {
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
@@ -113,7 +113,7 @@
 	Sockets  int     `json:"sockets"`
 }
 
-// writeConfig writes the configuration file for the next process.
+// writeConfig writes the configuration file of the next process.
 func (d *Dispatcher) writeConfig() error {
 	f := d.fleet
 	f.mu.Lock()
@@ -132,13 +132,13 @@
 	return os.WriteFile(d.configFile, text, 0o600)
 }
 
-// Signal sends the process a signal.
+// Signal sends a signal to the process.
 func (d *Dispatcher) Signal(signal syscall.Signal) {
 	process, _ := d.lastProcess()
-	_ = process.Process.Signal(signal) // an error means that it has ended
+	_ = process.Process.Signal(signal) // an error means that the process has ended
 }
 
-// Kill kills the process, if it runs. Its requests are excused.
+// Kill kills the process if it runs. The oracle exempts its requests from the invariants.
 func (d *Dispatcher) Kill() {
 	process, exited := d.lastProcess()
 	if process == nil {
@@ -152,13 +152,13 @@
 	}
 	at := Now()
 	d.fleet.Oracle.DispatcherKilled(at, d.Name)
-	_ = process.Process.Kill() // an error means that it has ended
+	_ = process.Process.Kill() // an error means that the process has ended
 	exited <- <-exited
-	d.fleet.Oracle.DispatcherKilled(at, d.Name) // what came in the meantime is excused too
+	d.fleet.Oracle.DispatcherKilled(at, d.Name) // exempts the requests sent in the meantime
 }
 
-// WaitExit waits for the end of the process. It reports whether the process has ended in time, and the error with
-// which it did.
+// WaitExit waits for the end of the process. It reports whether the process ended within the timeout, and the error of
+// its Wait.
 func (d *Dispatcher) WaitExit(timeout time.Duration) (ended bool, err error) {
 	_, exited := d.lastProcess()
 	select {
@@ -170,7 +170,7 @@
 	}
 }
 
-// ProgramErrors returns the lines of the dispatcher's log that record faults of the program.
+// ProgramErrors returns the lines of the dispatcher's log that record errors or panics of the program.
 func (d *Dispatcher) ProgramErrors() ([]string, error) {
 	return d.LogLines("level=ERROR", "panic", "fatal error")
 }
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Fault is one fault of a schedule: which target has it, from when on and for how long.
+// Fault is one fault of a schedule.
 type Fault struct {
-	Start    time.Duration
+	Start    time.Duration // since the start of the run
 	Duration time.Duration
 	Kind     FaultKind
 	Target   string // name of a server or dispatcher, or "discovery"
@@ -16,32 +16,32 @@
 
 // String returns the fault as a line of the schedule.
 func (f Fault) String() string {
-	return fmt.Sprintf("%.3f s: %s %s for %.3f s", f.Start.Seconds(), f.Target, f.Kind, f.Duration.Seconds())
+	return fmt.Sprintf("%.3f s: %s: %s, duration %.3f s", f.Start.Seconds(), f.Target, f.Kind, f.Duration.Seconds())
 }
 
-// FaultKind is a kind of fault. Faults of servers come first, then those of dispatchers, then that of discovery; what
-// a seed plays depends on the order.
+// FaultKind is a kind of fault. Faults of servers come first, then those of dispatchers, then that of discovery. The
+// schedule of a seed depends on the order.
 type FaultKind int
 
 const (
-	serverSuspended FaultKind = iota // its process is stopped, and continues
+	serverSuspended FaultKind = iota // its process is stopped and later resumed
 	serverRestarted
-	forwardBlocked      // no bytes reach the server
-	backwardBlocked     // no bytes come from it
-	bothBlocked         // no bytes pass, and no connection is closed
-	oldForwardBlocked   // as forwardBlocked, for the connections that exist when the fault starts
-	oldBackwardBlocked  // as backwardBlocked, for the connections that exist when the fault starts
-	closesBlocked       // the server does not see that dispatchers close connections
-	delayed             // all bytes come later
-	reordered           // bytes on different connections come in another order
-	resetBoth           // all connections are reset at both ends
-	resetAtServer       // connections are reset at the server's end; the dispatcher sees them closed
-	resetAtDispatcher   // connections are reset at the dispatchers' end only
-	connectionsRejected // new connections are reset
-
-	dispatcherSuspended // its process is stopped for a moment, and continues
+	forwardBlocked          // no bytes reach the server
+	backwardBlocked         // no bytes from the server reach the dispatchers
+	bothBlocked             // no bytes pass in either direction, and no connection is closed
+	existingForwardBlocked  // like forwardBlocked, for connections that exist when the fault starts
+	existingBackwardBlocked // like backwardBlocked, for connections that exist when the fault starts
+	closesBlocked           // the server does not see dispatchers close connections
+	delayed                 // all bytes are delayed
+	reordered               // bytes on different connections arrive in another order
+	resetBoth               // all connections are reset at both ends
+	resetAtServer           // connections are reset at the server's end only; the dispatcher sees them closed
+	resetAtDispatcher       // connections are reset at the dispatchers' end only
+	connectionsRejected     // new connections are reset
+
+	dispatcherSuspended // its process is stopped briefly and resumed
 	dispatcherKilled
-	dispatcherTerminated // SIGTERM, and SIGKILL when the platform's time is over
+	dispatcherTerminated // SIGTERM, then SIGKILL after the platform's grace period
 	dispatcherReloaded   // SIGHUP
 
 	discoverySilent
@@ -52,42 +52,42 @@
 )
 
 var faultNames = [faultKindCount]string{
-	serverSuspended:      "hangs",
-	serverRestarted:      "is killed and starts again",
-	forwardBlocked:       "gets nothing",
-	backwardBlocked:      "is not heard",
-	bothBlocked:          "is cut off",
-	oldForwardBlocked:    "gets nothing on old connections",
-	oldBackwardBlocked:   "is not heard on old connections",
-	closesBlocked:        "does not hear of closes",
-	delayed:              "is slow to reach",
-	reordered:            "is reached in another order",
-	resetBoth:            "has its connections cut at both ends",
-	resetAtServer:        "has its connections cut at its end",
-	resetAtDispatcher:    "has its connections cut at the dispatchers' end",
-	connectionsRejected:  "refuses connections",
-	dispatcherSuspended:  "is held up",
-	dispatcherKilled:     "is killed and starts again",
-	dispatcherTerminated: "ends and starts again",
-	dispatcherReloaded:   "reads its configuration again",
-	discoverySilent:      "is silent",
+	serverSuspended:         "suspended",
+	serverRestarted:         "killed and restarted",
+	forwardBlocked:          "forward bytes blocked",
+	backwardBlocked:         "backward bytes blocked",
+	bothBlocked:             "both directions blocked",
+	existingForwardBlocked:  "forward bytes blocked on existing connections",
+	existingBackwardBlocked: "backward bytes blocked on existing connections",
+	closesBlocked:           "connection closes blocked",
+	delayed:                 "bytes delayed",
+	reordered:               "bytes reordered across connections",
+	resetBoth:               "connections reset at both ends",
+	resetAtServer:           "connections reset at the server",
+	resetAtDispatcher:       "connections reset at the dispatchers",
+	connectionsRejected:     "new connections rejected",
+	dispatcherSuspended:     "suspended",
+	dispatcherKilled:        "killed and restarted",
+	dispatcherTerminated:    "terminated and restarted",
+	dispatcherReloaded:      "configuration reloaded",
+	discoverySilent:         "silent",
 }
 
-// String returns what the kind does to its target, in words.
+// String returns the name of the kind in words.
 func (k FaultKind) String() string { return faultNames[k] }
 
-// discoveryTarget is the target of faults of discovery.
+// discoveryTarget is the Target of faults of discovery.
 const discoveryTarget = "discovery"
 
-// An UnknownTargetError is the error of a fault whose target the fleet does not have.
+// UnknownTargetError reports a fault whose target is not part of the fleet.
 type UnknownTargetError struct{ Target string }
 
 func (e *UnknownTargetError) Error() string {
-	return fmt.Sprintf("fault of %q: the fleet has no server or dispatcher of that name", e.Target)
+	return fmt.Sprintf("fault target %q is not a server or dispatcher of the fleet", e.Target)
 }
 
-// apply brings a fault about and returns when it has ended.
-func (f *Fleet) apply(fault Fault) error {
+// inject injects a fault and returns when it has ended.
+func (f *Fleet) inject(fault Fault) error {
 	if fault.Kind == discoverySilent {
 		f.SetDiscoverySilent(true)
 		time.Sleep(fault.Duration)
@@ -97,21 +97,21 @@
 	if fault.Kind >= firstDispatcherFault {
 		for _, d := range f.Dispatchers {
 			if d.Name == fault.Target {
-				return d.apply(fault)
+				return d.inject(fault)
 			}
 		}
 		return &UnknownTargetError{fault.Target}
 	}
 	for _, s := range f.Servers {
 		if s.Name == fault.Target {
-			return s.apply(fault)
+			return s.inject(fault)
 		}
 	}
 	return &UnknownTargetError{fault.Target}
 }
 
-// apply brings a fault of a dispatcher about.
-func (d *Dispatcher) apply(fault Fault) error {
+// inject injects a fault of a dispatcher and returns when it has ended.
+func (d *Dispatcher) inject(fault Fault) error {
 	switch fault.Kind {
 	case dispatcherSuspended:
 		d.Signal(syscall.SIGSTOP)
@@ -130,7 +130,8 @@
 	return nil
 }
 
-// terminate ends a dispatcher as the platform does, with the signals of impatient operators, and starts it again.
+// terminate sends SIGTERM as the platform does, and further signals as an operator might. It kills a dispatcher that
+// has not exited after the grace period, and restarts it.
 func (d *Dispatcher) terminate(gracePeriod time.Duration) error {
 	signals := []syscall.Signal{syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM}
 	for _, signal := range signals {
@@ -139,16 +140,16 @@
 	}
 	ended, err := d.WaitExit(gracePeriod - time.Duration(len(signals))*signalInterval)
 	if ended && err != nil {
-		return fmt.Errorf("dispatcher %s ended with %w", d.Name, err)
+		return fmt.Errorf("dispatcher %s exited: %w", d.Name, err)
 	}
 	d.Kill()
 	return d.Start()
 }
 
-// apply brings a fault of a server, or of the network before it, about.
-func (s *Server) apply(fault Fault) error {
+// inject injects a fault of a server, or of the network in front of it, and returns when it has ended.
+func (s *Server) inject(fault Fault) error {
 	p := s.Proxy
-	during := func(set func(active bool)) {
+	setTemporarily := func(set func(active bool)) {
 		set(true)
 		time.Sleep(fault.Duration)
 		set(false)
@@ -160,14 +161,14 @@
 		s.Resume()
 	case serverRestarted:
 		return s.Restart()
-	case forwardBlocked, oldForwardBlocked:
-		during(func(active bool) { p.SetBlocked(Forward, active, fault.Kind == oldForwardBlocked) })
-	case backwardBlocked, oldBackwardBlocked:
-		during(func(active bool) { p.SetBlocked(Backward, active, fault.Kind == oldBackwardBlocked) })
+	case forwardBlocked, existingForwardBlocked:
+		setTemporarily(func(active bool) { p.SetBlocked(Forward, active, fault.Kind == existingForwardBlocked) })
+	case backwardBlocked, existingBackwardBlocked:
+		setTemporarily(func(active bool) { p.SetBlocked(Backward, active, fault.Kind == existingBackwardBlocked) })
 	case bothBlocked:
-		during(func(active bool) { p.SetBlocked(Forward, active, false); p.SetBlocked(Backward, active, false) })
+		setTemporarily(func(active bool) { p.SetBlocked(Forward, active, false); p.SetBlocked(Backward, active, false) })
 	case closesBlocked:
-		during(p.SetClosesBlocked)
+		setTemporarily(p.SetClosesBlocked)
 	case delayed:
 		p.SetDelay(fault.Duration * maxDelay / maxFaultDuration)
 		time.Sleep(fault.Duration)
@@ -183,7 +184,7 @@
 	case resetAtDispatcher:
 		p.ResetConns(Backward, false)
 	case connectionsRejected:
-		during(p.SetRejecting)
+		setTemporarily(p.SetRejecting)
 	default: // a fault of a dispatcher or of discovery
 	}
 	return nil
--- a/internal/lab/soak/fleet.go
+++ b/internal/lab/soak/fleet.go
@@ -7,37 +7,37 @@
 	"sync"
 )
 
-// CommandFunc makes a command that runs docksail with arguments.
+// CommandFunc returns a command that runs docksail with the given arguments.
 type CommandFunc func(args ...string) *exec.Cmd
 
-// initialListVersion is the version of the first endpoint list, less one for each change.
+// initialListVersion is the version of the endpoint list before its first change.
 const initialListVersion = 41
 
-// Fleet is all that runs in a soak: dispatchers, model servers with their proxies, discovery and the oracle.
+// Fleet holds everything that runs in a soak: dispatchers, model servers with their proxies, discovery and the oracle.
 type Fleet struct {
 	Oracle      *Oracle
 	Servers     []*Server
 	Dispatchers []*Dispatcher
 	// AttemptPlan returns what a server does with an attempt, ReleaseStatus the status with which it rejects a release
-	// (0 = it takes it). Both may be called from several goroutines.
+	// (0 = it accepts it). Both must be safe for concurrent use.
 	AttemptPlan    func(id string, isPrefill bool, server string) AttemptPlan
 	ReleaseStatus  func(id, server string) int
-	MaxDescriptors int // of a dispatcher, as its configuration says
+	MaxDescriptors int // file descriptors in the configuration of each dispatcher
 
 	program           CommandFunc
 	dispatcherProgram CommandFunc
 	directory         string
 	settings          string
-	reports           net.Listener // of the model servers
+	reports           net.Listener // accepts the connections on which model servers report
 	discovery         net.Listener
 
-	mu              sync.Mutex // guards what follows and what the endpoint list says of servers
+	mu              sync.Mutex // guards the fields below and the servers' entries in the endpoint list
 	listVersion     int
 	watches         map[chan struct{}]bool
 	discoverySilent bool
 }
 
-// NewFleet returns a fleet that keeps its files in a directory. settings is the settings object of its dispatchers.
+// NewFleet returns a fleet that stores its files in directory. settings is the settings object of its dispatchers.
 func NewFleet(program CommandFunc, directory, settings string, limits Limits) (*Fleet, error) {
 	f := &Fleet{
 		Oracle:         NewOracle(limits),
@@ -60,7 +60,7 @@
 	return f, nil
 }
 
-// Close ends every process of the fleet.
+// Close kills every process of the fleet.
 func (f *Fleet) Close() {
 	for _, d := range f.Dispatchers {
 		d.Kill()
@@ -79,7 +79,7 @@
 // listenOnLoopback listens on a free port of the loopback interface.
 func listenOnLoopback() (net.Listener, error) { return net.Listen("tcp", "127.0.0.1:0") }
 
-// freeAddress returns an address of the loopback interface on which nobody listens.
+// freeAddress returns an address of the loopback interface with an unused port.
 func freeAddress() (string, error) {
 	listener, err := listenOnLoopback()
 	if err != nil {
--- a/internal/lab/soak/modelserver.go
+++ b/internal/lab/soak/modelserver.go
@@ -13,39 +13,39 @@
 	"time"
 )
 
-// streamEvents is the number of events of each stream, with the one that ends it.
-const streamEvents = 4
+// eventsPerStream is the number of events in each stream, including the one that ends it.
+const eventsPerStream = 4
 
 const (
 	tokenEvent = "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"oqvh\"}}]}\n\n"
 	endEvent   = "data: [DONE]\n\n"
 )
 
-// errConnClosed is the error of an attempt whose connection has ended.
+// errConnClosed reports that the connection of an attempt has ended.
 var errConnClosed = errors.New("connection closed")
 
-// ModelServer is a stand-in prefill or decode server that speaks the platform's protocol and reports to the oracle in
-// another process.
+// ModelServer is a stand-in prefill or decode server that speaks the platform's protocol and reports to the oracle,
+// which runs in another process.
 type ModelServer struct {
 	Name      string
 	IsPrefill bool
 
-	mu     sync.Mutex // one report at a time
-	oracle net.Conn
-	in     *json.Decoder
-	out    *json.Encoder
+	mu      sync.Mutex // allows one report at a time
+	oracle  net.Conn
+	decoder *json.Decoder
+	encoder *json.Encoder
 }
 
-// Serve serves on a free port of the loopback interface until it fails. It writes its address to a line of w as soon
-// as it listens. oracle is the address to which it reports.
+// Serve serves on a free port of the loopback interface until accepting fails. It reports to the oracle's address.
+// Once it listens, it writes its own address to w as a line.
 func (s *ModelServer) Serve(oracle string, w io.Writer) error {
 	var err error
 	if s.oracle, err = net.Dial("tcp", oracle); err != nil {
-		return fmt.Errorf("oracle: %w", err)
+		return fmt.Errorf("connect to oracle: %w", err)
 	}
-	s.in, s.out = json.NewDecoder(s.oracle), json.NewEncoder(s.oracle)
-	if err := s.out.Encode(s.Name); err != nil {
-		return fmt.Errorf("oracle: %w", err)
+	s.decoder, s.encoder = json.NewDecoder(s.oracle), json.NewEncoder(s.oracle)
+	if err := s.encoder.Encode(s.Name); err != nil {
+		return fmt.Errorf("send server name to oracle: %w", err)
 	}
 	listener, err := listenOnLoopback()
 	if err != nil {
@@ -64,12 +64,13 @@
 	}
 }
 
-// report sends a report to the oracle and returns its answer. Without an oracle the answer is the report itself.
+// report sends a report to the oracle and returns its reply. If the oracle's connection is lost, it returns the report
+// itself.
 func (s *ModelServer) report(r report) report {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r.At = Now()
-	if s.out.Encode(r) != nil || s.in.Decode(&r) != nil {
+	if s.encoder.Encode(r) != nil || s.decoder.Decode(&r) != nil {
 		s.oracle.Close()
 	}
 	return r
@@ -79,11 +80,11 @@
 type modelServerConn struct {
 	server *ModelServer
 	conn   *net.TCPConn
-	port   int           // of the proxy
-	closed chan struct{} // closed when the connection's reading side has ended
+	port   int           // local port of the proxy's connection
+	closed chan struct{} // closed when reading from the connection has ended
 }
 
-// serve answers the requests of the connection.
+// serve answers the requests on the connection.
 func (c *modelServerConn) serve() {
 	defer c.conn.Close()
 	requests := make(chan *http.Request)
@@ -101,8 +102,8 @@
 	}
 }
 
-// readRequests reads complete requests until the connection ends. It goes on while a request is being answered, so
-// that the end of the connection is noticed.
+// readRequests reads complete requests until the connection ends. It also reads while a request is being answered, to
+// detect the end of the connection.
 func (c *modelServerConn) readRequests(requests chan<- *http.Request) {
 	defer close(c.closed)
 	in := bufio.NewReader(c.conn)
@@ -118,7 +119,7 @@
 	}
 }
 
-// answer answers one request. It reports whether the connection stays open; otherwise it is to be reset.
+// answer answers one request. It reports whether the connection stays open; if not, the caller must reset it.
 func (c *modelServerConn) answer(r *http.Request) bool {
 	if r.Method == http.MethodDelete {
 		c.answerRelease(strings.TrimPrefix(r.URL.Path, "/state/"))
@@ -137,7 +138,7 @@
 	return c.answerDecode(id, plan)
 }
 
-// answerRelease answers a release with the status that the oracle's process decides.
+// answerRelease answers a release with the status that the soak's process returns.
 func (c *modelServerConn) answerRelease(id string) {
 	status := c.server.report(report{Kind: reportReleaseReceived, ID: id, Port: c.port}).Status
 	if status == 0 {
@@ -146,8 +147,8 @@
 	fmt.Fprintf(c.conn, "HTTP/1.1 %d %s\r\nContent-Length: 0\r\n\r\n", status, http.StatusText(status))
 }
 
-// answerPrefill ends a prefill. Its state is held whatever the answer is, and if there is none. It reports whether the
-// connection stays open.
+// answerPrefill ends a prefill. The state is held whatever the answer is, and even if the connection is reset instead.
+// It reports whether the connection stays open.
 func (c *modelServerConn) answerPrefill(id string, plan AttemptPlan) bool {
 	c.server.report(report{Kind: reportPrefillFinished, ID: id, Port: c.port})
 	if plan.Reset {
@@ -162,8 +163,8 @@
 	return true
 }
 
-// answerDecode answers a decode attempt: it fetches the state and streams the answer, or does what the plan says. It
-// reports whether the connection stays open.
+// answerDecode fetches the state of a decode attempt and streams the answer, unless the plan has it fail. It reports
+// whether the connection stays open.
 func (c *modelServerConn) answerDecode(id string, plan AttemptPlan) bool {
 	if plan.Reset {
 		c.reportFinished(id, "reset")
@@ -196,15 +197,15 @@
 	c.server.report(report{Kind: reportAttemptFinished, ID: id, Port: c.port, Outcome: outcome})
 }
 
-// stream writes the events of an answer.
+// stream writes the events of an answer, with the interval after each.
 func (c *modelServerConn) stream(tokenInterval time.Duration) error {
 	const head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
 	if _, err := io.WriteString(c.conn, head); err != nil {
 		return err
 	}
-	for n := range streamEvents {
+	for n := range eventsPerStream {
 		event := tokenEvent
-		if n == streamEvents-1 {
+		if n == eventsPerStream-1 {
 			event = endEvent
 		}
 		if _, err := fmt.Fprintf(c.conn, "%x\r\n%s\r\n", len(event), event); err != nil {
@@ -218,7 +219,7 @@
 	return err
 }
 
-// wait waits for that long, or returns errConnClosed if the connection ends before.
+// wait waits for a duration. It returns errConnClosed if the connection ends before that.
 func (c *modelServerConn) wait(d time.Duration) error {
 	select {
 	case <-time.After(d):
--- a/internal/lab/soak/oracle_test.go
+++ b/internal/lab/soak/oracle_test.go
@@ -15,25 +15,25 @@
 	decodeConn  = ConnID{"w1", 2}
 )
 
-// after returns the instant that many milliseconds after the oracle began.
+// after returns the instant the given number of milliseconds after the oracle's epoch.
 func after(o *Oracle, millis int) Instant {
-	return o.began + Instant(time.Duration(millis)*time.Millisecond)
+	return o.epoch + Instant(time.Duration(millis)*time.Millisecond)
 }
 
-// The oracle finds each violation of a rule, and no other.
+// TestOracleRules checks that the oracle finds each kind of violation, and reports none where no rule is broken.
 func TestOracleRules(t *testing.T) {
 	for name, c := range map[string]struct {
 		events func(o *Oracle)
-		want   string // how the violation's text begins; empty = there is none
+		want   string // prefix of the violation's text; empty = no violation
 	}{
-		"an attempt starts after its client has left": {
+		"an attempt starts after its client has canceled": {
 			events: func(o *Oracle) {
 				o.ClientCanceled(after(o, 0), testRequest)
 				o.AttemptStarted(after(o, 400), testRequest, prefillConn)
 			},
-			want: "lost: an attempt began 400ms after its client had left",
+			want: "lost: an attempt started 400ms after its client had canceled",
 		},
-		"an attempt starts as its client leaves": {
+		"an attempt starts as its client cancels": {
 			events: func(o *Oracle) {
 				o.ClientCanceled(after(o, 0), testRequest)
 				o.AttemptStarted(after(o, 300), testRequest, prefillConn)
@@ -56,7 +56,7 @@
 				o.AttemptReceived(after(o, 10), testRequest, true, ConnID{"r2", 3})
 				time.Sleep(time.Second)
 			},
-			want: "duplicate: an attempt arrived while the one at r1 was out",
+			want: "duplicate: an attempt arrived while the one at r1 was in flight",
 		},
 		"the first of two attempts ends at once": {
 			events: func(o *Oracle) {
@@ -84,7 +84,7 @@
 				o.AttemptFinished(after(o, 40), testRequest, decodeConn, "no state")
 				o.ConnClosed(after(o, 50), decodeConn)
 			},
-			want: "held: a state at r1 for 4.95s, then the end of the run",
+			want: "held: a state at r1 for 4.95s, until the end of the run",
 		},
 		"a release takes the state of a waiting decode attempt": {
 			events: func(o *Oracle) {
@@ -120,7 +120,7 @@
 	}
 }
 
-// A verdict has an error if a rule was broken, or if nothing was served.
+// TestVerdictErr checks that a verdict has an error if a rule was broken or no request was served.
 func TestVerdictErr(t *testing.T) {
 	served := Verdict{Served: 1, StatesHeld: 1}
 	if err := served.Err(); err != nil {
@@ -137,7 +137,7 @@
 	}
 }
 
-// What a server does with an attempt depends on the seed, the request and the server alone.
+// TestPlanAttempt checks that the plan of an attempt is the same each time, and differs between servers.
 func TestPlanAttempt(t *testing.T) {
 	first, again := planAttempt(1, "a", true, "r1"), planAttempt(1, "a", true, "r1")
 	if first != again {
--- a/internal/lab/soak/plan.go
+++ b/internal/lab/soak/plan.go
@@ -9,33 +9,33 @@
 )
 
 const (
-	minProcesses        = 10
-	defaultMaxProcesses = 40
-	minServersPerRole   = 3
-	minDispatchers      = 2
-	clientsByDispatcher = 4 // clients for each dispatcher
-
-	defaultMaxDescriptors = 1024 // descriptors that a dispatcher may use
-	scarceDescriptors     = 60
+	minProcesses         = 10
+	defaultMaxProcesses  = 40
+	minServersPerRole    = 3
+	minDispatchers       = 2
+	clientsPerDispatcher = 4
+
+	defaultMaxDescriptors = 1024 // file descriptors that a dispatcher may use
+	reducedMaxDescriptors = 60
 	defaultReleaseTime    = time.Second
 )
 
-// Plan is all that a seed decides before a run: the fleet, its settings and the schedule of faults.
+// Plan is what a seed determines before a run: the fleet, its settings and the schedule of faults.
 type Plan struct {
 	Prefill     int // servers
 	Decode      int // servers
 	Dispatchers int
 	Schedule    []Fault
 
-	clients                 int
-	releaseTime             time.Duration
-	cancelEnabled           bool
-	maxDescriptors          int // of a dispatcher
-	releasesAlwaysTakeState bool
-	faultInterval           time.Duration // mean time between the starts of two faults
+	clients                     int
+	releaseTime                 time.Duration
+	cancelEnabled               bool
+	maxDescriptors              int // of a dispatcher
+	releasesRemoveAwaitedStates bool
+	faultInterval               time.Duration // mean time between the starts of two faults
 }
 
-// NewPlan returns the plan of a seed for a run of that duration. maxProcesses limits the fleet; 0 means 40.
+// NewPlan returns the plan of a seed for a run of the given duration. maxProcesses limits the fleet; 0 means 40.
 func NewPlan(seed uint64, maxProcesses int, duration time.Duration) Plan {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	p := drawFleet(rng, maxProcesses)
@@ -43,7 +43,7 @@
 	return p
 }
 
-// drawFleet draws the fleet and its settings. The order of the draws decides what a seed plays.
+// drawFleet draws the fleet and its settings. The order of the draws determines the plan of a seed.
 func drawFleet(rng *rand.Rand, maxProcesses int) Plan {
 	if maxProcesses <= 0 {
 		maxProcesses = defaultMaxProcesses
@@ -60,30 +60,30 @@
 	case 1:
 		p.releaseTime = 400 * time.Millisecond
 	}
-	p.releasesAlwaysTakeState = rng.IntN(3) == 0
+	p.releasesRemoveAwaitedStates = rng.IntN(3) == 0
 	p.maxDescriptors = defaultMaxDescriptors
 	if rng.IntN(4) == 0 {
-		p.maxDescriptors = scarceDescriptors
+		p.maxDescriptors = reducedMaxDescriptors
 	}
 	p.Prefill = max((processes-p.Dispatchers)/2, minServersPerRole)
 	p.Decode = max(processes-p.Dispatchers-p.Prefill, minServersPerRole)
-	p.clients = clientsByDispatcher * p.Dispatchers
+	p.clients = clientsPerDispatcher * p.Dispatchers
 	return p
 }
 
-// processes returns how many processes the fleet has.
+// processes returns the number of processes in the fleet.
 func (p *Plan) processes() int { return p.Prefill + p.Decode + p.Dispatchers }
 
-// description returns the fleet in words, for the verdict.
+// description describes the fleet in the verdict.
 func (p *Plan) description() string {
 	return fmt.Sprintf(
-		"%d prefill, %d decode, %d dispatchers, %d sockets, release %v, cancel %v, releases take all %v",
+		"%d prefill, %d decode, %d dispatchers, %d sockets, release %v, cancel %v, releases remove awaited states %v",
 		p.Prefill, p.Decode, p.Dispatchers, p.maxDescriptors, p.releaseTime, p.cancelEnabled,
-		p.releasesAlwaysTakeState)
+		p.releasesRemoveAwaitedStates)
 }
 
-// settingsFormat is the settings object of the dispatchers. It takes the release time in nanoseconds, whether attempts
-// are canceled, the number of dispatchers and three request classes.
+// settingsFormat formats the settings object of the dispatchers. Its arguments are the release time in nanoseconds,
+// whether attempts are canceled, the number of dispatchers and three request classes.
 const settingsFormat = `{"family_info":{"release_ns":%d,"role_by_kind":["read","write"],
 "token_aim_ns":[60000000,60000000,60000000],
 "aim_us_per_1000_prompt_tokens":[40000,40000,40000]},"limits":{"cancel":%v,"conn_idle_ns":15000000000,
@@ -94,11 +94,11 @@
 "rules":{"answer_slack_ns":16000000,"cold_from":0.5,"cold_ns":500000000,"fall_multiple":2.5,"fall_ns":1000000000},
 "tenants":[]}`
 
-// classFormat is one request class. It takes the effect, the name and the deduplication window in nanoseconds.
+// classFormat formats a request class. Its arguments are the effect, the name and the dedup window in nanoseconds.
 const classFormat = `{"dedup_scope":"all","effect":%q,"give_up_ns":6000000000,"late_value":0.1,"name":%q,` +
 	`"on_time_ns":1500000000,"points":3,"window_ns":%d}`
 
-// Request classes have the name of their effect.
+// Effects of request classes, which are also their names.
 const (
 	effectIdempotent   = "idempotent"
 	effectDeduplicated = "deduplicated"
@@ -107,7 +107,7 @@
 
 var effects = [...]string{effectIdempotent, effectDeduplicated, effectAtMostOnce}
 
-// settings returns the settings object of the run's dispatchers.
+// settings returns the settings object of the dispatchers.
 func (p *Plan) settings() string {
 	class := func(effect string, window time.Duration) string {
 		return fmt.Sprintf(classFormat, effect, effect, window)
@@ -118,24 +118,24 @@
 		class(effectAtMostOnce, 5*time.Second))
 }
 
-// AttemptPlan is what a stand-in server does with an attempt. The process that runs the soak makes it, so that it
-// depends on the seed alone.
+// AttemptPlan is what a stand-in server does with an attempt. The process that runs the soak makes the plan, so that
+// it depends on the seed and not on the state of the server's process.
 type AttemptPlan struct {
-	Work          time.Duration // until a prefill ends, or a decode attempt fetches its state
-	TokenInterval time.Duration // between the events of a stream
-	// Status of the answer; 0 = as a healthy server. A prefill with another status leaves its state all the same.
+	Work          time.Duration // time until a prefill ends, or a decode attempt fetches its state
+	TokenInterval time.Duration // after each event of a stream
+	// Status of the answer; 0 = that of a healthy server. A prefill with another status leaves its state as well.
 	Status int
-	Reset  bool // the connection is reset in place of an answer
+	Reset  bool // the connection is reset instead of answered
 }
 
-// planAttempt returns what a server does with an attempt. It depends on the seed, the request and the server alone.
+// planAttempt returns what a server does with an attempt. The plan depends only on the arguments.
 func planAttempt(seed uint64, id string, isPrefill bool, server string) AttemptPlan {
 	rng := rand.New(rand.NewPCG(seed, hash(id+server)))
 	p := AttemptPlan{
 		Work:          randomDuration(rng, time.Millisecond, 150*time.Millisecond),
 		TokenInterval: randomDuration(rng, time.Millisecond, 40*time.Millisecond),
 	}
-	if rng.IntN(10) == 0 { // as if it waited in a queue
+	if rng.IntN(10) == 0 { // simulates time in the server's queue
 		p.Work = randomDuration(rng, 400*time.Millisecond, 1600*time.Millisecond)
 	}
 	switch rng.IntN(40) {
@@ -151,12 +151,12 @@
 	return p
 }
 
-// rejectedReleaseInterval: a server rejects one release of so many.
-const rejectedReleaseInterval = 50
+// releasesPerRejection is the mean number of releases of which a server rejects one.
+const releasesPerRejection = 50
 
-// planReleaseStatus returns the status with which a server rejects a release; 0 means that it takes it.
+// planReleaseStatus returns the status with which a server rejects a release; 0 means that it accepts it.
 func planReleaseStatus(id, server string) int {
-	if hash(id+server+"release")%rejectedReleaseInterval == 0 {
+	if hash(id+server+"release")%releasesPerRejection == 0 {
 		return http.StatusServiceUnavailable
 	}
 	return 0
--- a/internal/lab/soak/proxy.go
+++ b/internal/lab/soak/proxy.go
@@ -9,33 +9,33 @@
 // Direction is a direction of bytes through a proxy.
 type Direction int
 
-// The two directions.
+// The directions of bytes.
 const (
 	Forward  Direction = iota // from dispatchers to the server
 	Backward                  // from the server to dispatchers
 )
 
-// Proxy forwards connections to one server and plays faults of the network. It always reads what a dispatcher sends at
-// once, so that the dispatcher's sockets behave as on a network that has lost nothing yet.
+// Proxy forwards connections to one server and injects network faults. It reads what a dispatcher sends at once even
+// while forwarding is blocked, so that the dispatcher's sockets behave as on a network without a fault.
 type Proxy struct {
 	server   string
 	oracle   *Oracle
 	listener net.Listener
 
-	mu             sync.Mutex
-	changed        *sync.Cond
-	target         string // address of the server; empty = none
-	rejecting      bool   // new connections are reset
-	blocked        [2]bool
-	closesBlocked  bool // the server does not see that dispatchers close connections
-	onlyOldBlocked bool // blocked applies to connections that existed when it was set
-	delay          time.Duration
-	spread         time.Duration // each connection has a delay of its own, up to this
-	conns          map[*proxyConn]bool
-	stopped        bool
+	mu                 sync.Mutex
+	changed            *sync.Cond
+	target             string // address of the server; empty = none
+	rejecting          bool   // whether new connections are reset
+	blocked            [2]bool
+	closesBlocked      bool // whether closes of connections by dispatchers are hidden from the server
+	blocksExistingOnly bool // whether blocked applies only to connections that existed when it was set
+	delay              time.Duration
+	spread             time.Duration // upper bound of the additional delay that each connection has
+	conns              map[*proxyConn]bool
+	stopped            bool
 }
 
-// NewProxy starts a proxy before a server of that name.
+// NewProxy starts a proxy in front of the server with the given name.
 func NewProxy(server string, oracle *Oracle) (*Proxy, error) {
 	listener, err := listenOnLoopback()
 	if err != nil {
@@ -68,32 +68,32 @@
 // SetTarget sets the address of the server.
 func (p *Proxy) SetTarget(address string) { p.update(func() { p.target = address }) }
 
-// SetBlocked holds all bytes of a direction back, or lets them pass. With onlyOld it holds back only those of the
-// connections that exist now.
-func (p *Proxy) SetBlocked(direction Direction, blocked, onlyOld bool) {
+// SetBlocked blocks or unblocks all bytes of a direction. With existingOnly it affects only the connections that exist
+// now.
+func (p *Proxy) SetBlocked(direction Direction, blocked, existingOnly bool) {
 	p.update(func() {
-		p.blocked[direction], p.onlyOldBlocked = blocked, onlyOld
+		p.blocked[direction], p.blocksExistingOnly = blocked, existingOnly
 		for c := range p.conns {
-			c.isOld = blocked
+			c.predatesBlock = blocked
 		}
 	})
 }
 
-// SetClosesBlocked hides from the server that dispatchers close connections, or shows it.
+// SetClosesBlocked sets whether closes of connections by dispatchers are hidden from the server.
 func (p *Proxy) SetClosesBlocked(blocked bool) { p.update(func() { p.closesBlocked = blocked }) }
 
-// SetRejecting resets new connections, or accepts them.
+// SetRejecting sets whether new connections are reset.
 func (p *Proxy) SetRejecting(rejecting bool) { p.update(func() { p.rejecting = rejecting }) }
 
-// SetDelay delays all bytes by that time.
+// SetDelay delays all bytes by the given time.
 func (p *Proxy) SetDelay(delay time.Duration) { p.update(func() { p.delay = delay }) }
 
-// SetSpread delays the bytes of each connection by a time of its own, up to maxDelay: bytes on different connections
-// arrive in another order.
+// SetSpread delays the bytes of each connection by a different time, up to maxDelay, so that bytes on different
+// connections arrive in another order.
 func (p *Proxy) SetSpread(maxDelay time.Duration) { p.update(func() { p.spread = maxDelay }) }
 
-// ResetConns resets the connections that exist: at the server's end if the direction is Forward, at the dispatcher's
-// end if it is Backward, or at both. The other end sees the connection closed.
+// ResetConns resets all connections: at the server's end if the direction is Forward, at the dispatcher's end if it is
+// Backward, or at both. If only one end is reset, the other sees the connection closed.
 func (p *Proxy) ResetConns(direction Direction, both bool) {
 	p.mu.Lock()
 	var conns []*proxyConn
@@ -116,7 +116,7 @@
 	}
 }
 
-// serve forwards one connection of a dispatcher until both directions have ended.
+// serve forwards a connection from a dispatcher until both directions have ended.
 func (p *Proxy) serve(dispatcher *net.TCPConn) {
 	p.mu.Lock()
 	rejecting, target := p.rejecting || p.stopped, p.target
--- a/internal/lab/soak/proxyconn.go
+++ b/internal/lab/soak/proxyconn.go
@@ -10,21 +10,21 @@
 
 const (
 	proxyReadSize   = 64 << 10
-	maxQueuedChunks = 1024 // read and not yet forwarded
-	// spreadSteps is the number of different delays of connections with a spread: consecutive connections differ most.
+	maxQueuedChunks = 1024 // chunks that were read and not yet forwarded
+	// spreadSteps is the number of different delays with a spread. Connections with consecutive ports differ.
 	spreadSteps = 7
 )
 
 // proxyConn is one connection through a proxy.
 type proxyConn struct {
-	proxy      *Proxy
-	dispatcher *net.TCPConn
-	server     *net.TCPConn
-	id         ConnID
-	isOld      bool // it existed when the proxy was blocked; guarded by the proxy's mutex
+	proxy         *Proxy
+	dispatcher    *net.TCPConn
+	server        *net.TCPConn
+	id            ConnID
+	predatesBlock bool // whether it existed when the proxy was last blocked; guarded by proxy.mu
 }
 
-// chunk is a number of bytes that were read and are not yet forwarded.
+// chunk holds bytes that were read and are not yet forwarded.
 type chunk struct {
 	data   []byte
 	readAt time.Time
@@ -41,7 +41,7 @@
 }
 
 // resetOnClose makes a later Close reset the connection.
-func resetOnClose(conn *net.TCPConn) { _ = conn.SetLinger(0) } // an error means that it is closed
+func resetOnClose(conn *net.TCPConn) { _ = conn.SetLinger(0) } // an error means that the connection is closed
 
 // resetConn resets a connection.
 func resetConn(conn *net.TCPConn) {
@@ -49,19 +49,19 @@
 	conn.Close()
 }
 
-// forward forwards the bytes of one direction. Reading continues while forwarding is held up.
+// forward forwards the bytes of one direction. Reading continues while forwarding is blocked.
 func (c *proxyConn) forward(direction Direction, from, to *net.TCPConn) {
 	chunks := make(chan chunk, maxQueuedChunks)
 	go c.read(direction, from, to, chunks)
 	c.writeChunks(direction, from, to, chunks)
-	for range chunks { // after a reset, what still comes is dropped
+	for range chunks { // discard what arrives after a reset
 	}
 	c.waitUntilAllowed(direction, true, time.Now())
-	_ = to.CloseWrite() // an error means that it is closed
+	_ = to.CloseWrite() // an error means that the connection is closed
 }
 
-// read reads the chunks of one direction until the connection ends. What a dispatcher sends and closes is reported to
-// the oracle.
+// read reads the chunks of one direction until the connection ends. It reports attempts and closes of the dispatcher
+// to the oracle.
 func (c *proxyConn) read(direction Direction, from, to *net.TCPConn, chunks chan<- chunk) {
 	defer close(chunks)
 	buffer := make([]byte, proxyReadSize)
@@ -86,7 +86,7 @@
 	}
 }
 
-// writeChunks forwards chunks until they end, the connection is reset or the proxy stops.
+// writeChunks forwards chunks until the channel is closed, the connection is reset or the proxy stops.
 func (c *proxyConn) writeChunks(direction Direction, from, to *net.TCPConn, chunks <-chan chunk) {
 	for next := range chunks {
 		if !c.waitUntilAllowed(direction, false, next.readAt) {
@@ -102,8 +102,8 @@
 	}
 }
 
-// waitUntilAllowed waits until a chunk, or the end of the direction, may be forwarded. It reports whether the proxy
-// still runs.
+// waitUntilAllowed waits until a chunk, or the end of the direction, may be forwarded. It returns false once the proxy
+// has stopped.
 func (c *proxyConn) waitUntilAllowed(direction Direction, isEnd bool, readAt time.Time) bool {
 	p := c.proxy
 	p.mu.Lock()
@@ -119,10 +119,10 @@
 	return !stopped
 }
 
-// isBlocked reports whether the proxy holds a chunk, or the end of the direction, back. The proxy is locked.
+// isBlocked reports whether a chunk, or the end of the direction, is blocked. The caller must hold p.mu.
 func (c *proxyConn) isBlocked(direction Direction, isEnd bool) bool {
 	p := c.proxy
-	if p.blocked[direction] && (!p.onlyOldBlocked || c.isOld) {
+	if p.blocked[direction] && (!p.blocksExistingOnly || c.predatesBlock) {
 		return true
 	}
 	return isEnd && direction == Forward && p.closesBlocked
@@ -133,7 +133,7 @@
 	requestIDHeader = []byte("X-Txn: ")
 )
 
-// reportAttempt reports to the oracle that an attempt has started, if the bytes are the head of a request.
+// reportAttempt reports the start of an attempt to the oracle if the bytes are the head of a request.
 func (c *proxyConn) reportAttempt(head []byte) {
 	if !bytes.HasPrefix(head, requestMethod) {
 		return
--- a/internal/lab/soak/reports.go
+++ b/internal/lab/soak/reports.go
@@ -6,7 +6,7 @@
 	"net"
 )
 
-// reportKind is what a model server's process reports.
+// reportKind is the kind of event that a model server's process reports.
 type reportKind string
 
 const (
@@ -17,19 +17,19 @@
 	reportReleaseReceived reportKind = "released"
 )
 
-// report is what a model server's process sends to the process that runs the soak, and gets back with Plan, Held and
-// Status filled in.
+// report is what a model server's process sends to the process that runs the soak. The reply is the same report with
+// Plan, Held or Status filled in.
 type report struct {
 	Kind      reportKind `json:"Op"`
 	ID        string     // of the request
-	Port      int        // of the proxy's connection
+	Port      int        // local port of the proxy's connection
 	At        Instant
 	IsPrefill bool   `json:"Read"`
-	Outcome   string `json:"How"` // of an attempt that finished
+	Outcome   string `json:"How"` // of a finished attempt
 
-	Plan   AttemptPlan // of an attempt that was received
-	Held   bool        // whether there is a state to fetch
-	Status int         // with which the server rejects a release; 0 = it takes it
+	Plan   AttemptPlan // of a received attempt
+	Held   bool        // whether a server holds the state to fetch
+	Status int         // status with which the server rejects a release; 0 = it accepts it
 }
 
 // serveReports serves the connections of model servers until the fleet is closed.
@@ -43,7 +43,7 @@
 	}
 }
 
-// serveReportConn answers the reports of one model server, which first says its name.
+// serveReportConn answers the reports of one model server, whose first message is its name.
 func (f *Fleet) serveReportConn(conn net.Conn) {
 	defer conn.Close()
 	in, out := json.NewDecoder(conn), json.NewEncoder(conn)
@@ -63,7 +63,7 @@
 	}
 }
 
-// handleReport passes a report to the oracle and fills in the answer.
+// handleReport passes a report to the oracle and fills in the reply.
 func (f *Fleet) handleReport(server string, r *report) {
 	conn := ConnID{server, r.Port}
 	switch r.Kind {
--- a/internal/lab/soak/schedule.go
+++ b/internal/lab/soak/schedule.go
@@ -7,27 +7,27 @@
 )
 
 const (
-	firstFaultAt     = 500 * time.Millisecond
-	faultRecovery    = 100 * time.Millisecond // after a fault, before the target may have the next one
+	firstFaultAt     = 500 * time.Millisecond // since the start of the run
+	faultRecovery    = 100 * time.Millisecond // from the end of a fault to the next fault of the same target
 	minFaultDuration = 200 * time.Millisecond
 	maxFaultDuration = 3500 * time.Millisecond
 	maxDelay         = 400 * time.Millisecond
-	maxSuspension    = 150 * time.Millisecond // of a dispatcher, as the platform states
+	maxSuspension    = 150 * time.Millisecond // of a dispatcher, according to the platform
 
-	// terminationGracePeriod is how long after SIGTERM the platform kills at the earliest: the longest deadline,
-	// counted as 3 s at most, and 0.7 s.
+	// terminationGracePeriod is the shortest time from SIGTERM to SIGKILL on the platform: 0.7 s plus the longest
+	// deadline, which counts for at most 3 s.
 	terminationGracePeriod = 3700 * time.Millisecond
-	signalInterval         = 200 * time.Millisecond // between the signals to a dispatcher that is to end
+	signalInterval         = 200 * time.Millisecond // between the signals that terminate a dispatcher
 )
 
 func prefillName(n int) string    { return fmt.Sprintf("r%d", n) }
 func decodeName(n int) string     { return fmt.Sprintf("w%d", n) }
 func dispatcherName(n int) string { return fmt.Sprintf("d%d", n) }
 
-// faultyUntil holds, by target, until when it has its fault.
+// faultyUntil maps the name of a target to the end of its fault, including the recovery.
 type faultyUntil map[string]time.Duration
 
-// withoutFault returns those of the targets that have no fault at that time.
+// withoutFault returns the names of the targets that have no fault at the given time.
 func (u faultyUntil) withoutFault(targets []string, at time.Duration) []string {
 	var free []string
 	for _, target := range targets {
@@ -38,7 +38,8 @@
 	return free
 }
 
-// eligibleServers returns the servers of a role, or none if with one more fault more than half of them had one.
+// eligibleServers returns the names of the servers of a role, or none if one more fault would leave fewer than half of
+// them without a fault.
 func (u faultyUntil) eligibleServers(at time.Duration, name func(int) string, count int) []string {
 	var names []string
 	faulty := 0
@@ -54,8 +55,9 @@
 	return names
 }
 
-// drawSchedule draws the faults of a run. They overlap, but at any time at least half of the servers of each role have
-// none: if all were cut off, no dispatcher could keep the rules. The order of the draws decides what a seed plays.
+// drawSchedule draws the faults of a run. Faults overlap, but at any time at least half of the servers of each role
+// have none: with all servers unreachable, no dispatcher could keep the invariants. The order of the draws determines
+// the schedule of a seed.
 func drawSchedule(rng *rand.Rand, plan *Plan, duration time.Duration) []Fault {
 	var faults []Fault
 	until := faultyUntil{}
@@ -70,7 +72,7 @@
 			fault.Duration = randomDuration(rng, time.Millisecond, maxSuspension)
 		case dispatcherTerminated:
 			fault.Duration = terminationGracePeriod
-		default: // as drawn
+		default: // the duration stays as drawn
 		}
 		targets := until.withoutFault(plan.faultTargets(until, fault.Kind, at), at)
 		if len(targets) == 0 {
@@ -83,7 +85,7 @@
 	return faults
 }
 
-// faultTargets returns the targets of a kind of fault; some of them may still have another.
+// faultTargets returns the possible targets of a kind of fault, including targets that still have another fault.
 func (p *Plan) faultTargets(until faultyUntil, kind FaultKind, at time.Duration) []string {
 	if kind == discoverySilent {
 		return []string{discoveryTarget}
--- a/internal/lab/soak/server.go
+++ b/internal/lab/soak/server.go
@@ -21,7 +21,7 @@
 
 	fleet     *Fleet
 	process   *exec.Cmd
-	startedMS int64 // as the endpoint list says it, in milliseconds since 1970; 0 = since ever
+	startedMS int64 // in the endpoint list, Unix milliseconds; 0 = before the run
 }
 
 // AddServer starts a stand-in server and adds it to the endpoint list.
@@ -35,7 +35,7 @@
 	return s, s.start()
 }
 
-// role returns the server's role, as the endpoint list and the command line name it.
+// role returns the name of the server's role in the endpoint list and on the command line.
 func (s *Server) role() string {
 	if s.IsPrefill {
 		return "prefill"
@@ -43,7 +43,7 @@
 	return "decode"
 }
 
-// start starts the server's process and points the proxy at it.
+// start starts the server's process and sets it as the target of the proxy.
 func (s *Server) start() error {
 	s.process = s.fleet.program("lab", "model-server", "--name", s.Name, "--role", s.role(),
 		"--ledger", s.fleet.reports.Addr().String())
@@ -56,7 +56,7 @@
 	}
 	line, err := bufio.NewReader(out).ReadString('\n')
 	if err != nil {
-		return fmt.Errorf("server %s: %w", s.Name, err)
+		return fmt.Errorf("read address of server %s: %w", s.Name, err)
 	}
 	go func() { _, _ = io.Copy(io.Discard, out) }()
 	s.Proxy.SetTarget(strings.TrimSpace(line))
@@ -66,22 +66,22 @@
 // kill kills the server's process, even if it is suspended.
 func (s *Server) kill() {
 	if s.process != nil && s.process.Process != nil {
-		_ = s.process.Process.Kill() // an error means that it has ended
-		_ = s.process.Wait()         // its status is that of a killed process
+		_ = s.process.Process.Kill() // an error means that the process has ended
+		_ = s.process.Wait()         // returns the status of a killed process
 	}
 }
 
-// Suspend stops the server's process until Resume.
+// Suspend suspends the server's process until Resume.
 func (s *Server) Suspend() { s.signal(syscall.SIGSTOP) }
 
-// Resume lets a suspended process continue.
+// Resume resumes a suspended process.
 func (s *Server) Resume() { s.signal(syscall.SIGCONT) }
 
 func (s *Server) signal(signal syscall.Signal) {
-	_ = s.process.Process.Signal(signal) // an error means that it has ended
+	_ = s.process.Process.Signal(signal) // an error means that the process has ended
 }
 
-// Restart kills the process and starts another. The endpoint list says when it started.
+// Restart kills the process, starts another and publishes its start time in the endpoint list.
 func (s *Server) Restart() error {
 	s.kill()
 	s.fleet.Oracle.ServerStopped(Now(), s.Name)
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -1,5 +1,5 @@
-// Package soak runs real dispatchers before stand-in model servers, each a process of its own, with proxies between
-// them that play network faults. An oracle judges the rules by what servers, proxies and clients report.
+// Package soak runs real dispatchers against stand-in model servers, each in its own process, with proxies between
+// them that inject network faults. An oracle checks the invariants on what servers, proxies and clients report.
 package soak
 
 import (
@@ -13,25 +13,25 @@
 )
 
 const (
-	exitTimeout = 20 * time.Second // of a dispatcher after SIGTERM at the end of a run
-	// settleTime is how long after the last state must be gone the oracle judges.
+	exitTimeout = 20 * time.Second // longest time from SIGTERM at the end of a run to a dispatcher's exit
+	// settleTime is the time from the latest permitted release of a state to the oracle's last check.
 	settleTime = 200 * time.Millisecond
 
-	maxThinkTime = 60 * time.Millisecond // of a client between two requests
+	maxThinkTime = 60 * time.Millisecond // longest pause of a client between two requests
 )
 
-// Soak is one run under random faults.
+// Soak is one run with random faults.
 type Soak struct {
 	Seed         uint64
 	Duration     time.Duration // of traffic and faults
-	MaxProcesses int           // 0 = what the seed gives, 10 to 40
+	MaxProcesses int           // 0 = drawn by the seed, 10 to 40
 	Program      CommandFunc
 	// DispatcherProgram makes the dispatchers' commands; nil means Program.
 	DispatcherProgram CommandFunc
-	LogDirectory      string // for the logs of the dispatchers
+	LogDirectory      string // holds the logs of the dispatchers
 }
 
-// Run plays the soak and returns what it found. The error is one of the run itself; broken rules are in the verdict.
+// Run runs the soak. The error reports a failure of the run itself; violations of invariants are in the verdict.
 func (s *Soak) Run() (Verdict, error) {
 	plan := NewPlan(s.Seed, s.MaxProcesses, s.Duration)
 	verdict := Verdict{
@@ -48,20 +48,20 @@
 	if err := fleet.startAll(&plan); err != nil {
 		return verdict, err
 	}
-	if err := s.play(fleet, &plan, &verdict); err != nil {
+	if err := s.runTraffic(fleet, &plan, &verdict); err != nil {
 		return verdict, err
 	}
-	return verdict, fleet.judge(&verdict)
+	return verdict, fleet.completeVerdict(&verdict)
 }
 
-// newFleet returns a fleet as the plan describes it, without processes yet.
+// newFleet returns a fleet with the settings of the plan, without processes.
 func (s *Soak) newFleet(plan *Plan) (*Fleet, error) {
 	fleet, err := NewFleet(s.Program, s.LogDirectory, plan.settings(), DefaultLimits(plan.releaseTime))
 	if err != nil {
 		return nil, err
 	}
 	fleet.MaxDescriptors = plan.maxDescriptors
-	fleet.Oracle.ReleasesRemoveAwaitedStates = plan.releasesAlwaysTakeState
+	fleet.Oracle.ReleasesRemoveAwaitedStates = plan.releasesRemoveAwaitedStates
 	if s.DispatcherProgram != nil {
 		fleet.dispatcherProgram = s.DispatcherProgram
 	}
@@ -92,9 +92,9 @@
 	return nil
 }
 
-// play lets clients send requests for the duration of the soak while the faults of the schedule happen. It returns
-// the errors of faults that could not be brought about.
-func (s *Soak) play(fleet *Fleet, plan *Plan, verdict *Verdict) error {
+// runTraffic has clients send requests for the duration of the soak while it injects the scheduled faults. It returns
+// the errors of faults that could not be injected.
+func (s *Soak) runTraffic(fleet *Fleet, plan *Plan, verdict *Verdict) error {
 	end := time.Now().Add(s.Duration)
 	var clients sync.WaitGroup
 	var mu sync.Mutex // guards the verdict
@@ -107,12 +107,12 @@
 			})
 		})
 	}
-	err := fleet.playFaults(plan.Schedule)
+	err := fleet.injectFaults(plan.Schedule)
 	clients.Wait()
 	return err
 }
 
-// sendRequests sends the requests of the n-th client, one after another, until end.
+// sendRequests sends the requests of client n, one after another, until end.
 func (s *Soak) sendRequests(fleet *Fleet, n int, end time.Time, onDone func(clientOutcome)) {
 	rng := rand.New(rand.NewPCG(s.Seed, uint64(1000+n)))
 	client := NewClient(fleet)
@@ -123,16 +123,16 @@
 	}
 }
 
-// playFaults brings about each fault of a schedule at its time and waits until all have ended.
-func (f *Fleet) playFaults(schedule []Fault) error {
+// injectFaults injects each fault of a schedule at its start time and waits until all have ended.
+func (f *Fleet) injectFaults(schedule []Fault) error {
 	var running sync.WaitGroup
 	var mu sync.Mutex
 	var failed error
-	began := time.Now()
+	start := time.Now()
 	for _, fault := range schedule {
-		time.Sleep(time.Until(began.Add(fault.Start)))
+		time.Sleep(time.Until(start.Add(fault.Start)))
 		running.Go(func() {
-			if err := f.apply(fault); err != nil {
+			if err := f.inject(fault); err != nil {
 				mu.Lock()
 				defer mu.Unlock()
 				failed = errors.Join(failed, fmt.Errorf("%s: %w", fault, err))
@@ -143,8 +143,8 @@
 	return failed
 }
 
-// judge waits until no state may be held any more, ends the dispatchers and completes the verdict.
-func (f *Fleet) judge(verdict *Verdict) error {
+// completeVerdict waits until every state must have been released, ends the dispatchers and completes the verdict.
+func (f *Fleet) completeVerdict(verdict *Verdict) error {
 	time.Sleep(f.Oracle.limits.ReleaseTime + f.Oracle.limits.HoldTolerance + settleTime)
 	verdict.Violations = f.Oracle.Check(Now())
 	for _, d := range f.Dispatchers {
@@ -153,14 +153,14 @@
 	for _, d := range f.Dispatchers {
 		if ended, err := d.WaitExit(exitTimeout); !ended || err != nil {
 			verdict.Violations = append(verdict.Violations,
-				fmt.Sprintf("crash: dispatcher %s: ended %v, %v", d.Name, ended, err))
+				fmt.Sprintf("crash: dispatcher %s: exited %v, error %v", d.Name, ended, err))
 		}
 		lines, err := d.ProgramErrors()
 		if err != nil {
 			return err
 		}
 		for _, line := range lines {
-			verdict.Violations = append(verdict.Violations, fmt.Sprintf("violation counted by %s: %s", d.Name, line))
+			verdict.Violations = append(verdict.Violations, fmt.Sprintf("error logged by %s: %s", d.Name, line))
 		}
 	}
 	verdict.StatesHeld, verdict.Releases = f.Oracle.PrefillsCompleted, f.Oracle.ReleasesReceived
--- a/internal/lab/soak/verdict.go
+++ b/internal/lab/soak/verdict.go
@@ -14,21 +14,21 @@
 	Schedule         []Fault
 	Requests         int
 	Served           int
-	Canceled         int // requests whose client left
+	Canceled         int // requests that their client canceled
 	StatesHeld       int // prefills that left a state
 	Releases         int // releases that reached a server
 	Violations       []string
 }
 
-// ErrNothingServed is the error of a run that shows nothing because no request was served.
-var ErrNothingServed = errors.New("nothing was served: the run shows nothing")
+// ErrNothingServed reports a run that is inconclusive because no request was served or no prefill left a state.
+var ErrNothingServed = errors.New("no request was served or no prefill left a state")
 
-// ViolationsError is the error of a run that broke rules.
+// ViolationsError reports a run that violated invariants.
 type ViolationsError struct{ Count int }
 
-func (e *ViolationsError) Error() string { return fmt.Sprintf("%d rules broken", e.Count) }
+func (e *ViolationsError) Error() string { return fmt.Sprintf("%d violations of invariants", e.Count) }
 
-// Err returns nil if the run served requests and broke no rule, else a *ViolationsError or ErrNothingServed.
+// Err returns nil if the run served requests and violated no invariant, else a *ViolationsError or ErrNothingServed.
 func (v *Verdict) Err() error {
 	switch {
 	case len(v.Violations) > 0:
@@ -39,14 +39,14 @@
 	return nil
 }
 
-// String returns the verdict in one line.
+// String returns the verdict as one line.
 func (v *Verdict) String() string {
-	return fmt.Sprintf("seed %d: %d processes, %s, %d faults, %d requests, %d served, %d clients left, %d states, "+
-		"%d releases, %d rules broken", v.Seed, v.Processes, v.FleetDescription, len(v.Schedule), v.Requests,
+	return fmt.Sprintf("seed %d: %d processes, %s, %d faults, %d requests, %d served, %d canceled, %d states, "+
+		"%d releases, %d violations", v.Seed, v.Processes, v.FleetDescription, len(v.Schedule), v.Requests,
 		v.Served, v.Canceled, v.StatesHeld, v.Releases, len(v.Violations))
 }
 
-// Details returns the verdict's line and, if a rule was broken, the schedule of faults and each violation.
+// Details returns the verdict's line and, if there are violations, the schedule of faults and each violation.
 func (v *Verdict) Details() string {
 	var b strings.Builder
 	fmt.Fprintln(&b, v)
@@ -62,7 +62,7 @@
 	return b.String()
 }
 
-// count adds the outcome of one request.
+// count adds the outcome of a request to the counts.
 func (v *Verdict) count(outcome clientOutcome) {
 	v.Requests++
 	switch outcome {
