--- a/internal/lab/scenario/benchday.go
+++ b/internal/lab/scenario/benchday.go
@@ -1,6 +1,6 @@
 package scenario
 
-// benchDay is the part of a day file of the bench that a scenario can represent. Its times are in microseconds.
+// benchDay is the part of a day file of the bench that a script can represent. Its times are in microseconds.
 type benchDay struct {
 	Length  int64    `json:"length"`
 	Zones   []string `json:"zones"`
@@ -13,7 +13,7 @@
 	Discovery struct {
 		Delay int64 `json:"notice"`
 	} `json:"discovery"`
-	Allow struct {
+	Limits struct {
 		MaxAttempts int64 `json:"max_attempts"`
 	} `json:"allow"`
 	OverloadFactor float64      `json:"fall_multiple"`
@@ -26,8 +26,8 @@
 	Dispatchers []struct {
 		Zone int `json:"zone"`
 	} `json:"balancers"`
-	Faults []benchFault `json:"troubles"`
-	Family struct {
+	Faults  []benchFault `json:"troubles"`
+	Serving struct {
 		ReleaseTime   int64               `json:"release"`
 		TransferRate  float64             `json:"near"`
 		Roles         []string            `json:"roles"`
@@ -36,7 +36,7 @@
 	} `json:"fam"`
 }
 
-// benchClass is a class of requests.
+// benchClass is a class of requests in a day.
 type benchClass struct {
 	Name          string  `json:"name"`
 	Share         float64 `json:"share"`
@@ -48,7 +48,7 @@
 	DedupWindow   int64   `json:"window"`
 }
 
-// benchServerKind is a kind of servers.
+// benchServerKind is a kind of servers in a day.
 type benchServerKind struct {
 	Name            string  `json:"name"`
 	Slots           int     `json:"slots"`
@@ -57,7 +57,7 @@
 	WarmupTime      int64   `json:"cold"`
 }
 
-// benchServer is a server; its location and kind are indexes.
+// benchServer is a server. Zone, Cell and Kind are indexes.
 type benchServer struct {
 	Zone  int     `json:"zone"`
 	Kind  int     `json:"kind"`
@@ -66,7 +66,7 @@
 	IsUp  bool    `json:"up"`
 }
 
-// benchFault is a fault: Targets are indexes of servers or dispatchers, Index that of a class or zone.
+// benchFault is a fault. Targets holds indexes of servers or dispatchers; Index is that of a class or a zone.
 type benchFault struct {
 	Kind     string  `json:"kind"`
 	Start    int64   `json:"at"`
@@ -76,14 +76,14 @@
 	Index    int     `json:"which"`
 }
 
-// benchEngine is the speed and memory of a kind of servers.
+// benchEngine holds the speed and memory of a kind of servers.
 type benchEngine struct {
 	MemoryTokens     int64   `json:"memory"`
 	PrefillRate      float64 `json:"read_per_s"`
 	StepMilliseconds float64 `json:"step_ms"`
 }
 
-// benchConversation describes the conversations of a class; token counts are means.
+// benchConversation describes the conversations of a class. Token counts and turns are means.
 type benchConversation struct {
 	TargetPer1kMilliseconds float64 `json:"aim_ms_per_k"`
 	MaxAnswerTokens         int     `json:"max_out"`
--- a/internal/lab/scenario/configs.go
+++ b/internal/lab/scenario/configs.go
@@ -11,11 +11,11 @@
 	"docksail/policy"
 )
 
-// Values of servers that a script leaves out.
+// Defaults for values of servers that a script omits.
 const (
 	defaultMemoryTokens = 200000
-	defaultTransferRate = 300000
-	defaultPrefillRate  = 5000
+	defaultTransferRate = 300000 // tokens of KV state a second
+	defaultPrefillRate  = 5000   // prompt tokens a second
 )
 
 // EngineSpecs returns the specifications of all servers, numbered from 1.
@@ -29,7 +29,7 @@
 	return specs
 }
 
-// engineSpec returns the specification of one server of a group.
+// engineSpec returns the specification of the server of a group with the given number.
 func (s *Script) engineSpec(id int, g *ServerGroup) engine.Spec {
 	return engine.Spec{
 		ID:                id,
@@ -54,7 +54,7 @@
 	}
 }
 
-// DispatcherConfig returns the configuration of dispatcher n.
+// DispatcherConfig returns the configuration of dispatcher n, counted from 0.
 func (s *Script) DispatcherConfig(n int) *config.Dispatcher {
 	d := config.Default()
 	d.Zone, d.Index, d.Count = s.Dispatchers[n].Zone, int32(n), int32(len(s.Dispatchers))
@@ -91,7 +91,7 @@
 	return d
 }
 
-// dispatcherClass returns the dispatchers' configuration of the class.
+// dispatcherClass returns the configuration of the class for dispatchers.
 func (c *Class) dispatcherClass() config.Class {
 	return config.Class{
 		Name:               c.Name,
@@ -106,7 +106,7 @@
 	}
 }
 
-// ClientClasses returns the behavior of the clients of each class.
+// ClientClasses returns the configuration of the clients of each class.
 func (s *Script) ClientClasses() []userclient.Class {
 	var classes []userclient.Class
 	for i := range s.Classes {
@@ -142,7 +142,7 @@
 	}
 }
 
-// InvariantLimits returns the limits for checking the invariants.
+// InvariantLimits returns the limits for the check of the invariants.
 func (s *Script) InvariantLimits() invariants.Limits {
 	limits := invariants.Limits{
 		Classes:     map[string]invariants.Class{},
--- a/internal/lab/scenario/control.go
+++ b/internal/lab/scenario/control.go
@@ -14,10 +14,10 @@
 	"docksail/internal/lab/invariants"
 )
 
-// Tests that drive a deployment step by step, those of internal/e2e, call the exported methods of this file; a scenario
-// reaches the same actions through its faults. So no command reaches some of them, and deadcode lists those.
+// The tests of internal/e2e drive a deployment step by step with the exported methods of this file. Scenarios perform
+// the same actions through their faults, so deadcode lists the methods that no command calls.
 
-// startDispatcher starts dispatcher n, on its former address if it ran before.
+// startDispatcher starts dispatcher n, on its previous address if it ran before.
 func (d *Deployment) startDispatcher(n int) error {
 	c := *d.configs[n]
 	if d.addresses[n].IsValid() {
@@ -38,10 +38,10 @@
 	return nil
 }
 
-// RestartDispatcher starts dispatcher n, which was killed, on its former address and with its cached endpoint list.
+// RestartDispatcher starts dispatcher n after a kill, on its previous address and with its cached endpoint list.
 func (d *Deployment) RestartDispatcher(n int) error { return d.startDispatcher(n) }
 
-// KillDispatcher stops dispatcher n at once, without a drain. It does nothing if the dispatcher does not run.
+// KillDispatcher stops dispatcher n at once, without a drain. It does nothing if the dispatcher is not running.
 func (d *Deployment) KillDispatcher(n int) {
 	node := d.removeDispatcher(n)
 	if node == nil {
@@ -52,7 +52,7 @@
 	node.Kill()
 }
 
-// DrainDispatcher drains dispatcher n within the given time and waits for its end.
+// DrainDispatcher drains dispatcher n, with the given time as the limit, and waits until it has stopped.
 func (d *Deployment) DrainDispatcher(n int, within time.Duration) {
 	node := d.removeDispatcher(n)
 	node.Drain(within)
@@ -62,7 +62,7 @@
 	d.Log.Add(eventlog.Entry{Kind: eventlog.DispatcherStopped, Dispatcher: n})
 }
 
-// removeDispatcher marks dispatcher n as stopped and returns the node that ran, or nil.
+// removeDispatcher marks dispatcher n as stopped and returns its node, or nil if it was not running.
 func (d *Deployment) removeDispatcher(n int) *grpcnode.Node {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -71,7 +71,7 @@
 	return node
 }
 
-// Dispatcher returns dispatcher n, or nil while it does not run.
+// Dispatcher returns dispatcher n, or nil while it is not running.
 func (d *Deployment) Dispatcher(n int) *grpcnode.Node {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -94,7 +94,7 @@
 	return addresses
 }
 
-// Proxies returns the proxies between dispatcher n and the servers, in the order of the servers.
+// Proxies returns the proxies between dispatcher n and the servers, by index of the server.
 func (d *Deployment) Proxies(n int) []*faultproxy.Proxy { return d.proxies[n] }
 
 // SetDiscoveryRunning starts or stops all discovery servers.
@@ -109,14 +109,14 @@
 	return nil
 }
 
-// SetServerHealth publishes the health of a server, counted from 1, without the discovery delay.
+// SetServerHealth publishes the health of a server, by its number from 1, without the discovery delay.
 func (d *Deployment) SetServerHealth(server int, health pb.Health) {
 	d.health[server] = health
 	d.publishEndpoint(server-1, true, d.processStart(d.Engines[server-1]))
 }
 
-// publishEndpoint tells the discovery servers the state of server i. The start time 0 stands for a process that has
-// run for long.
+// publishEndpoint publishes the state of server i at the discovery servers. startTime is in Unix nanoseconds; 0 stands
+// for a process that was started before the scenario.
 func (d *Deployment) publishEndpoint(i int, immediately bool, startTime int64) {
 	e := d.Engines[i]
 	for n, server := range d.discoveryServers {
@@ -127,7 +127,7 @@
 	}
 }
 
-// processStart returns the start time of a server's process as it is published: 0 if it ran before the scenario.
+// processStart returns the published start time of a server's process: 0 if it was started before the scenario.
 func (d *Deployment) processStart(e *engine.Engine) int64 {
 	at, _ := e.StartTime()
 	if at.Before(d.startedAt) {
@@ -136,7 +136,7 @@
 	return at.UnixNano()
 }
 
-// crashServer stops server i at once and publishes that it is gone.
+// crashServer kills server i and publishes that it is gone.
 func (d *Deployment) crashServer(i int) {
 	e := d.Engines[i]
 	e.Crash()
@@ -144,7 +144,7 @@
 	d.publishEndpoint(i, false, d.processStart(e))
 }
 
-// restartServer starts server i, which crashed.
+// restartServer starts server i after a crash.
 func (d *Deployment) restartServer(i int) {
 	e := d.Engines[i]
 	if err := e.Start(""); err != nil {
@@ -156,7 +156,7 @@
 	d.publishEndpoint(i, false, at.UnixNano())
 }
 
-// Counts returns the counts of all dispatchers, with those of incarnations that were killed.
+// Counts returns the sum of the counts of all dispatchers, including those of killed incarnations.
 func (d *Deployment) Counts() dispatch.Counts {
 	var sum dispatch.Counts
 	for n := range d.dispatchers {
@@ -168,7 +168,7 @@
 	return sum
 }
 
-// CheckInvariants returns the violations in what was logged so far.
+// CheckInvariants returns the violations of invariants in the event log so far.
 func (d *Deployment) CheckInvariants() []invariants.Violation {
 	return invariants.Check(d.Log.Entries(), d.Script.InvariantLimits())
 }
--- a/internal/lab/scenario/deployment.go
+++ b/internal/lab/scenario/deployment.go
@@ -22,16 +22,16 @@
 const (
 	anyLoopbackPort = "127.0.0.1:0"
 
-	// startTimeout is the time within which every dispatcher has to receive the endpoint list.
+	// startTimeout is the time within which every dispatcher must have received the endpoint list.
 	startTimeout      = 5 * time.Second
 	startPollInterval = 5 * time.Millisecond
 )
 
-// ModuleWrapper returns what stands between dispatcher n and its decision module. Tests use it to inject wrong
+// ModuleWrapper returns the function that wraps the decision module of dispatcher n. Tests use it to inject wrong
 // decisions.
 type ModuleWrapper func(n int) func(dispatch.Module) dispatch.Module
 
-// Deployment is the running servers, dispatchers and proxies of a scenario.
+// Deployment holds the running servers, dispatchers and proxies of a scenario.
 type Deployment struct {
 	Script  *Script
 	Log     *eventlog.Log
@@ -50,7 +50,7 @@
 	mu            sync.Mutex // guards dispatchers and addresses
 	dispatchers   []*grpcnode.Node
 	addresses     []netip.AddrPort
-	stoppedCounts []dispatch.Counts // by dispatcher, of incarnations that were killed
+	stoppedCounts []dispatch.Counts // by dispatcher, sum of its killed incarnations
 }
 
 // Start starts the deployment of a script. The caller must Close it.
@@ -58,7 +58,7 @@
 	return StartWithModule(s, logger, nil)
 }
 
-// StartWithModule is like Start and wraps the decision modules of the dispatchers; wrap may be nil.
+// StartWithModule is like Start, but wraps the decision modules of the dispatchers; wrap may be nil.
 func StartWithModule(s *Script, logger *slog.Logger, wrap ModuleWrapper) (*Deployment, error) {
 	d := &Deployment{Script: s, Log: &eventlog.Log{}, wrapModule: wrap, logger: logger, health: map[int]pb.Health{}}
 	if err := d.start(); err != nil {
@@ -68,7 +68,7 @@
 	return d, nil
 }
 
-// start starts all parts of the deployment and waits until the dispatchers know the servers.
+// start starts all parts of the deployment and waits until the dispatchers have the endpoint list.
 func (d *Deployment) start() error {
 	var err error
 	if d.directory, err = os.MkdirTemp("", "docksail-scenario"); err != nil {
@@ -139,7 +139,7 @@
 	return nil
 }
 
-// addDispatcher prepares dispatcher n, which does not run yet.
+// addDispatcher adds the configuration of dispatcher n without starting it.
 func (d *Deployment) addDispatcher(n int) {
 	c := d.Script.DispatcherConfig(n)
 	c.Listen = netip.MustParseAddrPort(anyLoopbackPort)
@@ -151,14 +151,14 @@
 	d.stoppedCounts = append(d.stoppedCounts, dispatch.Counts{})
 }
 
-// awaitEndpointLists waits until every dispatcher has the list of servers.
+// awaitEndpointLists waits until every dispatcher has received the endpoint list.
 func (d *Deployment) awaitEndpointLists() error {
 	deadline := time.Now().Add(startTimeout)
 	for n, node := range d.dispatchers {
 		for hasList := false; !hasList; {
 			node.RunOnLoop(func(core *dispatch.Dispatcher) { hasList = core.HasEndpointList() })
 			if time.Now().After(deadline) {
-				return fmt.Errorf("dispatcher %d has no endpoint list after %v", n, startTimeout)
+				return fmt.Errorf("dispatcher %d has not received the endpoint list after %v", n, startTimeout)
 			}
 			time.Sleep(startPollInterval)
 		}
@@ -166,7 +166,7 @@
 	return nil
 }
 
-// Close stops everything that runs.
+// Close stops all parts of the deployment and deletes its files.
 func (d *Deployment) Close() {
 	for n := range d.dispatchers {
 		d.KillDispatcher(n)
--- a/internal/lab/scenario/encode.go
+++ b/internal/lab/scenario/encode.go
@@ -27,7 +27,7 @@
 	return append(text, '\n'), nil
 }
 
-// encodedFields returns the fields of the script with durations and enumerated values as text.
+// encodedFields returns the fields of the script with durations and enumerations as text.
 func (s *Script) encodedFields() (map[string]any, error) {
 	text, err := json.Marshal(s)
 	if err != nil {
@@ -40,12 +40,12 @@
 	encodeValue(fields, "")
 	classes, ok := fields["classes"].([]any)
 	if !ok && len(s.Classes) > 0 {
-		return nil, fmt.Errorf("scenario: classes are encoded as %T, want a list", fields["classes"])
+		return nil, fmt.Errorf("scenario: classes are encoded as %T, must be a list", fields["classes"])
 	}
 	for i := range s.Classes {
 		class, ok := classes[i].(map[string]any)
 		if !ok {
-			return nil, fmt.Errorf("scenario: class %d is encoded as %T, want an object", i, classes[i])
+			return nil, fmt.Errorf("scenario: class %d is encoded as %T, must be an object", i, classes[i])
 		}
 		class["effect"] = []string{"idempotent", "deduplicated", "non_idempotent"}[s.Classes[i].Idempotency]
 		class["group"] = []string{"all", "zone", "cell"}[s.Classes[i].DedupScope]
@@ -53,7 +53,7 @@
 	return fields, nil
 }
 
-// encodeValue returns the value of a key as it stands in a script. It leaves out empty values inside of objects.
+// encodeValue returns the value of a key in the format of scripts. It omits empty values of objects.
 func encodeValue(value any, key string) any {
 	switch value := value.(type) {
 	case map[string]any:
--- a/internal/lab/scenario/faults.go
+++ b/internal/lab/scenario/faults.go
@@ -9,10 +9,10 @@
 	"docksail/internal/lab/engine"
 )
 
-// FaultKind is the kind of a fault. Its values are part of the format of scripts.
+// FaultKind is a kind of fault. Its values are part of the format of scripts.
 type FaultKind string
 
-// The kinds of faults. faultKinds says what each does.
+// The kinds of faults, which faultKinds describes.
 const (
 	FaultCrash             FaultKind = "crash"
 	FaultHang              FaultKind = "hang"
@@ -40,52 +40,52 @@
 	FaultDelay             FaultKind = "delay"
 )
 
-// faultKinds describes each kind of fault. Servers that start again do so in slow start.
+// faultKinds describes each kind of fault. Restarted servers are in slow start.
 var faultKinds = map[FaultKind]string{
-	FaultCrash:             "servers crash, and start again at its end",
-	FaultHang:              "servers accept work and never answer",
-	FaultErrors:            "servers fail a share of the work at once (factor, 0 to 1)",
+	FaultCrash:             "servers crash and restart at its end",
+	FaultHang:              "servers accept requests and never answer",
+	FaultErrors:            "servers fail a share of the requests at once (factor, 0 to 1)",
 	FaultSlow:              "servers take factor times as long",
-	FaultVanish:            "servers become unreachable without a reset, and start again at its end",
-	FaultAging:             "servers get slower and slower until they crash, and start again at its end",
+	FaultVanish:            "servers become unreachable without a reset, and restart at its end",
+	FaultAging:             "servers get slower step by step until they crash, and restart after it",
 	FaultSilentClass:       "servers leave the requests of one class unanswered",
-	FaultSlowLinks:         "KV states move factor times as slowly from the servers",
-	FaultLateReports:       "load reports are late by its duration",
-	FaultPauses:            "servers stand still for a tenth of every second",
-	FaultPartition:         "a zone is cut off from the dispatchers of other zones",
+	FaultSlowLinks:         "transfers of KV states from the servers take factor times as long",
+	FaultLateReports:       "load reports are delayed by its duration",
+	FaultPauses:            "servers pause for a tenth of every second",
+	FaultPartition:         "servers of a zone are unreachable for the dispatchers of other zones",
 	FaultBurst:             "factor times as many sessions start",
 	FaultLongPrompts:       "one prompt in thirty is factor times as long",
-	FaultCellRestart:       "all servers of a cell crash at once, and start again at its end",
-	FaultRollingRestart:    "servers crash one after another over its duration, and start again at its end",
-	FaultDrain:             "servers are listed as draining, then crash, and start again at its end",
+	FaultCellRestart:       "all servers of a cell crash at once and restart at its end",
+	FaultRollingRestart:    "servers crash one after another over its duration and restart at its end",
+	FaultDrain:             "servers are listed as draining, then crash and restart at its end",
 	FaultStalledAnswers:    "answers stop after factor tokens",
-	FaultNoisyNeighbor:     "servers take factor times as long, for half of every second",
-	FaultDispatcherRestart: "a dispatcher is killed, and starts again at its end",
-	FaultDiscoveryOutage:   "the discovery servers are down",
+	FaultNoisyNeighbor:     "servers take factor times as long for half of every second",
+	FaultDispatcherRestart: "a dispatcher is killed and restarts at its end",
+	FaultDiscoveryOutage:   "the discovery servers are stopped",
 	FaultConnReset:         "all connections to the servers are reset once",
 	FaultHalfOpen:          "open connections to the servers go silent once, without a reset; new ones work",
 	FaultTrickle:           "bytes to and from the servers pass one at a time",
-	FaultDelay:             "bytes to and from the servers pass factor milliseconds late",
+	FaultDelay:             "bytes to and from the servers are delayed by factor milliseconds",
 }
 
-// FaultDetectionTime is the time within which dispatchers have to detect connections that went silent without a reset,
-// and to release what their requests left behind.
+// FaultDetectionTime is the time within which dispatchers must detect connections that went silent without a reset,
+// and release the KV states of the requests on them.
 const FaultDetectionTime = 5 * time.Second
 
-// AgingSteps is how many times FaultAging slows its servers down before they crash.
+// AgingSteps is the number of times that FaultAging slows its servers down before they crash.
 const AgingSteps = 10
 
-// longPromptInterval is how many sessions pass from one long prompt to the next during FaultLongPrompts.
-const longPromptInterval = 30
+// sessionsPerLongPrompt is the number of sessions of which one has long prompts during FaultLongPrompts.
+const sessionsPerLongPrompt = 30
 
 // Fault is one fault of a scenario.
 type Fault struct {
 	Kind       FaultKind `json:"kind" need:"what goes wrong"`
 	Start      Duration  `json:"at" need:"when"`
 	Duration   Duration  `json:"for"`
-	Servers    []int     `json:"servers" was:"hosts"` // numbers of servers, from 1, in the order of the fleet
-	Share      float64   `json:"share"`               // without Servers: this share of those that match, drawn by the seed
-	Role       Role      `json:"role"`                // without Servers: only those of this role, zone and cell
+	Servers    []int     `json:"servers" was:"hosts"` // numbers from 1, in the order of the fleet
+	Share      float64   `json:"share"`               // without Servers: share of the matching servers, drawn by the seed
+	Role       Role      `json:"role"`                // without Servers: only servers of this role, zone and cell
 	Zone       string    `json:"zone"`
 	Cell       string    `json:"cell"`
 	Class      string    `json:"class" was:"track"`
@@ -96,17 +96,17 @@
 // FaultKinds returns all kinds of faults, sorted.
 func FaultKinds() []FaultKind { return slices.Sorted(maps.Keys(faultKinds)) }
 
-// isActive reports whether the fault lasts at a time of the scenario.
+// isActive reports whether the fault is active at a time since the start of the scenario.
 func (f Fault) isActive(at time.Duration) bool { return at >= f.Start && at < f.Start+f.Duration }
 
-// AgingSlowdown returns how many times as long servers take in a step of FaultAging, from 0.
+// AgingSlowdown returns the slowdown of servers in a step of FaultAging, counted from 0.
 func AgingSlowdown(step int) float64 { return 1 + float64(step)/2 }
 
-// ServerChange is a change of what servers do wrong, and the change that undoes it.
+// ServerChange is a change of the faults of servers, and the change that reverts it.
 type ServerChange struct{ Begin, End func(f *engine.Faults) }
 
-// ServerChange returns the change that makes up the fault, or false if the fault is more than a lasting change of
-// what servers do.
+// ServerChange returns the change that implements the fault. It returns false if the fault is not a change that lasts
+// from its start to its end.
 func (f Fault) ServerChange() (ServerChange, bool) {
 	switch f.Kind {
 	case FaultHang:
@@ -153,14 +153,14 @@
 	}
 }
 
-// PeriodicChange is a change of what servers do that begins once a Period and ends after ActiveTime.
+// PeriodicChange is a change of servers that begins once every Period and ends after ActiveTime.
 type PeriodicChange struct {
 	ServerChange
 	Period     time.Duration
 	ActiveTime time.Duration
 }
 
-// PeriodicChange returns the change that makes up the fault, or false if the fault does not come and go.
+// PeriodicChange returns the periodic change that implements the fault, or false if the fault is not periodic.
 func (f Fault) PeriodicChange() (PeriodicChange, bool) {
 	switch f.Kind {
 	case FaultPauses:
@@ -178,8 +178,8 @@
 	}
 }
 
-// Targets returns the indexes in servers of those that the fault affects. If the fault names a share, it draws that
-// share from random; shareCount rounds the number of servers in it.
+// Targets returns the indexes of the servers that the fault affects. If the fault has a share, it draws that share
+// with random; shareCount rounds the number of servers in it.
 func (f Fault) Targets(servers []engine.Spec, random *rand.Rand, shareCount func(x float64) int) []int {
 	var targets []int
 	if len(f.Servers) > 0 {
@@ -201,13 +201,13 @@
 	return targets
 }
 
-// matches reports whether a server has the role, zone and cell that the fault names.
+// matches reports whether a server has the role, zone and cell of the fault.
 func (f Fault) matches(s *engine.Spec) bool {
 	return (f.Role == "" || WireRoles[f.Role] == s.Role) && (f.Zone == "" || f.Zone == s.Zone) &&
 		(f.Cell == "" || f.Cell == s.Cell)
 }
 
-// SessionRate returns how many sessions a second start at a time of the scenario.
+// SessionRate returns the number of sessions that start per second at a time since the start of the scenario.
 func (s *Script) SessionRate(at time.Duration) float64 {
 	rate := s.SessionsPerSecond
 	for _, f := range s.Faults {
@@ -218,14 +218,14 @@
 	return rate
 }
 
-// PromptFactors returns a function to be called for each session that starts, in order. It returns how many times as
-// long the prompts of the session are.
+// PromptFactors returns a function that must be called once for each session, in the order in which they start. The
+// function returns the factor by which the prompts of the session are longer.
 func (s *Script) PromptFactors() func(at time.Duration) int {
 	sessions := 0
 	return func(at time.Duration) int {
 		sessions++
 		for _, f := range s.Faults {
-			if f.Kind == FaultLongPrompts && f.isActive(at) && sessions%longPromptInterval == 0 {
+			if f.Kind == FaultLongPrompts && f.isActive(at) && sessions%sessionsPerLongPrompt == 0 {
 				return int(f.Factor)
 			}
 		}
--- a/internal/lab/scenario/import.go
+++ b/internal/lab/scenario/import.go
@@ -12,12 +12,12 @@
 	"docksail/policy"
 )
 
-// importedPrefixCount is how many shared prefixes each imported class has.
+// importedPrefixCount is the number of shared prefixes of each imported class.
 const importedPrefixCount = 8
 
-var errNotTwoStage = errors.New("not a two-stage day")
+var errNotTwoStage = errors.New("day does not have a prefill and a decode stage")
 
-// importedFaults maps the bench's kinds of faults to those of scripts; factor converts a fault's size into a Factor.
+// importedFaults maps the bench's kinds of faults to those of scripts. factor converts a size to a Factor; nil = none.
 var importedFaults = map[string]struct {
 	kind   FaultKind
 	factor func(size float64) float64
@@ -41,8 +41,9 @@
 	"neighbour":      {FaultNoisyNeighbor, atLeast(1)},
 }
 
-func atLeast(least float64) func(float64) float64 {
-	return func(size float64) float64 { return max(size, least) }
+// atLeast returns a conversion of sizes to factors with a minimum.
+func atLeast(minimum float64) func(float64) float64 {
+	return func(size float64) float64 { return max(size, minimum) }
 }
 
 // importer converts a day of the bench into a script.
@@ -51,15 +52,15 @@
 	script         *Script
 	unsupported    []string
 	maxServers     int
-	numbers        map[int]int // numbers in the script, by index in the day, of the servers that are played themselves
-	representative map[int]int // for each index in the day the number in the script of the server that stands for it
+	numbers        map[int]int // by index in the day: number in the script of a server that is imported itself
+	representative map[int]int // by index in the day: number in the script of the server that represents it
 	serverCount    int
 	shareSum       float64 // of the classes
-	prefillRate    float64 // of all prefill servers, in requests a second
+	prefillRate    float64 // sum over the prefill servers, in requests a second
 }
 
-// Import converts a day of the bench into a script with about so many servers and at most so many dispatchers. It also
-// returns a description of everything in the day that a script cannot represent.
+// Import converts a day of the bench into a script, scaled down to about the given number of servers and at most the
+// given number of dispatchers. It also returns descriptions of everything in the day that a script cannot represent.
 func Import(text []byte, servers, dispatchers int) (*Script, []string, error) {
 	var day benchDay
 	if err := json.Unmarshal(text, &day); err != nil {
@@ -83,23 +84,23 @@
 	return im.script, im.unsupported, nil
 }
 
-// validate returns an error if the day is not one with a prefill and a decode stage.
+// validate returns an error if the day does not have a prefill and a decode stage.
 func (d *benchDay) validate() error {
 	if len(d.Servers) > 0 && len(d.Dispatchers) > 0 && len(d.Tiers) == 1 &&
-		len(d.Family.Roles) == len(d.Tiers[0].Kinds) && len(d.Family.Engines) == len(d.Tiers[0].Kinds) &&
-		len(d.Family.Conversations) == len(d.Classes) {
+		len(d.Serving.Roles) == len(d.Tiers[0].Kinds) && len(d.Serving.Engines) == len(d.Tiers[0].Kinds) &&
+		len(d.Serving.Conversations) == len(d.Classes) {
 		return nil
 	}
 	return fmt.Errorf("%w: %d servers, %d dispatchers, %d tiers, %d roles, %d classes", errNotTwoStage,
-		len(d.Servers), len(d.Dispatchers), len(d.Tiers), len(d.Family.Roles), len(d.Classes))
+		len(d.Servers), len(d.Dispatchers), len(d.Tiers), len(d.Serving.Roles), len(d.Classes))
 }
 
-// fromMicroseconds converts a time of a day, rounded to milliseconds.
+// fromMicroseconds converts a time of a day to a duration, rounded to milliseconds.
 func fromMicroseconds(x int64) time.Duration {
 	return (time.Duration(x) * time.Microsecond).Round(time.Millisecond)
 }
 
-// unsupportedf records something that the script cannot represent.
+// unsupportedf records a part of the day that a script cannot represent.
 func (im *importer) unsupportedf(format string, args ...any) {
 	im.unsupported = append(im.unsupported, fmt.Sprintf(format, args...))
 }
@@ -108,8 +109,8 @@
 	day, s := im.day, im.script
 	s.Duration = fromMicroseconds(day.Length)
 	s.DiscoveryDelay = fromMicroseconds(day.Discovery.Delay)
-	s.ReleaseTime = fromMicroseconds(day.Family.ReleaseTime)
-	s.MaxAttempts = day.Allow.MaxAttempts
+	s.ReleaseTime = fromMicroseconds(day.Serving.ReleaseTime)
+	s.MaxAttempts = day.Limits.MaxAttempts
 	s.SlowStart = SlowStart{
 		InitialCapacity: 1,
 		OverloadFactor:  day.OverloadFactor,
@@ -121,10 +122,10 @@
 	}
 }
 
-// serverGroupKey identifies the servers of one kind and cell by their indexes.
+// serverGroupKey identifies the servers of one zone, cell and kind.
 type serverGroupKey struct{ zone, cell, kind int }
 
-// serverGroups returns the indexes of the servers that are up, by group, and the groups in order.
+// serverGroups returns the indexes of the servers that are up, by group, and the sorted groups.
 func (d *benchDay) serverGroups() (groups map[serverGroupKey][]int, order []serverGroupKey) {
 	groups = map[serverGroupKey][]int{}
 	for i, server := range d.Servers {
@@ -143,7 +144,7 @@
 	return groups, order
 }
 
-// importServers scales every group of servers down, to one server at least.
+// importServers scales every group of servers down, to at least one server.
 func (im *importer) importServers() {
 	scale := max(1, float64(len(im.day.Servers))/float64(im.maxServers))
 	promptTokens, answerTokens := im.day.meanTokens()
@@ -166,18 +167,18 @@
 	}
 }
 
-// meanTokens returns the mean tokens of a turn's prompt and of an answer.
+// meanTokens returns the mean number of tokens that a turn adds to the prompt, and of an answer.
 func (d *benchDay) meanTokens() (prompt, answer float64) {
-	for i, conversation := range d.Family.Conversations {
+	for i, conversation := range d.Serving.Conversations {
 		prompt += d.Classes[i].Share * conversation.TurnTokens
 		answer += d.Classes[i].Share * conversation.AnswerTokens
 	}
 	return prompt, answer
 }
 
-// serverGroup returns a group of servers without their count.
+// serverGroup returns the group of servers for a key, without its count.
 func (im *importer) serverGroup(key serverGroupKey, promptTokens, answerTokens float64) ServerGroup {
-	family := &im.day.Family
+	family := &im.day.Serving
 	kind, engine := im.day.Tiers[0].Kinds[key.kind], family.Engines[key.kind]
 	group := ServerGroup{
 		Role:         map[string]Role{"read": Prefill, "write": Decode, "both": Mixed}[family.Roles[key.kind]],
@@ -198,7 +199,7 @@
 	return group
 }
 
-// importDispatchers takes up to so many dispatchers, evenly spread over those of the day.
+// importDispatchers imports at most the given number of dispatchers, spread evenly over those of the day.
 func (im *importer) importDispatchers(limit int) {
 	all := im.day.Dispatchers
 	count := max(1, min(limit, len(all)))
@@ -213,7 +214,7 @@
 		im.shareSum += c.Share
 	}
 	for i := range im.day.Classes {
-		im.importClass(&im.day.Classes[i], &im.day.Family.Conversations[i])
+		im.importClass(&im.day.Classes[i], &im.day.Serving.Conversations[i])
 	}
 }
 
@@ -245,7 +246,7 @@
 		class.Idempotency = config.Idempotency(policy.NonIdempotent)
 	default:
 		class.Idempotency = config.Idempotency(policy.Idempotent)
-		im.unsupportedf("class %s: effect %q, played as idempotent", c.Name, c.Idempotency)
+		im.unsupportedf("class %s: effect %q is unknown, imported as idempotent", c.Name, c.Idempotency)
 	}
 	switch c.DedupScope {
 	case "zone":
@@ -256,22 +257,22 @@
 	im.script.Classes = append(im.script.Classes, class)
 }
 
-// importSessionRate sets the rate of sessions from the load of the day. Cached prefixes and the decode servers allow
-// about half of what the prefill servers could do.
+// importSessionRate sets the rate of sessions from the load of the day. It takes half of the prefill servers' rate as
+// the capacity of the fleet, which approximates the effect of cached prefixes and of the decode servers.
 func (im *importer) importSessionRate() {
 	turns := 0.0
 	for i, c := range im.day.Classes {
-		turns += c.Share / im.shareSum * im.day.Family.Conversations[i].Turns
+		turns += c.Share / im.shareSum * im.day.Serving.Conversations[i].Turns
 	}
 	im.script.SessionsPerSecond = math.Round(100*im.day.Traffic.Load*im.prefillRate/2/max(turns, 1)) / 100
 }
 
-// importFault adds a fault, or records that it is not supported.
+// importFault adds a fault to the script, or records that it is not supported.
 func (im *importer) importFault(f *benchFault) {
 	start := fromMicroseconds(f.Start)
 	imported, ok := importedFaults[f.Kind]
 	if !ok {
-		im.unsupportedf("fault %q at %v", f.Kind, start)
+		im.unsupportedf("fault %q at %v: kind is not supported", f.Kind, start)
 		return
 	}
 	fault := Fault{Kind: imported.kind, Start: start, Duration: fromMicroseconds(f.Duration)}
@@ -281,20 +282,20 @@
 	switch fault.Kind {
 	case FaultSilentClass:
 		if f.Index < 0 || f.Index >= len(im.day.Classes) {
-			im.unsupportedf("fault %q at %v: class %d, want 0 to %d", f.Kind, start, f.Index, len(im.day.Classes)-1)
+			im.unsupportedf("fault %q at %v: class index is %d, must be 0 to %d", f.Kind, start, f.Index, len(im.day.Classes)-1)
 			return
 		}
 		fault.Class = im.day.Classes[f.Index].Name
 	case FaultPartition:
 		if f.Index < 0 || f.Index >= len(im.day.Zones) {
-			im.unsupportedf("fault %q at %v: zone %d, want 0 to %d", f.Kind, start, f.Index, len(im.day.Zones)-1)
+			im.unsupportedf("fault %q at %v: zone index is %d, must be 0 to %d", f.Kind, start, f.Index, len(im.day.Zones)-1)
 			return
 		}
 		fault.Zone = im.day.Zones[f.Index]
 	case FaultDispatcherRestart:
 		im.importDispatcherFault(fault, f.Targets)
 		return
-	default: // the other kinds are described by their servers alone
+	default: // the other kinds need no index
 	}
 	if fault.hasNoServers() {
 		im.script.Faults = append(im.script.Faults, fault)
@@ -308,17 +309,17 @@
 	im.script.Faults = append(im.script.Faults, fault)
 }
 
-// hasNoServers reports whether the fault is not one of single servers.
+// hasNoServers reports whether the kind of fault does not name servers.
 func (f Fault) hasNoServers() bool {
 	return f.Kind == FaultBurst || f.Kind == FaultLongPrompts || f.Kind == FaultPartition
 }
 
-// permitsAllServers reports whether a fault that names no servers may affect all of them.
+// permitsAllServers reports whether a fault without named servers affects all servers.
 func (f Fault) permitsAllServers() bool {
 	return f.Kind == FaultSlowLinks || f.Kind == FaultLateReports || f.Kind == FaultPauses
 }
 
-// importDispatcherFault adds the fault once for each dispatcher of the script that stands for one of targets.
+// importDispatcherFault adds the fault once for each dispatcher of the script that represents one of the targets.
 func (im *importer) importDispatcherFault(fault Fault, targets []int) {
 	count := len(im.script.Dispatchers)
 	seen := map[int]bool{}
@@ -331,13 +332,14 @@
 	}
 }
 
-// importTargets returns the numbers of those servers that are in the script, or of one that stands for the first.
+// importTargets returns the numbers of the targets that are in the script. If the first is not, it is replaced by the
+// server that represents it.
 func (im *importer) importTargets(targets []int) []int {
 	var numbers []int
 	for _, i := range targets {
 		number := im.representative[i]
-		isPlayed := im.numbers[i] > 0
-		if number > 0 && !slices.Contains(numbers, number) && (isPlayed || len(numbers) == 0) {
+		isInScript := im.numbers[i] > 0
+		if number > 0 && !slices.Contains(numbers, number) && (isInScript || len(numbers) == 0) {
 			numbers = append(numbers, number)
 		}
 	}
--- a/internal/lab/scenario/inject.go
+++ b/internal/lab/scenario/inject.go
@@ -16,12 +16,12 @@
 type injection struct {
 	*Deployment
 	fault   Fault
-	servers []int       // indexes
+	servers []int       // indexes of the affected servers
 	mu      *sync.Mutex // shared by all injections, so that one changes the deployment at a time
 }
 
-// injectors are the methods that play the faults that are more than a change of what servers do. Each returns at the
-// end of the fault, or once the context is done.
+// injectors holds the methods that inject the faults which are neither a ServerChange nor a PeriodicChange. Each
+// returns at the end of the fault, or early once the context is done.
 var injectors = map[FaultKind]func(in *injection, ctx context.Context){
 	FaultCrash:             (*injection).crash,
 	FaultCellRestart:       (*injection).crash,
@@ -38,20 +38,20 @@
 	FaultDelay:             (*injection).delay,
 }
 
-// inject plays a fault from its begin to its end.
+// inject injects the fault and returns at its end.
 func (in *injection) inject(ctx context.Context) {
 	if change, ok := in.fault.ServerChange(); ok {
 		in.changeServers(ctx, change)
 	} else if change, ok := in.fault.PeriodicChange(); ok {
 		in.changePeriodically(ctx, change)
-	} else if play := injectors[in.fault.Kind]; play != nil {
-		play(in, ctx)
-	} else { // the clients play it
+	} else if injector := injectors[in.fault.Kind]; injector != nil {
+		injector(in, ctx)
+	} else { // implemented by the clients
 		sleep(ctx, in.fault.Duration)
 	}
 }
 
-// forEach calls f for each server of the fault.
+// forEach calls f for each server that the fault affects.
 func (in *injection) forEach(f func(i int, e *engine.Engine)) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
@@ -60,7 +60,7 @@
 	}
 }
 
-// forEachProxy calls f for each proxy to a server of the fault from those dispatchers that include selects.
+// forEachProxy calls f for each proxy between an affected server and a dispatcher that include selects.
 func (in *injection) forEachProxy(include func(dispatcher int) bool, f func(p *faultproxy.Proxy)) {
 	in.forEach(func(i int, _ *engine.Engine) {
 		for n := range in.proxies {
@@ -83,14 +83,14 @@
 	in.forEach(func(i int, _ *engine.Engine) { in.restartServer(i) })
 }
 
-// logReachability logs for each server of the fault that it cannot be reached, or can be again.
+// logReachability logs for each affected server that it has become unreachable, or reachable again.
 func (in *injection) logReachability(note string) {
 	in.forEach(func(_ int, e *engine.Engine) {
 		in.Log.Add(eventlog.Entry{Kind: eventlog.FaultChanged, Note: note, Server: e.Spec.ID})
 	})
 }
 
-// setPartitioned makes the servers unreachable for the selected dispatchers, or reachable again.
+// setPartitioned makes the servers unreachable or reachable for the dispatchers that include selects.
 func (in *injection) setPartitioned(partitioned bool, include func(dispatcher int) bool) {
 	note := eventlog.NoteReconnected
 	if partitioned {
@@ -169,7 +169,7 @@
 	in.setPartitioned(false, inOtherZone)
 }
 
-// drain lets two thirds of the fault pass before the servers crash.
+// drain lists the servers as draining, and crashes them after two thirds of the fault.
 func (in *injection) drain(ctx context.Context) {
 	in.forEach(func(i int, e *engine.Engine) {
 		in.health[e.Spec.ID] = pb.Health_HEALTH_DRAINING
@@ -225,7 +225,7 @@
 	in.forEachProxy(allDispatchers, func(p *faultproxy.Proxy) { p.SetDelay(0) })
 }
 
-// sleep waits for a time. It returns false at once if the context is done.
+// sleep waits for a time. It returns false early if the context is done.
 func sleep(ctx context.Context, t time.Duration) bool {
 	if t <= 0 {
 		return ctx.Err() == nil
@@ -238,4 +238,5 @@
 	}
 }
 
+// ceil rounds up to an integer.
 func ceil(x float64) int { return int(math.Ceil(x)) }
--- a/internal/lab/scenario/parse.go
+++ b/internal/lab/scenario/parse.go
@@ -8,7 +8,7 @@
 	"docksail/internal/config"
 )
 
-// reportFunc reports that the value at a path of a script is invalid.
+// reportFunc reports an invalid value at a path of a script.
 type reportFunc func(path, format string, args ...any)
 
 // Load reads a script from a file.
@@ -20,7 +20,7 @@
 	return Parse(name, text)
 }
 
-// Parse parses and validates a script. Errors name the file as name.
+// Parse parses and validates a script. name is the name of the file in errors.
 func Parse(name string, text []byte) (*Script, error) {
 	s := &Script{Seed: 1, ReleaseTime: time.Second, MaxAttempts: 5}
 	err := config.Decode(name, text, s, func(report func(path, format string, args ...any)) { s.validate(report) })
@@ -37,7 +37,7 @@
 		s.Servers[i].validate(fmt.Sprintf("fleet[%d]", i), report)
 	}
 	if len(s.Dispatchers) == 0 || len(s.Classes) == 0 || s.Duration <= 0 {
-		report("dispatchers", "want one dispatcher, one class and some time at least")
+		report("dispatchers", "script must have at least one dispatcher, at least one class and a duration above 0")
 	}
 	servers, dispatchers := len(s.EngineSpecs()), s.dispatcherCount()
 	for i := range s.Faults {
@@ -47,35 +47,35 @@
 
 func (g *ServerGroup) validate(path string, report reportFunc) {
 	if g.Role == "" {
-		report(path+".role", "is empty, want prefill, decode or mixed")
+		report(path+".role", "is empty, must be prefill, decode or mixed")
 	}
 	if g.Count < 1 || g.Slots < 1 || g.RequestsPerSecond <= 0 {
-		report(path, "want count, slots and requests_per_second above 0")
+		report(path, "count, slots and requests_per_second must be above 0")
 	}
 	if g.Role != Decode && g.PrefillRate <= 0 {
-		report(path+".reads_per_second", "is %v, want more than 0 for a server that does prefill", g.PrefillRate)
+		report(path+".reads_per_second", "is %v, must be above 0 for a server that prefills", g.PrefillRate)
 	}
 	if g.Role != Prefill && g.TokenGap <= 0 {
-		report(path+".token_gap", "is %v, want more than 0 for a server that decodes", g.TokenGap)
+		report(path+".token_gap", "is %v, must be above 0 for a server that decodes", g.TokenGap)
 	}
 }
 
-// validate checks a fault of a scenario with so many servers and dispatchers.
+// validate reports invalid values of a fault in a script with the given numbers of servers and dispatchers.
 func (f *Fault) validate(path string, servers, dispatchers int, report reportFunc) {
 	if _, ok := faultKinds[f.Kind]; !ok {
-		report(path+".kind", "%q, want one of %v", f.Kind, FaultKinds())
+		report(path+".kind", "is %q, must be one of %v", f.Kind, FaultKinds())
 	}
 	for _, number := range f.Servers {
 		if number < 1 || number > servers {
-			report(path+".servers", "%d, want 1 to %d", number, servers)
+			report(path+".servers", "is %d, must be 1 to %d", number, servers)
 		}
 	}
 	if f.Dispatcher < 0 || f.Dispatcher >= dispatchers {
-		report(path+".dispatcher", "%d, want 0 to %d", f.Dispatcher, dispatchers-1)
+		report(path+".dispatcher", "is %d, must be 0 to %d", f.Dispatcher, dispatchers-1)
 	}
 }
 
-// dispatcherCount returns how many dispatchers the script describes.
+// dispatcherCount returns the number of dispatchers that the script describes.
 func (s *Script) dispatcherCount() int {
 	count := 0
 	for _, d := range s.Dispatchers {
@@ -84,7 +84,7 @@
 	return count
 }
 
-// expandDispatchers replaces dispatchers with a count by so many single ones.
+// expandDispatchers replaces each dispatcher with a count by that number of single dispatchers.
 func (s *Script) expandDispatchers() {
 	var all []Dispatcher
 	for _, d := range s.Dispatchers {
--- a/internal/lab/scenario/report.go
+++ b/internal/lab/scenario/report.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	maxPrintedAdmissionCounts = 8 // if there are more, Print prints their sum
+	maxPrintedAdmissionCounts = 8 // above it, Print prints only the sum
 	maxPrintedViolations      = 20
 )
 
--- a/internal/lab/scenario/run.go
+++ b/internal/lab/scenario/run.go
@@ -13,13 +13,13 @@
 	"docksail/internal/lab/userclient"
 )
 
-// ReleaseMargin is how much longer than the script's release time a run lasts after its last request, so that all KV
-// states should be released at its end.
+// ReleaseMargin is how long a run waits after its last request in addition to the script's release time, so that all
+// KV states must have been released at its end.
 const ReleaseMargin = 300 * time.Millisecond
 
 const defaultConnsPerDispatcher = 2
 
-// Run plays the script to its end, waits until the KV states should be released, and checks the invariants.
+// Run runs the script to its end, waits until all KV states must have been released, and checks the invariants.
 func (d *Deployment) Run(ctx context.Context) (*Report, error) {
 	begin := time.Now()
 	ctx, cancel := context.WithCancel(ctx)
@@ -43,7 +43,7 @@
 	return report, nil
 }
 
-// scheduleFaults starts a goroutine for each fault, which ends with the fault or the context.
+// scheduleFaults starts a goroutine for each fault, which returns at the end of the fault or once ctx is done.
 func (d *Deployment) scheduleFaults(ctx context.Context, running *sync.WaitGroup, begin time.Time) {
 	random := rand.New(rand.NewPCG(uint64(d.Script.Seed), 2))
 	specs := d.Script.EngineSpecs()
@@ -79,7 +79,7 @@
 	}
 }
 
-// admissionCounts returns the counts of the admission queues, by dispatcher that runs and by tenant.
+// admissionCounts returns the counts of the admission queues of all running dispatchers, by dispatcher and tenant.
 func (d *Deployment) admissionCounts() []admission.TenantCounts {
 	var counts []admission.TenantCounts
 	for n := range d.dispatchers {
@@ -94,7 +94,7 @@
 	return counts
 }
 
-// Evaluate counts the attempts in the entries of the report and checks the invariants on them.
+// Evaluate counts the attempts in the entries of the report and checks the invariants on the entries.
 func (r *Report) Evaluate(s *Script) {
 	r.Violations = invariants.Check(r.Entries, s.InvariantLimits())
 	for i := range r.Entries {
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -1,6 +1,6 @@
 // Package scenario runs scripted scenarios in real time: real dispatchers on loopback with simulated model servers,
-// discovery servers, fault proxies and clients, and faults that begin and end by the script. The invariants are
-// checked on what passed on the connections.
+// discovery servers, fault proxies and clients, and faults that the script schedules. It checks the invariants on an
+// event log of what passed on the connections.
 package scenario
 
 import (
@@ -24,10 +24,10 @@
 	Classes           []Class       `json:"classes" was:"tracks" need:"a list of classes"`
 	Faults            []Fault       `json:"troubles"`
 	ReportNoise       float64       `json:"report_noise"`
-	BatchModel        bool          `json:"batching"` // servers run the batch model
+	BatchModel        bool          `json:"batching"` // whether servers run the batch model
 	MaxAttempts       int64         `json:"attempts" was:"launches"`
-	FIFO              bool          `json:"first_come"`                          // admission in order of arrival
-	MaxWaiting        int           `json:"requests_waiting" was:"jobs_waiting"` // admission queue; 0 = default
+	FIFO              bool          `json:"first_come"`                          // admits in order of arrival
+	MaxWaiting        int           `json:"requests_waiting" was:"jobs_waiting"` // in the admission queue; 0 = default
 	MaxConnections    int           `json:"connections"`                         // of clients; 0 = default
 	MaxMemoryBytes    int           `json:"memory_bytes"`                        // load is shed above it; 0 = no limit
 }
@@ -35,15 +35,15 @@
 // Duration is a duration that scripts write as text, such as "1.5s".
 type Duration = time.Duration
 
-// SlowStart describes how much load servers can take after their start, and when they are overloaded.
+// SlowStart describes the capacity of servers after their start, and when they are overloaded.
 type SlowStart struct {
-	InitialCapacity float64  `json:"from"` // share of the full capacity
+	InitialCapacity float64  `json:"from"` // share of the full capacity at the start
 	WarmupTime      Duration `json:"warm_after"`
 	OverloadFactor  float64  `json:"overload_factor" was:"topples_at"`
 	OverloadWindow  Duration `json:"overload_window" was:"topples_over"`
 }
 
-// ServerGroup describes a number of equal servers.
+// ServerGroup describes a number of identical servers.
 type ServerGroup struct {
 	Count             int      `json:"count" need:"how many"`
 	Role              Role     `json:"role" need:"prefill, decode or mixed"`
@@ -58,13 +58,13 @@
 	TransferRate      float64  `json:"moves_per_second"` // tokens of KV state a second
 }
 
-// Dispatcher describes a dispatcher, or several of one zone.
+// Dispatcher describes one or several dispatchers of a zone.
 type Dispatcher struct {
 	Zone  string `json:"zone"`
-	Count int    `json:"count"` // 0 = one; Parse spells them out
+	Count int    `json:"count"` // 0 = one; Parse replaces it by single entries
 }
 
-// Class describes a class of requests: the dispatchers' configuration of it, and the behavior of its clients.
+// Class describes a class of requests: its configuration at dispatchers and the behavior of its clients.
 type Class struct {
 	Name                 string             `json:"name" need:"a name"`
 	Share                float64            `json:"share" need:"its share of the sessions"`
@@ -86,16 +86,16 @@
 	MaxRetries           int                `json:"retries"`
 	CancelShare          float64            `json:"leave"`
 	IdleTime             Duration           `json:"idle"`
-	ClientCount          int                `json:"clients"`         // with a name of their own; 0 = unnamed
-	IgnoresRetryAfter    bool               `json:"no_advice"`       // clients retry at once
-	NewClientPerSession  bool               `json:"made_up"`         // clients use a new name for each session
-	Background           bool               `json:"background"`      // requests use what others leave
-	ConnsPerDispatcher   int                `json:"connections"`     // of clients to each dispatcher; 0 = default
+	ClientCount          int                `json:"clients"`         // number of client names; 0 = unnamed clients
+	IgnoresRetryAfter    bool               `json:"no_advice"`       // whether clients retry at once
+	NewClientPerSession  bool               `json:"made_up"`         // whether each session has a new client name
+	Background           bool               `json:"background"`      // whether requests use only spare capacity
+	ConnsPerDispatcher   int                `json:"connections"`     // from clients to each dispatcher; 0 = default
 	Weight               float64            `json:"weight"`          // of the tenant
 	MaxRequestsPerSecond float64            `json:"most_per_second"` // of the tenant
 }
 
-// Role is the role of a server in a script; the empty Role of a fault stands for any.
+// Role is the role of a server in a script. The empty Role of a fault matches any role.
 type Role string
 
 // The roles of servers.
@@ -105,19 +105,19 @@
 	Mixed   Role = "mixed" // prefill and decode
 )
 
-// WireRoles maps roles to their values on the wire.
+// WireRoles maps roles to their values in the protocol.
 var WireRoles = map[Role]pb.Role{Prefill: pb.Role_ROLE_READER, Decode: pb.Role_ROLE_WRITER, Mixed: pb.Role_ROLE_MIXED}
 
-// UnmarshalText sets the role from its name; the empty text is permitted.
+// UnmarshalText sets the role from its name or the empty text.
 func (r *Role) UnmarshalText(text []byte) error {
 	if _, ok := WireRoles[Role(text)]; !ok && len(text) > 0 {
-		return fmt.Errorf("%q, want prefill, decode or mixed", text)
+		return fmt.Errorf("is %q, must be prefill, decode or mixed", text)
 	}
 	*r = Role(text)
 	return nil
 }
 
-// FormerNames returns the names of roles that scripts of former releases use, with their present names.
+// FormerNames maps the names of roles in scripts of earlier releases to the current names.
 func (*Role) FormerNames() map[string]string {
 	return map[string]string{"reader": "prefill", "writer": "decode"}
 }
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -10,7 +10,8 @@
 	"testing"
 )
 
-func TestScripts(t *testing.T) {
+// TestScriptsEncodeAndParse checks that the scripts of testdata are the same after Encode and Parse.
+func TestScriptsEncodeAndParse(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.json")
 	if err != nil || len(files) == 0 {
 		t.Fatalf("%v, %v", files, err)
@@ -34,17 +35,18 @@
 	}
 }
 
+// TestScriptErrors checks that errors of Parse name the invalid field, its value and what is permitted.
 func TestScriptErrors(t *testing.T) {
 	text, err := os.ReadFile("testdata/badday.json")
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []struct{ from, to, want string }{
-		{`"kind": "hang"`, `"kind": "hung"`, `troubles[1].kind: "hung", want one of [ageing `},
-		{`"servers": [11]`, `"servers": [15]`, `troubles[1].servers: 15, want 1 to 14`},
-		{`"dispatcher": 1}`, `"dispatcher": 3}`, `dispatcher: 3, want 0 to 2`},
-		{`"role": "mixed"`, `"role": "both"`, `fleet[2].role: "both", want prefill, decode or mixed`},
-		{`"role": "mixed"`, `"role": ""`, `fleet[2].role: is empty, want prefill, decode or mixed`},
+		{`"kind": "hang"`, `"kind": "hung"`, `troubles[1].kind: is "hung", must be one of [ageing `},
+		{`"servers": [11]`, `"servers": [15]`, `troubles[1].servers: is 15, must be 1 to 14`},
+		{`"dispatcher": 1}`, `"dispatcher": 3}`, `dispatcher: is 3, must be 0 to 2`},
+		{`"role": "mixed"`, `"role": "both"`, `fleet[2].role: is "both", must be prefill, decode or mixed`},
+		{`"role": "mixed"`, `"role": ""`, `fleet[2].role: is empty, must be prefill, decode or mixed`},
 		{`"for": "46s"`, `"for": 46`, `for: want a text, not 46`},
 	} {
 		if !strings.Contains(string(text), c.from) {
@@ -57,7 +59,7 @@
 	}
 }
 
-// benchText is a small two-stage day with a kind of fault that scripts do not have.
+// benchText is a small day with a prefill and a decode stage, and with a kind of fault that scripts do not support.
 const benchText = `{"length": 20000000, "zones": ["x", "y"], "traffic": {"load": 0.5},
   "clients": {"retries": 1}, "discovery": {"notice": 500000},
  "allow": {"max_attempts": 4}, "fall_multiple": 2, "fall_for": 1000000,
@@ -82,13 +84,14 @@
   "talks": [{"aim_ms_per_k": 60, "max_out": 300, "new_tokens": 400, "out_tokens": 100, "prefix_tokens": 2000,
   "turns": 2}]}}`
 
+// TestImport checks the import of a day, and that Parse reads the encoded script.
 func TestImport(t *testing.T) {
 	s, unsupported, err := Import([]byte(benchText), 6, 2)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if len(unsupported) != 1 || !strings.Contains(unsupported[0], "locusts") {
-		t.Errorf("unsupported: %v, want the locusts alone", unsupported)
+		t.Errorf("unsupported: %v, want only the fault locusts", unsupported)
 	}
 	var kinds []FaultKind
 	for _, fault := range s.Faults {
@@ -122,18 +125,18 @@
 	}
 }
 
-// TestKnownKinds checks that every fault kind which Import uses is one of scripts.
-func TestKnownKinds(t *testing.T) {
+// TestImportedFaultKindsExist checks that every kind of fault that Import creates exists.
+func TestImportedFaultKindsExist(t *testing.T) {
 	for name, imported := range importedFaults {
 		if _, ok := faultKinds[imported.kind]; !ok {
-			t.Errorf("%s is imported as unknown kind %q", name, imported.kind)
+			t.Errorf("%s is imported as kind %q, which does not exist", name, imported.kind)
 		}
 	}
 }
 
-// TestEveryFaultIsPlayed checks that every kind of fault is a change of servers, has an injector, or is played by the
-// clients.
-func TestEveryFaultIsPlayed(t *testing.T) {
+// TestEveryFaultIsInjected checks that every kind of fault is a change of servers, has an injector, or is implemented
+// by the clients.
+func TestEveryFaultIsInjected(t *testing.T) {
 	playedByClients := []FaultKind{FaultBurst, FaultLongPrompts}
 	for _, kind := range FaultKinds() {
 		_, isChange := Fault{Kind: kind}.ServerChange()
@@ -145,11 +148,12 @@
 			}
 		}
 		if count != 1 {
-			t.Errorf("fault %q is played in %d ways, want 1", kind, count)
+			t.Errorf("fault %q is implemented in %d ways, want 1", kind, count)
 		}
 	}
 }
 
+// TestTargets checks which servers a fault affects.
 func TestTargets(t *testing.T) {
 	script := Demo() // two prefill servers and two decode servers in zone a
 	specs := script.EngineSpecs()
