--- a/internal/lab/invariants/invariants.go
+++ b/internal/lab/invariants/invariants.go
@@ -1,4 +1,4 @@
-// Package invariants checks the five invariants of a dispatcher against an event log of what both ends of its
+// Package invariants checks the five invariants of a dispatcher on an event log of what both ends of its
 // connections observed. It uses no information from the dispatcher itself.
 package invariants
 
@@ -13,28 +13,28 @@
 	"docksail/policy"
 )
 
-// Rule is the number of an invariant. The zero Rule marks a fault that no invariant covers.
+// Rule is the number of an invariant. The zero Rule marks a violation that no invariant covers.
 type Rule int
 
 const (
-	// RuleFinalAnswer requires that every request gets exactly one final answer, in time, and that no attempt of it is
-	// sent after that.
+	// RuleFinalAnswer requires that every request gets exactly one final answer in time, and that no attempt of it is
+	// sent after the answer.
 	RuleFinalAnswer Rule = 1
-	// RuleNoDuplicates requires that a request has one attempt at a time, and that one that may have run is repeated
-	// only where its idempotency permits it.
+	// RuleNoDuplicates requires that a request has at most one attempt in flight, and that a request that may have run
+	// is retried only where its idempotency permits it.
 	RuleNoDuplicates Rule = 2
-	// RuleDrain requires that no attempt is sent to a server that drains or is gone.
+	// RuleDrain requires that no attempt is sent to a server that is draining or gone.
 	RuleDrain Rule = 3
 	// RuleSlowStart requires that no server in slow start is overloaded.
 	RuleSlowStart Rule = 4
-	// RuleRelease requires that no KV state is held for long while its request has no attempt in flight.
+	// RuleRelease requires that no KV state is held beyond the release time while its request has no attempt in flight.
 	RuleRelease Rule = 5
 )
 
 // String returns the number of the rule.
 func (r Rule) String() string { return strconv.Itoa(int(r)) }
 
-// Class describes the idempotency of a class of requests.
+// Class holds the idempotency and deduplication of a class of requests.
 type Class struct {
 	Idempotency policy.Idempotency
 	DedupScope  policy.DedupScope
@@ -48,9 +48,9 @@
 type Limits struct {
 	Classes     map[string]Class
 	Servers     map[int]Server
-	ReleaseTime time.Duration // within which a KV state without an attempt has to be released
-	DrainGrace  time.Duration // for which attempts may follow the notice that a server drains
-	Tolerance   time.Duration // for events that cross on the wire, and for a busy machine
+	ReleaseTime time.Duration // within which a KV state must be released without an attempt
+	DrainGrace  time.Duration // from the notification that a server drains to the last permitted attempt
+	Tolerance   time.Duration // for events that cross on the wire, and for delays on a busy machine
 }
 
 // Violation is one violation of an invariant.
@@ -60,9 +60,10 @@
 	Message string
 }
 
+// String returns the rule and the message.
 func (v Violation) String() string { return fmt.Sprintf("rule %v: %s", v.Rule, v.Message) }
 
-// Check returns all violations in entries, which must be sorted by time. It sorts the violations by time.
+// Check returns all violations in entries, sorted by time. The entries must be sorted by time.
 func Check(entries []eventlog.Entry, limits Limits) []Violation {
 	c := newChecker(limits)
 	for i := range entries {
@@ -75,8 +76,8 @@
 	for _, request := range c.requestOrder {
 		attempts := c.attempts[request]
 		slices.SortStableFunc(attempts, func(a, b *attempt) int { return cmp.Compare(a.sentAt, b.sentAt) })
-		c.checkOneAtATime(request, attempts)
-		c.checkRepeats(request, attempts)
+		c.checkSingleInFlight(request, attempts)
+		c.checkRetries(request, attempts)
 	}
 	c.checkStartedOnce()
 	c.checkHeldStates()
@@ -84,8 +85,10 @@
 	return c.violations
 }
 
+// milliseconds returns a time in nanoseconds as a duration, rounded to milliseconds.
 func milliseconds(nanos int64) time.Duration { return time.Duration(nanos).Round(time.Millisecond) }
 
+// idempotencyName returns the name of an idempotency in violations.
 func idempotencyName(e policy.Idempotency) string {
 	switch e {
 	case policy.Idempotent:
--- a/internal/lab/invariants/invariants_test.go
+++ b/internal/lab/invariants/invariants_test.go
@@ -26,7 +26,7 @@
 	ReleaseTime: 500 * time.Millisecond, DrainGrace: 500 * time.Millisecond, Tolerance: 50 * time.Millisecond,
 }
 
-// at returns the entry with its times moved to the given millisecond of the test.
+// at returns the entry with the given time, and with its deadline converted from milliseconds of the test.
 func at(ms int64, e eventlog.Entry) eventlog.Entry {
 	e.At = epoch + ms*millisecond
 	if e.Deadline != 0 {
@@ -67,7 +67,7 @@
 	return at(ms, eventlog.Entry{Kind: eventlog.EndpointNotified, Server: 1, Dispatcher: dispatcher, Note: health})
 }
 
-// stateHeld is at the time at which the attempts of the tests end their prefill.
+// stateHeld returns the entry of a state held from millisecond 10, when the prefills of the tests end.
 func stateHeld() eventlog.Entry {
 	return at(10, eventlog.Entry{Kind: eventlog.StateHeld, Request: "j", Server: 1})
 }
@@ -80,6 +80,7 @@
 	return at(ms, eventlog.Entry{Kind: eventlog.FaultChanged, Note: note, Server: 1})
 }
 
+// TestCheck checks that each kind of violation is found by its rule, and permitted events violate none.
 func TestCheck(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -93,40 +94,40 @@
 			attemptSent(3, 1, 2, eventlog.NoteDecode),
 			attemptEnded(9, 1, 2, "OK", "status"), answered(10, "non-idempotent", "OK"),
 		}, 0},
-		{"never ended", []eventlog.Entry{requestSent("idempotent")}, 1},
-		{"ended twice", []eventlog.Entry{
+		{"without an outcome", []eventlog.Entry{requestSent("idempotent")}, 1},
+		{"answered twice", []eventlog.Entry{
 			requestSent("idempotent"),
 			answered(5, "idempotent", "OK"),
 			answered(6, "idempotent", "Unavailable"),
 		}, 1},
-		{"ended with an undefined status", []eventlog.Entry{
+		{"answered with a status that is not permitted", []eventlog.Entry{
 			requestSent("idempotent"),
 			answered(5, "idempotent", "Internal"),
 		}, 1},
-		{"rejected too late", []eventlog.Entry{
+		{"rejected after its deadline", []eventlog.Entry{
 			requestSent("idempotent"),
 			answered(5100, "idempotent", "Unavailable"),
 		}, 1},
-		{"rejected at the last moment", []eventlog.Entry{
+		{"rejected at its deadline", []eventlog.Entry{
 			requestSent("idempotent"),
 			answered(5000, "idempotent", "Unavailable"),
 		}, 0},
 		{"unanswered", []eventlog.Entry{requestSent("idempotent"), unanswered(9, "DeadlineExceeded")}, 1},
-		{"unanswered, as its dispatcher was killed", []eventlog.Entry{
+		{"unanswered because its dispatcher was killed", []eventlog.Entry{
 			requestSent("idempotent"), at(8, eventlog.Entry{Kind: eventlog.DispatcherStopped}),
 			unanswered(9, "lost"),
 		}, 0},
-		{"sent after its end", []eventlog.Entry{
+		{"sent after its answer", []eventlog.Entry{
 			requestSent("idempotent"),
 			answered(5, "idempotent", "Unavailable"),
 			attemptSent(100, 0, 1, eventlog.NotePrefill),
 		}, 1},
-		{"an answer to no request", []eventlog.Entry{answered(5, "idempotent", "OK")}, 1},
+		{"an answer without a request", []eventlog.Entry{answered(5, "idempotent", "OK")}, 1},
 		{"two attempts in flight", []eventlog.Entry{
 			attemptSent(1, 0, 1, eventlog.NotePrefill),
 			attemptSent(200, 1, 2, eventlog.NotePrefill),
 		}, 2},
-		{"an attempt that crosses with the end of the one before", []eventlog.Entry{
+		{"an attempt that crosses with the end of the previous one", []eventlog.Entry{
 			attemptSent(1, 0, 1, eventlog.NotePrefill),
 			attemptSent(100, 1, 2, eventlog.NotePrefill),
 			attemptEnded(120, 0, 1, "", "reset by the dispatcher"),
@@ -161,13 +162,13 @@
 			attemptEnded(5, 0, 1, "Internal", "status"),
 			answered(10, "non-idempotent", "Unavailable"),
 		}, 2},
-		{"non-idempotent, failed as it may have run", []eventlog.Entry{
+		{"non-idempotent, failed because it may have run", []eventlog.Entry{
 			requestSent("non-idempotent"),
 			attemptSent(1, 0, 1, eventlog.NoteDecode),
 			attemptEnded(5, 0, 1, "Internal", "status"),
 			answered(10, "non-idempotent", "Aborted"),
 		}, 0},
-		{"non-idempotent, ran twice over two tries", []eventlog.Entry{
+		{"non-idempotent, ran twice in two attempts of the client", []eventlog.Entry{
 			answerStarted(1, "non-idempotent", 1),
 			answerStarted(2, "non-idempotent", 2),
 		}, 2},
@@ -203,7 +204,7 @@
 			attemptSent(600, 0, 1, eventlog.NotePrefill),
 			attemptEnded(601, 0, 1, "OK", "status"),
 		}, 3},
-		{"sent within the grace", []eventlog.Entry{
+		{"sent within the drain grace", []eventlog.Entry{
 			notified(0, 0, "HEALTH_DRAINING"),
 			attemptSent(400, 0, 1, eventlog.NotePrefill),
 			attemptEnded(401, 0, 1, "OK", "status"),
--- a/internal/lab/invariants/record.go
+++ b/internal/lab/invariants/record.go
@@ -7,10 +7,10 @@
 	"docksail/internal/lab/eventlog"
 )
 
-// notEnded is the end of an interval that has not ended.
+// notEnded is the end time of an interval or attempt that has not ended.
 const notEnded = int64(1) << 62
 
-// healthServing is the Note of an EndpointNotified entry of a server that takes requests.
+// healthServing is the Note of an EndpointNotified entry of a server that accepts requests.
 const healthServing = "HEALTH_SERVING"
 
 // attempt is one attempt of a request at a server.
@@ -23,16 +23,16 @@
 	note     string
 }
 
-// isKnownNotRun reports whether the attempt is known to have had no effect.
+// isKnownNotRun reports whether the attempt certainly had no effect.
 func (a *attempt) isKnownNotRun() bool {
 	return !a.isDecode || a.code == codeResourceExhausted || a.code == codeFailedPrecondition ||
 		a.note == eventlog.NoteRefused
 }
 
-// clientAttempt is one attempt of a client at a request, and its outcome.
+// clientAttempt is one attempt of a client to get an answer to a request, and its outcome.
 type clientAttempt struct {
 	sent         eventlog.Entry
-	request      string // the dispatcher's identifier of it
+	request      string // the dispatcher's identifier of the request
 	outcome      *eventlog.Entry
 	outcomeCount int
 }
@@ -53,7 +53,7 @@
 	noticeKey struct{ dispatcher, server int }
 )
 
-// checker collects the entries of a run by subject and checks the rules on them.
+// checker collects the entries of a run and checks the rules on them. Times are Unix nanoseconds.
 type checker struct {
 	limits     Limits
 	tolerance  int64
@@ -66,10 +66,10 @@
 	clientAttemptOrder     []string
 	clientAttemptByRequest map[string]*clientAttempt   // by request
 	startedAnswers         map[string][]eventlog.Entry // by request label
-	drainNotices           map[noticeKey]int64         // when a dispatcher learned that a server drains or is gone
-	heldSince              map[stateKey]int64          // of states not released yet
+	drainNotices           map[noticeKey]int64         // when a dispatcher was notified that a server drains or is gone
+	heldSince              map[stateKey]int64          // of states that are still held
 	heldStates             []heldState
-	downtimes              []interval // of dispatchers
+	downtimes              []interval // of all dispatchers
 	downSince              map[int]int64
 	partitions             map[int][]interval // by server
 	partitionedSince       map[int]int64
@@ -97,7 +97,7 @@
 	c.violations = append(c.violations, Violation{rule, at, fmt.Sprintf(format, args...)})
 }
 
-// record adds one entry. Entries must be added in order of time.
+// record adds one entry. Entries must be recorded in order of time.
 func (c *checker) record(e *eventlog.Entry) {
 	switch e.Kind {
 	case eventlog.DispatcherStopped:
@@ -126,7 +126,7 @@
 		c.startedAnswers[e.RequestLabel] = append(c.startedAnswers[e.RequestLabel], *e)
 	case eventlog.FaultChanged:
 		c.recordPartition(e)
-	case eventlog.FirstToken, eventlog.ServerStarted, eventlog.ServerLoad: // no rule depends on them
+	case eventlog.FirstToken, eventlog.ServerStarted, eventlog.ServerLoad: // not used by any rule
 	}
 }
 
@@ -158,7 +158,7 @@
 func (c *checker) recordOutcome(e *eventlog.Entry) {
 	t := c.clientAttempts[clientAttemptKey(e)]
 	if t == nil {
-		c.addViolation(RuleFinalAnswer, e.At, "an answer to %s, which was not sent", e.RequestLabel)
+		c.addViolation(RuleFinalAnswer, e.At, "%s got an answer but was never sent", e.RequestLabel)
 		return
 	}
 	t.outcomeCount++
@@ -169,7 +169,7 @@
 	}
 }
 
-// recordAttempt adds an attempt and checks RuleDrain on it.
+// recordAttempt records an attempt and checks RuleDrain on it.
 func (c *checker) recordAttempt(e *eventlog.Entry) {
 	a := &attempt{server: e.Server, isDecode: e.Note == eventlog.NoteDecode, sentAt: e.At, endedAt: notEnded}
 	if c.attempts[e.Request] == nil {
@@ -180,7 +180,7 @@
 	noticedAt, ok := c.drainNotices[noticeKey{e.Dispatcher, e.Server}]
 	if ok && e.At > noticedAt+int64(c.limits.DrainGrace)+c.tolerance {
 		c.addViolation(RuleDrain, e.At,
-			"request %s was sent to server %d %v after dispatcher %d was notified that it drains or is gone",
+			"request %s was sent to server %d %v after dispatcher %d was notified that the server drains or is gone",
 			e.Request, e.Server, milliseconds(e.At-noticedAt), e.Dispatcher)
 	}
 }
@@ -204,7 +204,7 @@
 	}
 }
 
-// closeOpenIntervals ends the intervals that are open at the end of a run.
+// closeOpenIntervals closes the intervals that are still open at the end of a run.
 func (c *checker) closeOpenIntervals(entries []eventlog.Entry) {
 	end := notEnded
 	if n := len(entries); n > 0 {
@@ -221,7 +221,7 @@
 	}
 }
 
-// overlaps reports whether one of the intervals overlaps the one from from to to, within the tolerance.
+// overlaps reports whether one of the intervals overlaps with the interval between from and to, within the tolerance.
 func (c *checker) overlaps(intervals []interval, from, to int64) bool {
 	return slices.ContainsFunc(intervals, func(i interval) bool {
 		return i.from <= to+c.tolerance && i.to >= from-c.tolerance
--- a/internal/lab/invariants/release.go
+++ b/internal/lab/invariants/release.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// heldState is a KV state that a server held.
+// heldState is the time for which a server held a KV state.
 type heldState struct {
 	request      string
 	server       int
@@ -13,7 +13,8 @@
 	releaseCause string
 }
 
-// checkHeldStates checks RuleRelease. It skips states whose release a stopped dispatcher or a partition delayed.
+// checkHeldStates checks RuleRelease. It skips states that were held while a dispatcher was stopped or the server was
+// partitioned, which may delay the release.
 func (c *checker) checkHeldStates() {
 	slices.SortFunc(c.heldStates, func(a, b heldState) int { return cmp.Compare(a.from, b.from) })
 	for _, s := range c.heldStates {
