--- a/internal/lab/simulation/attempt.go
+++ b/internal/lab/simulation/attempt.go
@@ -31,42 +31,42 @@
 	headerStatusDetails   = "grpc-status-details-bin"
 )
 
-// attempt is one attempt of a client at a request.
+// attempt is one attempt of a client to get an answer to a request.
 type attempt struct {
 	session           *session
 	conn              *grpcConn
 	stream            *h2.Stream // nil while it is not open
 	entry             eventlog.Entry
 	deadline          int64 // Unix nanoseconds
-	callTimeout       int64
+	callTimeout       int64 // nanoseconds
 	callTimer         eventloop.Timer
 	cancelAfterTokens int // 0 = never
 	hasReservation    bool
 
-	requestID     string // by which the dispatcher knows the request
+	requestID     string // the dispatcher's identifier of the request
 	firstTokenAt  eventloop.Nanos
 	tokenCount    int
-	tokenInterval int64 // mean
-	isCorrupt     bool  // the answer has wrong tokens
+	tokenInterval int64 // mean, nanoseconds
+	isCorrupt     bool  // whether the answer has wrong or missing tokens
 	isDone        bool
 }
 
-// outcome is how an attempt ended.
+// outcome is the result of an attempt.
 type outcome struct {
 	code             codes.Code
-	isFinal          bool // the dispatcher answered
+	isFinal          bool // whether the dispatcher answered
 	isConnectionLost bool
 	isCanceled       bool // by the client
 	retryAfter       int64
 	reservation      string
 }
 
-// isRejection reports whether the dispatcher answered that the request was not executed.
+// isRejection reports whether the dispatcher answered that it did not execute the request.
 func (o *outcome) isRejection() bool {
 	return o.isFinal && (o.code == codes.Unavailable || o.code == codes.ResourceExhausted)
 }
 
-// send sends the attempt on a connection, once that is open. The connection is nil if the dispatcher cannot be dialed.
+// send sends the attempt on a connection as soon as that is open. The connection is nil if dialing it failed.
 func (a *attempt) send(c *grpcConn) {
 	a.conn = c
 	if c == nil {
@@ -82,6 +82,7 @@
 	}
 }
 
+// openStream sends the request on a new stream of the open connection.
 func (a *attempt) openStream() {
 	s := a.session
 	var headers []hpack.HeaderField
@@ -117,13 +118,14 @@
 	}
 }
 
-// timeOut ends an attempt whose call takes too long.
+// timeOut ends the attempt after the timeout of its call.
 func (a *attempt) timeOut() {
 	a.resetStream()
 	a.logEvent(eventlog.RequestUnanswered, "DeadlineExceeded: the client's own clock")
 	a.finish(outcome{code: codes.DeadlineExceeded})
 }
 
+// cancelByClient ends the attempt because its client cancels it.
 func (a *attempt) cancelByClient() {
 	if a.isDone {
 		return
@@ -133,7 +135,7 @@
 	a.finish(outcome{code: codes.Canceled, isCanceled: true})
 }
 
-// loseConnection ends an attempt whose stream or connection ended without an answer.
+// loseConnection ends the attempt after its stream or connection has ended without an answer.
 func (a *attempt) loseConnection(reason string) {
 	if a.isDone {
 		return
@@ -142,8 +144,8 @@
 	a.finish(outcome{code: codes.Unavailable, isConnectionLost: true})
 }
 
-// receive checks the tokens of a message.
-func (a *attempt) receive(message []byte) {
+// receiveTokens checks the tokens of a received message.
+func (a *attempt) receiveTokens(message []byte) {
 	var tokens pb.Tokens
 	if proto.Unmarshal(message, &tokens) != nil {
 		a.isCorrupt = true
@@ -164,22 +166,23 @@
 	}
 }
 
-// endWithStatus ends an attempt by the status of its stream.
+// endWithStatus ends the attempt with the status of its stream.
 func (a *attempt) endWithStatus(code codes.Code, message string, trailer *h2.Header) {
 	pushback := trailer.Get(headerRetryPushback)
 	switch {
 	case code == codes.OK:
-		a.endComplete()
+		a.endWithAnswer()
 	case pushback != "":
 		a.logEvent(eventlog.RequestAnswered, code.String())
-		a.finish(a.refusal(code, pushback, trailer))
+		a.finish(a.refusedOutcome(code, pushback, trailer))
 	default:
 		a.logEvent(eventlog.RequestUnanswered, code.String()+": "+message)
 		a.finish(outcome{code: code})
 	}
 }
 
-func (a *attempt) endComplete() {
+// endWithAnswer ends an attempt whose stream ended with status OK.
+func (a *attempt) endWithAnswer() {
 	if a.tokenCount != engine.AnswerTokens(a.session.request) {
 		a.isCorrupt = true
 	}
@@ -194,8 +197,9 @@
 	a.finish(outcome{code: codes.OK, isFinal: true})
 }
 
-// refusal returns the outcome of a request that the dispatcher rejected or failed, with its advice on retries.
-func (a *attempt) refusal(code codes.Code, pushback string, trailer *h2.Header) outcome {
+// refusedOutcome returns the outcome of a request that the dispatcher rejected or failed, with the retry delay and the
+// reservation that it returned.
+func (a *attempt) refusedOutcome(code codes.Code, pushback string, trailer *h2.Header) outcome {
 	milliseconds, _ := strconv.ParseInt(pushback, 10, 64)
 	o := outcome{code: code, isFinal: true, retryAfter: milliseconds * int64(time.Millisecond)}
 	if milliseconds >= 0 {
@@ -207,7 +211,7 @@
 	return o
 }
 
-// finish ends the attempt.
+// finish ends the attempt with an outcome.
 func (a *attempt) finish(o outcome) {
 	a.isDone = true
 	a.session.group.loop.CancelTimer(&a.callTimer)
@@ -230,9 +234,9 @@
 	return 0
 }
 
-// clientConnHandler passes what happens on a client's connection to the attempts on it.
+// clientConnHandler passes the events of a client's connection to the attempts on it.
 type clientConnHandler struct {
-	pendingAttempts []*attempt // until the connection is open
+	pendingAttempts []*attempt // to be sent once the connection is open
 }
 
 func (h *clientConnHandler) opened(*grpcConn) {
@@ -263,7 +267,7 @@
 
 func (h *clientConnHandler) message(_ *grpcConn, s *h2.Stream, p []byte) {
 	if a, ok := s.UserData.(*attempt); ok {
-		a.receive(p)
+		a.receiveTokens(p)
 	}
 }
 
--- a/internal/lab/simulation/call.go
+++ b/internal/lab/simulation/call.go
@@ -27,22 +27,22 @@
 	trailerLoadReport = "endpoint-load-metrics-bin"
 )
 
-// call is a call of a dispatcher at a model server.
+// call is a gRPC call of a dispatcher to a model server.
 type call struct {
 	conn         *grpcConn
 	stream       *h2.Stream // nil once the call has ended
 	path         string
 	attempt      pb.Launch
 	requestID    string
-	arrivedAt    eventloop.Nanos // 0 until its message is complete
-	id           batchmodel.ID   // 0 until the model has it
+	arrivedAt    eventloop.Nanos // when its message was received; 0 = not yet
+	id           batchmodel.ID   // 0 = not enqueued
 	transfer     batchmodel.TransferID
-	unsentTokens []int // held back while the server leaves the class unanswered
-	hasStarted   bool  // its first token was sent
-	isComplete   bool  // the model has computed the complete answer
+	unsentTokens []int // positions of tokens that a fault holds back
+	hasStarted   bool  // whether its first token was sent
+	isComplete   bool  // whether the model has computed the whole answer
 }
 
-// requestID returns the identifier of a request in event logs.
+// requestID returns the identifier of a dispatcher's request in event logs.
 func requestID(dispatcher, request uint64) string {
 	return strconv.FormatUint(dispatcher, 16) + "." + strconv.FormatUint(request, 16)
 }
@@ -94,7 +94,7 @@
 	}
 }
 
-// handleRelease releases the state of a request and answers the call.
+// handleRelease releases the state of a request, cancels its prefills and answers the call.
 func (m *modelServer) handleRelease(c *call, p []byte) {
 	var release pb.ReleaseRequest
 	if proto.Unmarshal(p, &release) == nil {
@@ -108,7 +108,7 @@
 	m.endCall(c, codes.OK, "")
 }
 
-// enqueue gives a call to the model, or ends it if the queue is full.
+// enqueue enqueues a call in the model, or ends it if the model rejects it. It sets aside calls of a silenced class.
 func (m *modelServer) enqueue(c *call) {
 	req := c.attempt.Request
 	if m.isSilenced(req.GetTrack()) {
@@ -136,7 +136,7 @@
 	}
 }
 
-// flushTokens sends the tokens of a call that are not held back, and its end.
+// flushTokens sends the tokens of a call that no fault holds back, and ends a complete call.
 func (m *modelServer) flushTokens(c *call) {
 	req := c.attempt.Request
 	if m.isSilenced(req.GetTrack()) {
@@ -176,7 +176,7 @@
 	c.conn.flush()
 }
 
-// loadReport returns the trailer with the server's load; it is empty until the first report is due.
+// loadReport returns the trailer with the server's load. It is empty until the first report is due.
 func (m *modelServer) loadReport() []hpack.HeaderField {
 	now := m.sim.network.Now()
 	queuedTokens := float64(m.model.QueuedPromptTokens())
@@ -199,12 +199,12 @@
 		},
 	})
 	if err != nil {
-		panic(err) // the message has no strings that could be invalid
+		panic(err) // the message has no invalid strings
 	}
 	return []hpack.HeaderField{{Name: trailerLoadReport, Value: base64.RawStdEncoding.EncodeToString(text)}}
 }
 
-// removeCall takes a call out of the model. The state of a prefill stays if the server holds it.
+// removeCall removes a call from the server and the model, except for the state of a prefill that the server holds.
 func (m *modelServer) removeCall(c *call) {
 	if c.stream != nil {
 		c.stream.UserData, c.stream = nil, nil
@@ -222,8 +222,8 @@
 	}
 }
 
-// cancelPrefills ends the prefills of a request up to an attempt. Its dispatcher has given them up, though their
-// connection does not show it.
+// cancelPrefills ends the prefills of a request up to an attempt. The dispatcher has abandoned them, although their
+// streams may still be open.
 func (m *modelServer) cancelPrefills(request string, maxAttempt uint32) {
 	isObsolete := func(c *call) bool {
 		return c.path == pathPrefill && c.requestID == request && c.attempt.Shot <= maxAttempt
--- a/internal/lab/simulation/clientgroup.go
+++ b/internal/lab/simulation/clientgroup.go
@@ -16,17 +16,17 @@
 	defaultConnsPerDispatcher = 2
 	connectTimeout            = int64(200 * time.Millisecond)
 
-	// zeroRateStep and maxArrivalStep bound how far the next arrival is drawn at the present rate of sessions.
+	// zeroRateStep and maxArrivalStep limit the steps to the next arrival, so that changes of the rate take effect.
 	zeroRateStep   = 10 * time.Millisecond
 	maxArrivalStep = 200 * time.Millisecond
 )
 
-// clientGroup are the clients of one class, on one simulated loop. They behave like those of package userclient.
+// clientGroup holds the clients of one class, on one simulated loop. They behave like those of package userclient.
 type clientGroup struct {
 	sim          *Simulation
 	class        userclient.Class
 	loop         *eventloop.Loop
-	conns        [][]*grpcConn // by dispatcher
+	conns        [][]*grpcConn // by dispatcher, then by number
 	summary      *userclient.Summary
 	nextConn     int
 	openSessions int
@@ -42,8 +42,8 @@
 
 func (g *clientGroup) now() eventloop.Nanos { return g.loop.ReadClock() }
 
-// conn returns a connection to a dispatcher, dialed anew if the former one cannot be used. It returns nil if the
-// dispatcher cannot be dialed.
+// conn returns connection i to a dispatcher. It dials a new one if the existing one cannot be used, and returns nil if
+// that fails.
 func (g *clientGroup) conn(dispatcher, i int) *grpcConn {
 	c := g.conns[dispatcher][i]
 	if c != nil && !c.isClosed && (!c.isOpen || c.http2.CanOpenStream()) {
@@ -60,7 +60,7 @@
 	return c
 }
 
-// startSession starts a session with its first turn.
+// startSession starts the first turn of a new session.
 func (g *clientGroup) startSession(index, promptFactor int, random *rand.Rand) {
 	class := &g.class
 	s := &session{group: g, index: index, random: random, promptFactor: promptFactor}
@@ -81,7 +81,7 @@
 	s.startTurn()
 }
 
-// clientName returns the name of the client of a session; empty if it has none.
+// clientName returns the client name of a session, or the empty string for unnamed clients.
 func (g *clientGroup) clientName(session int) string {
 	switch {
 	case g.class.NewClientPerRequest:
@@ -93,7 +93,7 @@
 	}
 }
 
-// arrivals schedules the sessions of a script at random times.
+// arrivals schedules the starts of sessions at random times.
 type arrivals struct {
 	sim          *Simulation
 	random       *rand.Rand
@@ -102,7 +102,7 @@
 	count        int
 }
 
-// scheduleSessions has the sessions of the script arrive.
+// scheduleSessions schedules the first session of the script.
 func (s *Simulation) scheduleSessions() {
 	a := &arrivals{
 		sim: s, random: rand.New(rand.NewPCG(uint64(s.Script.Seed), 1)), promptFactor: s.Script.PromptFactors(),
@@ -110,7 +110,7 @@
 	a.scheduleNext()
 }
 
-// scheduleNext schedules the next session, if there is one, which then schedules the one after it.
+// scheduleNext schedules the next session, unless the load has ended. Each session schedules the one after it.
 func (a *arrivals) scheduleNext() {
 	if !a.advance() {
 		return
@@ -126,7 +126,7 @@
 	})
 }
 
-// advance draws the time of the next arrival. It returns false if that is after the end of the load.
+// advance draws the time of the next arrival. It returns false if that is not before the end of the load.
 func (a *arrivals) advance() bool {
 	for {
 		rate := a.sim.Script.SessionRate(a.at)
@@ -144,7 +144,7 @@
 	}
 }
 
-// drawGroup draws the group of a session by the shares of the classes.
+// drawGroup draws the client group of a session by the shares of the classes.
 func (a *arrivals) drawGroup() *clientGroup {
 	x := a.random.Float64()
 	for _, group := range a.sim.clientGroups {
--- a/internal/lab/simulation/conn.go
+++ b/internal/lab/simulation/conn.go
@@ -8,8 +8,8 @@
 	"docksail/internal/h2"
 )
 
-// grpcConn is one end of a gRPC connection of a simulated server or client. It passes what happens on its streams to
-// its handler.
+// grpcConn is one end of a gRPC connection of a simulated server or client. It passes its events and those of its
+// streams to its handler.
 type grpcConn struct {
 	loop      *eventloop.Loop
 	transport *eventloop.Conn
@@ -19,7 +19,7 @@
 	isClosed  bool
 }
 
-// connHandler receives the events of connections and their streams.
+// connHandler handles the events of connections and their streams.
 type connHandler interface {
 	opened(c *grpcConn)
 	headers(c *grpcConn, s *h2.Stream, h *h2.Header)
@@ -36,7 +36,7 @@
 	return c
 }
 
-// flush writes pending output, and closes the connection after a protocol error.
+// flush writes pending output and closes the connection after a protocol error.
 func (c *grpcConn) flush() {
 	if c.isClosed || !c.isOpen {
 		return
@@ -56,19 +56,19 @@
 	c.flush()
 }
 
-// Received passes what arrived to HTTP/2.
+// Received passes received bytes to HTTP/2.
 func (c *grpcConn) Received(now eventloop.Nanos, p []byte) {
-	_ = c.http2.Feed(now, p) // flush acts on the error, which the connection keeps
+	_ = c.http2.Feed(now, p) // flush handles the error, which the connection stores
 	c.flush()
 }
 
 // PeerHalfClosed closes the connection.
 func (c *grpcConn) PeerHalfClosed(eventloop.Nanos) { c.transport.Close() }
 
-// OutputFlushed does nothing: simulated peers have no flow control of their own.
+// OutputFlushed does nothing: simulated peers do not limit their output.
 func (c *grpcConn) OutputFlushed(eventloop.Nanos) {}
 
-// Closed ends all streams.
+// Closed ends all streams and tells the handler.
 func (c *grpcConn) Closed(eventloop.Nanos, error) {
 	c.isClosed = true
 	c.http2.TransportClosed()
@@ -78,27 +78,27 @@
 // HeadersReceived implements h2.Handler, as do the methods below.
 func (c *grpcConn) HeadersReceived(s *h2.Stream, h *h2.Header) { c.handler.headers(c, s, h) }
 
-// MessageReceived passes a message on.
+// MessageReceived passes a message to the handler.
 func (c *grpcConn) MessageReceived(s *h2.Stream, p []byte) bool {
 	c.handler.message(c, s, p)
 	return false
 }
 
-// RequestEnded does nothing: requests are of one message.
+// RequestEnded does nothing: requests consist of one message.
 func (c *grpcConn) RequestEnded(*h2.Stream) {}
 
-// StreamFinished passes the end of a stream on.
+// StreamFinished passes the end of a stream to the handler.
 func (c *grpcConn) StreamFinished(s *h2.Stream, code codes.Code, message string, trailer *h2.Header) {
 	c.handler.finished(s, code, message, trailer)
 }
 
-// StreamReset passes a reset on.
+// StreamReset passes the reset of a stream to the handler.
 func (c *grpcConn) StreamReset(s *h2.Stream, _ http2.ErrCode, _ bool) { c.handler.reset(s) }
 
 // StreamFlushed does nothing.
 func (c *grpcConn) StreamFlushed(*h2.Stream) {}
 
-// GoAwayReceived does nothing: clients ask CanOpenStream before they use a connection again.
+// GoAwayReceived does nothing: clients call CanOpenStream before they reuse a connection.
 func (c *grpcConn) GoAwayReceived() {}
 
 // PingAcked does nothing.
--- a/internal/lab/simulation/discoveryserver.go
+++ b/internal/lab/simulation/discoveryserver.go
@@ -12,14 +12,14 @@
 	"docksail/internal/lab/eventlog"
 )
 
-// discoveryServer sends one dispatcher the list of servers and, after a delay, its changes.
+// discoveryServer sends the endpoint list and, after a delay, its changes to one dispatcher.
 type discoveryServer struct {
 	sim        *Simulation
 	dispatcher int
 	addr       netip.AddrPort
-	loop       *eventloop.Loop // nil while it does not run
+	loop       *eventloop.Loop // nil while it is stopped
 	version    uint64
-	endpoints  []*pb.Host // by number
+	endpoints  []*pb.Host // by server number minus 1
 	watchers   map[*grpcConn]*h2.Stream
 }
 
@@ -41,7 +41,7 @@
 	}
 }
 
-// set publishes the state of a server after a delay, whether or not the discovery server runs in between.
+// set publishes the state of a server after a delay. If the discovery server is stopped then, later watches get it.
 func (d *discoveryServer) set(endpoint *pb.Host, delay eventloop.Nanos) {
 	d.sim.scheduleAfter(delay, func() {
 		d.endpoints[endpoint.Id-1] = endpoint
@@ -53,7 +53,7 @@
 	})
 }
 
-// notifyWatchers sends an event on all watch streams. There is one, except while the dispatcher reconnects.
+// notifyWatchers sends an event on all watches: one, except while the dispatcher reconnects.
 func (d *discoveryServer) notifyWatchers(event *pb.FleetNews) {
 	for _, c := range sortedKeysBy(d.watchers, func(c *grpcConn) uint64 { return c.transport.SimulatedID() }) {
 		d.send(c, d.watchers[c], event)
@@ -71,7 +71,7 @@
 	}
 }
 
-// message starts a watch with the complete list.
+// message starts a watch and sends the complete list on it.
 func (d *discoveryServer) message(c *grpcConn, s *h2.Stream, _ []byte) {
 	d.watchers[c] = s
 	d.send(c, s, &pb.FleetNews{Version: d.version, Full: true, Hosts: d.endpoints})
@@ -90,7 +90,7 @@
 func (d *discoveryServer) headers(*grpcConn, *h2.Stream, *h2.Header)           {}
 func (d *discoveryServer) finished(*h2.Stream, codes.Code, string, *h2.Header) {}
 
-// mustMarshal encodes a message. It panics if the message is invalid, which is a fault of this package.
+// mustMarshal encodes a message. It panics if the message is invalid, which is a bug of this package.
 func mustMarshal(m proto.Message) []byte {
 	text, err := proto.Marshal(m)
 	if err != nil {
--- a/internal/lab/simulation/dispatcher.go
+++ b/internal/lab/simulation/dispatcher.go
@@ -17,11 +17,11 @@
 	addr         netip.AddrPort
 	config       *config.Dispatcher
 	loop         *eventloop.Loop
-	core         *dispatch.Dispatcher // nil while it does not run
+	core         *dispatch.Dispatcher // nil while it is stopped
 	incarnations uint64
 }
 
-// startDispatcher starts a dispatcher unless it runs.
+// startDispatcher starts a dispatcher unless it is running.
 func (s *Simulation) startDispatcher(d *dispatcher) error {
 	if d.core != nil {
 		return nil
@@ -46,12 +46,12 @@
 	}
 	d.core = core
 	d.loop.SetOnIteration(core.RunIteration)
-	d.loop.Post(func() {}) // has the loop run once
+	d.loop.Post(func() {}) // triggers the first iteration of the loop
 	s.Log.Add(eventlog.Entry{Kind: eventlog.DispatcherStarted, Dispatcher: d.index})
 	return nil
 }
 
-// killDispatcher stops a dispatcher at once if it runs.
+// killDispatcher stops a dispatcher at once if it is running.
 func (s *Simulation) killDispatcher(d *dispatcher) {
 	if d.core == nil {
 		return
--- a/internal/lab/simulation/inject.go
+++ b/internal/lab/simulation/inject.go
@@ -13,12 +13,12 @@
 type injection struct {
 	*Simulation
 	fault    scenario.Fault
-	duration int64 // of the fault, in nanoseconds
-	servers  []*modelServer
+	duration int64          // of the fault, in nanoseconds
+	servers  []*modelServer // affected servers
 }
 
-// injectors are the methods that play the faults that are more than a change of what servers do. Each schedules the
-// rest of the fault.
+// injectors holds the methods that inject the faults which are neither a ServerChange nor a PeriodicChange. Each
+// starts the fault and schedules the rest of it.
 var injectors = map[scenario.FaultKind]func(in *injection){
 	scenario.FaultCrash:             (*injection).crash,
 	scenario.FaultCellRestart:       (*injection).crash,
@@ -56,26 +56,26 @@
 	s.Log.Add(eventlog.Entry{Kind: eventlog.FaultChanged, Code: string(fault.Kind), Note: note})
 }
 
-// inject begins the fault and schedules the rest of it. Kinds without an injector are played by the clients.
+// inject starts the fault and schedules the rest of it. Kinds without an injector are implemented by the clients.
 func (in *injection) inject() {
 	if change, ok := in.fault.ServerChange(); ok {
 		in.setFaults(change.Begin)
 		in.scheduleAfter(in.duration, func() { in.setFaults(change.End) })
 	} else if change, ok := in.fault.PeriodicChange(); ok {
 		in.changePeriodically(change)
-	} else if play := injectors[in.fault.Kind]; play != nil {
-		play(in)
+	} else if injector := injectors[in.fault.Kind]; injector != nil {
+		injector(in)
 	}
 }
 
-// forEach calls f for each server of the fault.
+// forEach calls f for each server that the fault affects.
 func (in *injection) forEach(f func(m *modelServer)) {
 	for _, m := range in.servers {
 		f(m)
 	}
 }
 
-// forEachRunning calls f for each server of the fault that runs.
+// forEachRunning calls f for each running server that the fault affects.
 func (in *injection) forEachRunning(f func(m *modelServer)) {
 	for _, m := range in.servers {
 		if m.loop != nil {
@@ -91,29 +91,29 @@
 func (in *injection) crashServers()   { in.forEach(in.crashServer) }
 func (in *injection) restartServers() { in.forEach(in.restartServer) }
 
-// crashServer stops a server at once and publishes that it is gone.
+// crashServer kills a server and publishes that it is gone.
 func (s *Simulation) crashServer(m *modelServer) {
 	m.crash()
 	s.publishHealth(m, pb.Health_HEALTH_GONE)
 }
 
-// restartServer starts a server, in slow start, unless it runs.
+// restartServer starts a server, in slow start, unless it is running.
 func (s *Simulation) restartServer(m *modelServer) {
 	if m.loop != nil {
 		return
 	}
 	if err := m.start(0); err != nil {
-		panic(err) // it was started with the same specification before
+		panic(err) // it has run with the same specification before
 	}
 	s.publishHealth(m, pb.Health_HEALTH_SERVING)
 }
 
-// logReachability logs that a server cannot be reached, or can be again.
+// logReachability logs that a server has become unreachable, or reachable again.
 func (s *Simulation) logReachability(m *modelServer, note string) {
 	s.Log.Add(eventlog.Entry{Kind: eventlog.FaultChanged, Note: note, Server: m.spec.ID})
 }
 
-// setPartitioned makes the servers unreachable for the selected dispatchers, or reachable again.
+// setPartitioned makes the servers unreachable or reachable for the dispatchers that include selects.
 func (in *injection) setPartitioned(partitioned bool, include func(d *dispatcher) bool) {
 	note := eventlog.NoteReconnected
 	if partitioned {
@@ -151,13 +151,13 @@
 func (in *injection) vanish() {
 	in.setPartitioned(true, func(*dispatcher) bool { return true })
 	in.scheduleAfter(in.duration, func() {
-		in.forEach(in.endVanished)
+		in.forEach(in.crashUnreachable)
 		in.restartServers()
 	})
 }
 
-// endVanished crashes a server that was unreachable. From then on its machine resets connections to it.
-func (in *injection) endVanished(m *modelServer) {
+// crashUnreachable crashes an unreachable server and reconnects its machine, which resets connections from then on.
+func (in *injection) crashUnreachable(m *modelServer) {
 	former := m.loop
 	m.crash()
 	for _, d := range in.dispatchers {
@@ -189,7 +189,7 @@
 	in.scheduleAfter(in.duration, func() { in.setPartitioned(false, inOtherZone) })
 }
 
-// drain lets two thirds of the fault pass before the servers crash.
+// drain lists the servers as draining, and crashes them after two thirds of the fault.
 func (in *injection) drain() {
 	in.forEach(func(m *modelServer) { in.publishHealth(m, pb.Health_HEALTH_DRAINING) })
 	in.scheduleAfter(in.duration*2/3, in.crashServers)
@@ -201,7 +201,7 @@
 	in.killDispatcher(d)
 	in.scheduleAfter(in.duration, func() {
 		if err := in.startDispatcher(d); err != nil {
-			panic(err) // it was started with the same configuration before
+			panic(err) // it has run with the same configuration before
 		}
 	})
 }
@@ -213,7 +213,7 @@
 	in.scheduleAfter(in.duration, func() {
 		for _, discovery := range in.discoveryServers {
 			if err := discovery.start(); err != nil {
-				panic(err) // it served on the same address before
+				panic(err) // it has served on the same address before
 			}
 		}
 	})
--- a/internal/lab/simulation/kvstate.go
+++ b/internal/lab/simulation/kvstate.go
@@ -10,7 +10,7 @@
 	"docksail/internal/lab/eventlog"
 )
 
-// heldState is the KV state of a request that a model server holds after a prefill.
+// heldState is the KV state that a model server holds for a request after its prefill.
 type heldState struct {
 	attempt uint32
 	tokens  int
@@ -18,7 +18,7 @@
 	expiry  eventloop.Timer
 }
 
-// holdState holds the state of a prefill until it is fetched, released or expired, and answers the call.
+// holdState holds the state of a prefill until it is fetched, is released or expires, and answers the call.
 func (m *modelServer) holdState(c *call, prefillTokens int) {
 	req := c.attempt.Request
 	if m.states[c.requestID] != nil {
@@ -41,7 +41,7 @@
 	m.endCall(c, codes.OK, "")
 }
 
-// releaseState frees the memory of a held state, if there is one.
+// releaseState frees the memory of the state that the server holds for a request, if any.
 func (m *modelServer) releaseState(request, cause string) {
 	state := m.states[request]
 	if state == nil {
@@ -56,17 +56,17 @@
 	m.loop.Post(m.beginStep)
 }
 
-// stateFetch is the fetch of a held state by the call that needs it. It fails if either process ends.
+// stateFetch is the fetch of a held state for a decode call. It fails if one of the two processes ends.
 type stateFetch struct {
 	call       *call
 	target     *modelServer
-	targetLoop *eventloop.Loop // of the process that started the fetch
+	targetLoop *eventloop.Loop // of the process that fetches
 	source     *modelServer
 	sourceLoop *eventloop.Loop // of the process that holds the state
 	state      *heldState
 }
 
-// fetchState fetches the state of a call's request from the server that holds it.
+// fetchState fetches the state for a call from the server that holds it.
 func (m *modelServer) fetchState(c *call) {
 	f := &stateFetch{call: c, target: m, targetLoop: m.loop, source: m.sim.serversByAddr[c.attempt.StateAddress]}
 	if f.source == nil || f.source.loop == nil {
@@ -78,12 +78,12 @@
 	m.loop.SetTimer(&eventloop.Timer{}, arrival, func(eventloop.Nanos) { f.startTransfer() })
 }
 
-// fail ends the call because its state cannot be fetched.
+// fail ends the call because the state cannot be fetched.
 func (f *stateFetch) fail(reason string) {
 	f.targetLoop.Post(func() { f.target.endCall(f.call, codes.FailedPrecondition, "no state: "+reason) })
 }
 
-// startTransfer starts the transfer once the request for it has reached the source.
+// startTransfer starts the transfer after the fetch has reached the source.
 func (f *stateFetch) startTransfer() {
 	if f.call.stream == nil {
 		return
@@ -102,7 +102,7 @@
 	})
 }
 
-// complete releases the state at the source, which waits while the source is paused, and goes on with the call.
+// complete releases the state at the source, as soon as that is not paused, and continues the call.
 func (f *stateFetch) complete() {
 	switch {
 	case f.call.stream == nil:
--- a/internal/lab/simulation/modelserver.go
+++ b/internal/lab/simulation/modelserver.go
@@ -12,7 +12,7 @@
 	"docksail/internal/lab/eventlog"
 )
 
-// modelServer is a server of the batch model on a simulated loop.
+// modelServer runs the batch model of a server on a simulated loop.
 type modelServer struct {
 	sim    *Simulation
 	spec   engine.Spec
@@ -20,24 +20,24 @@
 	random *rand.Rand
 	faults engine.Faults
 
-	// The present process.
-	loop           *eventloop.Loop // nil while it does not run
+	// State of the current process.
+	loop           *eventloop.Loop // nil while it is stopped
 	startedAt      eventloop.Nanos
 	model          *batchmodel.Server
 	reporter       *batchmodel.Reporter
 	lastID         batchmodel.ID
 	calls          map[batchmodel.ID]*call
-	silencedCalls  []*call               // of a class that the server leaves unanswered
+	silencedCalls  []*call               // of the class that a fault leaves unanswered
 	states         map[string]*heldState // by request
 	isOverloaded   bool
 	recentArrivals []eventloop.Nanos // within the overload window, in slow start
 	stepTimer      eventloop.Timer
-	onStep         func(eventloop.Nanos) // endStep
+	onStep         func(eventloop.Nanos) // endStep as a value, allocated once
 	inStep         bool
 	events         []batchmodel.Event // of the last step
 }
 
-// start starts a process that has run for the given time.
+// start starts a process that appears to have run for the given time.
 func (m *modelServer) start(uptime eventloop.Nanos) error {
 	var err error
 	m.model, err = batchmodel.NewServer(m.spec.BatchShape(), int(m.spec.MemoryTokens), engine.BlockTokens)
@@ -61,7 +61,7 @@
 	return err
 }
 
-// crash ends the process at once.
+// crash ends the process at once, with all states that it holds.
 func (m *modelServer) crash() {
 	if m.loop == nil {
 		return
@@ -75,7 +75,7 @@
 	m.loop, m.states, m.calls = nil, map[string]*heldState{}, map[batchmodel.ID]*call{}
 }
 
-// setFaults changes what the server does wrong, and resumes what the former faults held back.
+// setFaults changes the active faults of the server and resumes the work that previous faults held back.
 func (m *modelServer) setFaults(change func(f *engine.Faults)) {
 	change(&m.faults)
 	if m.loop == nil {
@@ -97,15 +97,15 @@
 	})
 }
 
-// isPaused reports whether the server does no work now.
+// isPaused reports whether a fault stops the work of the server.
 func (m *modelServer) isPaused() bool { return m.faults.Hanging || m.faults.Paused }
 
-// isSilenced reports whether the server leaves requests of a class unanswered.
+// isSilenced reports whether a fault leaves the requests of a class unanswered.
 func (m *modelServer) isSilenced(class string) bool {
 	return m.faults.SilentClass != "" && m.faults.SilentClass == class
 }
 
-// capacityShare returns the share of its capacity that the server has in slow start, and 1 after it.
+// capacityShare returns the share of its full capacity that the server has in slow start, and 1 after that.
 func (m *modelServer) capacityShare() float64 {
 	s := &m.spec
 	if s.InitialCapacity <= 0 || s.InitialCapacity >= 1 || s.WarmupTime <= 0 {
@@ -115,10 +115,10 @@
 	return min(1, s.InitialCapacity+(1-s.InitialCapacity)*uptime/float64(s.WarmupTime))
 }
 
-// requestCount returns how many requests the server has, queued and running.
+// requestCount returns the number of queued and running requests.
 func (m *modelServer) requestCount() int { return m.model.Queued() + m.model.Running() }
 
-// beginStep begins a step of the model unless one is running or there is no work.
+// beginStep begins a step of the model unless one is running, the server is paused or there is no work.
 func (m *modelServer) beginStep() {
 	if m.inStep || m.loop == nil || m.isPaused() {
 		return
@@ -132,7 +132,7 @@
 	}
 }
 
-// endStep ends a step and begins the next. While the server is paused, it checks again later.
+// endStep ends a step and begins the next. While the server is paused, it tries again after an interval.
 func (m *modelServer) endStep(now eventloop.Nanos) {
 	if m.isPaused() {
 		m.loop.SetTimer(&m.stepTimer, now+int64(engine.PauseCheckInterval), m.onStep)
@@ -144,7 +144,7 @@
 	m.beginStep()
 }
 
-// handleEvents acts on the events of the last step.
+// handleEvents handles the events of the last step.
 func (m *modelServer) handleEvents() {
 	for _, event := range m.events {
 		c := m.calls[event.ID]
@@ -163,12 +163,12 @@
 		case batchmodel.AnswerDone:
 			c.isComplete = true
 			m.flushTokens(c)
-		case batchmodel.Preempted: // the model computes it anew
+		case batchmodel.Preempted: // the model computes the request again
 		}
 	}
 }
 
-// addToken sends a token of an answer, or ends the call if its first token is too late.
+// addToken sends a token of an answer, or ends the call if its first token exceeds the start limit.
 func (m *modelServer) addToken(c *call, token int) {
 	limit := int64(c.attempt.BeginWithinNs)
 	if limit > 0 && !c.hasStarted && m.loop.Now()-c.arrivedAt > limit {
@@ -179,9 +179,9 @@
 	m.flushTokens(c)
 }
 
-// admit returns the status with which a new call is refused, or codes.OK.
+// admit returns codes.OK for a new call, or the status and message with which the server refuses it.
 func (m *modelServer) admit(now eventloop.Nanos) (codes.Code, string) {
-	if m.isOverloaded || m.overload(now) {
+	if m.isOverloaded || m.checkOverload(now) {
 		return codes.Internal, "fallen over"
 	}
 	switch {
@@ -193,8 +193,8 @@
 	return codes.OK, ""
 }
 
-// overload counts a new call in slow start and reports whether the server fails by it.
-func (m *modelServer) overload(now eventloop.Nanos) bool {
+// checkOverload counts a new call in slow start and reports whether it overloads the server, which fails from then on.
+func (m *modelServer) checkOverload(now eventloop.Nanos) bool {
 	s := &m.spec
 	share := m.capacityShare()
 	if share >= 1 || s.OverloadFactor <= 0 {
--- a/internal/lab/simulation/run.go
+++ b/internal/lab/simulation/run.go
@@ -10,22 +10,22 @@
 )
 
 const (
-	runStep = int64(time.Second) // after which a run looks whether it is done or canceled
+	runStep = int64(time.Second) // simulated time between checks for the end or the cancellation of a run
 
-	// maxDrainTime is how long after the load a run ends at the latest. A client that waits for longer violates an
-	// invariant.
+	// maxDrainTime is the longest time from the end of the load to the end of a run. A client that waits for longer
+	// violates an invariant.
 	maxDrainTime = int64(10 * time.Minute)
 )
 
 // Report is the outcome of a simulated run.
 type Report struct {
 	scenario.Report
-	LoopIterations uint64 // of all loops
+	LoopIterations uint64 // sum over all loops
 	Simulated      time.Duration
 }
 
-// Run plays the script to its end, waits until all sessions have ended and the KV states should be released, and
-// checks the invariants. It ends early with the error of the context.
+// Run runs the script to its end, waits until all sessions have ended and all KV states must have been released, and
+// checks the invariants. If the context is done, it returns early with the error of the context.
 func (s *Simulation) Run(ctx context.Context) (*Report, error) {
 	begin := time.Now()
 	for _, d := range s.dispatchers {
@@ -62,7 +62,7 @@
 	return nil
 }
 
-// scriptDuration returns the time after which the load and all faults of the script have ended.
+// scriptDuration returns the time from the start of the load to the end of the load and of all faults.
 func (s *Simulation) scriptDuration() time.Duration {
 	duration := s.Script.Duration
 	for _, f := range s.Script.Faults {
@@ -101,7 +101,7 @@
 	return report
 }
 
-// recordServerLoads logs the load of all servers that run, and again after each SampleInterval.
+// recordServerLoads logs the load of all running servers, now and after each SampleInterval.
 func (s *Simulation) recordServerLoads() {
 	for _, server := range s.servers {
 		if server.loop == nil {
--- a/internal/lab/simulation/session.go
+++ b/internal/lab/simulation/session.go
@@ -13,33 +13,33 @@
 )
 
 const (
-	reconnectDelay     = int64(50 * time.Millisecond)  // before a retry at another dispatcher after a lost connection
-	decodeTimePerToken = int64(200 * time.Millisecond) // that a client allows
-	retryJitter        = 0.2                           // share by which a retry without a reservation is delayed at random
+	reconnectDelay     = int64(50 * time.Millisecond)  // before a retry at another dispatcher after a connection loss
+	decodeTimePerToken = int64(200 * time.Millisecond) // per token, in the timeout of a call
+	retryJitter        = 0.2                           // maximum share by which the delay of a retry is extended
 )
 
-// session is one conversation of a client: the prompt of each turn holds all that went before. It has one request at a
-// time.
+// session is one conversation of a client, with one request at a time. The prompt of each turn includes all previous
+// prompts and answers.
 type session struct {
 	group        *clientGroup
 	index        int
 	random       *rand.Rand
-	promptFactor int // multiple of the prompt length
+	promptFactor int // factor of the length of prompts
 	turn         int
 	turnCount    int
 	promptTokens int
 	nextTimer    eventloop.Timer // of the next turn or attempt
 	cancelTimer  eventloop.Timer
 
-	// The request of the present turn.
+	// State of the request of the current turn. Times are in nanoseconds.
 	request       *pb.GenerateRequest
 	requestStart  eventloop.Nanos
 	attemptNumber int
-	dispatcher    int   // index of the one that gets the next attempt
-	remaining     int64 // of the timeout
+	dispatcher    int   // index of the dispatcher of the next attempt
+	remaining     int64 // time until the client's timeout
 	latencyTarget int64
 	value         float64
-	reservation   string // of the next attempt; empty: none
+	reservation   string // for the next attempt; empty = none
 }
 
 // startTurn starts the request of the next turn, or ends the session.
@@ -64,7 +64,7 @@
 	s.sendAttempt()
 }
 
-// promptTime returns the part of the latency target that the length of the prompt adds.
+// promptTime returns the part of the latency target that depends on the length of the prompt.
 func (s *session) promptTime() int64 {
 	return int64(s.group.class.LatencyTargetPer1k) * int64(s.promptTokens) / 1000
 }
@@ -75,12 +75,12 @@
 	return int64(class.Timeout) + 2*int64(class.LatencyTargetPer1k)*int64(s.promptTokens)/1000
 }
 
-// sendAttempt sends the next attempt at the request.
+// sendAttempt sends the next attempt, or ends the session as rejected if the client's timeout has passed.
 func (s *session) sendAttempt() {
 	g, class := s.group, &s.group.class
 	now := g.now()
 	s.remaining = s.timeout() - (now - s.requestStart)
-	if s.remaining <= 0 { // it waited as it was told to
+	if s.remaining <= 0 { // the requested retry delay has used up the timeout
 		g.summary.Rejected++
 		g.openSessions--
 		return
@@ -105,7 +105,7 @@
 	a.send(g.conn(s.dispatcher, g.nextConn%len(g.conns[s.dispatcher])))
 }
 
-// drawCancel draws whether the client cancels the attempt, after a time or after some tokens.
+// drawCancel draws whether the client cancels the attempt, and after which time or number of tokens.
 func (s *session) drawCancel(a *attempt, now eventloop.Nanos) {
 	class := &s.group.class
 	if s.random.Float64() >= class.CancelShare {
@@ -119,7 +119,7 @@
 	a.cancelAfterTokens = 1 + s.random.IntN(max(int(s.request.MaxTokens)/2, 1))
 }
 
-// attemptEnded counts an attempt that has ended. It retries the request, starts the next turn or ends the session.
+// attemptEnded counts the outcome of an attempt, then retries the request, starts the next turn or ends the session.
 func (s *session) attemptEnded(a *attempt, o outcome) {
 	g, now := s.group, s.group.now()
 	g.loop.CancelTimer(&s.cancelTimer)
@@ -158,12 +158,12 @@
 	}
 }
 
-// retryOrFail schedules the next attempt if the outcome and the client permit it, else it ends the session.
+// retryOrFail schedules the next attempt if the outcome and the class permit it, or else ends the session.
 func (s *session) retryOrFail(o outcome, now eventloop.Nanos) {
 	g, class := s.group, &s.group.class
 	wait := s.retryDelay(o)
 	mayRetry := o.isRejection() || !class.NonIdempotent
-	if o.retryAfter < 0 { // the dispatcher asks not to retry
+	if o.retryAfter < 0 { // the dispatcher forbids a retry
 		mayRetry = mayRetry && o.isConnectionLost
 	}
 	if mayRetry && s.attemptNumber < class.MaxRetries && now-s.requestStart+wait < int64(class.Timeout) {
@@ -182,7 +182,8 @@
 	g.openSessions--
 }
 
-// retryDelay returns how long the client waits before a retry. After a lost connection it changes the dispatcher.
+// retryDelay returns how long the client waits before a retry, with jitter if the retry has no reservation. After a
+// connection loss it selects the next dispatcher.
 func (s *session) retryDelay(o outcome) int64 {
 	wait := o.retryAfter
 	if o.isConnectionLost {
--- a/internal/lab/simulation/simulation.go
+++ b/internal/lab/simulation/simulation.go
@@ -26,13 +26,13 @@
 )
 
 const (
-	simulationEpoch = int64(1_000_000_000_000_000_000) // Unix nanoseconds at which every simulation begins
+	simulationEpoch = int64(1_000_000_000_000_000_000) // start of every simulation, Unix nanoseconds
 	networkLatency  = int64(100 * time.Microsecond)    // from one loop to another
-	initialUptime   = int64(24 * time.Hour)            // of the servers when a simulation begins
-	loadStartTime   = int64(time.Second)               // by then the dispatchers know the servers
+	initialUptime   = int64(24 * time.Hour)            // of the servers at the start of a simulation
+	loadStartTime   = int64(time.Second)               // leaves time for dispatchers to receive the endpoint list
 )
 
-// addressKind tells the simulated machines of one kind from the others by the second byte of their addresses.
+// addressKind is a kind of simulated machine, and the second byte of the addresses of that kind.
 type addressKind byte
 
 const (
@@ -48,21 +48,21 @@
 	return netip.AddrFrom4([4]byte{10, byte(kind), byte(n >> 8), byte(n)})
 }
 
-// simulatedAddrPort returns the address on which machine n of a kind serves.
+// simulatedAddrPort returns the address and port on which machine n of a kind serves.
 func simulatedAddrPort(kind addressKind, n int) netip.AddrPort {
 	return netip.AddrPortFrom(simulatedAddr(kind, n), 1)
 }
 
-// Simulation is the simulated network of a scenario with all servers, dispatchers and clients.
+// Simulation holds the simulated network of a scenario with all servers, dispatchers and clients.
 type Simulation struct {
 	Script         *scenario.Script
 	Log            *eventlog.Log
 	WrapModule     scenario.ModuleWrapper // wraps the decision modules of the dispatchers; nil = none
 	Logger         *slog.Logger
-	SampleInterval time.Duration // of ServerLoad entries; 0 = none
+	SampleInterval time.Duration // interval of ServerLoad entries; 0 = none
 
 	network          *eventloop.SimulatedNetwork
-	controlLoop      *eventloop.Loop // runs what is scheduled by the script
+	controlLoop      *eventloop.Loop // runs the events of the script
 	transfers        *transferNetwork
 	servers          []*modelServer
 	serversByAddr    map[string]*modelServer
@@ -103,7 +103,7 @@
 	return s, nil
 }
 
-// startServers starts all servers, in the batch model.
+// startServers starts all servers with the batch model.
 func (s *Simulation) startServers() error {
 	for i, spec := range s.Script.EngineSpecs() {
 		spec.BatchModel = true
@@ -121,7 +121,7 @@
 	return nil
 }
 
-// startDiscovery starts the discovery servers and prepares the dispatchers that use them.
+// startDiscovery starts the discovery servers and adds the dispatchers that use them, without starting these.
 func (s *Simulation) startDiscovery() error {
 	var endpoints []*pb.Host
 	for i := range s.servers {
@@ -158,7 +158,7 @@
 	return nil
 }
 
-// scheduleAt calls f on the control loop at a time of the network, or at once if that has passed.
+// scheduleAt calls f on the control loop at a time of the network, or at once if that time has passed.
 func (s *Simulation) scheduleAt(t eventloop.Nanos, f func()) {
 	timer := &eventloop.Timer{}
 	s.controlLoop.Post(func() {
@@ -171,8 +171,8 @@
 	s.scheduleAt(s.network.Now()+delay, f)
 }
 
-// ServerLoad returns the present load of a server: its queued prompt tokens, and its requests. Both are math.MaxInt
-// while the server does not run.
+// ServerLoad returns the current load of a server: its queued prompt tokens and its requests. Both are math.MaxInt
+// while the server is stopped.
 func (s *Simulation) ServerLoad(id policy.ServerID) (queuedPromptTokens, requests int) {
 	server := s.servers[id-1]
 	if server.loop == nil {
@@ -181,7 +181,7 @@
 	return server.model.QueuedPromptTokens(), server.requestCount()
 }
 
-// endpoint returns the entry of server i in the endpoint list.
+// endpoint returns the current entry of server i in the endpoint list.
 func (s *Simulation) endpoint(i int) *pb.Host {
 	server := s.servers[i]
 	endpoint := &pb.Host{
@@ -194,7 +194,7 @@
 	return endpoint
 }
 
-// publishHealth sets the health of a server and has it published after the script's delay.
+// publishHealth sets the health of a server and publishes it after the script's discovery delay.
 func (s *Simulation) publishHealth(server *modelServer, health pb.Health) {
 	i := server.spec.ID - 1
 	s.health[i] = health
@@ -212,10 +212,10 @@
 	return specs
 }
 
-// sortedKeys returns the keys of a map in order. A simulation must not depend on the order of maps.
+// sortedKeys returns the sorted keys of a map. A simulation must not depend on the iteration order of maps.
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
 
-// sortedKeysBy returns the keys of a map in the order of their ids.
+// sortedKeysBy returns the keys of a map, sorted by ID.
 func sortedKeysBy[K comparable, V any](m map[K]V, id func(K) uint64) []K {
 	return slices.SortedFunc(maps.Keys(m), func(a, b K) int { return cmp.Compare(id(a), id(b)) })
 }
--- a/internal/lab/simulation/simulation_test.go
+++ b/internal/lab/simulation/simulation_test.go
@@ -16,7 +16,8 @@
 	"docksail/policy"
 )
 
-func load(t *testing.T, seed int64) *scenario.Script {
+// loadBadDay returns the script badday.json with a seed.
+func loadBadDay(t *testing.T, seed int64) *scenario.Script {
 	t.Helper()
 	s, err := scenario.Load("../scenario/testdata/badday.json")
 	if err != nil {
@@ -26,7 +27,8 @@
 	return s
 }
 
-func play(t *testing.T, s *scenario.Script, wrap func(dispatch.Module) dispatch.Module) *Report {
+// run simulates a script, with the decision modules wrapped unless wrap is nil.
+func run(t *testing.T, s *scenario.Script, wrap func(dispatch.Module) dispatch.Module) *Report {
 	t.Helper()
 	d, err := New(s)
 	if err != nil {
@@ -42,16 +44,17 @@
 	return rep
 }
 
-// TestSameRun checks that the same script and seed give the same entries, byte by byte, and another seed gives others.
-func TestSameRun(t *testing.T) {
+// TestRunsAreDeterministic checks that the same script and seed give the same entries, byte by byte, and that another
+// seed gives others.
+func TestRunsAreDeterministic(t *testing.T) {
 	var runs [3]bytes.Buffer
 	for i, seed := range []int64{5, 5, 6} {
-		if err := eventlog.Write(&runs[i], play(t, load(t, seed), nil).Entries); err != nil {
+		if err := eventlog.Write(&runs[i], run(t, loadBadDay(t, seed), nil).Entries); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if runs[0].Len() < 100000 || !bytes.Equal(runs[0].Bytes(), runs[1].Bytes()) {
-		t.Errorf("two runs of one seed wrote different entries, of %d and %d bytes", runs[0].Len(), runs[1].Len())
+		t.Errorf("two runs of one seed wrote different entries (%d and %d bytes)", runs[0].Len(), runs[1].Len())
 	}
 	if bytes.Equal(runs[0].Bytes(), runs[2].Bytes()) {
 		t.Error("two seeds gave the same run")
@@ -61,7 +64,7 @@
 // TestAllFaults checks the invariants over a scenario with all faults, for several seeds.
 func TestAllFaults(t *testing.T) {
 	for seed := range int64(12) {
-		rep := play(t, load(t, 100+seed), nil)
+		rep := run(t, loadBadDay(t, 100+seed), nil)
 		for _, v := range rep.Violations {
 			t.Errorf("seed %d: %v", 100+seed, v)
 		}
@@ -69,7 +72,7 @@
 		for name, s := range rep.Summaries {
 			requests, served = requests+s.Requests, served+s.Served
 			if s.Corrupt > 0 {
-				t.Errorf("seed %d: %d answers of class %s were corrupt", 100+seed, s.Corrupt, name)
+				t.Errorf("seed %d: %d answers of class %s are corrupt", 100+seed, s.Corrupt, name)
 			}
 		}
 		invalid := rep.Counts.InvalidDecisions
@@ -80,7 +83,7 @@
 	}
 }
 
-// drainIgnorer reports draining servers to its module as serving.
+// drainIgnorer is a module that regards draining servers as serving.
 type drainIgnorer struct{ dispatch.Module }
 
 func (m drainIgnorer) ServerListed(
@@ -93,7 +96,7 @@
 	m.Module.ServerListed(id, zone, kind, cell, health, startedAt)
 }
 
-// releaseDropper drops all decisions to release a state.
+// releaseDropper is a module that drops all decisions to release a state.
 type releaseDropper struct{ dispatch.Module }
 
 func (m releaseDropper) NextDecision(now policy.Nanos) (policy.Decision, bool) {
@@ -105,8 +108,8 @@
 	}
 }
 
-// TestPlantedFaults checks that modules which violate an invariant on purpose are detected.
-func TestPlantedFaults(t *testing.T) {
+// TestModuleViolationsAreDetected checks that the violations of modules that break an invariant are detected.
+func TestModuleViolationsAreDetected(t *testing.T) {
 	for _, c := range []struct {
 		rule invariants.Rule
 		wrap func(dispatch.Module) dispatch.Module
@@ -116,7 +119,7 @@
 	} {
 		found := 0
 		for seed := int64(1); seed <= 6 && found == 0; seed++ {
-			for _, v := range play(t, load(t, seed), c.wrap).Violations {
+			for _, v := range run(t, loadBadDay(t, seed), c.wrap).Violations {
 				if v.Rule == c.rule {
 					found++
 				}
@@ -128,15 +131,15 @@
 	}
 }
 
-// TestHalfOpen checks that dispatchers detect connections which went silent without a reset while they were idle. They
-// have to be replaced with the first attempts on them, well before an ejection of the servers would end.
+// TestHalfOpen checks that dispatchers detect connections that went silent without a reset while they were idle, and
+// replace them with the first attempts on them, well before an ejection of the servers would end.
 func TestHalfOpen(t *testing.T) {
-	s := load(t, 3)
+	s := loadBadDay(t, 3)
 	s.Servers, s.Dispatchers = []scenario.ServerGroup{s.Servers[0], s.Servers[1]}, s.Dispatchers[:1]
 	s.Servers[0].Count, s.Servers[1].Count = 2, 2
-	s.SessionsPerSecond, s.Duration = 0.4, 60*time.Second // seconds pass between requests
+	s.SessionsPerSecond, s.Duration = 0.4, 60*time.Second // requests are seconds apart
 	s.Faults = []scenario.Fault{{Kind: "halfopen", Start: 20 * time.Second, Servers: []int{1, 2, 3, 4}}}
-	rep := play(t, s, nil)
+	rep := run(t, s, nil)
 	requests, lost, loadStart := 0, 0, rep.Entries[0].At+int64(time.Second)
 	for _, e := range rep.Entries {
 		at := time.Duration(e.At - loadStart)
@@ -154,8 +157,8 @@
 	}
 }
 
-// TestFixedFindings checks that scenarios which once violated an invariant do so no more. They were found and
-// minimized by package faultsearch.
+// TestFixedFindings guards against regressions with the minimized scenarios in which package faultsearch has found
+// violations.
 func TestFixedFindings(t *testing.T) {
 	names, err := filepath.Glob("../scenario/testdata/mended/*.json")
 	if err != nil || len(names) == 0 {
@@ -166,13 +169,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, v := range play(t, s, nil).Violations {
+		for _, v := range run(t, s, nil).Violations {
 			t.Errorf("%s: %v", name, v)
 		}
 	}
 }
 
-// outcomeCounter counts the outcomes of attempts.
+// outcomeCounter is a module that counts the outcomes of attempts.
 type outcomeCounter struct {
 	dispatch.Module
 	counts *[policy.Canceled + 1]int
@@ -186,11 +189,10 @@
 	m.Module.AttemptEnded(now, id, number, outcome, elapsed, isLast, load)
 }
 
-// TestStateGoneBeforeFetch restarts prefill servers before a decode server has fetched the state they hold, and while
-// it moves over a slow link. The decode server reports that there is none, the prefill is repeated, and no invariant is
-// violated.
+// TestStateGoneBeforeFetch checks that a prefill is repeated, without a violation of an invariant, if its server
+// restarts before a decode server has fetched the state or while the state is transferred over a slow link.
 func TestStateGoneBeforeFetch(t *testing.T) {
-	s := load(t, 9)
+	s := loadBadDay(t, 9)
 	s.Duration, s.SessionsPerSecond = 20*time.Second, 10
 	s.Faults = []scenario.Fault{{
 		Kind: scenario.FaultSlowLinks, Start: 2 * time.Second, Duration: 14 * time.Second, Role: scenario.Prefill, Factor: 60,
@@ -202,7 +204,7 @@
 		})
 	}
 	var counts [policy.Canceled + 1]int
-	rep := play(t, s, func(m dispatch.Module) dispatch.Module { return outcomeCounter{m, &counts} })
+	rep := run(t, s, func(m dispatch.Module) dispatch.Module { return outcomeCounter{m, &counts} })
 	if counts[policy.StateMissing] < 3 || len(rep.Violations) > 0 {
 		t.Errorf("%d attempts found no state, want 3 or more; violations %v", counts[policy.StateMissing], rep.Violations)
 	}
@@ -213,39 +215,39 @@
 	}
 }
 
-// TestFloodSimulated checks that during one client's flood the p99 of small clients stays within eight times that
-// without it, and that nearly all their requests are on time. Without fair queueing about half are.
+// TestFloodSimulated checks that fair queueing protects small clients from the flood of one client: their p99 stays
+// within eight times that without the flood, and nearly all their requests are on time, unlike with FIFO admission.
 func TestFloodSimulated(t *testing.T) {
 	for seed := range int64(3) {
-		playChanged := func(change func(s *scenario.Script)) *userclient.Summary {
+		runChanged := func(change func(s *scenario.Script)) *userclient.Summary {
 			s, err := scenario.Load("../../../experiments/flood-day.json")
 			if err != nil {
 				t.Fatal(err)
 			}
 			s.Seed = 50 + seed
 			change(s)
-			sum := play(t, s, nil).Summaries["small"]
+			sum := run(t, s, nil).Summaries["small"]
 			slices.Sort(sum.FirstTokenTimes)
 			return sum
 		}
 		p99 := func(s *userclient.Summary) time.Duration { return s.FirstTokenTimes[len(s.FirstTokenTimes)*99/100] }
-		calm := playChanged(func(s *scenario.Script) {
+		calm := runChanged(func(s *scenario.Script) {
 			s.SessionsPerSecond, s.Classes[0].Share, s.Classes[1].Share = 6, 1, 0
 		})
-		fair := playChanged(func(*scenario.Script) {})
-		fifo := playChanged(func(s *scenario.Script) { s.FIFO = true })
-		t.Logf("p99 %v without the flood, %v with it, %v with it in order of arrival; value shares %.3f and %.3f",
+		fair := runChanged(func(*scenario.Script) {})
+		fifo := runChanged(func(s *scenario.Script) { s.FIFO = true })
+		t.Logf("p99 %v without the flood, %v with it, %v with it and FIFO admission; value shares %.3f and %.3f",
 			p99(calm), p99(fair), p99(fifo), fair.ValueShare(), fifo.ValueShare())
 		if p99(fair) > 8*p99(calm)+100*time.Millisecond || fair.ValueShare() < 0.97 || fifo.ValueShare() > 0.8 {
-			t.Errorf("seed %d: p99 %v, %v without the flood; value share %.3f, %.3f in order of arrival",
+			t.Errorf("seed %d: p99 %v, %v without the flood; value share %.3f, %.3f with FIFO admission",
 				50+seed, p99(fair), p99(calm), fair.ValueShare(), fifo.ValueShare())
 		}
 	}
 }
 
-// TestEveryFaultIsPlayed checks that every kind of fault is a change of servers, has an injector, or is played by the
-// clients.
-func TestEveryFaultIsPlayed(t *testing.T) {
+// TestEveryFaultIsInjected checks that every kind of fault is a change of servers, has an injector, or is implemented
+// by the clients.
+func TestEveryFaultIsInjected(t *testing.T) {
 	playedByClients := []scenario.FaultKind{scenario.FaultBurst, scenario.FaultLongPrompts}
 	for _, kind := range scenario.FaultKinds() {
 		_, isChange := scenario.Fault{Kind: kind}.ServerChange()
@@ -257,7 +259,7 @@
 			}
 		}
 		if count != 1 {
-			t.Errorf("fault %q is played in %d ways, want 1", kind, count)
+			t.Errorf("fault %q is implemented in %d ways, want 1", kind, count)
 		}
 	}
 }
--- a/internal/lab/simulation/transfernetwork.go
+++ b/internal/lab/simulation/transfernetwork.go
@@ -6,17 +6,17 @@
 	"docksail/internal/lab/engine/batchmodel"
 )
 
-// transferNetwork carries KV states between the servers of a simulation. Transfers share the links of their servers
-// and cells.
+// transferNetwork transfers KV states between the servers of a simulation. Transfers share the links of the sending
+// servers and cells.
 type transferNetwork struct {
 	loop        *eventloop.Loop
 	model       *batchmodel.Network
-	serverLinks map[int]int    // link of each sending server, by its number
-	cellLinks   map[string]int // link of each sending cell
+	serverLinks map[int]int    // link of each sending server, by server number
+	cellLinks   map[string]int // link of each sending cell, by zone and cell
 	lastID      batchmodel.TransferID
 	onDone      map[batchmodel.TransferID]func()
 	timer       eventloop.Timer
-	ended       []batchmodel.TransferID // reused
+	ended       []batchmodel.TransferID // reused buffer
 }
 
 func newTransferNetwork(loop *eventloop.Loop) *transferNetwork {
@@ -31,7 +31,7 @@
 
 func (t *transferNetwork) now() eventloop.Nanos { return t.loop.ReadClock() }
 
-// start starts the transfer of a state and calls done on the network's loop at its end.
+// start starts the transfer of a state. At its end it calls done on the loop of the network.
 func (t *transferNetwork) start(
 	from, to *modelServer, tokens int, slowdown float64, done func(),
 ) batchmodel.TransferID {
@@ -49,8 +49,8 @@
 	return t.lastID
 }
 
-// links returns the links that a transfer shares with others: the sender's, and its cell's unless both servers are in
-// the same cell.
+// links returns the links of a transfer: that of the sender and, unless both servers are in the same cell, that of the
+// sender's cell.
 func (t *transferNetwork) links(from, to *modelServer) []int {
 	if _, ok := t.serverLinks[from.spec.ID]; !ok {
 		t.serverLinks[from.spec.ID] = t.addLink(from.spec.TransferRate)
@@ -69,19 +69,19 @@
 func (t *transferNetwork) addLink(rate float64) int {
 	link, err := t.model.AddLink(rate)
 	if err != nil {
-		panic(err) // rates are checked with the script
+		panic(err) // a rate of the script is not positive
 	}
 	return link
 }
 
-// stop ends a transfer without calling its done.
+// stop ends a transfer without calling its done function.
 func (t *transferNetwork) stop(id batchmodel.TransferID) {
 	delete(t.onDone, id)
 	t.model.Stop(t.now(), id)
 	t.advance()
 }
 
-// advance ends the transfers that are complete and sets the timer for the next end.
+// advance completes the transfers that have ended and sets the timer for the next end.
 func (t *transferNetwork) advance() {
 	t.ended = t.model.AdvanceTo(t.now(), t.ended[:0])
 	for _, id := range t.ended {
