--- a/internal/lab/invariants/record.go
+++ b/internal/lab/invariants/record.go
@@ -151,6 +151,7 @@
 	}
 }
 
+// clientAttemptKey returns the key of the client's attempt that an entry is about.
 func clientAttemptKey(e *eventlog.Entry) string {
 	return fmt.Sprintf("%s/%d", e.RequestLabel, e.ClientAttempt)
 }
@@ -158,7 +159,7 @@
 func (c *checker) recordOutcome(e *eventlog.Entry) {
 	t := c.clientAttempts[clientAttemptKey(e)]
 	if t == nil {
-		c.addViolation(RuleFinalAnswer, e.At, "%s got an answer but was never sent", e.RequestLabel)
+		c.addViolation(RuleFinalAnswer, e.At, "%s has an outcome but was never sent", e.RequestLabel)
 		return
 	}
 	t.outcomeCount++
--- a/internal/lab/scenario/inject.go
+++ b/internal/lab/scenario/inject.go
@@ -73,6 +73,7 @@
 
 func allDispatchers(int) bool { return true }
 
+// setFaults changes the faults of the affected servers.
 func (in *injection) setFaults(change func(f *engine.Faults)) {
 	in.forEach(func(_ int, e *engine.Engine) { e.SetFaults(change) })
 }
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -137,12 +137,12 @@
 // TestEveryFaultIsInjected checks that every kind of fault is a change of servers, has an injector, or is implemented
 // by the clients.
 func TestEveryFaultIsInjected(t *testing.T) {
-	playedByClients := []FaultKind{FaultBurst, FaultLongPrompts}
+	clientFaults := []FaultKind{FaultBurst, FaultLongPrompts}
 	for _, kind := range FaultKinds() {
 		_, isChange := Fault{Kind: kind}.ServerChange()
 		_, isPeriodic := Fault{Kind: kind}.PeriodicChange()
 		count := 0
-		for _, is := range []bool{isChange, isPeriodic, injectors[kind] != nil, slices.Contains(playedByClients, kind)} {
+		for _, is := range []bool{isChange, isPeriodic, injectors[kind] != nil, slices.Contains(clientFaults, kind)} {
 			if is {
 				count++
 			}
--- a/internal/lab/simulation/inject.go
+++ b/internal/lab/simulation/inject.go
@@ -84,6 +84,7 @@
 	}
 }
 
+// setFaults changes the faults of the affected servers.
 func (in *injection) setFaults(change func(f *engine.Faults)) {
 	in.forEach(func(m *modelServer) { m.setFaults(change) })
 }
@@ -158,11 +159,11 @@
 
 // crashUnreachable crashes an unreachable server and reconnects its machine, which resets connections from then on.
 func (in *injection) crashUnreachable(m *modelServer) {
-	former := m.loop
+	previousLoop := m.loop
 	m.crash()
 	for _, d := range in.dispatchers {
-		if former != nil && d.loop != nil {
-			in.network.SetPartitioned(d.loop, former, false)
+		if previousLoop != nil && d.loop != nil {
+			in.network.SetPartitioned(d.loop, previousLoop, false)
 		}
 	}
 	in.logReachability(m, eventlog.NoteReconnected)
@@ -246,6 +247,7 @@
 	in.scheduleAfter(in.duration, in.endSlowdown)
 }
 
+// endSlowdown ends a trickle or a delay.
 func (in *injection) endSlowdown() {
 	in.forEachRunning(func(m *modelServer) { m.loop.SetSlowdown(0, false) })
 }
--- a/internal/lab/simulation/simulation_test.go
+++ b/internal/lab/simulation/simulation_test.go
@@ -37,11 +37,11 @@
 	if wrap != nil {
 		d.WrapModule = func(int) func(dispatch.Module) dispatch.Module { return wrap }
 	}
-	rep, err := d.Run(context.Background())
+	report, err := d.Run(context.Background())
 	if err != nil {
 		t.Fatal(err)
 	}
-	return rep
+	return report
 }
 
 // TestRunsAreDeterministic checks that the same script and seed give the same entries, byte by byte, and that another
@@ -64,21 +64,21 @@
 // TestAllFaults checks the invariants over a scenario with all faults, for several seeds.
 func TestAllFaults(t *testing.T) {
 	for seed := range int64(12) {
-		rep := run(t, loadBadDay(t, 100+seed), nil)
-		for _, v := range rep.Violations {
+		report := run(t, loadBadDay(t, 100+seed), nil)
+		for _, v := range report.Violations {
 			t.Errorf("seed %d: %v", 100+seed, v)
 		}
 		requests, served := 0, 0
-		for name, s := range rep.Summaries {
+		for name, s := range report.Summaries {
 			requests, served = requests+s.Requests, served+s.Served
 			if s.Corrupt > 0 {
 				t.Errorf("seed %d: %d answers of class %s are corrupt", 100+seed, s.Corrupt, name)
 			}
 		}
-		invalid := rep.Counts.InvalidDecisions
-		if invalid > 0 || requests < 500 || served < requests*3/4 || rep.Simulated < 40*time.Second {
+		invalid := report.Counts.InvalidDecisions
+		if invalid > 0 || requests < 500 || served < requests*3/4 || report.Simulated < 40*time.Second {
 			t.Errorf("seed %d: %d of %d requests served in %v, %d invalid decisions",
-				100+seed, served, requests, rep.Simulated, invalid)
+				100+seed, served, requests, report.Simulated, invalid)
 		}
 	}
 }
@@ -139,9 +139,9 @@
 	s.Servers[0].Count, s.Servers[1].Count = 2, 2
 	s.SessionsPerSecond, s.Duration = 0.4, 60*time.Second // requests are seconds apart
 	s.Faults = []scenario.Fault{{Kind: "halfopen", Start: 20 * time.Second, Servers: []int{1, 2, 3, 4}}}
-	rep := run(t, s, nil)
-	requests, lost, loadStart := 0, 0, rep.Entries[0].At+int64(time.Second)
-	for _, e := range rep.Entries {
+	report := run(t, s, nil)
+	requests, lost, loadStart := 0, 0, report.Entries[0].At+int64(time.Second)
+	for _, e := range report.Entries {
 		at := time.Duration(e.At - loadStart)
 		if e.Kind == eventlog.RequestSent && at > 26*time.Second {
 			requests++
@@ -151,9 +151,9 @@
 			lost++
 		}
 	}
-	if requests < 20 || lost > 0 || len(rep.Violations) > 0 {
+	if requests < 20 || lost > 0 || len(report.Violations) > 0 {
 		t.Errorf("of %d requests from six seconds after the connections went silent, %d were lost; violations %v",
-			requests, lost, rep.Violations)
+			requests, lost, report.Violations)
 	}
 }
 
@@ -204,11 +204,11 @@
 		})
 	}
 	var counts [policy.Canceled + 1]int
-	rep := run(t, s, func(m dispatch.Module) dispatch.Module { return outcomeCounter{m, &counts} })
-	if counts[policy.StateMissing] < 3 || len(rep.Violations) > 0 {
-		t.Errorf("%d attempts found no state, want 3 or more; violations %v", counts[policy.StateMissing], rep.Violations)
+	report := run(t, s, func(m dispatch.Module) dispatch.Module { return outcomeCounter{m, &counts} })
+	if counts[policy.StateMissing] < 3 || len(report.Violations) > 0 {
+		t.Errorf("%d attempts found no state, want 3 or more; violations %v", counts[policy.StateMissing], report.Violations)
 	}
-	for name, sum := range rep.Summaries {
+	for name, sum := range report.Summaries {
 		if sum.Corrupt > 0 || sum.Served < sum.Requests*4/10 {
 			t.Errorf("%s: %d of %d requests served, %d corrupt", name, sum.Served, sum.Requests, sum.Corrupt)
 		}
@@ -248,12 +248,12 @@
 // TestEveryFaultIsInjected checks that every kind of fault is a change of servers, has an injector, or is implemented
 // by the clients.
 func TestEveryFaultIsInjected(t *testing.T) {
-	playedByClients := []scenario.FaultKind{scenario.FaultBurst, scenario.FaultLongPrompts}
+	clientFaults := []scenario.FaultKind{scenario.FaultBurst, scenario.FaultLongPrompts}
 	for _, kind := range scenario.FaultKinds() {
 		_, isChange := scenario.Fault{Kind: kind}.ServerChange()
 		_, isPeriodic := scenario.Fault{Kind: kind}.PeriodicChange()
 		count := 0
-		for _, is := range []bool{isChange, isPeriodic, injectors[kind] != nil, slices.Contains(playedByClients, kind)} {
+		for _, is := range []bool{isChange, isPeriodic, injectors[kind] != nil, slices.Contains(clientFaults, kind)} {
 			if is {
 				count++
 			}
--- a/internal/lab/soak/modelserver.go
+++ b/internal/lab/soak/modelserver.go
@@ -193,6 +193,7 @@
 	return true
 }
 
+// reportFinished reports the end of an attempt and its outcome to the oracle.
 func (c *modelServerConn) reportFinished(id, outcome string) {
 	c.server.report(report{Kind: reportAttemptFinished, ID: id, Port: c.port, Outcome: outcome})
 }
--- a/internal/lab/soak/plan.go
+++ b/internal/lab/soak/plan.go
@@ -162,6 +162,7 @@
 	return 0
 }
 
+// hash returns the FNV-1a hash of a text.
 func hash(text string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(text))
--- a/internal/lab/soak/proxy.go
+++ b/internal/lab/soak/proxy.go
@@ -106,6 +106,7 @@
 	}
 }
 
+// accept serves connections until the listener is closed.
 func (p *Proxy) accept() {
 	for {
 		conn, err := p.listener.Accept()
