--- a/internal/simulatorwire/adapter_test.go
+++ b/internal/simulatorwire/adapter_test.go
@@ -52,8 +52,10 @@
 		startBatch + "SYNC 2\nVERDICT 3 9 0 11 Fine 1 0 0 -\nEOB\n":                       `invalid rc "Fine"`,
 		startBatch + "SYNC 2\nFLEET 3 update 2 1\nENTRY 11 b r 0 IN 1 -\nEOB\n":           `invalid site "b"`,
 
-		strings.Replace(startBatch, `"release_ns":500000000,`, "", 1):                          "release_ns is missing",
-		strings.Replace(startBatch, `"on_time_ns":1000000000`, `"on_time_ns":0`, 1):            "class 0: latency target is 0 ns",
+		strings.Replace(startBatch, `"release_ns":500000000,`, "", 1): "release_ns is missing",
+
+		strings.Replace(startBatch, `"on_time_ns":1000000000`, `"on_time_ns":0`, 1): "class 0: latency target is 0 ns",
+
 		strings.Replace(startBatch, `"role_by_kind":["read","write"]`, `"role_by_kind":[]`, 1): "role_by_kind has 0 entries",
 	} {
 		t.Run(want, func(t *testing.T) {
