--- a/internal/lab/baselinepolicy/policy_test.go
+++ b/internal/lab/baselinepolicy/policy_test.go
@@ -29,13 +29,13 @@
 	return p
 }
 
-// endAttempt ends the attempt in flight of the request.
+// endAttempt ends the attempt of the request that is in flight.
 func endAttempt(p *Policy, outcome policy.Outcome) {
 	p.AttemptEnded(0, 1, 0, outcome, 0, false, policy.LoadReport{})
 }
 
-// pull returns the actions of all decisions, and the servers of the attempts among them.
-func pull(p *Policy) (actions []policy.Action, servers []policy.ServerID) {
+// takeDecisions removes all pending decisions. It returns their actions and the servers of the attempts among them.
+func takeDecisions(p *Policy) (actions []policy.Action, servers []policy.ServerID) {
 	for {
 		d, ok := p.NextDecision(0)
 		if !ok {
@@ -48,7 +48,7 @@
 	}
 }
 
-// TestAttempts checks what follows the outcomes of the attempts of a request.
+// TestAttempts checks the actions that follow each outcome of an attempt.
 func TestAttempts(t *testing.T) {
 	const (
 		send    = policy.SendAttempt
@@ -76,7 +76,7 @@
 			[]policy.Action{send, send, release, policy.FailRequest},
 		},
 		{
-			"prefill again after the state is missing",
+			"prefill repeated after missing state",
 			[]policy.Outcome{policy.Prefilled, policy.StateMissing},
 			[]policy.Action{send, send, send},
 		},
@@ -86,22 +86,23 @@
 			for _, outcome := range test.outcomes {
 				endAttempt(p, outcome)
 			}
-			if got, _ := pull(p); !slices.Equal(got, test.want) {
+			if got, _ := takeDecisions(p); !slices.Equal(got, test.want) {
 				t.Errorf("actions %v, want %v", got, test.want)
 			}
 		})
 	}
 }
 
-// TestSelectServer checks that each policy sends a stage only to servers of its role, and the server that it prefers.
+// TestSelectServer checks that each policy sends a stage only to servers of its role, and that "full sight" selects
+// the least loaded one.
 func TestSelectServer(t *testing.T) {
 	loads := map[policy.ServerID]int{1: 20, 2: 10, 3: 5, 4: 7}
-	oracle := func(id policy.ServerID) (unreadTokens, requests int) { return loads[id], loads[id] }
+	oracle := func(id policy.ServerID) (queuedTokens, requests int) { return loads[id], loads[id] }
 	for _, name := range Names {
 		t.Run(name, func(t *testing.T) {
 			p := newTestPolicy(t, name, oracle)
 			endAttempt(p, policy.Prefilled)
-			_, servers := pull(p)
+			_, servers := takeDecisions(p)
 			if len(servers) != 2 || servers[0] > 2 || servers[1] < 3 {
 				t.Fatalf("sent to servers %v, want a prefill server and then a decode server", servers)
 			}
@@ -112,27 +113,28 @@
 	}
 }
 
-// TestRequestCanceled checks that a cancel ends an attempt that has not started to stream, and releases the state.
+// TestRequestCanceled checks that canceling a request cancels an attempt that has not started to stream, and releases
+// the state.
 func TestRequestCanceled(t *testing.T) {
 	p := newTestPolicy(t, roundRobin, nil)
 	endAttempt(p, policy.Prefilled)
 	p.RequestCanceled(0, 1)
 	endAttempt(p, policy.Canceled)
 	want := []policy.Action{policy.SendAttempt, policy.SendAttempt, policy.CancelAttempt, policy.ReleaseState}
-	if got, _ := pull(p); !slices.Equal(got, want) {
+	if got, _ := takeDecisions(p); !slices.Equal(got, want) {
 		t.Errorf("actions %v, want %v", got, want)
 	}
 	if len(p.requests) != 0 {
-		t.Errorf("%d requests kept, want none", len(p.requests))
+		t.Errorf("%d requests left, want none", len(p.requests))
 	}
 }
 
-// TestNewChecksItsName checks the errors of New.
-func TestNewChecksItsName(t *testing.T) {
+// TestNewErrors checks the errors of New.
+func TestNewErrors(t *testing.T) {
 	if _, err := New("unknown", 1, nil); err == nil {
-		t.Error("an unknown policy was made")
+		t.Error("an unknown policy was accepted")
 	}
 	if _, err := New(trueLoad, 1, nil); err == nil {
-		t.Error("a policy by true loads was made without an oracle")
+		t.Error("a policy by true load was accepted without an oracle")
 	}
 }
--- a/internal/lab/baselinepolicy/requests.go
+++ b/internal/lab/baselinepolicy/requests.go
@@ -2,65 +2,66 @@
 
 import "docksail/policy"
 
-// request is a request that is not answered yet.
+// request is the state of a request that has not ended.
 type request struct {
 	policy.Request
-	tried        []policy.ServerID // servers that its present stage was sent to
-	needsPrefill bool              // the attempt in flight, or else the next one, is a prefill
-	server       policy.ServerID   // of the last attempt
-	inFlight     bool              // an attempt is
-	stateHeld    bool              // a prefill server holds its state
-	streaming    bool              // its answer has started
-	answered     bool              // the client needs no answer any more
-	attempts     policy.AttemptNumber
+	triedServers []policy.ServerID    // servers to which the current stage was sent
+	needsPrefill bool                 // the current stage is the prefill
+	server       policy.ServerID      // of the last attempt
+	inFlight     bool                 // an attempt is in flight
+	stateHeld    bool                 // a prefill server holds the KV state
+	streaming    bool                 // the answer has started
+	canceled     bool                 // the client no longer waits for an answer
+	attempts     policy.AttemptNumber // attempts sent so far
 }
 
-// RequestArrived sends a new request to a server.
-func (p *Policy) RequestArrived(now policy.Nanos, given policy.Request) {
-	p.requests[given.ID] = &request{Request: given, needsPrefill: true}
-	p.sendAttempt(now, given.ID)
+// RequestArrived sends the prefill of a new request to a server.
+func (p *Policy) RequestArrived(now policy.Nanos, incoming policy.Request) {
+	p.requests[incoming.ID] = &request{Request: incoming, needsPrefill: true}
+	p.sendAttempt(now, incoming.ID)
 }
 
-// sendAttempt sends a request to a server for its next stage, or rejects it.
+// sendAttempt sends the current stage of a request to a server. It rejects the request if there is no server or no
+// attempt left, or if its deadline has passed.
 func (p *Policy) sendAttempt(now policy.Nanos, id policy.RequestID) {
 	r := p.requests[id]
 	s := p.selectServer(r)
-	if s == nil || len(r.tried) >= maxAttempts || now >= r.Deadline {
+	if s == nil || len(r.triedServers) >= maxAttempts || now >= r.Deadline {
 		p.endUnserved(id, policy.RejectRequest)
 		return
 	}
 	s.inFlight++
-	r.tried, r.server, r.inFlight = append(r.tried, s.id), s.id, true
+	r.triedServers, r.server, r.inFlight = append(r.triedServers, s.id), s.id, true
 	r.attempts++
-	p.decide(policy.Decision{Action: policy.SendAttempt, Request: id, Server: s.id, Duration: r.Deadline - now})
+	p.queueDecision(policy.Decision{Action: policy.SendAttempt, Request: id, Server: s.id, Duration: r.Deadline - now})
 }
 
-// endUnserved answers a request that is not served: by RejectRequest if a retry is harmless, else by FailRequest.
+// endUnserved ends a request without an answer: action is RejectRequest if the client may safely retry, and
+// FailRequest otherwise.
 func (p *Policy) endUnserved(id policy.RequestID, action policy.Action) {
 	p.releaseState(id)
-	p.decide(policy.Decision{Action: action, Request: id, Duration: retryDelay})
+	p.queueDecision(policy.Decision{Action: action, Request: id, Duration: retryDelay})
 	delete(p.requests, id)
 }
 
-// releaseState releases the state of a request, if one is held.
+// releaseState releases the KV state of a request, if one is held.
 func (p *Policy) releaseState(id policy.RequestID) {
 	if p.requests[id].stateHeld {
-		p.decide(policy.Decision{Action: policy.ReleaseState, Request: id})
+		p.queueDecision(policy.Decision{Action: policy.ReleaseState, Request: id})
 	}
 }
 
-// StreamStarted records that the answer of a request has started, for which its state was fetched.
+// StreamStarted records that the answer of a request has started. The decode server has fetched the state by then.
 func (p *Policy) StreamStarted(_ policy.Nanos, id policy.RequestID, _ policy.AttemptNumber, _ policy.Nanos) {
 	if r := p.requests[id]; r != nil {
 		r.streaming, r.stateHeld = true, false
 	}
 }
 
-// StateHeldSince does nothing: the policies do not bound how long a state is held.
+// StateHeldSince does nothing: the policies do not limit how long a state is held.
 func (p *Policy) StateHeldSince(policy.Nanos, policy.RequestID, policy.Nanos) {}
 
-// AttemptEnded goes on with a request whose attempt has ended: with its next stage, a retry, or an answer that it was
-// not served.
+// AttemptEnded continues a request whose attempt has ended: it sends the next stage, retries, or ends the request.
 func (p *Policy) AttemptEnded(now policy.Nanos, id policy.RequestID, _ policy.AttemptNumber, outcome policy.Outcome,
 	_ policy.Nanos, final bool, _ policy.LoadReport,
 ) {
@@ -73,14 +74,14 @@
 	s.inFlight--
 	didNotRun := outcome == policy.Rejected || outcome == policy.Unreachable || outcome == policy.NotSent
 	switch {
-	case final || r.answered:
+	case final || r.canceled:
 		p.releaseState(id)
 		delete(p.requests, id)
 	case outcome == policy.Prefilled:
-		r.needsPrefill, r.stateHeld, r.tried = false, true, r.tried[:0]
+		r.needsPrefill, r.stateHeld, r.triedServers = false, true, r.triedServers[:0]
 		p.sendAttempt(now, id)
 	case outcome == policy.StateMissing:
-		r.needsPrefill, r.stateHeld, r.tried = true, false, r.tried[:0]
+		r.needsPrefill, r.stateHeld, r.triedServers = true, false, r.triedServers[:0]
 		p.sendAttempt(now, id)
 	case s.role == policy.Prefill || didNotRun:
 		p.sendAttempt(now, id)
@@ -89,19 +90,19 @@
 	}
 }
 
-// RequestCanceled ends a request whose client has gone: at once, or when its attempt has ended. An answer that has
-// started is not canceled here.
+// RequestCanceled ends a request whose client has canceled it or disconnected: immediately, or when the attempt in
+// flight ends. An attempt that streams its answer is not canceled.
 func (p *Policy) RequestCanceled(_ policy.Nanos, id policy.RequestID) {
 	r := p.requests[id]
 	if r == nil {
 		return
 	}
-	r.answered = true
+	r.canceled = true
 	switch {
 	case !r.inFlight:
 		p.releaseState(id)
 		delete(p.requests, id)
 	case !r.streaming:
-		p.decide(policy.Decision{Action: policy.CancelAttempt, Request: id, Attempt: r.attempts - 1})
+		p.queueDecision(policy.Decision{Action: policy.CancelAttempt, Request: id, Attempt: r.attempts - 1})
 	}
 }
--- a/internal/lab/baselinepolicy/servers.go
+++ b/internal/lab/baselinepolicy/servers.go
@@ -7,28 +7,28 @@
 	"docksail/policy"
 )
 
-// server is an endpoint of the list.
+// server is a server of the endpoint list.
 type server struct {
 	id       policy.ServerID
 	role     policy.Role
 	serving  bool
-	inFlight int // attempts
+	inFlight int // number of attempts in flight
 }
 
-// serves reports whether a request can be sent to the server for its next stage.
+// serves reports whether the current stage of a request can be sent to the server.
 func (s *server) serves(r *request) bool {
-	return s.serving && r.needsPrefill == (s.role != policy.Decode) && !slices.Contains(r.tried, s.id)
+	return s.serving && r.needsPrefill == (s.role != policy.Decode) && !slices.Contains(r.triedServers, s.id)
 }
 
-// ListUpdateStarted begins an update of the endpoint list, which is complete or has changes only.
+// ListUpdateStarted begins an update of the endpoint list, which holds either the complete list or only changes.
 func (p *Policy) ListUpdateStarted(complete bool) {
-	p.listed = nil
+	p.listedServers = nil
 	if complete {
-		p.listed = map[policy.ServerID]bool{}
+		p.listedServers = map[policy.ServerID]bool{}
 	}
 }
 
-// ServerListed adds or changes a server. Zone, cell and start time mean nothing to the policies.
+// ServerListed adds or changes a server. The policies ignore its zone, cell and start time.
 func (p *Policy) ServerListed(id policy.ServerID, _ policy.ZoneID, kind policy.KindID, _ policy.CellID,
 	health policy.Health, _ policy.Nanos,
 ) {
@@ -40,36 +40,36 @@
 		p.byID = slices.Insert(p.byID, i, s)
 	}
 	s.role, s.serving = policy.Role(kind), health == policy.Serving
-	if p.listed != nil {
-		p.listed[id] = true
+	if p.listedServers != nil {
+		p.listedServers[id] = true
 	}
 }
 
-// ListUpdateEnded ends an update. Servers that a complete list does not name get no requests any more.
+// ListUpdateEnded ends an update. Servers that are missing in a complete list no longer receive requests.
 func (p *Policy) ListUpdateEnded(policy.Nanos) {
-	if p.listed == nil {
+	if p.listedServers == nil {
 		return
 	}
 	for _, s := range p.byID {
-		s.serving = s.serving && p.listed[s.id]
+		s.serving = s.serving && p.listedServers[s.id]
 	}
 }
 
-// ListUpdateFailed has the endpoint list watched again after a delay.
+// ListUpdateFailed schedules a new watch of the endpoint list after a delay.
 func (p *Policy) ListUpdateFailed(policy.Nanos) {
-	p.watchAgain = true
-	p.decide(policy.Decision{Action: policy.SetTimer, Duration: retryDelay})
+	p.watchPending = true
+	p.queueDecision(policy.Decision{Action: policy.SetTimer, Duration: retryDelay})
 }
 
-// TimerFired starts the watch that ListUpdateFailed has delayed.
+// TimerFired starts the watch that ListUpdateFailed has scheduled.
 func (p *Policy) TimerFired(policy.Nanos) {
-	if p.watchAgain {
-		p.watchAgain = false
-		p.decide(policy.Decision{Action: policy.WatchEndpoints})
+	if p.watchPending {
+		p.watchPending = false
+		p.queueDecision(policy.Decision{Action: policy.WatchEndpoints})
 	}
 }
 
-// selectServer returns the server for the next stage of a request, or nil if there is none.
+// selectServer returns the server for the current stage of a request, or nil if there is none.
 func (p *Policy) selectServer(r *request) *server {
 	var candidates []*server
 	for _, s := range p.byID {
@@ -80,33 +80,33 @@
 	if len(candidates) == 0 {
 		return nil
 	}
-	p.turn++
-	first := p.turn % len(candidates)
+	p.selectionCount++
+	preferred := p.selectionCount % len(candidates)
 	switch p.name {
 	case randomServer:
 		return candidates[p.random.IntN(len(candidates))]
 	case leastOutstanding:
-		return leastLoaded(candidates, first, func(s *server) int { return s.inFlight })
+		return leastLoaded(candidates, preferred, func(s *server) int { return s.inFlight })
 	case trueLoad:
-		return leastLoaded(candidates, first, func(s *server) int { return p.loadFor(s, r) })
+		return leastLoaded(candidates, preferred, func(s *server) int { return p.loadFor(s, r) })
 	default:
-		return candidates[first]
+		return candidates[preferred]
 	}
 }
 
-// loadFor returns the load of a server that counts for the next stage of a request.
+// loadFor returns the load of a server that is relevant for the current stage of a request.
 func (p *Policy) loadFor(s *server, r *request) int {
-	unreadTokens, requests := p.oracle(s.id)
+	queuedTokens, requests := p.oracle(s.id)
 	if r.needsPrefill {
-		return unreadTokens
+		return queuedTokens
 	}
 	return requests
 }
 
-// leastLoaded returns the server with the least load. Of several it prefers the one at index first, then the first of
-// the list.
-func leastLoaded(servers []*server, first int, load func(*server) int) *server {
-	best := servers[first]
+// leastLoaded returns the server with the least load. Ties go to the server at index preferred, then to the first one
+// in the list.
+func leastLoaded(servers []*server, preferred int, load func(*server) int) *server {
+	best := servers[preferred]
 	bestLoad := load(best)
 	for _, s := range servers {
 		if l := load(s); l < bestLoad {
--- a/internal/lab/baselinerelay/relay.go
+++ b/internal/lab/baselinerelay/relay.go
@@ -1,6 +1,6 @@
-// Package baselinerelay is a plain relay on grpc-go to measure against: it has the same clients and engines as a
-// dispatcher, takes prefill and decode servers in turn, and decides nothing. It does not keep the invariants under
-// faults.
+// Package baselinerelay implements a plain relay on grpc-go as a baseline for the dispatcher: it serves the same
+// clients with the same engines and selects prefill and decode servers round robin. It does not keep the invariants
+// under faults.
 package baselinerelay
 
 import (
@@ -19,22 +19,22 @@
 	pb "docksail/api/docksail/v1"
 )
 
-// maxConcurrentStreams is the limit of streams on a connection to the relay.
+// maxConcurrentStreams limits the concurrent streams of one connection to the relay.
 const maxConcurrentStreams = 10000
 
-// Relay passes requests on to servers in turn.
+// Relay forwards requests to servers round robin.
 type Relay struct {
 	pb.UnimplementedGenerationServer
-	Addr           string // at which it listens
+	Addr           string // address on which it listens
 	prefillServers []pb.EngineClient
 	prefillAddrs   []string
 	decodeServers  []pb.EngineClient
-	requests       atomic.Uint64 // received so far
+	requests       atomic.Uint64 // number of requests received so far
 	incarnation    uint64
 	grpcServer     *grpc.Server
 }
 
-// Start starts a relay to the servers at the given addresses. It listens on addr; port 0 takes any free port.
+// Start starts a relay to the servers at the given addresses. It listens on addr; port 0 selects a free port.
 func Start(addr string, prefillAddrs, decodeAddrs []string) (*Relay, error) {
 	r := &Relay{prefillAddrs: prefillAddrs, incarnation: uint64(time.Now().UnixNano())}
 	var err error
@@ -51,7 +51,7 @@
 	r.Addr = listener.Addr().String()
 	r.grpcServer = grpc.NewServer(grpc.MaxConcurrentStreams(maxConcurrentStreams))
 	pb.RegisterGenerationServer(r.grpcServer, r)
-	go func() { _ = r.grpcServer.Serve(listener) }() // it returns an error only after Stop
+	go func() { _ = r.grpcServer.Serve(listener) }() // fails only after Stop
 	return r, nil
 }
 
@@ -76,8 +76,8 @@
 	return Generate(out.Context(), req, r.incarnation, number, r.prefillServers, r.prefillAddrs, r.decodeServers, out.Send)
 }
 
-// Generate sends a request to the prefill and the decode server whose turn is number, and the tokens of the answer to
-// send. incarnation and number name the request to the servers.
+// Generate runs a request on the prefill and the decode server that number selects round robin, and passes the tokens
+// of the answer to send. incarnation and number identify the request to the servers.
 func Generate(
 	ctx context.Context, req *pb.GenerateRequest, incarnation, number uint64,
 	prefillServers []pb.EngineClient, prefillAddrs []string, decodeServers []pb.EngineClient,
