--- a/internal/lab/benchmark/benchmark.go
+++ b/internal/lab/benchmark/benchmark.go
@@ -1,6 +1,6 @@
-// Package benchmark measures a dispatcher, the baseline relay and no relay at all side by side, each in a process of
-// its own before the same stand-in engines, and reads their CPU time and memory from outside. Its figures are of
-// stand-ins on loopback: only their ratios within one run mean something.
+// Package benchmark compares three routes to the same stand-in engines: through a dispatcher, through the baseline
+// relay and directly. Each relay runs in its own process, whose CPU time and memory are read from /proc. The engines
+// are stand-ins on loopback, so only ratios within one run are meaningful.
 package benchmark
 
 import (
@@ -12,45 +12,45 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// pauseBetweenPasses lets a relay end what the last pass has left.
+// pauseBetweenPasses lets a relay finish the work that the previous pass left behind.
 const pauseBetweenPasses = 300 * time.Millisecond
 
 // Config describes a benchmark.
 type Config struct {
-	Streams         []int         // numbers of concurrent streams, one pass for each
-	TokenInterval   time.Duration // between the tokens of an answer
-	Tokens          int           // of an answer
+	Streams         []int         // numbers of concurrent streams; each route has one pass per number
+	TokenInterval   time.Duration // time between the tokens of an answer
+	Tokens          int           // maximum length of an answer
 	Duration        time.Duration // of each pass
-	IdleConns       int           // connections for the memory figure
-	WaitingRequests int           // for the memory figure
-	Program         string        // path of this program
-	Output          io.Writer     // for the figures
+	IdleConns       int           // number of idle connections for the memory measurement
+	WaitingRequests int           // number of waiting requests for the memory measurement
+	Program         string        // path of the docksail executable
+	Output          io.Writer     // receives the results
 }
 
-// Measure runs the benchmark and writes its figures as it goes.
+// Measure runs the benchmark and writes each result as soon as it is known.
 func Measure(ctx context.Context, config Config) error {
 	b, err := startTestbed(&config)
 	if err != nil {
 		return err
 	}
 	defer b.stop()
-	// Memory is measured first: once the heap has grown, what is added hides in it.
+	// Memory is measured first: a heap that has grown in a pass would hide later allocations.
 	if err := b.measureMemory(ctx, &config); err != nil {
 		return err
 	}
 	config.printPassHeader()
 	for _, streams := range config.Streams {
-		passes := map[route]*measurement{}
-		for _, r := range []route{routeDirect, routeBaseline, routeDispatcher} {
-			m, err := b.measurePass(ctx, &config, r, streams)
+		measurements := map[route]*measurement{}
+		for _, via := range []route{routeDirect, routeBaseline, routeDispatcher} {
+			m, err := b.measurePass(ctx, &config, via, streams)
 			if err != nil {
 				return err
 			}
-			m.route, passes[r] = r, m
+			m.route, measurements[via] = via, m
 			config.printPass(m)
 			time.Sleep(pauseBetweenPasses)
 		}
-		config.printRatios(passes[routeDispatcher], passes[routeBaseline])
+		config.printRatios(measurements[routeDispatcher], measurements[routeBaseline])
 	}
 	return nil
 }
@@ -71,9 +71,9 @@
 		millis(m.tokenIntervals, 50), millis(m.tokenIntervals, 99))
 }
 
-// millis returns a quantile, in percent, of a histogram of microseconds.
-func millis(h *hdrhistogram.Histogram, quantile float64) float64 {
-	return float64(h.ValueAtQuantile(quantile)) / 1000
+// millis returns a percentile, in milliseconds, of a histogram of microseconds.
+func millis(h *hdrhistogram.Histogram, percentile float64) float64 {
+	return float64(h.ValueAtQuantile(percentile)) / 1000
 }
 
 // printRatios compares the dispatcher with the baseline relay.
--- a/internal/lab/benchmark/benchmark_test.go
+++ b/internal/lab/benchmark/benchmark_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// The process of the engines writes its addresses under these keys.
+// TestRunEngines checks that the process of the engines writes its addresses under the expected JSON keys and ends
+// when its input ends.
 func TestRunEngines(t *testing.T) {
 	input, stop := io.Pipe()
 	output, out := io.Pipe()
@@ -32,7 +33,7 @@
 	}
 }
 
-// The figures of a process are read from the system while it runs.
+// TestProcessFigures checks that memory and CPU time of a running process can be read.
 func TestProcessFigures(t *testing.T) {
 	p, err := startProcess("cat")
 	if err != nil {
@@ -47,7 +48,7 @@
 	}
 }
 
-// The ratios compare tokens a CPU second and CPU a request. Without CPU time there are none.
+// TestPrintRatios checks the printed ratios, and that none are printed without CPU time.
 func TestPrintRatios(t *testing.T) {
 	newMeasurement := func(cpu time.Duration) *measurement {
 		return &measurement{
--- a/internal/lab/benchmark/clients.go
+++ b/internal/lab/benchmark/clients.go
@@ -13,13 +13,13 @@
 	"docksail/internal/lab/baselinerelay"
 )
 
-// clientConnCount is the number of connections of the clients to a relay.
+// clientConnCount is the number of connections from the clients to a relay.
 const clientConnCount = 4
 
-// generateFunc sends the n-th request and calls onTokens for each message of the answer.
+// generateFunc sends request number n and calls onTokens for each message of its answer.
 type generateFunc func(ctx context.Context, n uint64, request *pb.GenerateRequest, onTokens onTokensFunc) error
 
-// onTokensFunc receives a message of an answer. An error ends the answer.
+// onTokensFunc handles one message of an answer. If it returns an error, the answer ends.
 type onTokensFunc func(*pb.Tokens) error
 
 // clients sends requests to a relay, or directly to the engines.
@@ -34,7 +34,7 @@
 	}
 }
 
-// dial adds a connection.
+// dial opens a connection that close will close.
 func (c *clients) dial(address string) (*grpc.ClientConn, error) {
 	conn, err := grpc.NewClient(address, grpc.WithTransportCredentials(insecure.NewCredentials()))
 	if err != nil {
@@ -44,7 +44,7 @@
 	return conn, nil
 }
 
-// dialRelay returns clients of a relay.
+// dialRelay returns clients that send requests to a relay.
 func dialRelay(address string) (*clients, error) {
 	c := &clients{}
 	var stubs []pb.GenerationClient
@@ -82,7 +82,7 @@
 	}
 }
 
-// dialEngines returns clients that call the engines themselves, as the baseline relay does.
+// dialEngines returns clients that call the engines directly, in the way of the baseline relay.
 func dialEngines(addresses Addresses) (*clients, error) {
 	c := &clients{}
 	dialAll := func(targets []string) ([]pb.EngineClient, error) {
--- a/internal/lab/benchmark/engines.go
+++ b/internal/lab/benchmark/engines.go
@@ -13,25 +13,26 @@
 )
 
 const (
-	engineCount        = 48 // with them a decode server has some hundred answers at once, as in service
+	engineCount        = 48
 	prefillEngineCount = 8
 
 	loopbackAddress = "127.0.0.1:0"
 	zone            = "a"
 	cell            = "a1"
 
-	// endlessPromptTokens is the length of a prompt from which on its prefill does not end within a run.
+	// endlessPromptTokens is the prompt length from which on a prefill does not end within a run.
 	endlessPromptTokens = 1 << 20
 	prefillTime         = time.Millisecond / 10
 )
 
-// Addresses are the addresses at which the process of the engines serves.
+// Addresses holds the addresses of the discovery server and the engines.
 type Addresses struct {
 	Discovery                     string
 	PrefillServers, DecodeServers []string
 }
 
-// RunEngines runs stand-in engines and a discovery server until in ends. It writes their Addresses to out as JSON.
+// RunEngines runs stand-in engines and a discovery server until in reaches its end. It writes their Addresses to out
+// as JSON.
 func RunEngines(tokenInterval time.Duration, in io.Reader, out io.Writer) error {
 	discovery := discoveryserver.New(0, 0, nil)
 	if err := discovery.Start(loopbackAddress); err != nil {
@@ -61,7 +62,8 @@
 	return err
 }
 
-// engineSpec returns the specification of an engine that limits nothing. The first engines are prefill servers.
+// engineSpec returns the specification of an engine whose limits are never reached. The engines with the lowest IDs
+// are prefill servers, the others decode servers.
 func engineSpec(id int, tokenInterval time.Duration) engine.Spec {
 	spec := engine.Spec{
 		ID: id, Role: pb.Role_ROLE_READER, Zone: zone, Cell: cell,
@@ -78,9 +80,9 @@
 // fixedTimes is an engine model whose times do not depend on load.
 type fixedTimes struct{ tokenInterval time.Duration }
 
-// PrefillTime returns a fixed time, or an hour for an endless prompt.
-func (m fixedTimes) PrefillTime(_ *engine.Spec, unread int64, _ float64) time.Duration {
-	if unread >= endlessPromptTokens {
+// PrefillTime returns prefillTime, or an hour for an endless prompt.
+func (m fixedTimes) PrefillTime(_ *engine.Spec, uncached int64, _ float64) time.Duration {
+	if uncached >= endlessPromptTokens {
 		return time.Hour
 	}
 	return prefillTime
@@ -89,10 +91,10 @@
 // TokenInterval returns the configured interval.
 func (m fixedTimes) TokenInterval(*engine.Spec, int, float64) time.Duration { return m.tokenInterval }
 
-// TransferTime returns 0.
+// TransferTime returns 0: transfers take no time.
 func (m fixedTimes) TransferTime(*engine.Spec, int64, bool) time.Duration { return 0 }
 
-// RunBaselineRelay runs the baseline relay until in ends. It writes its address to a line of out.
+// RunBaselineRelay runs the baseline relay until in reaches its end. It writes the relay's address to out as one line.
 func RunBaselineRelay(addresses Addresses, in io.Reader, out io.Writer) error {
 	relay, err := baselinerelay.Start(loopbackAddress, addresses.PrefillServers, addresses.DecodeServers)
 	if err != nil {
--- a/internal/lab/benchmark/memory.go
+++ b/internal/lab/benchmark/memory.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	// emptySettingsFrame follows the preface of an HTTP/2 client.
+	// emptySettingsFrame is an HTTP/2 SETTINGS frame without settings, which must follow the client preface.
 	emptySettingsFrame = "\x00\x00\x00\x04\x00\x00\x00\x00\x00"
 
-	connSettleTime    = time.Second             // until a relay has allocated what connections need, or freed it
-	requestSettleTime = 1500 * time.Millisecond // the same of requests
+	connSettleTime    = time.Second             // for a relay to allocate or free the memory of connections
+	requestSettleTime = 1500 * time.Millisecond // for a relay to allocate the memory of requests
 )
 
-// measureMemory writes the resident memory that each relay needs for idle connections and for waiting requests.
+// measureMemory writes by how much idle connections and waiting requests increase the resident memory of each relay.
 func (b *testbed) measureMemory(ctx context.Context, config *Config) error {
 	fmt.Fprintf(config.Output, "%-9s %-22s %8s %14s %14s\n", "way", "what", "number", "bytes in all", "bytes for one")
 	for _, r := range []*relay{&b.baseline, &b.dispatcher} {
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// measureIdleConns measures connections that carry no stream.
+// measureIdleConns measures the memory of connections without streams.
 func (r *relay) measureIdleConns(w io.Writer, count int) error {
 	before, err := r.process.residentMemory()
 	if err != nil {
@@ -61,7 +61,7 @@
 	return r.printMemory(w, "idle connections", len(conns), before)
 }
 
-// measureWaitingRequests measures requests whose prefill does not end.
+// measureWaitingRequests measures the memory of requests whose prefill does not end.
 func (r *relay) measureWaitingRequests(ctx context.Context, w io.Writer, count int) error {
 	c, err := dialRelay(r.address)
 	if err != nil {
@@ -80,7 +80,7 @@
 	for i := range count {
 		waiting.Go(func() {
 			request := &pb.GenerateRequest{Track: requestClass, PromptTokens: endlessPromptTokens, MaxTokens: 1}
-			// It ends with the error of the canceled context.
+			// The error is that of the canceled context.
 			_ = c.generate(ctx, uint64(i), request, func(*pb.Tokens) error { return nil })
 		})
 	}
@@ -88,13 +88,13 @@
 	return r.printMemory(w, "requests waiting for a prefill", count, before)
 }
 
-// printMemory writes by how much the relay's memory has grown for a number of items.
-func (r *relay) printMemory(w io.Writer, what string, count int, before int64) error {
-	now, err := r.process.residentMemory()
+// printMemory writes by how much the relay's memory has grown, in total and per item.
+func (r *relay) printMemory(w io.Writer, itemKind string, count int, before int64) error {
+	after, err := r.process.residentMemory()
 	if err != nil {
 		return err
 	}
 	fmt.Fprintf(w, "%-9s %-22s %8d %14d %14.0f\n",
-		r.route, what, count, now-before, float64(now-before)/float64(max(count, 1)))
+		r.route, itemKind, count, after-before, float64(after-before)/float64(max(count, 1)))
 	return nil
 }
--- a/internal/lab/benchmark/pass.go
+++ b/internal/lab/benchmark/pass.go
@@ -17,24 +17,25 @@
 	significantDigits = 3
 
 	promptTokens = 100
-	retryDelay   = 250 * time.Millisecond // of a stream whose request has failed
-	// memorySampleTenths is the time, in tenths of a pass, at which the memory of a busy relay is read.
+	retryDelay   = 250 * time.Millisecond // between a failed request and the next one of its stream
+	// memorySampleTenths is the point of a pass, in tenths of its duration, at which the memory of the busy relay is
+	// read.
 	memorySampleTenths = 9
 )
 
-// measurement is what was measured of one route with one number of streams.
+// measurement is the result of one pass.
 type measurement struct {
 	route                    route
 	streams                  int
 	requests, tokens, failed uint64
-	cpu                      time.Duration // of the relay
+	cpu                      time.Duration // CPU time of the relay
 	duration                 time.Duration
 	firstTokenTime           *hdrhistogram.Histogram // microseconds
 	tokenIntervals           *hdrhistogram.Histogram // microseconds
-	memoryGrowth             int64                   // of the relay while the streams ran, in bytes
+	memoryGrowth             int64                   // of the relay while the streams run, in bytes
 }
 
-// tokensPerCPUSecond returns the tokens for each second of the relay's CPU time; 0 without a relay.
+// tokensPerCPUSecond returns the tokens per second of the relay's CPU time; 0 without a relay.
 func (m *measurement) tokensPerCPUSecond() float64 {
 	if m.cpu <= 0 {
 		return 0
@@ -42,15 +43,15 @@
 	return float64(m.tokens) / m.cpu.Seconds()
 }
 
-// cpuPerRequest returns the relay's CPU seconds for each request.
+// cpuPerRequest returns the relay's CPU time per request in seconds.
 func (m *measurement) cpuPerRequest() float64 { return m.cpu.Seconds() / float64(m.requests) }
 
-// measurePass measures one route with a number of streams.
-func (b *testbed) measurePass(ctx context.Context, config *Config, by route, streams int) (*measurement, error) {
-	ctx, cancel := context.WithCancel(ctx) // not a time-out, which would go on the wire and be kept
+// measurePass runs one pass: the given number of streams over one route.
+func (b *testbed) measurePass(ctx context.Context, config *Config, via route, streams int) (*measurement, error) {
+	ctx, cancel := context.WithCancel(ctx) // not a timeout, which would be sent to the servers and enforced
 	defer cancel()
 	time.AfterFunc(config.Duration, cancel)
-	relay := b.relay(by)
+	relay := b.relay(via)
 	c, err := b.dial(relay)
 	if err != nil {
 		return nil, err
@@ -82,7 +83,7 @@
 	return m, nil
 }
 
-// dial returns clients of a relay, or of the engines if it is nil.
+// dial returns clients of a relay, or of the engines if relay is nil.
 func (b *testbed) dial(relay *relay) (*clients, error) {
 	if relay == nil {
 		return dialEngines(b.addresses)
@@ -90,10 +91,10 @@
 	return dialRelay(relay.address)
 }
 
-// streamCounters are shared by the streams of a pass.
+// streamCounters holds the counters that all streams of a pass share.
 type streamCounters struct{ sent, requests, tokens, failed atomic.Uint64 }
 
-// runStreams keeps a number of streams running until the context is done.
+// runStreams runs the given number of streams until the context is done.
 func runStreams(ctx context.Context, config *Config, streams int, generate generateFunc) *measurement {
 	m := &measurement{streams: streams, firstTokenTime: newHistogram(), tokenIntervals: newHistogram()}
 	var mu sync.Mutex // guards the histograms
@@ -107,7 +108,7 @@
 				counters: &counters, maxTokens: uint32(config.Tokens), generate: generate,
 				firstTokenTime: newHistogram(), tokenIntervals: newHistogram(),
 			}
-			time.Sleep(time.Duration(answerTime * float64(i) / float64(streams))) // starts are spread
+			time.Sleep(time.Duration(answerTime * float64(i) / float64(streams))) // spreads the starts
 			s.run(ctx)
 			mu.Lock()
 			defer mu.Unlock()
@@ -125,7 +126,7 @@
 	return hdrhistogram.New(1, maxRecordedMicros, significantDigits)
 }
 
-// stream sends one request after another.
+// stream sends requests one after another.
 type stream struct {
 	counters       *streamCounters
 	maxTokens      uint32
@@ -146,16 +147,16 @@
 	}
 }
 
-// request sends a request and records the times of its tokens.
+// request sends a request and records the time to its first token and the intervals between its tokens.
 func (s *stream) request(ctx context.Context) error {
-	n := s.counters.sent.Add(1)
+	number := s.counters.sent.Add(1)
 	request := &pb.GenerateRequest{
-		Track: requestClass, PromptTokens: promptTokens, MaxTokens: s.maxTokens, Label: strconv.FormatUint(n, 10),
+		Track: requestClass, PromptTokens: promptTokens, MaxTokens: s.maxTokens, Label: strconv.FormatUint(number, 10),
 	}
 	last, times := time.Now(), s.firstTokenTime
-	return s.generate(ctx, n, request, func(*pb.Tokens) error {
+	return s.generate(ctx, number, request, func(*pb.Tokens) error {
 		now := time.Now()
-		_ = times.RecordValue(now.Sub(last).Microseconds()) // a time over the maximum is not recorded
+		_ = times.RecordValue(now.Sub(last).Microseconds()) // fails for times above the maximum, which are dropped
 		last, times = now, s.tokenIntervals
 		s.counters.tokens.Add(1)
 		return nil
--- a/internal/lab/benchmark/process.go
+++ b/internal/lab/benchmark/process.go
@@ -13,21 +13,21 @@
 const (
 	// clockTick is the unit of CPU times in /proc/PID/stat: USER_HZ is 100 on Linux.
 	clockTick = 10 * time.Millisecond
-	// userTimeField is the index of the user time in /proc/PID/stat, counted from behind the command's name. The
-	// system time follows.
+	// userTimeField is the index of the user time among the fields of /proc/PID/stat after the command name. The system
+	// time is the next field.
 	userTimeField = 11
-	// residentField is the index of the resident pages in /proc/PID/statm.
+	// residentField is the index of the number of resident pages in /proc/PID/statm.
 	residentField = 1
 )
 
-// process is a running process of this program. It ends when its input does.
+// process is a child process. It ends when its input reaches the end.
 type process struct {
 	cmd    *exec.Cmd
 	input  io.WriteCloser
 	output io.Reader
 }
 
-// startProcess starts the program with arguments.
+// startProcess starts a program with the given arguments.
 func startProcess(program string, args ...string) (*process, error) {
 	cmd := exec.Command(program, args...)
 	input, err := cmd.StdinPipe()
@@ -48,18 +48,18 @@
 // stop kills the process.
 func (p *process) stop() {
 	p.input.Close()
-	_ = p.cmd.Process.Kill() // an error means that it has ended
-	_ = p.cmd.Wait()         // its status is that of a killed process
+	_ = p.cmd.Process.Kill() // fails only if the process has ended
+	_ = p.cmd.Wait()         // reports only that the process was killed
 }
 
-// cpuTime returns the CPU time that the process has used, in user and system mode.
+// cpuTime returns the CPU time that the process has used, in user and in system mode together.
 func (p *process) cpuTime() (time.Duration, error) {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
 	if err != nil {
 		return 0, err
 	}
 	text := string(data)
-	fields := strings.Fields(text[strings.LastIndexByte(text, ')')+2:]) // the command's name may have spaces
+	fields := strings.Fields(text[strings.LastIndexByte(text, ')')+2:]) // the command name may contain spaces
 	var ticks int64
 	for _, field := range fields[userTimeField : userTimeField+2] {
 		n, err := strconv.ParseInt(field, 10, 64)
--- a/internal/lab/benchmark/testbed.go
+++ b/internal/lab/benchmark/testbed.go
@@ -10,17 +10,17 @@
 	"time"
 )
 
-// A route is a way from clients to the engines.
+// route is a path from the clients to the engines. Its value is the name in the printed tables.
 type route string
 
 const (
-	routeDirect     route = "straight" // no relay
+	routeDirect     route = "straight" // without a relay
 	routeBaseline   route = "baseline" // the baseline relay
 	routeDispatcher route = "docksail"
 )
 
-// dispatcherSettings are the settings of the dispatcher that is measured. They take its port and the address of the
-// discovery server.
+// dispatcherSettings is the format of the dispatcher's settings. Its arguments are the dispatcher's port and the
+// address of the discovery server.
 const dispatcherSettings = `{
   "listen": "127.0.0.1:%d", "zone": "a", "fleet": {"watch": "%s"},
   "classes": [{"name": "question", "target": "5s", "timeout": "60s", "token_gap": "1s", "effect": "idempotent"}],
@@ -29,27 +29,27 @@
 }`
 
 const (
-	requestClass = "question" // the class of the settings
-	startupTime  = 500 * time.Millisecond
+	requestClass = "question"             // the class in dispatcherSettings
+	startupTime  = 500 * time.Millisecond // for the relays to start listening
 )
 
-// relay is a relay that is measured.
+// relay is a relay under measurement.
 type relay struct {
 	route   route
 	address string
 	process *process
 }
 
-// testbed is all that runs beside the clients: the engines and the relays before them.
+// testbed holds the processes of a benchmark: the engines and the relays.
 type testbed struct {
-	directory  string // of the settings
+	directory  string // temporary directory of the settings
 	engines    *process
-	addresses  Addresses // of the engines
+	addresses  Addresses // addresses of the engines and the discovery server
 	dispatcher relay
 	baseline   relay
 }
 
-// startTestbed starts the engines and then the relays. Callers stop the testbed.
+// startTestbed starts the engines and then the relays. The caller must call stop.
 func startTestbed(config *Config) (*testbed, error) {
 	b := &testbed{dispatcher: relay{route: routeDispatcher}, baseline: relay{route: routeBaseline}}
 	for _, start := range []func(*Config) error{b.startEngines, b.startDispatcher, b.startBaseline} {
@@ -80,7 +80,7 @@
 		return err
 	}
 	if err := json.NewDecoder(b.engines.output).Decode(&b.addresses); err != nil {
-		return fmt.Errorf("engines: %w", err)
+		return fmt.Errorf("read the addresses of the engines: %w", err)
 	}
 	return nil
 }
@@ -119,13 +119,13 @@
 	line := make([]byte, 64)
 	n, err := b.baseline.process.output.Read(line)
 	if err != nil {
-		return fmt.Errorf("baseline: %w", err)
+		return fmt.Errorf("read the address of the baseline relay: %w", err)
 	}
 	b.baseline.address = strings.TrimSpace(string(line[:n]))
 	return nil
 }
 
-// relay returns the relay of a route; nil for the direct one.
+// relay returns the relay of a route, or nil for the direct route.
 func (b *testbed) relay(r route) *relay {
 	switch r {
 	case routeBaseline:
@@ -137,7 +137,7 @@
 	return nil
 }
 
-// freePort returns a port of the loopback interface on which nobody listens.
+// freePort returns a TCP port of the loopback interface that is not in use.
 func freePort() (int, error) {
 	listener, err := net.Listen("tcp", loopbackAddress)
 	if err != nil {
