--- a/internal/lab/calibrate/calibrate.go
+++ b/internal/lab/calibrate/calibrate.go
@@ -1,5 +1,5 @@
-// Package calibrate measures the timings of the batching stand-in engine behind gRPC, on the machine's clock, and
-// compares them with what its model intends.
+// Package calibrate measures the timing of the stand-in engine with the batch model, over gRPC and in real time, and
+// compares it with the timing that the model specifies.
 package calibrate
 
 import (
@@ -10,14 +10,14 @@
 	"time"
 )
 
-// Comparison is one figure, intended and measured.
+// Comparison is one quantity with its intended value, which the model specifies, and its measured value.
 type Comparison struct {
 	Name               string
 	Intended, Measured float64
 	Unit               string
 }
 
-// RelativeError returns by how much the measured value is off, as a share of the intended one.
+// RelativeError returns the error of the measured value as a fraction of the intended one.
 func (c Comparison) RelativeError() float64 { return c.Measured/c.Intended - 1 }
 
 // PrintComparisons writes a table of the comparisons.
@@ -31,7 +31,7 @@
 	return t.Flush()
 }
 
-// Measure measures all figures. It takes some twenty seconds.
+// Measure runs all checks and returns their comparisons. It takes about 20 seconds.
 func Measure(ctx context.Context) ([]Comparison, error) {
 	c, err := newCalibration()
 	if err != nil {
@@ -54,7 +54,7 @@
 	return c.comparisons, nil
 }
 
-// addTime adds a comparison of two times.
+// addTime adds a comparison of two durations.
 func (c *calibration) addTime(name string, intended, measured time.Duration) {
 	c.add(name, millis(intended), millis(measured), "ms")
 }
--- a/internal/lab/calibrate/calibrate_test.go
+++ b/internal/lab/calibrate/calibrate_test.go
@@ -8,15 +8,15 @@
 
 const (
 	minComparisons = 10
-	// maxRelativeError bounds the error of the best of several measurements.
+	// maxRelativeError bounds the error of quantities that are the best of several measurements.
 	maxRelativeError = 0.2
-	// maxIntervalError bounds the error of a median of token intervals, which load on the machine stretches. Their least
-	// says nothing: a token that comes late shortens the interval to the next.
+	// maxIntervalError bounds the error of medians of token intervals, which load on the machine lengthens. Their
+	// minimum cannot be used instead: a token that arrives late shortens the interval to the next one.
 	maxIntervalError = 0.35
 )
 
-// Every figure is close to what is intended. On a machine that does nothing else the errors are a few percent
-// (docs/emulator.md).
+// TestCalibrate checks that every measured value is close to the intended one. On an idle machine the errors are a few
+// percent (docs/emulator.md).
 func TestCalibrate(t *testing.T) {
 	comparisons, err := Measure(t.Context())
 	if err != nil {
--- a/internal/lab/calibrate/checks.go
+++ b/internal/lab/calibrate/checks.go
@@ -11,37 +11,39 @@
 )
 
 const (
-	// rounds is how often a time is measured. The shortest counts: other processes on the machine only ever add time.
-	rounds = 5
+	// repetitions is how often a duration is measured. The shortest one is used: other processes on the machine only
+	// lengthen it.
+	repetitions = 5
 
-	promptTokens       = 4000 // two steps of a prefill
+	promptTokens       = 4000 // takes two steps of a prefill
 	answerPromptTokens = 1000
 	maxAnswerTokens    = 60
 	concurrentAnswers  = 6
-	stateTokens        = 8000 // of a state that is transferred
-	evictionTokens     = 4096 // of each prompt that takes memory from the others
-	evictionExcess     = 2    // prompts more than fit
+	stateTokens        = 8000 // length of a state that is transferred
+	evictionTokens     = 4096 // length of each prompt that competes for memory
+	evictionExcess     = 2    // prompts beyond those that fit in memory
 	coldPromptTokens   = 1000
-	coldCapacity       = 0.25 // share of its rate at which a cold engine starts
+	coldCapacity       = 0.25 // fraction of its full rate at which a cold engine starts
 	warmupTime         = 4 * time.Second
 	coldStartInterval  = 300 * time.Millisecond // between the starts of cold engines
 )
 
-// prefillTime returns the intended time of a prefill that takes so many steps.
+// prefillTime returns the intended duration of a prefill with the given numbers of steps and of prompt tokens.
 func (c *calibration) prefillTime(steps, tokens int64) time.Duration {
 	return time.Duration(steps*c.shape.StepTime + tokens*c.shape.TimePerPromptToken)
 }
 
-// decodeStepTime returns the intended time of a step with so many answers, each with so many tokens of context.
+// decodeStepTime returns the intended duration of a step that continues the given number of answers, each with the
+// given number of context tokens.
 func (c *calibration) decodeStepTime(answers, contextTokens int64) time.Duration {
 	return time.Duration(c.shape.StepTime + answers*c.shape.TimePerAnswer +
 		answers*contextTokens*c.shape.TimePer1kContext/1000)
 }
 
-// checkPrefillTime measures a prefill of several steps.
+// checkPrefillTime measures the duration of a prefill that takes several steps.
 func (c *calibration) checkPrefillTime(ctx context.Context) error {
 	var times []time.Duration
-	for i := range rounds {
+	for i := range repetitions {
 		took, _, err := c.prefill(ctx, c.mixed, promptTokens, fmt.Sprint("read", i))
 		if err != nil {
 			return err
@@ -53,22 +55,22 @@
 	return nil
 }
 
-// checkCachedPrefill measures the second prefill of a prompt: all but its last token are cached.
+// checkCachedPrefill measures the second prefill of a prompt, of which all but the last token are cached.
 func (c *calibration) checkCachedPrefill(ctx context.Context) error {
 	if _, _, err := c.prefill(ctx, c.mixed, promptTokens, "kept"); err != nil {
 		return err
 	}
 	var times []time.Duration
-	leastKept := uint32(promptTokens)
-	for range rounds {
+	minCachedTokens := uint32(promptTokens)
+	for range repetitions {
 		took, done, err := c.prefill(ctx, c.mixed, promptTokens, "kept")
 		if err != nil {
 			return err
 		}
 		times = append(times, took)
-		leastKept = min(leastKept, done.KeptTokens)
+		minCachedTokens = min(minCachedTokens, done.KeptTokens)
 	}
-	c.add("tokens kept of 4,000 read again", promptTokens-1, float64(leastKept), "tokens")
+	c.add("tokens kept of 4,000 read again", promptTokens-1, float64(minCachedTokens), "tokens")
 	c.addTime("time of that read", c.prefillTime(1, 1), slices.Min(times))
 	return nil
 }
@@ -84,8 +86,8 @@
 	return nil
 }
 
-// checkTokenIntervalTogether measures the time between the tokens of answers that share their engine's steps. Of each
-// answer the part from the half to two thirds counts, where all of them run and no prefill does.
+// checkTokenIntervalTogether measures the time between the tokens of answers that share the steps of their engine. It
+// uses the part of each answer from one half to two thirds, during which all answers and no prefills run.
 func (c *calibration) checkTokenIntervalTogether(ctx context.Context) error {
 	type result struct {
 		times answerTimes
@@ -120,15 +122,15 @@
 	return c.checkTransfer(ctx, "the same to another zone", otherZone, otherCell, engine.CrossZoneFactor)
 }
 
-// checkTransfer measures the first token of answers whose state is transferred to a decode server at that place. The
-// transfer takes so many times as long as one within the cell.
+// checkTransfer measures the time to the first token of answers whose state is transferred to a decode server in the
+// given zone and cell. The transfer is intended to take factor times as long as one within the cell.
 func (c *calibration) checkTransfer(ctx context.Context, name, toZone, toCell string, factor float64) error {
 	decodeServer, err := c.startWarm(engine.Spec{Role: pb.Role_ROLE_WRITER, Zone: toZone, Cell: toCell})
 	if err != nil {
 		return err
 	}
 	var firstTokens []time.Duration
-	for i := range rounds {
+	for i := range repetitions {
 		attempt := c.newAttempt(stateTokens, 1, fmt.Sprint(toCell, i))
 		if _, err := c.mixed.client.Read(ctx, attempt); err != nil {
 			return err
@@ -145,8 +147,8 @@
 	return nil
 }
 
-// checkEviction measures how many prompts stay cached if more than fit have been read: the least recently used are
-// evicted.
+// checkEviction measures how many prompts stay cached after more prompts than fit in memory: the least recently used
+// ones are evicted.
 func (c *calibration) checkEviction(ctx context.Context) error {
 	server, err := c.startWarm(engine.Spec{Role: pb.Role_ROLE_READER, Zone: zone, Cell: cell})
 	if err != nil {
@@ -159,7 +161,7 @@
 		}
 	}
 	cached := 0
-	for i := fitting + evictionExcess - 1; i > 0; i-- { // the newest first, so that looking evicts none of the others
+	for i := fitting + evictionExcess - 1; i > 0; i-- { // newest first, so that a lookup does not evict older prompts
 		_, done, err := c.prefill(ctx, server, evictionTokens, fmt.Sprint("evict", i))
 		if err != nil {
 			return err
@@ -173,11 +175,11 @@
 	return nil
 }
 
-// checkColdStart measures prefills during the warm-up of engines, whose rate grows to its full rate. Each engine has
-// only one warm-up, so several are measured, some time apart: what delays one measurement then does not delay all.
+// checkColdStart measures prefills during the warm-up of engines, in which their rate grows to the full rate. As each
+// engine warms up only once, several engines are measured, started at intervals so that one delay does not affect all.
 func (c *calibration) checkColdStart(ctx context.Context) error {
-	results := make(chan coldStart, rounds)
-	for range rounds {
+	results := make(chan coldStart, repetitions)
+	for range repetitions {
 		server, err := c.start(engine.Spec{
 			Role: pb.Role_ROLE_READER, Zone: zone, Cell: cell, InitialCapacity: coldCapacity, WarmupTime: warmupTime,
 		})
@@ -192,7 +194,7 @@
 		time.Sleep(coldStartInterval)
 	}
 	var best [len(coldStartOffsets)]Comparison
-	for range rounds {
+	for range repetitions {
 		result := <-results
 		if result.err != nil {
 			return result.err
@@ -210,7 +212,7 @@
 // coldStartOffsets are the times after an engine's start at which its prefills are measured.
 var coldStartOffsets = [...]time.Duration{0, warmupTime / 2, warmupTime}
 
-// coldStart is what was measured during the warm-up of one engine.
+// coldStart is the result of measuring one engine during its warm-up.
 type coldStart struct {
 	comparisons [len(coldStartOffsets)]Comparison
 	err         error
--- a/internal/lab/calibrate/testbed.go
+++ b/internal/lab/calibrate/testbed.go
@@ -24,13 +24,13 @@
 	slotCount     = 8
 	queueLength   = 64
 	memoryTokens  = 1 << 15
-	prefillRate   = 20000.0  // tokens a second
-	transferRate  = 100000.0 // tokens a second
+	prefillRate   = 20000.0  // tokens per second
+	transferRate  = 100000.0 // tokens per second
 	tokenInterval = 20 * time.Millisecond
 	maxHoldTime   = time.Minute
 )
 
-// calibration is a run: the engines it has started and the comparisons so far.
+// calibration is the state of one Measure call: the engines started and the comparisons made so far.
 type calibration struct {
 	engines     []*engine.Engine
 	conns       []*grpc.ClientConn
@@ -38,19 +38,19 @@
 	lastRequest uint64
 	comparisons []Comparison
 
-	mixed testEngine // prefill and decode, always warm
+	mixed testEngine // serves prefill and decode; has no warm-up
 	shape batchmodel.Shape
 
-	meanContext int64 // tokens of prompt and answer, in the middle of the answer that was alone
+	meanContext int64 // context tokens at the middle of the answer in checkTokenIntervalAlone
 }
 
-// testEngine is an engine and a client of it.
+// testEngine is an engine with a client for it.
 type testEngine struct {
 	*engine.Engine
 	client pb.EngineClient
 }
 
-// newCalibration starts the engine on which most figures are measured.
+// newCalibration returns a calibration with the engine that most checks use.
 func newCalibration() (*calibration, error) {
 	c := &calibration{links: engine.NewLinks(engine.CellLinkFactor, engine.CrossZoneFactor)}
 	var err error
@@ -72,7 +72,7 @@
 	c.links.Close()
 }
 
-// startWarm starts an engine that is warm at once.
+// startWarm starts an engine that skips its warm-up.
 func (c *calibration) startWarm(spec engine.Spec) (testEngine, error) {
 	e, err := c.start(spec)
 	if err == nil {
@@ -81,7 +81,8 @@
 	return e, err
 }
 
-// start starts an engine. Role, place and warm-up are the specification's, all else is the calibration's.
+// start starts an engine with the role, zone, cell and warm-up of the given specification. All other fields are set
+// here.
 func (c *calibration) start(spec engine.Spec) (testEngine, error) {
 	spec.ID, spec.Slots, spec.Queue, spec.MemoryTokens = len(c.engines)+1, slotCount, queueLength, memoryTokens
 	spec.PrefillRate, spec.RequestsPerSecond, spec.TransferRate = prefillRate, 1000, transferRate
@@ -100,7 +101,8 @@
 	return testEngine{e, pb.NewEngineClient(conn)}, nil
 }
 
-// newAttempt returns an attempt of a new request. The label decides how long the answer is, and names the session.
+// newAttempt returns an attempt of a new request. The label is also the session, and determines the length of the
+// answer.
 func (c *calibration) newAttempt(promptTokens, maxTokens uint32, label string) *pb.Launch {
 	c.lastRequest++
 	return &pb.Launch{Job: c.lastRequest, Request: &pb.GenerateRequest{
@@ -108,14 +110,14 @@
 	}}
 }
 
-// prefill runs one prefill and releases its state. It returns the time that the prefill took.
+// prefill runs the prefill of a new request and releases its state. It returns the duration of the prefill.
 func (c *calibration) prefill(
 	ctx context.Context, on testEngine, promptTokens uint32, label string,
 ) (time.Duration, *pb.ReadDone, error) {
 	return runPrefill(ctx, on, c.newAttempt(promptTokens, 1, label))
 }
 
-// runPrefill runs a prefill attempt and releases its state. It returns the time that the prefill took.
+// runPrefill runs a prefill attempt and releases its state. It returns the duration of the prefill.
 func runPrefill(ctx context.Context, on testEngine, attempt *pb.Launch) (time.Duration, *pb.ReadDone, error) {
 	start := time.Now()
 	done, err := on.client.Read(ctx, attempt)
@@ -126,13 +128,13 @@
 	return took, done, err
 }
 
-// answerTimes are the times of an answer's tokens.
+// answerTimes holds the time to the first token of an answer and the intervals between its tokens.
 type answerTimes struct {
 	firstToken time.Duration
 	intervals  []time.Duration
 }
 
-// decode runs one decode attempt to its end.
+// decode runs a decode attempt to its end and returns the times of its tokens.
 func decode(ctx context.Context, on testEngine, attempt *pb.Launch) (answerTimes, error) {
 	var times answerTimes
 	start := time.Now()
@@ -156,7 +158,7 @@
 	}
 }
 
-// median returns the median of times, which it sorts.
+// median returns the median of times. It sorts them in place.
 func median(times []time.Duration) time.Duration {
 	slices.Sort(times)
 	return times[len(times)/2]
--- a/internal/lab/demo/demo.go
+++ b/internal/lab/demo/demo.go
@@ -1,4 +1,5 @@
-// Package demo starts stand-in engines, discovery and a dispatcher on loopback and streams one answer through them.
+// Package demo starts stand-in engines, a discovery server and a dispatcher on loopback, and streams one answer
+// through them.
 package demo
 
 import (
@@ -22,7 +23,8 @@
 	maxAnswerTokens = 40
 )
 
-// Run starts the deployment of scenario.Demo, sends one request and writes the tokens of its answer to w as they come.
+// Run starts the deployment of scenario.Demo, sends one request and writes the tokens of its answer to w as they
+// arrive.
 func Run(ctx context.Context, w io.Writer, log *slog.Logger) error {
 	script := scenario.Demo()
 	deployment, err := scenario.Start(script, log)
@@ -42,7 +44,7 @@
 	return streamAnswer(ctx, w, pb.NewGenerationClient(conn), script.Classes[0].Name)
 }
 
-// streamAnswer sends one request of a class and writes the answer's tokens as they arrive.
+// streamAnswer sends one request of the given class and writes the tokens of its answer to w as they arrive.
 func streamAnswer(ctx context.Context, w io.Writer, client pb.GenerationClient, class string) error {
 	start := time.Now()
 	stream, err := client.Generate(ctx, &pb.GenerateRequest{
