--- a/internal/lab/discoveryserver/server.go
+++ b/internal/lab/discoveryserver/server.go
@@ -1,5 +1,5 @@
-// Package discoveryserver is a stand-in for the service that knows which servers run. Dispatchers watch its endpoint
-// list; changes reach them after a delay.
+// Package discoveryserver is a stand-in for the discovery service. Dispatchers watch its endpoint list; changes reach
+// them after a configurable delay.
 package discoveryserver
 
 import (
@@ -16,13 +16,14 @@
 	"docksail/internal/lab/eventlog"
 )
 
-// watchBuffer is how many updates a watcher may lag behind.
+// watchBuffer is the number of unsent updates after which a watch is ended.
 const watchBuffer = 64
 
-// errWatcherLags ends a watch that missed an update: it has to start anew with a complete list.
-var errWatcherLags = errors.New("watcher lags")
+// errUpdateDropped ends a watch whose buffer was full. The watcher must start a new watch, which begins with the
+// complete list.
+var errUpdateDropped = errors.New("update dropped: watcher is too slow")
 
-// Server is the discovery service for one dispatcher.
+// Server is the discovery server of one dispatcher.
 type Server struct {
 	pb.UnimplementedFleetServer
 	delay      time.Duration
@@ -31,15 +32,15 @@
 
 	mu         sync.Mutex
 	addr       string
-	grpcServer *grpc.Server // nil while it is stopped
+	grpcServer *grpc.Server // nil while the server is stopped
 	version    uint64
 	endpoints  map[uint32]*pb.Host
-	order      []uint32 // IDs of the endpoints, in the order in which they became known
+	order      []uint32 // IDs of the endpoints, in the order in which they were added
 	watchers   map[chan *pb.FleetNews]bool
 }
 
-// New returns a service for one dispatcher that announces changes after a delay. It adds entries to log, which may be
-// nil.
+// New returns a server for one dispatcher that announces changes after a delay. It records the endpoints sent to the
+// dispatcher in log, which may be nil.
 func New(delay time.Duration, dispatcher int, log *eventlog.Log) *Server {
 	return &Server{
 		delay:      delay,
@@ -50,7 +51,8 @@
 	}
 }
 
-// Start serves on an address. Port 0 takes any free port; later starts use the same one again, whatever addr says.
+// Start starts the server on the given address; port 0 selects a free port. Later starts ignore addr and use the
+// address of the first one.
 func (s *Server) Start(addr string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -65,11 +67,11 @@
 	grpcServer := grpc.NewServer()
 	pb.RegisterFleetServer(grpcServer, s)
 	s.grpcServer = grpcServer
-	go func() { _ = grpcServer.Serve(listener) }() // it returns an error only after Stop
+	go func() { _ = grpcServer.Serve(listener) }() // fails only after Stop
 	return nil
 }
 
-// Stop stops the service. It keeps the list for the next start.
+// Stop stops the server. The endpoint list is kept for the next start.
 func (s *Server) Stop() {
 	s.mu.Lock()
 	grpcServer := s.grpcServer
@@ -80,24 +82,24 @@
 	}
 }
 
-// Addr returns the address at which it serves, or did before it was stopped.
+// Addr returns the address on which the server listens, or last listened.
 func (s *Server) Addr() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.addr
 }
 
-// Set adds or changes an endpoint and announces it: at once, or after the delay of the service.
-func (s *Server) Set(endpoint *pb.Host, atOnce bool) {
+// Set adds or changes an endpoint and announces it: immediately, or after the delay of the server.
+func (s *Server) Set(endpoint *pb.Host, immediately bool) {
 	endpoint = proto.Clone(endpoint).(*pb.Host)
-	if atOnce || s.delay == 0 {
+	if immediately || s.delay == 0 {
 		s.announce(endpoint)
 		return
 	}
 	time.AfterFunc(s.delay, func() { s.announce(endpoint) })
 }
 
-// announce changes the list and sends the change to all watchers.
+// announce changes the endpoint list and sends the change to all watchers. It ends watches whose buffer is full.
 func (s *Server) announce(endpoint *pb.Host) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -117,7 +119,7 @@
 	}
 }
 
-// Watch implements the Fleet service: it sends the complete list and then each change.
+// Watch implements the Fleet service: it sends the complete list, and then each change.
 func (s *Server) Watch(_ *pb.WatchRequest, out grpc.ServerStreamingServer[pb.FleetNews]) error {
 	updates := make(chan *pb.FleetNews, watchBuffer)
 	update := s.addWatcher(updates)
@@ -131,7 +133,7 @@
 		select {
 		case update, ok = <-updates:
 			if !ok {
-				return errWatcherLags
+				return errUpdateDropped
 			}
 		case <-out.Context().Done():
 			return out.Context().Err()
@@ -139,7 +141,7 @@
 	}
 }
 
-// addWatcher registers a watcher and returns the complete list, from which its updates go on.
+// addWatcher registers a watcher and returns the complete list. The updates continue from this list.
 func (s *Server) addWatcher(updates chan *pb.FleetNews) *pb.FleetNews {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -157,7 +159,7 @@
 	s.mu.Unlock()
 }
 
-// recordUpdate adds an entry for each endpoint of which the dispatcher was told.
+// recordUpdate adds a log entry for each endpoint in an update that was sent.
 func (s *Server) recordUpdate(update *pb.FleetNews) {
 	for _, endpoint := range update.Hosts {
 		s.log.Add(eventlog.Entry{
--- a/internal/lab/discoveryserver/server_test.go
+++ b/internal/lab/discoveryserver/server_test.go
@@ -12,7 +12,7 @@
 	"docksail/internal/lab/eventlog"
 )
 
-// watch starts a watch of the service.
+// watch starts a watch of the server's endpoint list.
 func watch(t *testing.T, s *Server) grpc.ServerStreamingClient[pb.FleetNews] {
 	t.Helper()
 	conn, err := grpc.NewClient(s.Addr(), grpc.WithTransportCredentials(insecure.NewCredentials()))
@@ -38,8 +38,8 @@
 	return update
 }
 
-// TestWatch checks that a watch starts with the complete list and then gets the changes, after the delay, and that the
-// list is kept over a restart.
+// TestWatch checks that a watch receives the complete list and then the changes, after the delay, and that the list
+// survives a restart.
 func TestWatch(t *testing.T) {
 	const delay = 50 * time.Millisecond
 	log := &eventlog.Log{}
@@ -52,13 +52,13 @@
 	if list := receive(t, stream); !list.Full || len(list.Hosts) != 1 || list.Hosts[0].Id != 7 {
 		t.Errorf("first update %v, want the complete list with endpoint 7", list)
 	}
-	begin := time.Now()
+	start := time.Now()
 	s.Set(&pb.Host{Id: 8}, false)
 	if change := receive(t, stream); change.Full || len(change.Hosts) != 1 || change.Hosts[0].Id != 8 {
 		t.Errorf("second update %v, want the change of endpoint 8", change)
 	}
-	if took := time.Since(begin); took < delay {
-		t.Errorf("the change came after %v, want %v at least", took, delay)
+	if took := time.Since(start); took < delay {
+		t.Errorf("the change arrived after %v, want %v at least", took, delay)
 	}
 	s.Stop()
 	if update, err := stream.Recv(); err == nil {
@@ -78,8 +78,8 @@
 	}
 }
 
-// TestLaggingWatcher checks that a watcher that does not take its updates is dropped.
-func TestLaggingWatcher(t *testing.T) {
+// TestSlowWatcher checks that a watcher that does not receive its updates is removed.
+func TestSlowWatcher(t *testing.T) {
 	s := New(0, 0, nil)
 	updates := make(chan *pb.FleetNews, 1)
 	s.addWatcher(updates)
@@ -90,6 +90,6 @@
 	}
 	<-updates
 	if _, ok := <-updates; ok {
-		t.Error("an update after the one that was missed, want the channel closed")
+		t.Error("received an update after a dropped one, want the channel closed")
 	}
 }
