--- a/internal/lab/eventlog/eventlog.go
+++ b/internal/lab/eventlog/eventlog.go
@@ -1,4 +1,4 @@
-// Package eventlog records what the simulated clients, servers and dispatchers of an experiment observed on their
+// Package eventlog records the events that the stand-in clients, servers and dispatchers of a run observe on their
 // connections. The invariant checker reads only this log.
 package eventlog
 
@@ -18,7 +18,7 @@
 
 // The kinds of entries.
 const (
-	// RequestSent records that a client sent a request, or repeated it.
+	// RequestSent records that a client sent or retried a request.
 	RequestSent Kind = "asked"
 	// FirstToken records that a client received its first token.
 	FirstToken Kind = "token"
@@ -26,24 +26,24 @@
 	RequestAnswered Kind = "final"
 	// RequestCanceled records that a client canceled its request.
 	RequestCanceled Kind = "quit"
-	// RequestUnanswered records that a request timed out, or lost its connection, without a final answer.
+	// RequestUnanswered records that a request timed out or lost its connection before a final answer.
 	RequestUnanswered Kind = "unanswered"
-	// AttemptSent records an attempt on its way to a server; Note is NotePrefill or NoteDecode.
+	// AttemptSent records that an attempt was sent to a server; Note is NotePrefill or NoteDecode.
 	AttemptSent Kind = "sent"
-	// AttemptEnded records the end of an attempt: with the status Code, or by what Note says.
+	// AttemptEnded records the end of an attempt; Code is its status, if there is one, and Note how it ended.
 	AttemptEnded Kind = "ended"
 	// StateHeld records that a prefill server holds the KV state of a request.
 	StateHeld Kind = "held"
-	// StateReleased records that a KV state was fetched, released or expired; Note says which.
+	// StateReleased records that a server no longer holds a KV state; Note is the reason.
 	StateReleased Kind = "letgo"
-	// AnswerStarted records that a server began to answer a request.
+	// AnswerStarted records that a server started the answer to a request.
 	AnswerStarted Kind = "ran"
-	// EndpointNotified records that the discovery server sent a dispatcher a server's state: Note is its health and
-	// Value the start time of its process.
+	// EndpointNotified records that the discovery server sent the state of a server to a dispatcher; Note is the
+	// server's health and Value the start time of its process.
 	EndpointNotified Kind = "told"
-	// ServerStarted records the start of a server's process.
+	// ServerStarted records the start of the process of a server.
 	ServerStarted Kind = "start"
-	// ServerOverloaded records that a server failed because it received too much work during slow start.
+	// ServerOverloaded records that a server failed from too much load during slow start.
 	ServerOverloaded Kind = "toppled"
 	// FaultChanged records that a fault began or ended.
 	FaultChanged Kind = "trouble"
@@ -51,8 +51,8 @@
 	DispatcherStarted Kind = "up"
 	// DispatcherStopped records that a dispatcher was killed or has drained.
 	DispatcherStopped Kind = "down"
-	// ServerLoad samples the load of a server: Value is its queued prompt tokens, ClientAttempt its requests and
-	// Attempt its memory utilization in thousandths.
+	// ServerLoad records a sample of the load of a server. Value is the number of queued prompt tokens, ClientAttempt
+	// the number of requests and Attempt the memory utilization in thousandths.
 	ServerLoad Kind = "figures"
 )
 
@@ -63,7 +63,7 @@
 	NoteDecode  = "write"
 	// NoteRefused marks an AttemptEnded entry of an attempt that the server refused before it started.
 	NoteRefused = "refused"
-	// NotePartitioned and NoteReconnected mark FaultChanged entries of a server that could not be reached for a time.
+	// NotePartitioned and NoteReconnected mark FaultChanged entries for the start and the end of a server's partition.
 	NotePartitioned = "cut"
 	NoteReconnected = "uncut"
 	// NoteFaultBegins and NoteFaultEnds mark FaultChanged entries of a scripted fault; Code is its kind.
@@ -71,15 +71,15 @@
 	NoteFaultEnds   = "ends"
 )
 
-// Entry is one observed event. Times are Unix nanoseconds of one clock.
+// Entry is one observed event. All times are Unix nanoseconds of the same clock.
 type Entry struct {
 	At            int64  `json:"at"`
 	Kind          Kind   `json:"kind"`
-	Request       string `json:"job,omitempty"` // the dispatcher's identifier of the request
+	Request       string `json:"job,omitempty"` // the dispatcher's name for the request
 	Attempt       int    `json:"shot,omitempty"`
 	Server        int    `json:"host,omitempty"`
-	RequestLabel  string `json:"label,omitempty"` // the client's identifier of the request
-	ClientAttempt int    `json:"try,omitempty"`   // counts the repeats by the client from 0
+	RequestLabel  string `json:"label,omitempty"` // the client's name for the request
+	ClientAttempt int    `json:"try,omitempty"`   // number of the client's attempt, from 0
 	Class         string `json:"track,omitempty"`
 	Tenant        string `json:"tenant,omitempty"`
 	Code          string `json:"code,omitempty"`
@@ -89,16 +89,16 @@
 	Deadline      int64  `json:"by,omitempty"`   // of the client's attempt
 }
 
-// Log collects entries. It is safe for concurrent use, and its zero value is ready.
+// Log collects entries. It is safe for concurrent use. The zero value is an empty log ready to use.
 type Log struct {
-	// Clock returns the current time in Unix nanoseconds; nil uses the clock of the machine.
+	// Clock returns the current time in Unix nanoseconds; if nil, the system clock is used.
 	Clock func() int64
 
 	mu      sync.Mutex
 	entries []Entry
 }
 
-// Add appends an entry, with the current time if it has none. On a nil Log it does nothing.
+// Add appends an entry. If the entry has no time, Add sets the current one. On a nil Log it does nothing.
 func (l *Log) Add(e Entry) {
 	if l == nil {
 		return
@@ -113,7 +113,8 @@
 	l.mu.Unlock()
 }
 
-// Entries returns a copy of all entries so far, sorted by time.
+// Entries returns a copy of all entries so far, sorted by time. Entries of the same time keep the order of their
+// addition.
 func (l *Log) Entries() []Entry {
 	l.mu.Lock()
 	entries := slices.Clone(l.entries)
@@ -122,7 +123,7 @@
 	return entries
 }
 
-// Write writes entries as lines of JSON.
+// Write writes entries as JSON, one per line.
 func Write(w io.Writer, entries []Entry) error {
 	encoder := json.NewEncoder(w)
 	for _, e := range entries {
@@ -133,8 +134,8 @@
 	return nil
 }
 
-// Read reads what Write wrote. If the file ends in the middle of an entry, it returns the complete entries before it
-// and an error that names the incomplete one.
+// Read reads entries in the format of Write. If the input ends in the middle of an entry, it returns the complete
+// entries before it and an error with the number of the incomplete one.
 func Read(r io.Reader) ([]Entry, error) {
 	var entries []Entry
 	decoder := json.NewDecoder(r)
--- a/internal/lab/eventlog/eventlog_test.go
+++ b/internal/lab/eventlog/eventlog_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestReadWrite checks that Read returns what Write wrote, and the complete entries of a file that ends early.
+// TestReadWrite checks that Read returns the entries written by Write, and the complete entries of a truncated file.
 func TestReadWrite(t *testing.T) {
 	entries := []Entry{
 		{At: 1, Kind: RequestSent, RequestLabel: "a", Class: "question", Deadline: 9},
@@ -27,8 +27,8 @@
 	}
 }
 
-// TestEntries checks that entries are sorted by time, those of one time in the order in which they were added, and that
-// the log's clock gives the time of entries without one.
+// TestEntries checks that entries are sorted by time, then by the order of their addition, and that entries without a
+// time get that of the log's clock.
 func TestEntries(t *testing.T) {
 	log := Log{Clock: func() int64 { return 5 }}
 	log.Add(Entry{Kind: RequestSent})
