--- a/internal/lab/calibrate/calibrate_test.go
+++ b/internal/lab/calibrate/calibrate_test.go
@@ -27,7 +27,7 @@
 	}
 	for _, c := range comparisons {
 		bound := maxRelativeError
-		if strings.HasPrefix(c.Name, "gap") {
+		if strings.HasPrefix(c.Name, "token interval") {
 			bound = maxIntervalError
 		}
 		if math.Abs(c.RelativeError()) > bound {
--- a/internal/lab/calibrate/checks.go
+++ b/internal/lab/calibrate/checks.go
@@ -51,7 +51,7 @@
 		times = append(times, took)
 	}
 	const steps = (promptTokens + engine.ChunkTokens - 1) / engine.ChunkTokens
-	c.addTime("read of 4,000 tokens", c.prefillTime(steps, promptTokens), slices.Min(times))
+	c.addTime("prefill of 4,000 tokens", c.prefillTime(steps, promptTokens), slices.Min(times))
 	return nil
 }
 
@@ -70,8 +70,8 @@
 		times = append(times, took)
 		minCachedTokens = min(minCachedTokens, done.KeptTokens)
 	}
-	c.add("tokens kept of 4,000 read again", promptTokens-1, float64(minCachedTokens), "tokens")
-	c.addTime("time of that read", c.prefillTime(1, 1), slices.Min(times))
+	c.add("cached tokens of the repeated prompt", promptTokens-1, float64(minCachedTokens), "tokens")
+	c.addTime("prefill of the repeated prompt", c.prefillTime(1, 1), slices.Min(times))
 	return nil
 }
 
@@ -82,7 +82,7 @@
 		return err
 	}
 	c.meanContext = int64(answerPromptTokens + len(times.intervals)/2)
-	c.addTime("gap, one answer alone", c.decodeStepTime(1, c.meanContext), median(times.intervals))
+	c.addTime("token interval, one answer", c.decodeStepTime(1, c.meanContext), median(times.intervals))
 	return nil
 }
 
@@ -110,16 +110,16 @@
 		n := len(r.times.intervals)
 		intervals = append(intervals, r.times.intervals[n/2:n*2/3]...)
 	}
-	c.addTime("gap, six answers together", c.decodeStepTime(concurrentAnswers, c.meanContext), median(intervals))
+	c.addTime("token interval, six answers", c.decodeStepTime(concurrentAnswers, c.meanContext), median(intervals))
 	return nil
 }
 
 // checkTransfers measures the transfer of a state within a cell and to another zone.
 func (c *calibration) checkTransfers(ctx context.Context) error {
-	if err := c.checkTransfer(ctx, "move of 8,000 tokens within a cell", zone, cell, 1); err != nil {
+	if err := c.checkTransfer(ctx, "transfer of 8,000 tokens within a cell", zone, cell, 1); err != nil {
 		return err
 	}
-	return c.checkTransfer(ctx, "the same to another zone", otherZone, otherCell, engine.CrossZoneFactor)
+	return c.checkTransfer(ctx, "transfer of 8,000 tokens to another zone", otherZone, otherCell, engine.CrossZoneFactor)
 }
 
 // checkTransfer measures the time to the first token of answers whose state is transferred to a decode server in the
@@ -171,7 +171,7 @@
 		}
 		cached++
 	}
-	c.add("beginnings still kept, of two more than fit", float64(fitting), float64(cached), "")
+	c.add("prefixes cached, after two more than fit", float64(fitting), float64(cached), "")
 	return nil
 }
 
@@ -231,7 +231,7 @@
 		}
 		intended := c.prefillTime(1, coldPromptTokens).Seconds() / capacity
 		result.comparisons[i] = Comparison{
-			Name:     fmt.Sprintf("read of 1,000 tokens, %v after a cold start", offset),
+			Name:     fmt.Sprintf("prefill of 1,000 tokens, %v after a cold start", offset),
 			Intended: intended * 1e3, Measured: millis(took), Unit: "ms",
 		}
 	}
