--- a/internal/lab/engine/admission.go
+++ b/internal/lab/engine/admission.go
@@ -10,11 +10,12 @@
 	"docksail/internal/lab/eventlog"
 )
 
-// slotPollInterval is how often an attempt that waits looks for a free slot.
+// slotPollInterval is the interval at which a waiting attempt checks for a free slot.
 const slotPollInterval = 2 * time.Millisecond
 
-// warmth returns the share of its capacity that the server has now. The lock is held.
-func (e *Engine) warmth() float64 {
+// capacityShare returns the fraction of its full capacity that the server has now, which grows during the warm-up. The
+// lock must be held.
+func (e *Engine) capacityShare() float64 {
 	s := &e.Spec
 	if s.InitialCapacity <= 0 || s.InitialCapacity >= 1 || s.WarmupTime <= 0 {
 		return 1
@@ -23,21 +24,21 @@
 	return min(1, s.InitialCapacity+(1-s.InitialCapacity)*progress)
 }
 
-// checkOverload records an attempt and reports whether the server has failed from overload. The lock is held.
+// checkOverload records an attempt and reports whether the server has failed from overload. The lock must be held.
 func (e *Engine) checkOverload(now time.Time) bool {
 	if e.overloaded {
 		return true
 	}
 	s := &e.Spec
-	warmth := e.warmth()
-	if warmth >= 1 || s.OverloadFactor <= 0 {
+	capacityShare := e.capacityShare()
+	if capacityShare >= 1 || s.OverloadFactor <= 0 {
 		return false
 	}
 	e.recentAttempts = append(e.recentAttempts, now)
 	for len(e.recentAttempts) > 0 && now.Sub(e.recentAttempts[0]) > s.OverloadWindow {
 		e.recentAttempts = e.recentAttempts[1:]
 	}
-	limit := s.OverloadFactor*warmth*s.RequestsPerSecond*s.OverloadWindow.Seconds() + OverloadTolerance
+	limit := s.OverloadFactor*capacityShare*s.RequestsPerSecond*s.OverloadWindow.Seconds() + OverloadTolerance
 	if float64(len(e.recentAttempts)) <= limit {
 		return false
 	}
@@ -46,7 +47,8 @@
 	return true
 }
 
-// checkAdmission returns the status error with which an attempt is rejected, or nil. The lock is held.
+// checkAdmission returns the status error of an attempt that is rejected, or nil if it is admitted. The lock must be
+// held.
 func (e *Engine) checkAdmission() error {
 	now := time.Now()
 	if e.checkOverload(now) {
@@ -61,8 +63,8 @@
 	return nil
 }
 
-// admit counts an attempt as waiting, or rejects it with a status error. The context that it returns ends with the
-// process too. The caller must call leave when the attempt ends.
+// admit counts an attempt as waiting, or rejects it with a status error. The returned context is canceled when ctx or
+// the process ends. The caller must call leave when the attempt ends.
 func (e *Engine) admit(ctx context.Context) (attemptCtx context.Context, leave func(), err error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -84,7 +86,7 @@
 	}, nil
 }
 
-// acquireSlot waits until the attempt can run. It returns the error of the context if that ends first.
+// acquireSlot waits for a free slot and takes it. It returns the error of the context if that ends first.
 func (e *Engine) acquireSlot(ctx context.Context) error {
 	for !e.tryAcquireSlot() {
 		select {
@@ -107,7 +109,7 @@
 	return true
 }
 
-// releaseSlot counts the attempt as waiting again, until it leaves.
+// releaseSlot frees the slot of an attempt, which counts as waiting again until it ends.
 func (e *Engine) releaseSlot() {
 	e.mu.Lock()
 	if e.running > 0 {
--- a/internal/lab/engine/answer.go
+++ b/internal/lab/engine/answer.go
@@ -11,14 +11,14 @@
 // vocabularySize is the number of different tokens.
 const vocabularySize = 50000
 
-// AnswerTokens returns how many tokens the answer to a request has: between half of its limit and all of it. It
-// depends on the request alone, so that every server gives the same answer.
+// AnswerTokens returns the length of the answer to a request: between half of its limit and the limit. It depends
+// only on the request, so that every server gives the same answer.
 func AnswerTokens(req *pb.GenerateRequest) int {
 	limit := max(int(req.MaxTokens), 1)
 	return max(1, limit/2+int(requestHash(req)%uint64(limit/2+1)))
 }
 
-// TokenAt returns the token at a position of the answer to a request. It is the same at every server.
+// TokenAt returns the token at a position of the answer to a request. Every server gives the same token.
 func TokenAt(req *pb.GenerateRequest, position int) uint32 {
 	const spread = 2654435761
 	return uint32(requestHash(req)+uint64(position)*spread) % vocabularySize
--- a/internal/lab/engine/batchmodel/memory.go
+++ b/internal/lab/engine/batchmodel/memory.go
@@ -6,11 +6,11 @@
 	"docksail/internal/indexedheap"
 )
 
-// BlockHash identifies the content of a block together with all that precedes it in its prompt. 0 is no content.
+// BlockHash identifies the content of a block and of all blocks before it in the prompt. 0 means no known content.
 type BlockHash uint64
 
-// ChainHash returns the hash of a block that follows the block previous and holds the text that key names. It is
-// never 0.
+// ChainHash returns the hash of a block that follows the block with hash previous and whose text is identified by
+// key. It is never 0.
 func ChainHash(previous BlockHash, key uint64) BlockHash {
 	x := uint64(previous) ^ key*0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
@@ -23,21 +23,21 @@
 
 // block is the unit in which memory is allocated.
 type block struct {
-	hash       BlockHash // 0: not shareable, as it is partly filled or was written by an answer
+	hash       BlockHash // 0: not shareable, because it is only partly filled or belongs to an answer
 	refs       int
 	releasedAt uint64 // value of Memory.clock when the last reference was released
-	heapIndex  int    // index in Memory.unused
+	heapIndex  int    // position in Memory.unused
 }
 
-// Memory is the KV memory of a server: reference-counted blocks, of which those with known content stay cached after
-// their release until their room is needed. Make it with NewMemory.
+// Memory is the KV memory of a server, in reference-counted blocks. Blocks with known content stay cached after their
+// release until they are evicted to make room. Create it with NewMemory.
 type Memory struct {
-	BlockTokens int // tokens that a block holds
+	BlockTokens int // number of tokens in a block
 	blocks      []block
-	free        []int32
+	free        []int32 // indexes of blocks without references and without content
 	byHash      map[BlockHash]int32
-	unused      indexedheap.Heap[*block] // cached and without references, the least recently used first
-	clock       uint64                   // counts releases
+	unused      indexedheap.Heap[*block] // cached blocks without references; the least recently used one is the minimum
+	clock       uint64                   // number of releases so far; orders blocks by their release
 	Evictions   uint64
 }
 
@@ -56,16 +56,16 @@
 	return m
 }
 
-// Available returns how many blocks could be allocated now. It includes cached blocks without references.
+// Available returns the number of blocks that can be allocated, which includes cached blocks without references.
 func (m *Memory) Available() int { return len(m.free) + m.unused.Len() }
 
 // Blocks returns the total number of blocks.
 func (m *Memory) Blocks() int { return len(m.blocks) }
 
-// InUse returns how many blocks have references.
+// InUse returns the number of blocks with references.
 func (m *Memory) InUse() int { return len(m.blocks) - m.Available() }
 
-// CachedBlocks returns how many blocks of the chain, counted from its start, are in memory.
+// CachedBlocks returns the number of consecutive blocks from the start of the chain that are in memory.
 func (m *Memory) CachedBlocks(chain []BlockHash) int {
 	for i, hash := range chain {
 		if _, ok := m.byHash[hash]; !ok {
@@ -75,9 +75,9 @@
 	return len(chain)
 }
 
-// Allocate appends n blocks to dst and returns it with the number of blocks that were cached: those at the start of
-// the chain are shared, the others are free blocks or evict the least recently used ones. If fewer than n blocks are
-// available, it allocates none and returns false.
+// Allocate appends n blocks to dst, and returns dst and the number of them that were cached. Cached blocks at the
+// start of the chain are shared; the others are free blocks, or replace the least recently used cached blocks. If
+// there are not enough blocks, Allocate allocates none and returns false.
 func (m *Memory) Allocate(dst []int32, chain []BlockHash, n int) ([]int32, int, bool) {
 	cached := min(m.CachedBlocks(chain), n)
 	unused := 0
@@ -89,7 +89,7 @@
 	if n-cached > m.Available()-unused {
 		return dst, 0, false
 	}
-	// The cached blocks are referenced first, so that the allocation of the others does not evict them.
+	// Cached blocks are referenced first, so that allocating the others does not evict them.
 	for _, hash := range chain[:cached] {
 		i := m.byHash[hash]
 		m.unused.Remove(&m.blocks[i])
@@ -102,7 +102,7 @@
 	return dst, cached, true
 }
 
-// allocateBlock returns a block without content and with one reference. A block must be available.
+// allocateBlock returns a block with one reference and without content. At least one block must be available.
 func (m *Memory) allocateBlock() int32 {
 	var i int32
 	if n := len(m.free); n > 0 {
@@ -124,8 +124,8 @@
 	return i
 }
 
-// SetContent records the content of a block, so that later allocations can share it. It has no effect if the block
-// has content already or if another block holds the same content.
+// SetContent sets the content of a block, so that later allocations can share it. It has no effect if the block
+// already has content or if another block has the same content.
 func (m *Memory) SetContent(i int32, hash BlockHash) {
 	if _, ok := m.byHash[hash]; !ok && m.blocks[i].hash == 0 {
 		m.blocks[i].hash = hash
@@ -133,8 +133,8 @@
 	}
 }
 
-// Release drops one reference to each block of a chain. Blocks with content that lose their last reference stay
-// cached. Of the blocks released together the later ones are evicted first, as they are useless without the earlier.
+// Release releases one reference to each block of a chain. Blocks with content stay cached after their last reference
+// is released. The last blocks of the chain are evicted first, because they are useless without those before them.
 func (m *Memory) Release(chain []int32) {
 	for _, i := range slices.Backward(chain) {
 		b := &m.blocks[i]
--- a/internal/lab/engine/batchmodel/memory_test.go
+++ b/internal/lab/engine/batchmodel/memory_test.go
@@ -6,26 +6,27 @@
 	"pgregory.net/rapid"
 )
 
-// allocation is a chain that a test has allocated.
+// allocation holds the blocks allocated for a chain.
 type allocation struct {
 	blocks []int32
 	chain  []BlockHash
 }
 
-// allocateRandom allocates a random chain with some blocks after it. It returns false if there is not enough memory.
+// allocateRandom allocates a random chain and up to three blocks after it. It returns false if there is not enough
+// memory.
 func allocateRandom(t *rapid.T, m *Memory) (allocation, bool) {
 	var chain []BlockHash
 	h := BlockHash(0)
 	for range rapid.IntRange(0, 6).Draw(t, "chain") {
-		h = ChainHash(h, uint64(rapid.IntRange(1, 3).Draw(t, "text")))
+		h = ChainHash(h, uint64(rapid.IntRange(1, 3).Draw(t, "key")))
 		chain = append(chain, h)
 	}
-	n := len(chain) + rapid.IntRange(0, 3).Draw(t, "more")
+	n := len(chain) + rapid.IntRange(0, 3).Draw(t, "extra blocks")
 	want, available := m.CachedBlocks(chain), m.Available()
 	blocks, cached, ok := m.Allocate(nil, chain, n)
 	if !ok {
 		if len(blocks) > 0 || m.Available() != available {
-			t.Fatal("an allocation that failed changed something")
+			t.Fatal("a failed allocation changed the memory")
 		}
 		return allocation{}, false
 	}
@@ -63,29 +64,29 @@
 		}
 	}
 	if m.InUse() != len(users) {
-		t.Fatalf("%d blocks in use by count, want %d", m.InUse(), len(users))
+		t.Fatalf("%d blocks in use, want %d", m.InUse(), len(users))
 	}
 }
 
-// TestMemoryProperties plays random allocations and releases: counts add up, a block in use is shared only for the same
-// content, and cached content is found as long as it was not evicted.
+// TestMemoryProperties checks, for random allocations and releases, that counts are consistent, that blocks in use are
+// shared only for the same content, and that cached content is found until it is evicted.
 func TestMemoryProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := NewMemory(rapid.IntRange(4, 60).Draw(t, "blocks")*16, 16)
 		var allocations []allocation
 		for range rapid.IntRange(1, 150).Draw(t, "steps") {
-			if len(allocations) == 0 || rapid.IntRange(0, 2).Draw(t, "what") > 0 {
+			if len(allocations) == 0 || rapid.IntRange(0, 2).Draw(t, "operation") > 0 {
 				a, ok := allocateRandom(t, m)
 				if !ok {
 					continue
 				}
 				allocations = append(allocations, a)
 			} else {
-				i := rapid.IntRange(0, len(allocations)-1).Draw(t, "which")
+				i := rapid.IntRange(0, len(allocations)-1).Draw(t, "released allocation")
 				a := allocations[i]
 				m.Release(a.blocks)
 				if got := m.CachedBlocks(a.chain); got < len(a.chain) {
-					t.Fatalf("%d of %d blocks found right after their release", got, len(a.chain))
+					t.Fatalf("%d of %d blocks cached right after their release", got, len(a.chain))
 				}
 				allocations = append(allocations[:i], allocations[i+1:]...)
 			}
@@ -96,13 +97,13 @@
 		}
 		m.EvictUnused()
 		if m.Available() != m.Blocks() || len(m.byHash) != 0 {
-			t.Fatalf("%d of %d blocks available, %d cached, after all was released and evicted",
+			t.Fatalf("%d of %d blocks available, %d cached, after releasing and evicting all",
 				m.Available(), m.Blocks(), len(m.byHash))
 		}
 	})
 }
 
-// TestEvictsLeastRecentlyUsed checks that the prefix used least recently is evicted, its last block first.
+// TestEvictsLeastRecentlyUsed checks that the least recently used prefix is evicted, starting with its last block.
 func TestEvictsLeastRecentlyUsed(t *testing.T) {
 	m := NewMemory(6*16, 16)
 	chain := func(key uint64) []BlockHash {
@@ -125,7 +126,7 @@
 	use(1)
 	blocks, _, ok := m.Allocate(nil, nil, 1)
 	if !ok || m.CachedBlocks(chain(1)) != 3 || m.CachedBlocks(chain(2)) != 2 {
-		t.Errorf("after one allocation %d and %d blocks are cached, want 3 of the last used prefix and 2 of the other",
+		t.Errorf("%d and %d blocks cached after one allocation, want 3 of the most recent prefix and 2 of the other",
 			m.CachedBlocks(chain(1)), m.CachedBlocks(chain(2)))
 	}
 	m.Release(blocks)
--- a/internal/lab/engine/batchmodel/network.go
+++ b/internal/lab/engine/batchmodel/network.go
@@ -10,30 +10,30 @@
 // TransferID identifies a transfer of a state.
 type TransferID uint64
 
-// Network is the links over which states move between servers: ports of prefill servers and links of cells. The
-// transfers over a link share it evenly, and a transfer is as fast as its smallest share. Make it with NewNetwork.
+// Network models the network links for transfers of states between servers. Transfers over the same link share its
+// rate equally, and the rate of a transfer is the smallest of its shares. Create it with NewNetwork.
 type Network struct {
 	links     []link
-	transfers []*transfer // by ID
-	now       Nanos       // the time to which all transfers are advanced
+	transfers []*transfer // sorted by ID
+	now       Nanos       // time up to which all transfers have advanced
 }
 
 type link struct {
 	tokensPerSecond float64
-	transfers       int // that use it now
+	transfers       int // number of transfers that use the link
 }
 
 type transfer struct {
 	id         TransferID
 	tokensLeft float64
-	slowdown   float64 // multiple of the time that each token takes
+	slowdown   float64 // factor by which the transfer takes longer
 	links      []int
 }
 
 // NewNetwork returns a network without links.
 func NewNetwork() *Network { return &Network{} }
 
-// AddLink adds a link of the given rate and returns its index.
+// AddLink adds a link with the given rate and returns its index. The rate must be above 0.
 func (n *Network) AddLink(tokensPerSecond float64) (int, error) {
 	if !(tokensPerSecond > 0) {
 		return 0, fmt.Errorf("link of %v tokens a second: want more than 0", tokensPerSecond)
@@ -42,13 +42,13 @@
 	return len(n.links) - 1, nil
 }
 
-// SetRate changes the rate of a link, also for the transfers that use it now. 0 stops them.
+// SetRate changes the rate of a link, also for running transfers. A rate of 0 stops them until the next change.
 func (n *Network) SetRate(now Nanos, index int, tokensPerSecond float64) {
 	n.advance(now)
 	n.links[index].tokensPerSecond = max(tokensPerSecond, 0)
 }
 
-// Start begins a transfer over the given links. Each token takes slowdown times as long as the links alone would.
+// Start starts a transfer over the given links, which takes slowdown times as long as the rates of the links allow.
 func (n *Network) Start(now Nanos, id TransferID, tokens int, slowdown float64, links ...int) error {
 	i, exists := n.find(id)
 	if exists || tokens < 1 || !(slowdown >= 1) || len(links) == 0 {
@@ -64,12 +64,12 @@
 	return nil
 }
 
-// find returns the index of a transfer, or the one at which it would be inserted and false.
+// find returns the index of a transfer, or the index at which to insert it and false.
 func (n *Network) find(id TransferID) (int, bool) {
 	return slices.BinarySearchFunc(n.transfers, id, func(t *transfer, id TransferID) int { return cmp.Compare(t.id, id) })
 }
 
-// Stop ends a transfer early. It returns false if there is none of this ID.
+// Stop cancels a transfer. It returns false if there is no transfer with this ID.
 func (n *Network) Stop(now Nanos, id TransferID) bool {
 	i, exists := n.find(id)
 	if !exists {
@@ -87,7 +87,7 @@
 	n.transfers = slices.Delete(n.transfers, i, i+1)
 }
 
-// rate returns the present speed of a transfer in tokens a nanosecond.
+// rate returns the current rate of a transfer in tokens per nanosecond.
 func (n *Network) rate(t *transfer) float64 {
 	share := math.Inf(1)
 	for _, index := range t.links {
@@ -97,7 +97,7 @@
 	return share / t.slowdown / 1e9
 }
 
-// advance moves all transfers on to a time. No transfer may end before it.
+// advance advances all transfers to the given time. No transfer may end before that time.
 func (n *Network) advance(now Nanos) {
 	if now <= n.now {
 		return
@@ -108,7 +108,7 @@
 	n.now = now
 }
 
-// NextEnd returns when the next transfer ends if nothing else changes, and false if none does.
+// NextEnd returns the time at which the next transfer ends if nothing changes, or false if no transfer will end.
 func (n *Network) NextEnd() (Nanos, bool) {
 	next, found := Nanos(math.MaxInt64), false
 	for _, t := range n.transfers {
@@ -120,9 +120,9 @@
 	return next, found
 }
 
-// AdvanceTo moves all transfers on to a time and returns ended with those that ended by then appended, in order.
+// AdvanceTo advances all transfers to the given time. It appends those that have ended to ended, in order of time.
 func (n *Network) AdvanceTo(now Nanos, ended []TransferID) []TransferID {
-	const roundingTokens = 1e-6 // what rounding may leave of a transfer that has ended
+	const roundingTokens = 1e-6 // tolerance for rounding errors at the end of a transfer
 	for {
 		next, found := n.NextEnd()
 		if !found || next > now {
--- a/internal/lab/engine/batchmodel/network_test.go
+++ b/internal/lab/engine/batchmodel/network_test.go
@@ -9,8 +9,8 @@
 
 const second = Nanos(1e9)
 
-// mustAddLink adds a link of the given rate.
-func mustAddLink(t require, n *Network, tokensPerSecond float64) int {
+// mustAddLink adds a link with the given rate.
+func mustAddLink(t testingT, n *Network, tokensPerSecond float64) int {
 	t.Helper()
 	index, err := n.AddLink(tokensPerSecond)
 	if err != nil {
@@ -20,21 +20,21 @@
 }
 
 // mustStart starts a transfer at time 0.
-func mustStart(t require, n *Network, id TransferID, tokens int, slowdown float64, links ...int) {
+func mustStart(t testingT, n *Network, id TransferID, tokens int, slowdown float64, links ...int) {
 	t.Helper()
 	if err := n.Start(0, id, tokens, slowdown, links...); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// require is what helpers need of *testing.T and *rapid.T.
-type require interface {
+// testingT is the part of *testing.T and *rapid.T that helpers use.
+type testingT interface {
 	Helper()
 	Fatal(args ...any)
 }
 
-// TestTransfersShareLinks checks that a transfer alone is as fast as its link, that two over one link take twice as
-// long, and that a slowdown stretches a transfer.
+// TestTransfersShareLinks checks that a single transfer uses the full rate of its links, that two transfers over one
+// link share it, and that a slowdown lengthens a transfer.
 func TestTransfersShareLinks(t *testing.T) {
 	n := NewNetwork()
 	port := mustAddLink(t, n, 1000)
@@ -44,14 +44,14 @@
 		start func()
 		want  map[TransferID]Nanos
 	}{
-		{"alone", func() { mustStart(t, n, 1, 1000, 1, port) }, map[TransferID]Nanos{1: second}},
-		{"over a narrow link", func() { mustStart(t, n, 1, 1000, 1, port, link) }, map[TransferID]Nanos{1: 2 * second}},
-		{"to a far zone", func() { mustStart(t, n, 1, 1000, 3, port) }, map[TransferID]Nanos{1: 3 * second}},
-		{"two over a port", func() {
+		{"single transfer", func() { mustStart(t, n, 1, 1000, 1, port) }, map[TransferID]Nanos{1: second}},
+		{"over a slower link", func() { mustStart(t, n, 1, 1000, 1, port, link) }, map[TransferID]Nanos{1: 2 * second}},
+		{"with a slowdown", func() { mustStart(t, n, 1, 1000, 3, port) }, map[TransferID]Nanos{1: 3 * second}},
+		{"two over a link", func() {
 			mustStart(t, n, 1, 1000, 1, port)
 			mustStart(t, n, 2, 1000, 1, port)
 		}, map[TransferID]Nanos{1: 2 * second, 2: 2 * second}},
-		{"a short one beside a long one", func() {
+		{"a short and a long one", func() {
 			mustStart(t, n, 1, 500, 1, port)
 			mustStart(t, n, 2, 1000, 1, port)
 		}, map[TransferID]Nanos{1: second, 2: second + second/2}},
@@ -76,7 +76,7 @@
 	}
 }
 
-// TestLinkInterrupted checks that a transfer stops while the rate of its link is 0 and then goes on where it was.
+// TestLinkInterrupted checks that a transfer stops while the rate of its link is 0 and resumes afterwards.
 func TestLinkInterrupted(t *testing.T) {
 	n := NewNetwork()
 	link := mustAddLink(t, n, 1000)
@@ -87,21 +87,21 @@
 	}
 	n.SetRate(10*second, link, 1000)
 	if at, ok := n.NextEnd(); !ok || at < 10*second+second/2-10 || at > 10*second+second/2+10 {
-		t.Errorf("after the interruption it ends at %d, want %d", at, 10*second+second/2)
+		t.Errorf("after the interruption the transfer ends at %d, want %d", at, 10*second+second/2)
 	}
 }
 
-// TestNetworkProperties plays random transfers: no link carries more than its rate, every transfer ends once, and the
-// result does not depend on how often the network is advanced.
+// TestNetworkProperties checks, for random transfers, that no link exceeds its rate, that each transfer ends once, and
+// that the result does not depend on how often the network is advanced.
 func TestNetworkProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		rarely, often := NewNetwork(), NewNetwork()
+		coarse, fine := NewNetwork(), NewNetwork()
 		rates := []float64{}
-		for range rapid.IntRange(1, 4).Draw(t, "ways") {
+		for range rapid.IntRange(1, 4).Draw(t, "links") {
 			r := float64(rapid.IntRange(1, 100).Draw(t, "rate")) * 100
 			rates = append(rates, r)
-			mustAddLink(t, rarely, r)
-			mustAddLink(t, often, r)
+			mustAddLink(t, coarse, r)
+			mustAddLink(t, fine, r)
 		}
 		moved := make([]float64, len(rates))
 		size, links := map[TransferID]int{}, map[TransferID][]int{}
@@ -109,17 +109,17 @@
 		now := Nanos(0)
 		for i := range rapid.IntRange(1, 40).Draw(t, "steps") {
 			id, tokens := TransferID(i+1), rapid.IntRange(1, 5000).Draw(t, "tokens")
-			link := rapid.IntRange(0, len(rates)-1).Draw(t, "way")
-			if rarely.Start(now, id, tokens, 1, link) != nil || often.Start(now, id, tokens, 1, link) != nil {
-				t.Fatal("a new transfer is refused")
+			link := rapid.IntRange(0, len(rates)-1).Draw(t, "link")
+			if coarse.Start(now, id, tokens, 1, link) != nil || fine.Start(now, id, tokens, 1, link) != nil {
+				t.Fatal("a new transfer was rejected")
 			}
 			size[id], links[id] = tokens, []int{link}
 			target := now + rapid.Int64Range(0, 2e9).Draw(t, "time")
 			for now < target {
-				now = min(now+rapid.Int64Range(1, 1e9).Draw(t, "look"), target)
-				often.AdvanceTo(now, nil)
+				now = min(now+rapid.Int64Range(1, 1e9).Draw(t, "time step"), target)
+				fine.AdvanceTo(now, nil)
 			}
-			for _, id := range rarely.AdvanceTo(now, nil) {
+			for _, id := range coarse.AdvanceTo(now, nil) {
 				if ended[id] {
 					t.Fatalf("transfer %d ended twice", id)
 				}
@@ -128,12 +128,12 @@
 					moved[link] += float64(size[id])
 				}
 			}
-			if len(rarely.transfers) != len(often.transfers) {
-				t.Fatalf("%d transfers, advanced more often %d", len(rarely.transfers), len(often.transfers))
+			if len(coarse.transfers) != len(fine.transfers) {
+				t.Fatalf("%d transfers, advanced in smaller steps %d", len(coarse.transfers), len(fine.transfers))
 			}
-			for i, x := range rarely.transfers {
-				if y := often.transfers[i]; math.Abs(x.tokensLeft-y.tokensLeft) > 0.01 {
-					t.Fatalf("transfer %d has %v tokens left, advanced more often %v", x.id, x.tokensLeft, y.tokensLeft)
+			for i, x := range coarse.transfers {
+				if y := fine.transfers[i]; math.Abs(x.tokensLeft-y.tokensLeft) > 0.01 {
+					t.Fatalf("transfer %d has %v tokens left, advanced in smaller steps %v", x.id, x.tokensLeft, y.tokensLeft)
 				}
 			}
 			for link, r := range rates {
@@ -142,7 +142,7 @@
 				}
 			}
 		}
-		if got := rarely.AdvanceTo(1<<60, nil); len(ended)+len(got) != len(size) {
+		if got := coarse.AdvanceTo(1<<60, nil); len(ended)+len(got) != len(size) {
 			t.Fatalf("%d of %d transfers ended", len(ended)+len(got), len(size))
 		}
 	})
--- a/internal/lab/engine/batchmodel/reporter.go
+++ b/internal/lab/engine/batchmodel/reporter.go
@@ -6,26 +6,26 @@
 	"math/rand/v2"
 )
 
-// Load is what a server reports about itself.
+// Load is the load of a server as reported by the server.
 type Load struct {
-	Requests           float64 // queued and running
-	MemoryUtilization  float64 // share of memory in use
-	QueuedPromptTokens float64 // prompt tokens still to be read or fetched
-	QueueTime          Nanos   // how long reading them takes at the present rate
+	Requests           float64 // number of queued and running requests
+	MemoryUtilization  float64 // fraction of the memory in use
+	QueuedPromptTokens float64 // prompt tokens that are not prefilled or fetched yet
+	QueueTime          Nanos   // time to prefill QueuedPromptTokens at the current rate
 }
 
-// Reporter makes load reports as real servers do: observed at intervals, known after a delay, and inexact. Make it
-// with NewReporter.
+// Reporter produces load reports with the flaws of those of real servers: they are updated at intervals, available
+// only after a delay, and noisy. Create it with NewReporter.
 type Reporter struct {
 	interval     Nanos
 	delay        Nanos
 	noise        float64
 	random       *rand.Rand
 	observations [maxObservations]observation // ring buffer
-	count        int                          // observations made so far
+	count        int                          // number of observations so far
 }
 
-// maxObservations is how many observations are kept; while more are not known yet, the oldest are lost.
+// maxObservations is the number of stored observations. If more are within the delay, the oldest are lost.
 const maxObservations = 64
 
 // maxNoise bounds the noise of a reporter.
@@ -36,21 +36,22 @@
 	load Load
 }
 
-// NewReporter returns a reporter that observes the load once an interval and whose reports are known after a delay.
-// Each figure is off by a random factor; noise is the standard deviation of its logarithm.
+// NewReporter returns a reporter that records the load once per interval and whose reports are available after a
+// delay. Each value is multiplied by a random factor; noise is the standard deviation of the factor's logarithm.
 func NewReporter(seed uint64, interval, delay Nanos, noise float64) (*Reporter, error) {
 	if interval < 0 || delay < 0 || noise < 0 || noise > maxNoise {
-		return nil, fmt.Errorf("reports with interval %d, delay %d and noise %v: want none below 0 and noise up to %d",
+		return nil, fmt.Errorf("report interval is %d, delay %d and noise %v, must be at least 0, and noise at most %d",
 			interval, delay, noise, maxNoise)
 	}
 	random := rand.New(rand.NewPCG(seed, 0x7265706f7274))
 	return &Reporter{interval: interval, delay: delay, noise: noise, random: random}, nil
 }
 
-// SetDelay changes the delay, also of reports that are not known yet.
+// SetDelay changes the delay, also of observations already recorded.
 func (r *Reporter) SetDelay(delay Nanos) { r.delay = delay }
 
-// Observe records the load at a time. It has no effect until an interval has passed since the last observation.
+// Observe records the load at the given time. It has no effect if less than an interval has passed since the last
+// observation.
 func (r *Reporter) Observe(now Nanos, load Load) {
 	if r.count > 0 && now < r.observations[(r.count-1)%maxObservations].at+r.interval {
 		return
@@ -69,7 +70,7 @@
 	return x * math.Exp(r.random.NormFloat64()*r.noise)
 }
 
-// Latest returns the newest report that is known at a time, and its age. It returns false if none is known.
+// Latest returns the newest report available at the given time, and its age. It returns false if there is none.
 func (r *Reporter) Latest(now Nanos) (Load, Nanos, bool) {
 	for i := r.count - 1; i >= 0 && i >= r.count-maxObservations; i-- {
 		o := &r.observations[i%maxObservations]
--- a/internal/lab/engine/batchmodel/reporter_test.go
+++ b/internal/lab/engine/batchmodel/reporter_test.go
@@ -5,12 +5,13 @@
 	"testing"
 )
 
+// TestReports checks the interval and the delay of reports.
 func TestReports(t *testing.T) {
 	r, err := NewReporter(1, second, 3*second, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i := range 100 { // every tenth of a second; the true figure is the time in tenths
+	for i := range 100 { // every 0.1 s; the load is the time in tenths of a second
 		r.Observe(Nanos(i)*second/10, Load{Requests: float64(i)})
 	}
 	for _, c := range []struct {
@@ -25,18 +26,19 @@
 		{7 * second, 40, 3 * second, true},
 		{7*second + second/2, 40, 3*second + second/2, true},
 	} {
-		f, age, ok := r.Latest(c.at)
-		if ok != c.ok || f.Requests != c.want || age != c.age {
-			t.Errorf("at %d: %v, %d old, %v; want %v, %d, %v", c.at, f.Requests, age, ok, c.want, c.age, c.ok)
+		load, age, ok := r.Latest(c.at)
+		if ok != c.ok || load.Requests != c.want || age != c.age {
+			t.Errorf("at %d: %v, %d old, %v; want %v, %d, %v", c.at, load.Requests, age, ok, c.want, c.age, c.ok)
 		}
 	}
 	r.SetDelay(0)
-	if f, age, _ := r.Latest(9 * second); f.Requests != 90 || age != 0 {
-		t.Errorf("not late any more: %v, %d old", f.Requests, age)
+	if load, age, _ := r.Latest(9 * second); load.Requests != 90 || age != 0 {
+		t.Errorf("after SetDelay(0): %v, %d old; want 90 requests, 0 old", load.Requests, age)
 	}
 }
 
-// TestNoise: figures are off by about what is asked for, the same for the same seed, and memory stays a share.
+// TestNoise checks that noise has the given spread, is equal for equal seeds, and keeps the memory utilization at
+// most 1.
 func TestNoise(t *testing.T) {
 	a, _ := NewReporter(5, 0, 0, 0.2)
 	b, _ := NewReporter(5, 0, 0, 0.2)
@@ -48,18 +50,18 @@
 		fa, _, _ := a.Latest(at)
 		fb, _, _ := b.Latest(at)
 		if fa != fb {
-			t.Fatal("equal seeds give other reports")
+			t.Fatal("reporters with equal seeds differ")
 		}
 		if fa.MemoryUtilization > 1 {
-			t.Fatalf("memory in use %v", fa.MemoryUtilization)
+			t.Fatalf("memory utilization %v, want at most 1", fa.MemoryUtilization)
 		}
 		x := math.Log(fa.QueuedPromptTokens / 1000)
 		sum += x * x
 	}
 	if got := math.Sqrt(sum / float64(n)); got < 0.18 || got > 0.22 {
-		t.Errorf("spread %v, want 0.2", got)
+		t.Errorf("standard deviation %v, want 0.2", got)
 	}
 	if _, err := NewReporter(1, -1, 0, 0); err == nil {
-		t.Error("reports every -1 are taken")
+		t.Error("an interval of -1 was accepted")
 	}
 }
--- a/internal/lab/engine/batchmodel/server_test.go
+++ b/internal/lab/engine/batchmodel/server_test.go
@@ -20,7 +20,7 @@
 	return s
 }
 
-// chainOf returns the content of a prompt whose blocks all have the same key.
+// chainOf returns the hashes of a prompt whose blocks all have the same key.
 func chainOf(key uint64, tokens int) []BlockHash {
 	var c []BlockHash
 	h := BlockHash(0)
@@ -31,7 +31,7 @@
 	return c
 }
 
-// runSteps runs up to maxSteps steps, as long as there is work, and returns the events and the total time.
+// runSteps runs up to maxSteps steps while there is work, and returns the events and the total duration.
 func runSteps(server *Server, maxSteps int) ([]Event, Nanos) {
 	var all, events []Event
 	total := Nanos(0)
@@ -49,7 +49,7 @@
 	return all, total
 }
 
-// TestStepTimes checks that a server takes as long as its testShape says, for one prompt and for answers in a batch.
+// TestStepTimes checks the durations of steps, for one prompt and for a batch of answers.
 func TestStepTimes(t *testing.T) {
 	server := newTestServer(t, 1<<16)
 	if err := server.Enqueue(Work{ID: 1, PromptTokens: 1000}); err != nil {
@@ -71,7 +71,7 @@
 	}
 	_, events, ok := server.BeginStep(nil)
 	if ok || len(events) != 2 || events[0].Kind != NeedsFetch {
-		t.Fatalf("%v, step %v: want two states to fetch and no step until they are there", events, ok)
+		t.Fatalf("%v, step %v: want two states to fetch and no step before they arrive", events, ok)
 	}
 	server.StateFetched(2)
 	server.StateFetched(3)
@@ -85,12 +85,12 @@
 		t.Errorf("two answers of 10 took %d with %d events, want %d with 22", took, len(events), want)
 	}
 	if server.Memory.InUse() != 0 {
-		t.Errorf("%d blocks in use when all is done", server.Memory.InUse())
+		t.Errorf("%d blocks in use at the end, want none", server.Memory.InUse())
 	}
 }
 
-// TestCachedPrefixIsNotReadAgain checks that only the last token of a cached prompt is read again.
-func TestCachedPrefixIsNotReadAgain(t *testing.T) {
+// TestCachedPrefixIsNotPrefilledAgain checks that only the last token of a cached prompt is prefilled again.
+func TestCachedPrefixIsNotPrefilledAgain(t *testing.T) {
 	server := newTestServer(t, 1<<16)
 	for i := range 3 {
 		if err := server.Enqueue(Work{ID: ID(i + 1), PromptTokens: 512, Blocks: chainOf(9, 512)}); err != nil {
@@ -102,14 +102,14 @@
 			want = 1
 		}
 		if len(events) != 1 || events[0].N != want {
-			t.Errorf("prompt %d: %v, want %d tokens read", i, events, want)
+			t.Errorf("prompt %d: %v, want %d tokens prefilled", i, events, want)
 		}
 		server.Remove(ID(i + 1))
 	}
 }
 
-// TestPreemption lets memory run out in the middle of a batch: the newest answer is preempted and read anew, and every
-// token still comes once.
+// TestPreemption checks that, when memory runs out, the newest answers are preempted and each token is still sent
+// once.
 func TestPreemption(t *testing.T) {
 	server := newTestServer(t, 16*16)
 	for i := range 3 {
@@ -137,12 +137,12 @@
 		}
 	}
 	if done != 3 || preempted == 0 || next[1]+next[2]+next[3] != 180 {
-		t.Errorf("%d done, %d preempted, tokens %v", done, preempted, next)
+		t.Errorf("%d answers done, %d preempted, tokens %v", done, preempted, next)
 	}
 }
 
-// TestServerProperties plays random work: nothing is lost, tokens come once and in order, memory adds up, and the queue
-// is bounded.
+// TestServerProperties checks, for random work, that no work is lost, that tokens come once and in order, that all
+// memory is released, and that the queue is bounded.
 func TestServerProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := testShape
@@ -153,13 +153,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		present, next := map[ID]Work{}, map[ID]int{}
+		pending, next := map[ID]Work{}, map[ID]int{}
 		id := ID(0)
-		take := func(events []Event) {
+		handleEvents := func(events []Event) {
 			for _, e := range events {
-				w, ok := present[e.ID]
+				w, ok := pending[e.ID]
 				if !ok {
-					t.Fatalf("event %v of work that is not queued or running", e)
+					t.Fatalf("event %v of unknown work", e)
 				}
 				switch e.Kind {
 				case NeedsFetch:
@@ -171,40 +171,40 @@
 					next[e.ID]++
 				case AnswerDone:
 					if next[e.ID] != w.AnswerTokens {
-						t.Fatalf("done after %d of %d tokens", next[e.ID], w.AnswerTokens)
+						t.Fatalf("answer done after %d of %d tokens", next[e.ID], w.AnswerTokens)
 					}
-					delete(present, e.ID)
+					delete(pending, e.ID)
 				case PrefillDone:
 					if w.AnswerTokens == 0 {
 						server.Remove(e.ID)
-						delete(present, e.ID)
+						delete(pending, e.ID)
 					}
 				case Preempted:
 				}
 			}
 		}
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
-			switch rapid.IntRange(0, 3).Draw(t, "what") {
+			switch rapid.IntRange(0, 3).Draw(t, "operation") {
 			case 0, 1:
 				id++
 				prompt := rapid.IntRange(1, 120).Draw(t, "prompt")
 				answer := rapid.IntRange(0, 40).Draw(t, "answer")
-				blocks := chainOf(rapid.Uint64Range(1, 3).Draw(t, "text"), prompt)
+				blocks := chainOf(rapid.Uint64Range(1, 3).Draw(t, "key"), prompt)
 				w := Work{ID: id, PromptTokens: prompt, AnswerTokens: answer, Blocks: blocks}
 				w.FetchState = w.AnswerTokens > 0 && rapid.Bool().Draw(t, "fetch")
 				if err := server.Enqueue(w); err == nil {
-					present[id] = w
+					pending[id] = w
 				}
 			case 2:
 				_, events, ok := server.BeginStep(nil)
-				take(events)
+				handleEvents(events)
 				if ok {
-					take(server.EndStep(nil))
+					handleEvents(server.EndStep(nil))
 				}
 			case 3:
-				for id := range present {
+				for id := range pending {
 					server.Remove(id)
-					delete(present, id)
+					delete(pending, id)
 					break
 				}
 			}
@@ -214,16 +214,16 @@
 		}
 		for range 20000 {
 			_, events, ok := server.BeginStep(nil)
-			take(events)
+			handleEvents(events)
 			if !ok && len(events) == 0 {
 				break
 			}
 			if ok {
-				take(server.EndStep(nil))
+				handleEvents(server.EndStep(nil))
 			}
 		}
-		if len(present) > 0 || server.Memory.InUse() != 0 {
-			t.Fatalf("%d tasks did not end, %d blocks in use", len(present), server.Memory.InUse())
+		if len(pending) > 0 || server.Memory.InUse() != 0 {
+			t.Fatalf("%d tasks did not end, %d blocks in use", len(pending), server.Memory.InUse())
 		}
 	})
 }
--- a/internal/lab/engine/batchmodel/step.go
+++ b/internal/lab/engine/batchmodel/step.go
@@ -1,7 +1,7 @@
 package batchmodel
 
-// BeginStep starts a step if any task can go on. It returns how long the step takes, and events with the states that
-// are to be fetched appended. It returns false if a step is running already or nothing can go on.
+// BeginStep starts a step if any task can proceed. It returns the duration of the step, and events with a NeedsFetch
+// event appended for each state to fetch. It returns false if a step is already running or no task can proceed.
 func (s *Server) BeginStep(events []Event) (Nanos, []Event, bool) {
 	if s.inStep {
 		return 0, events, false
@@ -20,17 +20,17 @@
 	return duration, events, true
 }
 
-// fillSlots gives free slots to queued tasks in order, as far as memory allows. A task that does not fit holds back
-// those behind it.
+// fillSlots assigns free slots to queued tasks in order, as long as there is enough memory. A task that does not fit
+// blocks those behind it.
 func (s *Server) fillSlots(events []Event) []Event {
 	for len(s.queue) > 0 && len(s.running) < s.shape.Slots {
 		t := s.queue[0]
-		// Memory for the prompt and the first token of its answer: with less the task would be preempted at once.
+		// Memory for the prompt and the next token of the answer: with less, the task would be preempted immediately.
 		need := s.blocksFor(t.PromptTokens + t.decodedTokens + min(t.AnswerTokens-t.decodedTokens, 1))
 		fetches := t.FetchState && t.decodedTokens == 0
 		chain := t.Blocks
 		if fetches {
-			chain = nil // the complete state is fetched, also what is cached
+			chain = nil // the complete state is fetched, including cached blocks
 		}
 		blocks, cached, ok := s.Memory.Allocate(t.blocks[:0], chain, need)
 		if !ok {
@@ -38,8 +38,8 @@
 		}
 		s.queue = s.queue[1:]
 		t.blocks = blocks
-		t.readTokens = min(cached*s.Memory.BlockTokens, t.PromptTokens-1) // the last token is always read
-		t.cachedTokens = t.readTokens
+		t.stateTokens = min(cached*s.Memory.BlockTokens, t.PromptTokens-1) // the last token is always computed
+		t.cachedTokens = t.stateTokens
 		t.phase = phasePrefill
 		if fetches {
 			t.phase = phaseFetching
@@ -50,8 +50,8 @@
 	return events
 }
 
-// composeStep chooses the chunks of prompts and the answers of the next step. It returns the sum of the chunks and
-// the context tokens of the answers.
+// composeStep selects the chunks of prompts and the answers for the next step. It returns the total of the chunks and
+// of the answers' context tokens.
 func (s *Server) composeStep() (promptTokens, contextTokens int) {
 	clear(s.chunks)
 	s.decoding = s.decoding[:0]
@@ -62,8 +62,8 @@
 			s.decoding = append(s.decoding, t)
 			contextTokens += t.PromptTokens + t.decodedTokens
 		case phasePrefill:
-			// What was decoded before a preemption is read anew with the prompt.
-			if n := min(budget, t.PromptTokens+t.decodedTokens-t.readTokens); n > 0 {
+			// Tokens decoded before a preemption are prefilled again together with the prompt.
+			if n := min(budget, t.PromptTokens+t.decodedTokens-t.stateTokens); n > 0 {
 				s.chunks[t] = n
 				budget -= n
 				promptTokens += n
@@ -74,7 +74,7 @@
 	return promptTokens, contextTokens
 }
 
-// EndStep ends the step that BeginStep started and returns events with its results appended.
+// EndStep ends the step started by BeginStep and returns events with the results of the step appended.
 func (s *Server) EndStep(events []Event) []Event {
 	if !s.inStep {
 		return events
@@ -86,7 +86,7 @@
 	return s.endPrefill(events)
 }
 
-// decodeToken adds a token to an answer, unless it was preempted or removed during the step.
+// decodeToken adds a token to an answer, unless the task was preempted or removed during the step.
 func (s *Server) decodeToken(t *task, events []Event) []Event {
 	if t.phase != phaseDecode || s.byID[t.ID] != t {
 		return events
@@ -105,8 +105,8 @@
 	return events
 }
 
-// growBlocks allocates memory for the next token of an answer. It preempts the newest answers until there is enough,
-// which may include this one.
+// growBlocks allocates memory for the next token of an answer. It preempts the newest answers, possibly including this
+// one, until there is enough.
 func (s *Server) growBlocks(t *task, events []Event) []Event {
 	for t.phase == phaseDecode && s.blocksFor(t.PromptTokens+t.decodedTokens+1) > len(t.blocks) {
 		if blocks, _, ok := s.Memory.Allocate(t.blocks, nil, 1); ok {
@@ -118,7 +118,7 @@
 	return events
 }
 
-// newestDecoding returns the answer that arrived last: its preemption wastes least.
+// newestDecoding returns the answer that arrived last, whose preemption wastes the least work.
 func (s *Server) newestDecoding() *task {
 	var newest *task
 	for _, t := range s.running {
@@ -129,17 +129,17 @@
 	return newest
 }
 
-// preempt puts an answer back at the head of the queue and frees its memory.
+// preempt moves an answer to the head of the queue and releases its memory.
 func (s *Server) preempt(t *task, events []Event) []Event {
 	s.Memory.Release(t.blocks)
-	t.blocks, t.phase, t.readTokens = t.blocks[:0], phaseQueued, 0
+	t.blocks, t.phase, t.stateTokens = t.blocks[:0], phaseQueued, 0
 	s.running = deleteTask(s.running, t)
 	s.queue = append([]*task{t}, s.queue...)
 	s.Counts.Preemptions++
 	return append(events, Event{Kind: Preempted, ID: t.ID})
 }
 
-// endPrefill records the chunks of the step. Prompts that are complete leave their slot or go on with their answer.
+// endPrefill records the chunks of the step. A complete prefill either continues with its decode or leaves its slot.
 func (s *Server) endPrefill(events []Event) []Event {
 	running := s.running[:0]
 	for _, t := range s.running {
@@ -156,12 +156,12 @@
 	return events
 }
 
-// endChunk records that n more tokens of a prompt are read.
+// endChunk records that a step has prefilled the next n tokens of a prompt.
 func (s *Server) endChunk(t *task, n int, events []Event) []Event {
-	t.readTokens += n
+	t.stateTokens += n
 	s.Counts.PrefilledTokens += uint64(n)
-	s.publishBlocks(t, t.readTokens)
-	if t.readTokens < t.PromptTokens+t.decodedTokens {
+	s.publishBlocks(t, t.stateTokens)
+	if t.stateTokens < t.PromptTokens+t.decodedTokens {
 		return events
 	}
 	s.Counts.CachedTokens += uint64(t.cachedTokens)
--- a/internal/lab/engine/batchrunner.go
+++ b/internal/lab/engine/batchrunner.go
@@ -15,16 +15,16 @@
 )
 
 const (
-	// BlockTokens is how many tokens a block of memory holds.
+	// BlockTokens is the number of tokens in a block of memory.
 	BlockTokens = 16
-	// ChunkTokens is the limit of prompt tokens that a step reads.
+	// ChunkTokens is the maximum number of prompt tokens that a step processes.
 	ChunkTokens = 2048
 )
 
-// defaultStepTime is the time of a step of a server whose spec has no TokenGap.
+// defaultStepTime is the step time of a server whose Spec has no TokenGap.
 const defaultStepTime = 5 * time.Millisecond
 
-// batchRunner runs the batch model of a server in real time.
+// batchRunner runs the batch model of an engine in real time.
 type batchRunner struct {
 	mu            sync.Mutex
 	model         *batchmodel.Server
@@ -33,13 +33,13 @@
 	wake          chan struct{} // holds a value when there is new work
 }
 
-// subscription receives the events of one piece of work.
+// subscription queues the events of one piece of work.
 type subscription struct {
 	events []batchmodel.Event
 	ready  chan struct{} // holds a value when there are new events
 }
 
-// BatchShape returns the shape of the server in the batch model.
+// BatchShape returns the parameters of the server for the batch model.
 func (s *Spec) BatchShape() batchmodel.Shape {
 	step := s.TokenGap
 	if step <= 0 {
@@ -56,8 +56,9 @@
 	}
 }
 
-// BatchWork returns a request as work of the batch model with an answer of the given length. The content of its blocks
-// is named by the shared prefix and after that by the session.
+// BatchWork returns a request as work of the batch model, with an answer of the given length. The content of a block
+// is identified by the shared prefix if the block lies within it, and otherwise by the session, or by the label if
+// there is no session.
 func BatchWork(req *pb.GenerateRequest, answerTokens int, fetchState bool) batchmodel.Work {
 	w := batchmodel.Work{
 		PromptTokens: max(int(req.PromptTokens), 1),
@@ -81,7 +82,7 @@
 	return w
 }
 
-// enqueueStatus returns the status error for an error of enqueue.
+// enqueueStatus converts an error of enqueue to a status error.
 func enqueueStatus(err error) error {
 	if errors.Is(err, batchmodel.ErrQueueFull) {
 		return status.Error(codes.ResourceExhausted, err.Error())
@@ -101,7 +102,7 @@
 	}, nil
 }
 
-// run steps the model until the process ends.
+// run executes the steps of the model in real time until the process ends.
 func (r *batchRunner) run(process context.Context, e *Engine) {
 	for process.Err() == nil {
 		r.mu.Lock()
@@ -116,9 +117,9 @@
 			continue
 		}
 		e.mu.Lock()
-		warmth := e.warmth()
+		capacityShare := e.capacityShare()
 		e.mu.Unlock()
-		if e.sleep(process, "", time.Duration(float64(duration)/warmth)) != nil {
+		if e.sleep(process, "", time.Duration(float64(duration)/capacityShare)) != nil {
 			return
 		}
 		r.mu.Lock()
@@ -127,7 +128,7 @@
 	}
 }
 
-// deliver hands events to their subscriptions. The lock is held.
+// deliver adds events to their subscriptions. The lock must be held.
 func (r *batchRunner) deliver(events []batchmodel.Event) {
 	for _, event := range events {
 		if s := r.subscriptions[event.ID]; s != nil {
@@ -137,7 +138,7 @@
 	}
 }
 
-// signal puts a value into a channel of capacity 1, unless there is one already.
+// signal sends to a channel of capacity 1 without blocking; if the channel is full, a signal is pending already.
 func signal(ch chan struct{}) {
 	select {
 	case ch <- struct{}{}:
@@ -160,7 +161,7 @@
 	return w.ID, s, nil
 }
 
-// nextEvent waits for the next event of a subscription. Its error is that of the context.
+// nextEvent waits for the next event of a subscription. It returns the error of the context if that ends first.
 func (r *batchRunner) nextEvent(ctx context.Context, s *subscription) (batchmodel.Event, error) {
 	for {
 		r.mu.Lock()
@@ -179,7 +180,7 @@
 	}
 }
 
-// stateFetched tells the model that the state of work has arrived.
+// stateFetched informs the model that the state for some work has arrived.
 func (r *batchRunner) stateFetched(id batchmodel.ID) {
 	r.mu.Lock()
 	r.model.StateFetched(id)
@@ -187,14 +188,14 @@
 	signal(r.wake)
 }
 
-// unsubscribe ends the subscription to work, which stays in the model.
+// unsubscribe ends the subscription to some work. The work stays in the model.
 func (r *batchRunner) unsubscribe(id batchmodel.ID) {
 	r.mu.Lock()
 	delete(r.subscriptions, id)
 	r.mu.Unlock()
 }
 
-// remove takes work out of the model and ends its subscription.
+// remove removes work from the model and ends its subscription.
 func (r *batchRunner) remove(id batchmodel.ID) {
 	r.mu.Lock()
 	delete(r.subscriptions, id)
@@ -203,17 +204,17 @@
 	signal(r.wake)
 }
 
-// observe gives the present load of the model to a reporter.
+// observe passes the current load of the model to a reporter.
 func (r *batchRunner) observe(reporter *batchmodel.Reporter, now batchmodel.Nanos, prefillRate float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	model := r.model
-	unread := model.QueuedPromptTokens()
+	queuedTokens := model.QueuedPromptTokens()
 	reporter.Observe(now, batchmodel.Load{
 		Requests:           float64(model.Queued() + model.Running()),
 		MemoryUtilization:  float64(model.Memory.InUse()) / float64(model.Memory.Blocks()),
-		QueuedPromptTokens: float64(unread),
-		QueueTime:          int64(float64(unread) / prefillRate * 1e9),
+		QueuedPromptTokens: float64(queuedTokens),
+		QueueTime:          int64(float64(queuedTokens) / prefillRate * 1e9),
 	})
 }
 
--- a/internal/lab/engine/decode.go
+++ b/internal/lab/engine/decode.go
@@ -13,10 +13,11 @@
 	"docksail/internal/lab/eventlog"
 )
 
-// errStartDeadline ends an attempt whose answer did not start in time.
+// errStartDeadline is the status of an attempt whose answer did not start in time.
 var errStartDeadline = status.Error(codes.DeadlineExceeded, "its time to begin is up")
 
-// Write implements the Engine service: it streams an answer, after it has fetched the state of the prompt or read it.
+// Write implements the Engine service: it fetches the state of the prompt, or runs the prefill itself, and then
+// streams the answer.
 func (e *Engine) Write(attempt *pb.Launch, out grpc.ServerStreamingServer[pb.Tokens]) error {
 	out.SetTrailer(e.loadReport())
 	if e.Spec.Role == pb.Role_ROLE_READER {
@@ -39,7 +40,7 @@
 	return e.decode(ctx, attempt, out)
 }
 
-// decode writes an answer by the simple model.
+// decode streams an answer with the timing of the simple model.
 func (e *Engine) decode(ctx context.Context, attempt *pb.Launch, out grpc.ServerStreamingServer[pb.Tokens]) error {
 	begin := time.Now()
 	if err := e.acquireSlot(ctx); err != nil {
@@ -60,7 +61,7 @@
 	e.logAnswerStarted(attempt)
 	for position := range AnswerTokens(req) {
 		e.mu.Lock()
-		interval := e.model.TokenInterval(&e.Spec, e.running, e.warmth())
+		interval := e.model.TokenInterval(&e.Spec, e.running, e.capacityShare())
 		e.mu.Unlock()
 		if err := e.sendToken(ctx, req, position, interval, out); err != nil {
 			return err
@@ -69,7 +70,7 @@
 	return nil
 }
 
-// decodeBatch writes an answer by the batch model.
+// decodeBatch streams an answer with the timing of the batch model.
 func (e *Engine) decodeBatch(
 	ctx context.Context, batch *batchRunner, attempt *pb.Launch, out grpc.ServerStreamingServer[pb.Tokens],
 ) error {
@@ -112,7 +113,7 @@
 	}
 }
 
-// startDeadlineExceeded reports whether the time within which the answer had to start is over.
+// startDeadlineExceeded reports whether the time within which the answer must start has passed.
 func startDeadlineExceeded(attempt *pb.Launch, begin time.Time) bool {
 	return attempt.BeginWithinNs > 0 && time.Since(begin) > time.Duration(attempt.BeginWithinNs)
 }
@@ -130,7 +131,8 @@
 	})
 }
 
-// sendToken sends the token at a position after an interval, unless the answer stalls there.
+// sendToken waits for the interval and sends the token at a position. If a fault stalls the answer at this position,
+// it waits for the end of the context instead.
 func (e *Engine) sendToken(
 	ctx context.Context, req *pb.GenerateRequest, position int, interval time.Duration,
 	out grpc.ServerStreamingServer[pb.Tokens],
--- a/internal/lab/engine/engine.go
+++ b/internal/lab/engine/engine.go
@@ -1,7 +1,7 @@
-// Package engine is a stand-in for a model server, on grpc-go. It reads prompts, holds their KV states, hands these
-// over and streams answers, with slots, a bounded queue, memory, cached prefixes, slow starts and the faults that a
-// scenario asks for. How long work takes comes from a simple model behind the Model interface, or from the batch model;
-// the figures measure no real server.
+// Package engine is a stand-in for a model server, on grpc-go. It runs prefills, holds their KV states, transfers
+// these to other servers and streams answers. It has slots, a bounded queue, memory, cached prefixes, a slow start
+// and the faults of a scenario. The duration of work follows a simple model behind the Model interface, or the batch
+// model; neither reproduces measurements of a real server.
 package engine
 
 import (
@@ -19,97 +19,97 @@
 	"docksail/internal/lab/eventlog"
 )
 
-// Spec describes a server. Times are real.
+// Spec describes a server. Durations are in real time.
 type Spec struct {
 	ID                int
 	Role              pb.Role
 	Zone, Cell        string
-	Slots             int           // prompts or answers that run at once
-	Queue             int           // further ones that may wait
+	Slots             int           // prompts or answers processed at once
+	Queue             int           // prompts or answers that may wait for a slot
 	MemoryTokens      int64         // tokens of KV state that fit in memory
-	PrefillRate       float64       // prompt tokens a second
-	TokenGap          time.Duration // between the tokens of an answer that runs alone
-	RequestsPerSecond float64       // capacity when warm
-	InitialCapacity   float64       // share of the capacity at the start; 1: no slow start
-	WarmupTime        time.Duration // until it has its full capacity
-	OverloadFactor    float64       // a server that warms up fails when it gets this multiple of its capacity ...
-	OverloadWindow    time.Duration // ... within this time
-	TransferRate      float64       // tokens of state a second to another server
-	MaxHoldTime       time.Duration // a state that is not fetched is released after this
-	ReportInterval    time.Duration // how often the load report is refreshed; 0: for every answer
-	ReportDelay       time.Duration // how old the load report is when it is sent
-	ReportNoise       float64       // spread of the errors of the load report; batch model only
-	BatchModel        bool          // uses the batch model in place of Model
+	PrefillRate       float64       // prompt tokens per second
+	TokenGap          time.Duration // time between the tokens of an answer that runs alone
+	RequestsPerSecond float64       // capacity after the warm-up
+	InitialCapacity   float64       // fraction of the capacity at the start; 1: no slow start
+	WarmupTime        time.Duration // time until the full capacity is reached
+	OverloadFactor    float64       // a load above this multiple of the capacity during the warm-up makes the server fail
+	OverloadWindow    time.Duration // time over which the load is measured for OverloadFactor
+	TransferRate      float64       // state tokens per second to another server
+	MaxHoldTime       time.Duration // time after which a state that was not fetched is released
+	ReportInterval    time.Duration // interval between refreshes of the load report; 0: refreshed for each answer
+	ReportDelay       time.Duration // minimum age of the load report when it is sent
+	ReportNoise       float64       // noise of the load report, see batchmodel.NewReporter; batch model only
+	BatchModel        bool          // use the batch model instead of Model
 }
 
-// Figures that all stand-ins for servers share.
+// Parameters shared by all stand-in servers, real and simulated.
 const (
-	OverloadTolerance  = 3                     // attempts above the overload limit that are allowed for random bursts
-	PauseCheckInterval = 10 * time.Millisecond // how often a paused server looks whether it may go on
-	CellLinkFactor     = 3                     // capacity of a cell's link, in multiples of a server's TransferRate
-	CrossZoneFactor    = 2                     // how many times as long a token takes to another zone
+	OverloadTolerance  = 3                     // attempts allowed above the overload limit, for random bursts
+	PauseCheckInterval = 10 * time.Millisecond // interval at which a paused server checks whether the pause is over
+	CellLinkFactor     = 3                     // capacity of a cell's link, as a multiple of a server's TransferRate
+	CrossZoneFactor    = 2                     // transfer time to another zone, as a multiple of that within a zone
 )
 
-// Engine is one server. It can crash and be started again on the same address.
+// Engine is one stand-in server. It can crash and be restarted on the same address.
 type Engine struct {
 	pb.UnimplementedEngineServer
 	Spec  Spec
-	Links *Links // over which states move; nil: each transfer takes Model's time alone. Set it before Start
+	Links *Links // shared links for transfers of states; nil: transfers take the time of Model. Must be set before Start
 	model Model
 	log   *eventlog.Log
 
 	mu       sync.Mutex
 	addr     string
-	server   *grpc.Server // nil while the process does not run
+	server   *grpc.Server // nil while the process is not running
 	listener net.Listener
 
 	started        time.Time
 	process        context.Context // canceled when the process ends
 	endProcess     context.CancelFunc
-	overloaded     bool        // failed from overload; every attempt is answered with an error until the next start
-	recentAttempts []time.Time // within the overload window, while warming up
-	waiting        int
-	running        int
+	overloaded     bool        // failed from overload; all attempts fail until the next start
+	recentAttempts []time.Time // times of the attempts within OverloadWindow, recorded during the warm-up
+	waiting        int         // attempts without a slot
+	running        int         // attempts with a slot
 
 	faults        Faults
-	faultsChanged chan struct{} // closed and replaced when faults change
+	faultsChanged chan struct{} // closed and replaced when the faults change
 
-	prefillSlot    chan struct{} // the simple model reads one prompt at a time
-	unreadTokens   int64         // prompt tokens that are queued or being read in the simple model
-	cancelPrefills map[string]cancelPrefill
-	prefixes       prefixCache
+	prefillSlot        chan struct{}            // held by the one prefill that runs in the simple model
+	queuedPromptTokens int64                    // prompt tokens of queued and running prefills in the simple model
+	cancelPrefills     map[string]cancelPrefill // running prefills, by request name
+	prefixes           prefixCache
 
-	states     map[string]*heldState
-	usedTokens int64 // tokens of all held states
-	peers      map[string]*grpc.ClientConn
+	states     map[string]*heldState       // by request name
+	usedTokens int64                       // tokens of all held states
+	peers      map[string]*grpc.ClientConn // connections to other servers, by address
 
 	report     *orca.OrcaLoadReport
 	reportedAt time.Time
 
-	batch    *batchRunner // nil: the simple model
+	batch    *batchRunner // nil in the simple model
 	reporter *batchmodel.Reporter
 }
 
-// New returns a server that does not run yet. It adds entries to log, which may be nil.
+// New returns an engine that is not started. It adds entries to log, which may be nil.
 func New(spec Spec, model Model, log *eventlog.Log) *Engine {
 	return &Engine{Spec: spec, model: model, log: log, faultsChanged: make(chan struct{})}
 }
 
-// HeldStates returns how many KV states it holds.
+// HeldStates returns the number of KV states that the engine holds.
 func (e *Engine) HeldStates() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.states)
 }
 
-// Load returns how many attempts run and how many wait.
+// Load returns the numbers of attempts that run and that wait for a slot.
 func (e *Engine) Load() (running, waiting int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.running, e.waiting
 }
 
-// requestName returns the name under which a request stands in the event log.
+// requestName returns the name of a request in the event log.
 func requestName(dispatcher, request uint64) string {
 	return strconv.FormatUint(dispatcher, 16) + "." + strconv.FormatUint(request, 16)
 }
--- a/internal/lab/engine/engine_test.go
+++ b/internal/lab/engine/engine_test.go
@@ -20,7 +20,7 @@
 	"docksail/internal/lab/eventlog"
 )
 
-// startEngine starts a server that is warm and returns it with a client of it.
+// startEngine starts an engine without warm-up and returns it with a client for it.
 func startEngine(t *testing.T, s Spec) (*Engine, pb.EngineClient) {
 	t.Helper()
 	e := New(s, LinearModel{}, nil)
@@ -42,7 +42,7 @@
 	return xs[len(xs)/2]
 }
 
-// checkDuration checks that work took about as long as the model says.
+// checkDuration checks that a measured duration is close to that of the model.
 func checkDuration(t *testing.T, what string, got, want time.Duration) {
 	t.Helper()
 	t.Logf("%s: measured %v, model %v, ratio %.3f", what, got, want, float64(got)/float64(want))
@@ -51,7 +51,7 @@
 	}
 }
 
-// measureTokenIntervals streams an answer and returns the times between its tokens.
+// measureTokenIntervals streams an answer and returns the intervals between its tokens.
 func measureTokenIntervals(t *testing.T, c pb.EngineClient, req *pb.GenerateRequest) []time.Duration {
 	t.Helper()
 	var intervals []time.Duration
@@ -71,8 +71,8 @@
 	return intervals
 }
 
-// TestBatchModelTimes checks that behind gRPC in real time, prefills and token intervals take as long as the batch
-// model says, and little more.
+// TestBatchModelTimes checks that prefills and token intervals over gRPC in real time take as long as in the batch
+// model.
 func TestBatchModelTimes(t *testing.T) {
 	spec := Spec{
 		ID: 1, Role: pb.Role_ROLE_MIXED, Slots: 8, Queue: 8, MemoryTokens: 1 << 17,
@@ -80,7 +80,7 @@
 		MaxHoldTime: 5 * time.Second, BatchModel: true,
 	}
 	e, c := startEngine(t, spec)
-	var reads []time.Duration
+	var prefillTimes []time.Duration
 	for i := range 5 {
 		begin := time.Now()
 		req := &pb.GenerateRequest{PromptTokens: 4000, Label: string(rune('a' + i))}
@@ -88,25 +88,25 @@
 		if err != nil || done.ReadTokens != 4000 {
 			t.Fatal(done, err)
 		}
-		reads = append(reads, time.Since(begin))
+		prefillTimes = append(prefillTimes, time.Since(begin))
 		if _, err := c.Release(context.Background(), &pb.ReleaseRequest{Job: uint64(i)}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	// A prefill takes two steps of at most 2,048 tokens.
-	checkDuration(t, "prefill of 4,000 tokens", median(reads), 200*time.Millisecond+2*spec.TokenGap)
+	checkDuration(t, "prefill of 4,000 tokens", median(prefillTimes), 200*time.Millisecond+2*spec.TokenGap)
 	intervals := measureTokenIntervals(t, c, &pb.GenerateRequest{PromptTokens: 100, MaxTokens: 60})
 	s := spec.BatchShape()
 	checkDuration(t, "token interval of one answer", median(intervals),
 		time.Duration(s.StepTime+s.TimePerAnswer+115*s.TimePer1kContext/1000))
-	// A cached prefix is not read again.
+	// A cached prefix is not prefilled again.
 	for i := range 2 {
 		done, err := c.Read(context.Background(), &pb.Launch{Job: uint64(200 + i), Request: &pb.GenerateRequest{
 			PromptTokens: 4000, BeginningTokens: 3200,
 			Beginning: "shared", Session: string(rune('a' + i)),
 		}})
 		if want := uint32(4000 - 3200*i); err != nil || done.ReadTokens != want {
-			t.Errorf("read %d: %v, %v, want %d tokens read", i, done, err, want)
+			t.Errorf("prefill %d: %v, %v, want %d tokens prefilled", i, done, err, want)
 		}
 	}
 	if e.HeldStates() != 2 {
@@ -118,7 +118,7 @@
 	}
 }
 
-// TestDecodeWithoutState checks the status of a decode whose state is not held anywhere.
+// TestDecodeWithoutState checks the status of a decode whose state is not held by any server.
 func TestDecodeWithoutState(t *testing.T) {
 	for _, batch := range []bool{false, true} {
 		e, c := startEngine(t, Spec{
@@ -137,8 +137,8 @@
 	}
 }
 
-// TestLoadReportDelay checks that a load report of the batch model is as old as the delay and says so, and that there
-// is none before the first one is known.
+// TestLoadReportDelay checks that a load report of the batch model is delayed and contains its age, and that there is
+// none before the delay has passed.
 func TestLoadReportDelay(t *testing.T) {
 	e, c := startEngine(t, Spec{
 		ID: 1, Role: pb.Role_ROLE_READER, Slots: 8, Queue: 8, MemoryTokens: 1 << 16,
@@ -146,7 +146,7 @@
 		MaxHoldTime: time.Second, BatchModel: true,
 		ReportInterval: 10 * time.Millisecond, ReportDelay: 150 * time.Millisecond,
 	})
-	read := func(request uint64) (*orca.OrcaLoadReport, bool) {
+	prefill := func(request uint64) (*orca.OrcaLoadReport, bool) {
 		var md metadata.MD
 		req := &pb.GenerateRequest{PromptTokens: 3200, Label: string(rune('a' + request))}
 		if _, err := c.Read(context.Background(), &pb.Launch{Job: request, Request: req}, grpc.Trailer(&md)); err != nil {
@@ -162,26 +162,26 @@
 		}
 		return r, true
 	}
-	if _, ok := read(0); ok {
-		t.Error("a report is known before it can be")
+	if _, ok := prefill(0); ok {
+		t.Error("received a load report before the delay had passed")
 	}
 	time.Sleep(200 * time.Millisecond)
-	r, ok := read(1)
+	r, ok := prefill(1)
 	if !ok || r.NamedMetrics["age_ms"] < 150 || r.MemUtilization != 0 {
-		t.Errorf("%v: want the report of the start, from before anything was held, 150 ms old at least", r)
+		t.Errorf("%v: want a report without memory in use, 150 ms old at least", r)
 	}
 	time.Sleep(200 * time.Millisecond)
-	if r, _ := read(2); r == nil || r.MemUtilization < 0.04 || r.MemUtilization > 0.06 {
-		t.Errorf("%v: want one state of 200 in 4,096 blocks in use", r)
+	if r, _ := prefill(2); r == nil || r.MemUtilization < 0.04 || r.MemUtilization > 0.06 {
+		t.Errorf("%v: want a memory utilization of about 0.05: 200 of 4,096 blocks", r)
 	}
 	e.SetFaults(func(f *Faults) { f.ReportDelay = time.Hour })
-	if _, ok := read(3); ok {
-		t.Error("a report is known an hour early")
+	if _, ok := prefill(3); ok {
+		t.Error("received a load report an hour before the delay had passed")
 	}
 }
 
-// TestPrefillEndsInCrashedProcess checks that a prefill that ends as its process ends leaves no state, neither while
-// the server is down nor in the process that is started after it.
+// TestPrefillEndsInCrashedProcess checks that a prefill that completes after its process has crashed leaves no state,
+// neither while the server is down nor in the restarted process.
 func TestPrefillEndsInCrashedProcess(t *testing.T) {
 	entries := &eventlog.Log{}
 	e := New(Spec{
@@ -193,21 +193,21 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(e.Crash)
-	first := e.process
+	crashedProcess := e.process
 	e.Crash()
-	err := e.holdState(context.Background(), first, "1.1", newState())
+	err := e.holdState(context.Background(), crashedProcess, "1.1", newState())
 	if status.Code(err) != codes.Unavailable {
-		t.Errorf("a state was recorded while the server was down: %v", err)
+		t.Errorf("a state was stored while the server was down: %v", err)
 	}
 	if err := e.Start(""); err != nil {
 		t.Fatal(err)
 	}
-	err = e.holdState(context.Background(), first, "1.1", newState())
+	err = e.holdState(context.Background(), crashedProcess, "1.1", newState())
 	if status.Code(err) != codes.Unavailable {
-		t.Errorf("a state of the process before was recorded: %v", err)
+		t.Errorf("a state of the previous process was stored: %v", err)
 	}
 	if err := e.holdState(context.Background(), e.process, "1.2", newState()); err != nil {
-		t.Errorf("a state of the running process was refused: %v", err)
+		t.Errorf("a state of the running process was rejected: %v", err)
 	}
 	held := 0
 	for _, entry := range entries.Entries() {
@@ -216,6 +216,6 @@
 		}
 	}
 	if held != 1 || e.HeldStates() != 1 {
-		t.Errorf("%d states recorded, %d held, want the one of the running process", held, e.HeldStates())
+		t.Errorf("%d states logged, %d held, want only that of the running process", held, e.HeldStates())
 	}
 }
--- a/internal/lab/engine/faults.go
+++ b/internal/lab/engine/faults.go
@@ -7,20 +7,20 @@
 	"google.golang.org/grpc/status"
 )
 
-// Faults are the faults that a server acts out now. The zero value has none.
+// Faults are the faults injected into a server. The zero value has none.
 type Faults struct {
-	Hanging      bool    // accepts attempts and answers none
-	FailFast     float64 // share of the attempts that are answered with an error at once
-	Slowdown     float64 // multiple of the time that work takes; 0 or 1: none
-	SilentClass  string  // requests of this class are not answered
-	StallAfter   int     // each answer stalls after this many tokens; 0: none does
-	LinkSlowdown float64 // multiple of the time that transfers of its states take
-	Paused       bool    // does nothing, and goes on afterwards
-	ReportDelay  time.Duration
-	Draining     bool // rejects new attempts
+	Hanging      bool          // accepts attempts but does not answer them
+	FailFast     float64       // fraction of the attempts that fail immediately
+	Slowdown     float64       // multiple of the duration of work; 0 or 1: no slowdown
+	SilentClass  string        // class whose requests are not answered
+	StallAfter   int           // number of tokens after which answers stall; 0: answers do not stall
+	LinkSlowdown float64       // multiple of the duration of transfers from this server; 0 or 1: no slowdown
+	Paused       bool          // stops all work until the pause ends
+	ReportDelay  time.Duration // added to the delay of load reports
+	Draining     bool          // rejects new attempts
 }
 
-// SetFaults changes the faults. Work that is under way follows at once.
+// SetFaults changes the faults. Running work is affected immediately.
 func (e *Engine) SetFaults(change func(f *Faults)) {
 	e.mu.Lock()
 	change(&e.faults)
@@ -29,15 +29,15 @@
 	e.mu.Unlock()
 }
 
-// blocks reports whether work of a class stands still.
+// blocks reports whether the faults stop all work of a class.
 func (f *Faults) blocks(class string) bool {
 	return f.Hanging || f.Paused || f.SilentClass != "" && f.SilentClass == class
 }
 
-// sleep waits for the time that work of a class takes: longer while the server is slow, and not ending while it hangs
-// or pauses. It returns the error of the context if that ends.
+// sleep waits for the duration of work of a class, which faults extend: by a slowdown, or for as long as they block
+// the class. It returns the error of the context if that ends first.
 func (e *Engine) sleep(ctx context.Context, class string, duration time.Duration) error {
-	left := float64(duration)
+	remaining := float64(duration)
 	for {
 		e.mu.Lock()
 		faults, changed := e.faults, e.faultsChanged
@@ -50,17 +50,17 @@
 				return ctx.Err()
 			}
 		}
-		if left <= 0 {
+		if remaining <= 0 {
 			return ctx.Err()
 		}
 		slowdown := max(faults.Slowdown, 1)
 		begin := time.Now()
-		timer := time.NewTimer(time.Duration(left * slowdown))
+		timer := time.NewTimer(time.Duration(remaining * slowdown))
 		select {
 		case <-timer.C:
 			return ctx.Err()
 		case <-changed:
-			left -= float64(time.Since(begin)) / slowdown
+			remaining -= float64(time.Since(begin)) / slowdown
 		case <-ctx.Done():
 			timer.Stop()
 			return ctx.Err()
@@ -69,7 +69,7 @@
 	}
 }
 
-// stall waits for the end of the context if answers stall at this position, and returns its error.
+// stall waits for the end of the context and returns its status error, if answers stall at this position.
 func (e *Engine) stall(ctx context.Context, position int) error {
 	e.mu.Lock()
 	stallAfter := e.faults.StallAfter
--- a/internal/lab/engine/kvstate.go
+++ b/internal/lab/engine/kvstate.go
@@ -17,7 +17,7 @@
 	"docksail/internal/lab/eventlog"
 )
 
-// Reasons for the release of a state, as the event log has them.
+// Reasons for the release of a state in the event log.
 const (
 	releasedByCrash   = "crash"
 	releasedByTimeout = "ran out"
@@ -26,26 +26,27 @@
 	releasedByRequest = "released"
 )
 
-// Metadata with which a server that fetches a state says where it is.
+// Metadata keys for the location of the server that fetches a state.
 const (
 	cellMetadata = "docksail-cell"
 	zoneMetadata = "docksail-zone"
 )
 
-// stateChunkBytes is the size of the message that stands for a state.
+// stateChunkBytes is the size of the single message that represents a state.
 const stateChunkBytes = 64
 
-// heldState is the KV state of a prompt that has been read.
+// heldState is the KV state of a completed prefill.
 type heldState struct {
 	attempt  uint32
 	tokens   int64
-	released chan struct{} // closed when it is released
-	batch    *batchRunner  // nil: the simple model
+	released chan struct{} // closed when the state is released
+	batch    *batchRunner  // nil in the simple model
 	batchID  batchmodel.ID
 }
 
-// holdState records the state of a prefill that is done. It holds none for a prefill that was canceled meanwhile or
-// whose process has ended: the context of the attempt may be canceled only after Crash has removed the states.
+// holdState stores the state of a completed prefill. It returns an error if the prefill was canceled or its process
+// has ended. The process is checked as well because the context may be canceled only after Crash has removed the
+// states.
 func (e *Engine) holdState(ctx, process context.Context, name string, state *heldState) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -70,7 +71,7 @@
 	return nil
 }
 
-// releaseState releases the state of a request, if it is held. The lock is held.
+// releaseState releases the state of a request, if there is one. The lock must be held.
 func (e *Engine) releaseState(name, reason string) {
 	state := e.states[name]
 	if state == nil {
@@ -87,7 +88,7 @@
 	})
 }
 
-// releaseIfHeld releases a state, unless it is released already or another took its place.
+// releaseIfHeld releases a state, unless it was already released or replaced by another one.
 func (e *Engine) releaseIfHeld(name string, state *heldState, reason string) {
 	e.mu.Lock()
 	if e.states[name] == state {
@@ -96,8 +97,8 @@
 	e.mu.Unlock()
 }
 
-// Release implements the Engine service: it releases the state of a request and cancels a prefill under way, both up
-// to the given attempt.
+// Release implements the Engine service: it releases the state of a request and cancels its running prefills. Both
+// apply only to attempts up to the given one.
 func (e *Engine) Release(_ context.Context, r *pb.ReleaseRequest) (*pb.ReleaseDone, error) {
 	name := requestName(r.Dispatcher, r.Job)
 	e.mu.Lock()
@@ -111,7 +112,7 @@
 	return &pb.ReleaseDone{}, nil
 }
 
-// Fetch implements the Engine service: it hands a held state over to another server and releases it.
+// Fetch implements the Engine service: it transfers a held state to another server and then releases it.
 func (e *Engine) Fetch(r *pb.FetchRequest, out grpc.ServerStreamingServer[pb.StateChunk]) error {
 	name := requestName(r.Dispatcher, r.Job)
 	e.mu.Lock()
@@ -137,7 +138,8 @@
 	return nil
 }
 
-// transfer waits as long as a state takes to the server that fetches it, and while faults block this server.
+// transfer waits for the duration of the transfer of a state to the server that fetches it, and for as long as faults
+// block this server.
 func (e *Engine) transfer(ctx context.Context, tokens int64, slowdown float64) error {
 	cell := incomingMetadata(ctx, cellMetadata, "")
 	if e.Links == nil {
@@ -151,7 +153,7 @@
 	return e.sleep(ctx, "", 0)
 }
 
-// incomingMetadata returns the first value of a key, or the default if there is none.
+// incomingMetadata returns the first value of a metadata key, or defaultValue if there is none.
 func incomingMetadata(ctx context.Context, key, defaultValue string) string {
 	if values := metadata.ValueFromIncomingContext(ctx, key); len(values) > 0 {
 		return values[0]
@@ -159,18 +161,18 @@
 	return defaultValue
 }
 
-// fetchState fetches the state of a request from the server that holds it. Its errors are status errors:
-// FailedPrecondition if the state cannot be had.
+// fetchState fetches the state of a request from the server that holds it. It returns a status error:
+// FailedPrecondition if the state cannot be fetched.
 func (e *Engine) fetchState(ctx context.Context, attempt *pb.Launch) error {
 	peer, err := e.peer(attempt.StateAddress)
 	if err != nil {
-		return missingState(err)
+		return missingStateError(err)
 	}
 	ctx = metadata.AppendToOutgoingContext(ctx, cellMetadata, e.Spec.Cell, zoneMetadata, e.Spec.Zone)
 	request := &pb.FetchRequest{Dispatcher: attempt.Dispatcher, Job: attempt.Job}
 	stream, err := pb.NewEngineClient(peer).Fetch(ctx, request)
 	if err != nil {
-		return missingState(err)
+		return missingStateError(err)
 	}
 	for err == nil {
 		_, err = stream.Recv()
@@ -181,15 +183,15 @@
 	case ctx.Err() != nil:
 		return status.FromContextError(ctx.Err()).Err()
 	default:
-		return missingState(err)
+		return missingStateError(err)
 	}
 }
 
-func missingState(err error) error {
+func missingStateError(err error) error {
 	return status.Error(codes.FailedPrecondition, "no state: "+err.Error())
 }
 
-// peer returns the connection to another server, made at its first use.
+// peer returns the connection to another server, which is created on first use.
 func (e *Engine) peer(addr string) (*grpc.ClientConn, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/lab/engine/lifecycle.go
+++ b/internal/lab/engine/lifecycle.go
@@ -13,16 +13,16 @@
 	"docksail/internal/lab/eventlog"
 )
 
-// maxConcurrentStreams is the limit of streams on a connection to the server.
+// maxConcurrentStreams limits the concurrent streams of one connection to the server.
 const maxConcurrentStreams = 10000
 
-// Start starts the process of the server on an address. Port 0 takes any free port; later starts use the same one
-// again, whatever addr says.
+// Start starts the process of the server on the given address; port 0 selects a free port. Later starts ignore addr
+// and use the address of the first one.
 func (e *Engine) Start(addr string) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.server != nil {
-		return fmt.Errorf("engine %d runs already", e.Spec.ID)
+		return fmt.Errorf("engine %d is already running", e.Spec.ID)
 	}
 	if e.addr != "" {
 		addr = e.addr
@@ -44,18 +44,18 @@
 		go e.batch.run(e.process, e)
 	}
 	e.log.Add(eventlog.Entry{Kind: eventlog.ServerStarted, Server: e.Spec.ID})
-	go func() { _ = server.Serve(listener) }() // it returns an error only after Crash
+	go func() { _ = server.Serve(listener) }() // fails only after Crash
 	return nil
 }
 
-// resetProcess gives the server the state of a new process. The lock is held.
+// resetProcess resets all state that does not survive a restart. The lock must be held.
 func (e *Engine) resetProcess() error {
 	e.started = time.Now()
 	e.process, e.endProcess = context.WithCancel(context.Background())
 	e.overloaded, e.recentAttempts = false, nil
 	e.waiting, e.running = 0, 0
 	e.prefillSlot = make(chan struct{}, 1)
-	e.unreadTokens = 0
+	e.queuedPromptTokens = 0
 	e.cancelPrefills = map[string]cancelPrefill{}
 	e.prefixes = newPrefixCache(e.Spec.MemoryTokens / 2)
 	e.states, e.usedTokens = map[string]*heldState{}, 0
@@ -73,14 +73,14 @@
 	return err
 }
 
-// SkipWarmup lets the server have its full capacity, as if it had been started long ago.
+// SkipWarmup gives the server its full capacity by setting its start time back.
 func (e *Engine) SkipWarmup() {
 	e.mu.Lock()
 	e.started = e.started.Add(-24 * time.Hour)
 	e.mu.Unlock()
 }
 
-// Crash ends the process at once: connections are reset and all held states are lost.
+// Crash ends the process immediately: connections are closed and all held states are lost.
 func (e *Engine) Crash() {
 	e.mu.Lock()
 	server, listener, endProcess, peers := e.server, e.listener, e.endProcess, e.peers
@@ -95,20 +95,20 @@
 	}
 	endProcess()
 	server.Stop()
-	listener.Close() // the server may not have begun to serve it
+	listener.Close() // Stop does not close it if Serve has not been called yet
 	for _, peer := range peers {
 		peer.Close()
 	}
 }
 
-// Addr returns the address at which it listens, or did before it crashed.
+// Addr returns the address on which the server listens, or last listened.
 func (e *Engine) Addr() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.addr
 }
 
-// StartTime returns when the process was started, and false if there is none.
+// StartTime returns the start time of the process, or false if no process is running.
 func (e *Engine) StartTime() (time.Time, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/lab/engine/links.go
+++ b/internal/lab/engine/links.go
@@ -8,33 +8,33 @@
 	"docksail/internal/lab/engine/batchmodel"
 )
 
-// Links are the links over which states move between the servers of a scenario: the port of each server and one link
-// for each cell, which all its servers share. Make them with NewLinks.
+// Links are the network links for transfers of states between the servers of a scenario: one link per server, and one
+// per cell that its servers share for transfers to other cells. Create them with NewLinks.
 type Links struct {
-	cellFactor float64 // capacity of a cell's link, in multiples of a server's TransferRate
-	zoneFactor float64 // how many times as long a token takes to another zone
+	cellFactor float64 // capacity of a cell's link, as a multiple of a server's TransferRate
+	zoneFactor float64 // transfer time to another zone, as a multiple of that within a zone
 
-	mu      sync.Mutex
-	network *batchmodel.Network
-	begin   time.Time
-	ports   map[int]int    // index of the link, by server
-	cells   map[string]int // index of the link, by zone and cell
-	lastID  batchmodel.TransferID
-	done    map[batchmodel.TransferID]chan struct{} // closed when the transfer ends
-	timer   *time.Timer
+	mu          sync.Mutex
+	network     *batchmodel.Network
+	begin       time.Time
+	serverLinks map[int]int    // index of the link in network, by server
+	cellLinks   map[string]int // index of the link in network, by zone and cell
+	lastID      batchmodel.TransferID
+	done        map[batchmodel.TransferID]chan struct{} // closed when the transfer ends
+	timer       *time.Timer
 }
 
-// NewLinks returns links for which a cell's link carries cellFactor times what one server does, and over which a token
-// to another zone takes zoneFactor times as long. Close them when they are no longer used.
+// NewLinks returns links whose capacity per cell is cellFactor times that of a server, and over which transfers to
+// another zone take zoneFactor times as long. The caller must call Close.
 func NewLinks(cellFactor, zoneFactor float64) *Links {
 	l := &Links{
-		cellFactor: cellFactor,
-		zoneFactor: max(zoneFactor, 1),
-		network:    batchmodel.NewNetwork(),
-		begin:      time.Now(),
-		ports:      map[int]int{},
-		cells:      map[string]int{},
-		done:       map[batchmodel.TransferID]chan struct{}{},
+		cellFactor:  cellFactor,
+		zoneFactor:  max(zoneFactor, 1),
+		network:     batchmodel.NewNetwork(),
+		begin:       time.Now(),
+		serverLinks: map[int]int{},
+		cellLinks:   map[string]int{},
+		done:        map[batchmodel.TransferID]chan struct{}{},
 	}
 	l.timer = time.AfterFunc(time.Hour, l.timerFired)
 	return l
@@ -51,7 +51,7 @@
 	l.mu.Unlock()
 }
 
-// advance ends the transfers that are due and sets the timer for the next one. The lock is held.
+// advance completes the transfers that are due and sets the timer for the next one. The lock must be held.
 func (l *Links) advance() {
 	for _, id := range l.network.AdvanceTo(l.now(), nil) {
 		if done := l.done[id]; done != nil {
@@ -64,8 +64,8 @@
 	}
 }
 
-// link returns the index of the link of a server or cell, which is added at its first use. The lock is held.
-func link[K comparable](l *Links, indexes map[K]int, key K, tokensPerSecond float64) (int, error) {
+// linkIndex returns the index of the link of a server or cell, which is added on first use. The lock must be held.
+func linkIndex[K comparable](l *Links, indexes map[K]int, key K, tokensPerSecond float64) (int, error) {
 	if index, ok := indexes[key]; ok {
 		return index, nil
 	}
@@ -76,8 +76,8 @@
 	return index, err
 }
 
-// Transfer waits as long as the transfer of a state takes from a server to one in the given zone and cell. It returns
-// the error of the context if that ends first.
+// Transfer waits for the duration of the transfer of a state from a server to a server in the given zone and cell. It
+// returns the error of the context if that ends first.
 func (l *Links) Transfer(ctx context.Context, from *Spec, tokens int64, zone, cell string, slowdown float64) error {
 	l.mu.Lock()
 	id, err := l.start(from, tokens, zone, cell, slowdown)
@@ -98,16 +98,16 @@
 	}
 }
 
-// start begins a transfer: over the port of the server and, out of its cell, over the link of the cell. The lock is
-// held.
+// start starts a transfer over the link of the server and, if it leaves the cell, over the link of the cell. The lock
+// must be held.
 func (l *Links) start(from *Spec, tokens int64, zone, cell string, slowdown float64) (batchmodel.TransferID, error) {
-	port, err := link(l, l.ports, from.ID, from.TransferRate)
+	serverLink, err := linkIndex(l, l.serverLinks, from.ID, from.TransferRate)
 	if err != nil {
 		return 0, err
 	}
-	path := []int{port}
+	path := []int{serverLink}
 	if cell != from.Cell || zone != from.Zone {
-		cellLink, err := link(l, l.cells, from.Zone+"/"+from.Cell, from.TransferRate*l.cellFactor)
+		cellLink, err := linkIndex(l, l.cellLinks, from.Zone+"/"+from.Cell, from.TransferRate*l.cellFactor)
 		if err != nil {
 			return 0, err
 		}
@@ -117,11 +117,11 @@
 		slowdown *= l.zoneFactor
 	}
 	l.lastID++
-	l.advance() // what has ended must not share the links any more
+	l.advance() // completed transfers must not share the links any longer
 	return l.lastID, l.network.Start(l.now(), l.lastID, int(max(tokens, 1)), max(slowdown, 1), path...)
 }
 
-// stop ends a transfer early.
+// stop cancels a transfer.
 func (l *Links) stop(id batchmodel.TransferID) {
 	l.mu.Lock()
 	l.network.Stop(l.now(), id)
--- a/internal/lab/engine/links_test.go
+++ b/internal/lab/engine/links_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// TestLinksShare checks that three servers of a cell share its one link to other cells and that within the cell each
-// has its own port.
+// TestLinksShare checks that the servers of a cell share its link to other cells, and that each has a link of its own
+// within the cell.
 func TestLinksShare(t *testing.T) {
 	l := NewLinks(1.5, 2)
 	defer l.Close()
@@ -43,9 +43,9 @@
 	defer cancel()
 	slow := Spec{ID: 1, Zone: "a", Cell: "a1", TransferRate: 10}
 	if err := l.Transfer(ctx, &slow, 1e6, "a", "a1", 1); !errors.Is(err, context.DeadlineExceeded) {
-		t.Errorf("a canceled transfer: %v, want %v", err, context.DeadlineExceeded)
+		t.Errorf("canceled transfer: error %v, want %v", err, context.DeadlineExceeded)
 	}
 	if got := transferAll("a", "a1"); got > 150*time.Millisecond {
-		t.Errorf("after a canceled transfer three transfers take %v, want 150ms at most", got)
+		t.Errorf("three transfers after a canceled one took %v, want 150ms at most", got)
 	}
 }
--- a/internal/lab/engine/loadreport.go
+++ b/internal/lab/engine/loadreport.go
@@ -10,18 +10,18 @@
 	"docksail/internal/lab/engine/batchmodel"
 )
 
-// loadReportTrailer is the trailer in which an answer carries its load report.
+// loadReportTrailer is the trailer of an answer that contains the load report.
 const loadReportTrailer = "endpoint-load-metrics-bin"
 
 // Named metrics of the load report.
 const (
 	requestsMetric     = "requests"
-	unreadTokensMetric = "unread_tokens"
+	queuedTokensMetric = "unread_tokens"
 	finishMetric       = "finish_ms"
 	ageMetric          = "age_ms"
 )
 
-// loadReport returns the trailer with the ORCA load report, or nil if none is known yet.
+// loadReport returns the trailer with the ORCA load report, or nil if there is none yet.
 func (e *Engine) loadReport() metadata.MD {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -38,14 +38,14 @@
 	return metadata.Pairs(loadReportTrailer, string(b))
 }
 
-// refreshReport makes the load report of the simple model, once an interval. The lock is held.
+// refreshReport updates the load report of the simple model if its interval has passed. The lock must be held.
 func (e *Engine) refreshReport(delay time.Duration) {
 	if e.report == nil || time.Since(e.reportedAt) >= e.Spec.ReportInterval {
 		e.report = &orca.OrcaLoadReport{
 			MemUtilization: float64(e.usedTokens) / float64(max(e.Spec.MemoryTokens, 1)),
 			NamedMetrics: map[string]float64{
 				requestsMetric:     float64(e.running + e.waiting),
-				unreadTokensMetric: float64(e.unreadTokens),
+				queuedTokensMetric: float64(e.queuedPromptTokens),
 			},
 		}
 		e.reportedAt = time.Now()
@@ -53,8 +53,8 @@
 	e.report.NamedMetrics[ageMetric] = float64((time.Since(e.reportedAt) + delay).Milliseconds())
 }
 
-// refreshBatchReport makes the newest load report that is known of the batch model. It returns false if there is none
-// yet. The lock is held.
+// refreshBatchReport updates the load report from the newest available one of the batch model. It returns false if
+// there is none yet. The lock must be held.
 func (e *Engine) refreshBatchReport(delay time.Duration) bool {
 	now := int64(time.Since(e.started))
 	e.batch.observe(e.reporter, now, e.Spec.PrefillRate)
@@ -71,14 +71,14 @@
 		MemUtilization: load.MemoryUtilization,
 		NamedMetrics: map[string]float64{
 			requestsMetric:     load.Requests,
-			unreadTokensMetric: load.QueuedPromptTokens,
+			queuedTokensMetric: load.QueuedPromptTokens,
 			finishMetric:       float64(load.QueueTime) / 1e6,
 			ageMetric:          float64(age) / 1e6,
 		},
 	}
 }
 
-// Preemptions returns how many answers the batch model has preempted.
+// Preemptions returns the number of preemptions in the batch model; 0 in the simple model.
 func (e *Engine) Preemptions() uint64 {
 	e.mu.Lock()
 	batch := e.batch
--- a/internal/lab/engine/prefill.go
+++ b/internal/lab/engine/prefill.go
@@ -12,18 +12,18 @@
 	"docksail/internal/lab/engine/batchmodel"
 )
 
-// cancelPrefill cancels a prefill under way if its attempt is not newer than the given one.
+// cancelPrefill cancels a running prefill if its attempt number is at most the given one.
 type cancelPrefill func(attempt uint32)
 
-// prefillResult is how many tokens of a prompt were read and how many were cached.
-type prefillResult struct{ readTokens, cachedTokens int64 }
+// prefillResult holds the numbers of prompt tokens that were prefilled and that were cached.
+type prefillResult struct{ prefilledTokens, cachedTokens int64 }
 
-// Read implements the Engine service: it reads a prompt and holds its state until it is fetched or released.
+// Read implements the Engine service: it runs a prefill and holds its state until the state is fetched or released.
 func (e *Engine) Read(ctx context.Context, attempt *pb.Launch) (*pb.ReadDone, error) {
 	if e.Spec.Role == pb.Role_ROLE_WRITER {
 		return nil, status.Error(codes.Unimplemented, "a writer reads no prompts")
 	}
-	_ = grpc.SetTrailer(ctx, e.loadReport()) // it fails only outside of a call
+	_ = grpc.SetTrailer(ctx, e.loadReport()) // fails only outside of an RPC
 	ctx, leave, err := e.admit(ctx)
 	if err != nil {
 		return nil, err
@@ -46,11 +46,11 @@
 		return nil, err
 	}
 	time.AfterFunc(e.Spec.MaxHoldTime, func() { e.releaseIfHeld(name, state, releasedByTimeout) })
-	return &pb.ReadDone{ReadTokens: uint32(result.readTokens), KeptTokens: uint32(result.cachedTokens)}, nil
+	return &pb.ReadDone{ReadTokens: uint32(result.prefilledTokens), KeptTokens: uint32(result.cachedTokens)}, nil
 }
 
-// beginPrefill makes the prefill of an attempt cancelable by Release. It returns the batch model, which is nil in the
-// simple model, and the process to which the prefill belongs.
+// beginPrefill registers a prefill, so that Release can cancel it. It returns the batch runner, which is nil in the
+// simple model, and the current process.
 func (e *Engine) beginPrefill(
 	name string, attempt uint32, cancel context.CancelFunc,
 ) (batch *batchRunner, process context.Context) {
@@ -74,7 +74,7 @@
 	e.mu.Unlock()
 }
 
-// prefillState reads a prompt into a state. Its errors are status errors.
+// prefillState runs the prefill of a state. It returns a status error.
 func (e *Engine) prefillState(ctx context.Context, req *pb.GenerateRequest, state *heldState) (prefillResult, error) {
 	if state.batch == nil {
 		result, err := e.prefill(ctx, req)
@@ -83,26 +83,27 @@
 		}
 		return result, nil
 	}
-	id, read, err := e.prefillBatch(ctx, state.batch, req)
+	id, prefilled, err := e.prefillBatch(ctx, state.batch, req)
 	if err != nil {
 		return prefillResult{}, err
 	}
 	state.batchID = id
-	return prefillResult{readTokens: int64(read), cachedTokens: state.tokens - int64(read)}, nil
+	return prefillResult{prefilledTokens: int64(prefilled), cachedTokens: state.tokens - int64(prefilled)}, nil
 }
 
-// prefill reads a prompt by the simple model, one prompt after another. Its error is that of the context.
+// prefill runs a prefill with the timing of the simple model, in which prefills run one after another. Its error is
+// that of the context.
 func (e *Engine) prefill(ctx context.Context, req *pb.GenerateRequest) (prefillResult, error) {
 	e.mu.Lock()
 	cached := e.prefixes.lookUp(req)
-	unread := max(int64(req.PromptTokens)-cached, 1)
-	e.unreadTokens += unread
+	uncached := max(int64(req.PromptTokens)-cached, 1)
+	e.queuedPromptTokens += uncached
 	slot, process := e.prefillSlot, e.process
 	e.mu.Unlock()
 	defer func() {
 		e.mu.Lock()
 		if e.process == process {
-			e.unreadTokens -= unread
+			e.queuedPromptTokens -= uncached
 		}
 		e.mu.Unlock()
 	}()
@@ -113,7 +114,7 @@
 	}
 	defer func() { <-slot }()
 	e.mu.Lock()
-	duration := e.model.PrefillTime(&e.Spec, unread, e.warmth())
+	duration := e.model.PrefillTime(&e.Spec, uncached, e.capacityShare())
 	e.mu.Unlock()
 	if err := e.sleep(ctx, req.Track, duration); err != nil {
 		return prefillResult{}, err
@@ -121,11 +122,11 @@
 	e.mu.Lock()
 	e.prefixes.addPrompt(req)
 	e.mu.Unlock()
-	return prefillResult{readTokens: unread, cachedTokens: cached}, nil
+	return prefillResult{prefilledTokens: uncached, cachedTokens: cached}, nil
 }
 
-// prefillBatch reads a prompt by the batch model, which holds its state afterwards. It returns the ID of the state and
-// how many tokens were read. Its errors are status errors.
+// prefillBatch runs a prefill with the timing of the batch model, which then holds the state. It returns the ID of the
+// state and the number of prefilled tokens. Its errors are status errors.
 func (e *Engine) prefillBatch(
 	ctx context.Context, batch *batchRunner, req *pb.GenerateRequest,
 ) (batchmodel.ID, int, error) {
--- a/internal/lab/engine/prefixcache.go
+++ b/internal/lab/engine/prefixcache.go
@@ -2,16 +2,16 @@
 
 import pb "docksail/api/docksail/v1"
 
-// prefixCache is the prefixes that the simple model has cached: the least recently used are evicted.
+// prefixCache holds the cached prefixes of the simple model. It evicts the least recently used ones.
 type prefixCache struct {
 	maxTokens int64
 	entries   map[string]*cachedPrefix
-	clock     int64 // counts uses
+	clock     int64 // number of uses so far; orders the entries by use
 }
 
 type cachedPrefix struct {
 	tokens int64
-	usedAt int64 // value of prefixCache.clock
+	usedAt int64 // value of prefixCache.clock at the last use
 }
 
 func newPrefixCache(maxTokens int64) prefixCache {
@@ -22,7 +22,7 @@
 
 func sessionKey(req *pb.GenerateRequest) string { return "s" + req.Tenant + "/" + req.Session }
 
-// lookUp returns how many tokens of a prompt are cached, by its shared prefix or its session.
+// lookUp returns the number of cached tokens of a prompt, found by its shared prefix or its session.
 func (c *prefixCache) lookUp(req *pb.GenerateRequest) int64 {
 	c.clock++
 	cached := int64(0)
@@ -37,7 +37,7 @@
 	return cached
 }
 
-// addPrompt caches a prompt that has been read, under its shared prefix and its session.
+// addPrompt caches the prompt of a completed prefill under its shared prefix and its session.
 func (c *prefixCache) addPrompt(req *pb.GenerateRequest) {
 	if req.Beginning != "" {
 		c.add(sharedPrefixKey(req), int64(req.BeginningTokens))
@@ -47,7 +47,8 @@
 	}
 }
 
-// add caches a prefix and evicts the least recently used ones above the limit. One always stays.
+// add caches a prefix and evicts the least recently used ones until the rest is within maxTokens. At least one entry
+// stays.
 func (c *prefixCache) add(key string, tokens int64) {
 	c.clock++
 	c.entries[key] = &cachedPrefix{tokens: tokens, usedAt: c.clock}
--- a/internal/lab/engine/prefixcache_test.go
+++ b/internal/lab/engine/prefixcache_test.go
@@ -6,7 +6,7 @@
 	pb "docksail/api/docksail/v1"
 )
 
-// TestPrefixCache checks what is cached of a prompt by its shared prefix and by its session, and what is evicted.
+// TestPrefixCache checks lookups by shared prefix and by session, and the eviction of the least recently used entry.
 func TestPrefixCache(t *testing.T) {
 	c := newPrefixCache(1000)
 	first := &pb.GenerateRequest{Tenant: "t", Beginning: "p", BeginningTokens: 300, Session: "1", PromptTokens: 500}
@@ -28,7 +28,7 @@
 			}
 		})
 	}
-	c.lookUp(&pb.GenerateRequest{Tenant: "t", Beginning: "p", BeginningTokens: 300}) // the session is used less recently
+	c.lookUp(&pb.GenerateRequest{Tenant: "t", Beginning: "p", BeginningTokens: 300}) // the session becomes the oldest
 	c.addPrompt(&pb.GenerateRequest{Tenant: "t", Session: "2", PromptTokens: 600})
 	if got := c.lookUp(first); got != 300 {
 		t.Errorf("%d tokens cached after an eviction, want 300 of the shared prefix", got)
