--- a/internal/lab/experiment/compare.go
+++ b/internal/lab/experiment/compare.go
@@ -7,17 +7,17 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// confidenceLevel is that of all intervals.
+// confidenceLevel is the level of all confidence intervals.
 const confidenceLevel = 0.95
 
-// Difference is the mean of paired differences and the half width of its confidence interval.
+// Difference holds the mean of paired differences and half the width of its confidence interval.
 type Difference struct{ Mean, HalfWidth float64 }
 
-// IsSignificant reports whether the interval excludes 0.
+// IsSignificant reports whether the confidence interval excludes 0.
 func (d Difference) IsSignificant() bool { return math.Abs(d.Mean) > d.HalfWidth }
 
-// Compare returns by how much b differs from a, pair by pair, with the interval of Student's t distribution. Both must
-// have the same length, of at least two.
+// Compare returns the mean of the paired differences b[i] - a[i], with the confidence interval of Student's t
+// distribution. Both slices must have the same length, which must be at least 2.
 func Compare(a, b []float64) Difference {
 	differences := make([]float64, len(a))
 	for i := range a {
