--- a/internal/lab/faultproxy/conn.go
+++ b/internal/lab/faultproxy/conn.go
@@ -7,20 +7,20 @@
 	"time"
 )
 
-// relayBufferSize is the size of the pieces in which bytes are passed on.
+// relayBufferSize is the maximum size of a chunk of relayed bytes.
 const relayBufferSize = 32 << 10
 
-// proxyConn is a connection of the dispatcher and the one to the server that belongs to it.
+// proxyConn is a connection from the dispatcher, and the connection to the server that belongs to it.
 type proxyConn struct {
 	proxy      *Proxy
 	client     *net.TCPConn // to the dispatcher
-	server     *net.TCPConn // nil until it is connected
+	server     *net.TCPConn // nil until the server is connected
 	recorder   *FrameRecorder
 	closeOnce  sync.Once
-	blackholed atomic.Bool // discards all bytes until its end
+	blackholed atomic.Bool // all bytes are discarded until the connection ends
 }
 
-// close closes both connections, with a reset or in order.
+// close closes both connections, either with a reset or gracefully.
 func (c *proxyConn) close(reset bool) {
 	c.closeOnce.Do(func() {
 		closeConn(c.client, reset)
@@ -34,13 +34,13 @@
 
 func closeConn(conn *net.TCPConn, reset bool) {
 	if reset {
-		_ = conn.SetLinger(0) // if it fails, the connection is closed in order
+		_ = conn.SetLinger(0) // if it fails, the connection is closed gracefully
 	}
 	conn.Close()
 }
 
-// relay passes bytes in one direction until either end is closed, and shows them to record. A nil destination discards
-// them.
+// relay forwards bytes in one direction until either connection is closed, and passes them to record. If to is nil, it
+// discards them.
 func (c *proxyConn) relay(from, to *net.TCPConn, record func([]byte)) {
 	buf := make([]byte, relayBufferSize)
 	discard := to == nil
@@ -48,7 +48,7 @@
 		n, err := from.Read(buf)
 		if n > 0 {
 			discard = discard || c.blackholed.Load() || c.proxy.currentBlackhole() != nil
-			if !c.pass(from, to, buf[:n], discard, record) {
+			if !c.forward(from, to, buf[:n], discard, record) {
 				c.close(false)
 				return
 			}
@@ -63,11 +63,12 @@
 	}
 }
 
-// pass records a piece and passes it on unless it is discarded. What the dispatcher sends is recorded in any case, as
-// it has left its socket; what the server sends only if it arrives. It returns false if the destination is closed.
-func (c *proxyConn) pass(from, to *net.TCPConn, piece []byte, discard bool, record func([]byte)) bool {
+// forward records a chunk and forwards it unless it is to be discarded. Chunks from the dispatcher are always
+// recorded, because the dispatcher has sent them; chunks from the server only if they are forwarded. It returns false
+// if the destination is closed.
+func (c *proxyConn) forward(from, to *net.TCPConn, chunk []byte, discard bool, record func([]byte)) bool {
 	if from == c.client || !discard {
-		record(piece)
+		record(chunk)
 	}
 	if discard {
 		return true
@@ -75,10 +76,11 @@
 	if delay := c.proxy.delay.Load(); delay > 0 {
 		time.Sleep(time.Duration(delay))
 	}
-	return c.write(to, piece) == nil
+	return c.write(to, chunk) == nil
 }
 
-// waitForBlackhole hides the end of the server's connection from the dispatcher while a blackhole lasts.
+// waitForBlackhole waits for the end of a blackhole if the server has closed its connection, so that the dispatcher
+// does not notice before.
 func (c *proxyConn) waitForBlackhole(from *net.TCPConn) {
 	if from == c.client {
 		return
@@ -88,13 +90,13 @@
 	}
 }
 
-func (c *proxyConn) write(to *net.TCPConn, piece []byte) error {
+func (c *proxyConn) write(to *net.TCPConn, chunk []byte) error {
 	if !c.proxy.trickle.Load() {
-		_, err := to.Write(piece)
+		_, err := to.Write(chunk)
 		return err
 	}
-	for i := range piece {
-		if _, err := to.Write(piece[i : i+1]); err != nil {
+	for i := range chunk {
+		if _, err := to.Write(chunk[i : i+1]); err != nil {
 			return err
 		}
 	}
--- a/internal/lab/faultproxy/frames.go
+++ b/internal/lab/faultproxy/frames.go
@@ -11,7 +11,7 @@
 // frameHeaderSize is the size of the header of an HTTP/2 frame.
 const frameHeaderSize = 9
 
-// frame is an HTTP/2 frame.
+// frame is an HTTP/2 frame with its decoded header.
 type frame struct {
 	kind    http2.FrameType
 	flags   http2.Flags
@@ -19,16 +19,16 @@
 	payload []byte
 }
 
-// frameReader cuts the bytes of one direction of a connection into frames and decodes their headers.
+// frameReader splits the bytes of one direction of a connection into frames and decodes header blocks.
 type frameReader struct {
-	skip      int // bytes of the preface that are still to come
-	buf       []byte
+	skip      int    // remaining bytes of the client preface
+	buf       []byte // bytes not yet returned as frames
 	decoder   *hpack.Decoder
-	block     []byte // header block of the HEADERS frame and its continuations so far
-	endStream bool   // of that HEADERS frame
+	block     []byte // header block of a HEADERS frame and its CONTINUATION frames so far
+	endStream bool   // END_STREAM flag of that HEADERS frame
 }
 
-// add appends bytes to what is read.
+// add appends bytes to the buffer.
 func (r *frameReader) add(b []byte) {
 	n := min(r.skip, len(b))
 	r.skip -= n
@@ -55,16 +55,16 @@
 	return f, true
 }
 
-// compact frees the memory of the frames that were read.
+// compact releases the memory of the frames that next has returned.
 func (r *frameReader) compact() { r.buf = bytes.Clone(r.buf) }
 
-// headerBlock is the headers or trailers of a stream.
+// headerBlock holds the headers or trailers of a stream.
 type headerBlock struct {
 	fields    []hpack.HeaderField
 	endStream bool
 }
 
-// value returns the first value of a field, or "" if there is none.
+// value returns the first value of a header field, or "" if there is none.
 func (h headerBlock) value(name string) string {
 	for _, field := range h.fields {
 		if field.Name == name {
@@ -74,8 +74,8 @@
 	return ""
 }
 
-// readHeaders collects the header block of HEADERS and CONTINUATION frames. It returns the block when it is complete,
-// and false before that, for other frames and for a block that cannot be decoded.
+// readHeaders collects the header block of HEADERS and CONTINUATION frames. It returns the block when it is complete.
+// It returns false if the block is incomplete or invalid, and for other frames.
 func (r *frameReader) readHeaders(f frame) (headerBlock, bool) {
 	switch f.kind {
 	case http2.FrameHeaders:
@@ -86,7 +86,7 @@
 	default:
 		return headerBlock{}, false
 	}
-	if !f.flags.Has(http2.FlagHeadersEndHeaders) { // the same bit in both kinds of frames
+	if !f.flags.Has(http2.FlagHeadersEndHeaders) { // CONTINUATION frames use the same bit
 		return headerBlock{}, false
 	}
 	fields, err := r.decoder.DecodeFull(r.block)
@@ -96,7 +96,7 @@
 	return headerBlock{fields: fields, endStream: r.endStream}, true
 }
 
-// headersFragment returns the payload of a HEADERS frame without padding and priority.
+// headersFragment returns the header block fragment of a HEADERS frame: its payload without padding and priority.
 func headersFragment(f frame) []byte {
 	payload, padding := f.payload, 0
 	if f.flags.Has(http2.FlagHeadersPadded) && len(payload) > 0 {
--- a/internal/lab/faultproxy/proxy.go
+++ b/internal/lab/faultproxy/proxy.go
@@ -1,5 +1,5 @@
-// Package faultproxy is a proxy between a dispatcher and a server. It passes bytes on, acts out network faults, and
-// records from the HTTP/2 frames which attempts passed and how they ended.
+// Package faultproxy implements a TCP proxy between a dispatcher and a server that injects network faults. It reads
+// the HTTP/2 frames to record which attempts were sent and how they ended.
 package faultproxy
 
 import (
@@ -12,28 +12,28 @@
 	"docksail/internal/lab/eventlog"
 )
 
-// dialTimeout bounds the connection to the server.
+// dialTimeout limits the time to connect to the server.
 const dialTimeout = time.Second
 
-// Proxy passes the connections of one dispatcher to one server.
+// Proxy forwards the connections from one dispatcher to one server.
 type Proxy struct {
 	target     string // address of the server
-	server     int
-	dispatcher int
+	server     int    // number of the server in log entries
+	dispatcher int    // index of the dispatcher in log entries
 	log        *eventlog.Log
 	listener   net.Listener
 
-	delay   atomic.Int64 // nanoseconds before each piece is passed on
-	trickle atomic.Bool  // passes single bytes
+	delay   atomic.Int64 // nanoseconds by which each chunk is delayed
+	trickle atomic.Bool  // forwards one byte at a time
 
 	mu        sync.Mutex
 	conns     map[*proxyConn]bool
-	blackhole chan struct{} // nil: no blackhole; closed at its end
+	blackhole chan struct{} // closed at the end of the blackhole; nil if there is none
 	closed    bool
 }
 
-// New returns a proxy that listens on a free port of the loopback and passes connections to the target. server and
-// dispatcher are the numbers that its entries in log have; log may be nil.
+// New returns a proxy that listens on a free port of the loopback interface and forwards connections to target. It
+// adds entries with the numbers of the server and the dispatcher to log, which may be nil.
 func New(target string, server, dispatcher int, log *eventlog.Log) (*Proxy, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -47,7 +47,7 @@
 	return p, nil
 }
 
-// Addr returns the address at which it listens.
+// Addr returns the address on which the proxy listens.
 func (p *Proxy) Addr() string { return p.listener.Addr().String() }
 
 // Close stops the proxy and resets its connections.
@@ -59,8 +59,8 @@
 	p.ResetConns()
 }
 
-// SetBlackhole discards all bytes in both directions, without a reset, until it is called with false. Connections that
-// lost bytes stay useless.
+// SetBlackhole starts or ends a blackhole, which discards all bytes in both directions without closing connections.
+// Connections that lose bytes remain unusable after its end.
 func (p *Proxy) SetBlackhole(enabled bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -79,8 +79,8 @@
 	return p.blackhole
 }
 
-// BlackholeOpenConns makes the connections that are open now discard all further bytes, without a reset. New
-// connections pass.
+// BlackholeOpenConns discards all further bytes of the connections that are open now, without closing them. New
+// connections are not affected.
 func (p *Proxy) BlackholeOpenConns() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -89,10 +89,10 @@
 	}
 }
 
-// SetDelay delays each piece by the given time.
+// SetDelay delays each chunk of bytes by the given duration.
 func (p *Proxy) SetDelay(delay time.Duration) { p.delay.Store(int64(delay)) }
 
-// SetTrickle passes bytes one at a time.
+// SetTrickle enables or disables forwarding one byte at a time.
 func (p *Proxy) SetTrickle(enabled bool) { p.trickle.Store(enabled) }
 
 // ResetConns resets all connections.
@@ -118,7 +118,8 @@
 	}
 }
 
-// add registers a connection. It returns false if the proxy is closed, and the blackhole if there is one.
+// add registers a connection and returns the current blackhole, which may be nil. It returns false if the proxy is
+// closed.
 func (p *Proxy) add(c *proxyConn) (blackhole chan struct{}, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -135,7 +136,7 @@
 	p.mu.Unlock()
 }
 
-// serve passes one connection of the dispatcher to the server until either side ends it.
+// serve forwards one connection from the dispatcher to the server until either side closes it.
 func (p *Proxy) serve(client *net.TCPConn) {
 	c := &proxyConn{proxy: p, client: client, recorder: NewFrameRecorder(p.log, p.server, p.dispatcher)}
 	blackhole, ok := p.add(c)
@@ -143,7 +144,7 @@
 		client.Close()
 		return
 	}
-	if blackhole != nil { // accepted, but never connected to the server
+	if blackhole != nil { // accept the connection, but do not connect to the server
 		c.relay(client, nil, c.recorder.Sent)
 		return
 	}
--- a/internal/lab/faultproxy/proxy_test.go
+++ b/internal/lab/faultproxy/proxy_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// startEcho starts a server that sends back what it receives, and returns its address.
+// startEcho starts a server that echoes all bytes, and returns its address.
 func startEcho(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -25,7 +25,7 @@
 			}
 			go func() {
 				defer conn.Close()
-				_, _ = io.Copy(conn, conn) // ends with the connection
+				_, _ = io.Copy(conn, conn) // ends when the connection is closed
 			}()
 		}
 	}()
@@ -52,7 +52,7 @@
 	return conn
 }
 
-// echo sends text and reads it back. It returns an error if that takes longer than the timeout.
+// echo sends text and waits for its echo. It returns an error after the timeout.
 func echo(t *testing.T, conn net.Conn, text string, timeout time.Duration) error {
 	t.Helper()
 	if err := conn.SetDeadline(time.Now().Add(timeout)); err != nil {
@@ -76,8 +76,8 @@
 	blackholeTimeout = 100 * time.Millisecond
 )
 
-// TestBytesPass checks that bytes pass unchanged, also one at a time.
-func TestBytesPass(t *testing.T) {
+// TestForwarding checks that bytes are forwarded unchanged, also one at a time.
+func TestForwarding(t *testing.T) {
 	p := startProxy(t)
 	conn := dial(t, p)
 	for _, trickle := range []bool{false, true} {
@@ -93,16 +93,16 @@
 	p := startProxy(t)
 	conn := dial(t, p)
 	p.SetDelay(30 * time.Millisecond)
-	begin := time.Now()
+	start := time.Now()
 	if err := echo(t, conn, "late", echoTimeout); err != nil {
 		t.Fatal(err)
 	}
-	if took := time.Since(begin); took < 60*time.Millisecond {
-		t.Errorf("there and back in %v, want 60ms at least", took)
+	if took := time.Since(start); took < 60*time.Millisecond {
+		t.Errorf("round trip took %v, want 60ms at least", took)
 	}
 }
 
-// TestBlackhole checks that no bytes pass a blackhole and that connections made after it work.
+// TestBlackhole checks that a blackhole discards all bytes, and that connections opened after its end work.
 func TestBlackhole(t *testing.T) {
 	p := startProxy(t)
 	conn := dial(t, p)
@@ -121,7 +121,7 @@
 	}
 }
 
-// TestBlackholeOpenConns checks that only the connections that are open lose their bytes.
+// TestBlackholeOpenConns checks that open connections lose their bytes and that new ones work.
 func TestBlackholeOpenConns(t *testing.T) {
 	p := startProxy(t)
 	conn := dial(t, p)
@@ -137,7 +137,7 @@
 	}
 }
 
-// TestResetConns checks that open connections end and that new ones pass.
+// TestResetConns checks that open connections are reset and that new ones work.
 func TestResetConns(t *testing.T) {
 	p := startProxy(t)
 	conn := dial(t, p)
@@ -147,7 +147,7 @@
 	p.ResetConns()
 	err := echo(t, conn, "lost", echoTimeout)
 	if err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("%v, want the connection reset", err)
+		t.Errorf("error %v, want the connection reset", err)
 	}
 	if err := echo(t, dial(t, p), "new", echoTimeout); err != nil {
 		t.Error(err)
--- a/internal/lab/faultproxy/recorder.go
+++ b/internal/lab/faultproxy/recorder.go
@@ -15,12 +15,12 @@
 )
 
 const (
-	headerTableSize = 4096      // initial size of the HPACK table
-	streamIDMask    = 1<<31 - 1 // without the reserved bit
-	prioritySize    = 5         // bytes of the priority in a HEADERS frame
+	headerTableSize = 4096      // initial size of the HPACK dynamic table, in bytes
+	streamIDMask    = 1<<31 - 1 // clears the reserved bit
+	prioritySize    = 5         // bytes of the priority field in a HEADERS frame
 )
 
-// Notes of the entries for the end of an attempt.
+// Notes of the log entries for the end of an attempt.
 const (
 	noteStatus            = "status"
 	noteResetByDispatcher = "reset by the dispatcher"
@@ -29,21 +29,21 @@
 	noteClosed            = "closed"
 )
 
-// attemptNotes are the notes of the entries for an attempt that was sent, by the path of its method.
+// attemptNotes holds the notes of the log entries for sent attempts, by the path of the gRPC method.
 var attemptNotes = map[string]string{
 	"/docksail.v1.Engine/Read":  "read",
 	"/docksail.v1.Engine/Write": "write",
 }
 
-// FrameRecorder reads the HTTP/2 frames of one connection between a dispatcher and a server, in both directions, and
-// adds an entry to the event log for each attempt that is sent and that ends.
+// FrameRecorder reads the HTTP/2 frames of one connection between a dispatcher and a server in both directions. It
+// adds an entry to the event log when an attempt is sent and when it ends.
 type FrameRecorder struct {
 	log        *eventlog.Log
 	server     int
 	dispatcher int
 
 	mu       sync.Mutex
-	inFlight map[uint32]eventlog.Entry // entries of the attempts in flight, by stream
+	inFlight map[uint32]eventlog.Entry // entries of the attempts in flight, by stream ID
 	sent     frameReader
 	received frameReader
 }
@@ -66,7 +66,7 @@
 // Received records bytes that the server sent.
 func (r *FrameRecorder) Received(b []byte) { r.read(&r.received, b, r.handleReceived) }
 
-// Closed records the end of the connection: attempts that are in flight end with it.
+// Closed records the end of the connection, and with it the end of all attempts in flight.
 func (r *FrameRecorder) Closed() {
 	if r.log == nil {
 		return
@@ -78,7 +78,7 @@
 	}
 }
 
-// read hands the frames that become complete with b to handle.
+// read adds b to the reader and calls handle for each frame that is complete.
 func (r *FrameRecorder) read(reader *frameReader, b []byte, handle func(frame)) {
 	if r.log == nil {
 		return
@@ -96,7 +96,7 @@
 	reader.compact()
 }
 
-// handleSent handles a frame of the dispatcher.
+// handleSent handles a frame from the dispatcher.
 func (r *FrameRecorder) handleSent(f frame) {
 	if f.kind == http2.FrameRSTStream {
 		if len(f.payload) == 4 {
@@ -109,7 +109,7 @@
 	}
 }
 
-// handleReceived handles a frame of the server.
+// handleReceived handles a frame from the server.
 func (r *FrameRecorder) handleReceived(f frame) {
 	switch f.kind {
 	case http2.FrameRSTStream:
@@ -132,7 +132,7 @@
 	}
 }
 
-// startAttempt records the headers of an attempt. Other calls are not recorded.
+// startAttempt records that an attempt was sent. It ignores other methods.
 func (r *FrameRecorder) startAttempt(stream uint32, headers headerBlock) {
 	note, ok := attemptNotes[headers.value(":path")]
 	if !ok {
@@ -151,7 +151,7 @@
 	r.log.Add(e)
 }
 
-// endAttempt records the end of an attempt, if it is in flight. code is empty if the server sent no status.
+// endAttempt records the end of an attempt, if it is in flight. code is empty if the server did not send a status.
 func (r *FrameRecorder) endAttempt(stream uint32, code, note string) {
 	e, ok := r.inFlight[stream]
 	if !ok {
@@ -162,7 +162,7 @@
 	r.log.Add(e)
 }
 
-// refuseAfter ends the attempts on streams after the last one that a GOAWAY frame names.
+// refuseAfter records as refused the attempts on streams above the last stream ID of a GOAWAY frame.
 func (r *FrameRecorder) refuseAfter(lastStream uint32) {
 	for _, id := range slices.Sorted(maps.Keys(r.inFlight)) {
 		if id > lastStream {
--- a/internal/lab/faultproxy/recorder_test.go
+++ b/internal/lab/faultproxy/recorder_test.go
@@ -11,7 +11,7 @@
 	"docksail/internal/lab/eventlog"
 )
 
-// framesOf returns the bytes of the frames that write writes, after a prefix.
+// framesOf returns the prefix followed by the bytes of the frames that write writes.
 func framesOf(t *testing.T, prefix string, write func(f *http2.Framer) error) []byte {
 	t.Helper()
 	buf := bytes.NewBufferString(prefix)
@@ -21,7 +21,7 @@
 	return buf.Bytes()
 }
 
-// encodeHeaders returns the header block of name and value pairs.
+// encodeHeaders returns the header block for pairs of names and values.
 func encodeHeaders(t *testing.T, pairs ...string) []byte {
 	t.Helper()
 	var block bytes.Buffer
@@ -34,7 +34,8 @@
 	return block.Bytes()
 }
 
-// sendAttempt returns the frames of a prefill attempt on stream 1: its headers are padded and continued.
+// sendAttempt returns the frames of a prefill attempt on stream 1, whose headers have padding and a CONTINUATION
+// frame.
 func sendAttempt(t *testing.T) []byte {
 	t.Helper()
 	block := encodeHeaders(t, ":path", "/docksail.v1.Engine/Read", "docksail-job", "a.1", "docksail-shot", "2")
@@ -47,7 +48,7 @@
 	})
 }
 
-// TestFrameRecorder checks the entries for an attempt, by how it ends, however its bytes are cut into pieces.
+// TestFrameRecorder checks the log entries for each way in which an attempt ends, with bytes split at different sizes.
 func TestFrameRecorder(t *testing.T) {
 	trailers := encodeHeaders(t, "grpc-status", "14")
 	for _, test := range []struct {
@@ -77,11 +78,11 @@
 			t.Run(test.name, func(t *testing.T) {
 				log := &eventlog.Log{}
 				r := NewFrameRecorder(log, 4, 5)
-				for piece := range slices.Chunk(sendAttempt(t), size) {
-					r.Sent(piece)
+				for chunk := range slices.Chunk(sendAttempt(t), size) {
+					r.Sent(chunk)
 				}
-				for piece := range slices.Chunk(framesOf(t, "", test.received), size) {
-					r.Received(piece)
+				for chunk := range slices.Chunk(framesOf(t, "", test.received), size) {
+					r.Received(chunk)
 				}
 				r.Closed()
 				checkEntries(t, log.Entries(), test.code, test.note)
@@ -90,7 +91,7 @@
 	}
 }
 
-// checkEntries checks that the entries are those of the attempt and of its end.
+// checkEntries checks that the entries are those of the attempt sent by sendAttempt and of its end.
 func checkEntries(t *testing.T, entries []eventlog.Entry, code, note string) {
 	t.Helper()
 	if len(entries) != 2 {
