--- a/internal/lab/faultsearch/finding.go
+++ b/internal/lab/faultsearch/finding.go
@@ -9,19 +9,19 @@
 	"docksail/internal/lab/scenario"
 )
 
-// maxEncodedViolations is how many violations Encode lists.
+// maxEncodedViolations limits the violations that Encode lists.
 const maxEncodedViolations = 3
 
-// Finding is a scenario that violates an invariant, or makes the program panic.
+// Finding is a scenario that violates an invariant or causes a panic.
 type Finding struct {
-	Seed       uint64           // of the scenario that was found
-	Script     *scenario.Script // minimized
+	Seed       uint64           // seed of the original scenario
+	Script     *scenario.Script // the minimized scenario
 	Violations []invariants.Violation
-	Panic      string // message and stack; empty if the program did not panic
-	Plays      int    // runs that the minimization took
+	Panic      string // message and stack of a panic; empty if there was none
+	Plays      int    // number of runs for the minimization
 }
 
-// Encode returns the script as the text of a file, with a comment that says what it violates.
+// Encode returns the script in the format of scenario files, with a comment that lists the violations.
 func (f *Finding) Encode() ([]byte, error) {
 	var b strings.Builder
 	fmt.Fprintf(&b, "// Found by lab search with seed %d.\n", f.Seed)
--- a/internal/lab/faultsearch/minimize.go
+++ b/internal/lab/faultsearch/minimize.go
@@ -10,20 +10,20 @@
 )
 
 const (
-	minFaultDuration     = 100 * time.Millisecond // of a fault that is shortened
-	minLoadDuration      = time.Second            // of a load that is shortened
-	minSessionsPerSecond = 1                      // of a load that is thinned
+	minFaultDuration     = 100 * time.Millisecond // faults of at most this duration are not shortened
+	minLoadDuration      = time.Second            // loads of at most this duration are not shortened
+	minSessionsPerSecond = 1                      // rates of at most this value are not reduced
 )
 
-// minimizer makes the script of a finding smaller as long as it fails in the same way.
+// minimizer reduces the script of a finding as long as it still fails in the same way.
 type minimizer struct {
 	searcher *Searcher
 	finding  *Finding
-	rule     invariants.Rule // that has to be violated; unused if the finding is a panic
+	rule     invariants.Rule // rule that must be violated; unused if the finding is a panic
 }
 
-// minimize leaves out faults, servers and dispatchers, and shortens and thins what is left, until nothing can be made
-// smaller or the context ends.
+// minimize removes faults, servers and dispatchers and reduces the duration and the rate of the load, until no
+// reduction succeeds or the context ends.
 func (s *Searcher) minimize(ctx context.Context, f *Finding) {
 	m := minimizer{searcher: s, finding: f}
 	if len(f.Violations) > 0 {
@@ -33,20 +33,20 @@
 	}
 }
 
-// pass tries every way to make the script smaller once and reports whether one succeeded.
+// pass tries every reduction of the script once and reports whether one succeeded.
 func (m *minimizer) pass(ctx context.Context) bool {
-	smaller := m.removeFaults(ctx)
+	reduced := m.removeFaults(ctx)
 	for i := range m.finding.Script.Faults {
-		smaller = m.removeServers(ctx, i) || smaller
-		smaller = m.shortenFault(ctx, i) || smaller
+		reduced = m.removeServers(ctx, i) || reduced
+		reduced = m.shortenFault(ctx, i) || reduced
 	}
-	smaller = m.shortenLoad(ctx) || smaller
-	smaller = m.thinLoad(ctx) || smaller
-	smaller = m.removeLastDispatcher(ctx) || smaller
-	return smaller
+	reduced = m.shortenLoad(ctx) || reduced
+	reduced = m.reduceLoad(ctx) || reduced
+	reduced = m.removeLastDispatcher(ctx) || reduced
+	return reduced
 }
 
-// try runs a changed copy of the script and keeps it if it fails in the same way.
+// try runs a changed copy of the script. If the copy fails in the same way, it replaces the script of the finding.
 func (m *minimizer) try(ctx context.Context, change func(s *scenario.Script)) bool {
 	if ctx.Err() != nil {
 		return false
@@ -63,7 +63,7 @@
 	return true
 }
 
-// isSameFailure reports whether an outcome violates the same rule as the finding, or panics as it does.
+// isSameFailure reports whether an outcome violates the same rule as the finding, or also is a panic.
 func (m *minimizer) isSameFailure(o *outcome) bool {
 	if len(m.finding.Violations) == 0 {
 		return o.panicked != ""
@@ -71,29 +71,29 @@
 	return slices.ContainsFunc(o.violations, func(v invariants.Violation) bool { return v.Rule == m.rule })
 }
 
-func (m *minimizer) removeFaults(ctx context.Context) (smaller bool) {
+func (m *minimizer) removeFaults(ctx context.Context) (reduced bool) {
 	for i := 0; i < len(m.finding.Script.Faults); {
 		if m.try(ctx, func(s *scenario.Script) { s.Faults = slices.Delete(s.Faults, i, i+1) }) {
-			smaller = true
+			reduced = true
 		} else {
 			i++
 		}
 	}
-	return smaller
+	return reduced
 }
 
-// removeServers removes servers from fault i, all but one at most.
-func (m *minimizer) removeServers(ctx context.Context, i int) (smaller bool) {
+// removeServers removes servers from fault i. It keeps at least one.
+func (m *minimizer) removeServers(ctx context.Context, i int) (reduced bool) {
 	servers := m.finding.Script.Faults[i].Servers
 	for k := 0; len(servers) > 1 && k < len(servers); {
 		rest := slices.Delete(slices.Clone(servers), k, k+1)
 		if m.try(ctx, func(s *scenario.Script) { s.Faults[i].Servers = rest }) {
-			servers, smaller = rest, true
+			servers, reduced = rest, true
 		} else {
 			k++
 		}
 	}
-	return smaller
+	return reduced
 }
 
 func (m *minimizer) shortenFault(ctx context.Context, i int) bool {
@@ -106,12 +106,12 @@
 		m.try(ctx, func(s *scenario.Script) { s.Duration = s.Duration * 3 / 4 })
 }
 
-func (m *minimizer) thinLoad(ctx context.Context) bool {
+func (m *minimizer) reduceLoad(ctx context.Context) bool {
 	return m.finding.Script.SessionsPerSecond > minSessionsPerSecond &&
 		m.try(ctx, func(s *scenario.Script) { s.SessionsPerSecond *= 0.75 })
 }
 
-// removeLastDispatcher removes the last dispatcher unless it is the only one or a fault names it.
+// removeLastDispatcher removes the last dispatcher, unless it is the only one or a fault refers to it.
 func (m *minimizer) removeLastDispatcher(ctx context.Context) bool {
 	last := len(m.finding.Script.Dispatchers) - 1
 	isNamed := slices.ContainsFunc(m.finding.Script.Faults, func(f scenario.Fault) bool { return f.Dispatcher >= last })
--- a/internal/lab/faultsearch/random.go
+++ b/internal/lab/faultsearch/random.go
@@ -16,11 +16,11 @@
 	minFaultMilliseconds  = 50
 	faultMillisecondRange = 6000
 
-	// randomStream tells the random numbers of scenarios from others of the same seed.
+	// randomStream separates the random numbers of scenarios from others with the same seed.
 	randomStream = 0x6578706c6f7265
 )
 
-// RandomScenario returns the scenario of a seed.
+// RandomScenario returns the random scenario for a seed.
 func (s *Searcher) RandomScenario(seed uint64) *scenario.Script {
 	random := rand.New(rand.NewPCG(seed, randomStream))
 	script := *s.Base
@@ -35,7 +35,7 @@
 	return &script
 }
 
-// randomFault returns a fault of a script with so many servers.
+// randomFault returns a random fault for a script with the given number of servers.
 func randomFault(random *rand.Rand, script *scenario.Script, servers int) scenario.Fault {
 	kinds := scenario.FaultKinds()
 	fault := scenario.Fault{
@@ -53,7 +53,7 @@
 	return fault
 }
 
-// setParameters draws what a fault of its kind needs beside servers and times.
+// setParameters sets the parameters that the kind of the fault requires, and clears the servers if it has none.
 func setParameters(random *rand.Rand, script *scenario.Script, fault *scenario.Fault) {
 	switch fault.Kind {
 	case scenario.FaultErrors:
--- a/internal/lab/faultsearch/search.go
+++ b/internal/lab/faultsearch/search.go
@@ -1,5 +1,5 @@
-// Package faultsearch searches for scenarios that violate an invariant: it runs random scenarios in simulated time, and
-// minimizes those that do.
+// Package faultsearch searches for scenarios that violate an invariant: it runs random scenarios in simulated time,
+// and minimizes those that do.
 package faultsearch
 
 import (
@@ -13,24 +13,24 @@
 	"docksail/internal/lab/simulation"
 )
 
-// maxStackBytes is how much of the stack of a panic a finding keeps.
+// maxStackBytes limits the stack trace of a panic in a finding.
 const maxStackBytes = 4 << 10
 
-// Searcher runs random scenarios with the servers, classes and dispatchers of a script.
+// Searcher runs random scenarios with the servers, classes and dispatchers of a base script.
 type Searcher struct {
 	Base       *scenario.Script
 	WrapModule scenario.ModuleWrapper // for tests; may be nil
 }
 
-// outcome is what a run found: violations, the message of a panic, or nothing.
+// outcome is the result of a run.
 type outcome struct {
 	violations []invariants.Violation
-	panicked   string
+	panicked   string // message and stack of a panic; empty if there was none
 }
 
 func (o *outcome) isFailure() bool { return len(o.violations) > 0 || o.panicked != "" }
 
-// run plays a script in simulated time.
+// run runs a script in simulated time and recovers from panics.
 func (s *Searcher) run(ctx context.Context, script *scenario.Script) (o outcome, err error) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -50,7 +50,7 @@
 	return outcome{violations: failures(report)}, nil
 }
 
-// failures returns the violations of a run, and with Rule 0 the faults that no invariant covers.
+// failures returns the violations of a run, and as violations with Rule 0 the failures that no invariant covers.
 func failures(report *simulation.Report) []invariants.Violation {
 	violations := report.Violations
 	if count := report.Counts.InvalidDecisions; count > 0 {
@@ -66,9 +66,9 @@
 	return violations
 }
 
-// Search runs the scenarios of count seeds from first on, several at a time. It calls found, one call at a time, with
-// each scenario that violates an invariant, minimized. It returns how many scenarios it ran, which is fewer than count
-// if the context ends or a scenario cannot be run.
+// Search runs the random scenarios of count seeds, starting with first, several at a time. It minimizes each scenario
+// that fails and calls found with it; calls of found are not concurrent. It returns the number of scenarios run,
+// which is less than count if the context ends or a scenario cannot be run.
 func (s *Searcher) Search(ctx context.Context, first uint64, count int, found func(*Finding)) (int, error) {
 	search := search{searcher: s, first: first, count: count, found: found}
 	var workers sync.WaitGroup
@@ -79,20 +79,20 @@
 	return search.runs, search.err
 }
 
-// search is a search in progress.
+// search is the state of one Search call.
 type search struct {
 	searcher *Searcher
 	first    uint64
 	count    int
 
-	mu       sync.Mutex // guards what follows, and calls of found
+	mu       sync.Mutex // guards the fields below and serializes calls of found
 	found    func(*Finding)
-	assigned int
-	runs     int
-	err      error
+	assigned int   // number of seeds assigned to workers
+	runs     int   // number of scenarios run
+	err      error // first error of a run
 }
 
-// work runs scenarios until there are no more seeds, a run fails or the context ends.
+// work runs scenarios until no seed is left, a scenario cannot be run or the context ends.
 func (s *search) work(ctx context.Context) {
 	for ctx.Err() == nil {
 		seed, ok := s.nextSeed()
@@ -110,7 +110,7 @@
 	}
 }
 
-// nextSeed returns the seed to run next, or false if the search is over.
+// nextSeed returns the next seed to run, or false if the search has ended.
 func (s *search) nextSeed() (uint64, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -122,7 +122,7 @@
 	return seed, true
 }
 
-// runSeed runs the scenario of a seed. If it fails, runSeed minimizes it and calls found.
+// runSeed runs the scenario of a seed. If the scenario fails, runSeed minimizes it and calls found.
 func (s *search) runSeed(ctx context.Context, seed uint64) error {
 	script := s.searcher.RandomScenario(seed)
 	o, err := s.searcher.run(ctx, script)
--- a/internal/lab/faultsearch/search_test.go
+++ b/internal/lab/faultsearch/search_test.go
@@ -19,7 +19,7 @@
 	return s
 }
 
-// TestFixedSet checks that a fixed set of random scenarios violates no invariant.
+// TestFixedSet checks that the random scenarios of a fixed set of seeds violate no invariant.
 func TestFixedSet(t *testing.T) {
 	s := Searcher{Base: base(t)}
 	runs, err := s.Search(t.Context(), 1, 60, func(f *Finding) {
@@ -34,7 +34,7 @@
 	}
 }
 
-// drainIgnorer reports draining servers to its module as serving.
+// drainIgnorer is a faulty module that treats draining servers as serving.
 type drainIgnorer struct{ dispatch.Module }
 
 func (m drainIgnorer) ServerListed(
@@ -47,8 +47,8 @@
 	m.Module.ServerListed(id, zone, kind, cell, health, startedAt)
 }
 
-// TestMinimize checks that a module which violates an invariant is detected, that the scenario is minimized to one
-// drain, and that the file of the finding gives the same violations.
+// TestMinimize checks that a faulty module is detected, that the scenario is minimized, and that the encoded script
+// reproduces the violations.
 func TestMinimize(t *testing.T) {
 	wrap := func(int) func(dispatch.Module) dispatch.Module {
 		return func(m dispatch.Module) dispatch.Module { return drainIgnorer{m} }
@@ -79,6 +79,6 @@
 		t.Fatalf("%v\n%s", err, text)
 	}
 	if o, err := s.run(t.Context(), script); err != nil || len(o.violations) != len(got.Violations) {
-		t.Errorf("violations of the file %v, of the finding %v: %v", o.violations, got.Violations, err)
+		t.Errorf("violations of the encoded script %v, of the finding %v: %v", o.violations, got.Violations, err)
 	}
 }
