--- a/internal/lab/userclient/attempt.go
+++ b/internal/lab/userclient/attempt.go
@@ -19,7 +19,7 @@
 	"docksail/internal/lab/eventlog"
 )
 
-// Metadata of requests and answers.
+// Keys of the metadata of requests and answers.
 const (
 	previousAttemptsMetadata = "grpc-previous-rpc-attempts"
 	backgroundMetadata       = "docksail-background"
@@ -28,41 +28,41 @@
 	retryPushbackMetadata    = "grpc-retry-pushback-ms"
 )
 
-// tokenTimeAllowance is added to the timeout of a call for each token of the answer.
+// tokenTimeAllowance is the time added to the timeout of a call for each token of the answer.
 const tokenTimeAllowance = 200 * time.Millisecond
 
-// outcome is how an attempt ended.
+// outcome is the result of an attempt.
 type outcome struct {
 	code         codes.Code
-	answered     bool // by the dispatcher, and not by grpc-go
+	answered     bool // the status is from the dispatcher and not from grpc-go
 	lost         bool // the connection was lost
-	canceled     bool // by the client
-	corrupt      bool // the answer is not the expected one
+	canceled     bool // the client canceled the attempt
+	corrupt      bool // the answer has wrong or missing tokens
 	firstTokenAt time.Time
-	tokens       int
-	retryAfter   time.Duration // below 0: the dispatcher asks not to retry
-	reservation  string        // for the next attempt
+	tokens       int           // number of tokens received
+	retryAfter   time.Duration // negative: the dispatcher asks not to retry
+	reservation  string        // to send with the next attempt
 }
 
-// isRejection reports whether the dispatcher rejected the attempt, so that a retry is harmless.
+// isRejection reports whether the dispatcher rejected the attempt, which makes a retry safe.
 func (o *outcome) isRejection() bool {
 	return o.answered && (o.code == codes.Unavailable || o.code == codes.ResourceExhausted)
 }
 
-// attempt is one sending of a request.
+// attempt is one attempt to send a request.
 type attempt struct {
 	*request
 	number            int
-	timeout           time.Duration // to the first token
+	timeout           time.Duration // limit of the time to the first token
 	sentAt            time.Time
-	requestName       string // by which the dispatcher names the request; empty until it is known
+	requestName       string // the dispatcher's name for the request; empty until it is known
 	cancel            context.CancelFunc
 	canceled          atomic.Bool
 	cancelAfterTokens int // 0: never
 	outcome           outcome
 }
 
-// run sends the attempt and waits for its outcome.
+// run sends the attempt and waits for its end.
 func (a *attempt) run(ctx context.Context, client pb.GenerationClient) {
 	ctx, a.cancel = context.WithTimeout(a.withMetadata(ctx), a.callTimeout())
 	defer a.cancel()
@@ -91,7 +91,7 @@
 	}
 }
 
-// callTimeout returns the timeout of the whole call.
+// callTimeout returns the timeout of the whole RPC.
 func (a *attempt) callTimeout() time.Duration {
 	if a.class.CallTimeout != 0 {
 		return a.class.CallTimeout
@@ -99,7 +99,7 @@
 	return a.timeout + time.Duration(a.req.MaxTokens)*tokenTimeAllowance
 }
 
-// withMetadata returns the context with the metadata of the attempt.
+// withMetadata returns the context with the request metadata of the attempt.
 func (a *attempt) withMetadata(ctx context.Context) context.Context {
 	if a.number > 0 {
 		ctx = metadata.AppendToOutgoingContext(ctx, previousAttemptsMetadata, strconv.Itoa(a.number))
@@ -113,7 +113,7 @@
 	return ctx
 }
 
-// scheduleCancel decides whether the client cancels this attempt: at some time, or after some tokens.
+// scheduleCancel decides at random whether the client cancels this attempt, either after a time or after some tokens.
 func (a *attempt) scheduleCancel() {
 	if a.rng.Float64() >= a.class.CancelShare {
 		return
@@ -130,9 +130,9 @@
 	a.cancel()
 }
 
-// record adds an entry for the attempt to the event log.
+// record adds an entry for the attempt to the event log. tokenInterval may be 0.
 func (a *attempt) record(kind eventlog.Kind, code string, tokenInterval time.Duration) {
-	a.r.log.Add(eventlog.Entry{
+	a.runner.log.Add(eventlog.Entry{
 		Kind:          kind,
 		Code:          code,
 		Request:       a.requestName,
@@ -145,7 +145,7 @@
 	})
 }
 
-// receive checks the tokens of a message and counts them.
+// receive checks and counts the tokens of a message.
 func (a *attempt) receive(stream grpc.ServerStreamingClient[pb.Tokens], message *pb.Tokens) {
 	if a.outcome.tokens == 0 {
 		a.outcome.firstTokenAt = time.Now()
@@ -166,7 +166,7 @@
 	}
 }
 
-// endComplete records the end of an answer that the dispatcher says is complete.
+// endComplete records the end of an answer with status OK.
 func (a *attempt) endComplete() {
 	o := &a.outcome
 	o.code, o.answered = codes.OK, true
@@ -184,7 +184,7 @@
 	a.record(eventlog.RequestAnswered, code, interval)
 }
 
-// endWithError records the end of an attempt that was not served.
+// endWithError records the end of an attempt with an error status.
 func (a *attempt) endWithError(st *status.Status, trailer metadata.MD) {
 	o := &a.outcome
 	o.code = st.Code()
@@ -208,8 +208,8 @@
 	}
 }
 
-// retryAfter returns the longer of the pushback, in milliseconds, and the delay of the status's RetryInfo. A negative
-// pushback asks not to retry, whatever the RetryInfo says.
+// retryAfter returns the maximum of the pushback, in milliseconds, and the delay in the RetryInfo of the status. A
+// negative pushback asks not to retry and overrides the RetryInfo.
 func retryAfter(pushback string, st *status.Status) time.Duration {
 	milliseconds, _ := strconv.Atoi(pushback)
 	after := time.Duration(milliseconds) * time.Millisecond
@@ -224,7 +224,7 @@
 	return after
 }
 
-// firstValue returns the first value of a key, or "" if there is none.
+// firstValue returns the first value of a metadata key, or "" if there is none.
 func firstValue(md metadata.MD, key string) string {
 	if values := md.Get(key); len(values) > 0 {
 		return values[0]
--- a/internal/lab/userclient/load.go
+++ b/internal/lab/userclient/load.go
@@ -18,24 +18,24 @@
 
 const (
 	minConnectTimeout = 200 * time.Millisecond
-	// While the rate is 0 the arrivals look this far ahead at a time.
+	// idleRateStep is the step in which nextArrival searches for a time at which the rate is above 0.
 	idleRateStep = 10 * time.Millisecond
-	// maxArrivalStep bounds the time between arrivals, so that they follow a changing rate.
+	// maxArrivalStep limits the time between two arrivals, so that arrivals follow a changing rate.
 	maxArrivalStep = 200 * time.Millisecond
 )
 
-// loadRunner is the state of a load that is played.
+// loadRunner is the state of one RunLoad call.
 type loadRunner struct {
 	load     Load
 	log      *eventlog.Log
-	clients  map[string][][]pb.GenerationClient // by class and dispatcher, one for each connection
-	nextConn atomic.Int64                       // takes the connections to a dispatcher in turn
+	clients  map[string][][]pb.GenerationClient // by class and dispatcher, one per connection
+	nextConn atomic.Int64                       // selects the connections to a dispatcher round robin
 
 	mu        sync.Mutex
 	summaries map[string]*Summary // by class
 }
 
-// RunLoad plays a load to its end and returns its summary by class. It adds entries to log, which may be nil.
+// RunLoad runs a load to its end and returns its summaries by class. It adds entries to log, which may be nil.
 func RunLoad(ctx context.Context, l Load, log *eventlog.Log) (map[string]*Summary, error) {
 	r := &loadRunner{load: l, log: log, clients: map[string][][]pb.GenerationClient{}, summaries: map[string]*Summary{}}
 	closeConns, err := r.connect()
@@ -50,7 +50,7 @@
 	return r.summaries, nil
 }
 
-// connect makes the clients of all classes. The caller must call closeConns, also after an error.
+// connect creates the clients of all classes. The caller must call closeConns, even after an error.
 func (r *loadRunner) connect() (closeConns func(), err error) {
 	var conns []*grpc.ClientConn
 	closeConns = func() {
@@ -60,7 +60,7 @@
 	}
 	for i := range r.load.Classes {
 		class := &r.load.Classes[i]
-		// The clients of each class have an address of their own.
+		// The clients of each class use a source address of their own.
 		dialer := &net.Dialer{LocalAddr: &net.TCPAddr{IP: net.IPv4(127, 0, 0, byte(2+i))}}
 		for _, target := range r.load.Targets {
 			var clients []pb.GenerationClient
@@ -86,7 +86,7 @@
 		grpc.WithConnectParams(grpc.ConnectParams{MinConnectTimeout: minConnectTimeout}))
 }
 
-// runSessions starts each session when it is due and waits for the end of all.
+// runSessions starts each session when it is due, and waits for the end of all sessions.
 func (r *loadRunner) runSessions(ctx context.Context) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -98,7 +98,7 @@
 		if at, more = r.load.nextArrival(at, n, rng); !more || ctx.Err() != nil {
 			return
 		}
-		s := &session{r: r, index: n, class: r.load.drawClass(rng), promptFactor: 1}
+		s := &session{runner: r, index: n, class: r.load.drawClass(rng), promptFactor: 1}
 		s.rng = rand.New(rand.NewPCG(rng.Uint64(), uint64(n)))
 		if r.load.PromptFactor != nil {
 			s.promptFactor = r.load.PromptFactor(at)
@@ -109,12 +109,12 @@
 	}
 }
 
-// sleepUntil waits until a time or the end of the context.
+// sleepUntil waits until the given time or the end of the context.
 func sleepUntil(ctx context.Context, t time.Time) {
 	sleep(ctx, time.Until(t))
 }
 
-// sleep waits for a duration or the end of the context.
+// sleep waits for the given duration or the end of the context.
 func sleep(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
@@ -125,7 +125,7 @@
 	}
 }
 
-// drawClass returns a random class, by the shares of the classes.
+// drawClass returns a random class, weighted by the shares of the classes.
 func (l *Load) drawClass(rng *rand.Rand) *Class {
 	x := rng.Float64()
 	for i := range l.Classes {
@@ -136,8 +136,8 @@
 	return &l.Classes[len(l.Classes)-1]
 }
 
-// nextArrival returns when session n arrives, which follows one that arrived at the given time. It returns false if
-// there are no more.
+// nextArrival returns the arrival time of session n, given that of the session before it. It returns false if there
+// are no more sessions.
 func (l *Load) nextArrival(at time.Duration, n int, rng *rand.Rand) (time.Duration, bool) {
 	if len(l.Arrivals) > 0 {
 		if n >= len(l.Arrivals) {
--- a/internal/lab/userclient/request.go
+++ b/internal/lab/userclient/request.go
@@ -10,33 +10,33 @@
 )
 
 const (
-	reconnectDelay = 50 * time.Millisecond // before a retry at another dispatcher after a lost connection
-	retryJitter    = 0.2                   // share by which a retry without a reservation is delayed at random
+	reconnectDelay = 50 * time.Millisecond // before a retry after a lost connection
+	retryJitter    = 0.2                   // maximum jitter, as a fraction of the delay of a retry
 )
 
-// request is one request with all its attempts.
+// request is the state of one request over all its attempts.
 type request struct {
 	*session
 	req         *pb.GenerateRequest
-	due         time.Time
-	value       float64
-	dispatcher  int    // index of the dispatcher that gets the next attempt
-	reservation string // of the next attempt; empty: none
-	last        outcome
+	due         time.Time // latencies are measured from this time
+	value       float64   // earned if the request is served on time
+	dispatcher  int       // index of the dispatcher for the next attempt
+	reservation string    // sent with the next attempt; empty: none
+	last        outcome   // of the last attempt
 }
 
-// count changes the summary of the class.
+// count applies a change to the summary of the class.
 func (q *request) count(change func(sum *Summary)) {
-	q.r.mu.Lock()
-	change(q.r.summaries[q.class.Name])
-	q.r.mu.Unlock()
+	q.runner.mu.Lock()
+	change(q.runner.summaries[q.class.Name])
+	q.runner.mu.Unlock()
 }
 
-// attemptUntilDone sends attempts until the request ends, counts its end, and reports whether it was served.
+// attemptUntilDone sends attempts until the request ends, counts its result, and reports whether it was served.
 func (q *request) attemptUntilDone(ctx context.Context) (served bool) {
 	for number := 0; ; number++ {
 		timeout := q.class.timeout(q.req) - time.Since(q.due)
-		if timeout <= 0 { // it waited as it was told to
+		if timeout <= 0 { // timed out while waiting for a retry
 			q.count(func(sum *Summary) { sum.Rejected++ })
 			return false
 		}
@@ -53,11 +53,11 @@
 	}
 }
 
-// sendAttempt plays one attempt to its end.
+// sendAttempt sends one attempt and waits for its end.
 func (q *request) sendAttempt(ctx context.Context, number int, timeout time.Duration) {
 	q.count(func(sum *Summary) { sum.Attempts++ })
-	clients := q.r.clients[q.class.Name][q.dispatcher]
-	client := clients[int(q.r.nextConn.Add(1))%len(clients)]
+	clients := q.runner.clients[q.class.Name][q.dispatcher]
+	client := clients[int(q.runner.nextConn.Add(1))%len(clients)]
 	a := &attempt{request: q, number: number, timeout: timeout}
 	a.run(ctx, client)
 	q.last = a.outcome
@@ -72,7 +72,7 @@
 	q.reservation = q.last.reservation
 }
 
-// countEnd counts a request that was answered or canceled and reports whether it was served.
+// countEnd counts a request that ended with an answer or was canceled, and reports whether it was served.
 func (q *request) countEnd() (served bool) {
 	switch {
 	case q.last.canceled:
@@ -97,7 +97,7 @@
 	return true
 }
 
-// nextRetry reports whether the request is retried after the given attempt, and after which time. It changes the
+// nextRetry reports whether to retry the request after the given attempt, and the time to wait before. It changes the
 // dispatcher after a lost connection.
 func (q *request) nextRetry(number int) (retry bool, wait time.Duration) {
 	retry = q.last.isRejection() || !q.class.NonIdempotent
@@ -106,7 +106,7 @@
 		retry = retry && q.last.lost
 	}
 	if q.last.lost {
-		q.dispatcher = (q.dispatcher + 1) % len(q.r.clients[q.class.Name])
+		q.dispatcher = (q.dispatcher + 1) % len(q.runner.clients[q.class.Name])
 		wait = reconnectDelay
 	}
 	if q.class.IgnoresRetryAfter {
@@ -117,7 +117,7 @@
 	return retry && number < q.class.MaxRetries && time.Since(q.due)+wait < q.class.Timeout, wait
 }
 
-// countFailure counts a request that was not served and is not retried.
+// countFailure counts a request that was not served and will not be retried.
 func (q *request) countFailure() {
 	q.count(func(sum *Summary) {
 		switch {
--- a/internal/lab/userclient/session.go
+++ b/internal/lab/userclient/session.go
@@ -10,17 +10,17 @@
 	pb "docksail/api/docksail/v1"
 )
 
-// session is one conversation. The prompt of each turn holds all that went before.
+// session is one conversation. The prompt of each turn contains all previous turns.
 type session struct {
-	r            *loadRunner
-	index        int // in order of arrival
+	runner       *loadRunner
+	index        int // position in the order of arrival, from 0
 	class        *Class
 	promptFactor int // multiple of the prompt length
 	rng          *rand.Rand
 }
 
-// run plays the session. Its first turn is due at the given time: latencies count from then, even if the machine is
-// late.
+// run runs the session, whose first turn is due at the given time. Latencies are measured from the due time, even if
+// the request is sent later.
 func (s *session) run(ctx context.Context, due time.Time) {
 	class := s.class
 	req := &pb.GenerateRequest{
@@ -65,31 +65,31 @@
 	}
 }
 
-// drawTurnTokens returns how many prompt tokens the next turn adds.
+// drawTurnTokens returns the random number of prompt tokens that the next turn adds.
 func (s *session) drawTurnTokens() int {
 	return s.class.MinTurnTokens + s.rng.IntN(max(s.class.MaxTurnTokens-s.class.MinTurnTokens, 1))
 }
 
-// runRequest sends a request that is due at the given time, with all its attempts. It returns the length of the answer,
-// and false if the request was not served.
+// runRequest runs a request that is due at the given time. It returns the length of the answer, or false if the
+// request was not served.
 func (s *session) runRequest(ctx context.Context, req *pb.GenerateRequest, due time.Time) (int, bool) {
-	run := &request{
+	q := &request{
 		session:    s,
 		req:        req,
 		due:        due,
 		value:      s.class.requestValue(req),
-		dispatcher: s.rng.IntN(len(s.r.clients[s.class.Name])),
+		dispatcher: s.rng.IntN(len(s.runner.clients[s.class.Name])),
 	}
-	run.count(func(sum *Summary) {
+	q.count(func(sum *Summary) {
 		sum.Requests++
-		sum.OfferedValue += run.value
+		sum.OfferedValue += q.value
 	})
-	served := run.attemptUntilDone(ctx)
-	if s.r.load.OnDone != nil {
-		s.r.load.OnDone(s.class.Name, run.last.firstTokenAt.Sub(due), run.last.code)
+	served := q.attemptUntilDone(ctx)
+	if s.runner.load.OnDone != nil {
+		s.runner.load.OnDone(s.class.Name, q.last.firstTokenAt.Sub(due), q.last.code)
 	}
 	if !served {
 		return 0, false
 	}
-	return run.last.tokens, true
+	return q.last.tokens, true
 }
--- a/internal/lab/userclient/userclient_test.go
+++ b/internal/lab/userclient/userclient_test.go
@@ -13,7 +13,7 @@
 	pb "docksail/api/docksail/v1"
 )
 
-// TestRetryAfter checks how pushback and RetryInfo combine.
+// TestRetryAfter checks the combinations of pushback and RetryInfo.
 func TestRetryAfter(t *testing.T) {
 	withInfo := func(delay time.Duration) *status.Status {
 		st, err := status.New(codes.Unavailable, "").WithDetails(&errdetails.RetryInfo{RetryDelay: durationpb.New(delay)})
@@ -41,14 +41,14 @@
 	}
 }
 
-// TestNextRetry checks which attempts are retried, after which time and at which of two dispatchers.
+// TestNextRetry checks which attempts are retried, the time before the retry, and its dispatcher.
 func TestNextRetry(t *testing.T) {
 	rejected := outcome{code: codes.Unavailable, answered: true, retryAfter: time.Second}
 	failed := outcome{code: codes.Aborted, answered: true, retryAfter: -time.Millisecond}
 	lost := outcome{code: codes.Unavailable, lost: true}
 	type want struct {
 		retry      bool
-		wait       time.Duration // at least, and at most a fifth more
+		wait       time.Duration // minimum; jitter adds up to 20 %
 		dispatcher int
 	}
 	for _, test := range []struct {
@@ -69,7 +69,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			test.class.Name, test.class.MaxRetries, test.class.Timeout = "class", 3, time.Minute
 			r := &loadRunner{clients: map[string][][]pb.GenerationClient{"class": make([][]pb.GenerationClient, 2)}}
-			s := &session{r: r, class: &test.class, rng: rand.New(rand.NewPCG(1, 1))}
+			s := &session{runner: r, class: &test.class, rng: rand.New(rand.NewPCG(1, 1))}
 			q := &request{session: s, due: time.Now(), last: test.last}
 			retry, wait := q.nextRetry(test.number)
 			low, high := min(test.want.wait, test.want.wait*6/5), max(test.want.wait, test.want.wait*6/5)
@@ -80,7 +80,7 @@
 	}
 }
 
-// TestNextArrival checks that given arrivals are used as they are, and that random ones stay within the duration.
+// TestNextArrival checks that given arrivals are used unchanged, and that random ones are within the duration.
 func TestNextArrival(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	given := Load{Arrivals: []time.Duration{time.Second, 2 * time.Second}}
@@ -88,7 +88,7 @@
 		t.Errorf("second arrival at %v, more %v, want 2s and true", at, more)
 	}
 	if _, more := given.nextArrival(2*time.Second, 2, rng); more {
-		t.Error("a third arrival where two are given")
+		t.Error("a third arrival was returned where two are given")
 	}
 	random := Load{Duration: 10 * time.Second, Rate: func(at time.Duration) float64 {
 		if at < 5*time.Second {
@@ -103,11 +103,11 @@
 			break
 		}
 		if at < 5*time.Second || at >= 10*time.Second {
-			t.Fatalf("arrival at %v, want none before 5s or from 10s on", at)
+			t.Fatalf("arrival at %v, want arrivals from 5s to 10s only", at)
 		}
 		count++
 	}
 	if count < 400 || count > 600 {
-		t.Errorf("%d arrivals in 5 s at 100 a second, want 400 to 600", count)
+		t.Errorf("%d arrivals in 5 s at 100 per second, want 400 to 600", count)
 	}
 }
