--- a/internal/lab/report/classplots.go
+++ b/internal/lab/report/classplots.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	minBinSamples = 3   // a bin with fewer means nothing and is not drawn
-	minMillis     = 0.1 // smallest time on the logarithmic scale
+	minBinSamples = 3   // bins with fewer samples are not drawn
+	minMillis     = 0.1 // lower limit of times, for the logarithmic scale
 )
 
-// binCounts counts by class and bin.
+// binCounts holds counts by class and bin.
 type binCounts map[string]*[binCount]int
 
 func newBinCounts(classes []string) binCounts {
@@ -28,7 +28,7 @@
 	return counts
 }
 
-// binValues collects values by class and bin.
+// binValues holds values by class and bin.
 type binValues map[string]*[binCount][]float64
 
 func newBinValues(classes []string) binValues {
@@ -39,7 +39,7 @@
 	return values
 }
 
-// quantilePoints returns a quantile of each bin that has enough samples.
+// quantilePoints returns the quantile q of each bin that has enough samples.
 func (d *runData) quantilePoints(bins *[binCount][]float64, q float64) plotter.XYs {
 	var points plotter.XYs
 	for i, values := range bins {
@@ -50,14 +50,14 @@
 	return points
 }
 
-// plotServedShare draws, by class, the share of the attempts sent in each bin that were served. Attempts that the
-// client canceled are not counted.
+// plotServedShare plots, for each class, the share of the attempts sent in each bin that were served. Attempts
+// canceled by the client are not counted.
 func (d *runData) plotServedShare() (*plot.Plot, error) {
 	p := d.newPlot("service: share of attempts served, by when they were sent", "share")
-	p.Y.Min, p.Y.Max = 0, 1.3 // with room for the names of faults
+	p.Y.Min, p.Y.Max = 0, 1.3 // leaves room for the labels of faults
 	p.Add(faultBands{periods: d.faults})
 	sent, served := newBinCounts(d.classes), newBinCounts(d.classes)
-	sentBin := map[string]int{} // by attempt
+	sentBin := map[string]int{} // by attemptKey
 	for i := range d.Entries {
 		e := &d.Entries[i]
 		key := attemptKey(e)
@@ -87,12 +87,12 @@
 	return p, nil
 }
 
-// plotFirstTokenTime draws the median and the 95th percentile of the time to the first token, by class.
+// plotFirstTokenTime plots the median and the 95th percentile of the time to the first token of each class.
 func (d *runData) plotFirstTokenTime() (*plot.Plot, error) {
-	p := d.newPlot("time to the first token of a try, by when it was asked: median (line) and 95 of 100 (dots)", "ms")
+	p := d.newPlot("time to the first token of attempts, by when they were sent: median (line) and p95 (dots)", "ms")
 	p.Y.Scale, p.Y.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
 	p.Add(faultBands{periods: d.faults})
-	sentAt := map[string]int64{} // by attempt
+	sentAt := map[string]int64{} // by attemptKey
 	times := newBinValues(d.classes)
 	for i := range d.Entries {
 		e := &d.Entries[i]
@@ -104,7 +104,7 @@
 			bin := d.bin(sentAt[key])
 			millis := math.Max(float64(e.At-sentAt[key])/1e6, minMillis)
 			times[e.Class][bin] = append(times[e.Class][bin], millis)
-		default: // says nothing of first tokens
+		default: // not relevant for first tokens
 		}
 	}
 	for n, class := range d.classes {
@@ -118,7 +118,7 @@
 	return p, nil
 }
 
-// addDots adds dots of the n-th class.
+// addDots adds dots in the color of the class with index n.
 func addDots(p *plot.Plot, n int, points plotter.XYs) error {
 	if len(points) == 0 {
 		return nil
@@ -132,7 +132,7 @@
 	return nil
 }
 
-// plotTokenIntervals draws the median of the answers' mean time between tokens, by class.
+// plotTokenIntervals plots, for each class, the median over answers of the mean time between tokens.
 func (d *runData) plotTokenIntervals() (*plot.Plot, error) {
 	p := d.newPlot("mean time between the tokens of an answer, by when it ended: median", "ms")
 	p.Y.Min = 0
--- a/internal/lab/report/heatmap.go
+++ b/internal/lab/report/heatmap.go
@@ -12,53 +12,53 @@
 )
 
 const (
-	maxLabeledServers = 30 // with more servers only each tenth has a label
+	maxLabeledServers = 30 // with more servers, only every labelInterval-th server has a label
 	labelInterval     = 10
-	shadeCount        = 32
+	shadeCount        = 32 // number of colors
 )
 
-// heatMapSpec describes a heat map: what is summed up, or averaged, by server and bin.
+// heatMapSpec describes a heat map: the values that are summed or averaged by server and bin.
 type heatMapSpec struct {
 	title  string
-	kind   eventlog.Kind // of the entries
+	kind   eventlog.Kind // kind of the entries to use
 	value  func(e *eventlog.Entry) float64
-	isMean bool
+	isMean bool // average the values instead of summing them
 }
 
-func one(*eventlog.Entry) float64            { return 1 }
+func count(*eventlog.Entry) float64          { return 1 }
 func queuedTokens(e *eventlog.Entry) float64 { return float64(e.Value) }
-func memoryShare(e *eventlog.Entry) float64  { return float64(e.Attempt) / 1000 } // a load entry has it in thousandths
+func memoryShare(e *eventlog.Entry) float64  { return float64(e.Attempt) / 1000 } // Attempt has it in thousandths
 
 // serverBins is a grid of values by server and bin. It implements plotter.GridXYZ.
 type serverBins struct {
 	data   *runData
-	values [][binCount]float64 // by the index of the server
+	values [][binCount]float64 // by index in runData.servers
 }
 
-// Dims returns the number of bins and of servers.
+// Dims returns the numbers of bins and of servers.
 func (g serverBins) Dims() (columns, rows int) { return binCount, len(g.values) }
 
-// Z returns a value.
+// Z returns the value of a server and bin.
 func (g serverBins) Z(column, row int) float64 { return g.values[row][column] }
 
-// X returns the middle of a bin.
+// X returns the center of a bin.
 func (g serverBins) X(column int) float64 { return g.data.binCenter(column) }
 
-// Y returns the height of a server's row.
+// Y returns the position of a server's row.
 func (g serverBins) Y(row int) float64 { return float64(row + 1) }
 
-// max returns the greatest value; 0 if there is none.
-func (g serverBins) max() float64 {
-	greatest := 0.0
+// maxValue returns the maximum of the values, at least 0.
+func (g serverBins) maxValue() float64 {
+	maximum := 0.0
 	for row := range g.values {
 		for _, value := range g.values[row] {
-			greatest = math.Max(greatest, value)
+			maximum = math.Max(maximum, value)
 		}
 	}
-	return greatest
+	return maximum
 }
 
-// serverBins sums up, or averages, the values of a heat map.
+// serverBins sums or averages the values of a heat map.
 func (d *runData) serverBins(spec heatMapSpec) serverBins {
 	grid := serverBins{d, make([][binCount]float64, len(d.servers))}
 	counts := make([][binCount]float64, len(d.servers))
@@ -88,7 +88,7 @@
 	return grid
 }
 
-// bluePalette goes from white, for none, to dark blue.
+// bluePalette ranges from white for the minimum to dark blue for the maximum.
 type bluePalette struct{}
 
 // Colors implements palette.Palette.
@@ -101,21 +101,21 @@
 	return colors
 }
 
-// plotHeatMap draws values by server over time. A server that is white for long was ejected, drained or gone.
+// plotHeatMap plots values by server over time. A server that stays white was ejected, drained or gone.
 func (d *runData) plotHeatMap(spec heatMapSpec) (*plot.Plot, error) {
 	p := d.newPlot(spec.title, "server")
 	grid := d.serverBins(spec)
-	darkest, serverCount := grid.max(), float64(len(d.servers))
+	darkest, serverCount := grid.maxValue(), float64(len(d.servers))
 	heatMap := plotter.NewHeatMap(grid, bluePalette{})
 	heatMap.Min, heatMap.Max = 0, math.Max(darkest, 1e-9)
-	p.Add(heatMap, faultBands{d.faults, serverCount + 0.5}) // above the map, whose colors would change
+	p.Add(heatMap, faultBands{d.faults, serverCount + 0.5}) // bands over the map would change its colors
 	p.Title.Text = fmt.Sprintf("%s; darkest %.3g", spec.title, darkest)
 	p.Y.Min, p.Y.Max = 0.5, serverCount*1.25+0.5
 	p.Y.Tick.Marker = plot.TickerFunc(func(_, _ float64) []plot.Tick { return d.serverTicks() })
 	return p, nil
 }
 
-// serverTicks returns the labels of the servers' rows.
+// serverTicks returns the axis labels of the servers.
 func (d *runData) serverTicks() []plot.Tick {
 	var ticks []plot.Tick
 	for i, server := range d.servers {
--- a/internal/lab/report/plot.go
+++ b/internal/lab/report/plot.go
@@ -19,28 +19,28 @@
 const (
 	plotWidth    = 24 * vg.Centimeter
 	plotHeight   = 9 * vg.Centimeter
-	serverHeight = vg.Centimeter / 4 // of a server's row in a heat map
+	serverHeight = vg.Centimeter / 4 // height of a server's row in a heat map
 	plotDPI      = 110
 
-	faultLabelRows = 6 // names of faults take turns in so many rows, so that they do not cover each other
+	faultLabelRows = 6 // labels of faults alternate between rows to avoid overlaps
 )
 
 var faultColor = color.NRGBA{200, 60, 40, 28}
 
-// drawnPlot is a picture and its caption.
+// drawnPlot is a rendered plot and its caption.
 type drawnPlot struct {
 	name, caption string
 	png           []byte
 }
 
-// plotSpec describes one plot of a run.
+// plotSpec describes a plot of a run.
 type plotSpec struct {
 	name, caption string
 	draw          func() (*plot.Plot, error)
-	isHeatMap     bool // it is as high as its servers need
+	isHeatMap     bool // the height depends on the number of servers
 }
 
-// plots draws the run.
+// plots renders all plots of the run.
 func (d *runData) plots() ([]drawnPlot, error) {
 	var plots []drawnPlot
 	for _, spec := range d.plotSpecs() {
@@ -61,26 +61,26 @@
 	return plots, nil
 }
 
-// plotSpecs returns the plots for which the run has entries.
+// plotSpecs returns the plots of the run. Those of the servers' load require ServerLoad entries.
 func (d *runData) plotSpecs() []plotSpec {
 	specs := []plotSpec{
 		{
 			name: "service", draw: d.plotServedShare,
-			caption: "Share of attempts that were served. Those that the client canceled are not counted. " +
-				"Bands are faults of the script.",
+			caption: "Share of attempts that were served. Attempts canceled by the client are not counted. " +
+				"Bands show the faults of the script.",
 		},
 		{
 			name: "first", draw: d.plotFirstTokenTime,
-			caption: "Time to the first token, on a logarithmic scale, of those that got one: " +
-				"what was rejected is in the plot above alone.",
+			caption: "Time to the first token, on a logarithmic scale, of attempts that received a token: " +
+				"rejected attempts appear only in the plot above.",
 		},
 		{name: "gaps", draw: d.plotTokenIntervals, caption: "Time between tokens."},
 		{
 			name: "sent", isHeatMap: true,
-			caption: "Attempts that passed towards each server. " +
+			caption: "Attempts sent to each server. " +
 				"A server that is white while others are not was ejected, drained or gone.",
 			draw: func() (*plot.Plot, error) {
-				return d.plotHeatMap(heatMapSpec{title: "attempts sent to each server", kind: eventlog.AttemptSent, value: one})
+				return d.plotHeatMap(heatMapSpec{title: "attempts sent to each server", kind: eventlog.AttemptSent, value: count})
 			},
 		},
 	}
@@ -93,7 +93,7 @@
 			caption: "Prompt tokens queued at each server (mean of its samples).",
 			draw: func() (*plot.Plot, error) {
 				return d.plotHeatMap(heatMapSpec{
-					title: "prompt tokens not read yet", kind: eventlog.ServerLoad, value: queuedTokens, isMean: true,
+					title: "queued prompt tokens", kind: eventlog.ServerLoad, value: queuedTokens, isMean: true,
 				})
 			},
 		},
@@ -108,7 +108,7 @@
 		})
 }
 
-// newPlot returns a plot over the time of the run.
+// newPlot returns a plot whose X axis is the time of the run.
 func (d *runData) newPlot(title, yLabel string) *plot.Plot {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "seconds", yLabel
@@ -118,7 +118,7 @@
 	return p
 }
 
-// addLine adds the line of the n-th class. It is broken where bins have no point.
+// addLine adds the line of the class with index n. The line is interrupted at bins without a point.
 func (d *runData) addLine(p *plot.Plot, class string, n int, points plotter.XYs) error {
 	maxGap := 1.5 * d.duration / binCount
 	for from := 0; from < len(points); {
@@ -140,10 +140,10 @@
 	return nil
 }
 
-// faultBands is a plotter that colors the times of faults, from the height minY on, and names them.
+// faultBands is a plotter that marks the periods of faults with colored bands and labels.
 type faultBands struct {
 	periods []faultPeriod
-	minY    float64 // 0 = from the bottom
+	minY    float64 // bands start at this Y value; 0: at the bottom
 }
 
 // Plot implements plot.Plotter.
@@ -165,7 +165,7 @@
 	}
 }
 
-// renderPNG returns a plot as a picture.
+// renderPNG returns a plot as a PNG image.
 func renderPNG(p *plot.Plot, height vg.Length) ([]byte, error) {
 	img := vgimg.NewWith(vgimg.UseWH(plotWidth, height), vgimg.UseDPI(plotDPI))
 	p.Draw(draw.New(img))
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -1,10 +1,9 @@
-// Package report draws runs of the laboratory: one HTML page that needs nothing else, and its plots as PNG. It reads
-// the entries of one run, or of several side by side.
+// Package report renders event logs of one or several runs as a self-contained HTML page and as plots in PNG files.
 package report
 
 import (
 	"bytes"
-	_ "embed" // the page's template
+	_ "embed" // for the template of the page
 	"encoding/base64"
 	"fmt"
 	"html/template"
@@ -27,13 +26,13 @@
 
 var pageTemplate = template.Must(template.New("page").Parse(pageText))
 
-// RunEntries are the entries of a run under a name.
+// RunEntries holds the name and the event log entries of a run.
 type RunEntries struct {
 	Name    string
 	Entries []eventlog.Entry
 }
 
-// pageRun is a run on the page.
+// pageRun is the template data of a run.
 type pageRun struct {
 	Name     string
 	Duration time.Duration
@@ -42,25 +41,25 @@
 	Plots    []pagePlot
 }
 
-// pagePlot is a plot on the page.
+// pagePlot is the template data of a plot.
 type pagePlot struct {
 	Caption string
-	Source  template.URL // the picture itself, as a data URL
+	Source  template.URL // data URL that contains the image
 }
 
-// WriteReport draws runs side by side into a directory: report.html, which needs nothing else, and each plot as PNG.
-// It returns a *NothingToDrawError if the entries of a run have no request.
+// WriteReport writes a report of the runs, side by side, into a directory: the self-contained page report.html, and
+// each plot as a PNG file. It returns a *NothingToDrawError if the entries of a run contain no request.
 func WriteReport(directory string, runs []RunEntries) error {
 	if err := os.MkdirAll(directory, directoryMode); err != nil {
 		return err
 	}
 	var pageRuns []pageRun
 	for i, run := range runs {
-		shown, err := drawRun(directory, i+1, run)
+		page, err := drawRun(directory, i+1, run)
 		if err != nil {
 			return err
 		}
-		pageRuns = append(pageRuns, shown)
+		pageRuns = append(pageRuns, page)
 	}
 	var page bytes.Buffer
 	if err := pageTemplate.Execute(&page, pageRuns); err != nil {
@@ -69,7 +68,7 @@
 	return os.WriteFile(filepath.Join(directory, pageFile), page.Bytes(), fileMode)
 }
 
-// drawRun writes the plots of the run with that number and returns what the page shows of it.
+// drawRun writes the plots of a run and returns its template data. number is the prefix of the file names.
 func drawRun(directory string, number int, run RunEntries) (pageRun, error) {
 	data, err := newRunData(run)
 	if err != nil {
@@ -79,7 +78,7 @@
 	if err != nil {
 		return pageRun{}, err
 	}
-	shown := pageRun{
+	page := pageRun{
 		Name: run.Name, Duration: time.Duration(data.duration * 1e9).Round(time.Second),
 		Rows: data.classRows(), Faults: data.faults,
 	}
@@ -89,7 +88,7 @@
 			return pageRun{}, err
 		}
 		source := template.URL("data:image/png;base64," + base64.StdEncoding.EncodeToString(p.png))
-		shown.Plots = append(shown.Plots, pagePlot{p.caption, source})
+		page.Plots = append(page.Plots, pagePlot{p.caption, source})
 	}
-	return shown, nil
+	return page, nil
 }
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -13,8 +13,8 @@
 	"docksail/internal/lab/scenario"
 )
 
-// The page of a simulated run names its classes and faults and holds plots that are pictures. Of a log whose writer was
-// killed during a write, the complete entries are drawn.
+// TestReport checks that the page of a simulated run has its classes, faults and plots, and that the complete entries
+// of a truncated log are drawn.
 func TestReport(t *testing.T) {
 	s, err := scenario.Load("../scenario/testdata/badday.json")
 	if err != nil {
@@ -43,11 +43,11 @@
 	}
 	for _, want := range []string{"question", "booking", "crash", "truncated", "data:image/png;base64,"} {
 		if !strings.Contains(string(page), want) {
-			t.Errorf("want %q on the page", want)
+			t.Errorf("%q is missing on the page", want)
 		}
 	}
 	if strings.Contains(string(page), "http://") || strings.Contains(string(page), "https://") {
-		t.Error("the page refers to another host, want it to need nothing else")
+		t.Error("the page refers to another host, want a self-contained page")
 	}
 	for _, name := range []string{"1-service.png", "1-queue.png", "2-sent.png"} {
 		f, err := os.Open(filepath.Join(dir, name))
@@ -60,6 +60,6 @@
 		f.Close()
 	}
 	if err := WriteReport(dir, []RunEntries{{"none", nil}}); err == nil {
-		t.Error("a log without entries is drawn, want an error")
+		t.Error("a log without entries was accepted, want an error")
 	}
 }
--- a/internal/lab/report/run.go
+++ b/internal/lab/report/run.go
@@ -10,35 +10,35 @@
 	"docksail/internal/lab/eventlog"
 )
 
-// binCount is the number of bins into which the time of a plot is divided.
+// binCount is the number of bins of the time axis.
 const binCount = 40
 
-// faultBegins is the note of an entry by which a fault begins; any other note ends it.
+// faultBegins is the note of entries for the start of a fault; entries with another note end the fault.
 const faultBegins = eventlog.NoteFaultBegins
 
-// faultPeriod is the time of a fault, in seconds from the start.
+// faultPeriod is the period of a fault, in seconds since the start of the run.
 type faultPeriod struct {
 	Kind     string
 	From, To float64
 }
 
-// runData is what the plots of a run are drawn from.
+// runData holds the data for the plots of a run.
 type runData struct {
 	RunEntries
-	start         int64   // when the first request was sent, in nanoseconds
-	duration      float64 // seconds
+	start         int64   // time of the first request, in Unix nanoseconds
+	duration      float64 // from start to the last entry, in seconds
 	faults        []faultPeriod
 	classes       []string
 	servers       []int
-	hasServerLoad bool // the entries have samples of the servers' load
+	hasServerLoad bool // the entries contain samples of the servers' load
 }
 
-// A NothingToDrawError is the error of a run whose entries cannot be drawn.
+// NothingToDrawError is the error of a run whose entries contain nothing to draw.
 type NothingToDrawError struct{ Run, Reason string }
 
 func (e *NothingToDrawError) Error() string { return e.Run + ": " + e.Reason }
 
-// newRunData reads the entries of a run.
+// newRunData returns the data for the plots of a run.
 func newRunData(run RunEntries) (*runData, error) {
 	if len(run.Entries) == 0 {
 		return nil, &NothingToDrawError{run.Name, "no entries"}
@@ -58,7 +58,7 @@
 		case eventlog.ServerLoad:
 			servers[e.Server] = true
 			d.hasServerLoad = true
-		default: // not drawn by class or server
+		default: // no class or server to record
 		}
 	}
 	if d.start == 0 {
@@ -70,10 +70,10 @@
 	return d, nil
 }
 
-// faultPeriods returns the faults of the script that have ended, in the order in which they began.
+// faultPeriods returns the periods of the script's faults that have ended, sorted by start.
 func (d *runData) faultPeriods() []faultPeriod {
 	var periods []faultPeriod
-	begun := map[string][]float64{} // by kind, the first one first
+	begun := map[string][]float64{} // start times of active faults by kind, the earliest first
 	for i := range d.Entries {
 		e := &d.Entries[i]
 		if e.Kind != eventlog.FaultChanged || e.Code == "" {
@@ -90,32 +90,32 @@
 	return periods
 }
 
-// seconds returns a time of an entry in seconds from the start.
+// seconds converts the time of an entry to seconds since the start.
 func (d *runData) seconds(at int64) float64 { return float64(at-d.start) / 1e9 }
 
-// bin returns the index of the bin of a time.
+// bin returns the index of the bin that contains a time.
 func (d *runData) bin(at int64) int {
 	return min(max(int(d.seconds(at)/d.duration*binCount), 0), binCount-1)
 }
 
-// binCenter returns the middle of a bin in seconds.
+// binCenter returns the center of a bin, in seconds since the start.
 func (d *runData) binCenter(bin int) float64 { return (float64(bin) + 0.5) * d.duration / binCount }
 
-// attemptKey names a client's attempt at a request.
+// attemptKey returns a key that identifies a client's attempt at a request.
 func attemptKey(e *eventlog.Entry) string { return fmt.Sprint(e.RequestLabel, "/", e.ClientAttempt) }
 
-// isServed reports whether an entry is an answer of a request that was served.
+// isServed reports whether an entry records that a request was served.
 func isServed(e *eventlog.Entry) bool {
 	return e.Kind == eventlog.RequestAnswered && e.Code == codeOK
 }
 
-// Codes of answers in the entries.
+// Status codes of RequestAnswered entries.
 const (
 	codeOK      = "OK"
 	codeAborted = "Aborted"
 )
 
-// quantile returns a quantile of values, which it sorts. There must be at least one.
+// quantile returns the quantile q of values, which must not be empty. It sorts them in place.
 func quantile(values []float64, q float64) float64 {
 	slices.Sort(values)
 	return values[min(int(q*float64(len(values))), len(values)-1)]
--- a/internal/lab/report/table.go
+++ b/internal/lab/report/table.go
@@ -6,14 +6,14 @@
 	"docksail/internal/lab/eventlog"
 )
 
-// classRow is the row of a class in the page's table: its attempts and how they ended.
+// classRow is the row of a class in the table of the page: the numbers of its attempts by result.
 type classRow struct {
 	Class                                                  string
 	Attempts, Served, Rejected, Failed, Canceled, NoAnswer int
-	P50, P99                                               string // time to the first token; empty = none
+	P50, P99                                               string // milliseconds to the first token; empty if none
 }
 
-// count adds an entry that ends an attempt, or begins one.
+// count counts an entry that records the start or the end of an attempt.
 func (r *classRow) count(e *eventlog.Entry) {
 	switch e.Kind {
 	case eventlog.RequestSent:
@@ -31,17 +31,17 @@
 		default:
 			r.Rejected++
 		}
-	default: // neither begins nor ends one
+	default: // not the start or the end of an attempt
 	}
 }
 
-// classRows returns the table's rows in the order of the classes.
+// classRows returns the rows of the table in the order of the classes.
 func (d *runData) classRows() []classRow {
 	byClass := map[string]*classRow{}
 	for _, class := range d.classes {
 		byClass[class] = &classRow{Class: class}
 	}
-	sentAt := map[string]int64{}              // by attempt
+	sentAt := map[string]int64{}              // by attemptKey
 	firstTokenTimes := map[string][]float64{} // by class, in milliseconds
 	for i := range d.Entries {
 		e := &d.Entries[i]
@@ -56,7 +56,7 @@
 		case eventlog.FirstToken:
 			millis := float64(e.At-sentAt[attemptKey(e)]) / 1e6
 			firstTokenTimes[e.Class] = append(firstTokenTimes[e.Class], millis)
-		default: // has no part in the times
+		default: // not relevant for first tokens
 		}
 	}
 	var rows []classRow
