--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -48,7 +48,7 @@
 }
 
 // WriteReport writes a report of the runs, side by side, into a directory: the self-contained page report.html, and
-// each plot as a PNG file. It returns a *NothingToDrawError if the entries of a run contain no request.
+// each plot as a PNG file. It returns a *NoDataError if the entries of a run contain no request.
 func WriteReport(directory string, runs []RunEntries) error {
 	if err := os.MkdirAll(directory, directoryMode); err != nil {
 		return err
--- a/internal/lab/report/run.go
+++ b/internal/lab/report/run.go
@@ -33,15 +33,15 @@
 	hasServerLoad bool // the entries contain samples of the servers' load
 }
 
-// NothingToDrawError is the error of a run whose entries contain nothing to draw.
-type NothingToDrawError struct{ Run, Reason string }
+// NoDataError is the error of a run whose entries contain nothing to draw.
+type NoDataError struct{ Run, Reason string }
 
-func (e *NothingToDrawError) Error() string { return e.Run + ": " + e.Reason }
+func (e *NoDataError) Error() string { return e.Run + ": " + e.Reason }
 
 // newRunData returns the data for the plots of a run.
 func newRunData(run RunEntries) (*runData, error) {
 	if len(run.Entries) == 0 {
-		return nil, &NothingToDrawError{run.Name, "no entries"}
+		return nil, &NoDataError{run.Name, "no entries"}
 	}
 	d := &runData{RunEntries: run}
 	classes, servers := map[string]bool{}, map[int]bool{}
@@ -62,7 +62,7 @@
 		}
 	}
 	if d.start == 0 {
-		return nil, &NothingToDrawError{run.Name, "no request was sent"}
+		return nil, &NoDataError{run.Name, "no request was sent"}
 	}
 	d.duration = math.Max(d.seconds(run.Entries[len(run.Entries)-1].At), 1e-3)
 	d.classes, d.servers = slices.Sorted(maps.Keys(classes)), slices.Sorted(maps.Keys(servers))
