--- a/internal/lab/calibrate/testbed.go
+++ b/internal/lab/calibrate/testbed.go
@@ -38,7 +38,7 @@
 	lastRequest uint64
 	comparisons []Comparison
 
-	mixed testEngine // serves prefill and decode; has no warm-up
+	mixed testEngine // serves prefill and decode; skips its warm-up
 	shape batchmodel.Shape
 
 	meanContext int64 // context tokens at the middle of the answer in checkTokenIntervalAlone
@@ -112,18 +112,18 @@
 
 // prefill runs the prefill of a new request and releases its state. It returns the duration of the prefill.
 func (c *calibration) prefill(
-	ctx context.Context, on testEngine, promptTokens uint32, label string,
+	ctx context.Context, target testEngine, promptTokens uint32, label string,
 ) (time.Duration, *pb.ReadDone, error) {
-	return runPrefill(ctx, on, c.newAttempt(promptTokens, 1, label))
+	return runPrefill(ctx, target, c.newAttempt(promptTokens, 1, label))
 }
 
 // runPrefill runs a prefill attempt and releases its state. It returns the duration of the prefill.
-func runPrefill(ctx context.Context, on testEngine, attempt *pb.Launch) (time.Duration, *pb.ReadDone, error) {
+func runPrefill(ctx context.Context, target testEngine, attempt *pb.Launch) (time.Duration, *pb.ReadDone, error) {
 	start := time.Now()
-	done, err := on.client.Read(ctx, attempt)
+	done, err := target.client.Read(ctx, attempt)
 	took := time.Since(start)
 	if err == nil {
-		_, err = on.client.Release(ctx, &pb.ReleaseRequest{Job: attempt.Job})
+		_, err = target.client.Release(ctx, &pb.ReleaseRequest{Job: attempt.Job})
 	}
 	return took, done, err
 }
@@ -135,10 +135,10 @@
 }
 
 // decode runs a decode attempt to its end and returns the times of its tokens.
-func decode(ctx context.Context, on testEngine, attempt *pb.Launch) (answerTimes, error) {
+func decode(ctx context.Context, target testEngine, attempt *pb.Launch) (answerTimes, error) {
 	var times answerTimes
 	start := time.Now()
-	stream, err := on.client.Write(ctx, attempt)
+	stream, err := target.client.Write(ctx, attempt)
 	if err != nil {
 		return times, err
 	}
--- a/internal/lab/engine/batchmodel/network_test.go
+++ b/internal/lab/engine/batchmodel/network_test.go
@@ -37,23 +37,23 @@
 // link share it, and that a slowdown lengthens a transfer.
 func TestTransfersShareLinks(t *testing.T) {
 	n := NewNetwork()
-	port := mustAddLink(t, n, 1000)
+	fastLink := mustAddLink(t, n, 1000)
 	link := mustAddLink(t, n, 500)
 	for _, c := range []struct {
 		name  string
 		start func()
 		want  map[TransferID]Nanos
 	}{
-		{"single transfer", func() { mustStart(t, n, 1, 1000, 1, port) }, map[TransferID]Nanos{1: second}},
-		{"over a slower link", func() { mustStart(t, n, 1, 1000, 1, port, link) }, map[TransferID]Nanos{1: 2 * second}},
-		{"with a slowdown", func() { mustStart(t, n, 1, 1000, 3, port) }, map[TransferID]Nanos{1: 3 * second}},
+		{"single transfer", func() { mustStart(t, n, 1, 1000, 1, fastLink) }, map[TransferID]Nanos{1: second}},
+		{"over a slower link", func() { mustStart(t, n, 1, 1000, 1, fastLink, link) }, map[TransferID]Nanos{1: 2 * second}},
+		{"with a slowdown", func() { mustStart(t, n, 1, 1000, 3, fastLink) }, map[TransferID]Nanos{1: 3 * second}},
 		{"two over a link", func() {
-			mustStart(t, n, 1, 1000, 1, port)
-			mustStart(t, n, 2, 1000, 1, port)
+			mustStart(t, n, 1, 1000, 1, fastLink)
+			mustStart(t, n, 2, 1000, 1, fastLink)
 		}, map[TransferID]Nanos{1: 2 * second, 2: 2 * second}},
 		{"a short and a long one", func() {
-			mustStart(t, n, 1, 500, 1, port)
-			mustStart(t, n, 2, 1000, 1, port)
+			mustStart(t, n, 1, 500, 1, fastLink)
+			mustStart(t, n, 2, 1000, 1, fastLink)
 		}, map[TransferID]Nanos{1: second, 2: second + second/2}},
 	} {
 		n.now = 0
--- a/internal/lab/engine/kvstate.go
+++ b/internal/lab/engine/kvstate.go
@@ -161,7 +161,7 @@
 	return defaultValue
 }
 
-// fetchState fetches the state of a request from the server that holds it. It returns a status error:
+// fetchState fetches the state of a request from the server that holds it. Its errors are status errors:
 // FailedPrecondition if the state cannot be fetched.
 func (e *Engine) fetchState(ctx context.Context, attempt *pb.Launch) error {
 	peer, err := e.peer(attempt.StateAddress)
--- a/internal/lab/engine/links.go
+++ b/internal/lab/engine/links.go
@@ -16,7 +16,7 @@
 
 	mu          sync.Mutex
 	network     *batchmodel.Network
-	begin       time.Time
+	startedAt   time.Time
 	serverLinks map[int]int    // index of the link in network, by server
 	cellLinks   map[string]int // index of the link in network, by zone and cell
 	lastID      batchmodel.TransferID
@@ -31,7 +31,7 @@
 		cellFactor:  cellFactor,
 		zoneFactor:  max(zoneFactor, 1),
 		network:     batchmodel.NewNetwork(),
-		begin:       time.Now(),
+		startedAt:   time.Now(),
 		serverLinks: map[int]int{},
 		cellLinks:   map[string]int{},
 		done:        map[batchmodel.TransferID]chan struct{}{},
@@ -43,7 +43,7 @@
 // Close stops the timer of the links.
 func (l *Links) Close() { l.timer.Stop() }
 
-func (l *Links) now() batchmodel.Nanos { return int64(time.Since(l.begin)) }
+func (l *Links) now() batchmodel.Nanos { return int64(time.Since(l.startedAt)) }
 
 func (l *Links) timerFired() {
 	l.mu.Lock()
--- a/internal/lab/engine/prefill.go
+++ b/internal/lab/engine/prefill.go
@@ -74,7 +74,7 @@
 	e.mu.Unlock()
 }
 
-// prefillState runs the prefill of a state. It returns a status error.
+// prefillState runs the prefill of a state. Its errors are status errors.
 func (e *Engine) prefillState(ctx context.Context, req *pb.GenerateRequest, state *heldState) (prefillResult, error) {
 	if state.batch == nil {
 		result, err := e.prefill(ctx, req)
--- a/internal/lab/eventlog/eventlog.go
+++ b/internal/lab/eventlog/eventlog.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// Kind is the kind of an entry. Its values are part of the file format and keep their original spelling.
+// Kind is the kind of an entry. Its values are part of the file format and must not change.
 type Kind string
 
 // The kinds of entries.
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -39,7 +39,7 @@
 		{"name": "a", "with": {"for": "8s", "troubles": []}},
 		{"name": "same", "with": {"for": "8s", "troubles": []}},
 		{"name": "hang", "with": {"for": "8s", "troubles": [{"kind": "hang", "at": "0s", "for": "8s", "role": "decode"}]}},
-		{"name": "in turn", "policy": "round robin", "with": {"for": "8s", "troubles": []}}]}`))
+		{"name": "round robin", "policy": "round robin", "with": {"for": "8s", "troubles": []}}]}`))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -51,7 +51,7 @@
 type runner struct {
 	experiment *Experiment
 	script     []byte
-	onProgress func(done, of int) // may be nil
+	onProgress func(done, total int) // may be nil
 
 	mu      sync.Mutex
 	trials  []trial  // in the order in which they start
@@ -61,7 +61,7 @@
 }
 
 // Run runs all variants with all seeds, several at a time. It calls onProgress, which may be nil, after each run.
-func (e *Experiment) Run(ctx context.Context, onProgress func(done, of int)) ([]Result, error) {
+func (e *Experiment) Run(ctx context.Context, onProgress func(done, total int)) ([]Result, error) {
 	script, err := os.ReadFile(e.Script)
 	if err != nil {
 		return nil, err
--- a/internal/lab/experiment/summary.go
+++ b/internal/lab/experiment/summary.go
@@ -28,22 +28,22 @@
 	}
 	var all userclient.Summary
 	for _, class := range slices.Sorted(maps.Keys(r.Summaries)) { // in a fixed order, on which sums of floats depend
-		of := r.Summaries[class]
-		s.add(class, of)
-		all.EarnedValue += of.EarnedValue
-		all.OfferedValue += of.OfferedValue
-		all.FirstTokenTimes = append(all.FirstTokenTimes, of.FirstTokenTimes...)
+		summary := r.Summaries[class]
+		s.add(class, summary)
+		all.EarnedValue += summary.EarnedValue
+		all.OfferedValue += summary.OfferedValue
+		all.FirstTokenTimes = append(all.FirstTokenTimes, summary.FirstTokenTimes...)
 	}
 	s.add(AllClasses, &all)
 	return s
 }
 
 // add adds the metrics of a class.
-func (s *Summary) add(class string, of *userclient.Summary) {
-	if of.OfferedValue > 0 {
-		s.ValueShare[class] = of.ValueShare()
+func (s *Summary) add(class string, summary *userclient.Summary) {
+	if summary.OfferedValue > 0 {
+		s.ValueShare[class] = summary.ValueShare()
 	}
-	if times := slices.Sorted(slices.Values(of.FirstTokenTimes)); len(times) > 0 {
+	if times := slices.Sorted(slices.Values(summary.FirstTokenTimes)); len(times) > 0 {
 		s.P50[class] = float64(times[len(times)/2]) / 1e6
 		s.P99[class] = float64(times[len(times)*99/100]) / 1e6
 	}
--- a/internal/lab/userclient/request.go
+++ b/internal/lab/userclient/request.go
@@ -11,7 +11,7 @@
 
 const (
 	reconnectDelay = 50 * time.Millisecond // before a retry after a lost connection
-	retryJitter    = 0.2                   // maximum jitter, as a fraction of the delay of a retry
+	retryJitter    = 0.2                   // maximum jitter of a retry without a reservation, as a fraction
 )
 
 // request is the state of one request over all its attempts.
