--- a/internal/lab/benchmark/benchmark.go
+++ b/internal/lab/benchmark/benchmark.go
@@ -56,7 +56,7 @@
 }
 
 func (c *Config) printPassHeader() {
-	fmt.Fprintf(c.Output, "stand-ins on loopback, tokens every %v, answers of up to %d, %v a pass\n",
+	fmt.Fprintf(c.Output, "stand-ins on loopback, a token every %v, answers of up to %d tokens, %v per pass\n",
 		c.TokenInterval, c.Tokens, c.Duration)
 	fmt.Fprintf(c.Output, "%-9s %8s %8s %10s %7s %10s %10s %12s %9s %9s %9s %9s\n",
 		"route", "streams", "requests", "tokens", "failed", "tokens/s",
@@ -79,12 +79,12 @@
 // printRatios compares the dispatcher with the baseline relay.
 func (c *Config) printRatios(dispatcher, baseline *measurement) {
 	streams := dispatcher.streams
-	fmt.Fprintf(c.Output, "at %d streams: resident memory grown by %d bytes a running stream, the baseline's by %d\n",
+	fmt.Fprintf(c.Output, "at %d streams: resident memory grew by %d bytes per stream, that of the baseline by %d\n",
 		streams, dispatcher.memoryGrowth/int64(streams), baseline.memoryGrowth/int64(streams))
 	if dispatcher.cpu <= 0 || baseline.cpu <= 0 || dispatcher.requests == 0 || baseline.requests == 0 {
 		return
 	}
-	fmt.Fprintf(c.Output, "at %d streams: %.2f times the baseline's tokens a CPU second, %.2f of its CPU a request\n",
+	fmt.Fprintf(c.Output, "at %d streams: %.2f times the baseline's tokens per CPU second, %.2f of its CPU per request\n",
 		streams, dispatcher.tokensPerCPUSecond()/baseline.tokensPerCPUSecond(),
 		dispatcher.cpuPerRequest()/baseline.cpuPerRequest())
 }
--- a/internal/lab/benchmark/benchmark_test.go
+++ b/internal/lab/benchmark/benchmark_test.go
@@ -55,14 +55,14 @@
 			streams: 10, requests: 100, tokens: 1000, cpu: cpu, memoryGrowth: 5000,
 		}
 	}
-	const memoryLine = "at 10 streams: resident memory grown by 500 bytes a running stream, the baseline's by 500\n"
+	const memoryLine = "at 10 streams: resident memory grew by 500 bytes per stream, that of the baseline by 500\n"
 	for name, c := range map[string]struct {
 		dispatcher, baseline time.Duration // CPU time
 		want                 string
 	}{
 		"half of the baseline's CPU": {
 			time.Second, 2 * time.Second,
-			memoryLine + "at 10 streams: 2.00 times the baseline's tokens a CPU second, 0.50 of its CPU a request\n",
+			memoryLine + "at 10 streams: 2.00 times the baseline's tokens per CPU second, 0.50 of its CPU per request\n",
 		},
 		"no CPU time": {0, 2 * time.Second, memoryLine},
 	} {
--- a/internal/lab/benchmark/clients.go
+++ b/internal/lab/benchmark/clients.go
@@ -82,7 +82,7 @@
 	}
 }
 
-// dialEngines returns clients that call the engines directly, in the way of the baseline relay.
+// dialEngines returns clients that call the engines directly, as the baseline relay does.
 func dialEngines(addresses Addresses) (*clients, error) {
 	c := &clients{}
 	dialAll := func(targets []string) ([]pb.EngineClient, error) {
--- a/internal/lab/benchmark/engines.go
+++ b/internal/lab/benchmark/engines.go
@@ -20,7 +20,7 @@
 	zone            = "a"
 	cell            = "a1"
 
-	// endlessPromptTokens is the prompt length from which on a prefill does not end within a run.
+	// endlessPromptTokens is the shortest prompt whose prefill does not end within a run.
 	endlessPromptTokens = 1 << 20
 	prefillTime         = time.Millisecond / 10
 )
@@ -77,7 +77,7 @@
 	return spec
 }
 
-// fixedTimes is an engine model whose times do not depend on load.
+// fixedTimes is an engine.Model whose times do not depend on the load.
 type fixedTimes struct{ tokenInterval time.Duration }
 
 // PrefillTime returns prefillTime, or an hour for an endless prompt.
--- a/internal/lab/benchmark/process.go
+++ b/internal/lab/benchmark/process.go
@@ -20,7 +20,7 @@
 	residentField = 1
 )
 
-// process is a child process. It ends when its input reaches the end.
+// process is a child process, which ends at the end of its input.
 type process struct {
 	cmd    *exec.Cmd
 	input  io.WriteCloser
--- a/internal/lab/experiment/print.go
+++ b/internal/lab/experiment/print.go
@@ -44,7 +44,7 @@
 	interval := fmt.Sprintf(m.format+" ± "+m.format, d.Mean, d.HalfWidth)
 	switch {
 	case math.IsNaN(d.Mean):
-		return "not there"
+		return "no value to compare"
 	case d.IsSignificant():
 		return interval
 	}
