--- a/internal/decide/inflight/errors.go
+++ b/internal/decide/inflight/errors.go
@@ -2,7 +2,7 @@
 
 import "errors"
 
-// Errors of RequestState and CheckSendRelease that only a bug in this program causes, never a peer.
+// Errors of RequestState and CheckReleaseSend that only a bug in this program causes, never a peer.
 var (
 	ErrAlreadyAnswered    = errors.New("request already has its final answer")
 	ErrAttemptOutstanding = errors.New("request already has an outstanding attempt")
--- a/internal/decide/inflight/permission.go
+++ b/internal/decide/inflight/permission.go
@@ -29,9 +29,9 @@
 	return ReleaseIfUrgent
 }
 
-// CheckSendRelease returns nil if a release may be sent once its connection is established. Otherwise it returns
+// CheckReleaseSend returns nil if a release may be sent once its connection is established. Otherwise it returns
 // ErrReleaseSuperseded if the release was begun during an unacknowledged prefill attempt, and ErrStateNeeded if not.
-func CheckSendRelease(permission ReleasePermission, duringPrefill bool) error {
+func CheckReleaseSend(permission ReleasePermission, duringPrefill bool) error {
 	switch {
 	case permission != ReleaseForbidden:
 		return nil
--- a/internal/decide/inflight/request_test.go
+++ b/internal/decide/inflight/request_test.go
@@ -246,13 +246,13 @@
 	wantSend("request is answered", conditions, ErrAlreadyAnswered)
 }
 
-// TestCheckSendRelease checks that a forbidden release has its own error if it was begun during a prefill attempt.
-func TestCheckSendRelease(t *testing.T) {
+// TestCheckReleaseSend checks that a forbidden release has its own error if it was begun during a prefill attempt.
+func TestCheckReleaseSend(t *testing.T) {
 	for permission, want := range map[ReleasePermission][2]error{
 		ReleaseAllowed: {nil, nil}, ReleaseIfUrgent: {nil, nil},
 		ReleaseForbidden: {ErrStateNeeded, ErrReleaseSuperseded},
 	} {
-		got := [2]error{CheckSendRelease(permission, false), CheckSendRelease(permission, true)}
+		got := [2]error{CheckReleaseSend(permission, false), CheckReleaseSend(permission, true)}
 		if got != want {
 			t.Errorf("permission %d: errors %v, want %v", permission, got, want)
 		}
