--- a/internal/decide/admission/queue.go
+++ b/internal/decide/admission/queue.go
@@ -6,9 +6,9 @@
 	"docksail/internal/decide/background"
 )
 
-// MaxAdmissionsPerTurn is how many requests may be admitted in one iteration of the event loop, so that the loop can
-// measure the duration of the iteration and read new input in between.
-const MaxAdmissionsPerTurn = 16
+// MaxAdmissionsPerIteration is how many requests may be admitted in one iteration of the event loop, so that the loop
+// can measure the duration of the iteration and read new input in between.
+const MaxAdmissionsPerIteration = 16
 
 const (
 	// maxUnsent is the upper bound of the limit of unsent requests: those admitted and not yet sent to a server.
--- a/internal/dispatch/queuedadmission.go
+++ b/internal/dispatch/queuedadmission.go
@@ -175,7 +175,7 @@
 	if !ok || !a.canAdmit(now) {
 		return false
 	}
-	if a.admitted == admission.MaxAdmissionsPerTurn {
+	if a.admitted == admission.MaxAdmissionsPerIteration {
 		a.dispatcher.loop.SkipNextWait()
 		return false
 	}
