--- a/internal/decide/intake/intake.go
+++ b/internal/decide/intake/intake.go
@@ -35,10 +35,10 @@
 
 // Limits holds the limits and the state of a dispatcher that decide whether it accepts a request.
 type Limits struct {
-	MaxRequests     int   // in progress
-	MaxPromptTokens int64 // per request
-	Draining        bool  // the dispatcher drains
-	ListKnown       bool  // an endpoint list has been received
+	MaxRequests       int   // in progress
+	MaxPromptTokens   int64 // per request
+	Draining          bool  // the dispatcher drains
+	EndpointListKnown bool  // an endpoint list has been received
 }
 
 // Check decides on a request while inProgress others are in progress. timeLeft is the time until the client's deadline
@@ -56,7 +56,7 @@
 		return Draining, 0
 	case timeLeft <= 0:
 		return DeadlineTooClose, 0
-	case !l.ListKnown:
+	case !l.EndpointListKnown:
 		return EndpointListUnknown, latencyTarget
 	case inProgress >= l.MaxRequests:
 		return AtCapacity, latencyTarget / 2
@@ -64,9 +64,9 @@
 	return Accepted, 0
 }
 
-// OverdueMargin is how long after its client's deadline a request without an answer counts as overdue. Every answer
-// that was decided is given before that; an answer still counts until half a second after the deadline.
-const OverdueMargin = 100e6
+// OverdueMarginNanos is how long after its client's deadline a request without an answer counts as overdue. Every
+// answer that was decided is given before that; an answer still counts until half a second after the deadline.
+const OverdueMarginNanos = 100e6
 
 // DrainOutcome is how a request ends that is still in progress at the deadline of a drain.
 type DrainOutcome uint8
--- a/internal/decide/intake/intake_test.go
+++ b/internal/decide/intake/intake_test.go
@@ -5,9 +5,9 @@
 // TestCheck checks the verdict and the retry delay at each limit.
 func TestCheck(t *testing.T) {
 	const latencyTarget = 1000
-	limits := Limits{MaxRequests: 10, MaxPromptTokens: 100, ListKnown: true}
+	limits := Limits{MaxRequests: 10, MaxPromptTokens: 100, EndpointListKnown: true}
 	draining, listUnknown := limits, limits
-	draining.Draining, listUnknown.ListKnown = true, false
+	draining.Draining, listUnknown.EndpointListKnown = true, false
 	for _, c := range []struct {
 		name             string
 		limits           Limits
--- a/internal/dispatch/answers.go
+++ b/internal/dispatch/answers.go
@@ -118,8 +118,8 @@
 	}
 }
 
-// answerDeadlineMissed ends a request that is neither answered nor streaming intake.OverdueMargin after its deadline.
-// The module decides every request before that, so each call indicates a bug.
+// answerDeadlineMissed ends a request that is neither answered nor streaming intake.OverdueMarginNanos after its
+// deadline. The module decides every request before that, so each call indicates a bug.
 func (req *Request) answerDeadlineMissed(now eventloop.Nanos) {
 	d := req.dispatcher
 	_, outstanding := req.OutstandingAttempt()
--- a/internal/dispatch/backend.go
+++ b/internal/dispatch/backend.go
@@ -77,7 +77,7 @@
 	d.module.ListUpdateStarted(full)
 	report(d.module)
 	d.module.ListUpdateEnded(d.ModuleTime(now))
-	d.intake.ListKnown = d.intake.ListKnown || hasServers
+	d.intake.EndpointListKnown = d.intake.EndpointListKnown || hasServers
 }
 
 // EndpointListFailed reports to the module that the endpoint list could not be fetched.
@@ -86,4 +86,4 @@
 }
 
 // HasEndpointList reports whether an endpoint list that names servers has been received.
-func (d *Dispatcher) HasEndpointList() bool { return d.intake.ListKnown }
+func (d *Dispatcher) HasEndpointList() bool { return d.intake.EndpointListKnown }
--- a/internal/dispatch/counts.go
+++ b/internal/dispatch/counts.go
@@ -20,8 +20,8 @@
 	LoadReports       uint64 `json:"Reports"`
 	// InvalidDecisions counts decisions that the request's state does not allow. Each indicates a bug.
 	InvalidDecisions uint64
-	// MissedDeadlines counts requests that the module had not answered intake.OverdueMargin after their deadline. Each
-	// indicates a bug.
+	// MissedDeadlines counts requests that the module had not answered intake.OverdueMarginNanos after their deadline.
+	// Each indicates a bug.
 	MissedDeadlines uint64 `json:"Overdue"`
 	Pings           uint64
 	DeadConnections uint64
--- a/internal/dispatch/deadline_test.go
+++ b/internal/dispatch/deadline_test.go
@@ -35,7 +35,7 @@
 			module, backend, answers := &scriptedModule{}, &silentBackend{}, &answerCounts{}
 			dispatcher := NewDirect(loop, slog.New(slog.DiscardHandler), &Config{
 				Module: module, ClassNames: []string{"a"}, Classes: []policy.Class{class},
-				Intake: intake.Limits{MaxRequests: 10, MaxPromptTokens: 1000, ListKnown: true}, Incarnation: 1,
+				Intake: intake.Limits{MaxRequests: 10, MaxPromptTokens: 1000, EndpointListKnown: true}, Incarnation: 1,
 			})
 			dispatcher.Attach(idleFrontend{}, backend)
 			const timeout = 200e6 // nanoseconds
--- a/internal/dispatch/queuedadmission_test.go
+++ b/internal/dispatch/queuedadmission_test.go
@@ -19,7 +19,7 @@
 	dispatcher, err := NewQueued(loop, slog.New(slog.DiscardHandler), &Config{
 		Module: module, ClassNames: []string{"a"}, Classes: []policy.Class{{LatencyTarget: 1e9, Timeout: 5e9}},
 		TenantNames: []string{"north", "south"},
-		Intake:      intake.Limits{MaxRequests: 10, MaxPromptTokens: 1000, ListKnown: true}, Incarnation: 1,
+		Intake:      intake.Limits{MaxRequests: 10, MaxPromptTokens: 1000, EndpointListKnown: true}, Incarnation: 1,
 	}, &QueueConfig{
 		MaxWaiting: 10, MaxClients: 10, Secrets: bytes.NewReader(make([]byte, 64)),
 		Tenants: []Tenant{
--- a/internal/dispatch/submit.go
+++ b/internal/dispatch/submit.go
@@ -40,7 +40,7 @@
 	req.reset(d, id, class, response, r, now)
 	req.queueRequest = queueRequest
 	req.policyRequest = d.policyRequest(id, class, tenant, r, d.ModuleTime(deadline))
-	d.loop.SetTimer(&req.answerTimer, deadline+intake.OverdueMargin, req.onAnswerDeadline)
+	d.loop.SetTimer(&req.answerTimer, deadline+intake.OverdueMarginNanos, req.onAnswerDeadline)
 	d.admission.enqueued(now, req)
 	return id, nil
 }
--- a/internal/dispatch/submit_test.go
+++ b/internal/dispatch/submit_test.go
@@ -22,7 +22,7 @@
 	dispatcher := NewDirect(loop, slog.New(slog.DiscardHandler), &Config{
 		Module: module, ClassNames: []string{"a"}, Classes: []policy.Class{{LatencyTarget: 1e9, Timeout: 5e9}},
 		TenantNames: []string{"north", "south"},
-		Intake:      intake.Limits{MaxRequests: 10, MaxPromptTokens: 1000, ListKnown: true}, Incarnation: 1,
+		Intake:      intake.Limits{MaxRequests: 10, MaxPromptTokens: 1000, EndpointListKnown: true}, Incarnation: 1,
 	})
 	for _, tenant := range []string{"south", "north", ""} {
 		request := frontend.Request{
