--- a/internal/backend/grpc/discovery.go
+++ b/internal/backend/grpc/discovery.go
@@ -121,8 +121,8 @@
 	}
 	s.update(now, endpoint)
 	startedAt := policy.Nanos(0)
-	if endpoint.StartedAt > 0 { // the engine's clock may be ahead of the dispatcher's
-		startedAt = min(policy.Nanos(endpoint.StartedAt), b.dispatcher.ModuleTime(now))
+	if endpoint.StartedUnixNanos > 0 { // the engine's clock may be ahead of the dispatcher's
+		startedAt = min(policy.Nanos(endpoint.StartedUnixNanos), b.dispatcher.ModuleTime(now))
 	}
 	module.ServerListed(endpoint.ID, b.list.ZoneID(endpoint.Zone), policy.KindID(endpoint.Role),
 		b.list.CellID(endpoint.Zone, endpoint.Cell), endpoint.Health, startedAt)
--- a/internal/backend/grpc/watch.go
+++ b/internal/backend/grpc/watch.go
@@ -186,7 +186,7 @@
 		}
 		endpoints = append(endpoints, endpointlist.Endpoint{
 			ID: policy.ServerID(host.Id), Address: addr, Role: role, Zone: host.Zone,
-			Cell: host.Cell, Health: health, StartedAt: host.StartedUnixNs,
+			Cell: host.Cell, Health: health, StartedUnixNanos: host.StartedUnixNs,
 		})
 	}
 	return endpoints, nil
--- a/internal/config/servers.go
+++ b/internal/config/servers.go
@@ -40,13 +40,13 @@
 		}
 		seen[server.ID] = true
 		list = append(list, endpointlist.Endpoint{
-			ID:        policy.ServerID(server.ID),
-			Address:   server.Address,
-			Role:      policy.Role(server.Role),
-			Zone:      server.Zone,
-			Cell:      server.Cell,
-			Health:    policy.Health(server.Health),
-			StartedAt: server.Started,
+			ID:               policy.ServerID(server.ID),
+			Address:          server.Address,
+			Role:             policy.Role(server.Role),
+			Zone:             server.Zone,
+			Cell:             server.Cell,
+			Health:           policy.Health(server.Health),
+			StartedUnixNanos: server.Started,
 		})
 	}
 	if err := decoder.err(); err != nil {
--- a/internal/state/endpointlist/list.go
+++ b/internal/state/endpointlist/list.go
@@ -15,13 +15,13 @@
 
 // Endpoint is one engine of the list.
 type Endpoint struct {
-	ID        policy.ServerID `json:"id"`
-	Address   netip.AddrPort  `json:"address"`
-	Role      policy.Role     `json:"role"`
-	Zone      string          `json:"zone"`
-	Cell      string          `json:"cell"`
-	Health    policy.Health   `json:"health"`
-	StartedAt int64           `json:"started_unix_ns"` // Unix time in nanoseconds; 0 = unknown or long ago
+	ID               policy.ServerID `json:"id"`
+	Address          netip.AddrPort  `json:"address"`
+	Role             policy.Role     `json:"role"`
+	Zone             string          `json:"zone"`
+	Cell             string          `json:"cell"`
+	Health           policy.Health   `json:"health"`
+	StartedUnixNanos int64           `json:"started_unix_ns"` // Unix time in nanoseconds; 0 = unknown or long ago
 }
 
 // Update is a full or partial update of the list, as the discovery service sends it.
@@ -148,9 +148,9 @@
 func (l *List) storeListed(endpoints []Endpoint) (changed []Endpoint) {
 	for _, endpoint := range endpoints {
 		if known, ok := l.endpoints[endpoint.ID]; ok {
-			if endpoint.StartedAt == 0 { // unknown, for example when the endpoint is gone
-				endpoint.StartedAt = known.StartedAt
-			} else if endpoint.StartedAt < known.StartedAt {
+			if endpoint.StartedUnixNanos == 0 { // unknown, for example when the endpoint is gone
+				endpoint.StartedUnixNanos = known.StartedUnixNanos
+			} else if endpoint.StartedUnixNanos < known.StartedUnixNanos {
 				continue
 			}
 		}
--- a/internal/state/endpointlist/list_test.go
+++ b/internal/state/endpointlist/list_test.go
@@ -14,7 +14,7 @@
 func endpoint(id policy.ServerID, startedAt int64, health policy.Health) Endpoint {
 	address := netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(1000+id))
 	return Endpoint{
-		ID: id, Address: address, Role: policy.Decode, Zone: "a", Cell: "c", Health: health, StartedAt: startedAt,
+		ID: id, Address: address, Role: policy.Decode, Zone: "a", Cell: "c", Health: health, StartedUnixNanos: startedAt,
 	}
 }
 
@@ -49,7 +49,7 @@
 	if _, err := l.Apply(partialUpdate(8, endpoint(1, 0, policy.Gone))); err != nil {
 		t.Fatal(err)
 	}
-	if e, _ := l.Find(1); e.Health != policy.Gone || e.StartedAt != 5 {
+	if e, _ := l.Find(1); e.Health != policy.Gone || e.StartedUnixNanos != 5 {
 		t.Errorf("after an update without a start time: %+v", e)
 	}
 	changed, err := l.Apply(partialUpdate(9, endpoint(1, 4, policy.Serving)))
