--- a/cmd/docksail/batch.go
+++ b/cmd/docksail/batch.go
@@ -23,7 +23,7 @@
 	client := &batchclient.Client{}
 	c := &cobra.Command{Use: "batch", Short: "Submit files of requests as batches, show their progress, fetch results"}
 	c.PersistentFlags().StringVar(&client.Address, "at", "http://127.0.0.1:7610", "address of the batch API")
-	c.PersistentFlags().StringVar(&client.Key, "key", os.Getenv("DOCKSAIL_KEY"), "API key, by default $DOCKSAIL_KEY")
+	c.PersistentFlags().StringVar(&client.APIKey, "key", os.Getenv("DOCKSAIL_KEY"), "API key, by default $DOCKSAIL_KEY")
 	c.AddCommand(submitCommand(client), batchStatusCommand(client), fetchCommand(client), cancelCommand(client))
 	c.AddCommand(verifyCommand(), compactCommand())
 	return c
@@ -98,7 +98,7 @@
 			if fileID == "" {
 				return fmt.Errorf("batch %s with status %s does not have the requested file", batch.ID, batch.Status)
 			}
-			return client.Content(c.Context(), fileID, c.OutOrStdout())
+			return client.CopyContent(c.Context(), fileID, c.OutOrStdout())
 		},
 	}
 	c.Flags().BoolVar(&failed, "errors", false, "write the failed lines and their errors in place of the results")
--- a/internal/batchclient/client.go
+++ b/internal/batchclient/client.go
@@ -25,7 +25,7 @@
 // Client calls the batch API at an address.
 type Client struct {
 	Address string // for example http://127.0.0.1:7610
-	Key     string // sent as the bearer token
+	APIKey  string // sent as the bearer token
 }
 
 // ResponseError is a response of the API with a status other than 2xx.
@@ -99,8 +99,8 @@
 	return batch, c.callJSON(ctx, http.MethodPost, batchesPath+"/"+id+"/cancel", "", nil, batch)
 }
 
-// Content copies the content of a file to w.
-func (c *Client) Content(ctx context.Context, fileID string, w io.Writer) error {
+// CopyContent copies the content of a file to w.
+func (c *Client) CopyContent(ctx context.Context, fileID string, w io.Writer) error {
 	response, err := c.call(ctx, http.MethodGet, filesPath+"/"+fileID+"/content", "", nil)
 	if err != nil {
 		return err
@@ -127,7 +127,7 @@
 	if err != nil {
 		return nil, err
 	}
-	request.Header.Set("Authorization", "Bearer "+c.Key)
+	request.Header.Set("Authorization", "Bearer "+c.APIKey)
 	if contentType != "" {
 		request.Header.Set("Content-Type", contentType)
 	}
--- a/internal/batchclient/client_test.go
+++ b/internal/batchclient/client_test.go
@@ -45,7 +45,7 @@
 	if err := os.WriteFile(name, []byte(content), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	client := Client{Address: server.URL + "/", Key: "secret"}
+	client := Client{Address: server.URL + "/", APIKey: "secret"}
 	batch, err := client.Submit(t.Context(), name, "24h")
 	if err != nil {
 		t.Fatal(err)
