--- a/internal/backend/grpc/encode_test.go
+++ b/internal/backend/grpc/encode_test.go
@@ -38,7 +38,7 @@
 			req := &dispatch.Request{
 				RequestState: inflight.RequestState{ID: 1 << 32},
 				Message:      dispatch.Message{Raw: raw, PreviousAttempts: c.previous},
-				AttemptInfo:  dispatch.AttemptInfo{SentAt: 50, AttemptTimeout: 1000},
+				AttemptInfo:  dispatch.AttemptInfo{StartedAt: 50, AttemptTimeout: 1000},
 			}
 			if c.stateHeld {
 				number, err := req.BeginAttempt(inflight.PrefillAttempt)
--- a/internal/backend/grpc/stream.go
+++ b/internal/backend/grpc/stream.go
@@ -39,7 +39,7 @@
 	s.UserID = uint64(req.ID)
 	s.SendMessage(b.scratch, true)
 	a.stream, a.sent = s, true
-	b.dispatcher.SetAttemptTimer(req, max(req.SentAt+req.AttemptTimeout, now+1))
+	b.dispatcher.SetAttemptTimer(req, max(req.StartedAt+req.AttemptTimeout, now+1))
 	c.sentAttempts++
 	c.scheduleFlush()
 }
--- a/internal/dispatch/attempts.go
+++ b/internal/dispatch/attempts.go
@@ -30,7 +30,7 @@
 	}
 	d.Counts.Attempts++
 	d.admission.attemptStarted(now, req)
-	req.Server, req.SentAt, req.AttemptTimeout, req.IsPrefill = server, now, timeout, isPrefill
+	req.Server, req.StartedAt, req.AttemptTimeout, req.IsPrefill = server, now, timeout, isPrefill
 	req.attempt = nil
 	if known {
 		req.mayHaveRun = req.mayHaveRun || !isPrefill
@@ -128,15 +128,15 @@
 	if d.debug {
 		d.log.Debug("attempt ended", "request_id", req.logID(), "attempt", number,
 			"server_id", d.backend.ServerName(req.Server), "prefill", req.IsPrefill,
-			"outcome", outcome, "state", state, "sent_at", d.ModuleTime(req.SentAt),
-			"duration", now-req.SentAt, "streaming", req.IsStreaming(), "answered", req.Answered())
+			"outcome", outcome, "state", state, "sent_at", d.ModuleTime(req.StartedAt),
+			"duration", now-req.StartedAt, "streaming", req.IsStreaming(), "answered", req.Answered())
 	}
 	d.recordOutcome(now, req, outcome)
 	if end.NeedsRelease {
 		d.logRelease(now, req, "attempt may have left state", req.Server)
 		d.backend.Release(now, req, req.Server, number, now)
 	}
-	d.module.AttemptEnded(d.ModuleTime(now), req.ID, number, outcome, policy.Nanos(now-req.SentAt),
+	d.module.AttemptEnded(d.ModuleTime(now), req.ID, number, outcome, policy.Nanos(now-req.StartedAt),
 		final || req.Answered(), load)
 	switch {
 	case end.StateLost:
--- a/internal/dispatch/queuedadmission.go
+++ b/internal/dispatch/queuedadmission.go
@@ -25,9 +25,9 @@
 
 // QueueConfig describes the admission queue of a dispatcher.
 type QueueConfig struct {
-	MaxWaiting int  // interactive requests that may wait
-	MaxClients int  // clients whose recent use is remembered
-	FIFO       bool // admits interactive requests in order of arrival
+	MaxWaiting      int  // interactive requests that may wait
+	MaxKnownClients int  // clients whose recent use is remembered
+	FIFO            bool // admits interactive requests in order of arrival
 	// IssueTickets gives rejected clients a signed reservation, which they present when they retry.
 	IssueTickets bool
 	// MaxHeapBytes is the size of the heap above which waiting requests are shed; 0 = not limited.
@@ -82,7 +82,7 @@
 	}
 	var err error
 	a.queue, err = admission.New(admission.Config{
-		MaxWaiting: config.MaxWaiting, MaxKnownClients: config.MaxClients, LatencyObjective: latencyObjective,
+		MaxWaiting: config.MaxWaiting, MaxKnownClients: config.MaxKnownClients, LatencyObjective: latencyObjective,
 		Signer: a.signer, FIFO: config.FIFO,
 	})
 	if err != nil {
--- a/internal/dispatch/queuedadmission_test.go
+++ b/internal/dispatch/queuedadmission_test.go
@@ -21,7 +21,7 @@
 		TenantNames: []string{"north", "south"},
 		Intake:      intake.Limits{MaxRequests: 10, MaxPromptTokens: 1000, EndpointListKnown: true}, Incarnation: 1,
 	}, &QueueConfig{
-		MaxWaiting: 10, MaxClients: 10, Secrets: bytes.NewReader(make([]byte, 64)),
+		MaxWaiting: 10, MaxKnownClients: 10, Secrets: bytes.NewReader(make([]byte, 64)),
 		Tenants: []Tenant{
 			{Name: "north", Limits: admission.TenantLimits{Weight: 1}},
 			{Name: "south", Limits: admission.TenantLimits{Weight: 2}},
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -40,8 +40,8 @@
 type AttemptInfo struct {
 	Server         policy.ServerID
 	IsPrefill      bool
-	SentAt         eventloop.Nanos // when the attempt was started, even if its message was not written yet
-	AttemptTimeout int64           // nanoseconds from SentAt
+	StartedAt      eventloop.Nanos // when the attempt was started, even if its message was not written yet
+	AttemptTimeout int64           // nanoseconds from StartedAt
 	StartDeadline  eventloop.Nanos // the attempt must not be written to a connection at this time or later
 	// ConsecutiveStaleConns counts the latest consecutive attempts that were lost with stale connections.
 	ConsecutiveStaleConns int
@@ -115,7 +115,7 @@
 
 // AttemptTimeLeft returns how long the outstanding attempt may still take, at least 1 ns.
 func (req *Request) AttemptTimeLeft(now eventloop.Nanos) int64 {
-	return max(req.SentAt+req.AttemptTimeout-now, 1)
+	return max(req.StartedAt+req.AttemptTimeout-now, 1)
 }
 
 // deliveryState returns how far the delivery of the outstanding attempt is known to have progressed.
--- a/internal/dispatch/streaming.go
+++ b/internal/dispatch/streaming.go
@@ -35,7 +35,7 @@
 	d.loop.CancelTimer(&req.answerTimer)
 	d.admission.firstTokenReceived(now, req)
 	req.MarkAnswerStarted()
-	d.module.StreamStarted(d.ModuleTime(now), req.ID, attempt, policy.Nanos(now-req.SentAt))
+	d.module.StreamStarted(d.ModuleTime(now), req.ID, attempt, policy.Nanos(now-req.StartedAt))
 	d.checkStream(now, req)
 }
 
--- a/internal/grpcnode/build.go
+++ b/internal/grpcnode/build.go
@@ -93,7 +93,7 @@
 
 func newQueueConfig(settings *config.Dispatcher, secrets io.Reader) *dispatch.QueueConfig {
 	return &dispatch.QueueConfig{
-		MaxWaiting: settings.Limits.MaxWaiting, MaxClients: settings.Limits.MaxClients, FIFO: settings.FIFO,
+		MaxWaiting: settings.Limits.MaxWaiting, MaxKnownClients: settings.Limits.MaxClients, FIFO: settings.FIFO,
 		IssueTickets: settings.Responses.SendRetryAfter, MaxHeapBytes: uint64(settings.Limits.MaxMemoryBytes),
 		Tenants: Tenants(settings), Secrets: secrets,
 	}
