--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -60,7 +60,7 @@
 	if d.Watch.IsValid() == (d.File != "") {
 		report("fleet", "must have either watch or file")
 	}
-	report.requirePositive("fleet.ask_within", float64(d.RetryInterval))
+	report.requirePositive("fleet.ask_within", float64(d.MaxListInterval))
 }
 
 func (d *Dispatcher) checkClasses(report reportFunc) {
@@ -117,8 +117,8 @@
 	report.requirePositive("attempts.connect_within", float64(d.Attempts.ConnectTimeout))
 	report.requirePositive("rules.release_within", float64(d.Rules.ReleaseTime))
 	report.requirePositive("answers.round", float64(d.Responses.RoundInterval))
-	if d.Responses.DeadlineMargin < 0 {
-		report("answers.ahead", "is %v, must be at least 0", d.Responses.DeadlineMargin)
+	if d.Responses.AnswerLeadTime < 0 {
+		report("answers.ahead", "is %v, must be at least 0", d.Responses.AnswerLeadTime)
 	}
 	report.requirePositive("drain_within", float64(d.DrainTimeout))
 }
@@ -165,7 +165,7 @@
 		{"prompt_tokens", l.MaxPromptTokens, 1},
 		{"requests_waiting", l.MaxWaiting, 1},
 		{"partial_bytes", l.MaxPartialBytes, l.MaxMessageBytes},
-		{"clients_known", l.MaxClients, 1},
+		{"clients_known", l.MaxKnownClients, 1},
 		{"output_bytes", l.MaxOutputBytes, minOutputBytes},
 	} {
 		if limit.value < limit.min || limit.value > maxLimit {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -54,10 +54,10 @@
 
 // Discovery is the source of the list of engines: either a discovery server that is watched, or a file.
 type Discovery struct {
-	Watch         netip.AddrPort `json:"watch"`
-	File          string         `json:"file"`
-	CacheFile     string         `json:"keep"`       // where the list is saved for the next start
-	RetryInterval time.Duration  `json:"ask_within"` // several requests are made within it after a failure
+	Watch           netip.AddrPort `json:"watch"`
+	File            string         `json:"file"`
+	CacheFile       string         `json:"keep"`       // where the list is saved for the next start
+	MaxListInterval time.Duration  `json:"ask_within"` // several requests are made within it after a failure
 }
 
 // Class is a class of requests, which have the same latency targets, value and idempotency.
@@ -105,7 +105,7 @@
 
 // Responses configures the final answers to clients.
 type Responses struct {
-	DeadlineMargin time.Duration `json:"ahead"` // answers are sent this long before the client's deadline
+	AnswerLeadTime time.Duration `json:"ahead"` // answers are sent this long before the client's deadline
 	RoundInterval  time.Duration `json:"round"` // between two rounds of decisions
 	SendRetryAfter bool          `json:"advice"`
 	MaxRetryAfter  time.Duration `json:"most_advice"`
@@ -129,9 +129,9 @@
 	MaxOutputBytes    int `json:"output_bytes"`                        // queued for one connection
 	MaxPartialBytes   int `json:"partial_bytes"`                       // of incomplete messages, on all connections
 	MaxWaiting        int `json:"requests_waiting" was:"jobs_waiting"` // in the admission queue
-	// MaxClients is the number of clients whose recent use is remembered.
-	MaxClients     int `json:"clients_known"`
-	MaxMemoryBytes int `json:"memory_bytes"` // of heap, above which waiting requests are shed; 0 = unlimited
+	// MaxKnownClients is the number of clients whose recent use is remembered.
+	MaxKnownClients int `json:"clients_known"`
+	MaxMemoryBytes  int `json:"memory_bytes"` // of heap, above which waiting requests are shed; 0 = unlimited
 }
 
 // Load reads the configuration in a file. The error lists everything that is wrong with the file, one line each.
@@ -162,12 +162,12 @@
 func Default() *Dispatcher {
 	return &Dispatcher{
 		Count:        1,
-		Discovery:    Discovery{RetryInterval: 4 * time.Second},
+		Discovery:    Discovery{MaxListInterval: 4 * time.Second},
 		Attempts:     AttemptLimits{MaxAttempts: 5, CanCancel: true, ConnectTimeout: time.Second},
 		Rules:        Rules{DrainGrace: 500 * time.Millisecond},
 		DrainTimeout: 30 * time.Second,
 		Responses: Responses{
-			DeadlineMargin: 20 * time.Millisecond,
+			AnswerLeadTime: 20 * time.Millisecond,
 			RoundInterval:  time.Millisecond,
 			SendRetryAfter: true,
 			MaxRetryAfter:  time.Minute,
@@ -191,7 +191,7 @@
 			MaxOutputBytes:    4 << 20,
 			MaxPartialBytes:   256 << 20,
 			MaxWaiting:        10000,
-			MaxClients:        16384,
+			MaxKnownClients:   16384,
 		},
 	}
 }
--- a/internal/config/policy.go
+++ b/internal/config/policy.go
@@ -35,7 +35,7 @@
 			SendRetryAfter: d.Responses.SendRetryAfter,
 			MaxRetryAfter:  policy.Nanos(d.Responses.MaxRetryAfter),
 		},
-		Discovery:   policy.Discovery{MaxInterval: policy.Nanos(d.Discovery.RetryInterval)},
+		Discovery:   policy.Discovery{MaxInterval: policy.Nanos(d.Discovery.MaxListInterval)},
 		ReleaseTime: policy.Nanos(d.Rules.ReleaseTime),
 	})
 }
--- a/internal/grpcnode/build.go
+++ b/internal/grpcnode/build.go
@@ -67,7 +67,7 @@
 		Limits: limits, List: list,
 		Discovery: backend.DiscoveryConfig{
 			Addr: settings.Discovery.Watch, File: settings.Discovery.File, CacheFile: settings.Discovery.CacheFile,
-			RetryInterval: int64(settings.Discovery.RetryInterval),
+			RetryInterval: int64(settings.Discovery.MaxListInterval),
 		},
 	}))
 	return dispatcher, server, nil
@@ -79,7 +79,7 @@
 		Intake: intake.Limits{
 			MaxRequests: settings.Limits.MaxRequests, MaxPromptTokens: int64(settings.Limits.MaxPromptTokens),
 		},
-		MaxRetryAfter: int64(settings.Responses.MaxRetryAfter), AnswerLeadTime: int64(settings.Responses.DeadlineMargin),
+		MaxRetryAfter: int64(settings.Responses.MaxRetryAfter), AnswerLeadTime: int64(settings.Responses.AnswerLeadTime),
 		KeyHashSeed: settings.HashKey, Incarnation: incarnation,
 	}
 	for _, class := range settings.Classes {
@@ -93,7 +93,7 @@
 
 func newQueueConfig(settings *config.Dispatcher, secrets io.Reader) *dispatch.QueueConfig {
 	return &dispatch.QueueConfig{
-		MaxWaiting: settings.Limits.MaxWaiting, MaxKnownClients: settings.Limits.MaxClients, FIFO: settings.FIFO,
+		MaxWaiting: settings.Limits.MaxWaiting, MaxKnownClients: settings.Limits.MaxKnownClients, FIFO: settings.FIFO,
 		IssueTickets: settings.Responses.SendRetryAfter, MaxHeapBytes: uint64(settings.Limits.MaxMemoryBytes),
 		Tenants: Tenants(settings), Secrets: secrets,
 	}
