--- a/internal/backend/platform/conn_test.go
+++ b/internal/backend/platform/conn_test.go
@@ -41,7 +41,7 @@
 	submit := func() {
 		onLoop(loop, func() {
 			id, err := backend.dispatcher.Submit(loop.Now(), client, &frontend.Request{
-				Class: []byte("a"), ClientID: []byte("n"), Path: []byte("/"), Raw: []byte("x"), PromptTokens: 1,
+				Class: []byte("a"), ClientRequestID: []byte("n"), Path: []byte("/"), Raw: []byte("x"), PromptTokens: 1,
 			})
 			if err != nil {
 				t.Error(err)
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -87,7 +87,7 @@
 	*req = Request{
 		RequestState: inflight.RequestState{ID: id},
 		Message: Message{
-			Raw: append(req.Raw[:0], r.Raw...), ClientRequestID: append(req.ClientRequestID[:0], r.ClientID...),
+			Raw: append(req.Raw[:0], r.Raw...), ClientRequestID: append(req.ClientRequestID[:0], r.ClientRequestID...),
 			Path: append(req.Path[:0], r.Path...), Header: append(req.Header[:0], r.Header...),
 			PreviousAttempts: uint32(r.PreviousAttempts), TraceParent: r.TraceParent,
 		},
--- a/internal/dispatch/submit.go
+++ b/internal/dispatch/submit.go
@@ -101,7 +101,7 @@
 		Session:      policy.SessionKey(d.hashKey(sessionKey, owner, r.Session)),
 		Prefix:       policy.PrefixKey(d.hashKey(prefixKey, owner, r.Prefix)),
 		PromptTokens: r.PromptTokens, PrefixTokens: r.PrefixTokens, MaxOutputTokens: r.MaxTokens,
-		Deadline: deadline, ExpectedDuration: policy.Nanos(r.LengthHint), IsRetry: r.PreviousAttempts > 0,
+		Deadline: deadline, ExpectedDuration: policy.Nanos(r.ExpectedDuration), IsRetry: r.PreviousAttempts > 0,
 	}
 }
 
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -54,10 +54,10 @@
 // Request is a decoded request. Its slices point into the message that it was decoded from. A nil slice or a zero
 // means that the message does not set the field.
 type Request struct {
-	Raw      []byte // the message, which is forwarded to servers unchanged
-	ClientID []byte // the client's ID of the request, forwarded to servers
-	Path     []byte // the path of the request, forwarded to servers
-	Header   []byte // header fields forwarded to servers, as lines
+	Raw             []byte // the message, which is forwarded to servers unchanged
+	ClientRequestID []byte // the client's ID of the request, forwarded to servers
+	Path            []byte // the path of the request, forwarded to servers
+	Header          []byte // header fields forwarded to servers, as lines
 
 	Class          []byte
 	Tenant         []byte
@@ -73,7 +73,7 @@
 	PrefixTokens      int64 // tokens of the prompt that belong to the shared prefix
 	MaxTokens         int64 // maximum length of the response
 	FirstTokenTimeout int64 // nanoseconds
-	LengthHint        int64 // estimated duration of the response, nanoseconds
+	ExpectedDuration  int64 // estimated duration of the response, nanoseconds
 	CallTimeout       int64 // timeout of the whole call, nanoseconds
 	PreviousAttempts  int64 // earlier attempts by the client
 	TraceParent       string
--- a/internal/frontend/grpc/decode.go
+++ b/internal/frontend/grpc/decode.go
@@ -105,7 +105,7 @@
 	case fieldFirstTokenTimeout:
 		return &request.FirstTokenTimeout, maxNanos
 	case fieldLengthHint:
-		return &request.LengthHint, maxNanos
+		return &request.ExpectedDuration, maxNanos
 	default:
 		return nil, 0
 	}
--- a/internal/frontend/grpc/harness_test.go
+++ b/internal/frontend/grpc/harness_test.go
@@ -41,7 +41,7 @@
 	d.requests = append(d.requests, fmt.Sprintf("class=%s tenant=%s session=%s prefix=%s key=%s client=%s ticket=%q "+
 		"background=%v prompt=%d shared=%d max=%d first=%d hint=%d timeout=%s repeat=%d trace=%s raw=%d",
 		r.Class, r.Tenant, r.Session, r.Prefix, r.IdempotencyKey, r.Client, r.Ticket, r.Background, r.PromptTokens,
-		r.PrefixTokens, r.MaxTokens, r.FirstTokenTimeout, r.LengthHint, timeout, r.PreviousAttempts, r.TraceParent,
+		r.PrefixTokens, r.MaxTokens, r.FirstTokenTimeout, r.ExpectedDuration, timeout, r.PreviousAttempts, r.TraceParent,
 		len(r.Raw)))
 	id := policy.RequestID(len(d.requests))
 	switch script := string(r.Session); script {
--- a/internal/frontend/platform/golden_test.go
+++ b/internal/frontend/platform/golden_test.go
@@ -54,8 +54,8 @@
 		timeout = "5s"
 	}
 	return fmt.Sprintf("id=%s path=%s header=%q class=%s tenant=%s session=%s prefix=%s prompt=%d shared=%d max=%d "+
-		"hint=%d repeat=%d timeout=%s body=%d", r.ClientID, r.Path, r.Header, r.Class, r.Tenant, r.Session, r.Prefix,
-		r.PromptTokens, r.PrefixTokens, r.MaxTokens, r.LengthHint, r.PreviousAttempts, timeout, len(r.Raw))
+		"hint=%d repeat=%d timeout=%s body=%d", r.ClientRequestID, r.Path, r.Header, r.Class, r.Tenant, r.Session, r.Prefix,
+		r.PromptTokens, r.PrefixTokens, r.MaxTokens, r.ExpectedDuration, r.PreviousAttempts, timeout, len(r.Raw))
 }
 
 // respondAs answers a submitted request by a script.
--- a/internal/frontend/platform/head.go
+++ b/internal/frontend/platform/head.go
@@ -218,7 +218,7 @@
 	}
 	*request = frontend.Request{
 		Raw:               body,
-		ClientID:          r.id,
+		ClientRequestID:   r.id,
 		Path:              r.path,
 		Header:            r.forwardedFields,
 		Class:             r.class,
@@ -228,7 +228,7 @@
 		PromptTokens:      r.promptTokens,
 		PrefixTokens:      r.prefixTokens,
 		MaxTokens:         r.maxTokens,
-		LengthHint:        r.lengthHint,
+		ExpectedDuration:  r.lengthHint,
 		FirstTokenTimeout: max(r.remainingTime-age, 1),
 	}
 	if r.resent {
