--- a/internal/lab/simulation/clientgroup.go
+++ b/internal/lab/simulation/clientgroup.go
@@ -77,14 +77,14 @@
 		s.promptTokens = class.PrefixTokens
 	}
 	g.openSessions++
-	s.turnCount = 1 + random.IntN(max(class.TurnCount, 1))
+	s.turnCount = 1 + random.IntN(max(class.MaxTurns, 1))
 	s.startTurn()
 }
 
 // clientName returns the client name of a session, or the empty string for unnamed clients.
 func (g *clientGroup) clientName(session int) string {
 	switch {
-	case g.class.NewClientPerRequest:
+	case g.class.NewClientPerSession:
 		return fmt.Sprintf("%s-made-%d", g.class.Name, session)
 	case g.class.ClientCount > 0:
 		return fmt.Sprintf("%s-%d", g.class.Name, session%g.class.ClientCount)
--- a/internal/lab/simulation/session.go
+++ b/internal/lab/simulation/session.go
@@ -137,7 +137,7 @@
 	case o.code == codes.OK:
 		s.countServed(a)
 		s.promptTokens += a.tokenCount
-		idle := int64(float64(g.class.Idle) * s.random.Float64())
+		idle := int64(float64(g.class.MaxIdleTime) * s.random.Float64())
 		g.loop.SetTimer(&s.nextTimer, now+idle, func(eventloop.Nanos) { s.startTurn() })
 	case o.isCanceled:
 		g.summary.Canceled++
--- a/internal/lab/userclient/session.go
+++ b/internal/lab/userclient/session.go
@@ -36,7 +36,7 @@
 		req.BeginningTokens = uint32(class.PrefixTokens)
 		promptTokens = class.PrefixTokens
 	}
-	for turn := range 1 + s.rng.IntN(max(class.TurnCount, 1)) {
+	for turn := range 1 + s.rng.IntN(max(class.MaxTurns, 1)) {
 		promptTokens += s.promptFactor * s.drawTurnTokens()
 		req.PromptTokens = uint32(promptTokens)
 		req.Label = fmt.Sprintf("%d.%d", s.index, turn)
@@ -46,7 +46,7 @@
 			return
 		}
 		promptTokens += answerTokens
-		due = time.Now().Add(time.Duration(float64(class.Idle) * s.rng.Float64()))
+		due = time.Now().Add(time.Duration(float64(class.MaxIdleTime) * s.rng.Float64()))
 		sleepUntil(ctx, due)
 		if ctx.Err() != nil {
 			return
@@ -56,7 +56,7 @@
 
 func (s *session) clientName() string {
 	switch {
-	case s.class.NewClientPerRequest:
+	case s.class.NewClientPerSession:
 		return fmt.Sprintf("%s-made-%d", s.class.Name, s.index)
 	case s.class.ClientCount > 0:
 		return fmt.Sprintf("%s-%d", s.class.Name, s.index%s.class.ClientCount)
--- a/internal/lab/userclient/userclient.go
+++ b/internal/lab/userclient/userclient.go
@@ -18,7 +18,7 @@
 	Name                              string
 	Share                             float64 // fraction of the sessions
 	Tenant                            string
-	TurnCount                         int // maximum number of turns of a session
+	MaxTurns                          int // maximum number of turns of a session
 	MinTurnTokens, MaxTurnTokens      int // range of the prompt tokens that a turn adds
 	PrefixTokens                      int // length of the shared prefix; 0: no shared prefix
 	PrefixCount                       int // number of different shared prefixes
@@ -30,11 +30,11 @@
 	MaxRetries                        int
 	NonIdempotent                     bool          // only rejected attempts are retried
 	CancelShare                       float64       // fraction of the attempts that are canceled at a random point
-	Idle                              time.Duration // maximum time between two turns
+	MaxIdleTime                       time.Duration // maximum time between two turns
 	ClientCount                       int           // number of client names; 0: requests have no client name
 	IgnoresRetryAfter                 bool          // retries immediately
 	Background                        bool          // requests are sent as background requests
-	NewClientPerRequest               bool          // each session has its own client name
+	NewClientPerSession               bool          // each session has its own client name
 	ConnsPerDispatcher                int           // connections to each dispatcher, if more than those of Load
 }
 
