--- a/cmd/docksail/serve_test.go
+++ b/cmd/docksail/serve_test.go
@@ -72,7 +72,7 @@
 	t.Helper()
 	e := engine.New(engine.Spec{
 		ID: id, Role: role, Slots: 8, Queue: 8, MemoryTokens: 1 << 20, PrefillRate: 1e5,
-		TokenGap: 10 * time.Millisecond, RequestsPerSecond: 100, InitialCapacity: 1, TransferRate: 1e6,
+		TokenInterval: 10 * time.Millisecond, RequestsPerSecond: 100, InitialCapacity: 1, TransferRate: 1e6,
 		MaxHoldTime: time.Second,
 	}, engine.LinearModel{}, nil)
 	if err := e.Start("127.0.0.1:0"); err != nil {
--- a/internal/e2e/batchoutage_test.go
+++ b/internal/e2e/batchoutage_test.go
@@ -59,7 +59,7 @@
 	t.Helper()
 	spec := engine.Spec{
 		ID: id, Role: pb.Role_ROLE_READER, Zone: "a", Cell: "a1", Slots: 16, Queue: 64, MemoryTokens: 100000,
-		PrefillRate: 20000, TokenGap: 4 * time.Millisecond, RequestsPerSecond: 100, TransferRate: 1e6,
+		PrefillRate: 20000, TokenInterval: 4 * time.Millisecond, RequestsPerSecond: 100, TransferRate: 1e6,
 		MaxHoldTime: 2 * time.Second,
 	}
 	if role == "decode" {
--- a/internal/lab/benchmark/engines.go
+++ b/internal/lab/benchmark/engines.go
@@ -68,7 +68,7 @@
 	spec := engine.Spec{
 		ID: id, Role: pb.Role_ROLE_READER, Zone: zone, Cell: cell,
 		Slots: 20000, Queue: 20000, MemoryTokens: 1 << 40,
-		PrefillRate: 1e9, TokenGap: tokenInterval, RequestsPerSecond: 1e6, InitialCapacity: 1,
+		PrefillRate: 1e9, TokenInterval: tokenInterval, RequestsPerSecond: 1e6, InitialCapacity: 1,
 		TransferRate: 1e9, MaxHoldTime: time.Minute,
 	}
 	if id > prefillEngineCount {
--- a/internal/lab/calibrate/testbed.go
+++ b/internal/lab/calibrate/testbed.go
@@ -86,7 +86,7 @@
 func (c *calibration) start(spec engine.Spec) (testEngine, error) {
 	spec.ID, spec.Slots, spec.Queue, spec.MemoryTokens = len(c.engines)+1, slotCount, queueLength, memoryTokens
 	spec.PrefillRate, spec.RequestsPerSecond, spec.TransferRate = prefillRate, 1000, transferRate
-	spec.MaxHoldTime, spec.BatchModel, spec.TokenGap = maxHoldTime, true, tokenInterval
+	spec.MaxHoldTime, spec.BatchModel, spec.TokenInterval = maxHoldTime, true, tokenInterval
 	e := engine.New(spec, engine.LinearModel{}, nil)
 	e.Links = c.links
 	if err := e.Start("127.0.0.1:0"); err != nil {
--- a/internal/lab/engine/batchrunner.go
+++ b/internal/lab/engine/batchrunner.go
@@ -21,7 +21,7 @@
 	ChunkTokens = 2048
 )
 
-// defaultStepTime is the step time of a server whose Spec has no TokenGap.
+// defaultStepTime is the step time of a server whose Spec has no TokenInterval.
 const defaultStepTime = 5 * time.Millisecond
 
 // batchRunner runs the batch model of an engine in real time.
@@ -41,7 +41,7 @@
 
 // BatchShape returns the parameters of the server for the batch model.
 func (s *Spec) BatchShape() batchmodel.Shape {
-	step := s.TokenGap
+	step := s.TokenInterval
 	if step <= 0 {
 		step = defaultStepTime
 	}
--- a/internal/lab/engine/engine.go
+++ b/internal/lab/engine/engine.go
@@ -28,7 +28,7 @@
 	Queue             int           // prompts or answers that may wait for a slot
 	MemoryTokens      int64         // tokens of KV state that fit in memory
 	PrefillRate       float64       // prompt tokens per second
-	TokenGap          time.Duration // time between the tokens of an answer that runs alone
+	TokenInterval     time.Duration // time between the tokens of an answer that runs alone
 	RequestsPerSecond float64       // capacity after the warm-up
 	InitialCapacity   float64       // fraction of the capacity at the start; 1: no slow start
 	WarmupTime        time.Duration // time until the full capacity is reached
--- a/internal/lab/engine/engine_test.go
+++ b/internal/lab/engine/engine_test.go
@@ -76,7 +76,7 @@
 func TestBatchModelTimes(t *testing.T) {
 	spec := Spec{
 		ID: 1, Role: pb.Role_ROLE_MIXED, Slots: 8, Queue: 8, MemoryTokens: 1 << 17,
-		PrefillRate: 20000, TokenGap: 20 * time.Millisecond, RequestsPerSecond: 100, TransferRate: 1e6,
+		PrefillRate: 20000, TokenInterval: 20 * time.Millisecond, RequestsPerSecond: 100, TransferRate: 1e6,
 		MaxHoldTime: 5 * time.Second, BatchModel: true,
 	}
 	e, c := startEngine(t, spec)
@@ -94,7 +94,7 @@
 		}
 	}
 	// A prefill takes two steps of at most 2,048 tokens.
-	checkDuration(t, "prefill of 4,000 tokens", median(prefillTimes), 200*time.Millisecond+2*spec.TokenGap)
+	checkDuration(t, "prefill of 4,000 tokens", median(prefillTimes), 200*time.Millisecond+2*spec.TokenInterval)
 	intervals := measureTokenIntervals(t, c, &pb.GenerateRequest{PromptTokens: 100, MaxTokens: 60})
 	s := spec.BatchShape()
 	checkDuration(t, "token interval of one answer", median(intervals),
@@ -123,7 +123,7 @@
 	for _, batch := range []bool{false, true} {
 		e, c := startEngine(t, Spec{
 			ID: 1, Role: pb.Role_ROLE_WRITER, Slots: 8, Queue: 8, MemoryTokens: 1 << 16,
-			PrefillRate: 1e4, TokenGap: time.Millisecond, RequestsPerSecond: 100, TransferRate: 1e6,
+			PrefillRate: 1e4, TokenInterval: time.Millisecond, RequestsPerSecond: 100, TransferRate: 1e6,
 			MaxHoldTime: time.Second, BatchModel: batch,
 		})
 		req := &pb.GenerateRequest{PromptTokens: 10, MaxTokens: 1}
--- a/internal/lab/engine/model.go
+++ b/internal/lab/engine/model.go
@@ -23,7 +23,7 @@
 
 // TokenInterval implements Model.
 func (LinearModel) TokenInterval(s *Spec, running int, capacityShare float64) time.Duration {
-	return time.Duration(float64(s.TokenGap) * (1 + float64(running)/float64(max(s.Slots, 1))) / capacityShare)
+	return time.Duration(float64(s.TokenInterval) * (1 + float64(running)/float64(max(s.Slots, 1))) / capacityShare)
 }
 
 // TransferTime implements Model.
--- a/internal/lab/scenario/configs.go
+++ b/internal/lab/scenario/configs.go
@@ -40,7 +40,7 @@
 		Queue:             g.QueueLength,
 		MemoryTokens:      cmp.Or(g.MemoryTokens, defaultMemoryTokens),
 		PrefillRate:       cmp.Or(g.PrefillRate, defaultPrefillRate),
-		TokenGap:          g.TokenGap,
+		TokenInterval:     g.TokenGap,
 		RequestsPerSecond: g.RequestsPerSecond,
 		TransferRate:      cmp.Or(g.TransferRate, defaultTransferRate),
 		InitialCapacity:   s.SlowStart.InitialCapacity,
