--- a/internal/lab/engine/batchmodel/server.go
+++ b/internal/lab/engine/batchmodel/server.go
@@ -38,9 +38,9 @@
 
 // Event is one result of a step.
 type Event struct {
-	Kind EventKind
-	ID   ID
-	N    int // Token: position of the token, from 0; PrefillDone: number of prompt tokens that were not cached
+	Kind  EventKind
+	ID    ID
+	Value int // Token: position of the token, from 0; PrefillDone: number of prompt tokens that were not cached
 }
 
 // EventKind is the kind of an Event.
--- a/internal/lab/engine/batchmodel/server_test.go
+++ b/internal/lab/engine/batchmodel/server_test.go
@@ -57,7 +57,7 @@
 	}
 	events, took := runSteps(server, 100)
 	if want := 2*testShape.StepTime + 1000*testShape.TimePerPromptToken; took != want ||
-		len(events) != 1 || events[0] != (Event{Kind: PrefillDone, ID: 1, N: 1000}) {
+		len(events) != 1 || events[0] != (Event{Kind: PrefillDone, ID: 1, Value: 1000}) {
 		t.Errorf("1,000 tokens in chunks of 512 took %d with %v, want %d", took, events, want)
 	}
 	if server.HeldStates() != 1 || server.Memory.InUse() != 63 {
@@ -101,7 +101,7 @@
 		if i > 0 {
 			want = 1
 		}
-		if len(events) != 1 || events[0].N != want {
+		if len(events) != 1 || events[0].Value != want {
 			t.Errorf("prompt %d: %v, want %d tokens prefilled", i, events, want)
 		}
 		server.Remove(ID(i + 1))
@@ -122,8 +122,8 @@
 	for _, e := range events {
 		switch e.Kind {
 		case Token:
-			if e.N != next[e.ID] {
-				t.Fatalf("token %d of %d, want %d", e.N, e.ID, next[e.ID])
+			if e.Value != next[e.ID] {
+				t.Fatalf("token %d of %d, want %d", e.Value, e.ID, next[e.ID])
 			}
 			next[e.ID]++
 		case AnswerDone:
@@ -165,8 +165,8 @@
 				case NeedsFetch:
 					server.StateFetched(e.ID)
 				case Token:
-					if e.N != next[e.ID] {
-						t.Fatalf("token %d of %d, want %d", e.N, e.ID, next[e.ID])
+					if e.Value != next[e.ID] {
+						t.Fatalf("token %d of %d, want %d", e.Value, e.ID, next[e.ID])
 					}
 					next[e.ID]++
 				case AnswerDone:
--- a/internal/lab/engine/batchmodel/step.go
+++ b/internal/lab/engine/batchmodel/step.go
@@ -95,7 +95,7 @@
 	if t.phase != phaseDecode {
 		return events
 	}
-	events = append(events, Event{Kind: Token, ID: t.ID, N: t.decodedTokens})
+	events = append(events, Event{Kind: Token, ID: t.ID, Value: t.decodedTokens})
 	t.decodedTokens++
 	s.Counts.DecodedTokens++
 	if t.decodedTokens == t.AnswerTokens {
@@ -166,7 +166,7 @@
 	}
 	s.Counts.CachedTokens += uint64(t.cachedTokens)
 	if t.decodedTokens == 0 {
-		events = append(events, Event{Kind: PrefillDone, ID: t.ID, N: t.PromptTokens - t.cachedTokens})
+		events = append(events, Event{Kind: PrefillDone, ID: t.ID, Value: t.PromptTokens - t.cachedTokens})
 	}
 	if t.AnswerTokens > 0 {
 		t.phase = phaseDecode
--- a/internal/lab/engine/decode.go
+++ b/internal/lab/engine/decode.go
@@ -103,7 +103,7 @@
 				started = true
 				e.logAnswerStarted(attempt)
 			}
-			if err := e.sendToken(ctx, req, event.N, 0, out); err != nil {
+			if err := e.sendToken(ctx, req, event.Value, 0, out); err != nil {
 				return err
 			}
 		case batchmodel.AnswerDone:
--- a/internal/lab/engine/prefill.go
+++ b/internal/lab/engine/prefill.go
@@ -145,7 +145,7 @@
 		}
 		if event.Kind == batchmodel.PrefillDone {
 			batch.unsubscribe(id)
-			return id, event.N, nil
+			return id, event.Value, nil
 		}
 	}
 }
--- a/internal/lab/simulation/modelserver.go
+++ b/internal/lab/simulation/modelserver.go
@@ -156,10 +156,10 @@
 			m.fetchState(c)
 		case batchmodel.PrefillDone:
 			if c.path == pathPrefill {
-				m.holdState(c, event.N)
+				m.holdState(c, event.Value)
 			}
 		case batchmodel.Token:
-			m.addToken(c, event.N)
+			m.addToken(c, event.Value)
 		case batchmodel.AnswerDone:
 			c.isComplete = true
 			m.flushTokens(c)
