--- a/cmd/docksail/lab_scenario.go
+++ b/cmd/docksail/lab_scenario.go
@@ -200,7 +200,7 @@
 	}
 	w.err = errors.Join(w.err, err)
 	fmt.Fprintf(w.out, "seed %d: %v%s\n  %d faults in %v, after %d runs; replay with: docksail lab simulate %s\n",
-		f.Seed, f.Violations, f.Panic, len(f.Script.Faults), f.Script.Duration, f.Plays, name)
+		f.Seed, f.Violations, f.Panic, len(f.Script.Faults), f.Script.Duration, f.Runs, name)
 }
 
 // importCommand returns the command import, which converts a day of the bench into a scenario.
--- a/internal/lab/faultsearch/finding.go
+++ b/internal/lab/faultsearch/finding.go
@@ -18,7 +18,7 @@
 	Script     *scenario.Script // the minimized scenario
 	Violations []invariants.Violation
 	Panic      string // message and stack of a panic; empty if there was none
-	Plays      int    // number of runs for the minimization
+	Runs       int    // number of runs for the minimization
 }
 
 // Encode returns the script in the format of scenario files, with a comment that lists the violations.
--- a/internal/lab/faultsearch/minimize.go
+++ b/internal/lab/faultsearch/minimize.go
@@ -54,7 +54,7 @@
 	script := *m.finding.Script
 	script.Faults = slices.Clone(script.Faults)
 	change(&script)
-	m.finding.Plays++
+	m.finding.Runs++
 	o, err := m.searcher.run(ctx, &script)
 	if err != nil || !m.isSameFailure(&o) {
 		return false
--- a/internal/lab/faultsearch/search_test.go
+++ b/internal/lab/faultsearch/search_test.go
@@ -68,7 +68,7 @@
 		t.Fatal("no violation was found in 40 scenarios")
 	}
 	if faults := got.Script.Faults; len(faults) > 2 || faults[0].Kind != scenario.FaultDrain {
-		t.Errorf("faults left after %d runs: %+v", got.Plays, faults)
+		t.Errorf("faults left after %d runs: %+v", got.Runs, faults)
 	}
 	text, err := got.Encode()
 	if err != nil {
