--- a/cmd/docksail/heldstate_test.go
+++ b/cmd/docksail/heldstate_test.go
@@ -77,7 +77,7 @@
 // attempt without a response stays in flight for as long as possible.
 func (h *heldStateTest) send(id string) soak.Request {
 	h.Helper()
-	request := soak.Request{ID: id, Session: "7f3a9c21e0b4d655", Remaining: clientTimeout, Effect: "at_most_once"}
+	request := soak.Request{ID: id, Session: "7f3a9c21e0b4d655", Remaining: clientTimeout, Class: "at_most_once"}
 	if err := h.client.Send(h.dispatcher, request); err != nil {
 		h.Fatal(err)
 	}
@@ -152,7 +152,7 @@
 			h.waitForTrace("begun to w1")
 			other := soak.NewClient(h.fleet)
 			request := soak.Request{
-				ID: "0000000000000002", Session: "1", Remaining: clientTimeout, Effect: "idempotent",
+				ID: "0000000000000002", Session: "1", Remaining: clientTimeout, Class: "idempotent",
 			}
 			if err := other.Send(h.dispatcher, request); err != nil {
 				h.Fatal(err)
--- a/internal/lab/soak/client.go
+++ b/internal/lab/soak/client.go
@@ -40,7 +40,7 @@
 	Session     string
 	Remaining   time.Duration // how long the client waits for the first token
 	CancelAfter time.Duration // time until the client cancels the request; 0 = it does not
-	Effect      string        // effect of its class in lower case, which is also the name of the class
+	Class       string        // name of its class, which is also the effect of the class
 }
 
 // text returns the request in wire format.
@@ -48,7 +48,7 @@
 	return fmt.Sprintf("POST /v1/chat/completions HTTP/1.1\r\nHost: api.internal\r\n"+
 		"X-Txn: %s\r\nX-Lane: %s\r\nX-Entity: %s\r\nX-Remaining: %.3f\r\n"+
 		"X-Labels: prefix=5c0f6e1a2b3d4c59,prompt_len=2048,prefix_len=1024,max_out=80\r\nContent-Length: %d\r\n\r\n%s",
-		r.ID, r.Effect, r.Session, r.Remaining.Seconds(), len(requestBody), requestBody)
+		r.ID, r.Class, r.Session, r.Remaining.Seconds(), len(requestBody), requestBody)
 }
 
 // Outcome is the result of a request as its client observed it.
@@ -155,7 +155,7 @@
 	r := Request{
 		ID: id, Session: fmt.Sprintf("%x", rng.IntN(sessionCount)),
 		Remaining: randomDuration(rng, minDeadline, maxDeadline),
-		Effect:    effects[rng.IntN(len(effects))],
+		Class:     effects[rng.IntN(len(effects))],
 	}
 	if rng.IntN(requestsPerCancel) == 0 {
 		r.CancelAfter = randomDuration(rng, time.Millisecond, maxCancelDelay)
