--- a/internal/batchrunner/resume.go
+++ b/internal/batchrunner/resume.go
@@ -102,7 +102,7 @@
 			className = r.readClassName(b, index, line)
 			recovered.class = r.config.Classes[className]
 		}
-		state, mayHaveRun := batchscheduler.RecoverLine(line.State, recovered.class.Effect)
+		state, mayHaveRun := batchscheduler.RecoverLine(line.State, recovered.class.Idempotency)
 		if mayHaveRun {
 			recovered.failures = append(recovered.failures, lineFailure{
 				index, line.CustomID, codeMayHaveRun, string(batchscheduler.ReasonMayHaveRun),
@@ -153,7 +153,7 @@
 	err := r.scheduler.AddBatch(batchscheduler.Batch{
 		ID:                  a.id,
 		Tenant:              tenant,
-		Effect:              recovered.class.Effect,
+		Idempotency:         recovered.class.Idempotency,
 		DeduplicationWindow: int64(recovered.class.DeduplicationWindow),
 		Deadline:            r.now() + int64(remaining),
 		Lines:               recovered.lines,
--- a/internal/batchrunner/runner.go
+++ b/internal/batchrunner/runner.go
@@ -30,7 +30,7 @@
 
 // Class holds the settings of a request class that the runner needs.
 type Class struct {
-	Effect              batchscheduler.Effect
+	Idempotency         batchscheduler.Idempotency
 	DeduplicationWindow time.Duration
 	Timeout             time.Duration // until a line's first token; 0 = the class does not accept batches
 }
--- a/internal/batchrunner/runner_test.go
+++ b/internal/batchrunner/runner_test.go
@@ -139,9 +139,9 @@
 	runner, err := New(store, Config{
 		Tenants: []Tenant{{Name: "a", Weight: 1}}, DispatcherAddress: listener.Addr().String(),
 		Classes: map[string]Class{
-			"draft":    {Effect: batchscheduler.Idempotent, Timeout: 2 * time.Second},
-			"book":     {Effect: batchscheduler.NonIdempotent, Timeout: 2 * time.Second},
-			"labelled": {Effect: batchscheduler.Deduplicated, DeduplicationWindow: time.Minute, Timeout: 2 * time.Second},
+			"draft":    {Idempotency: batchscheduler.Idempotent, Timeout: 2 * time.Second},
+			"book":     {Idempotency: batchscheduler.NonIdempotent, Timeout: 2 * time.Second},
+			"labelled": {Idempotency: batchscheduler.Deduplicated, DeduplicationWindow: time.Minute, Timeout: 2 * time.Second},
 			"online":   {},
 		},
 		MaxLinesInFlight: 8, InitialBackoff: 2 * time.Millisecond, MaxLines: 20, MaxLineBytes: 1000, Seed: 1,
--- a/internal/batchservice/service.go
+++ b/internal/batchservice/service.go
@@ -128,7 +128,7 @@
 	}
 	for _, class := range cfg.Classes {
 		runner.Classes[class.Name] = batchrunner.Class{
-			Effect:              lineEffect(policy.Idempotency(class.Idempotency)),
+			Idempotency:         lineIdempotency(policy.Idempotency(class.Idempotency)),
 			DeduplicationWindow: class.DedupWindow,
 			Timeout:             class.Timeout,
 		}
@@ -143,8 +143,8 @@
 	return runner
 }
 
-// lineEffect converts the idempotency of a class to the scheduler's type.
-func lineEffect(idempotency policy.Idempotency) batchscheduler.Effect {
+// lineIdempotency converts the idempotency of a class to the scheduler's type.
+func lineIdempotency(idempotency policy.Idempotency) batchscheduler.Idempotency {
 	switch idempotency {
 	case policy.Deduplicated:
 		return batchscheduler.Deduplicated
--- a/internal/decide/batchscheduler/outcome.go
+++ b/internal/decide/batchscheduler/outcome.go
@@ -105,9 +105,9 @@
 	switch {
 	case outcome == OutcomeInvalid:
 		return ReasonInvalidRequest
-	case mayHaveRun && b.Effect == NonIdempotent:
+	case mayHaveRun && b.Idempotency == NonIdempotent:
 		return ReasonMayHaveRun
-	case mayHaveRun && b.Effect == Deduplicated && now > line.firstUncertainAt+b.DeduplicationWindow:
+	case mayHaveRun && b.Idempotency == Deduplicated && now > line.firstUncertainAt+b.DeduplicationWindow:
 		return ReasonDeduplicationExpired
 	case b.stopped || now >= b.Deadline:
 		return ReasonWindowExpired
--- a/internal/decide/batchscheduler/scheduler.go
+++ b/internal/decide/batchscheduler/scheduler.go
@@ -25,7 +25,7 @@
 type Batch struct {
 	ID                  BatchID
 	Tenant              int // index into the weights given to New
-	Effect              Effect
+	Idempotency         Idempotency
 	DeduplicationWindow Nanos // for Deduplicated lines, counted from the end of the first attempt that may have run
 	Deadline            Nanos // end of the completion window
 	Lines               []LineSpec
--- a/internal/decide/batchscheduler/scheduler_test.go
+++ b/internal/decide/batchscheduler/scheduler_test.go
@@ -40,10 +40,10 @@
 // line that may have run is not sent again.
 func TestEveryLineEndsOnce(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		effect := Effect(rapid.IntRange(0, 2).Draw(rt, "effect"))
+		idempotency := Idempotency(rapid.IntRange(0, 2).Draw(rt, "idempotency"))
 		n := rapid.IntRange(1, 40).Draw(rt, "lines")
 		b := Batch{
-			ID: 7, Effect: effect, DeduplicationWindow: 5 * second,
+			ID: 7, Idempotency: idempotency, DeduplicationWindow: 5 * second,
 			Deadline: rapid.Int64Range(second, 1000*second).Draw(rt, "deadline"), Lines: waitingLines(n),
 		}
 		s := newScheduler(t, 8, 1)
@@ -65,7 +65,7 @@
 			switch action := rapid.IntRange(0, 19).Draw(rt, "action"); {
 			case action < 10:
 				if _, l, ok := s.NextLine(now); ok {
-					if effect == NonIdempotent && mayHaveRun[l] {
+					if idempotency == NonIdempotent && mayHaveRun[l] {
 						rt.Fatalf("line %d is sent again although it may have run", l)
 					}
 					stored[l] = LineInFlight
@@ -95,7 +95,7 @@
 				restarted := newScheduler(t, 8, 1)
 				lines := waitingLines(n)
 				for i := range stored {
-					state, failed := RecoverLine(stored[i], effect)
+					state, failed := RecoverLine(stored[i], idempotency)
 					if failed {
 						ended[i]++
 					}
--- a/internal/decide/batchscheduler/states.go
+++ b/internal/decide/batchscheduler/states.go
@@ -5,12 +5,12 @@
 	"slices"
 )
 
-// Effect says whether a request may run more than once.
-type Effect uint8
+// Idempotency says whether a request may run more than once.
+type Idempotency uint8
 
 const (
 	// Idempotent requests may run repeatedly without harm.
-	Idempotent Effect = iota
+	Idempotent Idempotency = iota
 	// Deduplicated requests run at most once within the dedup window of their idempotency key.
 	Deduplicated
 	// NonIdempotent requests have a further effect each time they run.
@@ -109,11 +109,11 @@
 
 // RecoverLine returns the state of a stored line after a restart. The process that sent a line in flight has ended, and
 // the attempt with it: the line waits again or, if it is non-idempotent, has failed and mayHaveRun is true.
-func RecoverLine(state LineState, effect Effect) (recovered LineState, mayHaveRun bool) {
+func RecoverLine(state LineState, idempotency Idempotency) (recovered LineState, mayHaveRun bool) {
 	switch {
 	case state != LineInFlight:
 		return state, false
-	case effect == NonIdempotent:
+	case idempotency == NonIdempotent:
 		return LineFailed, true
 	default:
 		return LineWaiting, false
--- a/internal/e2e/batchapiclient_test.go
+++ b/internal/e2e/batchapiclient_test.go
@@ -250,7 +250,7 @@
 		Seed:              1,
 		Classes: map[string]batchrunner.Class{
 			"question": {Timeout: 2 * time.Second},
-			"booking":  {Effect: batchscheduler.NonIdempotent, Timeout: 2 * time.Second},
+			"booking":  {Idempotency: batchscheduler.NonIdempotent, Timeout: 2 * time.Second},
 		},
 	}
 	if change != nil {
