--- a/internal/h2/exchange_test.go
+++ b/internal/h2/exchange_test.go
@@ -129,8 +129,8 @@
 	}
 }
 
-// TestRelayAllocates checks that sending and receiving a token allocates nothing.
-func TestRelayAllocates(t *testing.T) {
+// TestRelayDoesNotAllocate checks that sending and receiving a token allocates nothing.
+func TestRelayDoesNotAllocate(t *testing.T) {
 	server := &capturingHandler{}
 	c, s := NewClientConn(DefaultLimits, &discardingHandler{}), NewServerConn(DefaultLimits, server)
 	transfer(t, c, s, inOnePiece)
