--- a/internal/eventloop/dial_test.go
+++ b/internal/eventloop/dial_test.go
@@ -34,9 +34,9 @@
 	})
 }
 
-// TestUnreachableAtOnce checks that an error that the connect call itself returns is reported by Closed, like a later
-// one, and that Dial does not return it as an error of this machine.
-func TestUnreachableAtOnce(t *testing.T) {
+// TestImmediateConnectError checks that an error that the connect call itself returns is reported by Closed, like a
+// later one, and that Dial does not return it as an error of this machine.
+func TestImmediateConnectError(t *testing.T) {
 	l, onLoop := startLoop(t)
 	p := &connRecorder{}
 	broadcast := netip.MustParseAddrPort("127.255.255.255:9") // the connect call itself fails
