--- a/internal/config/policy.go
+++ b/internal/config/policy.go
@@ -14,7 +14,7 @@
 	}
 	return policy.New(policy.Config{
 		Seed:    seed,
-		Self:    policy.Identity{Number: d.Index, Count: d.Count, Zone: zone},
+		Self:    policy.Identity{Index: d.Index, Count: d.Count, Zone: zone},
 		Classes: d.PolicyClasses(),
 		Tenants: tenants,
 		Roles:   []policy.Role{policy.Prefill, policy.Decode, policy.Mixed},
--- a/internal/platformconfig/settings.go
+++ b/internal/platformconfig/settings.go
@@ -141,7 +141,7 @@
 	return policy.New(policy.Config{
 		Seed: seed,
 		Self: policy.Identity{
-			Number: s.Index, Count: s.Dispatchers, Zone: policy.ZoneID(slices.Index(s.Zones, s.Zone)),
+			Index: s.Index, Count: s.Dispatchers, Zone: policy.ZoneID(slices.Index(s.Zones, s.Zone)),
 		},
 		Classes: classes,
 		Tenants: tenants,
--- a/policy/affinity_test.go
+++ b/policy/affinity_test.go
@@ -12,7 +12,7 @@
 	for session := range 40 {
 		router := newRouter(t, Config{
 			Seed:        1,
-			Self:        Identity{Number: int32(session), Count: 40},
+			Self:        Identity{Index: int32(session), Count: 40},
 			Classes:     []Class{{LatencyTarget: 1e9, Timeout: 5e9, Value: 1}},
 			Roles:       []Role{Prefill},
 			Attempts:    AttemptLimits{MaxAttempts: 3},
--- a/policy/config.go
+++ b/policy/config.go
@@ -38,8 +38,8 @@
 
 // Identity identifies this dispatcher among all dispatchers.
 type Identity struct {
-	Number, Count int32 // Number is from 0 to Count-1
-	Zone          ZoneID
+	Index, Count int32 // Index is from 0 to Count-1
+	Zone         ZoneID
 }
 
 // SlowStart describes the capacity of servers that have just started, and the load that makes them fail.
--- a/policy/decisions_test.go
+++ b/policy/decisions_test.go
@@ -57,7 +57,7 @@
 	}
 	router := newRouter(t, Config{
 		Seed:        seed,
-		Self:        Identity{Number: 1, Count: 3, Zone: 1},
+		Self:        Identity{Index: 1, Count: 3, Zone: 1},
 		Classes:     classes,
 		Tenants:     []Tenant{{RequestsPerSecond: 20}, {RequestsPerSecond: 60}},
 		Roles:       []Role{Prefill, Decode, Mixed},
--- a/policy/fairness_test.go
+++ b/policy/fairness_test.go
@@ -53,7 +53,7 @@
 	for n := range fairnessRouters {
 		router := newRouter(t, Config{
 			Seed:     uint64(n),
-			Self:     Identity{Number: int32(n), Count: fairnessRouters},
+			Self:     Identity{Index: int32(n), Count: fairnessRouters},
 			Classes:  classes,
 			Tenants:  tenants,
 			Roles:    []Role{Prefill},
--- a/policy/scenario_test.go
+++ b/policy/scenario_test.go
@@ -150,7 +150,7 @@
 	share := func(name string) float64 { return float64(settings[name]) / 100 }
 	r.router = newRouter(r.t, Config{
 		Seed: 1,
-		Self: Identity{Number: int32(settings["number"]), Count: int32(settings["dispatchers"])},
+		Self: Identity{Index: int32(settings["number"]), Count: int32(settings["dispatchers"])},
 		Classes: []Class{{
 			LatencyTarget: duration("target"), LatencyTargetPer1k: duration("target-per-1k"),
 			Timeout: duration("timeout"), Value: 1, InterTokenTarget: 50 * ms,
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -68,14 +68,14 @@
 }
 
 // accrueCredit adds the slow-start credit of a server since the last call. Initial credits are offset by the
-// dispatcher's number, so that dispatchers do not send their first attempts at once. Credit that is not used within
+// dispatcher's index, so that dispatchers do not send their first attempts at once. Credit that is not used within
 // two windows lapses, so that it cannot accumulate to a burst. A dispatcher without answers yet accrues its part of
 // one attempt per window.
 func (r *Router) accrueCredit(now Nanos, srv *server) {
 	settings, dispatchers := &r.config.SlowStart, float64(r.config.Self.Count)
 	if srv.creditStartedAt != srv.startedAt {
 		srv.creditStartedAt, srv.creditedAt, srv.creditSpent = srv.startedAt, srv.startedAt, 0
-		offset := float64(r.config.Self.Number) / dispatchers
+		offset := float64(r.config.Self.Index) / dispatchers
 		_, srv.credit = math.Modf(offset + float64(mixBits(uint64(srv.id))>>11)/(1<<53))
 	}
 	perWindow := slowStartUtilization * settings.OverloadFactor * settings.InitialCapacity *
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -45,7 +45,7 @@
 	t.Helper()
 	router := newRouter(t, Config{
 		Seed:        uint64(n) + uint64(f.now),
-		Self:        Identity{Number: int32(n), Count: int32(len(f.routers))},
+		Self:        Identity{Index: int32(n), Count: int32(len(f.routers))},
 		Classes:     []Class{{LatencyTarget: 1e9, Timeout: 5e9}},
 		Roles:       []Role{Prefill},
 		SlowStart:   slowStartSettings,
