--- a/cmd/docksail/heldstate_test.go
+++ b/cmd/docksail/heldstate_test.go
@@ -142,14 +142,14 @@
 		"a decode attempt on a new connection does not arrive": func(h *heldStateTest) {
 			h.decode.Proxy.SetBlocked(soak.Forward, true, false)
 			h.send(heldRequest)
-			h.waitForTrace("read at r1")
-			h.waitForTrace("begun to w1")
+			h.waitForTrace("prefill finished at r1")
+			h.waitForTrace("attempt started to w1")
 		},
 		"a decode attempt on an idle connection does not arrive, another connection answers": func(h *heldStateTest) {
 			h.serveRequest("0000000000000001")
 			h.decode.Proxy.SetBlocked(soak.Forward, true, true) // of the open connections
 			h.send(heldRequest)
-			h.waitForTrace("begun to w1")
+			h.waitForTrace("attempt started to w1")
 			other := soak.NewClient(h.fleet)
 			request := soak.Request{
 				ID: "0000000000000002", Session: "1", Remaining: clientTimeout, Class: "idempotent",
@@ -162,25 +162,25 @@
 			h.decode.Suspend()
 			h.Cleanup(h.decode.Resume)
 			h.send(heldRequest)
-			h.waitForTrace("begun to w1")
+			h.waitForTrace("attempt started to w1")
 		},
 		"a prefill ends after the release that follows its cancellation": func(h *heldStateTest) {
 			h.planAttempts(func(bool) soak.AttemptPlan { return soak.AttemptPlan{Work: 700 * time.Millisecond} })
 			h.prefill.Proxy.SetClosesBlocked(true)
 			h.send(heldRequest)
-			h.waitForTrace("arrived at r1")
+			h.waitForTrace("attempt received by r1")
 			h.client.CancelRequest(heldRequest)
-			h.waitForTrace("read at r1")
+			h.waitForTrace("prefill finished at r1")
 			time.Sleep(1500 * time.Millisecond)
 			h.prefill.Proxy.SetClosesBlocked(false)
 		},
 		"a prefill server becomes unreachable when the client cancels": func(h *heldStateTest) {
 			h.planAttempts(func(bool) soak.AttemptPlan { return soak.AttemptPlan{Work: 700 * time.Millisecond} })
 			h.send(heldRequest)
-			h.waitForTrace("arrived at r1")
+			h.waitForTrace("attempt received by r1")
 			h.prefill.Proxy.SetBlocked(soak.Forward, true, false)
 			h.client.CancelRequest(heldRequest)
-			h.waitForTrace("read at r1")
+			h.waitForTrace("prefill finished at r1")
 			time.Sleep(1500 * time.Millisecond)
 			h.prefill.Proxy.SetBlocked(soak.Forward, false, false)
 		},
@@ -199,9 +199,9 @@
 				return soak.AttemptPlan{Work: 200 * time.Millisecond}
 			})
 			h.send(heldRequest)
-			h.waitForTrace("arrived at w1")
+			h.waitForTrace("attempt received by w1")
 			h.client.CancelRequest(heldRequest)
-			h.waitForTrace("release refused")
+			h.waitForTrace("release rejected")
 		},
 		"a prefill stores KV state and responds with an error": func(h *heldStateTest) {
 			h.planAttempts(func(prefill bool) soak.AttemptPlan {
@@ -211,7 +211,7 @@
 				return soak.AttemptPlan{}
 			})
 			h.send(heldRequest)
-			h.waitForTrace("read at r1")
+			h.waitForTrace("prefill finished at r1")
 			h.client.CancelRequest(heldRequest)
 		},
 		"a decode attempt outlasts a concurrent release and is refused": func(h *heldStateTest) {
@@ -223,7 +223,7 @@
 				return soak.AttemptPlan{Work: 900 * time.Millisecond, Status: http.StatusServiceUnavailable}
 			})
 			h.send(heldRequest)
-			h.waitForTrace("arrived at w1")
+			h.waitForTrace("attempt received by w1")
 			h.waitForTrace("refused")
 			h.client.CancelRequest(heldRequest)
 		},
--- a/internal/lab/soak/oracle.go
+++ b/internal/lab/soak/oracle.go
@@ -124,7 +124,7 @@
 	defer o.mu.Unlock()
 	o.started[conn] = startedAttempt{requestID: id}
 	r := o.request(id)
-	r.addTrace(o.epoch, at, "begun to %s:%d", conn.Server, conn.Port)
+	r.addTrace(o.epoch, at, "attempt started to %s:%d", conn.Server, conn.Port)
 	if r.clientCanceled == 0 {
 		return
 	}
@@ -172,7 +172,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	r := o.request(id)
-	r.addTrace(o.epoch, at, "arrived at %s:%d", conn.Server, conn.Port)
+	r.addTrace(o.epoch, at, "attempt received by %s:%d", conn.Server, conn.Port)
 	o.checkHeldStates(at, id, "an attempt")
 	received := &attempt{isPrefill: isPrefill}
 	if s := o.started[conn]; s.requestID == id { // the dispatcher may already have closed the connection
@@ -191,7 +191,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	r := o.request(id)
-	r.addTrace(o.epoch, at, "read at %s:%d", conn.Server, conn.Port)
+	r.addTrace(o.epoch, at, "prefill finished at %s:%d", conn.Server, conn.Port)
 	o.PrefillsCompleted++
 	r.heldStates[conn.Server] = at
 	r.finish(at, conn)
--- a/internal/lab/soak/reports.go
+++ b/internal/lab/soak/reports.go
@@ -79,7 +79,7 @@
 	case reportReleaseReceived:
 		r.Status = f.ReleaseStatus(r.ID, server)
 		if r.Status != 0 {
-			f.Oracle.Note(r.At, r.ID, fmt.Sprintf("release refused by %s: %d", server, r.Status))
+			f.Oracle.Note(r.At, r.ID, fmt.Sprintf("release rejected by %s: %d", server, r.Status))
 			return
 		}
 		f.Oracle.ReleaseReceived(r.At, r.ID, server)
