--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -147,7 +147,7 @@
 func (d *decoder) decodeList(v hujson.Value, target reflect.Value, path string) {
 	list, ok := v.Value.(*hujson.Array)
 	if !ok {
-		d.addError(path, "want a list, not %s", describe(v))
+		d.addError(path, "must be a list, not %s", describe(v))
 		return
 	}
 	for i, element := range list.Elements {
@@ -159,7 +159,7 @@
 func (d *decoder) decodeObject(v hujson.Value, target reflect.Value, path string) {
 	object, ok := v.Value.(*hujson.Object)
 	if !ok {
-		d.addError(path, "want an object, not %s", describe(v))
+		d.addError(path, "must be an object, not %s", describe(v))
 		return
 	}
 	fields := fieldsOf(target.Type())
@@ -176,7 +176,7 @@
 		index, ok := fields.index[name]
 		switch {
 		case !ok:
-			d.addError(memberPath, "no such field, must be one of %s", strings.Join(fields.names, ", "))
+			d.addError(memberPath, "unknown field, must be one of %s", strings.Join(fields.names, ", "))
 		case seen[name]:
 			d.addError(memberPath, "is set twice")
 		default:
--- a/internal/config/literal.go
+++ b/internal/config/literal.go
@@ -22,7 +22,7 @@
 func (d *decoder) textLiteral(v hujson.Value, path string) (string, bool) {
 	literal, ok := v.Value.(hujson.Literal)
 	if !ok || literal.Kind() != textKind {
-		d.addError(path, "want a text, not %s", describe(v))
+		d.addError(path, "must be a string, not %s", describe(v))
 		return "", false
 	}
 	return literal.String(), true
@@ -33,7 +33,7 @@
 func (d *decoder) numberLiteral(v hujson.Value, path, expected string) (string, bool) {
 	literal, ok := v.Value.(hujson.Literal)
 	if !ok || literal.Kind() != numberKind {
-		d.addError(path, "want %s, not %s", expected, describe(v))
+		d.addError(path, "must be %s, not %s", expected, describe(v))
 		return "", false
 	}
 	return string(literal), true
@@ -71,14 +71,14 @@
 func (d *decoder) decodeBool(v hujson.Value, target reflect.Value, path string) {
 	literal, ok := v.Value.(hujson.Literal)
 	if !ok || literal.Kind() != trueKind && literal.Kind() != falseKind {
-		d.addError(path, "want true or false, not %s", describe(v))
+		d.addError(path, "must be true or false, not %s", describe(v))
 		return
 	}
 	target.SetBool(literal.Bool())
 }
 
 func (d *decoder) decodeInteger(v hujson.Value, target reflect.Value, path string) {
-	const expected = "a whole number"
+	const expected = "an integer"
 	text, ok := d.numberLiteral(v, path, expected)
 	if !ok {
 		return
@@ -87,7 +87,7 @@
 	unsigned := target.Kind() == reflect.Uint64
 	switch {
 	case err != nil || unsigned && value < 0 || target.CanInt() && target.OverflowInt(value):
-		d.addError(path, "want %s, not %s", expected, text)
+		d.addError(path, "must be %s, not %s", expected, text)
 	case unsigned:
 		target.SetUint(uint64(value))
 	default:
@@ -103,7 +103,7 @@
 	}
 	value, err := strconv.ParseFloat(text, 64)
 	if err != nil || math.IsInf(value, 0) {
-		d.addError(path, "want %s, not %s", expected, text)
+		d.addError(path, "must be %s, not %s", expected, text)
 	}
 	target.SetFloat(value)
 }
