--- a/internal/decide/clientconn/clientconn.go
+++ b/internal/decide/clientconn/clientconn.go
@@ -44,7 +44,8 @@
 // UnreadRecheckDelay is the delay before a connection with unread input is checked again after its deadline.
 const UnreadRecheckDelay = second / 100
 
-// StateDeadline returns when a connection that entered the state at since is closed, or 0 if it may stay.
+// StateDeadline returns when the time in a state ends for a connection that entered it at since, or 0 if it is not
+// limited. For the first request of a connection, since must be the time of connecting.
 func StateDeadline(state ConnState, since int64) int64 {
 	switch state {
 	case StateNew:
--- a/internal/decide/keepalive/throttle.go
+++ b/internal/decide/keepalive/throttle.go
@@ -1,8 +1,9 @@
 package keepalive
 
 // RestartThrottle limits the outstanding attempts to an engine that may have restarted, and so may be slow, until the
-// endpoint list shows whether it has. It is used when a connection to the engine is lost, or established while there is
-// no list. The limit starts at one and rises by one with each answer. The zero value imposes no limit.
+// endpoint list shows whether it has. It starts when the first connection to the engine is established after the last
+// one was lost, or while no watch on the endpoint list is established. The limit starts at one and rises by one with
+// each answer. The zero value imposes no limit.
 type RestartThrottle struct {
 	maxOutstanding int // 0 = no limit
 }
