--- a/internal/backend/grpc/watch.go
+++ b/internal/backend/grpc/watch.go
@@ -102,7 +102,7 @@
 func (w *endpointWatcher) HeadersReceived(*h2.Stream, *h2.Header) {}
 
 // MessageReceived implements h2.Handler. It applies an update of the list. After an invalid one it closes the
-// connection: the next watch begins with the whole list.
+// connection: the next watch begins with the full list.
 func (w *endpointWatcher) MessageReceived(_ *h2.Stream, p []byte) bool {
 	w.pingsWithoutData = 0
 	var update pb.FleetNews
--- a/internal/backend/platform/backend.go
+++ b/internal/backend/platform/backend.go
@@ -103,7 +103,7 @@
 func (b *Backend) WatchEndpoints(now eventloop.Nanos) { b.discovery.openWatch(now) }
 
 // SetDiscoveryAddr changes the address of discovery. The current watch ends when the one at the new address is
-// established. Versions of lists are specific to a discovery service, so the new one is asked for a complete list.
+// established. Versions of lists are specific to a discovery service, so the new one is asked for a full list.
 func (b *Backend) SetDiscoveryAddr(now eventloop.Nanos, addr netip.AddrPort) {
 	b.discovery.setAddr(now, addr)
 }
--- a/internal/backend/platform/conn.go
+++ b/internal/backend/platform/conn.go
@@ -61,7 +61,7 @@
 }
 
 // handleTimer closes the connection if it is idle. If it carries an unacknowledged attempt that needs held state, the
-// state is released: an attempt that was not written yet ends, one that may be on its way to the server continues.
+// attempt ends if it was not written yet; else it may be on its way to the server, so the state is released meanwhile.
 func (c *conn) handleTimer(now eventloop.Nanos) {
 	req := c.exchange.request
 	switch {
--- a/internal/backend/platform/discovery.go
+++ b/internal/backend/platform/discovery.go
@@ -8,7 +8,7 @@
 	"docksail/internal/h1"
 )
 
-// noVersion is the version before discovery has sent a list. The watch asks for a complete list then.
+// noVersion is the version before discovery has sent a list. The watch asks for a full list then.
 const noVersion = -1
 
 // discovery keeps a watch on the endpoint list open. While the address changes there are two watches: the current one,
@@ -82,7 +82,7 @@
 	d.backend.log.Info("discovery watch established", "address", w.addr)
 }
 
-// applyList applies a complete list or a change that a watch has delivered. A change is ignored if its version is older
+// applyList applies a full list or a change that a watch has delivered. A change is ignored if its version is older
 // than the latest. Lists from a former address, whose watch is still current, are applied regardless of their version.
 func (d *discovery) applyList(now eventloop.Nanos, w *watch, list EndpointList) {
 	if w.addr == d.addr {
--- a/internal/backend/platform/exchange.go
+++ b/internal/backend/platform/exchange.go
@@ -151,7 +151,7 @@
 	connNotReusable           // more input or the end of input followed the response
 )
 
-// reuseAfter returns whether a connection is reusable when so many bytes of input follow a complete response.
+// reuseAfter returns whether a connection is reusable when remaining bytes of input follow a complete response.
 func reuseAfter(remaining int) connReuse {
 	if remaining > 0 {
 		return connNotReusable
--- a/internal/backend/platform/releasetracker.go
+++ b/internal/backend/platform/releasetracker.go
@@ -68,8 +68,8 @@
 	tracker.schedule(now)
 }
 
-// releasePending reports whether a release is due or in flight. It would also release the state of a prefill attempt
-// that reached its server earlier.
+// releasePending reports whether a release is due or in flight. A prefill attempt must not be sent before that release:
+// the release would drop the attempt's state if it reached the server later.
 func (t *releaseTracker) releasePending() bool {
 	return t.decisions.ReleasePending() || len(t.pending) > 0
 }
--- a/internal/backend/platform/response.go
+++ b/internal/backend/platform/response.go
@@ -13,7 +13,7 @@
 const (
 	maxHeadBytes        = 16 << 10 // of the head of a response
 	maxChunkBytes       = 64 << 10 // of one chunk of a stream, or of its start up to the first event
-	maxPrefillBodyBytes = 256      // of the response to a prefill attempt
+	maxPrefillBodyBytes = 256      // of the body of the response to a prefill attempt that are kept
 )
 
 // response is the part of the response to an exchange that has been received.
--- a/internal/backend/platform/server.go
+++ b/internal/backend/platform/server.go
@@ -96,7 +96,7 @@
 	}
 }
 
-// dropLingering closes the lingering connections to a server that is gone.
+// dropLingering closes the lingering connections to a server that is gone. KV state that it held is gone too.
 func (s *server) dropLingering(now eventloop.Nanos) {
 	for _, c := range slices.Clone(s.conns) {
 		if c.lingerTracker != nil {
--- a/internal/dispatch/answers.go
+++ b/internal/dispatch/answers.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// reject answers a request that was not run, so that its client may retry it.
+// reject answers a request that its client may safely retry: no server has run it, or running it again does no harm.
 func (d *Dispatcher) reject(req *Request, rejection frontend.RejectionError) {
 	if d.markAnswered(req) {
 		req.response.Reject(req.ID, rejection)
@@ -134,5 +134,6 @@
 	}
 }
 
-// deadlineExceededReason is the reason that clients receive if a request is not answered before its deadline.
+// deadlineExceededReason is the reason that clients receive if the module fails a request, or does not decide it before
+// its deadline.
 const deadlineExceededReason = "its time is up"
--- a/internal/dispatch/attempts.go
+++ b/internal/dispatch/attempts.go
@@ -10,7 +10,7 @@
 func (d *Dispatcher) FindRequest(id policy.RequestID) *Request { return d.requests.Find(id) }
 
 // SetAttemptTimer sets the time at which the outstanding attempt of a request times out unless its answer has begun. A
-// backend may change the time while the attempt waits for a connection.
+// backend may change the time while the attempt waits to be sent.
 func (d *Dispatcher) SetAttemptTimer(req *Request, at eventloop.Nanos) {
 	d.loop.SetTimer(&req.attemptTimer, at, req.onAttemptTimer)
 }
@@ -94,7 +94,7 @@
 	d.Counts.TimedOut++
 	outcome := policy.TimedOut
 	switch req.attempt.DeliveryState() {
-	case inflight.Planned: // no connection was assigned to it
+	case inflight.Planned: // it waited for a throttle or a release
 		outcome = policy.NotSent
 	case inflight.Connecting:
 		outcome = policy.Unreachable
--- a/internal/dispatch/backend.go
+++ b/internal/dispatch/backend.go
@@ -17,9 +17,11 @@
 	Flush()
 	// ConnCount returns the number of open connections.
 	ConnCount() int
-	// IsIdle reports whether no connection has a request in progress or output to be written.
+	// IsIdle reports whether a draining frontend has finished: at least, no connection has a request in progress or
+	// output to be written.
 	IsIdle() bool
-	// Drain begins to close the connections of clients and stops accepting new ones.
+	// Drain begins to close the listener and the connections of clients. Until they are closed, the frontend may still
+	// submit requests.
 	Drain()
 }
 
@@ -80,7 +82,7 @@
 	d.intake.EndpointListKnown = d.intake.EndpointListKnown || hasServers
 }
 
-// EndpointListFailed reports to the module that the endpoint list could not be fetched.
+// EndpointListFailed reports to the module that the endpoint list could not be fetched, or that the watch on it ended.
 func (d *Dispatcher) EndpointListFailed(now eventloop.Nanos) {
 	d.module.ListUpdateFailed(d.ModuleTime(now))
 }
--- a/internal/dispatch/queuedadmission.go
+++ b/internal/dispatch/queuedadmission.go
@@ -224,7 +224,8 @@
 	d.removeIfDone(req)
 }
 
-// rejection returns the error that tells a client when to retry, with a signed ticket if a place was reserved.
+// rejection returns the error that tells a client when to retry. It has a signed ticket if a place was reserved, unless
+// maxRetryAfter makes the client retry before the reserved time.
 func (a *queuedAdmission) rejection(reason string, tenantLimit bool, advice admission.RetryAdvice,
 ) frontend.RejectionError {
 	rejection := frontend.RejectionError{
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -60,11 +60,11 @@
 	callDeadline    eventloop.Nanos // end of the call that the client set; 0 = none
 	firstTokenAt    eventloop.Nanos // 0 = the answer has not begun
 	lastTokenAt     eventloop.Nanos
-	uncreditedBytes int // bytes of the answer that wait for the client, for which the server gets no credit until then
+	uncreditedBytes int // bytes of the answer that wait for the client; the server gets credit once they are sent
 	relayedMessages int64
 }
 
-// admissionState describes the request to the module and to the admission queue, and its state in the queue.
+// admissionState holds the module's and the admission queue's descriptions of the request, and its state in the queue.
 type admissionState struct {
 	policyRequest policy.Request
 	queueRequest  admission.Request
--- a/internal/grpcnode/build.go
+++ b/internal/grpcnode/build.go
@@ -1,5 +1,5 @@
-// Package grpcnode assembles a dispatcher whose clients and engines speak gRPC from its settings: decision module,
-// package dispatch, frontend and backend. Package node does the same for the platform's protocol.
+// Package grpcnode runs a dispatcher whose clients and engines speak gRPC: it connects the decision module, the
+// frontend and the backend as the settings describe. Package node does the same for the platform's protocol.
 package grpcnode
 
 import (
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -110,7 +110,7 @@
 	}
 	parsed, err := netip.ParseAddrPort(getenv(variable))
 	if err != nil {
-		return fmt.Errorf("address is missing in the file and invalid in %s: %w", variable, err)
+		return fmt.Errorf("address is missing in the file, and missing or invalid in %s: %w", variable, err)
 	}
 	*addr = parsed
 	return nil
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -31,9 +31,8 @@
 	watch.waitForClose() // the dispatcher has ended
 }
 
-// TestDrainWithStreams checks that a stream that began before the drain is relayed completely before its connection is
-// closed, and that a request received late in the drain is rejected at once, as the process may be killed before a
-// response.
+// TestDrainWithStreams checks that a stream that began before the drain is relayed completely, and that a request
+// received late in the drain is rejected at once, as the process may be killed before a response.
 func TestDrainWithStreams(t *testing.T) {
 	h := newHarness(t, simulated)
 	prefill, decode := h.addServer("r1", "prefill"), h.addServer("w1", "decode")
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -131,8 +131,8 @@
 	n.loop.Post(func() { n.backend.SetDiscoveryAddr(n.loop.Now(), config.Discovery) })
 }
 
-// Drain starts a graceful shutdown: new clients are refused, and the loop ends when no client is connected and no
-// request or release is in progress.
+// Drain starts a graceful shutdown: the listener closes after a short time, later requests are rejected, and the loop
+// ends when no client is connected and no request or release is in progress.
 func (n *Node) Drain() { n.loop.Post(func() { n.dispatcher.DrainWithoutDeadline(n.loop.Stop) }) }
 
 // Done returns a channel that is closed when the loop has ended.
--- a/internal/node/outcome_test.go
+++ b/internal/node/outcome_test.go
@@ -10,9 +10,8 @@
 
 // Tests of valid, invalid and missing responses of servers, and of the outcomes of attempts.
 
-// TestInvalidStreams checks that an attempt whose stream is invalid before its first event is retried, and that the
-// client's connection is closed without the last chunk if the stream is invalid later. A stream with extra bytes is
-// served, and its connection not reused.
+// TestInvalidStreams checks that an attempt is retried if its stream is invalid before the first event, that the
+// client's response is cut off if it is invalid later, and that extra bytes affect neither it nor later responses.
 func TestInvalidStreams(t *testing.T) {
 	const last = "0\r\n\r\n"
 	complete := streamHead + chunk(event1) + chunk(event2)
@@ -104,8 +103,7 @@
 }
 
 // TestIdleConnsThatDied checks that a server is not avoided because attempts are lost on its stale connections: a
-// session stays at its prefill server. A connection counts as stale if it is lost within a fiftieth of the connect
-// timeout, which is long here so that a slow machine does not matter.
+// session stays at its prefill server.
 func TestIdleConnsThatDied(t *testing.T) {
 	onEachNetwork(t, func(h *harness) {
 		closeOnSecondRequest := func(text string) func(*scriptedRequest) {
@@ -147,6 +145,8 @@
 		if usedServers != 1 {
 			h.t.Errorf("the session was sent to %d prefill servers, want one", usedServers)
 		}
+		// A connection counts as stale if it is lost within a fiftieth of the connect timeout, which is long here so
+		// that a slow machine does not matter.
 	}, `"connect_timeout_ns":250000000`, `"connect_timeout_ns":10000000000`)
 }
 
