--- a/cmd/docksail/heldstate_test.go
+++ b/cmd/docksail/heldstate_test.go
@@ -105,7 +105,7 @@
 	}
 }
 
-// planAttempts makes the servers execute each attempt as planned. The plan is given whether it is a prefill attempt.
+// planAttempts makes the servers execute attempts as plan says for prefill and for decode attempts.
 func (h *heldStateTest) planAttempts(plan func(prefill bool) soak.AttemptPlan) {
 	h.fleet.AttemptPlan = func(_ string, prefill bool, _ string) soak.AttemptPlan { return plan(prefill) }
 }
--- a/cmd/docksail/node.go
+++ b/cmd/docksail/node.go
@@ -25,8 +25,9 @@
 		Short: "Run a dispatcher in service on the platform",
 		Long: `Run a dispatcher in service on the platform, with the configuration in the file that RELAY_CONFIG names.
 
-SIGTERM and SIGINT drain the dispatcher: it refuses new clients and exits when the last connection has closed. SIGHUP
-reads the file again and applies its address of discovery.`,
+SIGTERM and SIGINT drain the dispatcher: it tells clients to close their connections, stops accepting new ones after a
+while and exits when no client is connected and no request or release is in progress. SIGHUP reads the file again and
+applies its address of discovery.`,
 		Args: cobra.NoArgs,
 	}
 	level, countsInterval := addLogLevelFlag(c, slog.LevelInfo), addCountsIntervalFlag(c)
--- a/internal/batchrunner/runner.go
+++ b/internal/batchrunner/runner.go
@@ -261,7 +261,8 @@
 	a.cancel()
 }
 
-// Forecast returns the estimated end of a batch at its current rate, and false if the rate is not known.
+// Forecast returns the estimated end of a batch at its current rate, and false if the batch is not active or its rate
+// is not known.
 func (r *Runner) Forecast(batchID string) (time.Time, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/batchrunner/send.go
+++ b/internal/batchrunner/send.go
@@ -47,7 +47,7 @@
 		return
 	}
 	class := r.config.Classes[request.Body.Model]
-	if class.Idempotency != batchscheduler.Idempotent { // records that the line may have run, for a resume
+	if class.Idempotency != batchscheduler.Idempotent { // a later resume must know that the line may have run
 		if err := r.store.SetLineState(a.record.ID, index, batchscheduler.LineInFlight); err != nil {
 			r.log.Error("line not sent", "batch_id", a.record.ID, "line", index+1, "error", err)
 			r.handleResult(a, index, line, attemptResult{
--- a/internal/frontend/batch/server.go
+++ b/internal/frontend/batch/server.go
@@ -24,7 +24,7 @@
 	shutdownTimeout = time.Second
 )
 
-// Limits holds the limits of a call.
+// Limits bounds the size of an upload, the completion window of a batch and the size of a call's headers.
 type Limits struct {
 	MaxFileBytes        int64
 	MaxCompletionWindow time.Duration
--- a/internal/frontend/batch/server_test.go
+++ b/internal/frontend/batch/server_test.go
@@ -20,8 +20,8 @@
 	"docksail/internal/state/batchstore"
 )
 
-// responsesFile has the API's responses as of commit 61b72d4, with new IDs and times replaced by normalize.
-// TestResponses rewrites the file if DOCKSAIL_WRITE_RESPONSES is set.
+// responsesFile has the API's responses as of commit 61b72d4 except for the texts of error messages, with new IDs and
+// times replaced by normalize. TestResponses rewrites the file if DOCKSAIL_WRITE_RESPONSES is set.
 const responsesFile = "testdata/responses-61b72d4.txt"
 
 // storeDir is a store's directory with batches in several states.
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -51,8 +51,8 @@
 
 func (e RejectionError) Error() string { return e.Reason }
 
-// Request is a decoded request. Its slices point into the message that it was decoded from. A nil slice or a zero
-// means that the message does not set the field.
+// Request is a decoded request. Its slices belong to the frontend, which may reuse them after Dispatcher.Submit. An
+// empty slice or a zero means that the client does not set the field.
 type Request struct {
 	Raw             []byte // the message, which is forwarded to servers unchanged
 	ClientRequestID []byte // the client's ID of the request, forwarded to servers
--- a/internal/frontend/grpc/call.go
+++ b/internal/frontend/grpc/call.go
@@ -190,7 +190,7 @@
 	}
 }
 
-// StreamFinished implements h2.Handler. It is called on client connections only.
+// StreamFinished implements h2.Handler. It is not called on a server's connections.
 func (c *conn) StreamFinished(*h2.Stream, codes.Code, string, *h2.Header) {}
 
 // GoAwayReceived implements h2.Handler. A server opens no streams.
--- a/internal/frontend/platform/golden_test.go
+++ b/internal/frontend/platform/golden_test.go
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// formatRequest returns a request as text. It rounds timeouts up to 5 s, which depend on when the bytes arrived.
+// formatRequest returns a request as text. A timeout of 4 s to 5 s becomes 5 s, as it depends on when bytes arrived.
 func formatRequest(r *frontend.Request) string {
 	timeout := fmt.Sprint(r.FirstTokenTimeout)
 	if r.FirstTokenTimeout > 4e9 && r.FirstTokenTimeout <= 5e9 {
--- a/internal/frontend/platform/server.go
+++ b/internal/frontend/platform/server.go
@@ -29,7 +29,7 @@
 
 // Counts counts events since the start.
 type Counts struct {
-	Requests               uint64 // complete and valid requests
+	Requests               uint64 // complete requests with a valid head and body, without DuplicateIDs
 	InvalidRequests        uint64 // requests with an error of the client, and those beyond Limits.PartialRequestBytes
 	DuplicateIDs           uint64 // requests with the ID of one in flight
 	ConnectionLimitHits    uint64 // new connections beyond Limits.Connections
--- a/internal/simulatorwire/adapter_test.go
+++ b/internal/simulatorwire/adapter_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// TestInvalidInput checks that each error names the line and the field, and that no decisions follow it.
+// TestInvalidInput checks the error for each invalid input, and that the instance has written no decision but a timer.
 func TestInvalidInput(t *testing.T) {
 	for input, want := range map[string]string{
 		"HELLO\n":                         `line 1: a batch must start with SYNC, not "HELLO"`,
--- a/internal/state/batchstore/batches.go
+++ b/internal/state/batchstore/batches.go
@@ -76,7 +76,9 @@
 }
 
 // TransitionBatch moves a batch to a state and applies update to it in the same transaction; update gets the batch in
-// the new state. The error wraps ErrInvalidState if the transition is not allowed; keeping the current state is.
+// the new state. The error wraps ErrInvalidState if the transition is not allowed; a transition to the current state is
+// always allowed. A terminal state also removes the batch's lines and results, and a deleted input file that no
+// other unfinished batch reads.
 func (s *Store) TransitionBatch(id string, to batchscheduler.BatchState, update func(b *Batch)) (b Batch, err error) {
 	err = s.records.Update(func(tx *recordstore.Tx) error {
 		if err := getJSON(tx, batchesSet, id, &b); err != nil {
--- a/internal/state/batchstore/content.go
+++ b/internal/state/batchstore/content.go
@@ -100,7 +100,7 @@
 	return w.store.atFailpoint(afterContentInPlace)
 }
 
-// moveInPlace syncs the temporary file and renames it to the path of the content.
+// moveInPlace syncs the temporary file, renames it to the path of the content and syncs the directory.
 func (w *contentWriter) moveInPlace(fileID string) error {
 	if err := w.buffer.Flush(); err != nil {
 		return err
--- a/internal/state/batchstore/files.go
+++ b/internal/state/batchstore/files.go
@@ -28,7 +28,8 @@
 }
 
 // UploadFile stores the content of r as a new file. Its error wraps ErrFileTooLarge if the content is larger than
-// maxBytes and ErrQuotaExceeded if it exceeds the tenant's quota. Open removes the remains of a failed upload, if any.
+// maxBytes and ErrQuotaExceeded if it exceeds the tenant's quota. A failed upload leaves no record; the next Open
+// removes content that it may have left.
 func (s *Store) UploadFile(now time.Time, tenant, name, purpose string, r io.Reader, maxBytes int64) (File, error) {
 	w, err := s.newContentWriter(tenant, maxBytes)
 	if err != nil {
--- a/internal/state/batchstore/results.go
+++ b/internal/state/batchstore/results.go
@@ -90,7 +90,7 @@
 		b.FailedLines++
 	}
 	line, err := getLine(tx, batchID, index)
-	if err == nil { // without a readable line record, only the result is stored
+	if err == nil { // a missing or corrupt line record does not prevent the result
 		line.State = state
 		if err := putLine(tx, batchID, index, line); err != nil {
 			return err
