--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -135,7 +135,7 @@
 }
 
 // NotifyHalfCloseWhilePaused makes the loop call PeerHalfClosed even while reading is paused. The input that precedes
-// the half-close is then not read.
+// the half-close is then not read: it is of no use once the client has left. Simulated connections are reset instead.
 func (c *Conn) NotifyHalfCloseWhilePaused() { c.notifyHalfCloseWhilePaused = true }
 
 // SetReadPaused pauses or resumes reading from the peer.
--- a/internal/eventloop/simulated_conn.go
+++ b/internal/eventloop/simulated_conn.go
@@ -102,8 +102,8 @@
 	c.deliver(p)
 }
 
-// handlePeerClosed notifies the handler that the peer has closed its sending side, or resets a connection that has
-// unread input.
+// handlePeerClosed notifies the handler that the peer has closed its sending side, or resets a connection whose reading
+// is paused or that has unread input.
 func (c *Conn) handlePeerClosed() {
 	if c.fd < 0 || !c.readOpen {
 		return
--- a/internal/eventloop/simulated_network.go
+++ b/internal/eventloop/simulated_network.go
@@ -98,7 +98,7 @@
 	l.finishIteration()
 }
 
-// SetPartitioned starts or ends a network partition between two loops. Everything that is sent between them during the
+// SetPartitioned starts or ends a network partition between two loops. Everything that would arrive during the
 // partition, in either direction, arrives when the partition ends.
 func (sn *SimulatedNetwork) SetPartitioned(a, b *Loop, partitioned bool) {
 	pair := newLoopPair(a.sim.id, b.sim.id)
--- a/internal/h2/limits.go
+++ b/internal/h2/limits.go
@@ -10,7 +10,7 @@
 }
 
 // DefaultLimits are the limits of a connection for which none are configured. A stream's window holds a few thousand
-// tokens, and a message holds a prompt of up to 4 MiB.
+// tokens, and a message holds a prompt of some megabytes.
 var DefaultLimits = Limits{
 	MaxStreams:         10000,
 	StreamWindow:       64 << 10,
--- a/internal/h2/send.go
+++ b/internal/h2/send.go
@@ -170,8 +170,8 @@
 	}
 }
 
-// enqueue adds a stream to the sendQueue. A stream whose own window is exhausted is enqueued by the next window update
-// instead.
+// enqueue adds a stream to the sendQueue. A stream whose own window is exhausted is enqueued once the peer raises the
+// window.
 func (c *Conn) enqueue(s *Stream) {
 	if !s.queued && (s.sendWindow > 0 || len(s.pendingOutput) == 0) {
 		s.queued = true
--- a/internal/lab/engine/batchmodel/memory.go
+++ b/internal/lab/engine/batchmodel/memory.go
@@ -37,7 +37,7 @@
 	free        []int32 // indexes of blocks without references and without content
 	byHash      map[BlockHash]int32
 	unused      indexedheap.Heap[*block] // cached blocks without references; the least recently used one is the minimum
-	clock       uint64                   // number of releases so far; orders blocks by their release
+	clock       uint64                   // number of times a block became unused; orders the unused blocks
 	Evictions   uint64
 }
 
--- a/internal/lab/engine/batchmodel/server.go
+++ b/internal/lab/engine/batchmodel/server.go
@@ -77,7 +77,7 @@
 	Work
 	phase         phase
 	blocks        []int32
-	stateTokens   int // tokens of prompt and answer whose KV state is in memory
+	stateTokens   int // tokens that were cached, prefilled or fetched; excludes those decoded since
 	cachedTokens  int // part of stateTokens that was cached when the task got its slot
 	decodedTokens int
 	sequence      uint64 // order of arrival
--- a/internal/lab/eventlog/eventlog.go
+++ b/internal/lab/eventlog/eventlog.go
@@ -75,10 +75,10 @@
 type Entry struct {
 	At            int64  `json:"at"`
 	Kind          Kind   `json:"kind"`
-	Request       string `json:"job,omitempty"` // the dispatcher's name for the request
+	Request       string `json:"job,omitempty"` // the dispatcher's identifier of the request
 	Attempt       int    `json:"shot,omitempty"`
 	Server        int    `json:"host,omitempty"`
-	RequestLabel  string `json:"label,omitempty"` // the client's name for the request
+	RequestLabel  string `json:"label,omitempty"` // the client's identifier of the request
 	ClientAttempt int    `json:"try,omitempty"`   // number of the client's attempt, from 0
 	Class         string `json:"track,omitempty"`
 	Tenant        string `json:"tenant,omitempty"`
--- a/internal/lab/experiment/golden_test.go
+++ b/internal/lab/experiment/golden_test.go
@@ -35,9 +35,8 @@
 	Entries string `json:"entries"`          // digest of the file that `docksail lab sim --entries` writes
 }
 
-// TestGoldenRuns runs scenarios in simulated time and compares their output with recorded digests. A refactoring must
-// not change any digest. An intended change of behavior records new ones with -update, and its commit gives the
-// reason. The digests are valid on amd64, where Go does not fuse floating-point operations.
+// TestGoldenRuns compares simulated runs with digests recorded on amd64, where Go fuses no floating-point operations.
+// Only an intended change of behavior may record new digests, with -update, and its commit must give the reason.
 func TestGoldenRuns(t *testing.T) {
 	text, err := os.ReadFile(goldenFile)
 	if err != nil {
--- a/internal/lab/faultproxy/conn.go
+++ b/internal/lab/faultproxy/conn.go
@@ -80,7 +80,7 @@
 }
 
 // waitForBlackhole waits for the end of a blackhole if the server has closed its connection, so that the dispatcher
-// does not notice before.
+// does not see the close during the blackhole.
 func (c *proxyConn) waitForBlackhole(from *net.TCPConn) {
 	if from == c.client {
 		return
--- a/internal/lab/invariants/invariants.go
+++ b/internal/lab/invariants/invariants.go
@@ -48,7 +48,7 @@
 type Limits struct {
 	Classes     map[string]Class
 	Servers     map[int]Server
-	ReleaseTime time.Duration // within which a KV state must be released without an attempt
+	ReleaseTime time.Duration // limit of the time for which a KV state is held without an attempt in flight
 	DrainGrace  time.Duration // from the notification that a server drains to the last permitted attempt
 	Tolerance   time.Duration // for events that cross on the wire, and for delays on a busy machine
 }
--- a/internal/lab/invariants/requests.go
+++ b/internal/lab/invariants/requests.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// checkAnswer checks the status of an answer, and that a rejection was sent before the deadline.
+// checkAnswer checks the status of an answer, and that a rejection reached the client before the deadline.
 func (c *checker) checkAnswer(key string, answer eventlog.Entry) {
 	if answer.Code == codeOK || answer.Code == codeAborted {
 		return
--- a/internal/lab/scenario/configs.go
+++ b/internal/lab/scenario/configs.go
@@ -14,8 +14,8 @@
 // Defaults for values of servers that a script omits.
 const (
 	defaultMemoryTokens = 200000
-	defaultTransferRate = 300000 // tokens of KV state a second
-	defaultPrefillRate  = 5000   // prompt tokens a second
+	defaultTransferRate = 300000 // tokens of KV state per second
+	defaultPrefillRate  = 5000   // prompt tokens per second
 )
 
 // EngineSpecs returns the specifications of all servers, numbered from 1.
--- a/internal/lab/scenario/faults.go
+++ b/internal/lab/scenario/faults.go
@@ -47,7 +47,7 @@
 	FaultErrors:            "servers fail a share of the requests at once (factor, 0 to 1)",
 	FaultSlow:              "servers take factor times as long",
 	FaultVanish:            "servers become unreachable without a reset, and restart at its end",
-	FaultAging:             "servers get slower step by step until they crash, and restart after it",
+	FaultAging:             "servers get slower step by step, crash at its end, and restart after another tenth of it",
 	FaultSilentClass:       "servers leave the requests of one class unanswered",
 	FaultSlowLinks:         "transfers of KV states from the servers take factor times as long",
 	FaultLateReports:       "load reports are delayed by its duration",
@@ -219,7 +219,7 @@
 }
 
 // PromptFactors returns a function that must be called once for each session, in the order in which they start. The
-// function returns the factor by which the prompts of the session are longer.
+// function returns the factor by which the prompt lengths of the session are multiplied.
 func (s *Script) PromptFactors() func(at time.Duration) int {
 	sessions := 0
 	return func(at time.Duration) int {
--- a/internal/lab/scenario/import.go
+++ b/internal/lab/scenario/import.go
@@ -56,7 +56,7 @@
 	representative map[int]int // by index in the day: number in the script of the server that represents it
 	serverCount    int
 	shareSum       float64 // of the classes
-	prefillRate    float64 // sum over the prefill servers, in requests a second
+	prefillRate    float64 // sum over the prefill servers, in requests per second
 }
 
 // Import converts a day of the bench into a script, scaled down to about the given number of servers and at most the
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -52,10 +52,10 @@
 	Slots             int      `json:"slots" need:"requests at once"`
 	QueueLength       int      `json:"queue"`
 	MemoryTokens      int64    `json:"memory_tokens"`
-	PrefillRate       float64  `json:"reads_per_second"` // prompt tokens a second
+	PrefillRate       float64  `json:"reads_per_second"` // prompt tokens per second
 	TokenGap          Duration `json:"token_gap"`
 	RequestsPerSecond float64  `json:"requests_per_second" was:"jobs_per_second" need:"what one can do after slow start"`
-	TransferRate      float64  `json:"moves_per_second"` // tokens of KV state a second
+	TransferRate      float64  `json:"moves_per_second"` // tokens of KV state per second
 }
 
 // Dispatcher describes one or several dispatchers of a zone.
--- a/internal/lab/simulation/run.go
+++ b/internal/lab/simulation/run.go
@@ -12,8 +12,8 @@
 const (
 	runStep = int64(time.Second) // simulated time between checks for the end or the cancellation of a run
 
-	// maxDrainTime is the longest time from the end of the load to the end of a run. A client that waits for longer
-	// violates an invariant.
+	// maxDrainTime is the longest wait for open sessions after the end of the load and of all faults. A client that
+	// waits for longer violates an invariant.
 	maxDrainTime = int64(10 * time.Minute)
 )
 
--- a/internal/lab/simulation/session.go
+++ b/internal/lab/simulation/session.go
@@ -15,7 +15,7 @@
 const (
 	reconnectDelay     = int64(50 * time.Millisecond)  // before a retry at another dispatcher after a connection loss
 	decodeTimePerToken = int64(200 * time.Millisecond) // per token, in the timeout of a call
-	retryJitter        = 0.2                           // maximum share by which the delay of a retry is extended
+	retryJitter        = 0.2                           // maximum jitter of a retry without a reservation, as a fraction
 )
 
 // session is one conversation of a client, with one request at a time. The prompt of each turn includes all previous
@@ -24,7 +24,7 @@
 	group        *clientGroup
 	index        int
 	random       *rand.Rand
-	promptFactor int // factor of the length of prompts
+	promptFactor int // factor for the prompt length
 	turn         int
 	turnCount    int
 	promptTokens int
--- a/internal/lab/userclient/attempt.go
+++ b/internal/lab/userclient/attempt.go
@@ -49,13 +49,13 @@
 	return o.answered && (o.code == codes.Unavailable || o.code == codes.ResourceExhausted)
 }
 
-// attempt is one attempt to send a request.
+// attempt is one attempt of a client to get an answer to a request.
 type attempt struct {
 	*request
 	number            int
 	timeout           time.Duration // limit of the time to the first token
 	sentAt            time.Time
-	requestName       string // the dispatcher's name for the request; empty until it is known
+	requestName       string // the dispatcher's identifier of the request; empty until it is known
 	cancel            context.CancelFunc
 	canceled          atomic.Bool
 	cancelAfterTokens int // 0: never
--- a/internal/lab/userclient/userclient.go
+++ b/internal/lab/userclient/userclient.go
@@ -33,7 +33,7 @@
 	MaxIdleTime                       time.Duration // maximum time between two turns
 	ClientCount                       int           // number of client names; 0: requests have no client name
 	IgnoresRetryAfter                 bool          // retries immediately
-	Background                        bool          // requests are sent as background requests
+	Background                        bool          // requests use only spare capacity of dispatchers
 	NewClientPerSession               bool          // each session has its own client name
 	ConnsPerDispatcher                int           // connections to each dispatcher, if more than those of Load
 }
