--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -56,7 +56,7 @@
 // validate calls reject for each invalid field.
 func (e *Experiment) validate(reject func(path, format string, args ...any)) {
 	if e.Seeds < minSeeds {
-		reject("seeds", "%d, must be at least %d to estimate the variation between seeds", e.Seeds, minSeeds)
+		reject("seeds", "is %d, must be at least %d to estimate the variation between seeds", e.Seeds, minSeeds)
 	}
 	if len(e.Variants) == 0 {
 		reject("variants", "is empty, must have at least one variant")
