--- a/internal/eventloop/listener_test.go
+++ b/internal/eventloop/listener_test.go
@@ -75,8 +75,8 @@
 	waitUntil(t, onLoop, "accepted again", func() bool { return accepted.Load() > 0 })
 }
 
-// TestAcceptAfterTransientError checks that a pending connection is accepted, not closed, after accept has failed once with
-// an error other than that the process has no descriptor left.
+// TestAcceptAfterTransientError checks that a pending connection is accepted, not closed, after accept has failed once
+// with an error other than that the process has no descriptor left.
 func TestAcceptAfterTransientError(t *testing.T) {
 	for _, firstErr := range []unix.Errno{unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.ECONNABORTED, unix.EPROTO} {
 		t.Run(firstErr.Error(), func(t *testing.T) {
