--- a/internal/backend/grpc/discovery.go
+++ b/internal/backend/grpc/discovery.go
@@ -14,16 +14,16 @@
 	"docksail/policy"
 )
 
-// checksPerRetryInterval is how many times in a retry interval the endpoint list file or a silent discovery server is
+// checksPerListInterval is how many times in a MaxListInterval the endpoint list file or a silent discovery server is
 // checked.
-const checksPerRetryInterval = 8
+const checksPerListInterval = 8
 
 // DiscoveryConfig configures the source of the endpoint list: a discovery server or a file.
 type DiscoveryConfig struct {
-	Addr          netip.AddrPort // address of the discovery server; not used if File is set
-	File          string
-	CacheFile     string // file that keeps the list for the next start; empty = none
-	RetryInterval int64  // nanoseconds
+	Addr            netip.AddrPort // address of the discovery server; not used if File is set
+	File            string
+	CacheFile       string // file that keeps the list for the next start; empty = none
+	MaxListInterval int64  // nanoseconds
 }
 
 // endpointWatcher watches the endpoint list, applies updates to the backend's servers and reports them to the module.
@@ -51,7 +51,7 @@
 func (w *endpointWatcher) init(b *Backend, config DiscoveryConfig) {
 	*w = endpointWatcher{
 		backend: b, addr: config.Addr, file: config.File, cacheFile: config.CacheFile,
-		checkInterval: config.RetryInterval / checksPerRetryInterval,
+		checkInterval: config.MaxListInterval / checksPerListInterval,
 	}
 }
 
--- a/internal/grpcnode/build.go
+++ b/internal/grpcnode/build.go
@@ -67,7 +67,7 @@
 		Limits: limits, List: list,
 		Discovery: backend.DiscoveryConfig{
 			Addr: settings.Discovery.Watch, File: settings.Discovery.File, CacheFile: settings.Discovery.CacheFile,
-			RetryInterval: int64(settings.Discovery.MaxListInterval),
+			MaxListInterval: int64(settings.Discovery.MaxListInterval),
 		},
 	}))
 	return dispatcher, server, nil
