--- a/internal/backend/grpc/attempt.go
+++ b/internal/backend/grpc/attempt.go
@@ -38,7 +38,7 @@
 func (a *attempt) limitThrottleWait(now eventloop.Nanos) {
 	a.wasThrottled = true
 	b, req := a.conn.backend, a.request
-	b.dispatcher.SetAttemptTimer(req, min(req.StartedAt+req.AttemptTimeout, now+b.keepalive.MaxHoldTime()))
+	b.dispatcher.SetAttemptTimer(req, min(req.StartedAt+req.AttemptTimeout, now+b.keepalive.MaxThrottleWait()))
 }
 
 // Finish implements dispatch.Attempt. It resets the stream if the engine has not ended it, and reports whether it did
--- a/internal/backend/grpc/server.go
+++ b/internal/backend/grpc/server.go
@@ -81,7 +81,7 @@
 	}
 	c.transport.SetOutputLimit(maxOutputBytes)
 	if len(s.conns) == 0 && (s.lostLastConn || b.watcher.mayBeStale()) {
-		s.throttle.ConnLost()
+		s.throttle.Start()
 	}
 	s.conns = append(s.conns, c)
 	return c
--- a/internal/decide/keepalive/throttle.go
+++ b/internal/decide/keepalive/throttle.go
@@ -11,8 +11,8 @@
 // maxThrottledAttempts is the limit above which the throttle ends: by then, the engine has answered as many attempts.
 const maxThrottledAttempts = 16
 
-// ConnLost starts the throttle, as the engine may have restarted.
-func (t *RestartThrottle) ConnLost() { t.maxOutstanding = 1 }
+// Start activates the throttle, as the engine may have restarted.
+func (t *RestartThrottle) Start() { t.maxOutstanding = 1 }
 
 // AnswerReceived raises the limit by one, as the engine has answered an attempt.
 func (t *RestartThrottle) AnswerReceived() {
@@ -35,6 +35,6 @@
 	return !t.IsActive() || outstanding < t.maxOutstanding
 }
 
-// MaxHoldTime returns how long an attempt may wait for a RestartThrottle. It is short, as the request can be sent to
-// another engine, and KV state may be held for it meanwhile.
-func (p Policy) MaxHoldTime() int64 { return p.LatencyTarget / pingDelayDivisor }
+// MaxThrottleWait returns how long an attempt may wait for a RestartThrottle. It is short, as the request can be sent
+// to another engine, and KV state may be held for it meanwhile.
+func (p Policy) MaxThrottleWait() int64 { return p.LatencyTarget / pingDelayDivisor }
--- a/internal/decide/keepalive/throttle_test.go
+++ b/internal/decide/keepalive/throttle_test.go
@@ -10,7 +10,7 @@
 	if !throttle.Allows(1000) {
 		t.Error("attempts to an engine whose connection was not lost are limited")
 	}
-	throttle.ConnLost()
+	throttle.Start()
 	for limit := 1; limit <= maxThrottledAttempts; limit++ {
 		if !throttle.Allows(limit-1) || throttle.Allows(limit) {
 			t.Errorf("after %d answers the limit is not %d", limit-1, limit)
@@ -20,7 +20,7 @@
 	if !throttle.Allows(1000) {
 		t.Error("the throttle does not end after enough answers")
 	}
-	throttle.ConnLost()
+	throttle.Start()
 	throttle.ListUpdated()
 	if !throttle.Allows(1000) {
 		t.Error("the throttle does not end with an update of the list")
--- a/internal/decide/serverconn/serverconn.go
+++ b/internal/decide/serverconn/serverconn.go
@@ -5,9 +5,9 @@
 package serverconn
 
 const (
-	// minIdleTime is how long a connection stays idle before it is reused, in nanoseconds: a server may send a second
-	// response, which would be taken for the response to the next request.
-	minIdleTime = int64(10e6)
+	// minIdleBeforeReuse is how long a connection stays idle before it is reused, in nanoseconds: a server may send a
+	// second response, which would be taken for the response to the next request.
+	minIdleBeforeReuse = int64(10e6)
 	// idleTimeoutFraction is the fraction of the server's own idle timeout after which an idle connection is closed: a
 	// request that is sent while the server closes the connection is lost.
 	idleTimeoutFraction = 2.0 / 3
@@ -31,7 +31,7 @@
 // allow for servers that close idle connections earlier than configured: an attempt that is lost at once costs less
 // than many more new connections.
 func (p ConnPolicy) IsReusable(now, idleSince int64) bool {
-	return now-idleSince >= minIdleTime && now < p.IdleDeadline(idleSince)
+	return now-idleSince >= minIdleBeforeReuse && now < p.IdleDeadline(idleSince)
 }
 
 // IdleDeadline returns when a connection that has been idle since idleSince is closed.
--- a/internal/decide/streamwatch/streamwatch.go
+++ b/internal/decide/streamwatch/streamwatch.go
@@ -45,7 +45,7 @@
 type Stream struct {
 	FirstTokenAt     int64 // when the first token was received
 	LastTokenAt      int64 // when the latest token was received
-	TargetTokenGap   int64 // target time between tokens
+	InterTokenTarget int64 // target time between tokens
 	FirstTokenTarget int64 // target time to the first token
 	CallDeadline     int64 // the client's deadline; 0 if it has none
 	AnswerLeadTime   int64 // how long before the deadline the final answer is sent
@@ -79,5 +79,5 @@
 	if s.MaxSilence > 0 {
 		return s.MaxSilence - s.MaxSilence/silenceMarginDivisor
 	}
-	return max(maxSilenceGaps*s.TargetTokenGap, minSilenceTargets*s.FirstTokenTarget)
+	return max(maxSilenceGaps*s.InterTokenTarget, minSilenceTargets*s.FirstTokenTarget)
 }
--- a/internal/decide/streamwatch/streamwatch_test.go
+++ b/internal/decide/streamwatch/streamwatch_test.go
@@ -10,11 +10,11 @@
 
 func TestCheck(t *testing.T) {
 	stream := Stream{
-		FirstTokenAt: 1000 * ms, LastTokenAt: 2000 * ms, TargetTokenGap: 50 * ms, FirstTokenTarget: 1000 * ms,
+		FirstTokenAt: 1000 * ms, LastTokenAt: 2000 * ms, InterTokenTarget: 50 * ms, FirstTokenTarget: 1000 * ms,
 	}
 	blocked, shortGaps, withDeadline, oneToken := stream, stream, stream, stream
 	blocked.ClientBlocked = true
-	shortGaps.TargetTokenGap = ms
+	shortGaps.InterTokenTarget = ms
 	withDeadline.CallDeadline, withDeadline.AnswerLeadTime = 2510*ms, 20*ms
 	oneToken.LastTokenAt = 0
 
@@ -51,7 +51,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		s := Stream{
 			FirstTokenAt: 1, LastTokenAt: 1, AnswerLeadTime: 1000,
-			TargetTokenGap:   rapid.Int64Range(1, 1e9).Draw(t, "gap"),
+			InterTokenTarget: rapid.Int64Range(1, 1e9).Draw(t, "gap"),
 			FirstTokenTarget: rapid.Int64Range(1, 1e10).Draw(t, "first-token target"),
 			ClientBlocked:    rapid.Bool().Draw(t, "client blocked"),
 		}
--- a/internal/dispatch/streaming.go
+++ b/internal/dispatch/streaming.go
@@ -45,7 +45,7 @@
 	settings := &d.classSettings[req.class]
 	verdict, nextCheck := streamwatch.Check(now, streamwatch.Stream{
 		FirstTokenAt: req.firstTokenAt, LastTokenAt: req.lastTokenAt,
-		TargetTokenGap: settings.interTokenTarget, FirstTokenTarget: settings.latencyTarget,
+		InterTokenTarget: settings.interTokenTarget, FirstTokenTarget: settings.latencyTarget,
 		CallDeadline: req.callDeadline, AnswerLeadTime: d.answerLeadTime, MaxSilence: d.maxSilence,
 		ClientBlocked: req.uncreditedBytes > 0,
 	})
