--- a/internal/backend/platform/attempt.go
+++ b/internal/backend/platform/attempt.go
@@ -112,7 +112,7 @@
 		Now:             now,
 		StartDeadline:   req.StartDeadline,
 		ServerServing:   c.server.health == policy.Serving,
-		ReleaseInFlight: tracker != nil && len(tracker.pending) > 0 && !tracker.concurrentWithPrefill,
+		ReleaseInFlight: tracker != nil && len(tracker.pending) > 0 && !tracker.duringPrefill,
 	})
 }
 
--- a/internal/backend/platform/releaseround.go
+++ b/internal/backend/platform/releaseround.go
@@ -82,7 +82,7 @@
 func (c *conn) writeRelease(now eventloop.Nanos) {
 	tracker := c.exchange.release
 	permission, attemptInFlight := c.backend.dispatcher.ReleasePermission(tracker.requestID)
-	if err := inflight.CheckReleaseSend(permission, tracker.concurrentWithPrefill); err != nil {
+	if err := inflight.CheckReleaseSend(permission, tracker.duringPrefill); err != nil {
 		if !errors.Is(err, inflight.ErrReleaseSuperseded) {
 			c.backend.recordViolation(tracker.clientID, c.server, err)
 		}
--- a/internal/backend/platform/releasetracker.go
+++ b/internal/backend/platform/releasetracker.go
@@ -24,11 +24,11 @@
 	ended     bool
 
 	// Releases, which are sent in rounds.
-	pending               []*conn // connections that carry a release without a response
-	concurrentWithPrefill bool    // the round was started while a prefill attempt was unacknowledged
-	round                 int     // number of rounds since a release was last accepted
-	triedServers          []policy.ServerID
-	nextRoundAt           eventloop.Nanos
+	pending       []*conn // connections that carry a release without a response
+	duringPrefill bool    // the round was started while a prefill attempt was unacknowledged
+	round         int     // number of rounds since a release was last accepted
+	triedServers  []policy.ServerID
+	nextRoundAt   eventloop.Nanos
 
 	lingering []*conn // connections that await the end of an abandoned attempt
 	waiting   waitingAttempt
@@ -95,7 +95,7 @@
 	switch action {
 	case inflight.ActionSend:
 		if now >= t.nextRoundAt {
-			t.concurrentWithPrefill = permission == inflight.ReleaseIfUrgent
+			t.duringPrefill = permission == inflight.ReleaseIfUrgent
 			t.sendRound(now)
 		}
 		b.loop.SetTimer(&t.timer, max(t.nextRoundAt, now+1), t.onTimer)
--- a/internal/batchservice/service.go
+++ b/internal/batchservice/service.go
@@ -56,7 +56,7 @@
 	if err != nil {
 		return err
 	}
-	server, err := frontend.New(ctx, s.store, runner, frontendLimits(cfg), tenantsByKey(batch.Keys), s.log)
+	server, err := frontend.New(ctx, s.store, runner, frontendLimits(cfg), tenantsByKeyHash(batch.Keys), s.log)
 	if err != nil {
 		return err
 	}
@@ -163,8 +163,8 @@
 	}
 }
 
-// tenantsByKey returns the tenants by the lower-case hexadecimal hashes of their keys.
-func tenantsByKey(keys []config.Key) map[string]string {
+// tenantsByKeyHash returns the tenants by the lower-case hexadecimal hashes of their keys.
+func tenantsByKeyHash(keys []config.Key) map[string]string {
 	tenants := make(map[string]string, len(keys))
 	for _, key := range keys {
 		tenants[strings.ToLower(key.Hash)] = key.Tenant
--- a/internal/dispatch/streaming.go
+++ b/internal/dispatch/streaming.go
@@ -9,7 +9,7 @@
 // RelayTokens is called by the backend with a piece of the answer to a request. wireBytes is its size on the
 // connection to the server. It reports whether the server must be paused until Attempt.CreditWindow is called.
 // The request may be removed by the call.
-func (d *Dispatcher) RelayTokens(now eventloop.Nanos, req *Request, piece []byte, wireBytes int) (holdBack bool) {
+func (d *Dispatcher) RelayTokens(now eventloop.Nanos, req *Request, piece []byte, wireBytes int) (pause bool) {
 	if req.Answered() { // nobody reads it
 		d.endAttempt(now, req, policy.Canceled, true, policy.NoLoadReport)
 		d.removeIfDone(req)
--- a/internal/frontend/platform/head.go
+++ b/internal/frontend/platform/head.go
@@ -23,7 +23,7 @@
 type requestHead struct {
 	id, path, class, session, prefix, tenant []byte
 	forwardedFields                          []byte // header fields forwarded to servers, as lines
-	remainingTime, lengthHint                int64  // nanoseconds
+	remainingTime, expectedDuration          int64  // nanoseconds
 	promptTokens, prefixTokens, maxTokens    int64
 	resent                                   bool
 }
@@ -135,7 +135,7 @@
 	case fieldEstimate:
 		var micros int64
 		micros, err = parseNumber(value, nanosPerDay/nanosPerMicro)
-		r.lengthHint = micros * nanosPerMicro
+		r.expectedDuration = micros * nanosPerMicro
 	case fieldResent:
 		r.resent = string(value) == "1"
 	}
@@ -228,7 +228,7 @@
 		PromptTokens:      r.promptTokens,
 		PrefixTokens:      r.prefixTokens,
 		MaxTokens:         r.maxTokens,
-		ExpectedDuration:  r.lengthHint,
+		ExpectedDuration:  r.expectedDuration,
 		FirstTokenTimeout: max(r.remainingTime-age, 1),
 	}
 	if r.resent {
