--- a/internal/e2e/slowclient_test.go
+++ b/internal/e2e/slowclient_test.go
@@ -104,7 +104,8 @@
 // TestClientStopsReading checks that flow control stops the decode server of a client that does not read, that other
 // clients are not delayed, and that the heap does not grow.
 func TestClientStopsReading(t *testing.T) {
-	deployment, client := startDeployment(t, func(s *scenario.Script) { s.Servers[1].TokenGap = 200 * time.Microsecond })
+	deployment, client := startDeployment(t,
+		func(s *scenario.Script) { s.Servers[1].TokenInterval = 200 * time.Microsecond })
 	slow := startSlowClient(t, deployment.Addresses()[0])
 	measureRequest := func(label string) time.Duration {
 		start := time.Now()
--- a/internal/lab/scenario/import.go
+++ b/internal/lab/scenario/import.go
@@ -178,23 +178,23 @@
 
 // serverGroup returns the group of servers for a key, without its count.
 func (im *importer) serverGroup(key serverGroupKey, promptTokens, answerTokens float64) ServerGroup {
-	family := &im.day.Serving
-	kind, engine := im.day.Tiers[0].Kinds[key.kind], family.Engines[key.kind]
+	serving := &im.day.Serving
+	kind, engine := im.day.Tiers[0].Kinds[key.kind], serving.Engines[key.kind]
 	group := ServerGroup{
-		Role:         map[string]Role{"read": Prefill, "write": Decode, "both": Mixed}[family.Roles[key.kind]],
-		Zone:         im.day.Zones[key.zone],
-		Cell:         fmt.Sprint("c", key.cell),
-		Slots:        max(kind.Slots, 1),
-		QueueLength:  kind.QueueLength,
-		MemoryTokens: engine.MemoryTokens,
-		PrefillRate:  engine.PrefillRate,
-		TransferRate: family.TransferRate,
-		TokenGap:     time.Duration(engine.StepMilliseconds * 1e6).Round(time.Microsecond),
+		Role:          map[string]Role{"read": Prefill, "write": Decode, "both": Mixed}[serving.Roles[key.kind]],
+		Zone:          im.day.Zones[key.zone],
+		Cell:          fmt.Sprint("c", key.cell),
+		Slots:         max(kind.Slots, 1),
+		QueueLength:   kind.QueueLength,
+		MemoryTokens:  engine.MemoryTokens,
+		PrefillRate:   engine.PrefillRate,
+		TransferRate:  serving.TransferRate,
+		TokenInterval: time.Duration(engine.StepMilliseconds * 1e6).Round(time.Microsecond),
 	}
-	group.TokenGap = max(group.TokenGap, time.Millisecond)
+	group.TokenInterval = max(group.TokenInterval, time.Millisecond)
 	group.RequestsPerSecond = engine.PrefillRate / max(promptTokens, 1)
 	if group.Role != Prefill {
-		group.RequestsPerSecond = float64(group.Slots) / max(answerTokens*group.TokenGap.Seconds()*1.5, 0.01)
+		group.RequestsPerSecond = float64(group.Slots) / max(answerTokens*group.TokenInterval.Seconds()*1.5, 0.01)
 	}
 	return group
 }
@@ -228,14 +228,14 @@
 		Value:              c.Value,
 		TokenGap:           time.Duration(max(conversation.TokenGapMilliseconds, 10) * 1e6),
 		DedupWindow:        fromMicroseconds(c.DedupWindow),
-		TurnCount:          max(1, int(math.Round(2*conversation.Turns-1))),
+		MaxTurns:           max(1, int(math.Round(2*conversation.Turns-1))),
 		MinTurnTokens:      max(1, int(conversation.TurnTokens/2)),
 		MaxTurnTokens:      int(1.5 * conversation.TurnTokens),
 		PrefixTokens:       int(conversation.PrefixTokens),
 		PrefixCount:        importedPrefixCount,
 		MaxAnswerTokens:    max(1, int(min(1.33*conversation.AnswerTokens, float64(conversation.MaxAnswerTokens)))),
 		MaxRetries:         im.day.Clients.Retries,
-		IdleTime:           time.Second,
+		MaxIdleTime:        time.Second,
 	}
 	switch c.Idempotency {
 	case "safe":
--- a/internal/lab/scenario/parse.go
+++ b/internal/lab/scenario/parse.go
@@ -55,8 +55,8 @@
 	if g.Role != Decode && g.PrefillRate <= 0 {
 		report(path+".reads_per_second", "is %v, must be above 0 for a server that prefills", g.PrefillRate)
 	}
-	if g.Role != Prefill && g.TokenGap <= 0 {
-		report(path+".token_gap", "is %v, must be above 0 for a server that decodes", g.TokenGap)
+	if g.Role != Prefill && g.TokenInterval <= 0 {
+		report(path+".token_gap", "is %v, must be above 0 for a server that decodes", g.TokenInterval)
 	}
 }
 
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -53,7 +53,7 @@
 	QueueLength       int      `json:"queue"`
 	MemoryTokens      int64    `json:"memory_tokens"`
 	PrefillRate       float64  `json:"reads_per_second"` // prompt tokens per second
-	TokenGap          Duration `json:"token_gap"`
+	TokenInterval     Duration `json:"token_gap"`
 	RequestsPerSecond float64  `json:"requests_per_second" was:"jobs_per_second" need:"what one can do after slow start"`
 	TransferRate      float64  `json:"moves_per_second"` // tokens of KV state per second
 }
@@ -77,7 +77,7 @@
 	Idempotency          config.Idempotency `json:"effect"`
 	DedupScope           config.DedupScope  `json:"group"`
 	DedupWindow          Duration           `json:"window"`
-	TurnCount            int                `json:"turns"`
+	MaxTurns             int                `json:"turns"`
 	MinTurnTokens        int                `json:"prompt" need:"least tokens that a turn adds"`
 	MaxTurnTokens        int                `json:"prompt_most"`
 	PrefixTokens         int                `json:"prefix_tokens" was:"beginning"`
@@ -85,7 +85,7 @@
 	MaxAnswerTokens      int                `json:"answer" need:"most tokens of an answer"`
 	MaxRetries           int                `json:"retries"`
 	CancelShare          float64            `json:"leave"`
-	IdleTime             Duration           `json:"idle"`
+	MaxIdleTime          Duration           `json:"idle"`
 	ClientCount          int                `json:"clients"`         // number of client names; 0 = unnamed clients
 	IgnoresRetryAfter    bool               `json:"no_advice"`       // whether clients retry at once
 	NewClientPerSession  bool               `json:"made_up"`         // whether each session has a new client name
@@ -134,7 +134,7 @@
 			},
 			{
 				Count: 2, Role: Decode, Zone: "a", Cell: "a1", Slots: 32, QueueLength: 32,
-				TokenGap: 20 * time.Millisecond, RequestsPerSecond: 10,
+				TokenInterval: 20 * time.Millisecond, RequestsPerSecond: 10,
 			},
 		},
 		Dispatchers: []Dispatcher{{Zone: "a"}},
