--- a/internal/lab/engine/decode.go
+++ b/internal/lab/engine/decode.go
@@ -123,7 +123,7 @@
 	e.log.Add(eventlog.Entry{
 		Kind:          eventlog.AnswerStarted,
 		Server:        e.Spec.ID,
-		Request:       requestName(attempt.Dispatcher, attempt.Job),
+		Request:       requestID(attempt.Dispatcher, attempt.Job),
 		Attempt:       int(attempt.Shot),
 		RequestLabel:  req.Label,
 		ClientAttempt: int(attempt.Repeat),
--- a/internal/lab/engine/engine.go
+++ b/internal/lab/engine/engine.go
@@ -109,7 +109,7 @@
 	return e.running, e.waiting
 }
 
-// requestName returns the name of a request in the event log.
-func requestName(dispatcher, request uint64) string {
+// requestID returns the identifier of a request in the event log.
+func requestID(dispatcher, request uint64) string {
 	return strconv.FormatUint(dispatcher, 16) + "." + strconv.FormatUint(request, 16)
 }
--- a/internal/lab/engine/kvstate.go
+++ b/internal/lab/engine/kvstate.go
@@ -100,7 +100,7 @@
 // Release implements the Engine service: it releases the state of a request and cancels its running prefills. Both
 // apply only to attempts up to the given one.
 func (e *Engine) Release(_ context.Context, r *pb.ReleaseRequest) (*pb.ReleaseDone, error) {
-	name := requestName(r.Dispatcher, r.Job)
+	name := requestID(r.Dispatcher, r.Job)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if state := e.states[name]; state != nil && state.attempt <= r.Shot {
@@ -114,7 +114,7 @@
 
 // Fetch implements the Engine service: it transfers a held state to another server and then releases it.
 func (e *Engine) Fetch(r *pb.FetchRequest, out grpc.ServerStreamingServer[pb.StateChunk]) error {
-	name := requestName(r.Dispatcher, r.Job)
+	name := requestID(r.Dispatcher, r.Job)
 	e.mu.Lock()
 	state := e.states[name]
 	slowdown := max(e.faults.LinkSlowdown, 1)
--- a/internal/lab/engine/prefill.go
+++ b/internal/lab/engine/prefill.go
@@ -31,7 +31,7 @@
 	defer leave()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	name := requestName(attempt.Dispatcher, attempt.Job)
+	name := requestID(attempt.Dispatcher, attempt.Job)
 	batch, process := e.beginPrefill(name, attempt.Shot, cancel)
 	defer e.endPrefill(name)
 	req := attempt.GetRequest()
--- a/internal/lab/userclient/attempt.go
+++ b/internal/lab/userclient/attempt.go
@@ -55,7 +55,7 @@
 	number            int
 	timeout           time.Duration // limit of the time to the first token
 	sentAt            time.Time
-	requestName       string // the dispatcher's identifier of the request; empty until it is known
+	requestID         string // the dispatcher's identifier of the request; empty until it is known
 	cancel            context.CancelFunc
 	canceled          atomic.Bool
 	cancelAfterTokens int // 0: never
@@ -74,18 +74,18 @@
 	for err == nil {
 		var message *pb.Tokens
 		if message, err = stream.Recv(); err == nil {
-			a.receive(stream, message)
+			a.receiveTokens(stream, message)
 		}
 	}
 	var trailer metadata.MD
 	if stream != nil {
 		trailer = stream.Trailer()
 	}
-	if a.requestName == "" {
-		a.requestName = firstValue(trailer, requestNameMetadata)
+	if a.requestID == "" {
+		a.requestID = firstValue(trailer, requestNameMetadata)
 	}
 	if errors.Is(err, io.EOF) {
-		a.endComplete()
+		a.endWithAnswer()
 	} else {
 		a.endWithError(status.Convert(err), trailer)
 	}
@@ -135,7 +135,7 @@
 	a.runner.log.Add(eventlog.Entry{
 		Kind:          kind,
 		Code:          code,
-		Request:       a.requestName,
+		Request:       a.requestID,
 		RequestLabel:  a.req.Label,
 		ClientAttempt: a.number,
 		Class:         a.class.Name,
@@ -145,12 +145,12 @@
 	})
 }
 
-// receive checks and counts the tokens of a message.
-func (a *attempt) receive(stream grpc.ServerStreamingClient[pb.Tokens], message *pb.Tokens) {
+// receiveTokens checks and counts the tokens of a message.
+func (a *attempt) receiveTokens(stream grpc.ServerStreamingClient[pb.Tokens], message *pb.Tokens) {
 	if a.outcome.tokens == 0 {
 		a.outcome.firstTokenAt = time.Now()
 		if header, err := stream.Header(); err == nil {
-			a.requestName = firstValue(header, requestNameMetadata)
+			a.requestID = firstValue(header, requestNameMetadata)
 		}
 		a.record(eventlog.FirstToken, "", 0)
 	}
@@ -166,8 +166,8 @@
 	}
 }
 
-// endComplete records the end of an answer with status OK.
-func (a *attempt) endComplete() {
+// endWithAnswer records the end of an answer with status OK.
+func (a *attempt) endWithAnswer() {
 	o := &a.outcome
 	o.code, o.answered = codes.OK, true
 	if o.tokens != engine.AnswerTokens(a.req) {
--- a/internal/lab/userclient/load.go
+++ b/internal/lab/userclient/load.go
@@ -18,8 +18,8 @@
 
 const (
 	minConnectTimeout = 200 * time.Millisecond
-	// idleRateStep is the step in which nextArrival searches for a time at which the rate is above 0.
-	idleRateStep = 10 * time.Millisecond
+	// zeroRateStep is the step in which nextArrival searches for a time at which the rate is above 0.
+	zeroRateStep = 10 * time.Millisecond
 	// maxArrivalStep limits the time between two arrivals, so that arrivals follow a changing rate.
 	maxArrivalStep = 200 * time.Millisecond
 )
@@ -148,7 +148,7 @@
 	for {
 		rate := l.Rate(at)
 		if rate <= 0 {
-			at += idleRateStep
+			at += zeroRateStep
 		} else {
 			at += min(time.Duration(rng.ExpFloat64()/rate*1e9), maxArrivalStep)
 		}
