--- a/internal/lab/benchmark/benchmark_test.go
+++ b/internal/lab/benchmark/benchmark_test.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// TestProcessFigures checks that memory and CPU time of a running process can be read.
-func TestProcessFigures(t *testing.T) {
+// TestProcessUsage checks that memory and CPU time of a running process can be read.
+func TestProcessUsage(t *testing.T) {
 	p, err := startProcess("cat")
 	if err != nil {
 		t.Fatal(err)
