--- a/internal/dispatch/answers.go
+++ b/internal/dispatch/answers.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// reject answers a request that was not run, so that its client may retry it.
+// reject answers a request that its client may safely retry: no server has run it, or running it again does no harm.
 func (d *Dispatcher) reject(req *Request, rejection frontend.RejectionError) {
 	if d.markAnswered(req) {
 		req.response.Reject(req.ID, rejection)
@@ -118,8 +118,8 @@
 	}
 }
 
-// answerDeadlineMissed ends a request that is neither answered nor streaming intake.OverdueMargin after its deadline.
-// The module decides every request before that, so each call indicates a bug.
+// answerDeadlineMissed ends a request that is neither answered nor streaming intake.OverdueMarginNanos after its
+// deadline. The module decides every request before that, so each call indicates a bug.
 func (req *Request) answerDeadlineMissed(now eventloop.Nanos) {
 	d := req.dispatcher
 	_, outstanding := req.OutstandingAttempt()
@@ -134,5 +134,6 @@
 	}
 }
 
-// deadlineExceededReason is the reason that clients receive if a request is not answered before its deadline.
+// deadlineExceededReason is the reason that clients receive if the module fails a request, or does not decide it before
+// its deadline.
 const deadlineExceededReason = "its time is up"
--- a/internal/lab/scenario/configs.go
+++ b/internal/lab/scenario/configs.go
@@ -14,8 +14,8 @@
 // Defaults for values of servers that a script omits.
 const (
 	defaultMemoryTokens = 200000
-	defaultTransferRate = 300000 // tokens of KV state a second
-	defaultPrefillRate  = 5000   // prompt tokens a second
+	defaultTransferRate = 300000 // tokens of KV state per second
+	defaultPrefillRate  = 5000   // prompt tokens per second
 )
 
 // EngineSpecs returns the specifications of all servers, numbered from 1.
@@ -40,7 +40,7 @@
 		Queue:             g.QueueLength,
 		MemoryTokens:      cmp.Or(g.MemoryTokens, defaultMemoryTokens),
 		PrefillRate:       cmp.Or(g.PrefillRate, defaultPrefillRate),
-		TokenGap:          g.TokenGap,
+		TokenInterval:     g.TokenInterval,
 		RequestsPerSecond: g.RequestsPerSecond,
 		TransferRate:      cmp.Or(g.TransferRate, defaultTransferRate),
 		InitialCapacity:   s.SlowStart.InitialCapacity,
@@ -120,7 +120,7 @@
 		Name:                c.Name,
 		Share:               c.Share,
 		Tenant:              c.Tenant,
-		TurnCount:           c.TurnCount,
+		MaxTurns:            c.MaxTurns,
 		MinTurnTokens:       c.MinTurnTokens,
 		MaxTurnTokens:       c.MaxTurnTokens,
 		PrefixTokens:        c.PrefixTokens,
@@ -132,10 +132,10 @@
 		Value:               max(c.Value, 1),
 		MaxRetries:          c.MaxRetries,
 		CancelShare:         c.CancelShare,
-		Idle:                c.IdleTime,
+		MaxIdleTime:         c.MaxIdleTime,
 		ClientCount:         c.ClientCount,
 		IgnoresRetryAfter:   c.IgnoresRetryAfter,
-		NewClientPerRequest: c.NewClientPerSession,
+		NewClientPerSession: c.NewClientPerSession,
 		ConnsPerDispatcher:  c.ConnsPerDispatcher,
 		Background:          c.Background,
 		NonIdempotent:       policy.Idempotency(c.Idempotency) != policy.Idempotent,
--- a/policy/config.go
+++ b/policy/config.go
@@ -38,8 +38,8 @@
 
 // Identity identifies this dispatcher among all dispatchers.
 type Identity struct {
-	Number, Count int32 // Number is from 0 to Count-1
-	Zone          ZoneID
+	Index, Count int32 // Index is from 0 to Count-1
+	Zone         ZoneID
 }
 
 // SlowStart describes the capacity of servers that have just started, and the load that makes them fail.
@@ -53,7 +53,7 @@
 // AttemptLimits limits the attempts of a request.
 type AttemptLimits struct {
 	MaxAttempts      int32 // maximum number of attempts
-	CanCancel        bool  // outstanding attempts can be cancelled
+	CanCancel        bool  // outstanding attempts can be canceled
 	DecodeCanPrefill bool  // decode servers can process prompts, if there is no KV state to fetch
 }
 
@@ -77,7 +77,7 @@
 	case len(c.Classes) == 0:
 		return errors.New("number of request classes is 0, must be at least 1")
 	case len(c.Roles) == 0:
-		return errors.New("number of server roles is 0, must be at least 1")
+		return errors.New("number of machine kinds is 0, must be at least 1")
 	case c.Attempts.MaxAttempts < 1:
 		return fmt.Errorf("max attempts is %d, must be at least 1", c.Attempts.MaxAttempts)
 	case c.ReleaseTime <= 0:
