--- a/internal/batchrunner/runner.go
+++ b/internal/batchrunner/runner.go
@@ -30,7 +30,7 @@
 
 // Class holds the settings of a request class that the runner needs.
 type Class struct {
-	Effect              batchscheduler.Effect
+	Idempotency         batchscheduler.Idempotency
 	DeduplicationWindow time.Duration
 	Timeout             time.Duration // until a line's first token; 0 = the class does not accept batches
 }
@@ -261,7 +261,8 @@
 	a.cancel()
 }
 
-// Forecast returns the estimated end of a batch at its current rate, and false if the rate is not known.
+// Forecast returns the estimated end of a batch at its current rate, and false if the batch is not active or its rate
+// is not known.
 func (r *Runner) Forecast(batchID string) (time.Time, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/decide/admission/queue.go
+++ b/internal/decide/admission/queue.go
@@ -6,9 +6,9 @@
 	"docksail/internal/decide/background"
 )
 
-// MaxAdmissionsPerTurn is how many requests may be admitted in one iteration of the event loop, so that the loop can
-// measure the duration of the iteration and read new input in between.
-const MaxAdmissionsPerTurn = 16
+// MaxAdmissionsPerIteration is how many requests may be admitted in one iteration of the event loop, so that the loop
+// can measure the duration of the iteration and read new input in between.
+const MaxAdmissionsPerIteration = 16
 
 const (
 	// maxUnsent is the upper bound of the limit of unsent requests: those admitted and not yet sent to a server.
@@ -264,8 +264,8 @@
 	return q.queueHolding(id).reject(now, id, reason)
 }
 
-// ReserveRetry makes a reservation for the retry of a request that was admitted and then rejected by the policy
-// module, and returns when its client should retry: minDelay from now at the earliest.
+// ReserveRetry makes a reservation, if possible, for the retry of a request that was admitted and then rejected by the
+// policy module. It returns when its client should retry: about minDelay from now at the earliest.
 func (q *Queue) ReserveRetry(now Nanos, request Request, minDelay Nanos) RetryAdvice {
 	queue := q.queueFor(&request)
 	t := queue.tenant(request.Tenant)
--- a/internal/dispatch/attempts.go
+++ b/internal/dispatch/attempts.go
@@ -10,7 +10,7 @@
 func (d *Dispatcher) FindRequest(id policy.RequestID) *Request { return d.requests.Find(id) }
 
 // SetAttemptTimer sets the time at which the outstanding attempt of a request times out unless its answer has begun. A
-// backend may change the time while the attempt waits for a connection.
+// backend may change the time while the attempt waits to be sent.
 func (d *Dispatcher) SetAttemptTimer(req *Request, at eventloop.Nanos) {
 	d.loop.SetTimer(&req.attemptTimer, at, req.onAttemptTimer)
 }
@@ -30,7 +30,7 @@
 	}
 	d.Counts.Attempts++
 	d.admission.attemptStarted(now, req)
-	req.Server, req.SentAt, req.AttemptTimeout, req.IsPrefill = server, now, timeout, isPrefill
+	req.Server, req.StartedAt, req.AttemptTimeout, req.IsPrefill = server, now, timeout, isPrefill
 	req.attempt = nil
 	if known {
 		req.mayHaveRun = req.mayHaveRun || !isPrefill
@@ -94,7 +94,7 @@
 	d.Counts.TimedOut++
 	outcome := policy.TimedOut
 	switch req.attempt.DeliveryState() {
-	case inflight.Planned: // no connection was assigned to it
+	case inflight.Planned: // it waited for a throttle or a release
 		outcome = policy.NotSent
 	case inflight.Connecting:
 		outcome = policy.Unreachable
@@ -128,15 +128,15 @@
 	if d.debug {
 		d.log.Debug("attempt ended", "request_id", req.logID(), "attempt", number,
 			"server_id", d.backend.ServerName(req.Server), "prefill", req.IsPrefill,
-			"outcome", outcome, "state", state, "sent_at", d.ModuleTime(req.SentAt),
-			"duration", now-req.SentAt, "streaming", req.IsStreaming(), "answered", req.Answered())
+			"outcome", outcome, "state", state, "sent_at", d.ModuleTime(req.StartedAt),
+			"duration", now-req.StartedAt, "streaming", req.IsStreaming(), "answered", req.Answered())
 	}
 	d.recordOutcome(now, req, outcome)
 	if end.NeedsRelease {
 		d.logRelease(now, req, "attempt may have left state", req.Server)
 		d.backend.Release(now, req, req.Server, number, now)
 	}
-	d.module.AttemptEnded(d.ModuleTime(now), req.ID, number, outcome, policy.Nanos(now-req.SentAt),
+	d.module.AttemptEnded(d.ModuleTime(now), req.ID, number, outcome, policy.Nanos(now-req.StartedAt),
 		final || req.Answered(), load)
 	switch {
 	case end.StateLost:
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -40,8 +40,8 @@
 type AttemptInfo struct {
 	Server         policy.ServerID
 	IsPrefill      bool
-	SentAt         eventloop.Nanos // when the attempt was started, even if its message was not written yet
-	AttemptTimeout int64           // nanoseconds from SentAt
+	StartedAt      eventloop.Nanos // when the attempt was started, even if its message was not written yet
+	AttemptTimeout int64           // nanoseconds from StartedAt
 	StartDeadline  eventloop.Nanos // the attempt must not be written to a connection at this time or later
 	// ConsecutiveStaleConns counts the latest consecutive attempts that were lost with stale connections.
 	ConsecutiveStaleConns int
@@ -60,11 +60,11 @@
 	callDeadline    eventloop.Nanos // end of the call that the client set; 0 = none
 	firstTokenAt    eventloop.Nanos // 0 = the answer has not begun
 	lastTokenAt     eventloop.Nanos
-	uncreditedBytes int // bytes of the answer that wait for the client, for which the server gets no credit until then
+	uncreditedBytes int // bytes of the answer that wait for the client; the server gets credit once they are sent
 	relayedMessages int64
 }
 
-// admissionState describes the request to the module and to the admission queue, and its state in the queue.
+// admissionState holds the module's and the admission queue's descriptions of the request, and its state in the queue.
 type admissionState struct {
 	policyRequest policy.Request
 	queueRequest  admission.Request
@@ -87,7 +87,7 @@
 	*req = Request{
 		RequestState: inflight.RequestState{ID: id},
 		Message: Message{
-			Raw: append(req.Raw[:0], r.Raw...), ClientRequestID: append(req.ClientRequestID[:0], r.ClientID...),
+			Raw: append(req.Raw[:0], r.Raw...), ClientRequestID: append(req.ClientRequestID[:0], r.ClientRequestID...),
 			Path: append(req.Path[:0], r.Path...), Header: append(req.Header[:0], r.Header...),
 			PreviousAttempts: uint32(r.PreviousAttempts), TraceParent: r.TraceParent,
 		},
@@ -115,7 +115,7 @@
 
 // AttemptTimeLeft returns how long the outstanding attempt may still take, at least 1 ns.
 func (req *Request) AttemptTimeLeft(now eventloop.Nanos) int64 {
-	return max(req.SentAt+req.AttemptTimeout-now, 1)
+	return max(req.StartedAt+req.AttemptTimeout-now, 1)
 }
 
 // deliveryState returns how far the delivery of the outstanding attempt is known to have progressed.
--- a/internal/dispatch/streaming.go
+++ b/internal/dispatch/streaming.go
@@ -9,7 +9,7 @@
 // RelayTokens is called by the backend with a piece of the answer to a request. wireBytes is its size on the
 // connection to the server. It reports whether the server must be paused until Attempt.CreditWindow is called.
 // The request may be removed by the call.
-func (d *Dispatcher) RelayTokens(now eventloop.Nanos, req *Request, piece []byte, wireBytes int) (holdBack bool) {
+func (d *Dispatcher) RelayTokens(now eventloop.Nanos, req *Request, piece []byte, wireBytes int) (pause bool) {
 	if req.Answered() { // nobody reads it
 		d.endAttempt(now, req, policy.Canceled, true, policy.NoLoadReport)
 		d.removeIfDone(req)
@@ -35,7 +35,7 @@
 	d.loop.CancelTimer(&req.answerTimer)
 	d.admission.firstTokenReceived(now, req)
 	req.MarkAnswerStarted()
-	d.module.StreamStarted(d.ModuleTime(now), req.ID, attempt, policy.Nanos(now-req.SentAt))
+	d.module.StreamStarted(d.ModuleTime(now), req.ID, attempt, policy.Nanos(now-req.StartedAt))
 	d.checkStream(now, req)
 }
 
@@ -45,7 +45,7 @@
 	settings := &d.classSettings[req.class]
 	verdict, nextCheck := streamwatch.Check(now, streamwatch.Stream{
 		FirstTokenAt: req.firstTokenAt, LastTokenAt: req.lastTokenAt,
-		TargetTokenGap: settings.interTokenTarget, FirstTokenTarget: settings.latencyTarget,
+		InterTokenTarget: settings.interTokenTarget, FirstTokenTarget: settings.latencyTarget,
 		CallDeadline: req.callDeadline, AnswerLeadTime: d.answerLeadTime, MaxSilence: d.maxSilence,
 		ClientBlocked: req.uncreditedBytes > 0,
 	})
--- a/internal/dispatch/submit.go
+++ b/internal/dispatch/submit.go
@@ -40,7 +40,7 @@
 	req.reset(d, id, class, response, r, now)
 	req.queueRequest = queueRequest
 	req.policyRequest = d.policyRequest(id, class, tenant, r, d.ModuleTime(deadline))
-	d.loop.SetTimer(&req.answerTimer, deadline+intake.OverdueMargin, req.onAnswerDeadline)
+	d.loop.SetTimer(&req.answerTimer, deadline+intake.OverdueMarginNanos, req.onAnswerDeadline)
 	d.admission.enqueued(now, req)
 	return id, nil
 }
@@ -101,7 +101,7 @@
 		Session:      policy.SessionKey(d.hashKey(sessionKey, owner, r.Session)),
 		Prefix:       policy.PrefixKey(d.hashKey(prefixKey, owner, r.Prefix)),
 		PromptTokens: r.PromptTokens, PrefixTokens: r.PrefixTokens, MaxOutputTokens: r.MaxTokens,
-		Deadline: deadline, ExpectedDuration: policy.Nanos(r.LengthHint), IsRetry: r.PreviousAttempts > 0,
+		Deadline: deadline, ExpectedDuration: policy.Nanos(r.ExpectedDuration), IsRetry: r.PreviousAttempts > 0,
 	}
 }
 
--- a/internal/frontend/platform/golden_test.go
+++ b/internal/frontend/platform/golden_test.go
@@ -47,15 +47,15 @@
 	return nil
 }
 
-// formatRequest returns a request as text. It rounds timeouts up to 5 s, which depend on when the bytes arrived.
+// formatRequest returns a request as text. A timeout of 4 s to 5 s becomes 5 s, as it depends on when bytes arrived.
 func formatRequest(r *frontend.Request) string {
 	timeout := fmt.Sprint(r.FirstTokenTimeout)
 	if r.FirstTokenTimeout > 4e9 && r.FirstTokenTimeout <= 5e9 {
 		timeout = "5s"
 	}
 	return fmt.Sprintf("id=%s path=%s header=%q class=%s tenant=%s session=%s prefix=%s prompt=%d shared=%d max=%d "+
-		"hint=%d repeat=%d timeout=%s body=%d", r.ClientID, r.Path, r.Header, r.Class, r.Tenant, r.Session, r.Prefix,
-		r.PromptTokens, r.PrefixTokens, r.MaxTokens, r.LengthHint, r.PreviousAttempts, timeout, len(r.Raw))
+		"hint=%d repeat=%d timeout=%s body=%d", r.ClientRequestID, r.Path, r.Header, r.Class, r.Tenant, r.Session, r.Prefix,
+		r.PromptTokens, r.PrefixTokens, r.MaxTokens, r.ExpectedDuration, r.PreviousAttempts, timeout, len(r.Raw))
 }
 
 // respondAs answers a submitted request by a script.
--- a/internal/lab/benchmark/benchmark_test.go
+++ b/internal/lab/benchmark/benchmark_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// The process of the engines writes its addresses under these keys.
+// TestRunEngines checks that the process of the engines writes its addresses under the expected JSON keys and ends
+// when its input ends.
 func TestRunEngines(t *testing.T) {
 	input, stop := io.Pipe()
 	output, out := io.Pipe()
@@ -32,8 +33,8 @@
 	}
 }
 
-// The figures of a process are read from the system while it runs.
-func TestProcessFigures(t *testing.T) {
+// TestProcessUsage checks that memory and CPU time of a running process can be read.
+func TestProcessUsage(t *testing.T) {
 	p, err := startProcess("cat")
 	if err != nil {
 		t.Fatal(err)
@@ -47,21 +48,21 @@
 	}
 }
 
-// The ratios compare tokens a CPU second and CPU a request. Without CPU time there are none.
+// TestPrintRatios checks the printed ratios, and that none are printed without CPU time.
 func TestPrintRatios(t *testing.T) {
 	newMeasurement := func(cpu time.Duration) *measurement {
 		return &measurement{
 			streams: 10, requests: 100, tokens: 1000, cpu: cpu, memoryGrowth: 5000,
 		}
 	}
-	const memoryLine = "at 10 streams: resident memory grown by 500 bytes a running stream, the baseline's by 500\n"
+	const memoryLine = "at 10 streams: resident memory grew by 500 bytes per stream, that of the baseline by 500\n"
 	for name, c := range map[string]struct {
 		dispatcher, baseline time.Duration // CPU time
 		want                 string
 	}{
 		"half of the baseline's CPU": {
 			time.Second, 2 * time.Second,
-			memoryLine + "at 10 streams: 2.00 times the baseline's tokens a CPU second, 0.50 of its CPU a request\n",
+			memoryLine + "at 10 streams: 2.00 times the baseline's tokens per CPU second, 0.50 of its CPU per request\n",
 		},
 		"no CPU time": {0, 2 * time.Second, memoryLine},
 	} {
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -45,7 +45,7 @@
 	t.Helper()
 	router := newRouter(t, Config{
 		Seed:        uint64(n) + uint64(f.now),
-		Self:        Identity{Number: int32(n), Count: int32(len(f.routers))},
+		Self:        Identity{Index: int32(n), Count: int32(len(f.routers))},
 		Classes:     []Class{{LatencyTarget: 1e9, Timeout: 5e9}},
 		Roles:       []Role{Prefill},
 		SlowStart:   slowStartSettings,
@@ -114,8 +114,7 @@
 }
 
 // TestSlowStartStaysWithinCapacity checks that a server in slow start is not overloaded in any window, apart from
-// random variation, for several numbers of dispatchers with uneven traffic, a third of which restart during the slow
-// start.
+// random variation, by dispatchers with uneven traffic, a third of which restart during the slow start.
 func TestSlowStartStaysWithinCapacity(t *testing.T) {
 	for _, count := range []int{1, 25, 300} {
 		t.Run(fmt.Sprint(count), func(t *testing.T) {
